--- /dev/null
+++ b/tests/golden/fleet.rs
@@ -0,0 +1,56 @@
+//! A fleet that holds out a chunk server, and what its consoles say of that.
+
+use std::path::Path;
+use std::time::Duration;
+
+use simd_json::prelude::*;
+use simd_json::OwnedValue as Value;
+use tulipbridge_lab::process::{Lab, Make};
+use tulipbridge_lab::schedule::Fault;
+use tulipbridge_lab::wire::State;
+
+/// Three fronts that share verdicts on four chunk servers, of which `s-1` has just gone silent.
+pub async fn fleet_with_a_silent_server() -> Lab {
+    const FRONTS: usize = 3;
+    const SERVERS: usize = 4;
+    let make = Make::judging(FRONTS, SERVERS, Duration::from_millis(25), 3);
+    let program = Path::new(env!("CARGO_BIN_EXE_tulipbridge"));
+    let mut lab = Lab::new(program, make).await.expect("the lab starts");
+    assert!(lab.until_joined().await, "they join");
+    (0..FRONTS).for_each(|front| lab.load(front, 30));
+    for front in 0..FRONTS {
+        let knows = |told: &str| told.matches("median_us").count() == 2;
+        assert!(lab.until_verdicts(front, knows).await, "{front} knows what is usual");
+    }
+    let fault = Fault::Wire { front: None, server: 1, state: State::Silent };
+    lab.strike(&fault).await.expect("silent");
+    lab
+}
+
+/// Reads JSON.
+pub fn read_json(text: &str) -> Value {
+    simd_json::to_owned_value(&mut text.as_bytes().to_vec()).expect("JSON")
+}
+
+/// The first verdict by which a server is held out and of which every field has a value.
+pub fn whole_verdict(told: &Value) -> Option<Value> {
+    let is_whole = |one: &&Value| {
+        let filled = |key: &str| one[key].as_array().is_some_and(|list| !list.is_empty());
+        let told = one["out_ms"].as_i64().is_some() && one["lapses_ms"].as_i64().is_some();
+        told && one["tries"].as_str().is_some() && filled("assents") && filled("saw")
+    };
+    told["verdicts"].as_array()?.iter().find(is_whole).cloned()
+}
+
+/// The keys of an object in their order, each with the kind of its value; of a list, those of its first entry.
+pub fn shape(value: &Value) -> String {
+    if let Some(object) = value.as_object() {
+        let fields: Vec<String> =
+            object.iter().map(|(key, value)| format!("{key}: {}", shape(value))).collect();
+        return format!("{{{}}}", fields.join(", "));
+    }
+    match value.as_array() {
+        Some(list) => format!("[{}]", list.first().map(shape).unwrap_or_default()),
+        None => format!("{:?}", value.value_type()),
+    }
+}
--- /dev/null
+++ b/tests/golden/running.rs
@@ -0,0 +1,147 @@
+//! A front that runs: its log, its console, and the other parties that the test plays over sockets.
+
+use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::process::{Child, Command, Stdio};
+use std::sync::mpsc::{channel, Receiver};
+use std::time::{Duration, Instant};
+
+use crate::program::LONG;
+
+/// A front that runs.
+pub struct Front {
+    child: Child,
+    log: Receiver<String>,
+    /// What it has said so far.
+    pub said: Vec<String>,
+    pub clients: SocketAddr,
+    pub console: SocketAddr,
+}
+
+impl Front {
+    /// Starts a front and waits until it has both its sockets.
+    pub fn start(mut command: Command) -> Front {
+        let mut child = command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn().expect("it starts");
+        let pipe = BufReader::new(child.stderr.take().expect("a pipe"));
+        let (sender, log) = channel();
+        std::thread::spawn(move || pipe.lines().map_while(Result::ok).try_for_each(|line| sender.send(line)));
+        let unknown: SocketAddr = ([0, 0, 0, 0], 0).into();
+        let mut front = Front { child, log, said: Vec::new(), clients: unknown, console: unknown };
+        front.clients = address(&front.until("listening on "));
+        front.console = address(&front.until("console on "));
+        front
+    }
+
+    /// Waits until a line of the log, said already or not, holds this text, and gives the line.
+    pub fn until(&mut self, text: &str) -> String {
+        let until = Instant::now() + LONG;
+        loop {
+            if let Some(line) = self.said.iter().find(|line| line.contains(text)) {
+                return line.clone();
+            }
+            let left = until.saturating_duration_since(Instant::now());
+            let line = self.log.recv_timeout(left);
+            self.said.push(line.unwrap_or_else(|_| panic!("it never said {text}: {:#?}", self.said)));
+        }
+    }
+
+    /// One call at the console: status line, content type and body.
+    pub fn call(&self, method: &str, path: &str) -> Answer {
+        let mut stream = TcpStream::connect(self.console).expect("the console takes connections");
+        let head = format!("{method} {path} HTTP/1.1\r\nHost: t\r\nContent-Length: 0\r\n\r\n");
+        stream.write_all(head.as_bytes()).expect("sent");
+        read_answer(stream)
+    }
+
+    /// Waits until the figures hold all of these texts.
+    pub fn until_figures(&self, texts: &[&str]) {
+        let until = Instant::now() + LONG;
+        loop {
+            let figures = self.call("GET", "/status/metrics").body;
+            if texts.iter().all(|text| figures.contains(text)) {
+                return;
+            }
+            assert!(Instant::now() < until, "not all of {texts:?} are in {figures}");
+            std::thread::sleep(Duration::from_millis(10));
+        }
+    }
+
+    /// Tells it to end, waits until it has, and reads the rest of its log.
+    pub fn end(&mut self) -> Option<i32> {
+        let pid = self.child.id().to_string();
+        assert!(Command::new("kill").args(["-TERM", &pid]).status().expect("kill").success());
+        let code = self.child.wait().expect("it ends").code();
+        self.said.extend(self.log.iter());
+        code
+    }
+}
+
+impl Drop for Front {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
+
+/// An answer over HTTP.
+pub struct Answer {
+    /// Its status line.
+    pub status: String,
+    /// Its content type, empty where there is none.
+    pub content_type: String,
+    pub body: String,
+}
+
+/// Reads an answer from a connection that ends with it.
+fn read_answer(mut stream: TcpStream) -> Answer {
+    stream.set_read_timeout(Some(LONG)).expect("settable");
+    let mut bytes = Vec::new();
+    stream.read_to_end(&mut bytes).expect("an answer");
+    let text = String::from_utf8(bytes).expect("text");
+    let (head, body) = text.split_once("\r\n\r\n").expect("a head");
+    let mut lines = head.lines();
+    let status = lines.next().unwrap_or_default().to_owned();
+    let content_type = lines.filter_map(|line| line.split_once(": "));
+    let content_type = content_type.filter(|(name, _)| name.eq_ignore_ascii_case("content-type"));
+    let content_type = content_type.map(|(_, value)| value.to_owned()).next().unwrap_or_default();
+    Answer { status, content_type, body: body.to_owned() }
+}
+
+/// The address at the end of a line.
+fn address(line: &str) -> SocketAddr {
+    let told = line.trim().rsplit(' ').next().and_then(|told| told.parse().ok());
+    told.unwrap_or_else(|| panic!("no address: {line}"))
+}
+
+/// A socket on a port that the system chooses.
+pub fn bind() -> TcpListener {
+    TcpListener::bind("127.0.0.1:0").expect("a free port")
+}
+
+/// Waits for the next connection.
+pub fn accept(listener: &TcpListener) -> TcpStream {
+    listener.set_nonblocking(true).expect("settable");
+    let until = Instant::now() + LONG;
+    loop {
+        match listener.accept() {
+            Ok((stream, _)) => {
+                stream.set_nonblocking(false).expect("settable");
+                stream.set_read_timeout(Some(LONG)).expect("settable");
+                return stream;
+            }
+            Err(why) => assert!(why.kind() == ErrorKind::WouldBlock && Instant::now() < until, "{why}"),
+        }
+        std::thread::sleep(Duration::from_millis(1));
+    }
+}
+
+/// Reads up to the end of a head that has no body behind it.
+pub fn read_head(stream: &mut TcpStream) -> String {
+    let mut bytes = Vec::new();
+    while !bytes.ends_with(b"\r\n\r\n") {
+        let mut byte = [0];
+        stream.read_exact(&mut byte).expect("a whole head");
+        bytes.push(byte[0]);
+    }
+    String::from_utf8(bytes).expect("text")
+}
