--- /dev/null
+++ b/tests/golden_messages.rs
@@ -0,0 +1,312 @@
+//! Golden bytes of whole datagrams between fronts, and the numbers by which fronts find that they agree: the digest of
+//! their roster and those of servers.
+//!
+//! Fronts of two versions run side by side during an upgrade, so the bytes and the numbers are a contract: names of
+//! types and fields may change, these may not. The expected ones were worked out from the format by an encoder of its
+//! own, not copied from a run. What is inside a datagram is pinned field by field in the crates' own `golden.rs`.
+
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpStream, UdpSocket};
+use std::path::PathBuf;
+use std::process::{Child, Command, Stdio};
+use std::time::{Duration, Instant};
+
+use serde::{Deserialize, Serialize};
+use tulipbridge::desk::Input;
+use tulipbridge::figures::Figures;
+use tulipbridge::peers::Config;
+use tulipbridge::verdicts::{Bench, Counts};
+use tulipbridge::{Listed, NodeInfo, Outcome, Scope};
+use tulipbridge_peers::{Delta, Entries, Exchange, Hello, Item, Key, Opened, Seal};
+use tulipbridge_quota::{Ask, Beat, Limit, Loan, Loans};
+
+/// What a datagram says, as the program has it privately: the order of the variants is part of the format.
+/// `program_speaks_and_hears_the_golden_format` holds this copy against the running program.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+enum Message {
+    Beat(Box<Beat>),
+    Entries(Exchange),
+}
+
+const KEY: &[u8] = b"golden key of the fronts";
+/// Where a datagram's content begins.
+const CONTENT: usize = 14;
+/// The first byte of a content that is a beat.
+const BEAT: u8 = 0;
+/// The first byte of a content that is entries.
+const ENTRIES: u8 = 1;
+
+fn seal() -> Seal {
+    Seal::new(KEY).expect("the key is long enough")
+}
+
+/// Two lower-case digits for each byte.
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// Checks that a message makes exactly this datagram, and that it is read back as an equal message.
+fn assert_golden(message: &Message, expected: &str) {
+    let datagram = seal().close(0x0203, 0x1122_3344_5566_7788, message).expect("the datagram is short");
+    assert_eq!(hex(&datagram), expected);
+    let opened = seal().open::<Message>(&datagram);
+    assert_eq!(opened, Ok(Opened { from: 0x0203, boot: 0x1122_3344_5566_7788, said: message.clone() }));
+}
+
+#[test]
+fn datagram_of_a_beat() {
+    let hello =
+        Hello { sent: 3_000, echo: Some((301, -64)), stranger: Some(305), leaving: true, hears: vec![9] };
+    let volume = Loan { limit: Limit::Volume(131), part: 132 };
+    let beat = Beat {
+        roster: 0x8877_6655_4433_2211,
+        revision: 257,
+        hello,
+        established: false,
+        reply: true,
+        wants: vec![1, 2],
+        agrees: vec![3],
+        settled: vec![4, 640, 6],
+        asks: vec![Ask { limit: Limit::Servers, milli: 150 }],
+        uses: Some((302, 303)),
+        loans: Loans { number: 400, term: -2_500, parts: vec![volume] },
+    };
+    assert_golden(
+        &Message::Beat(Box::new(beat)),
+        concat!(
+            "54425002",                                                         // the letters TBP, version
+            "0302",                 // the sender's place, low byte first
+            "8877665544332211",     // the sender's boot, low byte first
+            "00",                   // what is said: Beat
+            "91c4cca1d4cad9bb8801", // roster
+            "8102",                 // revision
+            "f02e",                 // hello: sent
+            "01ad027f",             // hello: echo
+            "01b102",               // hello: stranger
+            "01",                   // hello: leaving
+            "0109",                 // hello: hears
+            "00",                   // established
+            "01",                   // reply
+            "020102",               // wants
+            "0103",                 // agrees
+            "0304800506",           // settled
+            "01019601",             // asks: Servers
+            "01ae02af02",           // uses
+            "90038727",             // loans: number, term
+            "010283018401",         // loans: Volume
+            "3d1a5913e0dc74ad62649852a3e9405eecb4fcd2c6116001cec6165b35d99cfb", // HMAC-SHA256 of all before
+        ),
+    );
+}
+
+#[test]
+fn datagram_of_entries() {
+    let key = Key { kind: 200, id: 500 };
+    let item = Item { key, version: 131, age_ms: 60_000, value: Some(vec![0x00, 0xff]) };
+    let delta = Delta { origin: 4, boot: 303, after: 5, to: 8, items: vec![item] };
+    let exchange =
+        Exchange { echo: Some((900, -5)), knows: vec![(513, 6, 302)], asks: true, deltas: vec![delta] };
+    assert_golden(
+        &Message::Entries(exchange),
+        concat!(
+            "54425002",                                                         // the letters TBP, version
+            "0302",                       // the sender's place, low byte first
+            "8877665544332211",           // the sender's boot, low byte first
+            "01",                         // what is said: Entries
+            "01840709",                   // echo
+            "01810406ae02",               // knows
+            "01",                         // asks
+            "0104af020508",               // delta: origin, boot, after, to
+            "01c8f4038301e0d403010200ff", // item: key, version, age, value
+            "58a2e4806132debea561b818838336f5d340ae10eb7770f847e9a89c13a79bbd", // HMAC-SHA256 of all before
+        ),
+    );
+}
+
+/// The roster's digest that the front `a` reads from `peers`, with this put in.
+fn roster_digest(more: &str) -> u64 {
+    let peers = format!(
+        r#"{{"listen": "127.0.0.1:1", "key_file": "k", "revision": 7, "life_ms": 3000, "floor": 0.25, {more}
+        "roster": [{{"name": "b", "address": "127.0.0.1:2", "zone": "east"}},
+        {{"name": "a", "address": "127.0.0.1:3", "zone": "west"}}]}}"#
+    );
+    let value = simd_json::to_owned_value(&mut peers.into_bytes()).expect("it is JSON");
+    Config::read(&value, "a").expect("the peers can be read").terms.roster
+}
+
+#[test]
+fn roster_digest_without_verdicts() {
+    let digested = r#"7|3000000000|250000|["a", "b"]"#;
+    assert_eq!(Seal::digest(digested), 0x21a1_d7fc_80f5_9db3);
+    assert_eq!(roster_digest(""), 0x21a1_d7fc_80f5_9db3);
+}
+
+#[test]
+fn roster_digest_with_verdicts() {
+    // The digested text has the names of a type and its fields in it: they are part of the format.
+    let digested =
+        r#"7|3000000000|250000|["a", "b"]|Config { most_out: 0.25, witnesses: 3 }|["east", "west"]|[1, 0]"#;
+    assert_eq!(Seal::digest(digested), 0x9a5d_abd6_94d8_0079);
+    assert_eq!(roster_digest(r#""verdicts": {"most_out": 0.25, "witnesses": 3},"#), 0x9a5d_abd6_94d8_0079);
+}
+
+/// A server of the list.
+fn server(node: usize, came_up: i64) -> NodeInfo {
+    NodeInfo { node, zone: 0, cell: 0, listed: Listed::Up, came_up }
+}
+
+#[test]
+fn server_ids_in_entries() {
+    // A server's number is the digest of its name and of when it came up, which all fronts are told.
+    assert_eq!(Seal::digest("s-1|77000000"), 0x6a76_f700_4058_78ab);
+    let terms = tulipbridge_verdict::Terms::new(0, 3, 0);
+    let mut bench = Bench::new(terms, Counts::new(&Figures::new())).expect("the terms hold");
+    let servers = [server(0, 1), server(1, 77_000_000), server(2, 3)];
+    bench.list(Scope::Replace, &servers, |node| format!("s-{node}"));
+    for id in 0..60 {
+        let node = id as usize % servers.len();
+        let outcome = if node == 1 { Outcome::Error } else { Outcome::Done };
+        bench.sent(0, (id, 0), node, 0, true);
+        bench.runs(1_000, &Input::Ended { id, attempt: 0, outcome, seen_use: 0.0, foreign_units: 0.0 });
+    }
+    let done = bench.look(2_000, 0, &Entries::new(0, 3, 1, 100_000, 0));
+    let keys: Vec<Key> = done.puts.iter().map(|(key, _)| *key).collect();
+    assert_eq!(keys, [Key { kind: 2, id: 0x6a76_f700_4058_78ab }]);
+}
+
+/// How long the program may take for anything here.
+const LONG: Duration = Duration::from_secs(20);
+/// The boot of the peer that the test plays; the program is at place 0 and the peer at place 1.
+const PEER_BOOT: u64 = 77;
+
+/// The program as the front `alpha`, with a peer `beta` that the test plays.
+struct Program {
+    child: Child,
+    folder: PathBuf,
+    console: SocketAddr,
+    peers: SocketAddr,
+}
+
+impl Program {
+    fn start(beta: SocketAddr) -> Program {
+        let folder = std::env::temp_dir().join(format!("tulipbridge-golden-{}", std::process::id()));
+        std::fs::create_dir_all(&folder).expect("a folder");
+        let key = folder.join("key");
+        std::fs::write(&key, KEY).expect("written");
+        let config = format!(
+            r#"{{"name": "alpha", "listen": "127.0.0.1:0", "console": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
+            "limits": {{"cores": 1.0, "memory_mb": 192, "sockets": 256}},
+            "known": {{"generation": 1, "reset": true, "instances": []}},
+            "peers": {{"listen": "127.0.0.1:0", "key_file": "{}", "roster": [
+                {{"name": "alpha", "address": "127.0.0.1:1"}}, {{"name": "beta", "address": "{beta}"}}]}},
+            "settings": {}}}"#,
+            key.display(),
+            include_str!("scenario/settings.json"),
+        );
+        let file = folder.join("front.json");
+        std::fs::write(&file, config).expect("written");
+        let mut command = Command::new(env!("CARGO_BIN_EXE_tulipbridge"));
+        command.env("BALANCER_CONFIG", &file).stdin(Stdio::null()).stdout(Stdio::null());
+        let mut child = command.stderr(Stdio::piped()).spawn().expect("the program starts");
+        let mut log = BufReader::new(child.stderr.take().expect("a pipe"));
+        let (mut console, mut peers, mut said) = (None, None, String::new());
+        while console.is_none() || peers.is_none() {
+            let mut line = String::new();
+            assert!(log.read_line(&mut line).expect("it speaks") > 0, "it ended: {said}");
+            console = console.or_else(|| address_after("console on ", &line));
+            peers = peers.or_else(|| address_after("peers at ", &line));
+            said += &line;
+        }
+        // What it says later is read and dropped, so that the pipe never fills.
+        std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
+        let (console, peers) = (console.expect("found"), peers.expect("found"));
+        Program { child, folder, console, peers }
+    }
+
+    /// What the console says of the peers.
+    fn status(&self) -> String {
+        let mut stream = TcpStream::connect(self.console).expect("the console takes connections");
+        let request = b"GET /status/peers HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n";
+        stream.write_all(request).expect("the request goes out");
+        let mut answer = String::new();
+        stream.read_to_string(&mut answer).expect("the answer comes");
+        answer
+    }
+}
+
+impl Drop for Program {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
+
+fn address_after(words: &str, line: &str) -> Option<SocketAddr> {
+    line.rsplit_once(words).and_then(|(_, address)| address.trim().parse().ok())
+}
+
+/// The next datagram of the program's, which must be byte for byte what the golden format makes of its content.
+fn next_datagram(socket: &UdpSocket) -> Opened<Message> {
+    let mut bytes = vec![0; 65_536];
+    let length = socket.recv(&mut bytes).expect("the program sends");
+    let datagram = &bytes[..length];
+    let opened = seal().open::<Message>(datagram).expect("the datagram can be opened");
+    let variant = if matches!(opened.said, Message::Beat(_)) { BEAT } else { ENTRIES };
+    assert_eq!(datagram[CONTENT], variant);
+    assert_eq!(opened.from, 0);
+    let again = seal().close(opened.from, opened.boot, &opened.said).expect("it is short");
+    assert_eq!(hex(&again), hex(datagram));
+    opened
+}
+
+/// A beat of the peer's, by which the program knows that the peer hears it.
+fn answer_to(beat: &Beat, boot: u64, sent: i64) -> Message {
+    let hello = Hello { sent, echo: Some((boot, beat.hello.sent)), ..Hello::default() };
+    let (roster, revision) = (beat.roster, beat.revision);
+    Message::Beat(Box::new(Beat { roster, revision, hello, ..Beat::default() }))
+}
+
+/// Entries of the peer's, with one that says its version.
+fn version_of_peer(beat: &Beat, boot: u64) -> Message {
+    let about = Key { kind: 0, id: 0 };
+    let item = Item { key: about, version: 1, age_ms: 0, value: Some(b"golden".to_vec()) };
+    let delta = Delta { origin: 1, boot: PEER_BOOT, after: 0, to: 1, items: vec![item] };
+    let echo = Some((boot, beat.hello.sent));
+    Message::Entries(Exchange { echo, knows: Vec::new(), asks: false, deltas: vec![delta] })
+}
+
+#[test]
+fn program_speaks_and_hears_the_golden_format() {
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
+    socket.set_read_timeout(Some(LONG)).expect("it can time out");
+    let program = Program::start(socket.local_addr().expect("it has an address"));
+    let send = |message: &Message| {
+        let datagram = seal().close(1, PEER_BOOT, message).expect("it is short");
+        socket.send_to(&datagram, program.peers).expect("it goes out");
+    };
+    let until = Instant::now() + LONG;
+    let (mut sent, mut entries) = (0, None);
+    // Entries come only after the program has taken a beat, and the version only after it has taken entries.
+    while entries.is_none() || !program.status().contains(r#""version":"golden""#) {
+        assert!(Instant::now() < until, "entries: {entries:?}, status: {}", program.status());
+        let Opened { boot, said, .. } = next_datagram(&socket);
+        match said {
+            Message::Beat(beat) => {
+                sent += 1;
+                send(&answer_to(&beat, boot, sent));
+                send(&version_of_peer(&beat, boot));
+            }
+            Message::Entries(exchange) => {
+                let told = exchange.deltas.into_iter().find(|delta| delta.origin == 0);
+                entries = entries.or(told.map(|delta| (boot, delta)));
+            }
+        }
+    }
+    // The program's own first entry is its version, under the key 0 of the kind 0.
+    let (boot, delta) = entries.expect("entries came");
+    let [item] = &delta.items[..] else { panic!("one item: {delta:?}") };
+    assert_eq!((delta.boot, delta.after, delta.to), (boot, 0, 1));
+    assert_eq!((item.key, item.version), (Key { kind: 0, id: 0 }, 1));
+    assert_eq!(item.value.as_deref(), Some(env!("CARGO_PKG_VERSION").as_bytes()));
+}
