--- a/crates/quota/src/beat.rs
+++ b/crates/fleet-limits/src/beat.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use tulipbridge_peers::Hello;
+use tulipbridge_membership::Hello;
 
 use crate::{Boot, Limit, Nanos, Part, Place};
 
--- a/crates/quota/src/lib.rs
+++ b/crates/fleet-limits/src/lib.rs
@@ -5,7 +5,7 @@
 //! There is no I/O here and no clock. How it works and which bounds hold is in `docs/fleet-limits.md`.
 //!
 //! ```
-//! use tulipbridge_quota::{Event, Limit, Quota, Terms, WHOLE};
+//! use tulipbridge_fleet_limits::{Event, Limit, Quota, Terms, WHOLE};
 //!
 //! let second = 1_000_000_000;
 //! let mut alone = Quota::new(Terms::new(0, 1, 7), 1, 0).expect("terms hold");
@@ -26,7 +26,7 @@
 pub use beat::{Ask, Beat, Loan, Loans};
 pub use machine::{Effect, Event, Quota, Standing};
 pub use terms::{Terms, TermsError};
-pub use tulipbridge_peers::{Belief, Boot, Nanos, News, Place};
+pub use tulipbridge_membership::{Belief, Boot, Nanos, News, Place};
 
 /// A limit that holds for the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/quota/src/machine.rs
+++ b/crates/fleet-limits/src/machine.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
-use tulipbridge_peers::{Contacts, Hello};
+use tulipbridge_membership::{Contacts, Hello};
 
 use crate::meter::Meter;
 use crate::seeded::{seeded, Bug};
--- a/crates/quota/tests/machine.rs
+++ b/crates/fleet-limits/tests/machine.rs
@@ -2,7 +2,7 @@
 
 use std::hash::{DefaultHasher, Hasher};
 
-use tulipbridge_quota::{Beat, Effect, Event, Limit, Nanos, Place, Quota, Terms, WHOLE};
+use tulipbridge_fleet_limits::{Beat, Effect, Event, Limit, Nanos, Place, Quota, Terms, WHOLE};
 
 const MS: Nanos = 1_000_000;
 
--- a/crates/peers/tests/entries.rs
+++ b/crates/membership/tests/entries.rs
@@ -1,6 +1,6 @@
 //! What fronts tell each other beside: whose word counts, what is bounded, how a bad link is gone round.
 
-use tulipbridge_peers::*;
+use tulipbridge_membership::*;
 
 const MS: Nanos = 1_000_000;
 const SPAN: Nanos = 2_000 * MS;
--- a/crates/peers/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -9,7 +9,7 @@
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use tulipbridge_peers::{Delta, Exchange, Hello, Item, Key, Opened, Seal};
+use tulipbridge_membership::{Delta, Exchange, Hello, Item, Key, Opened, Seal};
 
 /// Two lower-case digits for each byte.
 fn hex(bytes: &[u8]) -> String {
--- a/crates/checker/src/cli.rs
+++ b/crates/model-checker/src/cli.rs
@@ -143,7 +143,7 @@
     Bug(String),
     #[cfg(not(feature = "seeded"))]
     #[error(
-        "bugs can be seeded only in a build of their own: cargo run --release -p tulipbridge-checker \
+        "bugs can be seeded only in a build of their own: cargo run --release -p tulipbridge-model-checker \
         --features seeded -- seeded"
     )]
     NotSeeded,
@@ -313,7 +313,7 @@
 /// its own, which gives all its memory back.
 #[cfg(feature = "seeded")]
 fn rights(name: Option<&str>, bounds: Bounds) -> Result<u8, Failure> {
-    use tulipbridge_quota::seeded::{seed, ALL};
+    use tulipbridge_fleet_limits::seeded::{seed, ALL};
     let Some(name) = name else {
         let program = std::env::current_exe().map_err(Failure::Itself)?;
         let mut found = 0;
--- a/crates/checker/src/rights.rs
+++ b/crates/model-checker/src/rights.rs
@@ -7,7 +7,7 @@
 use std::fmt::{Debug, Display};
 use std::hash::{Hash, Hasher};
 
-use tulipbridge_quota::{Beat, Effect, Event, Limit, Nanos, Part, Place, Quota, Terms, WHOLE};
+use tulipbridge_fleet_limits::{Beat, Effect, Event, Limit, Nanos, Part, Place, Quota, Terms, WHOLE};
 
 use crate::explore::{same, Card, Explored};
 use crate::properties::Broken;
--- a/crates/checker/tests/checker.rs
+++ b/crates/model-checker/tests/checker.rs
@@ -5,10 +5,10 @@
 use std::process::{Command, Output};
 use std::time::Duration;
 
-use tulipbridge_checker::explore::{explore, walk, Bounds, Report};
-use tulipbridge_checker::trace::{shrink, Trace};
-use tulipbridge_checker::world::State;
-use tulipbridge_checker::{configs, properties, with_config};
+use tulipbridge_model_checker::explore::{explore, walk, Bounds, Report};
+use tulipbridge_model_checker::trace::{shrink, Trace};
+use tulipbridge_model_checker::world::State;
+use tulipbridge_model_checker::{configs, properties, with_config};
 
 fn bounds(memory_mb: u64) -> Bounds {
     Bounds { threads: NonZeroUsize::MIN, memory_mb, time: Duration::from_secs(600) }
--- a/crates/checker/tests/golden.rs
+++ b/crates/model-checker/tests/golden.rs
@@ -3,7 +3,7 @@
 //!
 //! The expected texts lie in `tests/golden`. A difference means that stored files, scripts or reports of an earlier
 //! version no longer fit; change an expected text only where that is intended. To write the texts anew:
-//! `UPDATE_GOLDEN=1 cargo test -p tulipbridge-checker --test golden`.
+//! `UPDATE_GOLDEN=1 cargo test -p tulipbridge-model-checker --test golden`.
 //!
 //! That never writes the histories (`*.trace`): they are what `Trace` wrote of random walks. Replay takes each step only
 //! where it may come, so a change of what the machines decide may make one impossible; it then has to be replaced by
@@ -13,10 +13,10 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-use tulipbridge_checker::configs::{self, Config};
-use tulipbridge_checker::explore::{walk, Report};
-use tulipbridge_checker::trace::Trace;
-use tulipbridge_checker::{chart, entrance, register, rights, with_config, world};
+use tulipbridge_model_checker::configs::{self, Config};
+use tulipbridge_model_checker::explore::{walk, Report};
+use tulipbridge_model_checker::trace::Trace;
+use tulipbridge_model_checker::{chart, entrance, register, rights, with_config, world};
 use tulipbridge_core::Action;
 
 /// Random walks of each configuration.
@@ -308,7 +308,7 @@
 /// What `seeded --rights --name` accepts.
 #[test]
 fn seeded_bugs_of_shared_limits_keep_their_names() {
-    let names: Vec<String> = tulipbridge_quota::seeded::ALL.iter().map(|bug| format!("{bug:?}")).collect();
+    let names: Vec<String> = tulipbridge_fleet_limits::seeded::ALL.iter().map(|bug| format!("{bug:?}")).collect();
     assert_golden("seeded-rights-bugs.txt", &lines(&names));
 }
 
--- a/crates/verdict/tests/golden.rs
+++ b/crates/outlier-detection/tests/golden.rs
@@ -11,8 +11,8 @@
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use tulipbridge_peers::{Contacts, Delta, Exchange, Item, Told};
-use tulipbridge_verdict::*;
+use tulipbridge_membership::{Contacts, Delta, Exchange, Item, Told};
+use tulipbridge_outlier_detection::*;
 
 const MS: Nanos = 1_000_000;
 const SERVER: Server = 0x1122_3344_5566_7788;
--- a/crates/verdict/tests/machine.rs
+++ b/crates/outlier-detection/tests/machine.rs
@@ -1,7 +1,7 @@
 //! What one front makes of what it saw and what others told.
 
-use tulipbridge_peers::{Contacts, Entries, Told};
-use tulipbridge_verdict::*;
+use tulipbridge_membership::{Contacts, Entries, Told};
+use tulipbridge_outlier_detection::*;
 
 const MS: Nanos = 1_000_000;
 const SPAN: Nanos = 2_000 * MS;
@@ -64,7 +64,7 @@
                 }
             }
             for act in acts {
-                let tulipbridge_peers::Act::Send { to, exchange } = act else { continue };
+                let tulipbridge_membership::Act::Send { to, exchange } = act else { continue };
                 if !hears(usize::from(to), at) {
                     continue;
                 }
--- a/crates/lab/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -168,7 +168,7 @@
     #[error("{0} cannot be written: {1}")]
     Write(PathBuf, String),
     #[error(transparent)]
-    Seal(#[from] tulipbridge_peers::SealError),
+    Seal(#[from] tulipbridge_membership::SealError),
     #[error(transparent)]
     Lab(#[from] crate::process::LabError),
     #[error(transparent)]
@@ -268,7 +268,7 @@
         let mut summary = summary.lock().expect("no thread panics");
         summary.schedules += 1;
         summary.messages += verdict.messages;
-        if verdict.allowed <= tulipbridge_quota::WHOLE {
+        if verdict.allowed <= tulipbridge_fleet_limits::WHOLE {
             summary.most = summary.most.max(verdict.most);
         }
         if let Some(healed) = verdict.healed {
@@ -634,8 +634,8 @@
 
 #[cfg(feature = "seeded")]
 fn bugs(most: u64, of_verdicts: bool) -> Result<bool, Failure> {
-    use tulipbridge_quota::seeded as limits;
-    use tulipbridge_verdict::seeded as verdicts;
+    use tulipbridge_fleet_limits::seeded as limits;
+    use tulipbridge_outlier_detection::seeded as verdicts;
     Ok(match of_verdicts {
         false => find(&limits::ALL, limits::seed, most, |s| simulate::run(s).holds()),
         true => find(&verdicts::ALL, verdicts::seed, most, |s| crate::verdicts::run(s).holds()),
--- a/crates/lab/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -5,8 +5,8 @@
 use std::time::Instant;
 
 use serde::Serialize;
-use tulipbridge_peers::{Belief, Seal, SealError};
-use tulipbridge_quota::{Effect, Event, Limit, Nanos, Place, Quota, Terms};
+use tulipbridge_membership::{Belief, Seal, SealError};
+use tulipbridge_fleet_limits::{Effect, Event, Limit, Nanos, Place, Quota, Terms};
 
 /// What was measured.
 #[derive(Clone, Debug, Serialize)]
@@ -65,7 +65,7 @@
                     bytes.set(bytes.get() + sealed.len());
                     datagrams.set(datagrams.get() + 1);
                     if alive(usize::from(to)) {
-                        let opened = seal.open::<tulipbridge_quota::Beat>(&sealed)?;
+                        let opened = seal.open::<tulipbridge_fleet_limits::Beat>(&sealed)?;
                         let event = Event::Heard { from: opened.from, boot, beat: Box::new(opened.said) };
                         fleet[usize::from(to)].on(now, event, &mut Vec::new());
                     }
--- a/crates/lab/src/entries.rs
+++ b/crates/testbed/src/entries.rs
@@ -5,7 +5,7 @@
 
 use fastrand::Rng;
 use serde::Serialize;
-use tulipbridge_peers::{Act, Boot, Key, Nanos, Place, Told};
+use tulipbridge_membership::{Act, Boot, Key, Nanos, Place, Told};
 
 use crate::network::{Agenda, Links, Message, Peer, Said, BEAT, LIFE, MS};
 use crate::schedule::{Fault, Millis, Schedule};
@@ -281,6 +281,6 @@
 }
 
 /// How many bytes a delta takes in a message.
-fn size(delta: &tulipbridge_peers::Delta) -> usize {
+fn size(delta: &tulipbridge_membership::Delta) -> usize {
     postcard::to_stdvec(delta).map_or(usize::MAX, |bytes| bytes.len())
 }
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    tulipbridge_lab::cli::main()
+    tulipbridge_testbed::cli::main()
 }
--- a/crates/lab/src/network.rs
+++ b/crates/testbed/src/network.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use fastrand::Rng;
-use tulipbridge_peers::{Act, Boot, Contacts, Entries, Exchange, Hello, Nanos, Place, Told};
+use tulipbridge_membership::{Act, Boot, Contacts, Entries, Exchange, Hello, Nanos, Place, Told};
 
 use crate::schedule::{Fault, Millis};
 
--- a/crates/lab/src/simulate.rs
+++ b/crates/testbed/src/simulate.rs
@@ -9,7 +9,7 @@
 
 use fastrand::Rng;
 use serde::Serialize;
-use tulipbridge_quota::{Beat, Boot, Effect, Event, Limit, Nanos, Part, Place, Quota, Terms, WHOLE};
+use tulipbridge_fleet_limits::{Beat, Boot, Effect, Event, Limit, Nanos, Part, Place, Quota, Terms, WHOLE};
 
 use crate::network::Links;
 use crate::schedule::{Fault, Millis, Schedule};
--- a/crates/lab/src/verdicts.rs
+++ b/crates/testbed/src/verdicts.rs
@@ -5,8 +5,8 @@
 
 use fastrand::Rng;
 use serde::Serialize;
-use tulipbridge_peers::{Act, Boot, Key, Nanos, Place, Told};
-use tulipbridge_verdict::{
+use tulipbridge_membership::{Act, Boot, Key, Nanos, Place, Told};
+use tulipbridge_outlier_detection::{
     Class, Effect, Event, Scope, Server, Subject, Terms, Verdicts, Worth, Zone, ASSENT, EVIDENCE,
 };
 
--- a/crates/lab/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -3,7 +3,7 @@
 //!
 //! The expected texts lie in `tests/golden`. A difference means that stored files, scripts or reports of an earlier
 //! version no longer fit; change an expected text only where that is intended. To write the texts anew:
-//! `UPDATE_GOLDEN=1 cargo test -p tulipbridge-lab --test golden`.
+//! `UPDATE_GOLDEN=1 cargo test -p tulipbridge-testbed --test golden`.
 //!
 //! That never writes the stored schedule and the stored rows (`*.json`): they must stay readable as they are.
 
@@ -11,9 +11,9 @@
 use std::process::{Command, Output};
 
 use serde::{Deserialize, Serialize};
-use tulipbridge_lab::schedule::{Fault, Schedule, Step};
-use tulipbridge_lab::wire::State;
-use tulipbridge_lab::{cost, entries, others, runs, sick, simulate, verdicts};
+use tulipbridge_testbed::schedule::{Fault, Schedule, Step};
+use tulipbridge_testbed::wire::State;
+use tulipbridge_testbed::{cost, entries, others, runs, sick, simulate, verdicts};
 use tulipbridge_results::{Column, Table};
 
 /// The name of the program, as its users type it.
@@ -391,8 +391,8 @@
 /// The names that `bugs` prints, of the machine of limits and of that of verdicts.
 #[test]
 fn seeded_bugs_keep_their_names() {
-    let limits = tulipbridge_quota::seeded::ALL.iter().map(|bug| format!("{bug:?}\n"));
-    let verdicts = tulipbridge_verdict::seeded::ALL.iter().map(|bug| format!("{bug:?}\n"));
+    let limits = tulipbridge_fleet_limits::seeded::ALL.iter().map(|bug| format!("{bug:?}\n"));
+    let verdicts = tulipbridge_outlier_detection::seeded::ALL.iter().map(|bug| format!("{bug:?}\n"));
     let (limits, verdicts): (String, String) = (limits.collect(), verdicts.collect());
     assert_golden("seeded-bugs.txt", &format!("[limits]\n{limits}\n[verdicts]\n{verdicts}"));
 }
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -21,11 +21,11 @@
 use tulipbridge_core as core;
 use tulipbridge_core::desk::Input;
 use tulipbridge_core::{Limited, NodeId, ReqId, Semantics, Settings};
-use tulipbridge_peers::{
+use tulipbridge_membership::{
     Act, Belief, Entries, Exchange as Exchanged, Key, News, Place, Refusal, Seal, SealError, Told,
     MOST_MESSAGE,
 };
-use tulipbridge_quota::{Beat, Effect, Event, Limit, Part, Quota, Terms, WHOLE};
+use tulipbridge_fleet_limits::{Beat, Effect, Event, Limit, Part, Quota, Terms, WHOLE};
 
 use crate::exchange::{Exchange, Rights};
 use crate::figures::Figures;
@@ -179,7 +179,7 @@
     ///
     /// # Errors
     /// Where they cannot hold.
-    fn verdict_terms(&self) -> Res<Option<tulipbridge_verdict::Terms>> {
+    fn verdict_terms(&self) -> Res<Option<tulipbridge_outlier_detection::Terms>> {
         let Terms { me, fronts, .. } = self.terms;
         // As many zones as fit into a number of one byte have been read.
         let zone = self.zones.1.get(usize::from(me)).copied().unwrap_or_default() as u8;
--- a/src/shares.rs
+++ b/src/shares.rs
@@ -7,7 +7,7 @@
 use simd_json::OwnedValue as Value;
 use tulipbridge_core::desk::Input;
 use tulipbridge_core::{Limited, Outcome, Settings, VolId};
-use tulipbridge_quota::{Limit, Part, WHOLE};
+use tulipbridge_fleet_limits::{Limit, Part, WHOLE};
 
 use crate::settings::{num, Res};
 
@@ -190,7 +190,7 @@
     use super::*;
 
     fn set() -> Settings {
-        let json = include_bytes!("../crates/lab/src/settings.json").to_vec();
+        let json = include_bytes!("../crates/testbed/src/settings.json").to_vec();
         let boot = simd_json::to_owned_value(&mut json.clone()).expect("JSON");
         crate::settings::settings(&boot).expect("it holds")
     }
--- a/src/verdicts.rs
+++ b/src/verdicts.rs
@@ -10,8 +10,8 @@
 use simd_json::{json, OwnedValue as Value};
 use tulipbridge_core::desk::Input;
 use tulipbridge_core::{Classes, Listed, Nanos, NodeId, NodeInfo, Outcome, ReqId, Scope as News, Told};
-use tulipbridge_peers::{Entries, Key, Place, Seal};
-use tulipbridge_verdict::{
+use tulipbridge_membership::{Entries, Key, Place, Seal};
+use tulipbridge_outlier_detection::{
     Class, Effect, Event, How, Reason, Saw, Scope, Server, Subject, Terms, TermsError, Verdicts, Watch,
     Worth, Zone,
 };
--- a/tests/golden/fleet.rs
+++ b/tests/golden/fleet.rs
@@ -5,9 +5,9 @@
 
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
-use tulipbridge_lab::process::{Lab, Make};
-use tulipbridge_lab::schedule::Fault;
-use tulipbridge_lab::wire::State;
+use tulipbridge_testbed::process::{Lab, Make};
+use tulipbridge_testbed::schedule::Fault;
+use tulipbridge_testbed::wire::State;
 
 /// Three fronts that share verdicts on four chunk servers, of which `s-1` has just gone silent.
 pub async fn fleet_with_a_silent_server() -> Lab {
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -17,8 +17,8 @@
 use tulipbridge::peers::Config;
 use tulipbridge::verdicts::{Bench, Counts};
 use tulipbridge::{Listed, NodeInfo, Outcome, Scope};
-use tulipbridge_peers::{Delta, Entries, Exchange, Hello, Item, Key, Opened, Seal};
-use tulipbridge_quota::{Ask, Beat, Limit, Loan, Loans};
+use tulipbridge_membership::{Delta, Entries, Exchange, Hello, Item, Key, Opened, Seal};
+use tulipbridge_fleet_limits::{Ask, Beat, Limit, Loan, Loans};
 
 /// What a datagram says, as the program has it privately: the order of the variants is part of the format.
 /// `program_speaks_and_hears_the_golden_format` holds this copy against the running program.
@@ -159,7 +159,7 @@
 fn server_ids_in_entries() {
     // A server's number is the digest of its name and of when it came up, which all fronts are told.
     assert_eq!(Seal::digest("s-1|77000000"), 0x6a76_f700_4058_78ab);
-    let terms = tulipbridge_verdict::Terms::new(0, 3, 0);
+    let terms = tulipbridge_outlier_detection::Terms::new(0, 3, 0);
     let mut bench = Bench::new(terms, Counts::new(&Figures::new())).expect("the terms hold");
     let servers = [server(0, 1), server(1, 77_000_000), server(2, 3)];
     bench.list(Scope::Replace, &servers, |node| format!("s-{node}"));
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -7,9 +7,9 @@
 use nix::sys::signal::Signal;
 use simd_json::prelude::*;
 use tokio::task::LocalSet;
-use tulipbridge_lab::others::{self, Other};
-use tulipbridge_lab::process::{Lab, Make, Sharing};
-use tulipbridge_lab::schedule::Fault;
+use tulipbridge_testbed::others::{self, Other};
+use tulipbridge_testbed::process::{Lab, Make, Sharing};
+use tulipbridge_testbed::schedule::Fault;
 
 /// How long a read may take from its front to the server's note, on a machine that is busy with other tests.
 const SLACK: Duration = Duration::from_secs(1);
--- a/tests/verdicts.rs
+++ b/tests/verdicts.rs
@@ -8,9 +8,9 @@
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
 use tokio::task::LocalSet;
-use tulipbridge_lab::process::{held_out, Lab, Make, Sharing};
-use tulipbridge_lab::schedule::Fault;
-use tulipbridge_lab::wire::State;
+use tulipbridge_testbed::process::{held_out, Lab, Make, Sharing};
+use tulipbridge_testbed::schedule::Fault;
+use tulipbridge_testbed::wire::State;
 
 const FRONTS: usize = 4;
 const SERVERS: usize = 6;
