--- a/crates/core/src/desk.rs
+++ b/crates/core/src/desk.rs
@@ -10,7 +10,7 @@
 use crate::interface::{
     Action, Event, Listed, Nanos, NodeId, NodeInfo, Outcome, ReqId, Request, Scope, Told,
 };
-use crate::seeded::{seeded, Bug};
+use crate::mutations::{mutated, Mutation};
 use crate::state::Scheduler;
 
 /// Who decides: takes events in their order and appends what is to be done.
@@ -241,12 +241,12 @@
                 self.ended(now, (id, attempt), outcome, (seen_use, foreign_units), effects);
             }
             Input::TimeUp { id, attempt } => {
-                let never = seeded(Bug::TimeUpProvesNothingRan);
+                let never = mutated(Mutation::TimeUpProvesNothingRan);
                 let outcome = if never { Outcome::Refused } else { Outcome::TimedOut };
                 self.ended(now, (id, attempt), outcome, (0.0, 0.0), effects)
             }
             Input::Stopped { id, attempt } => {
-                let never = seeded(Bug::CancelProvesNothingRan);
+                let never = mutated(Mutation::CancelProvesNothingRan);
                 let outcome = if never { Outcome::Refused } else { Outcome::Canceled };
                 self.ended(now, (id, attempt), outcome, (0.0, 0.0), effects)
             }
@@ -271,9 +271,9 @@
 
     fn leave(&mut self, now: Nanos, id: ReqId, effects: &mut Vec<Effect>) {
         let Some(held) = self.held.get_mut(&id).filter(|h| !h.settled) else { return };
-        held.settled = !seeded(Bug::AnswerToClientThatLeft);
+        held.settled = !mutated(Mutation::AnswerToClientThatLeft);
         self.withdraw(id, effects);
-        if !seeded(Bug::LeftChargedForEver) {
+        if !mutated(Mutation::LeftChargedForEver) {
             self.release(id, effects);
         }
         self.feed(now, Event::Gone(id), effects);
@@ -291,10 +291,10 @@
         // An attempt ends once: what comes of it later was on its way already.
         let Some(at) = held.out.iter().position(|o| o.attempt == attempt) else { return };
         let out = held.out[at];
-        if !seeded(Bug::AttemptLeftInTable) {
+        if !mutated(Mutation::AttemptLeftInTable) {
             held.out.remove(at);
         }
-        if outcome == Outcome::Done && (!held.settled || seeded(Bug::SecondFinalAnswer)) {
+        if outcome == Outcome::Done && (!held.settled || mutated(Mutation::SecondFinalAnswer)) {
             held.settled = true;
             effects.push(Effect::Answer { id, verdict: Verdict::Served });
             self.withdraw(id, effects);
@@ -334,7 +334,7 @@
                 let Some(held) = self.held.get_mut(&id) else { return };
                 let attempt = held.tries;
                 held.tries += 1;
-                if held.settled && !seeded(Bug::PlacedAfterAnswer) {
+                if held.settled && !mutated(Mutation::PlacedAfterAnswer) {
                     // Nothing goes out for what has been answered.
                     let (outcome, last) = (Outcome::Skipped, true);
                     let (took, seen_use, foreign_units) = (0, 0.0, 0.0);
@@ -352,7 +352,7 @@
                 }
                 held.out.push(Out { attempt, node, at: now, stopped: false });
                 let until = match patience {
-                    0 if seeded(Bug::UntilPastClient) => held.until + 1_000_000_000,
+                    0 if mutated(Mutation::UntilPastClient) => held.until + 1_000_000_000,
                     0 => held.until,
                     some => held.until.min(now + some.max(0)),
                 };
@@ -389,7 +389,7 @@
 
     /// Nobody waits for a request any more: what has not begun of it never does, and says nothing of its node.
     fn withdraw(&self, id: ReqId, effects: &mut Vec<Effect>) {
-        let out = self.held.get(&id).filter(|_| !seeded(Bug::LeftAttemptGoesOut)).map(|h| &h.out);
+        let out = self.held.get(&id).filter(|_| !mutated(Mutation::LeftAttemptGoesOut)).map(|h| &h.out);
         let wanted = out.into_iter().flatten().filter(|o| !o.stopped);
         let outcome = Outcome::Skipped;
         effects.extend(wanted.map(|o| Effect::Withdraw { id, attempt: o.attempt, outcome }));
@@ -401,7 +401,7 @@
             Some(told) => told.listed == Listed::Up,
             None => scope != Scope::Replace,
         };
-        for (id, held) in self.held.iter().filter(|_| !seeded(Bug::DrainMissesDialling)) {
+        for (id, held) in self.held.iter().filter(|_| !mutated(Mutation::DrainMissesDialling)) {
             for out in held.out.iter().filter(|o| !o.stopped && !stays(o.node)) {
                 effects.push(Effect::Withdraw { id: *id, attempt: out.attempt, outcome: Outcome::Refused });
             }
@@ -412,7 +412,7 @@
         if self
             .held
             .get(&id)
-            .is_some_and(|h| h.settled && (h.out.is_empty() || seeded(Bug::ReleasedWhileOut)))
+            .is_some_and(|h| h.settled && (h.out.is_empty() || mutated(Mutation::ReleasedWhileOut)))
         {
             self.held.remove(&id);
             effects.push(Effect::Release(id));
--- a/crates/core/src/door.rs
+++ b/crates/core/src/door.rs
@@ -4,7 +4,7 @@
 //! None of them does I/O; the listener tells them what happens and carries out what they say.
 
 use crate::interface::Nanos;
-use crate::seeded::{seeded, Bug};
+use crate::mutations::{mutated, Mutation};
 
 const MS: Nanos = 1_000_000;
 /// From connecting until the first request is whole: whoever sends what is no request learns so within 3 s.
@@ -107,7 +107,7 @@
             OnVisitor::Answered => Phase::Idle,
             OnVisitor::Ended => Phase::Closing,
         };
-        let restarts = phase != Phase::Body || seeded(Bug::BodyRestartsTime);
+        let restarts = phase != Phase::Body || mutated(Mutation::BodyRestartsTime);
         if restarts && phase != self.phase {
             self.since = now;
         }
@@ -130,7 +130,7 @@
         let idle = if short { IDLE_SHORT } else { IDLE };
         match self.phase {
             Phase::Silent | Phase::Head => now >= self.limit(),
-            Phase::Idle => now - self.since >= idle && (!busy() || seeded(Bug::ClosesAcrossRequest)),
+            Phase::Idle => now - self.since >= idle && (!busy() || mutated(Mutation::ClosesAcrossRequest)),
             // These are bounded where they are awaited.
             Phase::Body | Phase::Open | Phase::Closing => false,
         }
@@ -139,7 +139,7 @@
     /// Whether a request is on its way on it, or may be: a front that leaves shuts it only once that is answered.
     /// `waits` says that bytes lie on the socket, or an answer is not with the system yet.
     pub fn is_arriving(&self, now: Nanos, waits: bool) -> bool {
-        if seeded(Bug::ShutsAcrossArriving) {
+        if mutated(Mutation::ShutsAcrossArriving) {
             return false;
         }
         match self.phase {
@@ -177,7 +177,7 @@
             Phase::Closing if !idle => Some(0),
             Phase::Silent if !idle && age >= SILENT => Some(1),
             Phase::Head | Phase::Body if !idle && age >= HALF => Some(3),
-            Phase::Open if !idle && seeded(Bug::OpenGivesWay) => Some(5),
+            Phase::Open if !idle && mutated(Mutation::OpenGivesWay) => Some(5),
             _ => None,
         }
     }
@@ -232,7 +232,7 @@
             Accept::SendIdleOff
         } else if self.is_full(held) && more_to_send {
             Accept::SendOneOff
-        } else if held < self.most + self.turned_away || seeded(Bug::NoCapAtDoor) {
+        } else if held < self.most + self.turned_away || mutated(Mutation::NoCapAtDoor) {
             Accept::Now
         } else {
             Accept::Wait
@@ -251,7 +251,7 @@
         let mut least: Vec<_> =
             visitors.filter_map(|(n, v)| Some((v.rank(now, idle)?, v.since, n))).collect();
         least.sort_unstable();
-        least.into_iter().map(|(_, _, n)| n).find(|n| seeded(Bug::ClosesAcrossRequest) || !busy(*n))
+        least.into_iter().map(|(_, _, n)| n).find(|n| mutated(Mutation::ClosesAcrossRequest) || !busy(*n))
     }
 }
 
@@ -338,7 +338,8 @@
                 }
             }
             (Stage::Draining, OnLeaving::Look { held, open }) => {
-                self.quiet = if open == 0 || seeded(Bug::LeavesOpenRequests) { self.quiet + 1 } else { 0 };
+                self.quiet =
+                    if open == 0 || mutated(Mutation::LeavesOpenRequests) { self.quiet + 1 } else { 0 };
                 if held == 0 || self.quiet > LOOKS || now >= self.end {
                     self.stage = Stage::Over;
                     Leave::Exit
--- a/crates/core/src/link.rs
+++ b/crates/core/src/link.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use crate::interface::{Nanos, NodeId, Outcome};
-use crate::seeded::{seeded, Bug};
+use crate::mutations::{mutated, Mutation};
 
 /// What a connection to a node is about.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -75,9 +75,9 @@
     /// Takes what has happened.
     pub fn on(&mut self, event: OnLink) {
         *self = match (*self, event) {
-            (Link::Quiet, OnLink::HandedOver) if seeded(Bug::LastByteAtHandOver) => Link::Awaiting,
+            (Link::Quiet, OnLink::HandedOver) if mutated(Mutation::LastByteAtHandOver) => Link::Awaiting,
             (Link::Quiet, OnLink::HandedOver) => Link::Writing { begun: false },
-            (Link::Writing { .. }, OnLink::Wrote { last: true }) if !seeded(Bug::LastByteNotSeen) => {
+            (Link::Writing { .. }, OnLink::Wrote { last: true }) if !mutated(Mutation::LastByteNotSeen) => {
                 Link::Awaiting
             }
             (Link::Writing { .. }, OnLink::Wrote { .. }) => Link::Writing { begun: true },
@@ -86,7 +86,7 @@
             }
             // What comes before the request is out whole is an answer to something else.
             (Link::Quiet, OnLink::Heard) => Link::Spoilt { begun: false, whole: false },
-            (Link::Writing { begun }, OnLink::Heard) if !seeded(Bug::EarlyAnswerTaken) => {
+            (Link::Writing { begun }, OnLink::Heard) if !mutated(Mutation::EarlyAnswerTaken) => {
                 Link::Spoilt { begun, whole: false }
             }
             (Link::Awaiting, OnLink::Heard) => Link::Reading,
@@ -99,11 +99,11 @@
     /// already, and `withdrawn` that nobody wants the request any more. Behind the last byte nothing would tell the
     /// waiting bytes from the answer; a request that has begun is not broken off.
     pub fn may_write(&mut self, waits: bool, withdrawn: bool) -> bool {
-        if waits && !seeded(Bug::WritesOverWaitingBytes) {
+        if waits && !mutated(Mutation::WritesOverWaitingBytes) {
             self.on(OnLink::Heard);
         }
         let begins = *self == Link::Writing { begun: false };
-        let unwanted = begins && withdrawn && !seeded(Bug::WithdrawnIsWritten);
+        let unwanted = begins && withdrawn && !mutated(Mutation::WithdrawnIsWritten);
         !matches!(self, Link::Spoilt { .. }) && !unwanted
     }
 
@@ -120,7 +120,7 @@
 
     /// Whether what has come is the answer to the request on it.
     pub fn answers(self) -> bool {
-        self == Link::Reading || (seeded(Bug::EarlyAnswerTaken) && matches!(self, Link::Writing { .. }))
+        self == Link::Reading || (mutated(Mutation::EarlyAnswerTaken) && matches!(self, Link::Writing { .. }))
     }
 }
 
@@ -182,19 +182,19 @@
             (Attempt::Choosing, OnAttempt::NoneQuiet { room: true }) => Next::Dial,
             (Attempt::Choosing, OnAttempt::NoneQuiet { room: false }) => Next::End(Outcome::Skipped),
             (Attempt::Dialling, OnAttempt::Connected) => Next::Send,
-            (Attempt::Dialling, OnAttempt::NotConnected) if seeded(Bug::DialFailureInDoubt) => {
+            (Attempt::Dialling, OnAttempt::NotConnected) if mutated(Mutation::DialFailureInDoubt) => {
                 Next::End(Outcome::Reset)
             }
             (Attempt::Dialling, OnAttempt::NotConnected) => Next::End(Outcome::Refused),
             // A pooled connection may prove closed before anything of the request is taken from us; that is no
             // attempt, and the next connection gets it. One that broke in mid-request is never gone round.
             (Attempt::Reusing, OnAttempt::Broke(Doubt::Untouched)) => Next::Choose,
-            (Attempt::Reusing, OnAttempt::Broke(Doubt::Partly)) if seeded(Bug::PartlySentGoesRound) => {
+            (Attempt::Reusing, OnAttempt::Broke(Doubt::Partly)) if mutated(Mutation::PartlySentGoesRound) => {
                 Next::Choose
             }
-            (Attempt::Reusing, OnAttempt::Broke(_)) if seeded(Bug::ResentSilently) => Next::Choose,
+            (Attempt::Reusing, OnAttempt::Broke(_)) if mutated(Mutation::ResentSilently) => Next::Choose,
             (Attempt::Reusing | Attempt::Fresh, OnAttempt::Broke(doubt)) => {
-                let refused = seeded(Bug::ResetTakenForRefusal);
+                let refused = mutated(Mutation::ResetTakenForRefusal);
                 Next::End(if refused { Outcome::Refused } else { doubt.outcome() })
             }
             (Attempt::Reusing | Attempt::Fresh, OnAttempt::Answered(outcome)) => Next::End(outcome),
@@ -261,7 +261,7 @@
 
     /// A node is gone. Gives its connections.
     pub fn forget(&mut self, node: NodeId) -> Vec<(C, Nanos)> {
-        if seeded(Bug::ForgottenNodeKeepsConnections) {
+        if mutated(Mutation::ForgottenNodeKeepsConnections) {
             return Vec::new();
         }
         self.members.remove(&node).map(|m| m.quiet).unwrap_or_default()
@@ -278,7 +278,7 @@
         let idle = self.idle;
         let Some(member) = self.members.get_mut(&node) else { return (None, useless) };
         while let Some((conn, since)) = member.quiet.pop() {
-            let fresh = now - since < idle || seeded(Bug::IdleForTooLong);
+            let fresh = now - since < idle || mutated(Mutation::IdleForTooLong);
             if fresh && quiet(&conn) {
                 return (Some(conn), useless);
             }
@@ -290,7 +290,7 @@
     /// Keeps a connection that has carried an answer, opened while its node was at `place`; gives it back where
     /// it is of no use.
     pub fn keep(&mut self, node: NodeId, place: u32, conn: C, now: Nanos, quiet: bool) -> Option<C> {
-        let stays = |m: &&mut Member<C>| m.place == place || seeded(Bug::KeptForAnotherAddress);
+        let stays = |m: &&mut Member<C>| m.place == place || mutated(Mutation::KeptForAnotherAddress);
         match self.members.get_mut(&node).filter(stays).filter(|_| quiet) {
             Some(member) => {
                 member.quiet.push((conn, now));
@@ -302,7 +302,7 @@
 
     /// Whether one more may be opened where `open` are, in use or quiet.
     pub fn room(&mut self, open: usize) -> Room<C> {
-        if open < self.most || seeded(Bug::NoCapOnConnections) {
+        if open < self.most || mutated(Mutation::NoCapOnConnections) {
             return Room::Free;
         }
         let quiet = self.members.values_mut().filter(|m| !m.quiet.is_empty());
--- a/crates/core/src/seeded.rs
+++ b/crates/core/src/mutations.rs
@@ -4,32 +4,32 @@
 /// For an enum `Bug` beside it, of a package with a feature `seeded`: `seed`, which puts one bug in force in this process
 /// or none, and `seeded`, which tells whether one is, and is the constant `false` without the feature.
 #[macro_export]
-macro_rules! seeded_choice {
+macro_rules! mutation_switch {
     () => {
-        #[cfg(feature = "seeded")]
+        #[cfg(feature = "mutations")]
         mod chosen {
             use std::sync::atomic::{AtomicUsize, Ordering};
 
             static CHOSEN: AtomicUsize = AtomicUsize::new(0);
 
             /// Whether this bug is in force.
-            pub fn seeded(bug: super::Bug) -> bool {
-                CHOSEN.load(Ordering::Relaxed) == bug as usize + 1
+            pub fn mutated(mutation: super::Mutation) -> bool {
+                CHOSEN.load(Ordering::Relaxed) == mutation as usize + 1
             }
 
             /// Puts one bug in force in this process, or none.
-            pub fn seed(bug: Option<super::Bug>) {
-                CHOSEN.store(bug.map_or(0, |b| b as usize + 1), Ordering::Relaxed);
+            pub fn activate(mutation: Option<super::Mutation>) {
+                CHOSEN.store(mutation.map_or(0, |m| m as usize + 1), Ordering::Relaxed);
             }
         }
 
-        #[cfg(feature = "seeded")]
-        pub use chosen::{seed, seeded};
+        #[cfg(feature = "mutations")]
+        pub use chosen::{activate, mutated};
 
         /// Whether this bug is in force: never, in this build.
-        #[cfg(not(feature = "seeded"))]
+        #[cfg(not(feature = "mutations"))]
         #[inline(always)]
-        pub const fn seeded(_: Bug) -> bool {
+        pub const fn mutated(_: Mutation) -> bool {
             false
         }
     };
@@ -37,7 +37,7 @@
 
 /// One alteration of the product's own code path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Bug {
+pub enum Mutation {
     /// The last byte counts as written when the request is handed over.
     LastByteAtHandOver,
     /// The last byte is not noticed: a request that may have run counts as not sent whole.
@@ -132,47 +132,47 @@
 }
 
 /// All of them, with the name that commands use.
-pub const ALL: &[(Bug, &str, Part)] = &[
-    (Bug::LastByteAtHandOver, "last-byte-at-hand-over", Part::Front),
-    (Bug::LastByteNotSeen, "last-byte-not-seen", Part::Front),
-    (Bug::EarlyAnswerTaken, "early-answer-taken", Part::Front),
-    (Bug::PartlySentGoesRound, "partly-sent-goes-round", Part::Front),
-    (Bug::ResentSilently, "resent-silently", Part::Front),
-    (Bug::ResetTakenForRefusal, "reset-taken-for-refusal", Part::Front),
-    (Bug::WritesOverWaitingBytes, "writes-over-waiting-bytes", Part::Front),
-    (Bug::IdleForTooLong, "idle-for-too-long", Part::Front),
-    (Bug::KeptForAnotherAddress, "kept-for-another-address", Part::Front),
-    (Bug::NoCapOnConnections, "no-cap-on-connections", Part::Front),
-    (Bug::CancelProvesNothingRan, "cancel-proves-nothing-ran", Part::Front),
-    (Bug::AnswerToClientThatLeft, "answer-to-client-that-left", Part::Front),
-    (Bug::LeftChargedForEver, "left-charged-for-ever", Part::Front),
-    (Bug::SecondFinalAnswer, "second-final-answer", Part::Front),
-    (Bug::PlacedAfterAnswer, "placed-after-answer", Part::Front),
-    (Bug::AttemptLeftInTable, "attempt-left-in-table", Part::Front),
-    (Bug::ReleasedWhileOut, "released-while-out", Part::Front),
-    (Bug::TimeUpProvesNothingRan, "time-up-proves-nothing-ran", Part::Front),
-    (Bug::UntilPastClient, "until-past-client", Part::Front),
-    (Bug::DialFailureInDoubt, "dial-failure-in-doubt", Part::Front),
-    (Bug::ForgottenNodeKeepsConnections, "forgotten-node-keeps-connections", Part::Front),
-    (Bug::DrainMissesQueued, "drain-misses-queued", Part::Front),
-    (Bug::RepeatsSubmit, "repeats-submit", Part::Front),
-    (Bug::RefusesSubmitInDoubt, "refuses-submit-in-doubt", Part::Front),
-    (Bug::TriesUnbounded, "tries-unbounded", Part::Front),
-    (Bug::QueueKeepsFinished, "queue-keeps-finished", Part::Front),
-    (Bug::GoneNotFinished, "gone-not-finished", Part::Front),
-    (Bug::OutKeepsEnded, "out-keeps-ended", Part::Front),
-    (Bug::BodyRestartsTime, "body-restarts-time", Part::Door),
-    (Bug::ClosesAcrossRequest, "closes-across-request", Part::Door),
-    (Bug::OpenGivesWay, "open-gives-way", Part::Door),
-    (Bug::NoCapAtDoor, "no-cap-at-door", Part::Door),
-    (Bug::LeavesOpenRequests, "leaves-open-requests", Part::Door),
-    (Bug::LeftAttemptGoesOut, "left-attempt-goes-out", Part::Front),
-    (Bug::DrainMissesDialling, "drain-misses-dialling", Part::Front),
-    (Bug::WithdrawnIsWritten, "withdrawn-is-written", Part::Front),
-    (Bug::SilentWatchStands, "silent-watch-stands", Part::Watch),
-    (Bug::CallHangs, "call-hangs", Part::Watch),
-    (Bug::ShutsAcrossArriving, "shuts-across-arriving", Part::Door),
-    (Bug::AsksWhenWantedAlone, "asks-when-wanted-alone", Part::Watch),
+pub const ALL: &[(Mutation, &str, Part)] = &[
+    (Mutation::LastByteAtHandOver, "last-byte-at-hand-over", Part::Front),
+    (Mutation::LastByteNotSeen, "last-byte-not-seen", Part::Front),
+    (Mutation::EarlyAnswerTaken, "early-answer-taken", Part::Front),
+    (Mutation::PartlySentGoesRound, "partly-sent-goes-round", Part::Front),
+    (Mutation::ResentSilently, "resent-silently", Part::Front),
+    (Mutation::ResetTakenForRefusal, "reset-taken-for-refusal", Part::Front),
+    (Mutation::WritesOverWaitingBytes, "writes-over-waiting-bytes", Part::Front),
+    (Mutation::IdleForTooLong, "idle-for-too-long", Part::Front),
+    (Mutation::KeptForAnotherAddress, "kept-for-another-address", Part::Front),
+    (Mutation::NoCapOnConnections, "no-cap-on-connections", Part::Front),
+    (Mutation::CancelProvesNothingRan, "cancel-proves-nothing-ran", Part::Front),
+    (Mutation::AnswerToClientThatLeft, "answer-to-client-that-left", Part::Front),
+    (Mutation::LeftChargedForEver, "left-charged-for-ever", Part::Front),
+    (Mutation::SecondFinalAnswer, "second-final-answer", Part::Front),
+    (Mutation::PlacedAfterAnswer, "placed-after-answer", Part::Front),
+    (Mutation::AttemptLeftInTable, "attempt-left-in-table", Part::Front),
+    (Mutation::ReleasedWhileOut, "released-while-out", Part::Front),
+    (Mutation::TimeUpProvesNothingRan, "time-up-proves-nothing-ran", Part::Front),
+    (Mutation::UntilPastClient, "until-past-client", Part::Front),
+    (Mutation::DialFailureInDoubt, "dial-failure-in-doubt", Part::Front),
+    (Mutation::ForgottenNodeKeepsConnections, "forgotten-node-keeps-connections", Part::Front),
+    (Mutation::DrainMissesQueued, "drain-misses-queued", Part::Front),
+    (Mutation::RepeatsSubmit, "repeats-submit", Part::Front),
+    (Mutation::RefusesSubmitInDoubt, "refuses-submit-in-doubt", Part::Front),
+    (Mutation::TriesUnbounded, "tries-unbounded", Part::Front),
+    (Mutation::QueueKeepsFinished, "queue-keeps-finished", Part::Front),
+    (Mutation::GoneNotFinished, "gone-not-finished", Part::Front),
+    (Mutation::OutKeepsEnded, "out-keeps-ended", Part::Front),
+    (Mutation::BodyRestartsTime, "body-restarts-time", Part::Door),
+    (Mutation::ClosesAcrossRequest, "closes-across-request", Part::Door),
+    (Mutation::OpenGivesWay, "open-gives-way", Part::Door),
+    (Mutation::NoCapAtDoor, "no-cap-at-door", Part::Door),
+    (Mutation::LeavesOpenRequests, "leaves-open-requests", Part::Door),
+    (Mutation::LeftAttemptGoesOut, "left-attempt-goes-out", Part::Front),
+    (Mutation::DrainMissesDialling, "drain-misses-dialling", Part::Front),
+    (Mutation::WithdrawnIsWritten, "withdrawn-is-written", Part::Front),
+    (Mutation::SilentWatchStands, "silent-watch-stands", Part::Watch),
+    (Mutation::CallHangs, "call-hangs", Part::Watch),
+    (Mutation::ShutsAcrossArriving, "shuts-across-arriving", Part::Door),
+    (Mutation::AsksWhenWantedAlone, "asks-when-wanted-alone", Part::Watch),
 ];
 
-seeded_choice!();
+mutation_switch!();
--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -1,7 +1,7 @@
 //! Every decision of tulipbridge. Its types, events and actions are in `src/interface.rs`.
 
 use crate::interface::*;
-use crate::seeded::{seeded, Bug};
+use crate::mutations::{mutated, Mutation};
 use crate::state::{aged, mean, smoothed, weighted, Bucket, Health, Live, Node, Scheduler, Sent, Volume};
 
 const MS: Nanos = 1_000_000;
@@ -155,7 +155,7 @@
             Event::Gone(id) => {
                 self.left(id);
                 self.spare(id, actions);
-                if !seeded(Bug::GoneNotFinished) {
+                if !mutated(Mutation::GoneNotFinished) {
                     self.finish(id);
                 }
             }
@@ -762,7 +762,8 @@
     /// Further attempts: class, window and group, number of tries, budget and the time left must all allow.
     fn may_repeat(&self, live: &Live, at: Option<NodeId>) -> bool {
         let class = &self.set.classes[live.req.class];
-        let tried = live.tries >= live.most_tries.min(self.set.most_tries) && !seeded(Bug::TriesUnbounded);
+        let tried =
+            live.tries >= live.most_tries.min(self.set.most_tries) && !mutated(Mutation::TriesUnbounded);
         if tried || live.out > 0 || self.now >= live.die_at - self.margin() || self.is_spent() {
             return false;
         }
@@ -780,7 +781,7 @@
         };
         match class.semantics {
             Semantics::Idempotent => true,
-            Semantics::AtMostOnce => seeded(Bug::RepeatsSubmit),
+            Semantics::AtMostOnce => mutated(Mutation::RepeatsSubmit),
             Semantics::Deduplicated => self.now < sent + class.window && at.is_none_or(same_group),
         }
     }
@@ -809,7 +810,7 @@
         let harmless = match class.semantics {
             Semantics::Idempotent => true,
             Semantics::Deduplicated => !ran || class.group == Group::All,
-            Semantics::AtMostOnce => !ran || seeded(Bug::RefusesSubmitInDoubt),
+            Semantics::AtMostOnce => !ran || mutated(Mutation::RefusesSubmitInDoubt),
         };
         if harmless {
             let wait = self.wait(live, lot);
@@ -833,8 +834,7 @@
 
     fn tick(&mut self, actions: &mut Vec<Action>) {
         actions.push(Action::Sleep { after: TICK, cookie: TICK_COOKIE });
-        if self.ask_at.is_some_and(|t| self.now >= t) {
-            self.ask_at = None;
+        if self.ask_at.take_if(|at| self.now >= *at).is_some() {
             actions.push(Action::Subscribe);
         }
         self.count_overdue();
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -5,7 +5,7 @@
 use std::hash::{Hash, Hasher};
 
 use crate::interface::*;
-use crate::seeded::{seeded, Bug};
+use crate::mutations::{mutated, Mutation};
 use crate::shared::{Ration, Shared};
 use crate::standing::Standing;
 
@@ -571,7 +571,7 @@
         if live.queued {
             live.queued = false;
             let queue = live.cell.and_then(|c| self.queues.get_mut(&c));
-            if let Some(queue) = queue.filter(|_| !seeded(Bug::QueueKeepsFinished)) {
+            if let Some(queue) = queue.filter(|_| !mutated(Mutation::QueueKeepsFinished)) {
                 queue.retain(|q| *q != id);
             }
         }
@@ -592,7 +592,7 @@
     /// The nodes listed up for a cell.
     pub(crate) fn up(&self, cell: CellId) -> impl Iterator<Item = (NodeId, &Node)> {
         let held = self.cells.get(&cell).into_iter().flatten().map(|id| (*id, &self.nodes[id]));
-        let misses = |n: &Node| seeded(Bug::DrainMissesQueued) && n.listed == Listed::Draining;
+        let misses = |n: &Node| mutated(Mutation::DrainMissesQueued) && n.listed == Listed::Draining;
         held.filter(move |(_, n)| n.listed == Listed::Up || misses(n))
     }
 
@@ -661,7 +661,7 @@
     ) -> Option<(Sent, Request)> {
         let live = self.live.get_mut(&id)?;
         let out = &mut self.nodes.get_mut(&at)?.out;
-        let sent = if seeded(Bug::OutKeepsEnded) {
+        let sent = if mutated(Mutation::OutKeepsEnded) {
             out.get(&(id, attempt)).cloned()
         } else {
             out.remove(&(id, attempt))
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -12,7 +12,7 @@
 use std::hash::{Hash, Hasher};
 
 use crate::interface::Nanos;
-use crate::seeded::{seeded, Bug};
+use crate::mutations::{mutated, Mutation};
 
 const MS: Nanos = 1_000_000;
 /// An empty line comes every 2 s while nothing changes: a watch that says nothing for so long has fallen silent.
@@ -88,8 +88,8 @@
 
     /// When [`OnWatch::Due`] is to be told next, where nothing else happens before.
     pub fn due(&self) -> Option<Nanos> {
-        let quiet = if seeded(Bug::SilentWatchStands) { None } else { self.heard.map(|t| t + QUIET) };
-        let hangs = if seeded(Bug::CallHangs) { None } else { self.called.map(|t| t + CALL) };
+        let quiet = if mutated(Mutation::SilentWatchStands) { None } else { self.heard.map(|t| t + QUIET) };
+        let hangs = if mutated(Mutation::CallHangs) { None } else { self.called.map(|t| t + CALL) };
         [quiet, hangs, self.next].into_iter().flatten().min()
     }
 
@@ -168,7 +168,7 @@
     }
 
     fn latest(&self, now: Nanos, since: Nanos) -> Nanos {
-        if seeded(Bug::AsksWhenWantedAlone) {
+        if mutated(Mutation::AsksWhenWantedAlone) {
             return Nanos::MAX;
         }
         (since + QUIET + (SPREAD as f64 * self.phase) as Nanos).max(now)
--- a/crates/fleet-limits/src/lib.rs
+++ b/crates/fleet-limits/src/lib.rs
@@ -20,7 +20,7 @@
 mod beat;
 mod machine;
 mod meter;
-pub mod seeded;
+pub mod mutations;
 mod terms;
 
 pub use beat::{Ask, Beat, Loan, Loans};
--- a/crates/fleet-limits/src/machine.rs
+++ b/crates/fleet-limits/src/machine.rs
@@ -7,7 +7,7 @@
 use tulipbridge_membership::{Contacts, Hello};
 
 use crate::meter::Meter;
-use crate::seeded::{seeded, Bug};
+use crate::mutations::{mutated, Mutation};
 use crate::*;
 
 /// More thousandths of units a second than any limit is asked for: what a peer says is not added up past it.
@@ -124,7 +124,7 @@
     /// The most that it may use now of a limit, of this front's.
     fn lent_of(&self, now: Nanos, limit: Limit) -> Part {
         let running = self.lent.iter().filter(|l| now < l.until);
-        let running = running.rev().take(if seeded(Bug::LoanFreedAtOnce) { 1 } else { usize::MAX });
+        let running = running.rev().take(if mutated(Mutation::LoanFreedAtOnce) { 1 } else { usize::MAX });
         running.filter_map(|l| l.parts.get(&limit)).max().copied().unwrap_or(0)
     }
 }
@@ -281,7 +281,7 @@
         if self.stands_back(now) || self.contacts.is_leaving() {
             return 0;
         }
-        let lent = if seeded(Bug::OwnPartIsWhole) { 0 } else { self.lent(now, limit) };
+        let lent = if mutated(Mutation::OwnPartIsWhole) { 0 } else { self.lent(now, limit) };
         let borrowed = self.peers.iter().filter(|p| now < p.borrowed.until);
         let borrowed = borrowed
             .filter_map(|p| p.borrowed.parts.get(&limit))
@@ -354,7 +354,7 @@
 
     /// Uses nothing that has ended.
     fn look(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
-        if now < self.ends_at || seeded(Bug::NoLookAfterStop) {
+        if now < self.ends_at || mutated(Mutation::NoLookAfterStop) {
             return;
         }
         let ended = self.ends_at;
@@ -403,11 +403,11 @@
 
     /// Until when a bank is this front's to use.
     fn held_until(&self, bank: Place, wanted: &Wanted) -> Nanos {
-        if wanted.back.is_some() && !seeded(Bug::BankBackAtOnce) {
+        if wanted.back.is_some() && !mutated(Mutation::BankBackAtOnce) {
             return Nanos::MIN;
         }
         let mut quorum = self.terms.quorum(bank == self.terms.me);
-        if seeded(Bug::SmallQuorum) {
+        if mutated(Mutation::SmallQuorum) {
             quorum = quorum.saturating_sub(1).max(1);
         }
         let mut votes: Vec<Nanos> = wanted.votes.values().copied().collect();
@@ -417,7 +417,7 @@
 
     /// What this front may use and lend of every limit: its floor and its banks.
     fn own(&self, now: Nanos) -> Part {
-        if (now < self.quiet_until && !seeded(Bug::FloorAtOnce)) || self.stands_back(now) {
+        if (now < self.quiet_until && !mutated(Mutation::FloorAtOnce)) || self.stands_back(now) {
             return 0;
         }
         if !self.is_settled() {
@@ -465,7 +465,7 @@
                 // Its home is there again. What was lent of it must end first.
                 Some(wanted) if !silent => {
                     let wait = if held { span } else { 0 };
-                    wanted.back = Some(now + if seeded(Bug::BankBackAtOnce) { 0 } else { wait });
+                    wanted.back = Some(now + if mutated(Mutation::BankBackAtOnce) { 0 } else { wait });
                 }
                 // Another tries, and this front has not won: two that try may keep each other from it.
                 Some(_) if !next && !held => {
@@ -505,7 +505,7 @@
         let until = now + self.span();
         let Some(agreed) = self.agreed.get_mut(usize::from(bank)) else { return false };
         let free = agreed.is_none_or(|a| a.until <= now || a.to == to);
-        if !free && !seeded(Bug::AgreesTwice) {
+        if !free && !mutated(Mutation::AgreesTwice) {
             return false;
         }
         *agreed = Some(Agreed { to, until });
@@ -522,8 +522,8 @@
     }
 
     fn heard(&mut self, now: Nanos, from: Place, boot: Boot, beat: Beat, less: &mut BTreeSet<Limit>) -> News {
-        let (mine, quiet) = (self.boot(), now < self.quiet_until && !seeded(Bug::NoQuietTime));
-        if beat.roster != self.terms.roster && !seeded(Bug::AnyRoster) {
+        let (mine, quiet) = (self.boot(), now < self.quiet_until && !mutated(Mutation::NoQuietTime));
+        if beat.roster != self.terms.roster && !mutated(Mutation::AnyRoster) {
             // Of two rosters of one revision one is a mistake. Whoever has been at work goes on; of two that have,
             // or have not, the one whose digest is less.
             let before = match (beat.established, self.established) {
@@ -543,7 +543,7 @@
             let lent = std::mem::take(&mut peer.lent);
             let borrowed = std::mem::take(&mut peer.borrowed);
             *peer = Peer { lent, ..Peer::default() };
-            if seeded(Bug::LoanForPredecessor) {
+            if mutated(Mutation::LoanForPredecessor) {
                 peer.borrowed = borrowed;
             }
         }
@@ -556,7 +556,7 @@
         if let Some((_, asked)) = beat.hello.echo.filter(|(to, _)| *to == mine) {
             // Nobody can have heard what was not sent yet.
             let asked = asked.min(now);
-            let from_when = if seeded(Bug::LoanFromReceipt) { now } else { asked };
+            let from_when = if mutated(Mutation::LoanFromReceipt) { now } else { asked };
             if beat.loans.number > peer.borrowed.number {
                 let parts: BTreeMap<Limit, Part> =
                     beat.loans.parts.iter().map(|l| (l.limit, l.part.min(WHOLE))).collect();
@@ -566,12 +566,12 @@
                 less.extend(parts.keys().filter(|v| !peer.borrowed.parts.contains_key(v)));
                 let until = from_when + beat.loans.term.clamp(0, self.terms.life);
                 // The same parts for a shorter time are less as well.
-                if until < peer.borrowed.until && !seeded(Bug::ShorterLoanMissed) {
+                if until < peer.borrowed.until && !mutated(Mutation::ShorterLoanMissed) {
                     less.extend(parts.keys());
                 }
                 peer.borrowed = Borrowed { number: beat.loans.number, until, parts };
             }
-            let from_when = if seeded(Bug::BankFromReceipt) { now } else { asked };
+            let from_when = if mutated(Mutation::BankFromReceipt) { now } else { asked };
             for bank in &beat.agrees {
                 if let Some(wanted) = self.wanted.get_mut(bank) {
                     if asked >= wanted.since {
@@ -584,7 +584,7 @@
         self.settled.extend(beat.settled.iter().filter(|p| **p < self.terms.fronts));
         self.settled.insert(from);
         // Who ends takes back nothing of what it has lent: its banks are free once that has ended by itself.
-        let leaving = beat.hello.leaving && !seeded(Bug::LeavesAtOnce);
+        let leaving = beat.hello.leaving && !mutated(Mutation::LeavesAtOnce);
         if !leaving {
             self.release((from, boot), &beat.wants);
         }
@@ -663,7 +663,7 @@
         self.number += 1;
         let (number, place) = (self.number, usize::from(to));
         let left = i128::from(round.until - now) * 1_000_000 / i128::from(1_000_000 + self.terms.drift);
-        let left = if seeded(Bug::LoanOutlivesBank) { self.terms.life } else { left as Nanos - 1 };
+        let left = if mutated(Mutation::LoanOutlivesBank) { self.terms.life } else { left as Nanos - 1 };
         let term = left.min(self.terms.life);
         if !round.alive[place]
             || term <= 0
--- a/crates/fleet-limits/src/seeded.rs
+++ b/crates/fleet-limits/src/mutations.rs
@@ -3,7 +3,7 @@
 
 /// One alteration of the machine's own code path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Bug {
+pub enum Mutation {
     /// A loan ends when its grant came, plus its term, not when it was asked for.
     LoanFromReceipt,
     /// A bank is held from the receipt of an agreement, not from the moment it was asked for.
@@ -37,22 +37,22 @@
 }
 
 /// All of them.
-pub const ALL: [Bug; 15] = [
-    Bug::LoanFromReceipt,
-    Bug::BankFromReceipt,
-    Bug::NoQuietTime,
-    Bug::AgreesTwice,
-    Bug::SmallQuorum,
-    Bug::LoanFreedAtOnce,
-    Bug::ShorterLoanMissed,
-    Bug::LoanOutlivesBank,
-    Bug::BankBackAtOnce,
-    Bug::LeavesAtOnce,
-    Bug::LoanForPredecessor,
-    Bug::NoLookAfterStop,
-    Bug::AnyRoster,
-    Bug::FloorAtOnce,
-    Bug::OwnPartIsWhole,
+pub const ALL: [Mutation; 15] = [
+    Mutation::LoanFromReceipt,
+    Mutation::BankFromReceipt,
+    Mutation::NoQuietTime,
+    Mutation::AgreesTwice,
+    Mutation::SmallQuorum,
+    Mutation::LoanFreedAtOnce,
+    Mutation::ShorterLoanMissed,
+    Mutation::LoanOutlivesBank,
+    Mutation::BankBackAtOnce,
+    Mutation::LeavesAtOnce,
+    Mutation::LoanForPredecessor,
+    Mutation::NoLookAfterStop,
+    Mutation::AnyRoster,
+    Mutation::FloorAtOnce,
+    Mutation::OwnPartIsWhole,
 ];
 
-tulipbridge_core::seeded_choice!();
+tulipbridge_core::mutation_switch!();
--- a/crates/fleet-limits/tests/golden.rs
+++ b/crates/fleet-limits/tests/golden.rs
@@ -8,8 +8,8 @@
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use tulipbridge_membership::{Hello, Seal};
 use tulipbridge_fleet_limits::{Ask, Beat, Limit, Loan, Loans};
+use tulipbridge_membership::{Hello, Seal};
 
 /// Bytes of a datagram before its content.
 const HEAD: usize = 14;
--- a/crates/model-checker/src/cli.rs
+++ b/crates/model-checker/src/cli.rs
@@ -135,13 +135,13 @@
     Write { path: PathBuf, source: std::io::Error },
     #[error("cannot write {}: {source}", path.display())]
     Json { path: PathBuf, source: simd_json::Error },
-    #[cfg(feature = "seeded")]
+    #[cfg(feature = "mutations")]
     #[error("cannot start itself again: {0}")]
     Itself(std::io::Error),
-    #[cfg(feature = "seeded")]
+    #[cfg(feature = "mutations")]
     #[error("no seeded bug is called '{0}'; 'tulipbridge-check list' shows them")]
     Bug(String),
-    #[cfg(not(feature = "seeded"))]
+    #[cfg(not(feature = "mutations"))]
     #[error(
         "bugs can be seeded only in a build of their own: cargo run --release -p tulipbridge-model-checker \
         --features seeded -- seeded"
@@ -208,7 +208,7 @@
         say!("  {:<26} {} [{}]", property.name, property.sentence, property.rule);
     }
     say!("seeded bugs:");
-    for (_, name, _) in tulipbridge_core::seeded::ALL {
+    for (_, name, _) in tulipbridge_core::mutations::ALL {
         say!("  {name}");
     }
     Ok(0)
@@ -304,16 +304,16 @@
     Ok(code)
 }
 
-#[cfg(not(feature = "seeded"))]
+#[cfg(not(feature = "mutations"))]
 fn seeded(_: Option<&str>, _: Option<&Path>, _: Option<&Path>, _: Bounds) -> Result<u8, Failure> {
     Err(Failure::NotSeeded)
 }
 
 /// Which bugs in the machine of shared limits are found, and by how long a history. Each is looked for by a process of
 /// its own, which gives all its memory back.
-#[cfg(feature = "seeded")]
+#[cfg(feature = "mutations")]
 fn rights(name: Option<&str>, bounds: Bounds) -> Result<u8, Failure> {
-    use tulipbridge_fleet_limits::seeded::{seed, ALL};
+    use tulipbridge_fleet_limits::mutations::{activate, ALL};
     let Some(name) = name else {
         let program = std::env::current_exe().map_err(Failure::Itself)?;
         let mut found = 0;
@@ -334,7 +334,7 @@
     };
     let bug = ALL.into_iter().find(|bug| format!("{bug:?}") == name);
     let bug = bug.ok_or_else(|| Failure::Bug(name.to_owned()))?;
-    seed(Some(bug));
+    activate(Some(bug));
     let worlds = configs::all().into_iter().filter(|c| matches!(c, Config::Rights(_)));
     let found = worlds.map(|world| search(world, bounds)).find_map(|r| Some((r.config, r.broken?)));
     match &found {
@@ -344,13 +344,13 @@
     Ok(if found.is_some() { BROKEN } else { 0 })
 }
 
-#[cfg(not(feature = "seeded"))]
+#[cfg(not(feature = "mutations"))]
 fn rights(_: Option<&str>, _: Bounds) -> Result<u8, Failure> {
     Err(Failure::NotSeeded)
 }
 
 /// What became of one seeded bug.
-#[cfg(feature = "seeded")]
+#[cfg(feature = "mutations")]
 #[derive(Serialize)]
 struct Seeded {
     bug: &'static str,
@@ -364,14 +364,14 @@
     random_of_1000: usize,
 }
 
-#[cfg(feature = "seeded")]
+#[cfg(feature = "mutations")]
 fn seeded(
     name: Option<&str>,
     json: Option<&Path>,
     traces: Option<&Path>,
     bounds: Bounds,
 ) -> Result<u8, Failure> {
-    use tulipbridge_core::seeded::{seed, Part, ALL};
+    use tulipbridge_core::mutations::{activate, Part, ALL};
     let chosen: Vec<_> = ALL.iter().filter(|(_, n, _)| name.is_none_or(|name| name == *n)).collect();
     if let Some(name) = name.filter(|_| chosen.is_empty()) {
         return Err(Failure::Bug(name.to_owned()));
@@ -388,7 +388,7 @@
     );
     let (mut code, mut rows) = (0, Vec::new());
     for (bug, name, part) in chosen {
-        seed(Some(*bug));
+        activate(Some(*bug));
         let (mut seconds, mut states) = (0.0, 0);
         let mut found = None;
         let mut worlds: Vec<Config> = configs::all().into_iter().filter(|c| c.card().quick).collect();
@@ -457,7 +457,7 @@
         );
         rows.push(row);
     }
-    seed(None);
+    activate(None);
     if let Some(path) = json {
         write_json(path, &rows)?;
     }
--- a/crates/model-checker/tests/golden.rs
+++ b/crates/model-checker/tests/golden.rs
@@ -13,11 +13,11 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
+use tulipbridge_core::Action;
 use tulipbridge_model_checker::configs::{self, Config};
 use tulipbridge_model_checker::explore::{walk, Report};
 use tulipbridge_model_checker::trace::Trace;
 use tulipbridge_model_checker::{chart, entrance, register, rights, with_config, world};
-use tulipbridge_core::Action;
 
 /// Random walks of each configuration.
 const WALKS: u64 = 12;
@@ -301,14 +301,15 @@
 /// What `seeded --name` accepts.
 #[test]
 fn seeded_bugs_keep_their_names() {
-    let names: Vec<&str> = tulipbridge_core::seeded::ALL.iter().map(|(_, name, _)| *name).collect();
+    let names: Vec<&str> = tulipbridge_core::mutations::ALL.iter().map(|(_, name, _)| *name).collect();
     assert_golden("seeded-bugs.txt", &lines(&names));
 }
 
 /// What `seeded --rights --name` accepts.
 #[test]
 fn seeded_bugs_of_shared_limits_keep_their_names() {
-    let names: Vec<String> = tulipbridge_fleet_limits::seeded::ALL.iter().map(|bug| format!("{bug:?}")).collect();
+    let names: Vec<String> =
+        tulipbridge_fleet_limits::mutations::ALL.iter().map(|bug| format!("{bug:?}")).collect();
     assert_golden("seeded-rights-bugs.txt", &lines(&names));
 }
 
@@ -323,7 +324,7 @@
 }
 
 /// The keys of JSON objects in the order in which they come; no text in them may hold a quotation mark.
-#[cfg(feature = "seeded")]
+#[cfg(feature = "mutations")]
 fn keys(text: &str) -> Vec<&str> {
     let parts: Vec<&str> = text.split('"').collect();
     let is_key = |n: usize| parts.get(n + 1).is_some_and(|next| next.trim_start().starts_with(':'));
@@ -331,7 +332,7 @@
 }
 
 /// The rows that `seeded --json` writes; such a build alone can make them.
-#[cfg(feature = "seeded")]
+#[cfg(feature = "mutations")]
 #[test]
 fn rows_of_seeded_bugs_keep_their_keys() {
     let file = std::env::temp_dir().join(format!("{PROGRAM}-golden-seeded-{}.json", std::process::id()));
--- a/crates/outlier-detection/src/evidence.rs
+++ b/crates/outlier-detection/src/evidence.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::seeded::{seeded, Bug};
+use crate::mutations::{mutated, Mutation};
 use crate::{Class, Nanos, Terms, Zone};
 
 /// Attempts are told in tenths.
@@ -99,12 +99,13 @@
             bad += f64::from(one.bad.min(one.attempts)) / TENTHS;
         }
         let base = f64::from(evidence.base) / THOUSANDTHS;
-        if attempts <= 0.0 || (base > BLIND && !seeded(Bug::NoBase)) {
+        if attempts <= 0.0 || (base > BLIND && !mutated(Mutation::NoBase)) {
             return Sum { attempts, bad, proof: 0.0 };
         }
         // No front's word weighs more for having tried more often than any other would have.
-        let weight = if seeded(Bug::SamplesUncapped) { 1.0 } else { (terms.weight_most / attempts).min(1.0) };
-        let well = if seeded(Bug::NoBase) { 0.0 } else { terms.base_times * base };
+        let weight =
+            if mutated(Mutation::SamplesUncapped) { 1.0 } else { (terms.weight_most / attempts).min(1.0) };
+        let well = if mutated(Mutation::NoBase) { 0.0 } else { terms.base_times * base };
         let well = terms.good_part.max(well);
         let ill = terms.bad_part.max(2.0 * well).min(PART_MOST);
         let proof = bad * (ill / well).ln() + (attempts - bad) * ((1.0 - ill) / (1.0 - well)).ln();
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -6,7 +6,7 @@
 
 mod evidence;
 mod machine;
-pub mod seeded;
+pub mod mutations;
 mod terms;
 mod watch;
 
--- a/crates/outlier-detection/src/machine.rs
+++ b/crates/outlier-detection/src/machine.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::evidence::{base, seen, Count, Sum};
-use crate::seeded::{seeded, Bug};
+use crate::mutations::{mutated, Mutation};
 use crate::*;
 
 /// Evidence says that a server does well where it is this much more likely for a good one, as a logarithm.
@@ -276,7 +276,7 @@
     fn views(&self, now: Nanos, entries: &Entries) -> Views {
         let mut views = Views::new();
         for (front, _, server, value, age) in entries.all(now, EVIDENCE) {
-            let fresh = age <= self.terms.evidence_life || seeded(Bug::OldEvidence);
+            let fresh = age <= self.terms.evidence_life || mutated(Mutation::OldEvidence);
             if front == self.terms.me || !fresh || !self.servers.contains_key(&server) {
                 continue;
             }
@@ -335,7 +335,7 @@
 
     /// The fronts whose evidence contradicts that of most others on more than half of the servers.
     fn suspects(&self, views: &Views) -> BTreeSet<Place> {
-        if seeded(Bug::SuspectCounts) {
+        if mutated(Mutation::SuspectCounts) {
             return BTreeSet::new();
         }
         // By front: servers that it and at least two others have seen enough of, and those on which they differ.
@@ -386,7 +386,7 @@
                 continue;
             }
             self.absolved.insert(*server, at);
-            if seeded(Bug::OldSins) {
+            if mutated(Mutation::OldSins) {
                 continue;
             }
             self.counts.retain(|(of, _), _| of != server);
@@ -442,7 +442,7 @@
             zones.into_iter().map(|z| (z, self.proof(of, Scope::Zone(z)))).collect();
         let seen = by_zone.iter().filter(|(_, proof)| *proof >= self.terms.proof / 2.0).count();
         let all = self.proof(of, Scope::All) >= self.terms.proof && self.is_witnessed(of, Scope::All);
-        if all && (seen >= 2 || seeded(Bug::ZoneIsAll)) {
+        if all && (seen >= 2 || mutated(Mutation::ZoneIsAll)) {
             return vec![Scope::All];
         }
         let bad = |(zone, proof): &(Zone, f64)| {
@@ -452,7 +452,7 @@
     }
 
     fn is_witnessed(&self, of: &[&View], scope: Scope) -> bool {
-        let needed = if seeded(Bug::OneWitness) { 1 } else { self.terms.witnesses };
+        let needed = if mutated(Mutation::OneWitness) { 1 } else { self.terms.witnesses };
         let says = |v: &&&View| self.says(v, scope).proof >= self.terms.witness;
         of.iter().filter(says).count() >= needed
     }
@@ -468,7 +468,7 @@
     /// What all say together. No front makes more than half of a verdict: one that cannot reach a server, and a chance
     /// failure at another, must not condemn it.
     fn proof(&self, of: &[&View], scope: Scope) -> f64 {
-        let most = if seeded(Bug::OneMakesAll) { f64::INFINITY } else { self.terms.proof / 2.0 };
+        let most = if mutated(Mutation::OneMakesAll) { f64::INFINITY } else { self.terms.proof / 2.0 };
         of.iter().map(|v| self.says(v, scope).proof.min(most)).sum()
     }
 
@@ -481,7 +481,7 @@
         let mut worst: Vec<(Subject, f64)> = convinced.iter().map(|(s, part)| (*s, *part)).collect();
         worst.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
         let (span, again) = (self.terms.assent_span(), self.terms.assent_life / 4);
-        let wait = if seeded(Bug::NoWait) { 0 } else { self.terms.wait };
+        let wait = if mutated(Mutation::NoWait) { 0 } else { self.terms.wait };
         for (subject, _) in worst {
             let standing = self.assents.get(&subject).filter(|a| a.stands).copied();
             let due = match standing {
@@ -497,13 +497,13 @@
         }
         for (subject, assent) in &mut self.assents {
             let listed = self.servers.contains_key(&subject.server);
-            let ends = !convinced.contains_key(subject) && !seeded(Bug::NeverLapses);
+            let ends = !convinced.contains_key(subject) && !mutated(Mutation::NeverLapses);
             if assent.stands && (ends || !listed) {
                 assent.stands = false;
                 effects.push(Effect::Put(Key { kind: ASSENT, id: subject.id() }, None));
             }
         }
-        let forgotten = seeded(Bug::AssentForgotten);
+        let forgotten = mutated(Mutation::AssentForgotten);
         self.assents.retain(|_, a| a.stands || (now < a.put_at + span && !forgotten));
     }
 
@@ -524,7 +524,7 @@
     fn all_assents(&self, now: Nanos, entries: &Entries) -> BTreeMap<Subject, Vec<Said>> {
         let mut all: BTreeMap<Subject, Vec<Said>> = BTreeMap::new();
         for (front, _, id, value, age) in entries.all(now, ASSENT) {
-            let fresh = age <= self.terms.assent_life || seeded(Bug::OldAssents);
+            let fresh = age <= self.terms.assent_life || mutated(Mutation::OldAssents);
             if front == self.terms.me || !fresh {
                 continue;
             }
@@ -565,7 +565,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let mut quorum = self.terms.quorum();
-        if seeded(Bug::HalfIsEnough) {
+        if mutated(Mutation::HalfIsEnough) {
             quorum = usize::from(self.terms.fronts).div_ceil(2);
         }
         let all = self.all_assents(now, entries);
@@ -615,7 +615,7 @@
             // By the second turn all have heard who assents.
             let mine = turn > 0 && self.trier(now, by, suspects, subject, since) == Some(self.terms.me);
             let trial = self.trials.entry(server).or_default();
-            if (mine || seeded(Bug::AllTry)) && trial.turn != Some(turn) {
+            if (mine || mutated(Mutation::AllTry)) && trial.turn != Some(turn) {
                 trial.turn = Some(turn);
                 effects.push(Effect::Try(server));
             }
--- a/crates/outlier-detection/src/seeded.rs
+++ b/crates/outlier-detection/src/mutations.rs
@@ -3,7 +3,7 @@
 
 /// One alteration of the machine's own code path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Bug {
+pub enum Mutation {
     /// One witness is enough.
     OneWitness,
     /// The evidence of a front that contradicts all others counts.
@@ -35,21 +35,21 @@
 }
 
 /// All of them.
-pub const ALL: [Bug; 14] = [
-    Bug::OneWitness,
-    Bug::SuspectCounts,
-    Bug::HalfIsEnough,
-    Bug::AssentForgotten,
-    Bug::OldEvidence,
-    Bug::OldAssents,
-    Bug::NoBase,
-    Bug::SamplesUncapped,
-    Bug::NoWait,
-    Bug::ZoneIsAll,
-    Bug::NeverLapses,
-    Bug::AllTry,
-    Bug::OldSins,
-    Bug::OneMakesAll,
+pub const ALL: [Mutation; 14] = [
+    Mutation::OneWitness,
+    Mutation::SuspectCounts,
+    Mutation::HalfIsEnough,
+    Mutation::AssentForgotten,
+    Mutation::OldEvidence,
+    Mutation::OldAssents,
+    Mutation::NoBase,
+    Mutation::SamplesUncapped,
+    Mutation::NoWait,
+    Mutation::ZoneIsAll,
+    Mutation::NeverLapses,
+    Mutation::AllTry,
+    Mutation::OldSins,
+    Mutation::OneMakesAll,
 ];
 
-tulipbridge_core::seeded_choice!();
+tulipbridge_core::mutation_switch!();
--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -173,7 +173,7 @@
     Lab(#[from] crate::process::LabError),
     #[error(transparent)]
     Table(#[from] TableError),
-    #[cfg(not(feature = "seeded"))]
+    #[cfg(not(feature = "mutations"))]
     #[error("bugs are put in only in a build with the feature `seeded`")]
     NotSeeded,
 }
@@ -627,32 +627,32 @@
     Ok(verdict.holds())
 }
 
-#[cfg(not(feature = "seeded"))]
+#[cfg(not(feature = "mutations"))]
 fn bugs(_: u64, _: bool) -> Result<bool, Failure> {
     Err(Failure::NotSeeded)
 }
 
-#[cfg(feature = "seeded")]
+#[cfg(feature = "mutations")]
 fn bugs(most: u64, of_verdicts: bool) -> Result<bool, Failure> {
-    use tulipbridge_fleet_limits::seeded as limits;
-    use tulipbridge_outlier_detection::seeded as verdicts;
+    use tulipbridge_fleet_limits::mutations as limits;
+    use tulipbridge_outlier_detection::mutations as verdicts;
     Ok(match of_verdicts {
-        false => find(&limits::ALL, limits::seed, most, |s| simulate::run(s).holds()),
-        true => find(&verdicts::ALL, verdicts::seed, most, |s| crate::verdicts::run(s).holds()),
+        false => find(&limits::ALL, limits::activate, most, |s| simulate::run(s).holds()),
+        true => find(&verdicts::ALL, verdicts::activate, most, |s| crate::verdicts::run(s).holds()),
     })
 }
 
 /// Puts each bug in, and looks for a schedule that shows it.
-#[cfg(feature = "seeded")]
+#[cfg(feature = "mutations")]
 fn find<B: Copy + std::fmt::Debug>(
     all: &[B],
-    seed: impl Fn(Option<B>),
+    activate: impl Fn(Option<B>),
     most: u64,
     holds: impl Fn(&Schedule) -> bool + Sync,
 ) -> bool {
     let mut found = Vec::new();
     for bug in all.iter().copied() {
-        seed(Some(bug));
+        activate(Some(bug));
         let first = Mutex::new(None::<u64>);
         // A few hundred at a time, so that a bug that is found at once costs little.
         for from in (0..most).step_by(500) {
@@ -667,7 +667,7 @@
                 break;
             }
         }
-        seed(None);
+        activate(None);
         found.push(first.into_inner().expect("no thread panics"));
     }
     for (bug, seed) in all.iter().zip(&found) {
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -5,8 +5,8 @@
 use std::time::Instant;
 
 use serde::Serialize;
-use tulipbridge_membership::{Belief, Seal, SealError};
 use tulipbridge_fleet_limits::{Effect, Event, Limit, Nanos, Place, Quota, Terms};
+use tulipbridge_membership::{Belief, Seal, SealError};
 
 /// What was measured.
 #[derive(Clone, Debug, Serialize)]
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -11,10 +11,10 @@
 use std::process::{Command, Output};
 
 use serde::{Deserialize, Serialize};
+use tulipbridge_results::{Column, Table};
 use tulipbridge_testbed::schedule::{Fault, Schedule, Step};
 use tulipbridge_testbed::wire::State;
 use tulipbridge_testbed::{cost, entries, others, runs, sick, simulate, verdicts};
-use tulipbridge_results::{Column, Table};
 
 /// The name of the program, as its users type it.
 const PROGRAM: &str = "tulipbridge-lab";
@@ -391,8 +391,8 @@
 /// The names that `bugs` prints, of the machine of limits and of that of verdicts.
 #[test]
 fn seeded_bugs_keep_their_names() {
-    let limits = tulipbridge_fleet_limits::seeded::ALL.iter().map(|bug| format!("{bug:?}\n"));
-    let verdicts = tulipbridge_outlier_detection::seeded::ALL.iter().map(|bug| format!("{bug:?}\n"));
+    let limits = tulipbridge_fleet_limits::mutations::ALL.iter().map(|bug| format!("{bug:?}\n"));
+    let verdicts = tulipbridge_outlier_detection::mutations::ALL.iter().map(|bug| format!("{bug:?}\n"));
     let (limits, verdicts): (String, String) = (limits.collect(), verdicts.collect());
     assert_golden("seeded-bugs.txt", &format!("[limits]\n{limits}\n[verdicts]\n{verdicts}"));
 }
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -21,11 +21,11 @@
 use tulipbridge_core as core;
 use tulipbridge_core::desk::Input;
 use tulipbridge_core::{Limited, NodeId, ReqId, Semantics, Settings};
+use tulipbridge_fleet_limits::{Beat, Effect, Event, Limit, Part, Quota, Terms, WHOLE};
 use tulipbridge_membership::{
     Act, Belief, Entries, Exchange as Exchanged, Key, News, Place, Refusal, Seal, SealError, Told,
     MOST_MESSAGE,
 };
-use tulipbridge_fleet_limits::{Beat, Effect, Event, Limit, Part, Quota, Terms, WHOLE};
 
 use crate::exchange::{Exchange, Rights};
 use crate::figures::Figures;
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -17,8 +17,8 @@
 use tulipbridge::peers::Config;
 use tulipbridge::verdicts::{Bench, Counts};
 use tulipbridge::{Listed, NodeInfo, Outcome, Scope};
-use tulipbridge_membership::{Delta, Entries, Exchange, Hello, Item, Key, Opened, Seal};
 use tulipbridge_fleet_limits::{Ask, Beat, Limit, Loan, Loans};
+use tulipbridge_membership::{Delta, Entries, Exchange, Hello, Item, Key, Opened, Seal};
 
 /// What a datagram says, as the program has it privately: the order of the variants is part of the format.
 /// `program_speaks_and_hears_the_golden_format` holds this copy against the running program.
