--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -33,18 +33,18 @@
 //! assert!(actions.contains(&Action::Place { id: 1, node: 0, patience: 0 }));
 //! ```
 
-pub mod desk;
+pub mod discovery_watch;
 pub mod door;
-pub mod hand;
+mod ejection;
+mod fleet_limits;
 mod interface;
 pub mod link;
+pub mod maintenance;
 pub mod mutations;
 mod policy;
-mod shared;
-mod standing;
+pub mod request_tracker;
+pub mod settings_reload;
 mod state;
-pub mod tune;
-pub mod watch;
 
 pub use interface::*;
 pub use state::{Rate, Scheduler};
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -4,10 +4,10 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{Hash, Hasher};
 
+use crate::ejection::Standing;
+use crate::fleet_limits::{Ration, Shared};
 use crate::interface::*;
 use crate::mutations::{mutated, Mutation};
-use crate::shared::{Ration, Shared};
-use crate::standing::Standing;
 
 /// A token bucket in units.
 #[derive(Clone, Debug)]
--- a/crates/core/tests/watch.rs
+++ b/crates/core/tests/watch.rs
@@ -1,7 +1,7 @@
 //! The watch on discovery: that the longest time without news stays under what counts as told, in every order of a
 //! few faults, and that a fleet's calls are spread.
 
-use tulipbridge_core::watch::{OnWatch, Step, Watch, CALL, QUIET, SPREAD, TOLD};
+use tulipbridge_core::discovery_watch::{OnWatch, Step, Watch, CALL, QUIET, SPREAD, TOLD};
 use tulipbridge_core::Nanos;
 
 const MS: Nanos = 1_000_000;
--- a/crates/core/tests/withdrawal.rs
+++ b/crates/core/tests/withdrawal.rs
@@ -1,7 +1,7 @@
 //! What nobody wants any more and has not begun is withdrawn, and never begins.
 
-use tulipbridge_core::desk::{Decisions, Desk, Effect, Input};
 use tulipbridge_core::link::{Attempt, Doubt, Link, Next, OnAttempt, OnLink};
+use tulipbridge_core::request_tracker::{Decisions, Desk, Effect, Input};
 use tulipbridge_core::{Action, Event, Listed, Nanos, NodeInfo, Outcome, Request, Scope};
 
 /// Sends each request to node 0, and does nothing else unless it is told to.
--- a/crates/model-checker/src/judge.rs
+++ b/crates/model-checker/src/judge.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
-use tulipbridge_core::desk::Decisions;
+use tulipbridge_core::request_tracker::Decisions;
 use tulipbridge_core::{Action, CellId, Event, Nanos, NodeId, Outcome, ReqId, Request, Scheduler};
 
 /// Who decides.
--- a/crates/model-checker/src/register.rs
+++ b/crates/model-checker/src/register.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::hash::{Hash, Hasher};
 
-use tulipbridge_core::watch::{OnWatch, Step as Do, Watch, TOLD};
+use tulipbridge_core::discovery_watch::{OnWatch, Step as Do, Watch, TOLD};
 use tulipbridge_core::Nanos;
 
 use crate::explore::{same, Card, Explored};
--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -8,8 +8,8 @@
 use std::fmt;
 use std::hash::{Hash, Hasher};
 
-use tulipbridge_core::desk::{Desk, Effect, Input, Verdict};
 use tulipbridge_core::link::{Attempt, Doubt, Link, Next, OnAttempt, OnLink, Pool, Room};
+use tulipbridge_core::request_tracker::{Desk, Effect, Input, Verdict};
 use tulipbridge_core::{
     Action, CellId, Listed, Nanos, NodeId, NodeInfo, Outcome, ReqId, Request, Scheduler, Scope, Semantics,
     Settings,
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 use tokio::task::yield_now;
 use tokio::time::{sleep_until, Instant};
-use tulipbridge_core::watch::{OnWatch, Step, Watch, CALL};
+use tulipbridge_core::discovery_watch::{OnWatch, Step, Watch, CALL};
 use tulipbridge_core::{CellId, Listed, Nanos, NodeInfo, Scope};
 
 use crate::exchange::Exchange;
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use tokio::sync::{oneshot, watch, Notify};
-use tulipbridge_core::desk::{Desk, Effect, Input, Verdict};
+use tulipbridge_core::request_tracker::{Desk, Effect, Input, Verdict};
 use tulipbridge_core::*;
 
 use crate::log::log;
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -14,7 +14,7 @@
 
 use nix::fcntl::{Flock, FlockArg};
 use simd_json::prelude::*;
-use tulipbridge_core::hand::{Hand, HandError};
+use tulipbridge_core::maintenance::{Hand, HandError};
 use tulipbridge_core::{NodeInfo, Scope};
 
 use crate::exchange::Exchange;
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -19,7 +19,7 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 use tulipbridge_core as core;
-use tulipbridge_core::desk::Input;
+use tulipbridge_core::request_tracker::Input;
 use tulipbridge_core::{Limited, NodeId, ReqId, Semantics, Settings};
 use tulipbridge_fleet_limits::{Beat, Effect, Event, Limit, Part, Quota, Terms, WHOLE};
 use tulipbridge_membership::{
--- a/src/server.rs
+++ b/src/server.rs
@@ -11,7 +11,7 @@
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, COOKIE};
 use hyper::{Method, Response, StatusCode};
 use tulipbridge_core as core;
-use tulipbridge_core::tune::Table;
+use tulipbridge_core::settings_reload::Table;
 use tulipbridge_core::{CellId, Class, Nanos, Plan, Settings};
 
 use crate::config::Config;
--- a/src/shares.rs
+++ b/src/shares.rs
@@ -5,7 +5,7 @@
 
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
-use tulipbridge_core::desk::Input;
+use tulipbridge_core::request_tracker::Input;
 use tulipbridge_core::{Limited, Outcome, Settings, VolId};
 use tulipbridge_fleet_limits::{Limit, Part, WHOLE};
 
--- a/src/trace.rs
+++ b/src/trace.rs
@@ -8,7 +8,7 @@
 
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue as Value};
-use tulipbridge_core::desk::{Effect, Input, Verdict};
+use tulipbridge_core::request_tracker::{Effect, Input, Verdict};
 use tulipbridge_core::{Listed, Nanos, NodeId, NodeInfo, Outcome, Scope, Told};
 
 /// The environment variable that switches the trace on.
--- a/src/verdicts.rs
+++ b/src/verdicts.rs
@@ -8,7 +8,7 @@
 use prometheus::{IntCounter, IntGauge};
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue as Value};
-use tulipbridge_core::desk::Input;
+use tulipbridge_core::request_tracker::Input;
 use tulipbridge_core::{Classes, Listed, Nanos, NodeId, NodeInfo, Outcome, ReqId, Scope as News, Told};
 use tulipbridge_membership::{Entries, Key, Place, Seal};
 use tulipbridge_outlier_detection::{
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -22,7 +22,7 @@
 use std::time::Instant;
 
 use tulipbridge::trace;
-use tulipbridge_core::desk::{Effect, Input, Verdict};
+use tulipbridge_core::request_tracker::{Effect, Input, Verdict};
 use tulipbridge_core::{Classes, Limited, Outcome, Scope, Told};
 
 use edits::{Edit, REFUSED_BY_BOTH, REFUSED_BY_OBJECT};
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
-use tulipbridge::desk::Input;
+use tulipbridge::request_tracker::Input;
 use tulipbridge::figures::Figures;
 use tulipbridge::peers::Config;
 use tulipbridge::verdicts::{Bench, Counts};
