--- a/src/bin/tulipbridge-adapter/wire.rs
+++ b/src/bin/tulipbridge-adapter/wire.rs
@@ -5,7 +5,7 @@
 
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue as Value};
-use tulipbridge::settings::{int, list, names, opt_num, settings, text, Res};
+use tulipbridge::config::settings::{int, list, names, opt_num, settings, text, Res};
 use tulipbridge::*;
 
 /// All instances that this process hosts.
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -11,14 +11,15 @@
 use simd_json::OwnedValue as Value;
 use tokio::time::{sleep, Instant};
 
-use crate::agent::Source;
+use crate::config::settings::{list, text, Res};
 use crate::config::Config;
-use crate::etcd::Prefix;
+use crate::control::agent;
+use crate::control::agent::Source;
+use crate::control::etcd::Prefix;
+use crate::control::http_client::call;
 use crate::front::on_one_thread;
-use crate::http::call;
-use crate::log::log;
-use crate::settings::{list, text, Res};
-use crate::{agent, front, object};
+use crate::telemetry::log::log;
+use crate::{front, object};
 
 /// How long an agent may take to answer, and a front to do as it is told.
 const ANSWER: Duration = Duration::from_secs(5);
--- a/src/verdicts.rs
+++ b/src/cluster/ejections.rs
@@ -16,9 +16,9 @@
     Worth, Zone,
 };
 
-use crate::figures::Figures;
-use crate::log::log;
-use crate::settings::{num, Res};
+use crate::config::settings::{num, Res};
+use crate::telemetry::log::log;
+use crate::telemetry::metrics::Figures;
 
 /// What the operators' file says of verdicts.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/src/shares.rs
+++ b/src/cluster/limits.rs
@@ -9,7 +9,7 @@
 use tulipbridge_core::{Limited, Outcome, Settings, VolId};
 use tulipbridge_fleet_limits::{Limit, Part, WHOLE};
 
-use crate::settings::{num, Res};
+use crate::config::settings::{num, Res};
 
 /// A request that comes asks for this much of the further attempts, where one that has failed asks for 1: a front with
 /// traffic has a part before its first failure.
@@ -190,9 +190,9 @@
     use super::*;
 
     fn set() -> Settings {
-        let json = include_bytes!("../crates/testbed/src/settings.json").to_vec();
+        let json = include_bytes!("../../crates/testbed/src/settings.json").to_vec();
         let boot = simd_json::to_owned_value(&mut json.clone()).expect("JSON");
-        crate::settings::settings(&boot).expect("it holds")
+        crate::config::settings::settings(&boot).expect("it holds")
     }
 
     fn stated(text: &str) -> Res<Stated> {
--- a/src/peers.rs
+++ b/src/cluster/peers.rs
@@ -27,13 +27,13 @@
     MOST_MESSAGE,
 };
 
+use crate::cluster::ejections::{self, Bench, Done, Names};
+use crate::cluster::limits::{self, Shares, Stated};
+use crate::config::settings::{list, num, text, Res};
 use crate::exchange::{Exchange, Rights};
-use crate::figures::Figures;
-use crate::log::log;
-use crate::settings::{list, num, text, Res};
-use crate::shares::{self, Shares, Stated};
+use crate::telemetry::log::log;
+use crate::telemetry::metrics::Figures;
 use crate::upstream::Upstream;
-use crate::verdicts::{self, Bench, Done, Names};
 
 /// Between two tries to hear, where the system refuses.
 const AGAIN: Duration = Duration::from_millis(10);
@@ -71,7 +71,7 @@
     /// The zones there are by their names, and the one of each name in the roster.
     pub zones: (Vec<String>, Vec<usize>),
     /// Whether and how verdicts on chunk servers are shared.
-    pub verdicts: Option<verdicts::Config>,
+    pub verdicts: Option<ejections::Config>,
     /// What the machine is told.
     pub terms: Terms,
     /// Limits beside those of volumes' plans.
@@ -156,7 +156,7 @@
         }
         let names: Vec<&str> = roster.iter().map(|(n, _)| n.as_str()).collect();
         let whole = format!("{}|{}|{}|{:?}", terms.revision, terms.life, terms.floor, names);
-        let told = value.get("verdicts").map(verdicts::Config::read).transpose()?;
+        let told = value.get("verdicts").map(ejections::Config::read).transpose()?;
         // Fronts that judge by other terms, or know other zones, are of another roster.
         let judged = told.map_or_else(String::new, |told| format!("|{told:?}|{zones:?}|{of_each:?}"));
         terms.roster = Seal::digest(&(whole + &judged));
@@ -289,7 +289,7 @@
         let bench = match told.verdict_terms()? {
             None => None,
             Some(terms) => Some(
-                Bench::new(terms, verdicts::Counts::new(figures))
+                Bench::new(terms, ejections::Counts::new(figures))
                     .map_err(|why| format!("'peers.verdicts': {why}"))?,
             ),
         };
@@ -547,7 +547,7 @@
     }
 
     /// What the module is told of a limit, from a moment on.
-    fn limit(&self, of: Limited, figures: shares::Figures, at: i64) -> core::Told {
+    fn limit(&self, of: Limited, figures: limits::Figures, at: i64) -> core::Told {
         let at = self.exchange.now() - (now() - at);
         core::Told::Limit { of, rate: figures.rate, burst: figures.burst, at }
     }
--- a/src/config.rs
+++ b/src/config/mod.rs
@@ -1,5 +1,8 @@
 //! What a front is told at its start: environment and JSON.
 
+pub mod reload;
+pub mod settings;
+
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -7,8 +10,8 @@
 use simd_json::OwnedValue as Value;
 use tulipbridge_core::Settings;
 
-use crate::peers;
-use crate::settings::{names, num, settings, text, Res};
+use crate::cluster::peers;
+use crate::config::settings::{names, num, settings, text, Res};
 
 /// The largest configuration file that is read; a larger one is turned down.
 const MOST_FILE: u64 = 8 << 20;
@@ -96,9 +99,9 @@
             };
             told.parse().map_err(|_| format!("'{key}' {told} is no address"))
         };
-        if crate::trace::on() {
+        if crate::telemetry::trace::on() {
             let settings = value.get("settings").cloned();
-            crate::trace::write(simd_json::json!({ "e": "start", "settings": settings }));
+            crate::telemetry::trace::write(simd_json::json!({ "e": "start", "settings": settings }));
         }
         let boot = value.get("settings").filter(|s| s.is_object()).ok_or("'settings' must be an object")?;
         let family = boot.get("FamilyInfo").ok_or("'FamilyInfo' must be an object")?;
@@ -137,11 +140,11 @@
             classes: names(boot, "Services")?,
             writes: {
                 let told = family.get("ChangesData").and_then(Value::as_array);
-                let count = crate::settings::list(boot, "Services")?.len();
+                let count = crate::config::settings::list(boot, "Services")?.len();
                 (0..count).map(|i| told.and_then(|w| w.get(i)).and_then(Value::as_bool)).collect()
             },
             plans: names(boot, "Grades")?,
-            zones: crate::settings::list(boot, "FailureDomains")?
+            zones: crate::config::settings::list(boot, "FailureDomains")?
                 .iter()
                 .map(|z| text(Some(z), "FailureDomains").map(str::to_owned))
                 .collect::<Res<_>>()?,
--- a/src/retune.rs
+++ b/src/config/reload.rs
@@ -11,13 +11,13 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
+use crate::cluster::peers::Peers;
+use crate::config::settings::Res;
 use crate::config::Config;
 use crate::exchange::Exchange;
-use crate::figures::Figures;
-use crate::log::log;
-use crate::peers::Peers;
-use crate::server::Names;
-use crate::settings::Res;
+use crate::frontend::platform::Names;
+use crate::telemetry::log::log;
+use crate::telemetry::metrics::Figures;
 use crate::upstream::Upstream;
 
 /// What a new file changes.
--- a/src/agent.rs
+++ b/src/control/agent.rs
@@ -20,12 +20,12 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout, Instant};
 
-use crate::etcd::{Declared, Prefix};
+use crate::config::settings::{text, Res};
+use crate::control::etcd::{Declared, Prefix};
+use crate::control::http_client::call;
 use crate::front::{on_one_thread, stop};
-use crate::http::call;
-use crate::listener::{listen, plain, Handler, Listener, Reply, Standing, Taken};
-use crate::log::log;
-use crate::settings::{text, Res};
+use crate::frontend::listener::{listen, plain, Handler, Listener, Reply, Standing, Taken};
+use crate::telemetry::log::log;
 
 /// First and longest pause before a crashed front is started again, and how long one must have run for the first
 /// to hold again.
--- a/src/console.rs
+++ b/src/control/console.rs
@@ -28,12 +28,12 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
+use crate::cluster::peers::Peers;
+use crate::config::settings::Res;
+use crate::control::maintenance::Maintenance;
 use crate::exchange::Exchange;
-use crate::figures::{Figures, Reading};
-use crate::log::log;
-use crate::maintenance::Maintenance;
-use crate::peers::Peers;
-use crate::settings::Res;
+use crate::telemetry::log::log;
+use crate::telemetry::metrics::{Figures, Reading};
 use crate::upstream::Upstream;
 
 /// A whole call, from connecting to the last byte of its answer, within this, or the connection is closed.
--- a/src/discovery.rs
+++ b/src/control/discovery.rs
@@ -15,12 +15,12 @@
 use tulipbridge_core::discovery_watch::{OnWatch, Step, Watch, CALL};
 use tulipbridge_core::{CellId, Listed, Nanos, NodeInfo, Scope};
 
+use crate::config::settings::{flag, int, list, text, Res};
+use crate::control::http_client::{call, Answer};
+use crate::control::json_stream::Message;
+use crate::control::maintenance::Maintenance;
 use crate::exchange::Exchange;
-use crate::http::{call, Answer};
-use crate::log::log;
-use crate::maintenance::Maintenance;
-use crate::messages::Message;
-use crate::settings::{flag, int, list, text, Res};
+use crate::telemetry::log::log;
 use crate::upstream::Upstream;
 
 /// Longest time for a connection to discovery to come up; the whole call is bounded by [`watch::CALL`].
--- a/src/etcd.rs
+++ b/src/control/etcd.rs
@@ -13,10 +13,10 @@
 use tokio::sync::mpsc::Sender;
 use tokio::time::{sleep, timeout, Instant};
 
-use crate::http::call;
-use crate::log::log;
-use crate::messages::Message;
-use crate::settings::{list, text, Res};
+use crate::config::settings::{list, text, Res};
+use crate::control::http_client::call;
+use crate::control::json_stream::Message;
+use crate::telemetry::log::log;
 
 const DIAL: Duration = Duration::from_secs(2);
 const ANSWER: Duration = Duration::from_secs(5);
--- a/src/http.rs
+++ b/src/control/http_client.rs
@@ -15,8 +15,8 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-use crate::messages::{Message, Messages};
-use crate::settings::Res;
+use crate::config::settings::Res;
+use crate::control::json_stream::{Message, Messages};
 
 /// The longest message or whole answer that is taken in.
 const MOST: usize = 8 << 20;
--- a/src/maintenance.rs
+++ b/src/control/maintenance.rs
@@ -18,7 +18,7 @@
 use tulipbridge_core::{NodeInfo, Scope};
 
 use crate::exchange::Exchange;
-use crate::log::log;
+use crate::telemetry::log::log;
 use crate::upstream::Upstream;
 
 /// How often the file is read for what another process has changed.
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -12,8 +12,8 @@
 use tulipbridge_core::request_tracker::{Desk, Effect, Input, Verdict};
 use tulipbridge_core::*;
 
-use crate::log::log;
-use crate::trace;
+use crate::telemetry::log::log;
+use crate::telemetry::trace;
 
 /// A module that leaves a request unanswered for this long past its deadline is overruled with a failure.
 /// Guards the rule of one final answer against faults of ours; well inside the slack that clients grant.
--- a/src/front.rs
+++ b/src/front.rs
@@ -12,18 +12,18 @@
 use tokio::task::{spawn_local, LocalSet};
 use tulipbridge_core::{Nanos, Settings};
 
+use crate::cluster::peers::Peers;
+use crate::config::reload::Retune;
+use crate::config::settings::Res;
 use crate::config::Config;
-use crate::console::{self, Console};
-use crate::discovery::Discovery;
+use crate::control::console::{self, Console};
+use crate::control::discovery::Discovery;
+use crate::control::maintenance::Maintenance;
 use crate::exchange::Exchange;
-use crate::figures::Figures;
-use crate::listener::{listen, Listener, Room, Standing};
-use crate::log::log;
-use crate::maintenance::Maintenance;
-use crate::peers::Peers;
-use crate::retune::Retune;
-use crate::server::{Names, Server};
-use crate::settings::Res;
+use crate::frontend::listener::{listen, Listener, Room, Standing};
+use crate::frontend::platform::{Names, Server};
+use crate::telemetry::log::log;
+use crate::telemetry::metrics::Figures;
 use crate::upstream::{Upstream, MOST_BODY};
 
 /// Descriptors that are not connections with clients or chunk servers: the runtime's, the log's, the listeners',
--- a/src/framing.rs
+++ b/src/frontend/framing.rs
@@ -400,5 +400,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/framing.rs"]
+#[path = "../../tests/unit/framing.rs"]
 mod tests;
--- a/src/listener.rs
+++ b/src/frontend/listener.rs
@@ -28,8 +28,8 @@
 use tulipbridge_core::door::{Accept, Door, Leave, Leaving, OnLeaving, OnVisitor, Phase};
 use tulipbridge_core::Nanos;
 
-use crate::framing::{Answering, Client, Framed, Open, MOST_HEAD};
-use crate::log::log;
+use crate::frontend::framing::{Answering, Client, Framed, Open, MOST_HEAD};
+use crate::telemetry::log::log;
 use crate::upstream::MOST_BODY;
 
 /// Connections past the cap that may stand at once to be told so; more wait to be accepted.
@@ -336,13 +336,13 @@
         // Whether something stands behind the request is known once it is whole.
         let body = client.fault().map_or(body, Err);
         let spoilt = body.is_err();
-        if let (Err(status), true) = (&body, crate::trace::on()) {
+        if let (Err(status), true) = (&body, crate::telemetry::trace::on()) {
             let length = head
                 .headers
                 .get(hyper::header::CONTENT_LENGTH)
                 .and_then(|v| v.to_str().ok())
                 .map(str::to_owned);
-            crate::trace::write(
+            crate::telemetry::trace::write(
                 simd_json::json!({ "e": "not taken", "status": status.as_u16(), "length": length }),
             );
         }
@@ -506,5 +506,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/listener.rs"]
+#[path = "../../tests/unit/listener.rs"]
 mod tests;
--- a/src/server.rs
+++ b/src/frontend/platform.rs
@@ -16,9 +16,9 @@
 
 use crate::config::Config;
 use crate::exchange::{Exchange, Final};
-use crate::figures::{ClassFigures, Figures};
-use crate::listener::{plain, refused, Handler, Hold, Reply, Taken};
-use crate::trace;
+use crate::frontend::listener::{plain, refused, Handler, Hold, Reply, Taken};
+use crate::telemetry::metrics::{ClassFigures, Figures};
+use crate::telemetry::trace;
 use crate::upstream::{Accepts, Answer, Payload, Rest, Upstream};
 
 const TXN: &str = "x-txn";
--- a/src/object/config.rs
+++ b/src/object/config.rs
@@ -7,7 +7,7 @@
 use tulipbridge_core::Semantics;
 
 use crate::config;
-use crate::settings::{num, text, Res};
+use crate::config::settings::{num, text, Res};
 
 /// Bytes of a unit where a bucket does not say.
 const UNIT_BYTES: f64 = 16.0 * 1024.0;
--- a/src/object/mod.rs
+++ b/src/object/mod.rs
@@ -25,11 +25,11 @@
 use tulipbridge_core as core;
 use tulipbridge_core::CellId;
 
+use crate::cluster::peers::Peers;
+use crate::config::settings::Res;
 use crate::exchange::{Exchange, Final};
 use crate::front::{assemble, on_one_thread, reload, stop};
-use crate::listener::{listen, plain, Handler, Listener, Reply, Taken};
-use crate::peers::Peers;
-use crate::settings::Res;
+use crate::frontend::listener::{listen, plain, Handler, Listener, Reply, Taken};
 use crate::upstream::{Accepts, Answer, Payload, Upstream, MOST_BODY};
 
 pub use config::{Bucket, Config};
--- a/src/log.rs
+++ b/src/telemetry/log.rs
@@ -9,6 +9,6 @@
 
 /// Writes a line for the operators, formatted as by `format`.
 macro_rules! log {
-    ($($text:tt)*) => { $crate::log::line(format_args!($($text)*)) };
+    ($($text:tt)*) => { $crate::telemetry::log::line(format_args!($($text)*)) };
 }
 pub(crate) use log;
--- /dev/null
+++ b/src/telemetry/mod.rs
@@ -0,0 +1,5 @@
+//! What a front reports of itself: log lines, a trace of decisions, and metrics.
+
+pub mod log;
+pub mod metrics;
+pub mod trace;
--- a/src/trace.rs
+++ b/src/telemetry/trace.rs
@@ -24,7 +24,7 @@
 pub fn write(mut object: Value) {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let _ = object.insert("t", now.as_secs_f64());
-    crate::log::line(format_args!("{}", object.encode()));
+    crate::telemetry::log::line(format_args!("{}", object.encode()));
 }
 
 fn ms(nanos: Nanos) -> f64 {
--- a/src/upstream.rs
+++ b/src/upstream/mod.rs
@@ -32,9 +32,9 @@
 use tulipbridge_core::{CellId, Nanos, NodeId, Outcome};
 
 use crate::exchange::{Ended, Transport, Withdrawal};
-use crate::figures::ClassFigures;
-use crate::listener::Hold;
-use crate::trace;
+use crate::frontend::listener::Hold;
+use crate::telemetry::metrics::ClassFigures;
+use crate::telemetry::trace;
 
 /// The most bytes of a body, either way, that is held whole.
 pub const MOST_BODY: usize = 64 * 1024;
@@ -641,5 +641,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/upstream.rs"]
+#[path = "../../tests/unit/upstream.rs"]
 mod tests;
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -21,7 +21,7 @@
 use std::process::{Command, Output};
 use std::time::Instant;
 
-use tulipbridge::trace;
+use tulipbridge::telemetry::trace;
 use tulipbridge_core::request_tracker::{Effect, Input, Verdict};
 use tulipbridge_core::{Classes, Limited, Outcome, Scope, Told};
 
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -12,10 +12,10 @@
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
+use tulipbridge::cluster::ejections::{Bench, Counts};
+use tulipbridge::cluster::peers::Config;
 use tulipbridge::request_tracker::Input;
-use tulipbridge::figures::Figures;
-use tulipbridge::peers::Config;
-use tulipbridge::verdicts::{Bench, Counts};
+use tulipbridge::telemetry::metrics::Figures;
 use tulipbridge::{Listed, NodeInfo, Outcome, Scope};
 use tulipbridge_fleet_limits::{Ask, Beat, Limit, Loan, Loans};
 use tulipbridge_membership::{Delta, Entries, Exchange, Hello, Item, Key, Opened, Seal};
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -1,6 +1,6 @@
 //! Where a message of discovery's stream ends, however it is written and in whatever pieces it comes.
 
-use tulipbridge::messages::{Message, Messages};
+use tulipbridge::control::json_stream::{Message, Messages};
 
 /// All messages of a stream that comes in pieces of so many bytes.
 fn messages(stream: &str, piece: usize) -> Vec<String> {
