--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -231,6 +231,11 @@
         Classes(self.0 | 1 << class.min(63))
     }
 
+    /// A bit for each class, the lowest for class 0.
+    pub fn bits(self) -> u64 {
+        self.0
+    }
+
     /// Whether a class is one of them.
     pub fn has(self, class: usize) -> bool {
         self.0 >> class.min(63) & 1 == 1
--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -280,6 +280,27 @@
     Decide(Action),
 }
 
+/// A decision as histories name it. Histories that were stored are replayed by these texts, so they stay whatever the
+/// actions are called in the code.
+struct DecisionText<'a>(&'a Action);
+
+impl fmt::Display for DecisionText<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.0 {
+            Action::Place { id, node, patience } => {
+                write!(f, "Place {{ id: {id}, node: {node}, patience: {patience} }}")
+            }
+            Action::Cancel { id, attempt } => write!(f, "Cancel {{ id: {id}, attempt: {attempt} }}"),
+            Action::Refuse { id, wait } => write!(f, "Refuse {{ id: {id}, wait: {wait} }}"),
+            Action::Fail(id) => write!(f, "Fail({id})"),
+            Action::Sleep { after, cookie } => write!(f, "Sleep {{ after: {after}, cookie: {cookie} }}"),
+            Action::Subscribe => write!(f, "Subscribe"),
+            Action::Forget(node) => write!(f, "Forget({node})"),
+            Action::Note { text, node } => write!(f, "Note {{ text: {text:?}, node: {node} }}"),
+        }
+    }
+}
+
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -308,7 +329,7 @@
             Step::TimeUp(id, a) => write!(f, "the time of attempt {a} of request {id} is over"),
             Step::DialTimeUp(w) => write!(f, "connection {w} does not come up in time"),
             Step::Overdue(c) => write!(f, "the time of client {c} is over"),
-            Step::Decide(action) => write!(f, "decided: {action:?}"),
+            Step::Decide(action) => write!(f, "decided: {}", DecisionText(action)),
         }
     }
 }
--- a/src/cluster/peers.rs
+++ b/src/cluster/peers.rs
@@ -158,7 +158,11 @@
         let whole = format!("{}|{}|{}|{:?}", terms.revision, terms.life, terms.floor, names);
         let told = value.get("verdicts").map(ejections::Config::read).transpose()?;
         // Fronts that judge by other terms, or know other zones, are of another roster.
-        let judged = told.map_or_else(String::new, |told| format!("|{told:?}|{zones:?}|{of_each:?}"));
+        // This text is part of a digest that fronts of different versions compare: it must not change.
+        let judged = told.map_or_else(String::new, |ejections| {
+            let ejections::Config { most_out, witnesses } = ejections;
+            format!("|Config {{ most_out: {most_out:?}, witnesses: {witnesses:?} }}|{zones:?}|{of_each:?}")
+        });
         terms.roster = Seal::digest(&(whole + &judged));
         terms.check().map_err(|why| format!("'peers': {why}"))?;
         Ok(Config {
--- a/src/telemetry/trace.rs
+++ b/src/telemetry/trace.rs
@@ -9,7 +9,7 @@
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue as Value};
 use tulipbridge_core::request_tracker::{Effect, Input, Verdict};
-use tulipbridge_core::{Listed, Nanos, NodeId, NodeInfo, Outcome, Scope, Told};
+use tulipbridge_core::{Limited, Listed, Nanos, NodeId, NodeInfo, Outcome, Scope, Told};
 
 /// The environment variable that switches the trace on.
 pub const VARIABLE: &str = "TULIPBRIDGE_TRACE";
@@ -55,10 +55,10 @@
             "nodes": nodes.iter().map(|n| entry(n, &name)).collect::<Vec<Value>>(),
         }),
         Input::Told(Told::Limit { of, rate, burst, .. }) => json!({
-            "e": "limit", "of": format!("{of:?}"), "rate": *rate, "burst": *burst,
+            "e": "limit", "of": limit_name(*of), "rate": *rate, "burst": *burst,
         }),
         Input::Told(Told::Standing { node, out }) => {
-            json!({ "e": "standing", "node": name(*node), "out": format!("{out:?}") })
+            json!({ "e": "standing", "node": name(*node), "out": format!("Classes({})", out.bits()) })
         }
         Input::Told(Told::Trial { node, .. }) => json!({ "e": "trial", "node": name(*node) }),
         Input::Told(Told::Leaving { .. }) => json!({ "e": "leaving" }),
@@ -99,6 +99,16 @@
     json!({ "node": name(n.node), "cell": n.cell, "listed": listed, "came_up": n.came_up as f64 / 1e9 })
 }
 
+/// The name of a limit in the trace, whatever it is called in the code.
+fn limit_name(limit: Limited) -> String {
+    match limit {
+        Limited::Volume(volume) => format!("Volume({volume})"),
+        Limited::Further => "Further".to_owned(),
+        Limited::Starting => "Starting".to_owned(),
+        Limited::Out => "Out".to_owned(),
+    }
+}
+
 fn scope_word(scope: Scope) -> &'static str {
     match scope {
         Scope::Update => "update",
