--- a/crates/core/src/ejection.rs
+++ b/crates/core/src/ejection.rs
@@ -4,7 +4,7 @@
 
 use std::hash::{Hash, Hasher};
 
-use crate::interface::{CellId, Classes, Listed, Nanos, NodeId, Request, Semantics};
+use crate::interface::{CellId, ClassSet, Listed, Nanos, NodeId, Request, Semantics};
 use crate::state::{Live, Node, Scheduler};
 
 /// Own answers in time in a row that end a verdict here: as many as good trials end it for all. Ours.
@@ -15,7 +15,7 @@
 /// How a node stands with all initiators, as one of them sees it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Standing {
-    out: Classes,
+    out: ClassSet,
     /// Own answers in time in a row since it is out.
     good: u8,
     /// Until then the next request that may run again goes there, whatever the verdict.
@@ -25,12 +25,12 @@
 impl Standing {
     /// Whether it is held out for a class of work.
     pub fn is_out(&self, class: usize) -> bool {
-        self.out.has(class) && self.good < OWN_GOOD
+        self.out.contains(class) && self.good < OWN_GOOD
     }
 
     /// Whether it is held out for all work.
     pub fn is_out_for_all(&self) -> bool {
-        self.out == Classes::ALL && self.good < OWN_GOOD
+        self.out == ClassSet::ALL && self.good < OWN_GOOD
     }
 
     /// Whether it is to be tried now.
@@ -45,7 +45,7 @@
 
     /// An own attempt there was answered in time, or was not. Work for which it is not out says nothing of it.
     pub fn note(&mut self, class: usize, bad: bool) {
-        if self.out.has(class) {
+        if self.out.contains(class) {
             self.good = if bad { 0 } else { self.good.saturating_add(1) };
         }
     }
@@ -59,14 +59,14 @@
 impl Scheduler {
     /// Takes for which work a node is held out from now on. One that comes back counts as one that starts, lest all
     /// initiators meet it at once.
-    pub(crate) fn tell_standing(&mut self, at: NodeId, out: Classes) {
+    pub(crate) fn tell_standing(&mut self, at: NodeId, out: ClassSet) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&at) else { return };
         let before = std::mem::replace(&mut node.standing.out, out);
-        if before == Classes::NONE && out != Classes::NONE {
+        if before == ClassSet::NONE && out != ClassSet::NONE {
             node.standing.good = 0;
         }
-        if before != Classes::NONE && out == Classes::NONE {
+        if before != ClassSet::NONE && out == ClassSet::NONE {
             node.standing.tried();
             if node.cold_since.is_none() {
                 node.start_cold(now, now + RAMP);
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -6,11 +6,11 @@
 /// A moment or a length of time, in nanoseconds.
 pub type Nanos = i64;
 /// A client request, unique for the life of one initiator.
-pub type ReqId = u64;
+pub type RequestId = u64;
 /// A storage node, by the order in which the initiator first heard of it.
 pub type NodeId = usize;
 /// A volume.
-pub type VolId = u64;
+pub type VolumeId = u64;
 /// A piece of data.
 pub type KeyId = u64;
 /// A shard; the node that holds it may be replaced, the cell stays.
@@ -42,9 +42,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Full worth is earned within this time.
-    pub aim: Nanos,
+    pub latency_objective: Nanos,
     /// The aim grows by this many times the request's own work.
-    pub aim_stretch: f64,
+    pub objective_stretch: f64,
     /// How long a client waits over all its tries.
     pub deadline: Nanos,
     /// What may be repeated.
@@ -56,9 +56,9 @@
     /// One at a time and in order for each key.
     pub keep_order: bool,
     /// Part of the worth earned after the aim.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// Worth of a request of mean size.
-    pub points: f64,
+    pub priority_weight: f64,
     /// Whether it writes.
     pub writes: bool,
 }
@@ -82,13 +82,13 @@
 
 /// Budget of further attempts.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Always allowed in a window.
-    pub free: f64,
+    pub base_allowance: f64,
     /// More, for each request taken in the window.
     pub ratio: f64,
     /// Length of the window.
-    pub look_back: Nanos,
+    pub window: Nanos,
 }
 
 /// All that an initiator is told at its start.
@@ -103,41 +103,41 @@
     /// Smallest time between two batches of events.
     pub quantum: Nanos,
     /// Units a starting node bears from all initiators together within `fall`.
-    pub cold_units: f64,
+    pub warmup_units: f64,
     /// Mean units of a request.
-    pub unit_mean: f64,
+    pub mean_units: f64,
     /// Most units of one request.
-    pub most_units: f64,
+    pub max_units: f64,
     /// Worth of units within the share, as a part of full.
-    pub fair_worth: f64,
+    pub fair_share_value: f64,
     /// Worth of units beyond the share, as a part of full.
-    pub idle_worth: f64,
+    pub idle_value: f64,
     /// Period of the use meter; 0 is no meter.
     pub use_period: Nanos,
     /// Most attempts of a request.
-    pub most_tries: u32,
+    pub max_attempts: u32,
     /// Whether two attempts of one request may be out.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Whether an attempt may be given up.
-    pub cancelling: bool,
+    pub cancellation: bool,
     /// Longest wait that a client follows.
     pub max_retry_after: Nanos,
     /// Whether the node list must be asked for.
-    pub list_on_request: bool,
+    pub polls_discovery: bool,
     /// Longest time without a subscription before the list counts as told; 0 is none.
-    pub ask_every: Nanos,
+    pub poll_interval: Nanos,
     /// A starting node is warm after this.
-    pub cold: Nanos,
+    pub warmup_duration: Nanos,
     /// A starting node can do at least this part of its full work.
-    pub cold_from: f64,
+    pub warmup_floor: f64,
     /// A starting node bears this many times its present capacity.
     pub tip_multiple: f64,
     /// The span over which a starting node must not be overrun.
-    pub fall: Nanos,
+    pub overload_span: Nanos,
     /// How long a key rests after an attempt that may still run.
-    pub order_settle: Nanos,
+    pub order_settle_time: Nanos,
     /// Budget of further attempts, where there is one.
-    pub budget: Option<Budget>,
+    pub retry_budget: Option<RetryBudget>,
 }
 
 /// State of a node by the list.
@@ -163,12 +163,12 @@
     /// Its state.
     pub listed: Listed,
     /// When it last started; 0 is long ago.
-    pub came_up: Nanos,
+    pub started_at: Nanos,
 }
 
 /// Kind of a list event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Scope {
+pub enum UpdateScope {
     /// Changed entries only.
     Update,
     /// The complete list.
@@ -183,13 +183,13 @@
 #[derive(Clone, Debug)]
 pub struct Request {
     /// Its id.
-    pub id: ReqId,
+    pub id: RequestId,
     /// Its class.
     pub class: usize,
     /// Its volume's plan.
     pub plan: usize,
     /// Its volume.
-    pub volume: VolId,
+    pub volume: VolumeId,
     /// Its piece of data.
     pub key: Option<KeyId>,
     /// Time until the client gives this try up.
@@ -199,36 +199,36 @@
     /// The shard that holds its data; `None` is a new object.
     pub cell: Option<CellId>,
     /// Number of initiators its volume works through.
-    pub set_size: u32,
+    pub front_count: u32,
 }
 
 /// What a limit that all initiators share is on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Limited {
+pub enum SharedLimit {
     /// Units of a volume.
-    Volume(VolId),
+    Volume(VolumeId),
     /// Further attempts, of whatever is asked for.
-    Further,
+    Retries,
     /// Units to any one node that has just started.
-    Starting,
+    WarmingUpNode,
     /// Requests out at any one node; less than one is a pace.
-    Out,
+    InFlightPerNode,
 }
 
 /// For which classes of work a node is held out: a bit for each class, the last one for all from there on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Classes(u64);
+pub struct ClassSet(u64);
 
-impl Classes {
+impl ClassSet {
     /// For no work.
-    pub const NONE: Classes = Classes(0);
+    pub const NONE: ClassSet = ClassSet(0);
     /// For all work.
-    pub const ALL: Classes = Classes(u64::MAX);
+    pub const ALL: ClassSet = ClassSet(u64::MAX);
 
     /// These and one more.
     #[must_use]
-    pub fn with(self, class: usize) -> Classes {
-        Classes(self.0 | 1 << class.min(63))
+    pub fn with(self, class: usize) -> ClassSet {
+        ClassSet(self.0 | 1 << class.min(63))
     }
 
     /// A bit for each class, the lowest for class 0.
@@ -237,7 +237,7 @@
     }
 
     /// Whether a class is one of them.
-    pub fn has(self, class: usize) -> bool {
+    pub fn contains(self, class: usize) -> bool {
         self.0 >> class.min(63) & 1 == 1
     }
 }
@@ -246,31 +246,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
     /// Served.
-    Done,
+    Served,
     /// The node answered with an error; it may have run.
     Error,
     /// Turned away unseen.
-    Busy,
+    Rejected,
     /// No answer in time; it may run yet.
     TimedOut,
     /// No connection; it never ran.
-    Refused,
+    NotExecuted,
     /// The connection broke; it may have run.
     Reset,
     /// Cancelled; it may have run.
-    Canceled,
+    Cancelled,
     /// Not sent.
-    Skipped,
+    NotSent,
 }
 
 /// What an initiator is told of what all share, and of its own end.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Told {
+pub enum FleetUpdate {
     /// What this initiator may use of a limit that all share, from a moment on that may be past: where it is told,
     /// it holds instead of an even part of a volume's, and beside what else holds back.
-    Limit {
+    SharedLimit {
         /// Of which limit.
-        of: Limited,
+        limit: SharedLimit,
         /// Units or attempts a second; requests, of those out at a node.
         rate: f64,
         /// Most units or attempts in store; of no meaning for requests out.
@@ -279,23 +279,23 @@
         at: Nanos,
     },
     /// For which work all initiators hold a node out from now on, beside what this one saw itself.
-    Standing {
+    Ejection {
         /// Which node.
         node: NodeId,
         /// For which classes of work; none is that it is back.
-        out: Classes,
+        classes: ClassSet,
     },
     /// A node that is held out is to be tried: the next request that may run again goes there, once.
-    Trial {
+    Probe {
         /// Which node.
         node: NodeId,
         /// Not after this moment.
         until: Nanos,
     },
     /// This initiator ends: what it holds is answered by a moment, however long its clients would wait.
-    Leaving {
+    Shutdown {
         /// By when.
-        by: Nanos,
+        deadline: Nanos,
     },
 }
 
@@ -303,22 +303,22 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News of the node list.
-    Fleet {
+    Endpoints {
         /// Kind of news.
-        scope: Scope,
+        scope: UpdateScope,
         /// Its entries.
         nodes: Vec<NodeInfo>,
     },
     /// A request was taken.
     Request(Request),
     /// The client is gone.
-    Gone(ReqId),
+    ClientGone(RequestId),
     /// A streamed answer has begun.
-    First(ReqId),
+    ResponseStarted(RequestId),
     /// An attempt has ended.
-    Ended {
+    AttemptEnded {
         /// The request.
-        id: ReqId,
+        id: RequestId,
         /// Number of the attempt.
         attempt: u32,
         /// Where it was sent.
@@ -335,7 +335,7 @@
         foreign_units: f64,
     },
     /// What it is told beside lists and requests.
-    Told(Told),
+    FleetUpdate(FleetUpdate),
     /// A timer is due.
     Timer(u64),
 }
@@ -344,32 +344,32 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
-    Place {
+    Send {
         /// The request.
-        id: ReqId,
+        id: RequestId,
         /// Where to.
         node: NodeId,
         /// Time-out of the attempt; 0 is the client's own.
-        patience: Nanos,
+        timeout: Nanos,
     },
     /// Give up an attempt that is out: it ends as cancelled.
     Cancel {
         /// The request.
-        id: ReqId,
+        id: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
     /// Final answer: refused, harmless to repeat.
-    Refuse {
+    Reject {
         /// The request.
-        id: ReqId,
+        id: RequestId,
         /// How long the client should stay away.
-        wait: Nanos,
+        retry_after: Nanos,
     },
     /// Final answer: failed, promising nothing.
-    Fail(ReqId),
+    Fail(RequestId),
     /// Ask for a timer.
-    Sleep {
+    SetTimer {
         /// From now.
         after: Nanos,
         /// Comes back with the timer.
@@ -378,9 +378,9 @@
     /// Subscribe to the node list.
     Subscribe,
     /// A node is gone and nothing is out to it: nothing is known of it any more.
-    Forget(NodeId),
+    ForgetNode(NodeId),
     /// A line for the operators.
-    Note {
+    Log {
         /// The text.
         text: &'static str,
         /// The node it is about.
--- a/crates/core/src/link.rs
+++ b/crates/core/src/link.rs
@@ -65,7 +65,7 @@
     /// The table of outcomes, for what broke.
     pub fn outcome(self) -> Outcome {
         match self {
-            Doubt::Untouched | Doubt::Partly => Outcome::Refused,
+            Doubt::Untouched | Doubt::Partly => Outcome::NotExecuted,
             Doubt::MayHaveRun => Outcome::Reset,
         }
     }
@@ -180,12 +180,12 @@
         let next = match (*self, event) {
             (Attempt::Choosing, OnAttempt::Found) => Next::Send,
             (Attempt::Choosing, OnAttempt::NoneQuiet { room: true }) => Next::Dial,
-            (Attempt::Choosing, OnAttempt::NoneQuiet { room: false }) => Next::End(Outcome::Skipped),
+            (Attempt::Choosing, OnAttempt::NoneQuiet { room: false }) => Next::End(Outcome::NotSent),
             (Attempt::Dialling, OnAttempt::Connected) => Next::Send,
             (Attempt::Dialling, OnAttempt::NotConnected) if mutated(Mutation::DialFailureInDoubt) => {
                 Next::End(Outcome::Reset)
             }
-            (Attempt::Dialling, OnAttempt::NotConnected) => Next::End(Outcome::Refused),
+            (Attempt::Dialling, OnAttempt::NotConnected) => Next::End(Outcome::NotExecuted),
             // A pooled connection may prove closed before anything of the request is taken from us; that is no
             // attempt, and the next connection gets it. One that broke in mid-request is never gone round.
             (Attempt::Reusing, OnAttempt::Broke(Doubt::Untouched)) => Next::Choose,
@@ -195,7 +195,7 @@
             (Attempt::Reusing, OnAttempt::Broke(_)) if mutated(Mutation::ResentSilently) => Next::Choose,
             (Attempt::Reusing | Attempt::Fresh, OnAttempt::Broke(doubt)) => {
                 let refused = mutated(Mutation::ResetTakenForRefusal);
-                Next::End(if refused { Outcome::Refused } else { doubt.outcome() })
+                Next::End(if refused { Outcome::NotExecuted } else { doubt.outcome() })
             }
             (Attempt::Reusing | Attempt::Fresh, OnAttempt::Answered(outcome)) => Next::End(outcome),
             // What does not fit is a fault of the shell's; in doubt it may have run.
--- a/crates/core/src/maintenance.rs
+++ b/crates/core/src/maintenance.rs
@@ -94,7 +94,7 @@
             return Ok(None);
         }
         let info = self.listed.get_mut(key).map(|info| {
-            info.came_up = info.came_up.max(now);
+            info.started_at = info.started_at.max(now);
             info.clone()
         });
         Ok(info)
@@ -140,7 +140,7 @@
     use super::*;
 
     fn entry(node: usize, listed: Listed, came_up: Nanos) -> NodeInfo {
-        NodeInfo { node, zone: 0, cell: 3, listed, came_up }
+        NodeInfo { node, zone: 0, cell: 3, listed, started_at: came_up }
     }
 
     #[test]
--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -146,46 +146,46 @@
             self.ask_gap = ASK_FIRST.max(self.crowd() / 2);
             // All may start at one moment; a list as last held serves meanwhile.
             let wait = (self.random.f64() * self.crowd() as f64) as Nanos;
-            self.ask_at = self.set.list_on_request.then_some(self.now + wait);
+            self.ask_at = self.set.polls_discovery.then_some(self.now + wait);
             self.tick(actions);
         }
         match event {
-            Event::Fleet { scope, nodes } => self.on_fleet(scope, nodes, actions),
+            Event::Endpoints { scope, nodes } => self.on_fleet(scope, nodes, actions),
             Event::Request(request) => self.on_request(request, actions),
-            Event::Gone(id) => {
+            Event::ClientGone(id) => {
                 self.left(id);
                 self.spare(id, actions);
                 if !mutated(Mutation::GoneNotFinished) {
                     self.finish(id);
                 }
             }
-            Event::First(id) => {
+            Event::ResponseStarted(id) => {
                 self.live.entry(id).and_modify(|l| l.streaming = true);
             }
-            Event::Ended { .. } => self.on_ended(&event, actions),
+            Event::AttemptEnded { .. } => self.on_ended(&event, actions),
             Event::Timer(TICK_COOKIE) => self.tick(actions),
-            Event::Told(told) => self.tell(told),
+            Event::FleetUpdate(told) => self.tell(told),
             Event::Timer(_) => {}
         }
     }
 
-    fn on_fleet(&mut self, scope: Scope, nodes: Vec<NodeInfo>, actions: &mut Vec<Action>) {
-        if scope == Scope::Unavailable {
+    fn on_fleet(&mut self, scope: UpdateScope, nodes: Vec<NodeInfo>, actions: &mut Vec<Action>) {
+        if scope == UpdateScope::Unavailable {
             // Backs off with jitter, since all initiators lose discovery at the same moment.
             let wait = (self.ask_gap as f64 * (0.5 + self.random.f64())) as Nanos;
-            let told = if self.set.ask_every > 0 { self.set.ask_every } else { Nanos::MAX };
+            let told = if self.set.poll_interval > 0 { self.set.poll_interval } else { Nanos::MAX };
             self.ask_at = Some(self.now + wait.min((told as f64 * ASK_PART) as Nanos));
             self.ask_gap = (self.ask_gap * 2).min(ASK_MOST.max(2 * self.crowd()));
             return;
         }
         self.ask_gap = ASK_FIRST.max(self.crowd() / 2);
-        if scope != Scope::Update {
+        if scope != UpdateScope::Update {
             self.drop_unlisted(&nodes);
         }
         for info in nodes {
             self.on_entry(info);
         }
-        if scope == Scope::Restored {
+        if scope == UpdateScope::Restored {
             // This initiator may have been killed a moment ago, and what it had sent to a cold node counts.
             for node in self.nodes.values_mut().filter(|n| n.cold_since.is_some()) {
                 node.cold_sent.push_back((self.now, f64::INFINITY));
@@ -200,7 +200,7 @@
     }
 
     fn on_entry(&mut self, info: NodeInfo) {
-        let (now, cold, mean) = (self.now, self.set.cold, self.set.unit_mean);
+        let (now, cold, mean) = (self.now, self.set.warmup_duration, self.set.mean_units);
         let lot = 2.0 * self.random.f64() - 1.0;
         let usual = self.cells.get(&info.cell).into_iter().flatten().map(|id| self.nodes[id].usual);
         let usual = usual.fold(0.0, f64::max);
@@ -208,10 +208,10 @@
         node.usual = node.usual.max(usual);
         node.zone = info.zone;
         node.listed = info.listed;
-        if info.came_up > node.came_up {
-            node.came_up = info.came_up;
-            if now - info.came_up < cold {
-                node.start_cold(info.came_up, info.came_up + cold);
+        if info.started_at > node.came_up {
+            node.came_up = info.started_at;
+            if now - info.started_at < cold {
+                node.start_cold(info.started_at, info.started_at + cold);
                 node.cold_level = lot * mean;
             }
         }
@@ -235,18 +235,19 @@
             return;
         }
         if req.class >= self.set.classes.len() || req.plan >= self.set.plans.len() {
-            actions.push(Action::Refuse { id, wait: 0 });
+            actions.push(Action::Reject { id, retry_after: 0 });
             return;
         }
-        let span = self.budget().look_back;
+        let span = self.budget().window;
         self.note_taken(span);
         let class = &self.set.classes[req.class];
         // A later try of a client has less time left; what is gone already counts against the aim. Who would
         // wait for longer than any client of the class makes nobody else's try a later one.
         let most = self.most_patience[req.class].max(req.patience.min(class.deadline));
         self.most_patience[req.class] = most;
-        let stretch = class.aim_stretch * self.unit_cost[req.class] * req.units;
-        let aim = (class.aim + stretch as Nanos).min(class.deadline) - (most - req.patience).max(0);
+        let stretch = class.objective_stretch * self.unit_cost[req.class] * req.units;
+        let aim =
+            (class.latency_objective + stretch as Nanos).min(class.deadline) - (most - req.patience).max(0);
         if class.keep_order {
             if let Some(key) = req.key {
                 self.lines.entry(key).or_default().order.push_back(id);
@@ -254,7 +255,7 @@
         }
         self.volume(&req);
         let admitted = self.admit(&req);
-        self.hold(Live::new(req, now, aim, self.set.most_tries));
+        self.hold(Live::new(req, now, aim, self.set.max_attempts));
         if admitted {
             self.enqueue(id, actions);
         }
@@ -334,10 +335,10 @@
     /// which part of those that waited so long left about then. Guards against work done for nobody when
     /// patience shrinks, whatever the cause. Could harm the few patient ones, which then rank as late.
     /// Clients that leave at random moments, however many, say nothing of the others' patience.
-    fn left(&mut self, id: ReqId) {
+    fn left(&mut self, id: RequestId) {
         let Some(live) = self.live.get(&id) else { return };
         let age = (self.now - live.since) as f64;
-        let waited = age >= self.set.classes[live.req.class].aim as f64 * LEFT_LEAST;
+        let waited = age >= self.set.classes[live.req.class].latency_objective as f64 * LEFT_LEAST;
         if live.finished || !waited || self.now >= live.die_at - self.margin() {
             return;
         }
@@ -350,18 +351,18 @@
 
     /// Nobody waits for its answer any more: what has not run yet need not. Only where it may run again, lest
     /// a write be left in doubt. Guards the nodes' time; costs the connection that it is out on.
-    fn spare(&mut self, id: ReqId, actions: &mut Vec<Action>) {
+    fn spare(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(live) = self.live.get(&id).filter(|l| l.out > 0 && !l.finished && !l.streaming) else {
             return;
         };
-        if self.set.cancelling && self.set.classes[live.req.class].semantics == Semantics::Idempotent {
+        if self.set.cancellation && self.set.classes[live.req.class].semantics == Semantics::Idempotent {
             // Two are never out at once.
             actions.push(Action::Cancel { id, attempt: live.tries - 1 });
         }
     }
 
     /// A client has stayed for its answer, whichever it is.
-    fn stayed(&mut self, id: ReqId) {
+    fn stayed(&mut self, id: RequestId) {
         let Some(live) = self.live.get(&id).filter(|l| !l.finished) else { return };
         let stay = &mut self.stay[live.req.class];
         if (self.now - live.since) as f64 >= stay.age {
@@ -372,10 +373,11 @@
     /// How long clients of a class lately tend to stay, where they leave early.
     fn stays(&self, class: usize) -> Nanos {
         let stay = &self.stay[class];
-        if stay.rate(self.now, LEFT_MEMORY) < LEFT_RATE {
-            Nanos::MAX / 4
-        } else {
+        let leave_early = stay.rate(self.now, LEFT_MEMORY) >= LEFT_RATE;
+        if leave_early {
             stay.age as Nanos
+        } else {
+            Nanos::MAX / 4
         }
     }
 
@@ -385,8 +387,8 @@
     }
 
     fn volume(&mut self, req: &Request) {
-        let (now, most, plan) = (self.now, self.set.most_units, &self.set.plans[req.plan]);
-        let parts = f64::from(req.set_size.max(1));
+        let (now, most, plan) = (self.now, self.set.max_units, &self.set.plans[req.plan]);
+        let parts = f64::from(req.front_count.max(1));
         // The share level: the smallest rate by weight that a plan's volumes are sized for.
         let rates = self.set.plans.iter().map(|p| p.nominal / p.weight.max(0.01)).filter(|r| *r > 0.0);
         let level = rates.fold(f64::INFINITY, f64::min) * FAIR_BAND;
@@ -402,7 +404,7 @@
     }
 
     /// Puts a request in the queue of its cell, drawing the cell of a new object, and lets the cell send.
-    fn enqueue(&mut self, id: ReqId, actions: &mut Vec<Action>) {
+    fn enqueue(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let lot = self.random.f64();
         let Some(live) = self.live.get(&id) else { return };
         let cell = live.cell.or_else(|| self.draw_cell(lot, &live.req));
@@ -520,15 +522,15 @@
     fn limit_allows(&self, req: &Request) -> bool {
         let Some(limit) = self.volumes.get(&req.volume).and_then(|v| v.limit.as_ref()) else { return true };
         // Classes of less worth leave part of the bucket to those of more. Harms only them, at a limit.
-        let most = self.set.classes.iter().map(|c| c.points).fold(0.0, f64::max).max(1e-9);
-        let held = limit.most * LIMIT_HOLD * (1.0 - self.set.classes[req.class].points / most);
+        let most = self.set.classes.iter().map(|c| c.priority_weight).fold(0.0, f64::max).max(1e-9);
+        let held = limit.most * LIMIT_HOLD * (1.0 - self.set.classes[req.class].priority_weight / most);
         limit.rate > 0.0 && limit.level_at(self.now) >= (req.units + held).min(limit.most)
     }
 
     /// Part of full worth that this request would earn at this node: its place in reserve, share or spare,
     /// and whether it would still be in time.
     fn gain(&self, live: &Live, node: &Node) -> f64 {
-        let late_worth = self.set.classes[live.req.class].late_worth;
+        let late_worth = self.set.classes[live.req.class].late_value;
         self.tier(&live.req) * if self.late(live, node) { late_worth } else { 1.0 }
     }
 
@@ -541,7 +543,7 @@
         let Some(volume) = self.volumes.get(&req.volume) else { return 1.0 };
         let inside = (volume.reserve.level_at(self.now) / req.units.max(0.1)).clamp(0.0, 1.0);
         let fair = volume.beyond.now(self.now, RATE_MEMORY) <= volume.share;
-        let rest = if fair { self.set.fair_worth } else { self.set.idle_worth };
+        let rest = if fair { self.set.fair_share_value } else { self.set.idle_value };
         inside + (1.0 - inside) * rest
     }
 
@@ -553,7 +555,7 @@
     /// Full worth for a unit of work.
     fn points(&self, req: &Request) -> f64 {
         let cost = self.unit_cost[req.class].max(1.0);
-        self.set.classes[req.class].points * self.set.plans[req.plan].price / cost
+        self.set.classes[req.class].priority_weight * self.set.plans[req.plan].price / cost
     }
 
     /// Work of a request as learned, without waiting; 0 while nothing is known.
@@ -563,7 +565,7 @@
 
     /// Work of a request of mean size, over the classes.
     fn mean_cost(&self) -> f64 {
-        mean(self.unit_cost.iter().copied().filter(|c| *c > 0.0)) * self.set.unit_mean.max(1.0)
+        mean(self.unit_cost.iter().copied().filter(|c| *c > 0.0)) * self.set.mean_units.max(1.0)
     }
 
     /// Latency to expect of a request at a node: the node's smoothed latency, scaled from the mean request.
@@ -583,14 +585,14 @@
         (cost + waiting) / (mean + waiting)
     }
 
-    fn send(&mut self, id: ReqId, at: NodeId, actions: &mut Vec<Action>) {
+    fn send(&mut self, id: RequestId, at: NodeId, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(live) = self.live.get(&id) else { return };
         let (class, left) = (&self.set.classes[live.req.class], self.aim(live) - now);
-        let in_time = left > 0 && class.late_worth < LOW_WORTH && class.semantics == Semantics::Idempotent;
+        let in_time = left > 0 && class.late_value < LOW_WORTH && class.semantics == Semantics::Idempotent;
         let (class, much_late) = (live.req.class, self.admission.bad > BAD_SOME);
         let expected = self.expect(live, &self.nodes[&at]);
-        let tightest = self.set.classes.iter().map(|c| c.aim).min().unwrap_or(0) as f64;
+        let tightest = self.set.classes.iter().map(|c| c.latency_objective).min().unwrap_or(0) as f64;
         let sign = (tightest * BAD_AIM).max(SILENCE_LEAST as f64);
         let due = now + (sign * self.relative(&live.req, &self.nodes[&at]).max(1.0)) as Nanos;
         if live.tries == 0 {
@@ -610,8 +612,8 @@
         }
         // Where much is late, a late read is worth less than its place in a queue: it ends at its aim.
         // Guards against queues of late work, which no initiator of a hundred sees; a write is left alone.
-        let spare = much_late && in_time && self.set.cancelling;
-        actions.push(Action::Place { id, node: at, patience: if spare { left } else { 0 } });
+        let spare = much_late && in_time && self.set.cancellation;
+        actions.push(Action::Send { id, node: at, timeout: if spare { left } else { 0 } });
     }
 
     /// Cold nodes: what this initiator may still send. Two accounts, the larger counts. Its even part of what
@@ -621,45 +623,45 @@
     pub(crate) fn cold_room(&self, node: &Node) -> f64 {
         let Some(since) = node.cold_since else { return f64::INFINITY };
         let growth = self.growth(since);
-        let part = self.set.cold_units / f64::from(self.set.initiators.max(1)) * growth;
+        let part = self.set.warmup_units / f64::from(self.set.initiators.max(1)) * growth;
         let span = node.cold_sent.iter().filter(|(t, _)| *t > self.now - self.cold_span());
         let even = part - span.map(|(_, u)| u).sum::<f64>();
-        let own = if node.cold_level < self.set.unit_mean { node.cold_level } else { self.set.most_units };
+        let own = if node.cold_level < self.set.mean_units { node.cold_level } else { self.set.max_units };
         node.ration.starting_room(self.now).map_or(own.max(even), |told| told * growth)
     }
 
     /// The span of the rule on cold nodes, and what a batch may add.
     fn cold_span(&self) -> Nanos {
-        self.set.fall + 2 * self.set.quantum
+        self.set.overload_span + 2 * self.set.quantum
     }
 
     /// The least part of its full capacity that a node must have at an age, a span of the rule behind.
     pub(crate) fn warmth(&self, age: Nanos) -> f64 {
-        let from = self.set.cold_from.clamp(0.05, 1.0);
-        let age = (age - self.set.fall).max(0) as f64 / self.set.cold.max(1) as f64;
+        let from = self.set.warmup_floor.clamp(0.05, 1.0);
+        let age = (age - self.set.overload_span).max(0) as f64 / self.set.warmup_duration.max(1) as f64;
         from + (1.0 - from) * age.min(1.0)
     }
 
     fn on_ended(&mut self, event: &Event, actions: &mut Vec<Action>) {
-        let &Event::Ended { id, attempt, node: at, outcome, took, last, .. } = event else { return };
-        let ran = !matches!(outcome, Outcome::Busy | Outcome::Refused | Outcome::Skipped);
+        let &Event::AttemptEnded { id, attempt, node: at, outcome, took, last, .. } = event else { return };
+        let ran = !matches!(outcome, Outcome::Rejected | Outcome::NotExecuted | Outcome::NotSent);
         if last {
             self.stayed(id);
         }
         let Some((sent, req)) = self.note_end(id, attempt, at, ran, last) else { return };
-        let unsure = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Canceled);
+        let unsure = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
         if let Some(line) = req.key.filter(|_| unsure).and_then(|k| self.lines.get_mut(&k)) {
-            line.rest_until = self.now + self.set.order_settle;
+            line.rest_until = self.now + self.set.order_settle_time;
         }
-        if outcome == Outcome::Skipped && attempt == 0 {
+        if outcome == Outcome::NotSent && attempt == 0 {
             self.give_back(req.volume, req.units);
         }
-        if outcome == Outcome::Done {
+        if outcome == Outcome::Served {
             self.learn(id, at, took);
         }
-        let counts = matches!(outcome, Outcome::Done | Outcome::Busy | Outcome::TimedOut);
+        let counts = matches!(outcome, Outcome::Served | Outcome::Rejected | Outcome::TimedOut);
         if counts && !sent.counted && sent.at >= self.nodes[&at].answered_of {
-            self.count(at, req.class, outcome != Outcome::Done || sent.at + took > sent.due);
+            self.count(at, req.class, outcome != Outcome::Served || sent.at + took > sent.due);
         }
         self.judge(at, outcome, &sent, actions);
         if self.live[&id].finished {
@@ -675,7 +677,7 @@
     }
 
     /// Learns the class's cost and the node's latency from an answer.
-    fn learn(&mut self, id: ReqId, at: NodeId, took: Nanos) {
+    fn learn(&mut self, id: RequestId, at: NodeId, took: Nanos) {
         let live = &self.live[&id];
         let (class, units) = (live.req.class, live.req.units);
         let per_unit = took as f64 / units.max(0.1);
@@ -685,7 +687,7 @@
         *cost = smoothed(*cost, alpha, per_unit);
         let relative = self.relative(&self.live[&id].req, &self.nodes[&at]).max(0.05);
         let (now, least) = (self.now, self.least_window());
-        let aims = self.set.classes.iter().enumerate().map(|(i, c)| c.aim.min(self.stays(i)));
+        let aims = self.set.classes.iter().enumerate().map(|(i, c)| c.latency_objective.min(self.stays(i)));
         let aim = aims.min().unwrap_or(0) as f64;
         if let Some(node) = self.nodes.get_mut(&at) {
             node.least = least;
@@ -701,51 +703,51 @@
     fn judge(&mut self, at: NodeId, outcome: Outcome, sent: &Sent, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&at) else { return };
-        if matches!(outcome, Outcome::Busy | Outcome::TimedOut) {
+        if matches!(outcome, Outcome::Rejected | Outcome::TimedOut) {
             node.narrow(NARROW);
         }
         // A full queue is a latency past the tightest aim, though the answer comes at once.
-        if outcome == Outcome::Busy && node.tightest.is_finite() {
+        if outcome == Outcome::Rejected && node.tightest.is_finite() {
             node.short = Some(node.short.unwrap_or(0.0).max(node.tightest * FULL_AIM));
         }
         match outcome {
-            Outcome::Done | Outcome::Error => {
+            Outcome::Served | Outcome::Error => {
                 node.answer_at = now;
                 node.answered_of = node.answered_of.max(sent.at);
                 node.losses = 0;
                 if node.health != Health::Good {
                     node.health = Health::Good;
-                    actions.push(Action::Note { text: "node answers again", node: at });
+                    actions.push(Action::Log { text: "node answers again", node: at });
                 }
             }
             // A lost answer says little of the node: the work was done. A dead one shows by the next attempt.
             // A full one is no better: its refusals bring nothing back.
-            Outcome::Refused | Outcome::Reset | Outcome::TimedOut | Outcome::Busy => {
+            Outcome::NotExecuted | Outcome::Reset | Outcome::TimedOut | Outcome::Rejected => {
                 node.losses += 1;
-                let refused = outcome == Outcome::Refused;
+                let refused = outcome == Outcome::NotExecuted;
                 if refused || node.losses >= LOST_MOST {
                     node.suspect(now);
                 }
             }
-            Outcome::Canceled | Outcome::Skipped => {}
+            Outcome::Cancelled | Outcome::NotSent => {}
         }
-        if !matches!(outcome, Outcome::Done | Outcome::Skipped | Outcome::Canceled) {
+        if !matches!(outcome, Outcome::Served | Outcome::NotSent | Outcome::Cancelled) {
             node.flagged = true;
         }
         node.end_period(now);
     }
 
     /// The one place that decides on another attempt after a failed one.
-    fn after_failure(&mut self, id: ReqId, at: NodeId, outcome: Outcome, actions: &mut Vec<Action>) {
+    fn after_failure(&mut self, id: RequestId, at: NodeId, outcome: Outcome, actions: &mut Vec<Action>) {
         let live = &self.live[&id];
         if live.queued || live.out > 0 || live.streaming {
             return;
         }
         // What never ran, for want of a connection, has cost nobody anything.
-        let elsewhere = outcome == Outcome::Refused && live.req.cell.is_none();
+        let elsewhere = outcome == Outcome::NotExecuted && live.req.cell.is_none();
         let crowded = self.admitted_part() < 1.0 && !elsewhere;
         let over = outcome == Outcome::TimedOut && self.now >= self.aim(live);
-        if outcome == Outcome::Skipped || over || crowded || !self.may_repeat(live, None) {
+        if outcome == Outcome::NotSent || over || crowded || !self.may_repeat(live, None) {
             self.end(id, actions);
             return;
         }
@@ -763,14 +765,14 @@
     fn may_repeat(&self, live: &Live, at: Option<NodeId>) -> bool {
         let class = &self.set.classes[live.req.class];
         let tried =
-            live.tries >= live.most_tries.min(self.set.most_tries) && !mutated(Mutation::TriesUnbounded);
+            live.tries >= live.most_tries.min(self.set.max_attempts) && !mutated(Mutation::TriesUnbounded);
         if tried || live.out > 0 || self.now >= live.die_at - self.margin() || self.is_spent() {
             return false;
         }
         let budget = self.budget();
-        let (further, taken) = self.attempts_within(budget.look_back);
-        let spent = (further + 1) as f64 > budget.free + budget.ratio * taken as f64;
-        if spent && (self.set.budget.is_some() || live.maybe_ran.is_some()) {
+        let (further, taken) = self.attempts_within(budget.window);
+        let spent = (further + 1) as f64 > budget.base_allowance + budget.ratio * taken as f64;
+        if spent && (self.set.retry_budget.is_some() || live.maybe_ran.is_some()) {
             return false;
         }
         let Some((sent, first)) = live.maybe_ran else { return true };
@@ -787,9 +789,9 @@
     }
 
     /// The told budget of further attempts, or one of ours, lest repeats feed a crowd.
-    fn budget(&self) -> Budget {
-        let ours = Budget { free: 3.0, ratio: RETRY_PART, look_back: RETRY_SPAN };
-        self.set.budget.clone().unwrap_or(ours)
+    fn budget(&self) -> RetryBudget {
+        let ours = RetryBudget { base_allowance: 3.0, ratio: RETRY_PART, window: RETRY_SPAN };
+        self.set.retry_budget.clone().unwrap_or(ours)
     }
 
     /// Before a client's time is up by this, its answer goes out: a timer may be late by a tick and a batch.
@@ -798,7 +800,7 @@
     }
 
     /// Gives a request up at once. Refused where a repeat is harmless, failed where it may have run.
-    fn end(&mut self, id: ReqId, actions: &mut Vec<Action>) {
+    fn end(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let lot = self.random.f64();
         self.stayed(id);
         let Some(live) = self.live.get(&id) else { return };
@@ -814,7 +816,7 @@
         };
         if harmless {
             let wait = self.wait(live, lot);
-            actions.push(Action::Refuse { id, wait });
+            actions.push(Action::Reject { id, retry_after: wait });
         } else {
             actions.push(Action::Fail(id));
         }
@@ -833,7 +835,7 @@
     }
 
     fn tick(&mut self, actions: &mut Vec<Action>) {
-        actions.push(Action::Sleep { after: TICK, cookie: TICK_COOKIE });
+        actions.push(Action::SetTimer { after: TICK, cookie: TICK_COOKIE });
         if self.ask_at.take_if(|at| self.now >= *at).is_some() {
             actions.push(Action::Subscribe);
         }
@@ -844,8 +846,8 @@
             self.second_at = self.now;
             self.move_base();
             self.note_served();
-            self.trim(VOLUME_IDLE, self.budget().look_back);
-            actions.extend(self.forget_gone().into_iter().map(Action::Forget));
+            self.trim(VOLUME_IDLE, self.budget().window);
+            actions.extend(self.forget_gone().into_iter().map(Action::ForgetNode));
         }
         self.dispatch_all(actions);
     }
@@ -863,7 +865,7 @@
     /// leaves trial requests only. Guards against hangs, cut links, dead machines and long stalls; could
     /// harm where one very long request is all that is out, so the multiple is of what that one should take.
     fn watch_silence(&mut self, actions: &mut Vec<Action>) {
-        let (now, mean, span) = (self.now, self.set.unit_mean, self.cold_span());
+        let (now, mean, span) = (self.now, self.set.mean_units, self.cold_span());
         let colds = self.nodes.values().map(|n| n.cold_since.map_or(1.0, |s| self.warmth(now - s)));
         let part = self.cold_part * self.set.tip_multiple;
         let parts: Vec<f64> = colds.map(|w| (part * w).min(self.cold_part.max(1.0))).collect();
@@ -878,7 +880,7 @@
                 let silent = now - oldest.max(node.answer_at);
                 if silent > ((usual * SILENCE_RATIO) as Nanos).max(SILENCE_LEAST) {
                     if node.health == Health::Good {
-                        actions.push(Action::Note { text: "node is silent", node: *id });
+                        actions.push(Action::Log { text: "node is silent", node: *id });
                     }
                     node.suspect(now);
                     node.flagged = true;
@@ -904,7 +906,7 @@
     /// Early answers: whatever cannot be answered before its client leaves, cannot pass its limit before its
     /// aim, or waits past its aim for a node that does not answer, is given up at once.
     fn give_up(&mut self, actions: &mut Vec<Action>) {
-        let ids: Vec<ReqId> = self.live.values().filter(|l| self.hopeless(l)).map(|l| l.req.id).collect();
+        let ids: Vec<RequestId> = self.live.values().filter(|l| self.hopeless(l)).map(|l| l.req.id).collect();
         for id in ids {
             self.end(id, actions);
         }
@@ -914,7 +916,7 @@
         let waiting = |l: &&Live| {
             l.queued && l.maybe_ran.is_none() && l.req.cell.is_none() && at(l).is_none_or(|n| unwell(n, l))
         };
-        let moving: Vec<ReqId> = self.live.values().filter(waiting).map(|l| l.req.id).collect();
+        let moving: Vec<RequestId> = self.live.values().filter(waiting).map(|l| l.req.id).collect();
         for id in moving {
             let lot = self.random.f64();
             let live = self.live.get(&id).filter(|l| l.queued);
--- a/crates/core/src/request_tracker.rs
+++ b/crates/core/src/request_tracker.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::interface::{
-    Action, Event, Listed, Nanos, NodeId, NodeInfo, Outcome, ReqId, Request, Scope, Told,
+    Action, Event, FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, UpdateScope,
 };
 use crate::mutations::{mutated, Mutation};
 use crate::state::Scheduler;
@@ -19,7 +19,7 @@
     fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>);
 
     /// Until when an attempt of a request that is placed now may begin; after that it may no longer be repeated.
-    fn begins_by(&self, _id: ReqId) -> Nanos {
+    fn begins_by(&self, _id: RequestId) -> Nanos {
         Nanos::MAX
     }
 }
@@ -29,7 +29,7 @@
         Scheduler::handle(self, now, event, actions);
     }
 
-    fn begins_by(&self, id: ReqId) -> Nanos {
+    fn begins_by(&self, id: RequestId) -> Nanos {
         Scheduler::begins_by(self, id)
     }
 }
@@ -38,15 +38,15 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A request was taken. Its id is one that [`Desk::number`] has given.
-    Asked(Request),
+    RequestReceived(Request),
     /// Its client is gone.
-    Left(ReqId),
+    ClientGone(RequestId),
     /// Its client's time, and a slack, are over: see [`Effect::Answer`].
-    Overdue(ReqId),
+    Overdue(RequestId),
     /// An attempt has ended by itself.
-    Ended {
+    AttemptEnded {
         /// The request.
-        id: ReqId,
+        id: RequestId,
         /// Number of the attempt.
         attempt: u32,
         /// How it ended; what came back is an answer only where it is `Done`.
@@ -57,28 +57,28 @@
         foreign_units: f64,
     },
     /// The time of an attempt is over and it has been dropped.
-    TimeUp {
+    AttemptTimedOut {
         /// The request.
-        id: ReqId,
+        id: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
     /// An attempt has been dropped as [`Effect::Stop`] said.
-    Stopped {
+    AttemptCancelled {
         /// The request.
-        id: ReqId,
+        id: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
     /// News of the node list.
-    Fleet {
+    Endpoints {
         /// Kind of news.
-        scope: Scope,
+        scope: UpdateScope,
         /// Its entries.
         nodes: Vec<NodeInfo>,
     },
     /// What the front is told beside lists and requests.
-    Told(Told),
+    FleetUpdate(FleetUpdate),
     /// A timer is due.
     Timer(u64),
 }
@@ -90,20 +90,20 @@
     /// begun by the other.
     Send {
         /// The request.
-        id: ReqId,
+        id: RequestId,
         /// Number of the attempt.
         attempt: u32,
         /// Where to.
         node: NodeId,
         /// When its time is over.
-        until: Nanos,
+        deadline: Nanos,
         /// When it must have begun.
         begin_by: Nanos,
     },
     /// Drop an attempt that is out, and say so with [`Input::Stopped`] unless it ended first.
-    Stop {
+    Cancel {
         /// The request.
-        id: ReqId,
+        id: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
@@ -111,7 +111,7 @@
     /// none is written. One that has begun goes on.
     Withdraw {
         /// The request.
-        id: ReqId,
+        id: RequestId,
         /// Number of the attempt.
         attempt: u32,
         /// How it ends where it has not begun.
@@ -120,14 +120,14 @@
     /// The one final answer. `Served` comes only while [`Input::Ended`] is handled: with what that brought.
     Answer {
         /// The request.
-        id: ReqId,
+        id: RequestId,
         /// What the client is told.
-        verdict: Verdict,
+        answer: FinalAnswer,
     },
     /// Nothing of the request is left here; what is kept for it elsewhere may go.
-    Release(ReqId),
+    Release(RequestId),
     /// Ask for a timer.
-    Sleep {
+    SetTimer {
         /// From now.
         after: Nanos,
         /// Comes back with the timer.
@@ -136,9 +136,9 @@
     /// Subscribe to the node list.
     Subscribe,
     /// A node is gone and nothing is out to it.
-    Forget(NodeId),
+    ForgetNode(NodeId),
     /// A line for the operators.
-    Note {
+    Log {
         /// The text.
         text: &'static str,
         /// The node it is about.
@@ -148,66 +148,66 @@
 
 /// What a client is told in the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Verdict {
+pub enum FinalAnswer {
     /// A node's answer.
     Served,
     /// It never ran, or repeating is harmless; the client may come back after the wait.
-    Refused(Nanos),
+    Rejected(Nanos),
     /// Nothing is promised.
     Failed,
 }
 
 /// A request that is not answered yet, or has attempts out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Held {
+pub struct InFlightRequest {
     /// When its client's time is over.
-    pub until: Nanos,
+    pub deadline: Nanos,
     /// Whether its final answer has gone out, or nobody waits for one.
-    pub settled: bool,
+    pub answered: bool,
     /// Attempts started.
-    pub tries: u32,
+    pub attempts_started: u32,
     /// Those that are out.
-    pub out: Vec<Out>,
+    pub in_flight: Vec<InFlightAttempt>,
 }
 
 /// An attempt that is out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Out {
+pub struct InFlightAttempt {
     /// Its number.
     pub attempt: u32,
     /// Where it was sent.
     pub node: NodeId,
     /// When.
-    pub at: Nanos,
+    pub sent_at: Nanos,
     /// Whether it is to be dropped.
-    pub stopped: bool,
+    pub cancelled: bool,
 }
 
 /// All requests of one front, and who decides on them.
 #[derive(Clone, Debug)]
-pub struct Desk<D> {
+pub struct RequestTracker<D> {
     decisions: D,
-    held: BTreeMap<ReqId, Held>,
-    next: ReqId,
+    requests: BTreeMap<RequestId, InFlightRequest>,
+    next_id: RequestId,
     /// Kept between events, to spare allocations.
     actions: Vec<Action>,
 }
 
-impl<D: Decisions> Desk<D> {
+impl<D: Decisions> RequestTracker<D> {
     /// With no requests.
-    pub fn new(decisions: D) -> Desk<D> {
-        Desk { decisions, held: BTreeMap::new(), next: 0, actions: Vec::new() }
+    pub fn new(decisions: D) -> RequestTracker<D> {
+        RequestTracker { decisions, requests: BTreeMap::new(), next_id: 0, actions: Vec::new() }
     }
 
     /// A number for a request that will be asked: no other has had it.
-    pub fn number(&mut self) -> ReqId {
-        self.next += 1;
-        self.next - 1
+    pub fn allocate_id(&mut self) -> RequestId {
+        self.next_id += 1;
+        self.next_id - 1
     }
 
     /// Requests not yet answered, or with attempts out.
-    pub fn held(&self) -> &BTreeMap<ReqId, Held> {
-        &self.held
+    pub fn requests(&self) -> &BTreeMap<RequestId, InFlightRequest> {
+        &self.requests
     }
 
     /// Who decides.
@@ -223,92 +223,97 @@
     /// Takes what has happened and appends what is to be done.
     pub fn on(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>) {
         match input {
-            Input::Asked(request) => {
+            Input::RequestReceived(request) => {
                 let until = now + request.patience.max(0);
-                let held = Held { until, settled: false, tries: 0, out: Vec::new() };
-                self.held.insert(request.id, held);
-                self.feed(now, Event::Request(request), effects);
+                let held = InFlightRequest {
+                    deadline: until,
+                    answered: false,
+                    attempts_started: 0,
+                    in_flight: Vec::new(),
+                };
+                self.requests.insert(request.id, held);
+                self.decide(now, Event::Request(request), effects);
             }
-            Input::Left(id) => self.leave(now, id, effects),
+            Input::ClientGone(id) => self.client_gone(now, id, effects),
             Input::Overdue(id) => {
                 // A decision that does not come is overruled: the rule of one final answer stands above.
-                if self.held.get(&id).is_some_and(|h| !h.settled) {
-                    effects.push(Effect::Answer { id, verdict: Verdict::Failed });
-                    self.leave(now, id, effects);
+                if self.requests.get(&id).is_some_and(|h| !h.answered) {
+                    effects.push(Effect::Answer { id, answer: FinalAnswer::Failed });
+                    self.client_gone(now, id, effects);
                 }
             }
-            Input::Ended { id, attempt, outcome, seen_use, foreign_units } => {
-                self.ended(now, (id, attempt), outcome, (seen_use, foreign_units), effects);
+            Input::AttemptEnded { id, attempt, outcome, seen_use, foreign_units } => {
+                self.attempt_ended(now, (id, attempt), outcome, (seen_use, foreign_units), effects);
             }
-            Input::TimeUp { id, attempt } => {
+            Input::AttemptTimedOut { id, attempt } => {
                 let never = mutated(Mutation::TimeUpProvesNothingRan);
-                let outcome = if never { Outcome::Refused } else { Outcome::TimedOut };
-                self.ended(now, (id, attempt), outcome, (0.0, 0.0), effects)
+                let outcome = if never { Outcome::NotExecuted } else { Outcome::TimedOut };
+                self.attempt_ended(now, (id, attempt), outcome, (0.0, 0.0), effects)
             }
-            Input::Stopped { id, attempt } => {
+            Input::AttemptCancelled { id, attempt } => {
                 let never = mutated(Mutation::CancelProvesNothingRan);
-                let outcome = if never { Outcome::Refused } else { Outcome::Canceled };
-                self.ended(now, (id, attempt), outcome, (0.0, 0.0), effects)
+                let outcome = if never { Outcome::NotExecuted } else { Outcome::Cancelled };
+                self.attempt_ended(now, (id, attempt), outcome, (0.0, 0.0), effects)
             }
-            Input::Fleet { scope, nodes } => {
-                self.withdraw_from_leaving(scope, &nodes, effects);
-                self.feed(now, Event::Fleet { scope, nodes }, effects);
+            Input::Endpoints { scope, nodes } => {
+                self.withdraw_from_draining(scope, &nodes, effects);
+                self.decide(now, Event::Endpoints { scope, nodes }, effects);
             }
-            Input::Told(told) => self.feed(now, Event::Told(told), effects),
-            Input::Timer(cookie) => self.feed(now, Event::Timer(cookie), effects),
+            Input::FleetUpdate(told) => self.decide(now, Event::FleetUpdate(told), effects),
+            Input::Timer(cookie) => self.decide(now, Event::Timer(cookie), effects),
         }
     }
 
     /// Carries out one decision. [`Desk::on`] does so for all that an event brings about; a checker that plays
     /// the one who decides calls it by itself.
-    pub fn act(&mut self, now: Nanos, action: Action, effects: &mut Vec<Effect>) {
+    pub fn apply_decision(&mut self, now: Nanos, action: Action, effects: &mut Vec<Effect>) {
         let mut told = VecDeque::new();
         self.carry_out(now, action, &mut told, effects);
         for event in told {
-            self.feed(now, event, effects);
+            self.decide(now, event, effects);
         }
     }
 
-    fn leave(&mut self, now: Nanos, id: ReqId, effects: &mut Vec<Effect>) {
-        let Some(held) = self.held.get_mut(&id).filter(|h| !h.settled) else { return };
-        held.settled = !mutated(Mutation::AnswerToClientThatLeft);
-        self.withdraw(id, effects);
+    fn client_gone(&mut self, now: Nanos, id: RequestId, effects: &mut Vec<Effect>) {
+        let Some(held) = self.requests.get_mut(&id).filter(|h| !h.answered) else { return };
+        held.answered = !mutated(Mutation::AnswerToClientThatLeft);
+        self.withdraw_attempts(id, effects);
         if !mutated(Mutation::LeftChargedForEver) {
             self.release(id, effects);
         }
-        self.feed(now, Event::Gone(id), effects);
+        self.decide(now, Event::ClientGone(id), effects);
     }
 
-    fn ended(
+    fn attempt_ended(
         &mut self,
         now: Nanos,
-        (id, attempt): (ReqId, u32),
+        (id, attempt): (RequestId, u32),
         outcome: Outcome,
         (seen_use, foreign_units): (f64, f64),
         effects: &mut Vec<Effect>,
     ) {
-        let Some(held) = self.held.get_mut(&id) else { return };
+        let Some(held) = self.requests.get_mut(&id) else { return };
         // An attempt ends once: what comes of it later was on its way already.
-        let Some(at) = held.out.iter().position(|o| o.attempt == attempt) else { return };
-        let out = held.out[at];
+        let Some(at) = held.in_flight.iter().position(|o| o.attempt == attempt) else { return };
+        let out = held.in_flight[at];
         if !mutated(Mutation::AttemptLeftInTable) {
-            held.out.remove(at);
+            held.in_flight.remove(at);
         }
-        if outcome == Outcome::Done && (!held.settled || mutated(Mutation::SecondFinalAnswer)) {
-            held.settled = true;
-            effects.push(Effect::Answer { id, verdict: Verdict::Served });
-            self.withdraw(id, effects);
+        if outcome == Outcome::Served && (!held.answered || mutated(Mutation::SecondFinalAnswer)) {
+            held.answered = true;
+            effects.push(Effect::Answer { id, answer: FinalAnswer::Served });
+            self.withdraw_attempts(id, effects);
         }
-        let Some(held) = self.held.get(&id) else { return };
-        let last = held.settled;
+        let Some(held) = self.requests.get(&id) else { return };
+        let last = held.answered;
         self.release(id, effects);
-        let (node, took) = (out.node, now - out.at);
-        let event = Event::Ended { id, attempt, node, outcome, took, last, seen_use, foreign_units };
-        self.feed(now, event, effects);
+        let (node, took) = (out.node, now - out.sent_at);
+        let event = Event::AttemptEnded { id, attempt, node, outcome, took, last, seen_use, foreign_units };
+        self.decide(now, event, effects);
     }
 
     /// Events and actions keep their order: what an action brings about is told after all actions beside it.
-    fn feed(&mut self, now: Nanos, event: Event, effects: &mut Vec<Effect>) {
+    fn decide(&mut self, now: Nanos, event: Event, effects: &mut Vec<Effect>) {
         let mut told = VecDeque::new();
         let mut next = Some(event);
         while let Some(event) = next {
@@ -330,15 +335,15 @@
         effects: &mut Vec<Effect>,
     ) {
         match action {
-            Action::Place { id, node, patience } => {
-                let Some(held) = self.held.get_mut(&id) else { return };
-                let attempt = held.tries;
-                held.tries += 1;
-                if held.settled && !mutated(Mutation::PlacedAfterAnswer) {
+            Action::Send { id, node, timeout: patience } => {
+                let Some(held) = self.requests.get_mut(&id) else { return };
+                let attempt = held.attempts_started;
+                held.attempts_started += 1;
+                if held.answered && !mutated(Mutation::PlacedAfterAnswer) {
                     // Nothing goes out for what has been answered.
-                    let (outcome, last) = (Outcome::Skipped, true);
+                    let (outcome, last) = (Outcome::NotSent, true);
                     let (took, seen_use, foreign_units) = (0, 0.0, 0.0);
-                    told.push_back(Event::Ended {
+                    told.push_back(Event::AttemptEnded {
                         id,
                         attempt,
                         node,
@@ -350,71 +355,80 @@
                     });
                     return;
                 }
-                held.out.push(Out { attempt, node, at: now, stopped: false });
+                held.in_flight.push(InFlightAttempt { attempt, node, sent_at: now, cancelled: false });
                 let until = match patience {
-                    0 if mutated(Mutation::UntilPastClient) => held.until + 1_000_000_000,
-                    0 => held.until,
-                    some => held.until.min(now + some.max(0)),
+                    0 if mutated(Mutation::UntilPastClient) => held.deadline + 1_000_000_000,
+                    0 => held.deadline,
+                    some => held.deadline.min(now + some.max(0)),
                 };
                 let begin_by = self.decisions.begins_by(id);
-                effects.push(Effect::Send { id, attempt, node, until, begin_by });
+                effects.push(Effect::Send { id, attempt, node, deadline: until, begin_by });
             }
             Action::Cancel { id, attempt } => {
-                let out =
-                    self.held.get_mut(&id).and_then(|h| h.out.iter_mut().find(|o| o.attempt == attempt));
-                if let Some(out) = out.filter(|o| !o.stopped) {
-                    out.stopped = true;
-                    effects.push(Effect::Stop { id, attempt });
+                let out = self
+                    .requests
+                    .get_mut(&id)
+                    .and_then(|h| h.in_flight.iter_mut().find(|o| o.attempt == attempt));
+                if let Some(out) = out.filter(|o| !o.cancelled) {
+                    out.cancelled = true;
+                    effects.push(Effect::Cancel { id, attempt });
                 }
             }
-            Action::Refuse { id, wait } => self.settle(id, Verdict::Refused(wait.max(0)), effects),
-            Action::Fail(id) => self.settle(id, Verdict::Failed, effects),
-            Action::Sleep { after, cookie } => effects.push(Effect::Sleep { after, cookie }),
+            Action::Reject { id, retry_after: wait } => {
+                self.answer(id, FinalAnswer::Rejected(wait.max(0)), effects)
+            }
+            Action::Fail(id) => self.answer(id, FinalAnswer::Failed, effects),
+            Action::SetTimer { after, cookie } => effects.push(Effect::SetTimer { after, cookie }),
             Action::Subscribe => effects.push(Effect::Subscribe),
-            Action::Forget(node) => effects.push(Effect::Forget(node)),
-            Action::Note { text, node } => effects.push(Effect::Note { text, node }),
+            Action::ForgetNode(node) => effects.push(Effect::ForgetNode(node)),
+            Action::Log { text, node } => effects.push(Effect::Log { text, node }),
         }
     }
 
     /// The first final answer goes out; whatever comes after it does not.
-    fn settle(&mut self, id: ReqId, verdict: Verdict, effects: &mut Vec<Effect>) {
-        let Some(held) = self.held.get_mut(&id) else { return };
-        if !held.settled {
-            held.settled = true;
-            effects.push(Effect::Answer { id, verdict });
-            self.withdraw(id, effects);
+    fn answer(&mut self, id: RequestId, verdict: FinalAnswer, effects: &mut Vec<Effect>) {
+        let Some(held) = self.requests.get_mut(&id) else { return };
+        if !held.answered {
+            held.answered = true;
+            effects.push(Effect::Answer { id, answer: verdict });
+            self.withdraw_attempts(id, effects);
         }
         self.release(id, effects);
     }
 
     /// Nobody waits for a request any more: what has not begun of it never does, and says nothing of its node.
-    fn withdraw(&self, id: ReqId, effects: &mut Vec<Effect>) {
-        let out = self.held.get(&id).filter(|_| !mutated(Mutation::LeftAttemptGoesOut)).map(|h| &h.out);
-        let wanted = out.into_iter().flatten().filter(|o| !o.stopped);
-        let outcome = Outcome::Skipped;
+    fn withdraw_attempts(&self, id: RequestId, effects: &mut Vec<Effect>) {
+        let out =
+            self.requests.get(&id).filter(|_| !mutated(Mutation::LeftAttemptGoesOut)).map(|h| &h.in_flight);
+        let wanted = out.into_iter().flatten().filter(|o| !o.cancelled);
+        let outcome = Outcome::NotSent;
         effects.extend(wanted.map(|o| Effect::Withdraw { id, attempt: o.attempt, outcome }));
     }
 
     /// A node that is leaving wants nothing new: what has not begun at it never ran, and may go elsewhere.
-    fn withdraw_from_leaving(&self, scope: Scope, nodes: &[NodeInfo], effects: &mut Vec<Effect>) {
+    fn withdraw_from_draining(&self, scope: UpdateScope, nodes: &[NodeInfo], effects: &mut Vec<Effect>) {
         let stays = |node: NodeId| match nodes.iter().rev().find(|n| n.node == node) {
             Some(told) => told.listed == Listed::Up,
-            None => scope != Scope::Replace,
+            None => scope != UpdateScope::Replace,
         };
-        for (id, held) in self.held.iter().filter(|_| !mutated(Mutation::DrainMissesDialling)) {
-            for out in held.out.iter().filter(|o| !o.stopped && !stays(o.node)) {
-                effects.push(Effect::Withdraw { id: *id, attempt: out.attempt, outcome: Outcome::Refused });
+        for (id, held) in self.requests.iter().filter(|_| !mutated(Mutation::DrainMissesDialling)) {
+            for out in held.in_flight.iter().filter(|o| !o.cancelled && !stays(o.node)) {
+                effects.push(Effect::Withdraw {
+                    id: *id,
+                    attempt: out.attempt,
+                    outcome: Outcome::NotExecuted,
+                });
             }
         }
     }
 
-    fn release(&mut self, id: ReqId, effects: &mut Vec<Effect>) {
+    fn release(&mut self, id: RequestId, effects: &mut Vec<Effect>) {
         if self
-            .held
+            .requests
             .get(&id)
-            .is_some_and(|h| h.settled && (h.out.is_empty() || mutated(Mutation::ReleasedWhileOut)))
+            .is_some_and(|h| h.answered && (h.in_flight.is_empty() || mutated(Mutation::ReleasedWhileOut)))
         {
-            self.held.remove(&id);
+            self.requests.remove(&id);
             effects.push(Effect::Release(id));
         }
     }
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -189,7 +189,7 @@
     pub answered_of: Nanos,
     pub trial_at: Nanos,
     pub trial_gap: Nanos,
-    pub out: BTreeMap<(ReqId, u32), Sent>,
+    pub out: BTreeMap<(RequestId, u32), Sent>,
     /// The least window, by how many initiators share the node; 0 until it is known.
     pub least: f64,
     /// What is told of limits that all share.
@@ -290,7 +290,7 @@
 /// Requests of one key in their order, and when the next may go.
 #[derive(Clone, Debug, Default)]
 pub struct Line {
-    pub order: VecDeque<ReqId>,
+    pub order: VecDeque<RequestId>,
     pub rest_until: Nanos,
 }
 
@@ -378,11 +378,11 @@
     pub(crate) nodes: BTreeMap<NodeId, Node>,
     /// The nodes of each cell, also those that have left.
     pub(crate) cells: BTreeMap<CellId, Vec<NodeId>>,
-    pub(crate) queues: BTreeMap<CellId, Vec<ReqId>>,
-    pub(crate) live: BTreeMap<ReqId, Live>,
-    pub(crate) volumes: BTreeMap<VolId, Volume>,
+    pub(crate) queues: BTreeMap<CellId, Vec<RequestId>>,
+    pub(crate) live: BTreeMap<RequestId, Live>,
+    pub(crate) volumes: BTreeMap<VolumeId, Volume>,
     /// Rate and burst of volumes whose limit is told, in place of an even part.
-    pub(crate) told_limits: BTreeMap<VolId, (f64, f64)>,
+    pub(crate) told_limits: BTreeMap<VolumeId, (f64, f64)>,
     pub(crate) shared: Shared,
     pub(crate) lines: BTreeMap<KeyId, Line>,
     /// Learned nanoseconds for a unit of each class.
@@ -565,7 +565,7 @@
     }
 
     /// The request is over; it stays known while attempts are out, since they still hold its key.
-    pub(crate) fn finish(&mut self, id: ReqId) {
+    pub(crate) fn finish(&mut self, id: RequestId) {
         let Some(live) = self.live.get_mut(&id) else { return };
         live.finished = true;
         if live.queued {
@@ -597,7 +597,7 @@
     }
 
     /// Takes a waiting request to another cell's queue; false where it waits there already.
-    pub(crate) fn move_to(&mut self, id: ReqId, cell: CellId) -> bool {
+    pub(crate) fn move_to(&mut self, id: RequestId, cell: CellId) -> bool {
         let Some(live) = self.live.get_mut(&id) else { return false };
         let old = live.cell.replace(cell);
         if old == Some(cell) {
@@ -627,7 +627,7 @@
     }
 
     /// Books an attempt that goes out.
-    pub(crate) fn note_send(&mut self, id: ReqId, at: NodeId, sent: Sent) {
+    pub(crate) fn note_send(&mut self, id: RequestId, at: NodeId, sent: Sent) {
         let growth = self.nodes.get(&at).and_then(|n| n.cold_since).map(|since| self.growth(since));
         let is_trial = self.live.get(&id).is_some_and(|l| self.may_try(&l.req));
         let (Some(live), Some(node)) = (self.live.get_mut(&id), self.nodes.get_mut(&at)) else { return };
@@ -653,7 +653,7 @@
     /// Books the end of an attempt: the attempt and its request, or nothing where it is not known.
     pub(crate) fn note_end(
         &mut self,
-        id: ReqId,
+        id: RequestId,
         attempt: u32,
         at: NodeId,
         ran: bool,
@@ -747,7 +747,7 @@
         self.nodes.entry(info.node).or_insert_with(|| Node::new(info, now, window, shared.ration(now)))
     }
 
-    fn leave_line(&mut self, id: ReqId, key: Option<KeyId>) {
+    fn leave_line(&mut self, id: RequestId, key: Option<KeyId>) {
         let Some(key) = key else { return };
         let Some(line) = self.lines.get_mut(&key) else { return };
         line.order.retain(|r| *r != id);
@@ -757,12 +757,12 @@
     }
 
     /// Takes what this initiator is told beside lists and requests.
-    pub(crate) fn tell(&mut self, told: Told) {
+    pub(crate) fn tell(&mut self, told: FleetUpdate) {
         match told {
-            Told::Limit { of, rate, burst, at } => self.tell_limit(of, rate, burst, at),
-            Told::Standing { node, out } => self.tell_standing(node, out),
-            Told::Trial { node, until } => self.tell_trial(node, until),
-            Told::Leaving { by } => {
+            FleetUpdate::SharedLimit { limit: of, rate, burst, at } => self.tell_limit(of, rate, burst, at),
+            FleetUpdate::Ejection { node, classes: out } => self.tell_standing(node, out),
+            FleetUpdate::Probe { node, until } => self.tell_trial(node, until),
+            FleetUpdate::Shutdown { deadline: by } => {
                 self.leaves_by = by;
                 self.live.values_mut().for_each(|l| l.die_at = l.die_at.min(by));
             }
@@ -771,23 +771,23 @@
 
     /// Takes what this initiator may use of a limit that all share. What flowed in before stays, as far as it has
     /// room; a volume's rate of 0 with no room is forgotten with its volume.
-    fn tell_limit(&mut self, of: Limited, rate: f64, burst: f64, at: Nanos) {
+    fn tell_limit(&mut self, of: SharedLimit, rate: f64, burst: f64, at: Nanos) {
         match of {
-            Limited::Volume(volume) => {
+            SharedLimit::Volume(volume) => {
                 self.told_limits.insert(volume, (rate, burst));
                 if let Some(limit) = self.volumes.get_mut(&volume).and_then(|v| v.limit.as_mut()) {
                     limit.retell(rate, burst, at);
                 }
             }
-            Limited::Further => self.shared.tell_further(rate, burst, at),
-            Limited::Starting => self.shared.tell_starting(rate, burst, at, self.nodes.values_mut()),
-            Limited::Out => self.shared.tell_out(rate, self.nodes.values_mut()),
+            SharedLimit::Retries => self.shared.tell_further(rate, burst, at),
+            SharedLimit::WarmingUpNode => self.shared.tell_starting(rate, burst, at, self.nodes.values_mut()),
+            SharedLimit::InFlightPerNode => self.shared.tell_out(rate, self.nodes.values_mut()),
         }
     }
 
     /// Until when an attempt of a request may begin: one that may have run may be repeated only within its window, and
     /// a connection may take its time to come up.
-    pub(crate) fn begins_by(&self, id: ReqId) -> Nanos {
+    pub(crate) fn begins_by(&self, id: RequestId) -> Nanos {
         let Some(live) = self.live.get(&id) else { return Nanos::MAX };
         let class = &self.set.classes[live.req.class];
         match live.maybe_ran {
@@ -797,7 +797,7 @@
     }
 
     /// A first send that was none: its units go back.
-    pub(crate) fn give_back(&mut self, volume: VolId, units: f64) {
+    pub(crate) fn give_back(&mut self, volume: VolumeId, units: f64) {
         if let Some(limit) = self.volumes.get_mut(&volume).and_then(|v| v.limit.as_mut()) {
             limit.level = (limit.level + units).min(limit.most);
         }
@@ -856,8 +856,12 @@
     if set.classes.is_empty() || set.plans.is_empty() {
         return bad("there must be a class and a plan");
     }
-    if set.classes.iter().any(|c| c.aim <= 0 || c.deadline <= 0 || !least(c.points) || !least(c.aim_stretch))
-    {
+    if set.classes.iter().any(|c| {
+        c.latency_objective <= 0
+            || c.deadline <= 0
+            || !least(c.priority_weight)
+            || !least(c.objective_stretch)
+    }) {
         return bad("a class needs an aim, a deadline and a worth");
     }
     if set.plans.iter().any(|p| {
@@ -865,10 +869,13 @@
     }) {
         return bad("a plan's rates must be numbers of 0 or more");
     }
-    if set.initiators == 0 || set.most_tries == 0 || set.quantum < 0 {
+    if set.initiators == 0 || set.max_attempts == 0 || set.quantum < 0 {
         return bad("initiators and tries must be 1 or more");
     }
-    if !positive(set.unit_mean) || !least(set.cold_units) || !least(set.fair_worth) || !least(set.idle_worth)
+    if !positive(set.mean_units)
+        || !least(set.warmup_units)
+        || !least(set.fair_share_value)
+        || !least(set.idle_value)
     {
         return bad("units and worths must be numbers of 0 or more");
     }
--- a/crates/core/tests/collapse.rs
+++ b/crates/core/tests/collapse.rs
@@ -17,7 +17,7 @@
 
 struct Job {
     initiator: usize,
-    id: ReqId,
+    id: RequestId,
     attempt: u32,
     sent: Nanos,
     left: f64,
@@ -88,7 +88,7 @@
         self.tries = later;
         let due: Vec<Try> = due;
         for one in due {
-            let id = self.asked.len() as ReqId;
+            let id = self.asked.len() as RequestId;
             self.asked.push((one.initiator, now, one.cell, one.number));
             self.attempts.push(0);
             let event = Event::Request(Request { volume: id % 20, ..request(id, 0, Some(one.cell)) });
@@ -107,7 +107,7 @@
             let mut full = Vec::new();
             for action in std::mem::take(&mut actions) {
                 match action {
-                    Action::Place { id, node, .. } => {
+                    Action::Send { id, node, .. } => {
                         let attempt = self.attempts[id as usize];
                         self.attempts[id as usize] += 1;
                         if self.queues[node].len() >= QUEUE {
@@ -118,19 +118,19 @@
                             self.queues[node].push_back(job);
                         }
                     }
-                    Action::Refuse { id, wait } => self.again(id, wait),
+                    Action::Reject { id, retry_after: wait } => self.again(id, wait),
                     _ => {}
                 }
             }
             for (id, attempt, node) in full {
-                let event = ended(id, attempt, node, Outcome::Busy, MS, false);
+                let event = ended(id, attempt, node, Outcome::Rejected, MS, false);
                 actions.extend(self.rigs[initiator].event(event));
             }
         }
     }
 
     /// A client comes again, after the wait it was told or one of its own.
-    fn again(&mut self, id: ReqId, wait: Nanos) {
+    fn again(&mut self, id: RequestId, wait: Nanos) {
         let (initiator, _, cell, number) = self.asked[id as usize];
         if number < TRIES {
             let at = self.now + wait.max(50 * MS);
@@ -154,7 +154,7 @@
                 if self.now - self.asked[job.id as usize].1 <= 200 * MS {
                     self.second().1 += 1;
                 }
-                self.give(job.initiator, ended(job.id, job.attempt, n, Outcome::Done, took, true));
+                self.give(job.initiator, ended(job.id, job.attempt, n, Outcome::Served, took, true));
             }
         }
         let late = |j: &Job| !j.abandoned && self.now - j.sent >= S;
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -8,15 +8,15 @@
 
 pub fn class(semantics: Semantics, group: Group) -> Class {
     Class {
-        aim: 200 * MS,
-        aim_stretch: 0.0,
+        latency_objective: 200 * MS,
+        objective_stretch: 0.0,
         deadline: 1000 * MS,
         semantics,
         group,
         window: 2 * S,
         keep_order: false,
-        late_worth: 0.2,
-        points: 2.0,
+        late_value: 0.2,
+        priority_weight: 2.0,
         writes: false,
     }
 }
@@ -39,33 +39,33 @@
         ],
         plans: vec![plan(0.0, 50.0), plan(20.0, 0.0)],
         quantum: 2 * MS,
-        cold_units: 16.0,
-        unit_mean: 2.0,
-        most_units: 8.0,
-        fair_worth: 0.4,
-        idle_worth: 0.05,
+        warmup_units: 16.0,
+        mean_units: 2.0,
+        max_units: 8.0,
+        fair_share_value: 0.4,
+        idle_value: 0.05,
         use_period: 0,
-        most_tries: 3,
-        second_copies: false,
-        cancelling: true,
+        max_attempts: 3,
+        hedging: false,
+        cancellation: true,
         max_retry_after: 500 * MS,
-        list_on_request: true,
-        ask_every: 10 * S,
-        cold: 10 * S,
-        cold_from: 0.25,
+        polls_discovery: true,
+        poll_interval: 10 * S,
+        warmup_duration: 10 * S,
+        warmup_floor: 0.25,
         tip_multiple: 3.0,
-        fall: S,
-        order_settle: 50 * MS,
-        budget: Some(Budget { free: 3.0, ratio: 0.15, look_back: 5 * S }),
+        overload_span: S,
+        order_settle_time: 50 * MS,
+        retry_budget: Some(RetryBudget { base_allowance: 3.0, ratio: 0.15, window: 5 * S }),
     }
 }
 
 pub fn node(node: NodeId, listed: Listed, came_up: Nanos) -> NodeInfo {
-    NodeInfo { node, zone: (node % 2) as u32, cell: node as CellId, listed, came_up }
+    NodeInfo { node, zone: (node % 2) as u32, cell: node as CellId, listed, started_at: came_up }
 }
 
-pub fn request(id: ReqId, class: usize, cell: Option<CellId>) -> Request {
-    Request { id, class, plan: 0, volume: 1, key: Some(id), patience: S, units: 2.0, cell, set_size: 1 }
+pub fn request(id: RequestId, class: usize, cell: Option<CellId>) -> Request {
+    Request { id, class, plan: 0, volume: 1, key: Some(id), patience: S, units: 2.0, cell, front_count: 1 }
 }
 
 /// A scheduler with its clock.
@@ -85,7 +85,7 @@
         let scheduler = Scheduler::new(set, seed, 100 * S).expect("settings hold");
         let mut rig = Rig { scheduler, now: 100 * S };
         let list = (0..nodes).map(|n| node(n, Listed::Up, 0)).collect();
-        rig.event(Event::Fleet { scope: Scope::Restored, nodes: list });
+        rig.event(Event::Endpoints { scope: UpdateScope::Restored, nodes: list });
         rig
     }
 
@@ -102,7 +102,7 @@
         while self.now < until {
             self.now = (self.now + 10 * MS).min(until);
             let some = self.event(Event::Timer(1));
-            all.extend(some.into_iter().filter(|a| !matches!(a, Action::Sleep { .. })));
+            all.extend(some.into_iter().filter(|a| !matches!(a, Action::SetTimer { .. })));
         }
         all
     }
@@ -113,45 +113,45 @@
 
     pub fn end(
         &mut self,
-        id: ReqId,
+        id: RequestId,
         attempt: u32,
         node: NodeId,
         outcome: Outcome,
         took: Nanos,
     ) -> Vec<Action> {
-        let last = outcome == Outcome::Done;
+        let last = outcome == Outcome::Served;
         self.event(ended(id, attempt, node, outcome, took, last))
     }
 
     /// A node answers n requests, one after another, each after `took`.
-    pub fn warm(&mut self, first: ReqId, n: u64, cell: usize, took: Nanos) {
+    pub fn warm(&mut self, first: RequestId, n: u64, cell: usize, took: Nanos) {
         for id in first..first + n {
             let sent = self.ask(request(id, 0, Some(cell as CellId)));
             let sent = if places(&sent).is_empty() { self.pass(500 * MS) } else { sent };
             assert_eq!(places(&sent), vec![(id, cell)], "a healthy node takes request {id}");
             self.now += took;
-            self.end(id, 0, cell, Outcome::Done, took);
+            self.end(id, 0, cell, Outcome::Served, took);
         }
     }
 }
 
 /// The end of an attempt, with nothing told of others' use.
-pub fn ended(id: ReqId, attempt: u32, node: NodeId, outcome: Outcome, took: Nanos, last: bool) -> Event {
-    Event::Ended { id, attempt, node, outcome, took, last, seen_use: 0.0, foreign_units: 0.0 }
+pub fn ended(id: RequestId, attempt: u32, node: NodeId, outcome: Outcome, took: Nanos, last: bool) -> Event {
+    Event::AttemptEnded { id, attempt, node, outcome, took, last, seen_use: 0.0, foreign_units: 0.0 }
 }
 
-pub fn places(actions: &[Action]) -> Vec<(ReqId, NodeId)> {
+pub fn places(actions: &[Action]) -> Vec<(RequestId, NodeId)> {
     let place = |a: &Action| match a {
-        Action::Place { id, node, .. } => Some((*id, *node)),
+        Action::Send { id, node, .. } => Some((*id, *node)),
         _ => None,
     };
     actions.iter().filter_map(place).collect()
 }
 
-pub fn refused(actions: &[Action], id: ReqId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { id: r, .. } if *r == id))
+pub fn refused(actions: &[Action], id: RequestId) -> bool {
+    actions.iter().any(|a| matches!(a, Action::Reject { id: r, .. } if *r == id))
 }
 
-pub fn failed(actions: &[Action], id: ReqId) -> bool {
+pub fn failed(actions: &[Action], id: RequestId) -> bool {
     actions.contains(&Action::Fail(id))
 }
--- a/crates/core/tests/failures.rs
+++ b/crates/core/tests/failures.rs
@@ -28,7 +28,7 @@
 #[test]
 fn the_draw_follows_the_weights() {
     let mut set = settings();
-    set.budget = None;
+    set.retry_budget = None;
     let mut rig = Rig::new(set, 2);
     // Node 0 errs once a period: its weight halves again and again. Node 1 stays at base.
     let mut hits = [0u32; 2];
@@ -37,7 +37,7 @@
         let at = sent[0].1;
         hits[at] += 1;
         rig.now += 20 * MS;
-        rig.end(id, 0, at, if at == 0 { Outcome::Error } else { Outcome::Done }, 20 * MS);
+        rig.end(id, 0, at, if at == 0 { Outcome::Error } else { Outcome::Served }, 20 * MS);
     }
     assert!(hits[0] > 0, "an erring node is still tried");
     assert!(hits[0] * 5 < hits[1], "drawn {hits:?}");
@@ -51,7 +51,7 @@
         let at = places(&rig.ask(request(id, 0, None)))[0].1;
         hits[at] += 1;
         rig.now += 20 * MS;
-        rig.end(id, 0, at, Outcome::Done, 20 * MS);
+        rig.end(id, 0, at, Outcome::Served, 20 * MS);
     }
     assert!(hits.iter().all(|h| (60..=140).contains(h)), "drawn {hits:?}");
 }
@@ -67,14 +67,14 @@
         big.units = 8.0;
         assert_eq!(places(&rig.ask(big)).len(), 1);
         rig.now += 80 * MS;
-        rig.end(id, 0, 0, Outcome::Done, 80 * MS);
+        rig.end(id, 0, 0, Outcome::Served, 80 * MS);
     }
     let mut hits = [0u32; 2];
     for id in 300..500 {
         let at = places(&rig.ask(request(id, 0, None)))[0].1;
         hits[at] += 1;
         rig.now += 20 * MS;
-        rig.end(id, 0, at, Outcome::Done, 20 * MS);
+        rig.end(id, 0, at, Outcome::Served, 20 * MS);
     }
     assert!(hits[0] > 60, "drawn {hits:?}");
 }
@@ -86,7 +86,7 @@
     rig.ask(request(50, 0, Some(0)));
     rig.ask(request(51, 0, Some(0)));
     let quiet = rig.pass(400 * MS);
-    assert!(quiet.iter().any(|a| matches!(a, Action::Note { text: "node is silent", node: 0 })));
+    assert!(quiet.iter().any(|a| matches!(a, Action::Log { text: "node is silent", node: 0 })));
     let mut sent = 0;
     for id in 60..90 {
         sent += places(&rig.ask(request(id, 0, Some(0)))).len();
@@ -95,10 +95,10 @@
     for id in 100..120 {
         assert_eq!(places(&rig.ask(request(id, 0, None)))[0].1, 1, "new objects avoid a silent node");
         rig.now += MS;
-        rig.end(id, 0, 1, Outcome::Done, MS);
+        rig.end(id, 0, 1, Outcome::Served, MS);
     }
-    let back = rig.end(50, 0, 0, Outcome::Done, 400 * MS);
-    assert!(back.iter().any(|a| matches!(a, Action::Note { text: "node answers again", node: 0 })));
+    let back = rig.end(50, 0, 0, Outcome::Served, 400 * MS);
+    assert!(back.iter().any(|a| matches!(a, Action::Log { text: "node answers again", node: 0 })));
     let mut again = 0;
     for id in 200..220 {
         again += places(&rig.ask(request(id, 0, Some(0)))).len() + places(&rig.pass(50 * MS)).len();
@@ -111,17 +111,17 @@
     let mut set = settings();
     set.plans[0].reserve_rate = 1e6;
     let mut rig = Rig::new(set, 1);
-    let flood = |rig: &mut Rig, from: ReqId| {
+    let flood = |rig: &mut Rig, from: RequestId| {
         (from..from + 60).map(|id| places(&rig.ask(request(id, 0, Some(0)))).len()).sum::<usize>()
     };
     let first = flood(&mut rig, 0);
     assert!((2..=8).contains(&first), "several at first, not {first}");
-    let mut out: Vec<ReqId> = (0..first as u64).collect();
+    let mut out: Vec<RequestId> = (0..first as u64).collect();
     let mut next = 1000;
     for _ in 0..300 {
         rig.now += 10 * MS;
         for id in std::mem::take(&mut out) {
-            out.extend(places(&rig.end(id, 0, 0, Outcome::Done, 10 * MS)).iter().map(|p| p.0));
+            out.extend(places(&rig.end(id, 0, 0, Outcome::Served, 10 * MS)).iter().map(|p| p.0));
         }
         for _ in 0..40 {
             out.extend(places(&rig.ask(request(next, 0, Some(0)))).iter().map(|p| p.0));
@@ -136,7 +136,7 @@
 fn a_leaving_node_gets_nothing_new() {
     for listed in [Listed::Draining, Listed::Removed] {
         let mut rig = Rig::new(settings(), 2);
-        rig.event(Event::Fleet { scope: Scope::Update, nodes: vec![node(0, listed, 0)] });
+        rig.event(Event::Endpoints { scope: UpdateScope::Update, nodes: vec![node(0, listed, 0)] });
         assert!(places(&rig.ask(request(1, 0, Some(0)))).is_empty());
         let later = rig.pass(S);
         assert!(places(&later).is_empty());
@@ -150,7 +150,7 @@
 #[test]
 fn a_full_list_without_a_node_removes_it() {
     let mut rig = Rig::new(settings(), 2);
-    rig.event(Event::Fleet { scope: Scope::Replace, nodes: vec![node(1, Listed::Up, 0)] });
+    rig.event(Event::Endpoints { scope: UpdateScope::Replace, nodes: vec![node(1, Listed::Up, 0)] });
     assert!(places(&rig.ask(request(1, 0, Some(0)))).is_empty());
 }
 
@@ -158,13 +158,13 @@
 fn a_cold_node_gets_no_more_than_its_part() {
     let mut rig = Rig::new(settings(), 1);
     let up = rig.now;
-    rig.event(Event::Fleet { scope: Scope::Update, nodes: vec![node(0, Listed::Up, up)] });
+    rig.event(Event::Endpoints { scope: UpdateScope::Update, nodes: vec![node(0, Listed::Up, up)] });
     let mut units = 0.0;
     for id in 0..50 {
         for (id, at) in places(&rig.ask(request(id, 0, Some(0)))) {
             units += 2.0;
             rig.now += MS;
-            rig.end(id, 0, at, Outcome::Done, MS);
+            rig.end(id, 0, at, Outcome::Served, MS);
         }
     }
     assert!(units > 0.0 && units <= 8.0, "{units} units of 16 for two initiators");
@@ -177,19 +177,19 @@
     rig.warm(0, 20, 0, 10 * MS);
     for id in 100..103 {
         rig.ask(request(id, 0, Some(0)));
-        rig.end(id, 0, 0, Outcome::Refused, MS);
+        rig.end(id, 0, 0, Outcome::NotExecuted, MS);
     }
     rig.pass(2 * S);
     let mut trial = places(&rig.ask(request(200, 0, Some(0))));
     trial.extend(places(&rig.pass(900 * MS)));
     assert_eq!(trial.len(), 1, "one trial");
-    rig.end(trial[0].0, 0, 0, Outcome::Done, 10 * MS);
+    rig.end(trial[0].0, 0, 0, Outcome::Served, 10 * MS);
     let mut units = 2.0;
     for id in 300..350 {
         for (id, at) in places(&rig.ask(request(id, 0, Some(0)))) {
             units += 2.0;
             rig.now += MS;
-            rig.end(id, 0, at, Outcome::Done, MS);
+            rig.end(id, 0, at, Outcome::Served, MS);
         }
     }
     assert!(units > 50.0, "{units} units only");
@@ -210,7 +210,7 @@
     let with_key = |id| Request { key: Some(9), ..request(id, 3, Some((id % 2) as CellId)) };
     assert_eq!(places(&rig.ask(with_key(1))).len(), 1);
     assert!(places(&rig.ask(with_key(2))).is_empty());
-    rig.event(Event::Gone(1));
+    rig.event(Event::ClientGone(1));
     assert!(places(&rig.pass(50 * MS)).is_empty(), "the first may still run");
     rig.event(ended(1, 0, 1, Outcome::TimedOut, 50 * MS, true));
     assert!(places(&rig.pass(40 * MS)).is_empty(), "the key rests");
@@ -223,7 +223,7 @@
     rig.ask(request(1, 2, Some(0)));
     assert!(failed(&rig.end(1, 0, 0, Outcome::Error, MS), 1));
     rig.ask(request(2, 2, Some(1)));
-    let again = rig.end(2, 0, 1, Outcome::Busy, MS);
+    let again = rig.end(2, 0, 1, Outcome::Rejected, MS);
     assert!(!failed(&again, 2) && !refused(&again, 2));
     let mut sent = places(&again);
     sent.extend(places(&rig.pass(100 * MS)));
@@ -254,8 +254,8 @@
     for id in 100..120 {
         rig.ask(request(id, 0, Some(0)));
         rig.now += 60 * MS;
-        rig.event(Event::Gone(id));
-        rig.end(id, 0, 0, Outcome::Done, 60 * MS);
+        rig.event(Event::ClientGone(id));
+        rig.end(id, 0, 0, Outcome::Served, 60 * MS);
     }
     // The node is filled; what waits past the usual leaving time is refused long before its aim.
     for id in 200..230 {
@@ -279,11 +279,11 @@
         let leaves = id % 5 == 0;
         if leaves {
             rig.now += after;
-            rig.event(Event::Gone(id));
+            rig.event(Event::ClientGone(id));
         }
         done.extend(rig.pass(60 * MS - if leaves { after } else { 0 }));
         for id in [id, id + 1] {
-            done.extend(rig.end(id, 0, 0, Outcome::Done, 60 * MS));
+            done.extend(rig.end(id, 0, 0, Outcome::Served, 60 * MS));
         }
     }
     assert!(!(100..300).any(|id| refused(&done, id)), "the aim is far away");
@@ -295,9 +295,9 @@
     rig.warm(0, 3, 0, 20 * MS);
     for (id, class, spared) in [(100, 0, true), (101, 2, false)] {
         rig.ask(request(id, class, Some(0)));
-        let done = rig.event(Event::Gone(id));
+        let done = rig.event(Event::ClientGone(id));
         assert_eq!(done.contains(&Action::Cancel { id, attempt: 0 }), spared);
-        assert!(!rig.event(Event::Gone(id)).contains(&Action::Cancel { id, attempt: 0 }), "once");
+        assert!(!rig.event(Event::ClientGone(id)).contains(&Action::Cancel { id, attempt: 0 }), "once");
     }
 }
 
@@ -306,21 +306,21 @@
     let mut rig = Rig::new(settings(), 1);
     rig.warm(0, 3, 0, 20 * MS);
     rig.ask(request(100, 0, Some(0)));
-    rig.event(Event::Fleet { scope: Scope::Update, nodes: vec![node(0, Listed::Removed, 0)] });
-    assert!(!rig.pass(5 * S / 10).contains(&Action::Forget(0)), "one is out");
-    rig.end(100, 0, 0, Outcome::Done, 20 * MS);
+    rig.event(Event::Endpoints { scope: UpdateScope::Update, nodes: vec![node(0, Listed::Removed, 0)] });
+    assert!(!rig.pass(5 * S / 10).contains(&Action::ForgetNode(0)), "one is out");
+    rig.end(100, 0, 0, Outcome::Served, 20 * MS);
     let done = rig.pass(5 * S);
-    assert_eq!(done.iter().filter(|a| **a == Action::Forget(0)).count(), 1);
+    assert_eq!(done.iter().filter(|a| **a == Action::ForgetNode(0)).count(), 1);
 }
 
 #[test]
 fn a_lost_subscription_is_asked_for_again() {
     let mut rig = Rig::new(settings(), 1);
-    rig.event(Event::Fleet { scope: Scope::Unavailable, nodes: vec![] });
+    rig.event(Event::Endpoints { scope: UpdateScope::Unavailable, nodes: vec![] });
     let asked = rig.pass(S);
     assert_eq!(asked.iter().filter(|a| **a == Action::Subscribe).count(), 1);
     for _ in 0..10 {
-        rig.event(Event::Fleet { scope: Scope::Unavailable, nodes: vec![] });
+        rig.event(Event::Endpoints { scope: UpdateScope::Unavailable, nodes: vec![] });
         assert!(rig.pass(5 * S).contains(&Action::Subscribe), "never past the time it must ask");
     }
 }
@@ -330,7 +330,7 @@
     let spoil: [fn(&mut Settings); 4] = [
         |s| s.classes.clear(),
         |s| s.plans[0].limit_rate = f64::NAN,
-        |s| s.unit_mean = 0.0,
+        |s| s.mean_units = 0.0,
         |s| s.initiators = 0,
     ];
     for f in spoil {
@@ -343,9 +343,9 @@
 #[test]
 fn the_unknown_is_ignored() {
     let mut rig = Rig::new(settings(), 1);
-    assert!(places(&rig.end(77, 0, 5, Outcome::Done, MS)).is_empty());
-    rig.event(Event::Gone(77));
-    rig.event(Event::First(77));
+    assert!(places(&rig.end(77, 0, 5, Outcome::Served, MS)).is_empty());
+    rig.event(Event::ClientGone(77));
+    rig.event(Event::ResponseStarted(77));
     assert!(refused(&rig.ask(request(1, 99, Some(0))), 1));
     assert_eq!(places(&rig.ask(request(2, 0, Some(0)))).len(), 1);
 }
@@ -353,10 +353,10 @@
 #[test]
 fn a_warm_node_goes_on_while_its_cold_replacement_starts() {
     let mut rig = Rig::new(settings(), 1);
-    let fresh = NodeInfo { node: 1, zone: 0, cell: 0, listed: Listed::Up, came_up: rig.now };
-    rig.event(Event::Fleet { scope: Scope::Update, nodes: vec![fresh] });
+    let fresh = NodeInfo { node: 1, zone: 0, cell: 0, listed: Listed::Up, started_at: rig.now };
+    rig.event(Event::Endpoints { scope: UpdateScope::Update, nodes: vec![fresh] });
     assert_eq!(places(&rig.ask(request(1, 0, Some(0)))), vec![(1, 0)]);
-    rig.event(Event::Fleet { scope: Scope::Update, nodes: vec![node(0, Listed::Draining, 0)] });
+    rig.event(Event::Endpoints { scope: UpdateScope::Update, nodes: vec![node(0, Listed::Draining, 0)] });
     assert_eq!(places(&rig.ask(request(2, 0, Some(0)))), vec![(2, 1)]);
 }
 
@@ -372,12 +372,12 @@
     }
     rig.pass(20 * MS);
     // The clock stands still meanwhile, so that no period ends.
-    let draws = |rig: &mut Rig, from: ReqId| {
+    let draws = |rig: &mut Rig, from: RequestId| {
         let mut hits = 0;
         for id in from..from + 300 {
             let at = places(&rig.ask(request(id, 0, None)))[0].1;
             hits += usize::from(at == 0);
-            rig.end(id, 0, at, Outcome::Done, 20 * MS);
+            rig.end(id, 0, at, Outcome::Served, 20 * MS);
         }
         hits
     };
@@ -396,7 +396,7 @@
     for id in 100..130 {
         assert_eq!(places(&rig.ask(request(id, 2, Some(0)))), vec![(id, 0)], "request {id} must go out");
         rig.now += 20 * MS;
-        rig.end(id, 0, 0, if id % 3 == 0 { Outcome::Reset } else { Outcome::Done }, 20 * MS);
+        rig.end(id, 0, 0, if id % 3 == 0 { Outcome::Reset } else { Outcome::Served }, 20 * MS);
     }
 }
 
@@ -424,7 +424,7 @@
     for id in 100..200 {
         for (one, at) in places(&rig.ask(request(id, 0, Some(0)))) {
             sent += usize::from(id >= 150);
-            rig.end(one, 0, at, Outcome::Busy, MS);
+            rig.end(one, 0, at, Outcome::Rejected, MS);
         }
         rig.now += 10 * MS;
     }
@@ -438,7 +438,7 @@
         let done = rig.ask(request(id, 0, cell));
         assert!(places(&done).is_empty() && !refused(&done, id));
     }
-    rig.event(Event::Fleet { scope: Scope::Update, nodes: vec![node(0, Listed::Up, 0)] });
+    rig.event(Event::Endpoints { scope: UpdateScope::Update, nodes: vec![node(0, Listed::Up, 0)] });
     assert_eq!(places(&rig.pass(30 * MS)), vec![(1, 0)], "a new object goes to the first node there is");
     assert!(refused(&rig.pass(S), 2), "no node holds its data");
 }
@@ -446,16 +446,16 @@
 #[test]
 fn odd_input_does_no_harm() {
     let mut rig = Rig::new(settings(), 2);
-    rig.event(Event::Fleet { scope: Scope::Update, nodes: vec![] });
+    rig.event(Event::Endpoints { scope: UpdateScope::Update, nodes: vec![] });
     let odd = [0.0, f64::NAN, f64::INFINITY, -1.0];
     for (id, units) in (10..).zip(odd) {
-        rig.ask(Request { units, set_size: 0, ..request(id, 0, Some(0)) });
+        rig.ask(Request { units, front_count: 0, ..request(id, 0, Some(0)) });
         rig.ask(request(id, 0, Some(0)));
     }
     rig.now -= 50 * MS;
     rig.pass(100 * MS);
     let moved = NodeInfo { cell: 1, ..node(0, Listed::Up, 0) };
-    rig.event(Event::Fleet { scope: Scope::Update, nodes: vec![moved] });
+    rig.event(Event::Endpoints { scope: UpdateScope::Update, nodes: vec![moved] });
     let done = rig.pass(2 * S);
     assert!((10..14).all(|id| refused(&done, id) || !places(&done).iter().any(|p| p.0 == id && p.1 > 1)));
     assert!(!places(&rig.ask(request(99, 0, Some(1)))).is_empty(), "the cell is served still");
@@ -469,8 +469,8 @@
     rig.pass(20 * MS);
     rig.now += 900 * MS;
     let after = rig.pass(20 * MS);
-    assert!(!after.iter().any(|a| matches!(a, Action::Note { .. })), "{after:?}");
-    rig.end(50, 0, 0, Outcome::Done, 20 * MS);
+    assert!(!after.iter().any(|a| matches!(a, Action::Log { .. })), "{after:?}");
+    rig.end(50, 0, 0, Outcome::Served, 20 * MS);
     assert_eq!(places(&rig.ask(request(51, 0, Some(0)))).len(), 1);
 }
 
@@ -480,7 +480,7 @@
     set.max_retry_after = 5 * S;
     let mut rig = Rig::new(set, 3);
     let wait_of = |actions: &[Action]| match actions {
-        [Action::Refuse { wait, .. }] => Some(*wait),
+        [Action::Reject { retry_after: wait, .. }] => Some(*wait),
         _ => None,
     };
     // Nodes turn away all they are sent, so that little is sent and the rest refused.
@@ -488,7 +488,7 @@
     for id in 0..600 {
         let mut done = rig.ask(request(id, 0, Some((id % 3) as CellId)));
         for (id, at) in places(&done) {
-            done = rig.end(id, 0, at, Outcome::Busy, MS);
+            done = rig.end(id, 0, at, Outcome::Rejected, MS);
         }
         waits.extend(wait_of(&done));
         rig.pass(10 * MS);
@@ -524,7 +524,7 @@
         assert_eq!(places(&rig.ask(request(id, 0, Some(0)))).len(), 1, "request {id}");
         rig.pass(20 * MS);
         if id % 3 > 0 {
-            rig.end(id, 0, 0, Outcome::Done, 20 * MS);
+            rig.end(id, 0, 0, Outcome::Served, 20 * MS);
         }
     }
 }
@@ -534,14 +534,14 @@
     let mut rig = Rig::new(settings(), 1);
     rig.warm(0, 20, 0, 10 * MS);
     rig.ask(request(100, 0, Some(0)));
-    rig.end(100, 0, 0, Outcome::Refused, MS);
+    rig.end(100, 0, 0, Outcome::NotExecuted, MS);
     let mut trials = Vec::new();
     for id in 200..220 {
         trials.extend(places(&rig.ask(request(id, 0, Some(0)))));
         trials.extend(places(&rig.pass(50 * MS)));
         for (id, at) in std::mem::take(&mut trials) {
-            let done = rig.end(id, 0, at, Outcome::Busy, MS);
-            assert!(!done.iter().any(|a| matches!(a, Action::Note { text: "node answers again", .. })));
+            let done = rig.end(id, 0, at, Outcome::Rejected, MS);
+            assert!(!done.iter().any(|a| matches!(a, Action::Log { text: "node answers again", .. })));
         }
     }
 }
@@ -558,7 +558,7 @@
             actions.extend(rig.pass(100 * MS));
             for (id, at) in places(&actions) {
                 sent += 1;
-                rig.end(id, 0, at, Outcome::Refused, MS);
+                rig.end(id, 0, at, Outcome::NotExecuted, MS);
             }
         }
         sent
@@ -581,7 +581,7 @@
     for id in 10..19 {
         rig.ask(request(id, 0, Some(0)));
         rig.now += 10 * MS;
-        rig.end(id, 0, 0, Outcome::Done, 10 * MS);
+        rig.end(id, 0, 0, Outcome::Served, 10 * MS);
         let waiting = rig.pass(40 * MS);
         assert!(!refused(&waiting, 2), "there is time yet");
     }
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -18,12 +18,12 @@
 fn a_hundred_initiators_that_hardly_met_a_node_use_its_cold_replacement() {
     let mut set = settings();
     set.initiators = COUNT as u32;
-    set.cold_units = 6.0;
-    set.cold_from = 0.2;
+    set.warmup_units = 6.0;
+    set.warmup_floor = 0.2;
     let mut random = fastrand::Rng::with_seed(11);
     let mut rigs: Vec<Rig> = (0..COUNT as u64).map(|seed| Rig::seeded(set.clone(), NODES, seed)).collect();
     let (mut next, mut out, mut span) =
-        (0, VecDeque::<(Nanos, usize, ReqId, NodeId)>::new(), VecDeque::new());
+        (0, VecDeque::<(Nanos, usize, RequestId, NodeId)>::new(), VecDeque::new());
     let (up, end) = (110 * S, 118 * S);
     let mut units = 0.0;
     // 20 requests of 2 units a second for each node, which can do 80 units a second when warm.
@@ -34,7 +34,7 @@
         while out.front().is_some_and(|(t, ..)| *t <= now) {
             let Some((_, who, id, at)) = out.pop_front() else { break };
             sent.extend(
-                places(&rigs[who].end(id, 0, at, Outcome::Done, 20 * MS)).into_iter().map(|p| (who, p)),
+                places(&rigs[who].end(id, 0, at, Outcome::Served, 20 * MS)).into_iter().map(|p| (who, p)),
             );
         }
         for _ in 0..8 {
@@ -45,9 +45,9 @@
         }
         for (who, rig) in rigs.iter_mut().enumerate() {
             if now == up {
-                let new = NodeInfo { node: NODES, zone: 0, cell: 0, listed: Listed::Up, came_up: up };
+                let new = NodeInfo { node: NODES, zone: 0, cell: 0, listed: Listed::Up, started_at: up };
                 let nodes = vec![node(0, Listed::Removed, 0), new];
-                let told = rig.event(Event::Fleet { scope: Scope::Update, nodes });
+                let told = rig.event(Event::Endpoints { scope: UpdateScope::Update, nodes });
                 sent.extend(places(&told).into_iter().map(|p| (who, p)));
             }
             sent.extend(places(&rig.event(Event::Timer(1))).into_iter().map(|p| (who, p)));
@@ -59,9 +59,9 @@
                 span.push_back(now);
             }
         }
-        span.retain(|t| *t > now - set.fall);
+        span.retain(|t| *t > now - set.overload_span);
         if now >= up {
-            let age = (now - up) as f64 / set.cold as f64;
+            let age = (now - up) as f64 / set.warmup_duration as f64;
             let bears = set.tip_multiple * (0.2 + 0.8 * age) * 80.0;
             assert!(
                 span.len() as f64 * 2.0 <= bears,
@@ -87,7 +87,7 @@
         let scheduler = Scheduler::new(set.clone(), who as u64, began).expect("settings hold");
         let mut rig = Rig { scheduler, now: began };
         let nodes = (0..4).map(|n| node(n, Listed::Up, 0)).collect();
-        if rig.event(Event::Fleet { scope: Scope::Restored, nodes }).contains(&Action::Subscribe) {
+        if rig.event(Event::Endpoints { scope: UpdateScope::Restored, nodes }).contains(&Action::Subscribe) {
             calls.push(began);
             *fail = Some(began + 2 * S);
         }
@@ -101,13 +101,13 @@
             if fails[who].is_some_and(|t| t <= now) {
                 fails[who] = None;
                 last[who] = now;
-                rig.event(Event::Fleet { scope: Scope::Unavailable, nodes: Vec::new() });
+                rig.event(Event::Endpoints { scope: UpdateScope::Unavailable, nodes: Vec::new() });
             }
             if rig.event(Event::Timer(1)).contains(&Action::Subscribe) {
                 calls.push(now);
                 fails[who] = Some(now + 2 * S);
             }
-            assert!(now - last[who] < set.ask_every, "initiator {who} has not asked for too long");
+            assert!(now - last[who] < set.poll_interval, "initiator {who} has not asked for too long");
         }
     }
     let within = |span: Nanos, from: Nanos| {
@@ -122,12 +122,12 @@
 /// An initiator that has just seen many attempts come to nothing, at nodes 1 and 2 of five.
 fn crowded() -> Rig {
     let mut set = settings();
-    set.classes.iter_mut().for_each(|c| c.late_worth = 0.1);
+    set.classes.iter_mut().for_each(|c| c.late_value = 0.1);
     let mut rig = Rig::new(set, 5);
     rig.warm(0, 8, 0, 20 * MS);
     for (id, at) in [(100, 1), (101, 2), (102, 1)] {
         if !places(&rig.ask(request(id, 0, Some(at)))).is_empty() {
-            rig.end(id, 0, at as NodeId, Outcome::Busy, MS);
+            rig.end(id, 0, at as NodeId, Outcome::Rejected, MS);
         }
     }
     // Far more is asked of one of them than it may be sent.
@@ -139,7 +139,7 @@
 
 fn patience(actions: &[Action]) -> Option<Nanos> {
     actions.iter().find_map(|a| match a {
-        Action::Place { patience, .. } => Some(*patience),
+        Action::Send { timeout: patience, .. } => Some(*patience),
         _ => None,
     })
 }
@@ -167,7 +167,7 @@
     let mut rig = crowded();
     let first = places(&rig.ask(request(500, 2, None)));
     let (id, at) = first[0];
-    let mut sent = rig.end(id, 0, at, Outcome::Refused, MS);
+    let mut sent = rig.end(id, 0, at, Outcome::NotExecuted, MS);
     sent.extend(rig.pass(100 * MS));
     let again = places(&sent);
     assert!(!refused(&sent, id), "it was refused: {sent:?}");
@@ -184,7 +184,7 @@
     let mut random = fastrand::Rng::with_seed(3);
     let mut rigs: Vec<Rig> = (0..COUNT as u64).map(|seed| Rig::seeded(set.clone(), NODES, seed)).collect();
     let began = rigs[0].now;
-    let mut out: Vec<(Nanos, usize, ReqId, NodeId, Nanos)> = Vec::new();
+    let mut out: Vec<(Nanos, usize, RequestId, NodeId, Nanos)> = Vec::new();
     let (mut late, mut users) = (vec![0; NODES], vec![std::collections::BTreeSet::new(); NODES]);
     for step in 0..2000 {
         let now = began + step * 10 * MS;
@@ -194,12 +194,12 @@
         out = still;
         for (_, who, id, at, at_first) in due {
             sent.extend(
-                places(&rigs[who].end(id, 0, at, Outcome::Done, now - at_first))
+                places(&rigs[who].end(id, 0, at, Outcome::Served, now - at_first))
                     .into_iter()
                     .map(|p| (who, p)),
             );
         }
-        for id in [3 * step as ReqId, 3 * step as ReqId + 1, 3 * step as ReqId + 2] {
+        for id in [3 * step as RequestId, 3 * step as RequestId + 1, 3 * step as RequestId + 2] {
             let who = random.usize(0..COUNT);
             sent.extend(places(&rigs[who].ask(request(id, 2, None))).into_iter().map(|p| (who, p)));
         }
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -15,24 +15,29 @@
 }
 
 /// Units that go out within a time in which a request comes every 10 ms.
-fn sent(rig: &mut Rig, first: ReqId, time: Nanos) -> f64 {
+fn sent(rig: &mut Rig, first: RequestId, time: Nanos) -> f64 {
     let mut units = 0.0;
     for step in 0..time / (10 * MS) {
-        let id = first + step as ReqId;
+        let id = first + step as RequestId;
         let mut asked = request(id, 0, Some(0));
-        (asked.plan, asked.volume, asked.set_size) = (0, 77, 4);
+        (asked.plan, asked.volume, asked.front_count) = (0, 77, 4);
         let mut actions = rig.ask(asked);
         actions.extend(rig.pass(10 * MS));
         for (id, node) in places(&actions) {
             units += 2.0;
-            rig.end(id, 0, node, Outcome::Done, 2 * MS);
+            rig.end(id, 0, node, Outcome::Served, 2 * MS);
         }
     }
     units
 }
 
 fn tell(rig: &mut Rig, rate: f64, burst: f64, at: Nanos) {
-    rig.event(Event::Told(Told::Limit { of: Limited::Volume(77), rate, burst, at }));
+    rig.event(Event::FleetUpdate(FleetUpdate::SharedLimit {
+        limit: SharedLimit::Volume(77),
+        rate,
+        burst,
+        at,
+    }));
 }
 
 #[test]
@@ -74,7 +79,12 @@
 fn further_attempts_keep_to_what_is_told() {
     let mut rig = Rig::new(settings(), 2);
     let mut further = 0;
-    rig.event(Event::Told(Told::Limit { of: Limited::Further, rate: 2.0, burst: 3.0, at: rig.now }));
+    rig.event(Event::FleetUpdate(FleetUpdate::SharedLimit {
+        limit: SharedLimit::Retries,
+        rate: 2.0,
+        burst: 3.0,
+        at: rig.now,
+    }));
     for id in 0..200 {
         // Each fails at once, and could be sent again by every other rule.
         let mut actions = rig.pass(30 * MS);
@@ -94,18 +104,23 @@
 fn a_starting_node_is_sent_no_more_than_is_told() {
     let mut rig = Rig::new(settings(), 1);
     rig.warm(0, 4, 0, 2 * MS);
-    rig.event(Event::Told(Told::Limit { of: Limited::Starting, rate: 4.0, burst: 8.0, at: rig.now }));
+    rig.event(Event::FleetUpdate(FleetUpdate::SharedLimit {
+        limit: SharedLimit::WarmingUpNode,
+        rate: 4.0,
+        burst: 8.0,
+        at: rig.now,
+    }));
     // It comes up after it was told, as any node does.
     let began = rig.now;
-    let start = NodeInfo { node: 1, zone: 0, cell: 7, listed: Listed::Up, came_up: began };
-    rig.event(Event::Fleet { scope: Scope::Update, nodes: vec![start] });
+    let start = NodeInfo { node: 1, zone: 0, cell: 7, listed: Listed::Up, started_at: began };
+    rig.event(Event::Endpoints { scope: UpdateScope::Update, nodes: vec![start] });
     let mut sent: Vec<Nanos> = Vec::new();
     for id in 100..500 {
         let mut actions = rig.ask(request(id, 0, Some(7)));
         actions.extend(rig.pass(10 * MS));
         for (id, node) in places(&actions).into_iter().filter(|(_, node)| *node == 1) {
             sent.push(rig.now);
-            rig.end(id, 0, node, Outcome::Done, 2 * MS);
+            rig.end(id, 0, node, Outcome::Served, 2 * MS);
         }
     }
     assert!(sent.len() >= 8, "{}", sent.len());
@@ -121,10 +136,10 @@
 }
 
 /// Answers all that is out, and all that goes out then.
-fn drain(rig: &mut Rig, mut out: Vec<(ReqId, NodeId)>) {
+fn drain(rig: &mut Rig, mut out: Vec<(RequestId, NodeId)>) {
     while !out.is_empty() {
         let ends: Vec<Action> =
-            out.iter().flat_map(|(id, node)| rig.end(*id, 0, *node, Outcome::Done, 20 * MS)).collect();
+            out.iter().flat_map(|(id, node)| rig.end(*id, 0, *node, Outcome::Served, 20 * MS)).collect();
         out = places(&ends);
         out.extend(places(&rig.pass(20 * MS)));
     }
@@ -134,12 +149,17 @@
 fn no_more_are_out_at_a_node_than_is_told_and_a_part_of_one_is_a_pace() {
     let mut rig = Rig::new(settings(), 1);
     rig.warm(0, 4, 0, 20 * MS);
-    let crowd = |rig: &mut Rig, first: ReqId| -> Vec<(ReqId, NodeId)> {
+    let crowd = |rig: &mut Rig, first: RequestId| -> Vec<(RequestId, NodeId)> {
         let asked = (first..first + 6).flat_map(|id| rig.ask(request(id, 0, Some(0)))).collect::<Vec<_>>();
         places(&asked)
     };
     let tell = |rig: &mut Rig, most| {
-        rig.event(Event::Told(Told::Limit { of: Limited::Out, rate: most, burst: 0.0, at: rig.now }));
+        rig.event(Event::FleetUpdate(FleetUpdate::SharedLimit {
+            limit: SharedLimit::InFlightPerNode,
+            rate: most,
+            burst: 0.0,
+            at: rig.now,
+        }));
     };
     assert!(crowd(&mut rig, 100).len() > 2, "untold, the window alone counts");
     drain(&mut rig, (100..106).map(|id| (id, 0)).collect());
@@ -156,7 +176,7 @@
             let more = rig.pass(20 * MS);
             assert_eq!(places(&more), Vec::new(), "one at a time");
             busy += 20 * MS;
-            rig.end(id, 0, node, Outcome::Done, 20 * MS);
+            rig.end(id, 0, node, Outcome::Served, 20 * MS);
         }
     }
     let part = busy as f64 / (rig.now - began) as f64;
--- a/crates/core/tests/pace.rs
+++ b/crates/core/tests/pace.rs
@@ -26,7 +26,7 @@
         // Where it is not out within a second, it was refused: the pace holds back what a crowd would send.
         if sent == vec![(id - 1, 0)] {
             rig.now += 400 * MS;
-            rig.end(id - 1, 0, 0, Outcome::Done, 400 * MS);
+            rig.end(id - 1, 0, 0, Outcome::Served, 400 * MS);
         }
     }
     let sent = places(&rig.ask(request(id, 0, Some(0))));
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -29,9 +29,9 @@
 
 impl Asked {
     fn unsure(&self) -> impl Iterator<Item = &Try> {
-        self.tries
-            .iter()
-            .filter(|t| !t.ended || !matches!(t.outcome, Outcome::Busy | Outcome::Refused | Outcome::Skipped))
+        self.tries.iter().filter(|t| {
+            !t.ended || !matches!(t.outcome, Outcome::Rejected | Outcome::NotExecuted | Outcome::NotSent)
+        })
     }
 }
 
@@ -39,17 +39,17 @@
     rig: Rig,
     set: Settings,
     random: fastrand::Rng,
-    asked: BTreeMap<ReqId, Asked>,
+    asked: BTreeMap<RequestId, Asked>,
     listed: Vec<(Listed, Nanos)>,
     told: Vec<Nanos>,
     sent: Vec<VecDeque<(Nanos, f64)>>,
     /// Units answered by each node within the last second, and the most of it so far.
     served: Vec<(VecDeque<(Nanos, f64)>, f64)>,
-    stores: BTreeMap<VolId, (f64, Nanos)>,
+    stores: BTreeMap<VolumeId, (f64, Nanos)>,
     rests: BTreeMap<KeyId, Nanos>,
     extras: Vec<Nanos>,
     taken: Vec<Nanos>,
-    next: ReqId,
+    next: RequestId,
     silent: Vec<bool>,
 }
 
@@ -59,12 +59,12 @@
     fn new(seed: u64) -> World {
         let mut set = settings();
         let mut random = fastrand::Rng::with_seed(seed);
-        set.second_copies = random.bool();
-        if let Some(budget) = &mut set.budget {
+        set.hedging = random.bool();
+        if let Some(budget) = &mut set.retry_budget {
             budget.ratio = 0.02;
         }
         if random.bool() {
-            set.budget = None;
+            set.retry_budget = None;
         }
         let rig = Rig::new(set.clone(), NODES);
         World {
@@ -92,7 +92,7 @@
             let done = self.rig.event(Event::Timer(1));
             self.take(done);
         }
-        let due: Vec<(ReqId, usize)> = self
+        let due: Vec<(RequestId, usize)> = self
             .asked
             .iter()
             .flat_map(|(id, a)| {
@@ -125,7 +125,7 @@
         }
         request.plan = r.usize(0..2);
         request.volume = request.plan as u64 * 10 + r.u64(0..2);
-        request.set_size = 1;
+        request.front_count = 1;
         request.key = if r.u32(0..8) == 0 { None } else { Some(r.u64(0..12)) };
         request.units = f64::from(r.u32(1..8));
         request.patience = if r.u32(0..5) == 0 { r.i64(0..40) * MS } else { S };
@@ -155,26 +155,27 @@
         };
         self.listed[n] = (listed, came_up.max(self.listed[n].1));
         self.told[n] = now;
-        let scope = [Scope::Update, Scope::Replace, Scope::Unavailable][self.random.usize(0..3)];
+        let scope =
+            [UpdateScope::Update, UpdateScope::Replace, UpdateScope::Unavailable][self.random.usize(0..3)];
         let full = (0..NODES).filter(|i| self.listed[*i].0 != Listed::Removed);
         let nodes = match scope {
-            Scope::Replace => full.map(|i| node(i, self.listed[i].0, self.listed[i].1)).collect(),
+            UpdateScope::Replace => full.map(|i| node(i, self.listed[i].0, self.listed[i].1)).collect(),
             _ => vec![node(n, self.listed[n].0, self.listed[n].1)],
         };
-        let nodes = if scope == Scope::Unavailable {
-            let done = self.rig.event(Event::Fleet { scope, nodes: vec![] });
+        let nodes = if scope == UpdateScope::Unavailable {
+            let done = self.rig.event(Event::Endpoints { scope, nodes: vec![] });
             self.take(done);
             vec![node(n, self.listed[n].0, self.listed[n].1)]
         } else {
             nodes
         };
-        let scope = if scope == Scope::Unavailable { Scope::Update } else { scope };
-        let done = self.rig.event(Event::Fleet { scope, nodes });
+        let scope = if scope == UpdateScope::Unavailable { UpdateScope::Update } else { scope };
+        let done = self.rig.event(Event::Endpoints { scope, nodes });
         self.take(done);
     }
 
     fn gone(&mut self) {
-        let open: Vec<ReqId> = self.asked.iter().filter(|(_, a)| !a.over).map(|(id, _)| *id).collect();
+        let open: Vec<RequestId> = self.asked.iter().filter(|(_, a)| !a.over).map(|(id, _)| *id).collect();
         if open.is_empty() {
             return;
         }
@@ -183,7 +184,7 @@
             asked.over = true;
             asked.answers = 1;
         }
-        let done = self.rig.event(Event::Gone(id));
+        let done = self.rig.event(Event::ClientGone(id));
         self.take(done);
     }
 
@@ -196,22 +197,22 @@
         self.extras.clear();
         self.taken.clear();
         let nodes = (0..NODES).map(|i| node(i, self.listed[i].0, self.listed[i].1)).collect();
-        let done = self.rig.event(Event::Fleet { scope: Scope::Restored, nodes });
+        let done = self.rig.event(Event::Endpoints { scope: UpdateScope::Restored, nodes });
         self.take(done);
     }
 
-    fn finish_try(&mut self, id: ReqId, i: usize) {
+    fn finish_try(&mut self, id: RequestId, i: usize) {
         let now = self.rig.now;
         let Some(asked) = self.asked.get_mut(&id) else { return };
         let t = &mut asked.tries[i];
         t.ended = true;
         let (at, outcome, took) = (t.node, t.outcome, now - t.at);
-        if outcome == Outcome::Done && !asked.over {
+        if outcome == Outcome::Served && !asked.over {
             asked.over = true;
             asked.answers += 1;
         }
         let last = asked.over;
-        if outcome == Outcome::Done {
+        if outcome == Outcome::Served {
             let (log, most) = &mut self.served[at];
             log.push_back((now, asked.request.units));
             while log.front().is_some_and(|(t, _)| *t <= now - S) {
@@ -219,9 +220,9 @@
             }
             *most = most.max(log.iter().map(|(_, u)| u).sum());
         }
-        let settles = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Canceled);
+        let settles = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
         if let (true, 3, Some(key)) = (settles, asked.request.class, asked.request.key) {
-            self.rests.insert(key, now + self.set.order_settle);
+            self.rests.insert(key, now + self.set.order_settle_time);
         }
         let done = self.rig.event(ended(id, i as u32, at, outcome, took, last));
         self.take(done);
@@ -230,15 +231,15 @@
     fn take(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Place { id, node, .. } => self.placed(id, node),
-                Action::Refuse { id, .. } => self.answered(id, true),
+                Action::Send { id, node, .. } => self.placed(id, node),
+                Action::Reject { id, .. } => self.answered(id, true),
                 Action::Fail(id) => self.answered(id, false),
                 _ => {}
             }
         }
     }
 
-    fn answered(&mut self, id: ReqId, refused: bool) {
+    fn answered(&mut self, id: RequestId, refused: bool) {
         let class = &self.set.classes;
         let Some(asked) = self.asked.get_mut(&id) else { panic!("rule 1: an answer for an unknown request") };
         assert!(!asked.over, "rule 1: request {id} answered twice");
@@ -265,7 +266,7 @@
         self.asked.retain(|_, a| !a.over || a.tries.iter().any(|t| !t.ended));
     }
 
-    fn placed(&mut self, id: ReqId, at: NodeId) {
+    fn placed(&mut self, id: RequestId, at: NodeId) {
         let now = self.rig.now;
         let Some(asked) = self.asked.get(&id) else { panic!("rule 1: sent for an unknown request") };
         assert!(!asked.over, "rule 1: request {id} sent after its end");
@@ -282,19 +283,19 @@
         }
     }
 
-    fn fate(&mut self, id: ReqId, silent: bool) -> (Outcome, Nanos) {
+    fn fate(&mut self, id: RequestId, silent: bool) -> (Outcome, Nanos) {
         let a = &self.asked[&id];
         let left = (a.at + a.request.patience - self.rig.now).max(0);
         let quick = self.random.i64(1..60) * MS;
         let outcome = match self.random.u32(0..20) {
             _ if silent && self.random.bool() => Outcome::TimedOut,
             0 => Outcome::Error,
-            1 => Outcome::Busy,
-            2 => Outcome::Refused,
+            1 => Outcome::Rejected,
+            2 => Outcome::NotExecuted,
             3 => Outcome::Reset,
-            4 => Outcome::Canceled,
+            4 => Outcome::Cancelled,
             5 => Outcome::TimedOut,
-            _ => Outcome::Done,
+            _ => Outcome::Served,
         };
         let late = quick >= left || outcome == Outcome::TimedOut;
         if late {
@@ -304,10 +305,10 @@
         }
     }
 
-    fn check_repeat(&self, id: ReqId, at: NodeId) {
+    fn check_repeat(&self, id: RequestId, at: NodeId) {
         let a = &self.asked[&id];
         let class = &self.set.classes[a.request.class];
-        if !self.set.second_copies {
+        if !self.set.hedging {
             assert!(a.tries.iter().all(|t| t.ended), "rule 2: request {id} has two attempts out");
         }
         if class.semantics == Semantics::AtMostOnce {
@@ -326,30 +327,30 @@
         if let Some(cell) = a.request.cell {
             assert_eq!(cell as usize, at, "sent to a node that does not hold it");
         }
-        assert!(a.tries.len() < self.set.most_tries as usize, "more tries than allowed");
+        assert!(a.tries.len() < self.set.max_attempts as usize, "more tries than allowed");
     }
 
     fn check_cold(&mut self, at: NodeId, units: f64) {
         let (now, up) = (self.rig.now, self.listed[at].1);
         let sent = &mut self.sent[at];
         sent.push_back((now, units));
-        while sent.front().is_some_and(|(t, _)| *t <= now - self.set.fall) {
+        while sent.front().is_some_and(|(t, _)| *t <= now - self.set.overload_span) {
             sent.pop_front();
         }
-        let age = (now - up) as f64 / self.set.cold as f64;
+        let age = (now - up) as f64 / self.set.warmup_duration as f64;
         if up == 0 || age >= 1.0 || self.told[at] == 0 {
             return;
         }
         let total: f64 = sent.iter().filter(|(t, _)| *t >= self.told[at].max(up)).map(|(_, u)| u).sum();
         // Of what is always borne its even part, or of the power the node has shown what the rule leaves.
-        let even = self.set.cold_units * (1.0 + 3.0 * age) / f64::from(self.set.initiators);
+        let even = self.set.warmup_units * (1.0 + 3.0 * age) / f64::from(self.set.initiators);
         let shown = self.set.tip_multiple * (0.25 + 0.75 * age) * self.served[at].1;
         // One largest request is the slack for chance.
-        let most = even + shown + self.set.most_units;
+        let most = even + shown + self.set.max_units;
         assert!(total <= most + 1e-9, "rule 4: {total} of {most} units to a cold node");
     }
 
-    fn check_limit(&mut self, id: ReqId) {
+    fn check_limit(&mut self, id: RequestId) {
         let a = &self.asked[&id];
         let plan = &self.set.plans[a.request.plan];
         if plan.limit_rate <= 0.0 || !a.tries.is_empty() {
@@ -364,7 +365,7 @@
         assert!(store.0 >= -1e-6, "rule 5: the store of volume {} is at {}", a.request.volume, store.0);
     }
 
-    fn check_order(&self, id: ReqId) {
+    fn check_order(&self, id: RequestId) {
         let a = &self.asked[&id];
         let (3, Some(key)) = (a.request.class, a.request.key) else { return };
         for (other, b) in &self.asked {
@@ -376,17 +377,20 @@
         assert!(self.rig.now >= rest || !a.tries.is_empty(), "rule 6: key {key} sent while it rests");
     }
 
-    fn check_budget(&mut self, id: ReqId) {
-        let Some(budget) = &self.set.budget else { return };
+    fn check_budget(&mut self, id: RequestId) {
+        let Some(budget) = &self.set.retry_budget else { return };
         if self.asked[&id].tries.is_empty() {
             return;
         }
         let now = self.rig.now;
         self.extras.push(now);
-        let since = now - budget.look_back;
+        let since = now - budget.window;
         let extras = self.extras.iter().filter(|t| **t >= since).count() as f64;
         let taken = self.taken.iter().filter(|t| **t > since).count() as f64;
-        assert!(extras <= budget.free + budget.ratio * taken, "rule 7: {extras} further of {taken} taken");
+        assert!(
+            extras <= budget.base_allowance + budget.ratio * taken,
+            "rule 7: {extras} further of {taken} taken"
+        );
     }
 }
 
@@ -410,8 +414,8 @@
     const COUNT: usize = 200;
     let mut set = settings();
     set.initiators = COUNT as u32;
-    set.cold_units = 24.0;
-    set.cold_from = 0.2;
+    set.warmup_units = 24.0;
+    set.warmup_floor = 0.2;
     let mut random = fastrand::Rng::with_seed(5);
     let mut rigs: Vec<Rig> = (0..COUNT as u64).map(|seed| Rig::seeded(set.clone(), 1, seed)).collect();
     let (mut next, mut sent, up) = (0, VecDeque::new(), 140 * S);
@@ -427,9 +431,10 @@
         for (i, rig) in rigs.iter_mut().enumerate() {
             let mut actions = Vec::new();
             if tell {
-                actions.extend(
-                    rig.event(Event::Fleet { scope: Scope::Update, nodes: vec![node(0, Listed::Up, up)] }),
-                );
+                actions.extend(rig.event(Event::Endpoints {
+                    scope: UpdateScope::Update,
+                    nodes: vec![node(0, Listed::Up, up)],
+                }));
             }
             if i == chosen && random.bool() {
                 actions.extend(rig.ask(request(next, 0, Some(0))));
@@ -437,25 +442,28 @@
             }
             if let Some((_, who, id)) = ended.filter(|(_, who, _)| *who == i) {
                 assert_eq!(who, i);
-                actions.extend(rig.end(id, 0, 0, Outcome::Done, now - sent_at[&id]));
+                actions.extend(rig.end(id, 0, 0, Outcome::Served, now - sent_at[&id]));
             }
             actions.extend(rig.event(Event::Timer(1)));
             for (id, _) in places(&actions) {
                 sent.push_back((now, 2.0));
                 // It serves in turn, at what it can do by then.
-                let part =
-                    if now < up { 1.0 } else { 0.2 + 0.8 * ((now - up) as f64 / set.cold as f64).min(1.0) };
+                let part = if now < up {
+                    1.0
+                } else {
+                    0.2 + 0.8 * ((now - up) as f64 / set.warmup_duration as f64).min(1.0)
+                };
                 free = free.max(now) + (20e6 / part) as Nanos;
                 sent_at.insert(id, now);
                 out.push_back((free, i, id));
                 cold_total += if now >= up { 2.0 } else { 0.0 };
             }
         }
-        while sent.front().is_some_and(|(t, _)| *t <= now - set.fall) {
+        while sent.front().is_some_and(|(t, _)| *t <= now - set.overload_span) {
             sent.pop_front();
         }
         if now >= up {
-            let age = (now - up) as f64 / set.cold as f64;
+            let age = (now - up) as f64 / set.warmup_duration as f64;
             let bears = set.tip_multiple * (0.2 + 0.8 * age) * 100.0;
             let span: f64 = sent.iter().filter(|(t, _)| *t >= up).map(|(_, u)| u).sum();
             assert!(span <= bears, "rule 4: {span} units in a span, {bears} are borne");
--- a/crates/core/tests/strangers.rs
+++ b/crates/core/tests/strangers.rs
@@ -7,7 +7,7 @@
 
 /// What a usual client meets in a row of reads, each answered after `took`: the longest wait until its attempt
 /// was sent, and how many were refused.
-fn usual(rig: &mut Rig, first: ReqId, n: u64, took: Nanos) -> (Nanos, usize) {
+fn usual(rig: &mut Rig, first: RequestId, n: u64, took: Nanos) -> (Nanos, usize) {
     let (mut longest, mut refusals) = (0, 0);
     for id in first..first + n {
         let asked = rig.now;
@@ -21,19 +21,19 @@
         }
         longest = longest.max(rig.now - asked);
         rig.now += took;
-        rig.end(id, 0, 0, Outcome::Done, took);
+        rig.end(id, 0, 0, Outcome::Served, took);
     }
     (longest, refusals)
 }
 
 /// Clients that send a proper read and are gone after `age`.
-fn crowd(rig: &mut Rig, first: ReqId, n: u64, age: Nanos) {
+fn crowd(rig: &mut Rig, first: RequestId, n: u64, age: Nanos) {
     for id in first..first + n {
         let done = rig.ask(request(id, 0, Some(0)));
         rig.now += age;
-        let gone = rig.event(Event::Gone(id));
+        let gone = rig.event(Event::ClientGone(id));
         if gone.iter().any(|a| matches!(a, Action::Cancel { .. })) {
-            rig.event(ended(id, 0, 0, Outcome::Canceled, age, true));
+            rig.event(ended(id, 0, 0, Outcome::Cancelled, age, true));
         } else {
             assert!(places(&done).is_empty(), "what is out for nobody is given up");
         }
@@ -59,10 +59,10 @@
     let mut patient = request(1000, 0, Some(0));
     patient.patience = 3600 * S;
     rig.ask(patient);
-    rig.end(1000, 0, 0, Outcome::Done, MS);
+    rig.end(1000, 0, 0, Outcome::Served, MS);
     // A request past its aim is not sent to a node that does not answer; one in time is.
     rig.ask(request(2000, 0, Some(0)));
-    rig.end(2000, 0, 0, Outcome::Refused, 0);
+    rig.end(2000, 0, 0, Outcome::NotExecuted, 0);
     let waits = rig.ask(request(2001, 0, Some(0)));
     assert!(!refused(&waits, 2001), "it is not late yet");
     assert!(!refused(&rig.pass(100 * MS), 2001), "nor after half of its aim");
--- a/crates/core/tests/withdrawal.rs
+++ b/crates/core/tests/withdrawal.rs
@@ -1,8 +1,8 @@
 //! What nobody wants any more and has not begun is withdrawn, and never begins.
 
 use tulipbridge_core::link::{Attempt, Doubt, Link, Next, OnAttempt, OnLink};
-use tulipbridge_core::request_tracker::{Decisions, Desk, Effect, Input};
-use tulipbridge_core::{Action, Event, Listed, Nanos, NodeInfo, Outcome, Request, Scope};
+use tulipbridge_core::request_tracker::{Decisions, Effect, Input, RequestTracker};
+use tulipbridge_core::{Action, Event, Listed, Nanos, NodeInfo, Outcome, Request, UpdateScope};
 
 /// Sends each request to node 0, and does nothing else unless it is told to.
 #[derive(Default)]
@@ -11,16 +11,16 @@
 impl Decisions for ToOne {
     fn handle(&mut self, _now: Nanos, event: Event, actions: &mut Vec<Action>) {
         if let Event::Request(request) = event {
-            actions.push(Action::Place { id: request.id, node: 0, patience: 0 });
+            actions.push(Action::Send { id: request.id, node: 0, timeout: 0 });
         }
         actions.append(&mut self.0);
     }
 }
 
-fn asked() -> Desk<ToOne> {
-    let mut desk = Desk::new(ToOne::default());
+fn asked() -> RequestTracker<ToOne> {
+    let mut desk = RequestTracker::new(ToOne::default());
     let request = Request {
-        id: desk.number(),
+        id: desk.allocate_id(),
         class: 0,
         plan: 0,
         volume: 1,
@@ -28,15 +28,15 @@
         patience: 1_000_000_000,
         units: 1.0,
         cell: None,
-        set_size: 1,
+        front_count: 1,
     };
     let mut effects = Vec::new();
-    desk.on(0, Input::Asked(request), &mut effects);
+    desk.on(0, Input::RequestReceived(request), &mut effects);
     assert!(matches!(effects[..], [Effect::Send { id: 0, attempt: 0, node: 0, .. }]), "{effects:?}");
     desk
 }
 
-fn withdrawn(desk: &mut Desk<ToOne>, input: Input) -> Vec<Outcome> {
+fn withdrawn(desk: &mut RequestTracker<ToOne>, input: Input) -> Vec<Outcome> {
     let mut effects = Vec::new();
     desk.on(1, input, &mut effects);
     let told = effects.into_iter().filter_map(|e| match e {
@@ -47,45 +47,45 @@
 }
 
 fn entry(node: usize, listed: Listed) -> NodeInfo {
-    NodeInfo { node, zone: 0, cell: 0, listed, came_up: 0 }
+    NodeInfo { node, zone: 0, cell: 0, listed, started_at: 0 }
 }
 
 #[test]
 fn a_client_that_goes_takes_what_has_not_begun_with_it() {
-    assert_eq!(withdrawn(&mut asked(), Input::Left(0)), [Outcome::Skipped]);
-    assert_eq!(withdrawn(&mut asked(), Input::Overdue(0)), [Outcome::Skipped]);
+    assert_eq!(withdrawn(&mut asked(), Input::ClientGone(0)), [Outcome::NotSent]);
+    assert_eq!(withdrawn(&mut asked(), Input::Overdue(0)), [Outcome::NotSent]);
 }
 
 #[test]
 fn an_answer_withdraws_what_has_not_begun() {
     let mut desk = asked();
-    desk.decisions_mut().0.push(Action::Refuse { id: 0, wait: 0 });
-    assert_eq!(withdrawn(&mut desk, Input::Timer(9)), [Outcome::Skipped]);
+    desk.decisions_mut().0.push(Action::Reject { id: 0, retry_after: 0 });
+    assert_eq!(withdrawn(&mut desk, Input::Timer(9)), [Outcome::NotSent]);
 }
 
 #[test]
 fn a_node_that_leaves_gets_nothing_that_has_not_begun_and_it_may_go_elsewhere() {
-    let news = |scope, nodes| Input::Fleet { scope, nodes };
+    let news = |scope, nodes| Input::Endpoints { scope, nodes };
     for (name, input, expected) in [
-        ("drains", news(Scope::Update, vec![entry(0, Listed::Draining)]), true),
-        ("is gone", news(Scope::Update, vec![entry(0, Listed::Removed)]), true),
-        ("is not on the list", news(Scope::Replace, vec![entry(1, Listed::Up)]), true),
-        ("stays", news(Scope::Replace, vec![entry(0, Listed::Up)]), false),
-        ("is not spoken of", news(Scope::Update, vec![entry(1, Listed::Draining)]), false),
+        ("drains", news(UpdateScope::Update, vec![entry(0, Listed::Draining)]), true),
+        ("is gone", news(UpdateScope::Update, vec![entry(0, Listed::Removed)]), true),
+        ("is not on the list", news(UpdateScope::Replace, vec![entry(1, Listed::Up)]), true),
+        ("stays", news(UpdateScope::Replace, vec![entry(0, Listed::Up)]), false),
+        ("is not spoken of", news(UpdateScope::Update, vec![entry(1, Listed::Draining)]), false),
         (
             "is told up last",
-            news(Scope::Update, vec![entry(0, Listed::Draining), entry(0, Listed::Up)]),
+            news(UpdateScope::Update, vec![entry(0, Listed::Draining), entry(0, Listed::Up)]),
             false,
         ),
     ] {
         let told = withdrawn(&mut asked(), input);
-        assert_eq!(told, if expected { vec![Outcome::Refused] } else { vec![] }, "the node {name}");
+        assert_eq!(told, if expected { vec![Outcome::NotExecuted] } else { vec![] }, "the node {name}");
     }
 }
 
 #[test]
 fn what_is_withdrawn_ends_where_it_stands() {
-    let outcome = Outcome::Skipped;
+    let outcome = Outcome::NotSent;
     for mut attempt in [Attempt::Choosing, Attempt::Dialling, Attempt::Reusing, Attempt::Fresh] {
         assert_eq!(attempt.on(OnAttempt::Withdrawn(outcome)), Next::End(outcome));
         assert_eq!(attempt, Attempt::Over(outcome));
--- a/crates/model-checker/src/configs.rs
+++ b/crates/model-checker/src/configs.rs
@@ -29,15 +29,15 @@
 
 fn class(semantics: Semantics) -> Class {
     Class {
-        aim: 60 * MS,
-        aim_stretch: 0.0,
+        latency_objective: 60 * MS,
+        objective_stretch: 0.0,
         deadline: 120 * MS,
         semantics,
         group: Group::All,
         window: 2000 * MS,
         keep_order: false,
-        late_worth: 0.2,
-        points: 2.0,
+        late_value: 0.2,
+        priority_weight: 2.0,
         writes: semantics == Semantics::AtMostOnce,
     }
 }
@@ -56,24 +56,24 @@
             price: 1.0,
         }],
         quantum: 2 * MS,
-        cold_units: 16.0,
-        unit_mean: 2.0,
-        most_units: 8.0,
-        fair_worth: 0.4,
-        idle_worth: 0.05,
+        warmup_units: 16.0,
+        mean_units: 2.0,
+        max_units: 8.0,
+        fair_share_value: 0.4,
+        idle_value: 0.05,
         use_period: 0,
-        most_tries: 2,
-        second_copies: false,
-        cancelling: true,
+        max_attempts: 2,
+        hedging: false,
+        cancellation: true,
         max_retry_after: 500 * MS,
-        list_on_request: true,
-        ask_every: 10_000 * MS,
-        cold: 10_000 * MS,
-        cold_from: 0.25,
+        polls_discovery: true,
+        poll_interval: 10_000 * MS,
+        warmup_duration: 10_000 * MS,
+        warmup_floor: 0.25,
         tip_multiple: 3.0,
-        fall: 1000 * MS,
-        order_settle: 0,
-        budget: None,
+        overload_span: 1000 * MS,
+        order_settle_time: 0,
+        retry_budget: None,
     }
 }
 
@@ -200,8 +200,8 @@
 fn fronts() -> Vec<World> {
     let (read, submit) = (ask(READ, Some(0)), ask(SUBMIT, None));
     let (mut tries, mut once) = (settings(), settings());
-    tries.most_tries = 3;
-    once.most_tries = 1;
+    tries.max_attempts = 3;
+    once.max_attempts = 1;
     // The smallest first: what a search finds, it finds soonest there.
     vec![
         world("submit", "one submit, two nodes, any decisions", Mode::Any, vec![submit]),
@@ -290,7 +290,7 @@
 pub fn large() -> World {
     let asks = (0..300).map(|i| ask(i % 3 / 2, (i % 2 == 0).then_some(i as u32 % 14))).collect();
     let mut set = settings();
-    set.most_tries = 3;
+    set.max_attempts = 3;
     World {
         settings: set,
         nodes: 14,
--- a/crates/model-checker/src/judge.rs
+++ b/crates/model-checker/src/judge.rs
@@ -4,7 +4,7 @@
 use std::hash::{Hash, Hasher};
 
 use tulipbridge_core::request_tracker::Decisions;
-use tulipbridge_core::{Action, CellId, Event, Nanos, NodeId, Outcome, ReqId, Request, Scheduler};
+use tulipbridge_core::{Action, CellId, Event, Nanos, NodeId, Outcome, Request, RequestId, Scheduler};
 
 /// Who decides.
 #[derive(Clone, Debug)]
@@ -12,7 +12,7 @@
     /// The decision module.
     Module(Box<Scheduler>),
     /// The explorer: every decision that the rules allow is a step of its own. Kept is what they hang on.
-    Any(BTreeMap<ReqId, Known>),
+    Any(BTreeMap<RequestId, Known>),
 }
 
 /// What is known of a request.
@@ -56,17 +56,17 @@
 /// Whether a module that has come to rest is well again once answers are good: after [`HEALS`] of a read for each
 /// cell in every fifth tick, each answered by the next, none is refused and none waits.
 fn recovers(mut module: Scheduler, mut now: Nanos, cells: &[CellId]) -> bool {
-    let (began, mut id) = (now, ReqId::MAX / 2);
+    let (began, mut id) = (now, RequestId::MAX / 2);
     let mut actions = Vec::new();
-    let mut out: Vec<(ReqId, NodeId, Nanos)> = Vec::new();
+    let mut out: Vec<(RequestId, NodeId, Nanos)> = Vec::new();
     for tick in 0..(HEALS + WELL) / TICK {
         now += TICK;
         for (id, node, at) in std::mem::take(&mut out) {
-            let event = Event::Ended {
+            let event = Event::AttemptEnded {
                 id,
                 attempt: 0,
                 node,
-                outcome: Outcome::Done,
+                outcome: Outcome::Served,
                 took: now - at,
                 last: true,
                 seen_use: 0.0,
@@ -86,17 +86,17 @@
                 patience: 120_000_000,
                 units: 2.0,
                 cell: Some(cell),
-                set_size: 1,
+                front_count: 1,
             };
             let before = actions.len();
             module.handle(now, Event::Request(request), &mut actions);
-            let sent = |a: &Action| matches!(a, Action::Place { id: placed, .. } if *placed == id);
+            let sent = |a: &Action| matches!(a, Action::Send { id: placed, .. } if *placed == id);
             if now - began > HEALS && !actions[before..].iter().any(sent) {
                 return false;
             }
         }
         for action in actions.drain(..) {
-            if let Action::Place { id, node, .. } = action {
+            if let Action::Send { id, node, .. } = action {
                 out.push((id, node, now));
             }
         }
@@ -122,14 +122,15 @@
                 Event::Request(request) => {
                     known.insert(request.id, Known { class: request.class, maybe_ran: false });
                 }
-                Event::Gone(id) => {
+                Event::ClientGone(id) => {
                     known.remove(&id);
                 }
-                Event::Ended { id, last: true, .. } => {
+                Event::AttemptEnded { id, last: true, .. } => {
                     known.remove(&id);
                 }
-                Event::Ended { id, outcome, .. } => {
-                    let never = matches!(outcome, Outcome::Busy | Outcome::Refused | Outcome::Skipped);
+                Event::AttemptEnded { id, outcome, .. } => {
+                    let never =
+                        matches!(outcome, Outcome::Rejected | Outcome::NotExecuted | Outcome::NotSent);
                     known.entry(id).and_modify(|k| k.maybe_ran |= !never);
                 }
                 _ => {}
--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -9,10 +9,10 @@
 use std::hash::{Hash, Hasher};
 
 use tulipbridge_core::link::{Attempt, Doubt, Link, Next, OnAttempt, OnLink, Pool, Room};
-use tulipbridge_core::request_tracker::{Desk, Effect, Input, Verdict};
+use tulipbridge_core::request_tracker::{Effect, FinalAnswer, Input, RequestTracker};
 use tulipbridge_core::{
-    Action, CellId, Listed, Nanos, NodeId, NodeInfo, Outcome, ReqId, Request, Scheduler, Scope, Semantics,
-    Settings,
+    Action, CellId, Listed, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, Scheduler, Semantics,
+    Settings, UpdateScope,
 };
 
 use crate::explore::{same, Card, Explored};
@@ -143,7 +143,7 @@
     /// When it was opened, or fell quiet.
     since: Nanos,
     /// The attempt on it.
-    on: Option<(ReqId, u32)>,
+    on: Option<(RequestId, u32)>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -186,11 +186,11 @@
     /// It has not asked.
     Silent,
     /// It waits.
-    Waits { id: ReqId, until: Nanos },
+    Waits { id: RequestId, until: Nanos },
     /// It has its answer.
-    Answered(Verdict),
+    Answered(FinalAnswer),
     /// It left.
-    Left { id: ReqId },
+    Left { id: RequestId },
 }
 
 /// What a node is, by what the front was told.
@@ -209,10 +209,10 @@
     steps: u8,
     troubles: u8,
     news: usize,
-    pub(crate) desk: Desk<Judge>,
+    pub(crate) desk: RequestTracker<Judge>,
     pool: Pool<u32>,
     wires: BTreeMap<u32, Wire>,
-    tries: BTreeMap<(ReqId, u32), Try>,
+    tries: BTreeMap<(RequestId, u32), Try>,
     works: Vec<Work>,
     pub(crate) clients: Vec<Client>,
     /// Runs of each client's request, at all nodes together.
@@ -259,9 +259,9 @@
     /// A node turns a request away.
     TurnedAway(usize),
     /// The front drops an attempt that was given up.
-    Drop(ReqId, u32),
+    Drop(RequestId, u32),
     /// The front ends an attempt that was withdrawn before it began.
-    Withdraw(ReqId, u32),
+    Withdraw(RequestId, u32),
     /// The register's next news arrives.
     News(usize),
     /// The clock moves on.
@@ -271,7 +271,7 @@
     /// A timer of the module is due.
     Timer(u64),
     /// The time of an attempt is over.
-    TimeUp(ReqId, u32),
+    TimeUp(RequestId, u32),
     /// A connection has not come up in time.
     DialTimeUp(u32),
     /// The time of a client, and the slack, are over.
@@ -287,16 +287,16 @@
 impl fmt::Display for DecisionText<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
-            Action::Place { id, node, patience } => {
+            Action::Send { id, node, timeout: patience } => {
                 write!(f, "Place {{ id: {id}, node: {node}, patience: {patience} }}")
             }
             Action::Cancel { id, attempt } => write!(f, "Cancel {{ id: {id}, attempt: {attempt} }}"),
-            Action::Refuse { id, wait } => write!(f, "Refuse {{ id: {id}, wait: {wait} }}"),
+            Action::Reject { id, retry_after: wait } => write!(f, "Refuse {{ id: {id}, wait: {wait} }}"),
             Action::Fail(id) => write!(f, "Fail({id})"),
-            Action::Sleep { after, cookie } => write!(f, "Sleep {{ after: {after}, cookie: {cookie} }}"),
+            Action::SetTimer { after, cookie } => write!(f, "Sleep {{ after: {after}, cookie: {cookie} }}"),
             Action::Subscribe => write!(f, "Subscribe"),
-            Action::Forget(node) => write!(f, "Forget({node})"),
-            Action::Note { text, node } => write!(f, "Note {{ text: {text:?}, node: {node} }}"),
+            Action::ForgetNode(node) => write!(f, "Forget({node})"),
+            Action::Log { text, node } => write!(f, "Note {{ text: {text:?}, node: {node} }}"),
         }
     }
 }
@@ -362,7 +362,7 @@
             steps: 0,
             troubles: 0,
             news: 0,
-            desk: Desk::new(judge),
+            desk: RequestTracker::new(judge),
             pool: Pool::new(self.idle, self.connections),
             wires: BTreeMap::new(),
             tries: BTreeMap::new(),
@@ -377,7 +377,7 @@
             state.pool.add(n);
         }
         let nodes = (0..self.nodes).map(|n| state.info(n)).collect();
-        state.feed(self, Input::Fleet { scope: Scope::Restored, nodes });
+        state.feed(self, Input::Endpoints { scope: UpdateScope::Restored, nodes });
         state
     }
 
@@ -522,33 +522,36 @@
         for (node, told) in state.nodes.iter().enumerate() {
             let used = state.tries.values().any(|t| t.node == node);
             if told.listed == Listed::Removed && !told.forgotten && !used {
-                steps.push(Step::Decide(Action::Forget(node)));
+                steps.push(Step::Decide(Action::ForgetNode(node)));
             }
         }
-        for (&id, held) in state.desk.held() {
+        for (&id, held) in state.desk.requests() {
             let Some(about) = known.get(&id) else { continue };
             let class = &self.settings.classes[about.class];
             let once = class.semantics == Semantics::AtMostOnce;
-            let doubt = about.maybe_ran || !held.out.is_empty();
-            for out in held.out.iter().filter(|o| !o.stopped) {
+            let doubt = about.maybe_ran || !held.in_flight.is_empty();
+            for out in held.in_flight.iter().filter(|o| !o.cancelled) {
                 steps.push(Step::Decide(Action::Cancel { id, attempt: out.attempt }));
             }
-            if held.settled {
+            if held.answered {
                 // Who decides may be late; the desk must send nothing for what is answered.
-                if held.tries < self.settings.most_tries {
-                    steps.push(Step::Decide(Action::Place { id, node: 0, patience: 0 }));
+                if held.attempts_started < self.settings.max_attempts {
+                    steps.push(Step::Decide(Action::Send { id, node: 0, timeout: 0 }));
                 }
                 continue;
             }
-            if held.out.is_empty() && held.tries < self.settings.most_tries && !(once && about.maybe_ran) {
+            if held.in_flight.is_empty()
+                && held.attempts_started < self.settings.max_attempts
+                && !(once && about.maybe_ran)
+            {
                 for (node, told) in state.nodes.iter().enumerate() {
                     if told.listed == Listed::Up {
-                        steps.push(Step::Decide(Action::Place { id, node, patience: 0 }));
+                        steps.push(Step::Decide(Action::Send { id, node, timeout: 0 }));
                     }
                 }
             }
             if !once || !doubt {
-                steps.push(Step::Decide(Action::Refuse { id, wait: 50 * MS }));
+                steps.push(Step::Decide(Action::Reject { id, retry_after: 50 * MS }));
             }
             steps.push(Step::Decide(Action::Fail(id)));
         }
@@ -560,7 +563,7 @@
     }
 
     /// The request of a client.
-    fn request(&self, client: usize, id: ReqId) -> Request {
+    fn request(&self, client: usize, id: RequestId) -> Request {
         let Ask { class, cell, patience } = self.asks[client];
         Request {
             id,
@@ -571,7 +574,7 @@
             patience,
             units: 2.0,
             cell,
-            set_size: 1,
+            front_count: 1,
         }
     }
 }
@@ -579,7 +582,13 @@
 impl State {
     fn info(&self, node: NodeId) -> NodeInfo {
         let told = &self.nodes[node];
-        NodeInfo { node, zone: node as u32 % 2, cell: told.cell, listed: told.listed, came_up: told.came_up }
+        NodeInfo {
+            node,
+            zone: node as u32 % 2,
+            cell: told.cell,
+            listed: told.listed,
+            started_at: told.came_up,
+        }
     }
 
     fn feed(&mut self, world: &World, input: Input) {
@@ -591,16 +600,16 @@
     fn take(&mut self, world: &World, step: &Step) {
         match *step {
             Step::Ask(c) => {
-                let id = self.desk.number();
+                let id = self.desk.allocate_id();
                 self.clients[c] = Client::Waits { id, until: self.now + world.asks[c].patience };
                 let request = world.request(c, id);
-                self.feed(world, Input::Asked(request));
+                self.feed(world, Input::RequestReceived(request));
             }
             Step::Leave(c) => {
                 self.troubles += 1;
                 let Client::Waits { id, .. } = self.clients[c] else { return };
                 self.clients[c] = Client::Left { id };
-                self.feed(world, Input::Left(id));
+                self.feed(world, Input::ClientGone(id));
             }
             Step::Overdue(c) => {
                 let Client::Waits { id, .. } = self.clients[c] else { return };
@@ -649,7 +658,7 @@
             Step::Stops(i) => {
                 self.works.remove(i);
             }
-            Step::Answer(i) => self.answered(world, i, Some(Outcome::Done)),
+            Step::Answer(i) => self.answered(world, i, Some(Outcome::Served)),
             Step::Spoilt(i) => {
                 self.troubles += 1;
                 self.answered(world, i, None);
@@ -660,22 +669,22 @@
             }
             Step::TurnedAway(i) => {
                 self.troubles += 1;
-                self.answered(world, i, Some(Outcome::Busy));
+                self.answered(world, i, Some(Outcome::Rejected));
             }
             Step::Drop(id, attempt) => {
                 self.dropped((id, attempt));
-                self.feed(world, Input::Stopped { id, attempt });
+                self.feed(world, Input::AttemptCancelled { id, attempt });
             }
             Step::Withdraw(id, attempt) => {
                 let key = (id, attempt);
                 let Some(t) = self.tries.get_mut(&key) else { return };
                 let (wire, outcome) = (t.wire.take(), t.withdrawn);
                 wire.into_iter().for_each(|wire| self.close(wire));
-                self.drive(world, key, OnAttempt::Withdrawn(outcome.unwrap_or(Outcome::Skipped)));
+                self.drive(world, key, OnAttempt::Withdrawn(outcome.unwrap_or(Outcome::NotSent)));
             }
             Step::TimeUp(id, attempt) => {
                 self.dropped((id, attempt));
-                self.feed(world, Input::TimeUp { id, attempt });
+                self.feed(world, Input::AttemptTimedOut { id, attempt });
             }
             Step::News(n) => {
                 self.news += 1;
@@ -696,7 +705,7 @@
             }
             Step::Decide(ref action) => {
                 let mut effects = Vec::new();
-                self.desk.act(self.now, action.clone(), &mut effects);
+                self.desk.apply_decision(self.now, action.clone(), &mut effects);
                 self.carry_out(world, effects, None);
             }
         }
@@ -706,7 +715,7 @@
     fn carry_out(&mut self, world: &World, effects: Vec<Effect>, brought: Option<Option<usize>>) {
         for effect in effects {
             match effect {
-                Effect::Send { id, attempt, node, until, .. } => {
+                Effect::Send { id, attempt, node, deadline: until, .. } => {
                     self.check_send(world, id, node);
                     let time =
                         |c: &Client| matches!(c, Client::Waits { id: i, until: t } if *i == id && *t < until);
@@ -723,19 +732,19 @@
                     self.tries.insert((id, attempt), fresh);
                     self.step_on(world, (id, attempt), Next::Choose);
                 }
-                Effect::Stop { id, attempt } => {
+                Effect::Cancel { id, attempt } => {
                     self.tries.entry((id, attempt)).and_modify(|t| t.stopped = true);
                 }
                 Effect::Withdraw { id, attempt, outcome } => {
                     self.tries.entry((id, attempt)).and_modify(|t| t.withdrawn = Some(outcome));
                 }
-                Effect::Answer { id, verdict } => self.answer(world, id, verdict, brought),
-                Effect::Release(_) | Effect::Note { .. } | Effect::Subscribe => {}
-                Effect::Sleep { after, cookie } => {
+                Effect::Answer { id, answer: verdict } => self.answer(world, id, verdict, brought),
+                Effect::Release(_) | Effect::Log { .. } | Effect::Subscribe => {}
+                Effect::SetTimer { after, cookie } => {
                     self.timers.retain(|(_, c)| *c != cookie);
                     self.timers.push((self.now + after, cookie));
                 }
-                Effect::Forget(node) => {
+                Effect::ForgetNode(node) => {
                     let used = self.tries.values().any(|t| t.node == node);
                     self.broken.node_forgotten_in_use |= used;
                     self.nodes[node].forgotten = true;
@@ -747,19 +756,19 @@
         }
     }
 
-    fn check_send(&mut self, world: &World, id: ReqId, node: NodeId) {
+    fn check_send(&mut self, world: &World, id: RequestId, node: NodeId) {
         let told = &self.nodes[node];
         self.broken.work_to_leaving_node |= told.listed != Listed::Up;
         self.broken.node_forgotten_in_use |= told.forgotten;
-        let held = self.desk.held().get(&id);
-        let (tries, out) = held.map_or((0, 0), |h| (h.tries, h.out.len()));
-        let copies = if world.settings.second_copies { 2 } else { 1 };
-        self.broken.too_many_attempts |= tries > world.settings.most_tries || out > copies;
+        let held = self.desk.requests().get(&id);
+        let (tries, out) = held.map_or((0, 0), |h| (h.attempts_started, h.in_flight.len()));
+        let copies = if world.settings.hedging { 2 } else { 1 };
+        self.broken.too_many_attempts |= tries > world.settings.max_attempts || out > copies;
         let waits = self.clients.iter().any(|c| matches!(c, Client::Waits { id: i, .. } if *i == id));
         self.broken.sent_for_nobody |= !waits;
     }
 
-    fn answer(&mut self, world: &World, id: ReqId, verdict: Verdict, brought: Option<Option<usize>>) {
+    fn answer(&mut self, world: &World, id: RequestId, verdict: FinalAnswer, brought: Option<Option<usize>>) {
         let about = |c: &Client| match c {
             Client::Waits { id: i, .. } | Client::Left { id: i } => *i == id,
             _ => false,
@@ -772,11 +781,11 @@
             self.broken.answer_after_leaving = true;
             return;
         }
-        if verdict == Verdict::Served {
+        if verdict == FinalAnswer::Served {
             self.broken.foreign_answer |= brought != Some(Some(c));
         }
         let once = world.settings.classes[world.asks[c].class].semantics == Semantics::AtMostOnce;
-        if once && matches!(verdict, Verdict::Refused(_)) {
+        if once && matches!(verdict, FinalAnswer::Rejected(_)) {
             let may_run = self.works.iter().any(|w| w.client == c && !w.ran);
             let writing = self.wires.values().any(|w| w.on.is_some_and(|(i, _)| i == id));
             self.broken.harmful_refusal |= self.runs[c] > 0 || may_run || writing;
@@ -785,13 +794,13 @@
     }
 
     /// An attempt takes what has happened, as the upstream does.
-    fn drive(&mut self, world: &World, key: (ReqId, u32), event: OnAttempt) {
+    fn drive(&mut self, world: &World, key: (RequestId, u32), event: OnAttempt) {
         let Some(t) = self.tries.get_mut(&key) else { return };
         let next = t.machine.on(event);
         self.step_on(world, key, next);
     }
 
-    fn step_on(&mut self, world: &World, key: (ReqId, u32), mut next: Next) {
+    fn step_on(&mut self, world: &World, key: (RequestId, u32), mut next: Next) {
         loop {
             let Some(t) = self.tries.get_mut(&key) else { return };
             next = match next {
@@ -849,14 +858,14 @@
                     self.broken.doubt_is_wrong |= outcome == Outcome::Reset && !touched;
                     let (id, attempt) = key;
                     let (seen_use, foreign_units) = (0.0, 0.0);
-                    self.feed(world, Input::Ended { id, attempt, outcome, seen_use, foreign_units });
+                    self.feed(world, Input::AttemptEnded { id, attempt, outcome, seen_use, foreign_units });
                     return;
                 }
             };
         }
     }
 
-    fn room(&mut self, key: (ReqId, u32)) -> bool {
+    fn room(&mut self, key: (RequestId, u32)) -> bool {
         let Some(t) = self.tries.get(&key) else { return false };
         if self.pool.place(t.node).is_none() {
             return false;
@@ -891,7 +900,7 @@
     }
 
     /// An attempt is dropped with what it holds.
-    fn dropped(&mut self, key: (ReqId, u32)) {
+    fn dropped(&mut self, key: (RequestId, u32)) {
         if let Some(wire) = self.tries.remove(&key).and_then(|t| t.wire) {
             self.close(wire);
         }
@@ -901,7 +910,7 @@
     fn write(&mut self, world: &World, conn: u32, last: bool) {
         let Some(wire) = self.wires.get_mut(&conn) else { return };
         let on = wire.on.and_then(|key| self.tries.get(&key));
-        let withdrawn = on.and_then(|t| t.withdrawn.or(t.stopped.then_some(Outcome::Canceled)));
+        let withdrawn = on.and_then(|t| t.withdrawn.or(t.stopped.then_some(Outcome::Cancelled)));
         if !wire.machine.may_write(wire.unasked, withdrawn.is_some()) {
             let (doubt, sent) = (wire.machine.doubt(), wire.sent);
             self.doubted(doubt, sent);
@@ -931,7 +940,7 @@
     }
 
     /// Which client has asked the request of this number: numbers are given in the order of asking.
-    fn client_of(&self, id: ReqId) -> Option<usize> {
+    fn client_of(&self, id: RequestId) -> Option<usize> {
         usize::try_from(id).ok().filter(|c| *c < self.clients.len())
     }
 
@@ -976,7 +985,7 @@
         let (node, place) = (wire.node, wire.place);
         // What lies on the socket is looked for where the connection is taken again.
         let quiet = wire.machine == Link::Quiet;
-        let outcome = answer.map_or(Outcome::Done, |(_, outcome)| outcome);
+        let outcome = answer.map_or(Outcome::Served, |(_, outcome)| outcome);
         if let Some(t) = self.tries.get_mut(&key) {
             t.machine.on(OnAttempt::Answered(outcome));
         }
@@ -987,7 +996,11 @@
         let (id, attempt) = key;
         let mut effects = Vec::new();
         let (seen_use, foreign_units) = (0.0, 0.0);
-        self.desk.on(self.now, Input::Ended { id, attempt, outcome, seen_use, foreign_units }, &mut effects);
+        self.desk.on(
+            self.now,
+            Input::AttemptEnded { id, attempt, outcome, seen_use, foreign_units },
+            &mut effects,
+        );
         self.carry_out(world, effects, Some(answer.map(|(client, _)| client)));
     }
 
@@ -995,16 +1008,16 @@
         let now = self.now;
         let (scope, node) = match news {
             News::Lost => {
-                self.feed(world, Input::Fleet { scope: Scope::Unavailable, nodes: Vec::new() });
+                self.feed(world, Input::Endpoints { scope: UpdateScope::Unavailable, nodes: Vec::new() });
                 return;
             }
             News::Drains(node) => {
                 self.nodes[node].listed = Listed::Draining;
-                (Scope::Update, node)
+                (UpdateScope::Update, node)
             }
             News::Gone(node) => {
                 self.nodes[node].listed = Listed::Removed;
-                (Scope::Update, node)
+                (UpdateScope::Update, node)
             }
             News::TakesOver(node, cell) => {
                 let fresh = Told { listed: Listed::Up, cell, came_up: now, forgotten: false };
@@ -1014,7 +1027,7 @@
                     self.nodes[node] = fresh;
                 }
                 self.pool.add(node);
-                (Scope::Update, node)
+                (UpdateScope::Update, node)
             }
             News::Moves(node) => {
                 for (conn, _) in self.pool.moved(node) {
@@ -1024,7 +1037,7 @@
             }
         };
         let nodes = vec![self.info(node)];
-        self.feed(world, Input::Fleet { scope, nodes });
+        self.feed(world, Input::Endpoints { scope, nodes });
     }
 
     /// What can be seen of a state, whatever led to it.
@@ -1032,21 +1045,22 @@
         for (c, runs) in self.runs.iter().enumerate() {
             let class = &world.settings.classes[world.asks[c].class];
             self.broken.submit_ran_twice |= class.semantics == Semantics::AtMostOnce && *runs > 1;
-            let refused = matches!(self.clients[c], Client::Answered(Verdict::Refused(_)));
+            let refused = matches!(self.clients[c], Client::Answered(FinalAnswer::Rejected(_)));
             self.broken.harmful_refusal |= class.semantics == Semantics::AtMostOnce && *runs > 0 && refused;
         }
         // A step of the clock is how late a timer may be.
         let late = OVERDUE + world.step.max(STILL);
         let waits = |c: &Client| matches!(c, Client::Waits { until, .. } if self.now > until + late);
         self.broken.not_answered |= self.clients.iter().any(waits);
-        let out = self.desk.held().iter().flat_map(|(id, h)| h.out.iter().map(|o| (*id, o.attempt)));
+        let out =
+            self.desk.requests().iter().flat_map(|(id, h)| h.in_flight.iter().map(|o| (*id, o.attempt)));
         self.broken.attempt_unknown |= !out.eq(self.tries.keys().copied());
         self.broken.node_forgotten_in_use |= self.pool.quiet().any(|(n, _)| self.nodes[n].forgotten);
         let waits = |c: &Client| matches!(c, Client::Waits { .. });
         if !self.clients.iter().any(waits) && self.tries.is_empty() {
             let held = self.wires.values().any(|w| w.on.is_some());
             let stray = self.pool.quiet().count() != self.wires.len();
-            self.broken.left_at_rest |= held || stray || !self.desk.held().is_empty();
+            self.broken.left_at_rest |= held || stray || !self.desk.requests().is_empty();
             self.broken.left_at_rest |= !self.desk.decisions().is_at_rest();
             // Asked once of each history, where nothing more will come of clients.
             if world.heals && !self.clients.contains(&Client::Silent) && !self.broken.any() {
@@ -1065,7 +1079,7 @@
     /// Whether a request is waiting, or anything is out.
     fn is_busy(&self) -> bool {
         let waits = |c: &Client| matches!(c, Client::Waits { .. });
-        self.clients.iter().any(waits) || !self.tries.is_empty() || !self.desk.held().is_empty()
+        self.clients.iter().any(waits) || !self.tries.is_empty() || !self.desk.requests().is_empty()
     }
 }
 
@@ -1080,10 +1094,10 @@
     fn hash<H: Hasher>(&self, h: &mut H) {
         let ago = |t: Nanos| self.now - t;
         (self.steps, self.troubles, self.news, self.broken).hash(h);
-        for (id, held) in self.desk.held() {
-            (id, ago(held.until), held.settled, held.tries).hash(h);
-            for out in &held.out {
-                (out.attempt, out.node, ago(out.at), out.stopped).hash(h);
+        for (id, held) in self.desk.requests() {
+            (id, ago(held.deadline), held.answered, held.attempts_started).hash(h);
+            for out in &held.in_flight {
+                (out.attempt, out.node, ago(out.sent_at), out.cancelled).hash(h);
             }
         }
         self.desk.decisions().fingerprint(self.now, h);
@@ -1101,7 +1115,7 @@
         for client in &self.clients {
             match client {
                 Client::Waits { id, until } => (1, id, ago(*until)).hash(h),
-                Client::Answered(Verdict::Refused(_)) => 2.hash(h),
+                Client::Answered(FinalAnswer::Rejected(_)) => 2.hash(h),
                 other => other.hash(h),
             }
         }
--- a/crates/model-checker/tests/golden.rs
+++ b/crates/model-checker/tests/golden.rs
@@ -83,14 +83,14 @@
 /// One decision of every kind.
 fn every_action() -> Vec<Action> {
     vec![
-        Action::Place { id: 1, node: 2, patience: 3 },
+        Action::Send { id: 1, node: 2, timeout: 3 },
         Action::Cancel { id: 1, attempt: 2 },
-        Action::Refuse { id: 1, wait: 2 },
+        Action::Reject { id: 1, retry_after: 2 },
         Action::Fail(1),
-        Action::Sleep { after: 1, cookie: 2 },
+        Action::SetTimer { after: 1, cookie: 2 },
         Action::Subscribe,
-        Action::Forget(1),
-        Action::Note { text: "a text", node: 1 },
+        Action::ForgetNode(1),
+        Action::Log { text: "a text", node: 1 },
     ]
 }
 
--- a/src/bin/tulipbridge-adapter/wire.rs
+++ b/src/bin/tulipbridge-adapter/wire.rs
@@ -28,9 +28,9 @@
     zones: Vec<String>,
     nodes: Vec<String>,
     node_ids: HashMap<String, NodeId>,
-    request_ids: HashMap<String, ReqId>,
-    live: HashMap<ReqId, Live>,
-    next: ReqId,
+    request_ids: HashMap<String, RequestId>,
+    live: HashMap<RequestId, Live>,
+    next: RequestId,
 }
 
 impl Link {
@@ -103,9 +103,9 @@
             "Knock" => Some(Event::Request(self.request(row)?)),
             "Dropped" => self.request_ids.get(text(row.get(2), "Ref")?).copied().map(|id| {
                 self.finish(id);
-                Event::Gone(id)
+                Event::ClientGone(id)
             }),
-            "First" => self.request_ids.get(text(row.get(2), "Ref")?).copied().map(Event::First),
+            "First" => self.request_ids.get(text(row.get(2), "Ref")?).copied().map(Event::ResponseStarted),
             "Result" => self.result(row)?,
             "TimeoutFired" => Some(Event::Timer(int(row.get(2), "Cookie")? as u64)),
             _ => None,
@@ -114,10 +114,10 @@
 
     fn fleet(&mut self, row: &[Value]) -> Res<Event> {
         let scope = match text(row.get(2), "Scope")? {
-            "update" => Scope::Update,
-            "replace" => Scope::Replace,
-            "restored" => Scope::Restored,
-            "unavailable" => Scope::Unavailable,
+            "update" => UpdateScope::Update,
+            "replace" => UpdateScope::Replace,
+            "restored" => UpdateScope::Restored,
+            "unavailable" => UpdateScope::Unavailable,
             other => return Err(format!("'Scope' {other} is not known")),
         };
         let empty = Vec::new();
@@ -127,7 +127,7 @@
             Some(v) => v.as_array().ok_or("'MembersList' must be an array")?,
         };
         let nodes = entries.iter().map(|e| self.entry(e)).collect::<Res<Vec<_>>>()?;
-        Ok(Event::Fleet { scope, nodes })
+        Ok(Event::Endpoints { scope, nodes })
     }
 
     fn entry(&mut self, entry: &Value) -> Res<NodeInfo> {
@@ -152,7 +152,7 @@
         let cell = int(row.get(3), "Cell")?;
         let cell = CellId::try_from(cell).map_err(|_| "'Cell' is out of range")?;
         let came_up = row.get(6).filter(|v| !v.is_null()).map_or(Ok(0), |v| int(Some(v), "CameUp"))?;
-        Ok(NodeInfo { node, zone: zone as u32, cell, listed, came_up })
+        Ok(NodeInfo { node, zone: zone as u32, cell, listed, started_at: came_up })
     }
 
     fn request(&mut self, row: &[Value]) -> Res<Request> {
@@ -169,7 +169,7 @@
             patience: int(row.get(6), "PatienceLeft")?,
             units: opt_num(row.get(8), "Weight")?,
             cell: CellId::try_from(lies_in).ok(),
-            set_size: opt_num(row.get(10), "SetSize")? as u32,
+            front_count: opt_num(row.get(10), "SetSize")? as u32,
         };
         self.request_ids.insert(name.to_owned(), self.next);
         self.live.insert(self.next, Live { name: name.to_owned(), out: 0, finished: false });
@@ -181,14 +181,14 @@
         let name = text(row.get(2), "Ref")?;
         let node = text(row.get(4), "Target")?;
         let outcome = match text(row.get(5), "Disposition")? {
-            "done" => Outcome::Done,
+            "done" => Outcome::Served,
             "err" => Outcome::Error,
-            "busy" => Outcome::Busy,
+            "busy" => Outcome::Rejected,
             "etimedout" => Outcome::TimedOut,
-            "econnrefused" => Outcome::Refused,
+            "econnrefused" => Outcome::NotExecuted,
             "econnreset" => Outcome::Reset,
-            "ecanceled" => Outcome::Canceled,
-            "skipped" => Outcome::Skipped,
+            "ecanceled" => Outcome::Cancelled,
+            "skipped" => Outcome::NotSent,
             other => return Err(format!("'Disposition' {other} is not known")),
         };
         let attempt = int(row.get(3), "SendNo")? as u32;
@@ -204,17 +204,17 @@
             live.finished |= last;
         }
         self.forget(id);
-        Ok(Some(Event::Ended { id, attempt, node, outcome, took, last, seen_use, foreign_units }))
+        Ok(Some(Event::AttemptEnded { id, attempt, node, outcome, took, last, seen_use, foreign_units }))
     }
 
-    fn finish(&mut self, id: ReqId) {
+    fn finish(&mut self, id: RequestId) {
         if let Some(live) = self.live.get_mut(&id) {
             live.finished = true;
         }
         self.forget(id);
     }
 
-    fn forget(&mut self, id: ReqId) {
+    fn forget(&mut self, id: RequestId) {
         if self.live.get(&id).is_some_and(|l| l.finished && l.out == 0) {
             if let Some(live) = self.live.remove(&id) {
                 self.request_ids.remove(&live.name);
@@ -224,7 +224,7 @@
 
     fn write(&mut self, index: i64, action: Action) -> Option<Value> {
         Some(match action {
-            Action::Place { id, node, patience } => {
+            Action::Send { id, node, timeout: patience } => {
                 let live = self.live.get_mut(&id);
                 let name = live.map(|l| {
                     l.out += 1;
@@ -232,7 +232,7 @@
                 });
                 json!(["Place", index, name, patience, self.nodes.get(node)])
             }
-            Action::Refuse { id, wait } => {
+            Action::Reject { id, retry_after: wait } => {
                 let name = self.live.get(&id).map(|l| l.name.clone());
                 self.finish(id);
                 json!(["SayNo", index, name, wait])
@@ -246,14 +246,14 @@
                 let name = self.live.get(&id).map(|l| l.name.clone());
                 json!(["StopAttempt", index, name, attempt])
             }
-            Action::Sleep { after, cookie } => json!(["Sleep", index, after, cookie]),
+            Action::SetTimer { after, cookie } => json!(["Sleep", index, after, cookie]),
             Action::Subscribe => json!(["KeepInformed", index, true]),
-            Action::Note { text, node } => {
+            Action::Log { text, node } => {
                 let target = self.nodes.get(node).map_or("", String::as_str);
                 json!(["NoteDown", index, format!("{text} {target}")])
             }
             // A name keeps its number here, as the wire may name it again.
-            Action::Forget(_) => return None,
+            Action::ForgetNode(_) => return None,
         })
     }
 }
--- a/src/cluster/ejections.rs
+++ b/src/cluster/ejections.rs
@@ -9,7 +9,9 @@
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue as Value};
 use tulipbridge_core::request_tracker::Input;
-use tulipbridge_core::{Classes, Listed, Nanos, NodeId, NodeInfo, Outcome, ReqId, Scope as News, Told};
+use tulipbridge_core::{
+    ClassSet, FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, RequestId, UpdateScope as News,
+};
 use tulipbridge_membership::{Entries, Key, Place, Seal};
 use tulipbridge_outlier_detection::{
     Class, Effect, Event, How, Reason, Saw, Scope, Server, Subject, Terms, TermsError, Verdicts, Watch,
@@ -144,7 +146,7 @@
     /// Entries of this front's.
     pub puts: Vec<(Key, Option<Vec<u8>>)>,
     /// What the module is to be told.
-    pub told: Vec<Told>,
+    pub told: Vec<FleetUpdate>,
 }
 
 /// This front's part in verdicts.
@@ -153,7 +155,7 @@
     watch: Watch,
     nodes: BTreeMap<NodeId, Member>,
     /// For what the module was told that nodes are out.
-    told: BTreeMap<NodeId, Classes>,
+    told: BTreeMap<NodeId, ClassSet>,
     /// What attempts have said since the last look.
     seen: Vec<Event>,
     listed: bool,
@@ -228,14 +230,14 @@
                 continue;
             }
             let name = name(info.node);
-            let server = Seal::digest(&format!("{name}|{}", info.came_up));
+            let server = Seal::digest(&format!("{name}|{}", info.started_at));
             self.nodes.insert(info.node, Member { server, name, up: info.listed == Listed::Up });
         }
         self.listed = true;
     }
 
     /// An attempt went out.
-    pub fn sent(&mut self, now: Nanos, key: (ReqId, u32), node: NodeId, class: usize, repeatable: bool) {
+    pub fn sent(&mut self, now: Nanos, key: (RequestId, u32), node: NodeId, class: usize, repeatable: bool) {
         if let (Some(member), Ok(class)) = (self.nodes.get(&node), Class::try_from(class)) {
             self.watch.sent(now, key, member.server, class, repeatable);
         }
@@ -244,16 +246,18 @@
     /// What an input says of an attempt.
     fn ended(&mut self, now: Nanos, input: &Input) -> Option<Event> {
         let (key, how) = match input {
-            Input::Ended { id, attempt, outcome, .. } => {
+            Input::AttemptEnded { id, attempt, outcome, .. } => {
                 let how = match outcome {
-                    Outcome::Done => How::Answered,
-                    Outcome::Error | Outcome::Refused | Outcome::Reset => How::Failed,
-                    Outcome::Busy => How::TurnedAway,
-                    Outcome::TimedOut | Outcome::Canceled | Outcome::Skipped => How::GivenUp,
+                    Outcome::Served => How::Answered,
+                    Outcome::Error | Outcome::NotExecuted | Outcome::Reset => How::Failed,
+                    Outcome::Rejected => How::TurnedAway,
+                    Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => How::GivenUp,
                 };
                 ((*id, *attempt), how)
             }
-            Input::TimeUp { id, attempt } | Input::Stopped { id, attempt } => ((*id, *attempt), How::GivenUp),
+            Input::AttemptTimedOut { id, attempt } | Input::AttemptCancelled { id, attempt } => {
+                ((*id, *attempt), How::GivenUp)
+            }
             _ => return None,
         };
         self.watch.ended(now, key, how)
@@ -294,7 +298,7 @@
                 self.watch.try_next(server, now + turn);
                 let until = module_now + turn;
                 let nodes = self.nodes.iter().filter(|(_, m)| m.server == server);
-                done.told.extend(nodes.map(|(node, _)| Told::Trial { node: *node, until }));
+                done.told.extend(nodes.map(|(node, _)| FleetUpdate::Probe { node: *node, until }));
             }
             Effect::Suspect(suspect) => {
                 self.counts.suspect.set(i64::from(suspect));
@@ -308,11 +312,11 @@
 
     /// For what each node is out by now, where that has changed.
     fn tell(&mut self, done: &mut Done) {
-        let mut out: BTreeMap<Server, Classes> = BTreeMap::new();
+        let mut out: BTreeMap<Server, ClassSet> = BTreeMap::new();
         for Subject { server, scope } in self.machine.out() {
             let held = out.entry(server).or_default();
             *held = match scope {
-                Scope::All | Scope::Zone(_) => Classes::ALL,
+                Scope::All | Scope::Zone(_) => ClassSet::ALL,
                 Scope::Class(class) => held.with(usize::from(class)),
             };
         }
@@ -320,7 +324,7 @@
         for (node, member) in &self.nodes {
             let now = of(member);
             if self.told.insert(*node, now).unwrap_or_default() != now {
-                done.told.push(Told::Standing { node: *node, out: now });
+                done.told.push(FleetUpdate::Ejection { node: *node, classes: now });
             }
         }
         let nodes = &self.nodes;
--- a/src/cluster/limits.rs
+++ b/src/cluster/limits.rs
@@ -6,7 +6,7 @@
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
 use tulipbridge_core::request_tracker::Input;
-use tulipbridge_core::{Limited, Outcome, Settings, VolId};
+use tulipbridge_core::{Outcome, Settings, SharedLimit, VolumeId};
 use tulipbridge_fleet_limits::{Limit, Part, WHOLE};
 
 use crate::config::settings::{num, Res};
@@ -93,24 +93,24 @@
     pub fn asked(&self, input: &Input) -> Vec<(Limit, f64)> {
         let (further, servers) = (self.further.is_some(), self.starting.is_some() || self.out.is_some());
         let failed = match input {
-            Input::Asked(r) => {
+            Input::RequestReceived(r) => {
                 let servers = servers.then_some((Limit::Servers, r.units));
                 return servers.into_iter().chain(further.then_some((Limit::Further, AHEAD))).collect();
             }
-            Input::Ended { outcome, .. } => *outcome != Outcome::Done,
-            Input::TimeUp { .. } => true,
+            Input::AttemptEnded { outcome, .. } => *outcome != Outcome::Served,
+            Input::AttemptTimedOut { .. } => true,
             _ => false,
         };
         (failed && further).then_some((Limit::Further, 1.0)).into_iter().collect()
     }
 
     /// What a part of a limit comes to.
-    fn tell(&self, limit: Limit, part: Part, set: &Settings) -> Vec<(Limited, Figures)> {
-        let further = self.further.map(|f| (Limited::Further, part_of(f, part, 1.0)));
-        let starting = self.starting.map(|s| (Limited::Starting, part_of(s, part, set.most_units)));
+    fn tell(&self, limit: Limit, part: Part, set: &Settings) -> Vec<(SharedLimit, Figures)> {
+        let further = self.further.map(|f| (SharedLimit::Retries, part_of(f, part, 1.0)));
+        let starting = self.starting.map(|s| (SharedLimit::WarmingUpNode, part_of(s, part, set.max_units)));
         let out = self.out.map(|most| {
             let whole = Figures { rate: most, burst: 0.0 };
-            (Limited::Out, Figures { burst: 0.0, ..part_of(whole, part, 0.0) })
+            (SharedLimit::InFlightPerNode, Figures { burst: 0.0, ..part_of(whole, part, 0.0) })
         });
         match limit {
             Limit::Further => further.into_iter().collect(),
@@ -123,7 +123,7 @@
 /// What this front may use of each limit, with the plan that each volume last came with.
 #[derive(Default)]
 pub struct Shares {
-    volumes: HashMap<VolId, (usize, Part)>,
+    volumes: HashMap<VolumeId, (usize, Part)>,
     stated: Stated,
     parts: HashMap<Limit, Part>,
 }
@@ -131,7 +131,7 @@
 impl Shares {
     /// Takes what the operators' file states; gives what the module is told of it now: nothing of a limit, until there
     /// is a part.
-    pub fn state(&mut self, stated: Stated, set: &Settings) -> Vec<(Limited, Figures)> {
+    pub fn state(&mut self, stated: Stated, set: &Settings) -> Vec<(SharedLimit, Figures)> {
         self.stated = stated;
         let part = |limit| self.parts.get(&limit).copied().unwrap_or(0);
         stated.limits().flat_map(|(limit, _)| stated.tell(limit, part(limit), set)).collect()
@@ -149,7 +149,7 @@
 
     /// A volume is asked for under a plan. Gives its limit anew where the plan is another than before: a file taken
     /// at SIGHUP may have changed its figures.
-    pub fn asked(&mut self, volume: VolId, plan: usize, set: &Settings) -> Option<(Limited, Figures)> {
+    pub fn asked(&mut self, volume: VolumeId, plan: usize, set: &Settings) -> Option<(SharedLimit, Figures)> {
         let (held, part) = self.volumes.entry(volume).or_insert((plan, 0));
         let other = std::mem::replace(held, plan) != plan;
         let part = *part;
@@ -157,7 +157,7 @@
     }
 
     /// So much of a limit is this front's.
-    pub fn tell(&mut self, limit: Limit, part: Part, set: &Settings) -> Vec<(Limited, Figures)> {
+    pub fn tell(&mut self, limit: Limit, part: Part, set: &Settings) -> Vec<(SharedLimit, Figures)> {
         let Limit::Volume(volume) = limit else {
             self.parts.insert(limit, part);
             return self.stated.tell(limit, part, set);
@@ -168,20 +168,20 @@
     }
 
     /// Nobody asks for a limit any more: nothing of it is this front's.
-    pub fn forget(&mut self, limit: Limit, set: &Settings) -> Vec<(Limited, Figures)> {
+    pub fn forget(&mut self, limit: Limit, set: &Settings) -> Vec<(SharedLimit, Figures)> {
         match limit {
             Limit::Volume(volume) => {
                 self.volumes.remove(&volume);
-                vec![(Limited::Volume(volume), Figures::default())]
+                vec![(SharedLimit::Volume(volume), Figures::default())]
             }
             _ => self.tell(limit, 0, set),
         }
     }
 
-    fn of_plan(volume: VolId, plan: usize, part: Part, set: &Settings) -> Option<(Limited, Figures)> {
+    fn of_plan(volume: VolumeId, plan: usize, part: Part, set: &Settings) -> Option<(SharedLimit, Figures)> {
         let plan = set.plans.get(plan)?;
         let whole = Figures { rate: plan.limit_rate, burst: plan.limit_burst };
-        Some((Limited::Volume(volume), part_of(whole, part, set.most_units)))
+        Some((SharedLimit::Volume(volume), part_of(whole, part, set.max_units)))
     }
 }
 
@@ -207,7 +207,7 @@
         faster.limit_rate *= 3.0;
         set.plans.push(faster);
         let mut shares = Shares::default();
-        let of = |rate, burst| (Limited::Volume(7), Figures { rate, burst });
+        let of = |rate, burst| (SharedLimit::Volume(7), Figures { rate, burst });
         assert_eq!(shares.tell(Limit::Volume(7), WHOLE, &set), [], "nobody asks for it");
         assert_eq!(shares.asked(7, 0, &set), None);
         assert_eq!(shares.tell(Limit::Volume(7), WHOLE / 4, &set), [of(10.0, 6.0)]);
@@ -227,12 +227,15 @@
         assert!(told.iter().all(|(_, f)| *f == Figures::default()), "{told:?}");
         let told = shares.tell(Limit::Servers, WHOLE / 4, &set);
         let of = |of, rate, burst| (of, Figures { rate, burst });
-        assert_eq!(told, [of(Limited::Starting, 7.5, 10.0), of(Limited::Out, 16.0, 0.0)]);
-        assert_eq!(shares.tell(Limit::Further, WHOLE / 100, &set), [of(Limited::Further, 0.2, 1.0)]);
+        assert_eq!(
+            told,
+            [of(SharedLimit::WarmingUpNode, 7.5, 10.0), of(SharedLimit::InFlightPerNode, 16.0, 0.0)]
+        );
+        assert_eq!(shares.tell(Limit::Further, WHOLE / 100, &set), [of(SharedLimit::Retries, 0.2, 1.0)]);
         // New figures hold for the part that is held.
         let told = shares.state(stated(&ALL.replace("64", "32")).expect("it holds"), &set);
-        assert!(told.contains(&of(Limited::Out, 8.0, 0.0)), "{told:?}");
-        assert_eq!(shares.forget(Limit::Further, &set), [of(Limited::Further, 0.0, 0.0)]);
+        assert!(told.contains(&of(SharedLimit::InFlightPerNode, 8.0, 0.0)), "{told:?}");
+        assert_eq!(shares.forget(Limit::Further, &set), [of(SharedLimit::Retries, 0.0, 0.0)]);
     }
 
     #[test]
--- a/src/cluster/peers.rs
+++ b/src/cluster/peers.rs
@@ -20,7 +20,7 @@
 use tokio::task::spawn_local;
 use tulipbridge_core as core;
 use tulipbridge_core::request_tracker::Input;
-use tulipbridge_core::{Limited, NodeId, ReqId, Semantics, Settings};
+use tulipbridge_core::{NodeId, RequestId, Semantics, Settings, SharedLimit};
 use tulipbridge_fleet_limits::{Beat, Effect, Event, Limit, Part, Quota, Terms, WHOLE};
 use tulipbridge_membership::{
     Act, Belief, Entries, Exchange as Exchanged, Key, News, Place, Refusal, Seal, SealError, Told,
@@ -520,7 +520,12 @@
     }
 
     /// Carries effects out, but for what the module is to be told, which is given.
-    fn carry_out(&self, effects: Vec<Effect>, source: Option<SocketAddr>, set: &Settings) -> Vec<core::Told> {
+    fn carry_out(
+        &self,
+        effects: Vec<Effect>,
+        source: Option<SocketAddr>,
+        set: &Settings,
+    ) -> Vec<core::FleetUpdate> {
         let mut module = Vec::new();
         for effect in effects {
             match effect {
@@ -551,9 +556,9 @@
     }
 
     /// What the module is told of a limit, from a moment on.
-    fn limit(&self, of: Limited, figures: limits::Figures, at: i64) -> core::Told {
+    fn limit(&self, of: SharedLimit, figures: limits::Figures, at: i64) -> core::FleetUpdate {
         let at = self.exchange.now() - (now() - at);
-        core::Told::Limit { of, rate: figures.rate, burst: figures.burst, at }
+        core::FleetUpdate::SharedLimit { limit: of, rate: figures.rate, burst: figures.burst, at }
     }
 
     fn send(&self, to: Option<SocketAddr>, saying: &Saying) {
@@ -672,25 +677,25 @@
 }
 
 impl Rights for Peers {
-    fn sent(&self, id: ReqId, attempt: u32, node: NodeId, class: usize) {
+    fn sent(&self, id: RequestId, attempt: u32, node: NodeId, class: usize) {
         if let Some(bench) = self.bench.borrow_mut().as_mut() {
             let semantics = self.exchange.settings_of(|set| set.classes.get(class).map(|c| c.semantics));
             bench.sent(now(), (id, attempt), node, class, semantics == Some(Semantics::Idempotent));
         }
     }
 
-    fn before(&self, input: &Input, set: &Settings) -> Vec<core::Told> {
+    fn before(&self, input: &Input, set: &Settings) -> Vec<core::FleetUpdate> {
         let (mut effects, mut module, now) = (Vec::new(), Vec::new(), now());
         if let Some(bench) = self.bench.borrow_mut().as_mut() {
             if bench.runs(now, input) {
                 self.changed.notify_one();
             }
-            if let Input::Fleet { scope, nodes } = input {
+            if let Input::Endpoints { scope, nodes } = input {
                 bench.list(*scope, nodes, |node| self.exchange.transport().id(node));
             }
         }
         let mut asked = self.shares.borrow().stated().asked(input);
-        if let Input::Asked(r) = input {
+        if let Input::RequestReceived(r) = input {
             if set.plans.get(r.plan).is_some_and(|p| p.limit_rate > 0.0) {
                 let told = self.shares.borrow_mut().asked(r.volume, r.plan, set);
                 module.extend(told.map(|(of, figures)| self.limit(of, figures, now)));
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -28,10 +28,10 @@
     let ratio = rules.get("FurtherRatio").filter(|v| !v.is_null());
     let budget = match ratio {
         None => None,
-        Some(r) => Some(Budget {
-            free: num(rules, "ExtraFree")?,
+        Some(r) => Some(RetryBudget {
+            base_allowance: num(rules, "ExtraFree")?,
             ratio: opt_num(Some(r), "FurtherRatio")?,
-            look_back: num(rules, "LookBack")? as Nanos,
+            window: num(rules, "LookBack")? as Nanos,
         }),
     };
     Ok(Settings {
@@ -39,32 +39,32 @@
         classes,
         plans: list(boot, "Grades")?.iter().map(plan).collect::<Res<_>>()?,
         quantum: num(boot, "Quantum")? as Nanos,
-        cold_units: num(family, "ColdUnits")?,
-        unit_mean: num(family, "UnitMean")?,
-        most_units: num(family, "MostUnits")?,
-        fair_worth: num(family, "FairWorth")?,
-        idle_worth: num(family, "IdleWorth")?,
+        warmup_units: num(family, "ColdUnits")?,
+        mean_units: num(family, "UnitMean")?,
+        max_units: num(family, "MostUnits")?,
+        fair_share_value: num(family, "FairWorth")?,
+        idle_value: num(family, "IdleWorth")?,
         use_period: num(family, "UsePeriod")? as Nanos,
-        most_tries: num(limits, "MostTries")? as u32,
-        second_copies: flag(limits, "SecondCopies")?,
-        cancelling: flag(limits, "Cancelling")?,
+        max_attempts: num(limits, "MostTries")? as u32,
+        hedging: flag(limits, "SecondCopies")?,
+        cancellation: flag(limits, "Cancelling")?,
         // Told also where the simulator's clients are not given it: a refusal says when to come back.
         max_retry_after: num(limits, "MaxRetryAfter")? as Nanos,
-        list_on_request: boot.get("Discovery").and_then(Value::as_str) == Some("on_request"),
-        ask_every: num(rules, "AskEvery")? as Nanos,
-        cold: num(rules, "Cold")? as Nanos,
-        cold_from: num(rules, "ColdFrom")?,
+        polls_discovery: boot.get("Discovery").and_then(Value::as_str) == Some("on_request"),
+        poll_interval: num(rules, "AskEvery")? as Nanos,
+        warmup_duration: num(rules, "Cold")? as Nanos,
+        warmup_floor: num(rules, "ColdFrom")?,
         tip_multiple: num(rules, "TipMultiple")?,
-        fall: num(rules, "Fall")? as Nanos,
-        order_settle: num(rules, "OrderSettle")? as Nanos,
-        budget,
+        overload_span: num(rules, "Fall")? as Nanos,
+        order_settle_time: num(rules, "OrderSettle")? as Nanos,
+        retry_budget: budget,
     })
 }
 
 fn class(service: &Value) -> Res<Class> {
     Ok(Class {
-        aim: num(service, "Aim")? as Nanos,
-        aim_stretch: num(service, "AimStretch")?,
+        latency_objective: num(service, "Aim")? as Nanos,
+        objective_stretch: num(service, "AimStretch")?,
         deadline: num(service, "Deadline")? as Nanos,
         semantics: match text(service.get("Semantics"), "Semantics")? {
             "idempotent" => Semantics::Idempotent,
@@ -79,8 +79,8 @@
         },
         window: num(service, "Window")? as Nanos,
         keep_order: flag(service, "KeepOrder")?,
-        late_worth: num(service, "LateWorth")?,
-        points: num(service, "Points")?,
+        late_value: num(service, "LateWorth")?,
+        priority_weight: num(service, "Points")?,
         writes: false,
     })
 }
--- a/src/control/discovery.rs
+++ b/src/control/discovery.rs
@@ -13,7 +13,7 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep_until, Instant};
 use tulipbridge_core::discovery_watch::{OnWatch, Step, Watch, CALL};
-use tulipbridge_core::{CellId, Listed, Nanos, NodeInfo, Scope};
+use tulipbridge_core::{CellId, Listed, Nanos, NodeInfo, UpdateScope};
 
 use crate::config::settings::{flag, int, list, text, Res};
 use crate::control::http_client::{call, Answer};
@@ -58,7 +58,7 @@
     /// A plain sentence, where it is not in discovery's form.
     pub fn restore(&mut self, known: &Value, exchange: &Rc<Exchange<Upstream>>) -> Res<()> {
         let (_, nodes) = self.read(known, exchange.transport())?;
-        exchange.fleet(Scope::Restored, nodes);
+        exchange.fleet(UpdateScope::Restored, nodes);
         Ok(())
     }
 
@@ -131,7 +131,7 @@
                         log!("discovery: it is silent");
                         standing = None;
                     }
-                    Step::Lost => exchange.fleet(Scope::Unavailable, Vec::new()),
+                    Step::Lost => exchange.fleet(UpdateScope::Unavailable, Vec::new()),
                 }
             }
         }
@@ -150,12 +150,12 @@
         }
     }
 
-    fn read(&mut self, value: &Value, upstream: &Upstream) -> Res<(Scope, Vec<NodeInfo>)> {
+    fn read(&mut self, value: &Value, upstream: &Upstream) -> Res<(UpdateScope, Vec<NodeInfo>)> {
         let generation = int(value.get("generation"), "generation")?;
-        let scope = if flag(value, "reset")? { Scope::Replace } else { Scope::Update };
+        let scope = if flag(value, "reset")? { UpdateScope::Replace } else { UpdateScope::Update };
         let entries = list(value, "instances")?;
         let named = entries.iter().map(|e| self.entry(e, upstream)).collect::<Res<Vec<_>>>()?;
-        if scope == Scope::Replace {
+        if scope == UpdateScope::Replace {
             self.hand.replaced(&named.iter().map(|(name, _)| name.clone()).collect());
         }
         let nodes = named.into_iter().map(|(name, info)| self.hand.listed(&name, info)).collect();
@@ -179,7 +179,7 @@
         let cell = CellId::try_from(cell).map_err(|_| "'cell' is out of range")?;
         let came_up = entry.get("startedAtMs").and_then(Value::as_i64).unwrap_or(0).saturating_mul(1_000_000);
         let node = upstream.locate(name, address, cell);
-        Ok((name.to_owned(), NodeInfo { node, zone: zone as u32, cell, listed, came_up }))
+        Ok((name.to_owned(), NodeInfo { node, zone: zone as u32, cell, listed, started_at: came_up }))
     }
 }
 
--- a/src/control/maintenance.rs
+++ b/src/control/maintenance.rs
@@ -15,7 +15,7 @@
 use nix::fcntl::{Flock, FlockArg};
 use simd_json::prelude::*;
 use tulipbridge_core::maintenance::{Hand, HandError};
-use tulipbridge_core::{NodeInfo, Scope};
+use tulipbridge_core::{NodeInfo, UpdateScope};
 
 use crate::exchange::Exchange;
 use crate::telemetry::log::log;
@@ -110,7 +110,7 @@
 
     fn tell(&self, told: Vec<NodeInfo>) {
         if !told.is_empty() {
-            self.exchange.fleet(Scope::Update, told);
+            self.exchange.fleet(UpdateScope::Update, told);
         }
     }
 
