--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use tokio::sync::{oneshot, watch, Notify};
-use tulipbridge_core::request_tracker::{Desk, Effect, Input, Verdict};
+use tulipbridge_core::request_tracker::{Effect, FinalAnswer, Input, RequestTracker};
 use tulipbridge_core::*;
 
 use crate::telemetry::log::log;
@@ -111,8 +111,8 @@
         match *self.orders.borrow() {
             Some((attempt, Order::Withdraw(outcome))) if attempt == self.attempt => Some(outcome),
             // One that is to be dropped does not begin before it is.
-            Some((attempt, Order::Stop)) if attempt == self.attempt => Some(Outcome::Canceled),
-            _ => self.begin_by.filter(|by| Instant::now() >= *by).map(|_| Outcome::Skipped),
+            Some((attempt, Order::Stop)) if attempt == self.attempt => Some(Outcome::Cancelled),
+            _ => self.begin_by.filter(|by| Instant::now() >= *by).map(|_| Outcome::NotSent),
         }
     }
 
@@ -132,7 +132,7 @@
                 changed = self.orders.changed() => if changed.is_err() {
                     std::future::pending::<()>().await;
                 },
-                () = over => return Outcome::Skipped,
+                () = over => return Outcome::NotSent,
             }
         }
     }
@@ -174,16 +174,16 @@
 /// Who knows what this front may use of limits that others share, and what all hold of nodes.
 pub trait Rights {
     /// What the module must be told before it takes an input: what was used so far may have ended.
-    fn before(&self, input: &Input, settings: &Settings) -> Vec<Told>;
+    fn before(&self, input: &Input, settings: &Settings) -> Vec<FleetUpdate>;
 
     /// An attempt of a request of a class goes out. Nothing may be fed to the exchange in here.
-    fn sent(&self, id: ReqId, attempt: u32, node: NodeId, class: usize);
+    fn sent(&self, id: RequestId, attempt: u32, node: NodeId, class: usize);
 }
 
 struct Core<T: Transport> {
-    desk: Desk<Scheduler>,
+    desk: RequestTracker<Scheduler>,
     /// What the desk's requests carry.
-    live: HashMap<ReqId, Live<T>>,
+    live: HashMap<RequestId, Live<T>>,
 }
 
 /// The meeting place. Its methods must be called inside a tokio `LocalSet`.
@@ -202,7 +202,7 @@
     /// When the settings cannot hold.
     pub fn new(settings: Settings, seed: u64, transport: T) -> Result<Rc<Self>, SettingsError> {
         let clock = Clock::start();
-        let desk = Desk::new(Scheduler::new(settings, seed, clock.now())?);
+        let desk = RequestTracker::new(Scheduler::new(settings, seed, clock.now())?);
         let core = Core { desk, live: HashMap::new() };
         Ok(Rc::new(Exchange {
             core: RefCell::new(core),
@@ -250,8 +250,8 @@
     }
 
     /// What this front is told of what all fronts share: see [`Rights`].
-    pub fn tell(self: &Rc<Self>, told: Told) {
-        self.take(Input::Told(told), None);
+    pub fn tell(self: &Rc<Self>, told: FleetUpdate) {
+        self.take(Input::FleetUpdate(told), None);
     }
 
     /// New settings, for requests from now on; see [`Scheduler::retune`].
@@ -266,12 +266,12 @@
     /// its clients would wait.
     pub fn leave(self: &Rc<Self>, within: Duration) {
         let by = self.clock.now() + within.as_nanos() as Nanos;
-        self.feed(Input::Told(Told::Leaving { by }), None);
+        self.feed(Input::FleetUpdate(FleetUpdate::Shutdown { deadline: by }), None);
     }
 
     /// Requests not yet answered, or with attempts out.
     pub fn held(&self) -> usize {
-        self.core.borrow().desk.held().len()
+        self.core.borrow().desk.requests().len()
     }
 
     /// Returns when the module next wants the node list.
@@ -280,8 +280,8 @@
     }
 
     /// News of the node list.
-    pub fn fleet(self: &Rc<Self>, scope: Scope, nodes: Vec<NodeInfo>) {
-        self.feed(Input::Fleet { scope, nodes }, None);
+    pub fn fleet(self: &Rc<Self>, scope: UpdateScope, nodes: Vec<NodeInfo>) {
+        self.feed(Input::Endpoints { scope, nodes }, None);
     }
 
     /// Takes a request and gives its one final answer. `request.id` is given here. Dropping the future says
@@ -291,14 +291,14 @@
         let (sender, mut answer) = oneshot::channel();
         {
             let mut core = self.core.borrow_mut();
-            request.id = core.desk.number();
+            request.id = core.desk.allocate_id();
             let (answer, orders) = (Some(sender), watch::Sender::new(None));
             let (payload, class) = (Rc::new(payload), request.class);
             core.live.insert(request.id, Live { payload, class, answer, orders });
         }
         let id = request.id;
         let waiting = Waiting { exchange: self, id };
-        self.feed(Input::Asked(request), None);
+        self.feed(Input::RequestReceived(request), None);
         if let Ok(answer) = tokio::time::timeout(patience + OVERDUE, &mut answer).await {
             drop(waiting);
             return answer.unwrap_or(Final::Failed);
@@ -334,16 +334,16 @@
     /// Nothing in here feeds the desk, so what happens and what is done about it keep their order.
     fn carry_out(self: &Rc<Self>, effect: Effect, brought: &mut Option<T::Answer>) {
         match effect {
-            Effect::Send { id, attempt, node, until, begin_by } => {
+            Effect::Send { id, attempt, node, deadline: until, begin_by } => {
                 self.send((id, attempt), node, until, begin_by);
             }
-            Effect::Stop { id, attempt } => self.order(id, attempt, Order::Stop),
+            Effect::Cancel { id, attempt } => self.order(id, attempt, Order::Stop),
             Effect::Withdraw { id, attempt, outcome } => self.order(id, attempt, Order::Withdraw(outcome)),
-            Effect::Answer { id, verdict } => {
+            Effect::Answer { id, answer: verdict } => {
                 let sender = self.core.borrow_mut().live.get_mut(&id).and_then(|l| l.answer.take());
                 let answer = match (verdict, brought.take()) {
-                    (Verdict::Served, Some(answer)) => Final::Served(answer),
-                    (Verdict::Refused(wait), _) => Final::Refused(Duration::from_nanos(wait as u64)),
+                    (FinalAnswer::Served, Some(answer)) => Final::Served(answer),
+                    (FinalAnswer::Rejected(wait), _) => Final::Refused(Duration::from_nanos(wait as u64)),
                     _ => Final::Failed,
                 };
                 // The client may have left in this very moment.
@@ -352,7 +352,7 @@
             Effect::Release(id) => {
                 self.core.borrow_mut().live.remove(&id);
             }
-            Effect::Sleep { after, cookie } => {
+            Effect::SetTimer { after, cookie } => {
                 let exchange = Rc::clone(self);
                 tokio::task::spawn_local(async move {
                     tokio::time::sleep(Duration::from_nanos(after.max(0) as u64)).await;
@@ -360,19 +360,19 @@
                 });
             }
             Effect::Subscribe => self.subscribe.notify_one(),
-            Effect::Forget(node) => self.transport.forget(node),
-            Effect::Note { text, node } => log!("{text}: {}", self.transport.name(node)),
+            Effect::ForgetNode(node) => self.transport.forget(node),
+            Effect::Log { text, node } => log!("{text}: {}", self.transport.name(node)),
         }
     }
 
-    fn order(&self, id: ReqId, attempt: u32, order: Order) {
+    fn order(&self, id: RequestId, attempt: u32, order: Order) {
         if let Some(live) = self.core.borrow().live.get(&id) {
             live.orders.send_replace(Some((attempt, order)));
         }
     }
 
     /// Starts an attempt, which ends by itself, when its time is over or when it is given up, whichever is first.
-    fn send(self: &Rc<Self>, (id, attempt): (ReqId, u32), node: NodeId, until: Nanos, begin_by: Nanos) {
+    fn send(self: &Rc<Self>, (id, attempt): (RequestId, u32), node: NodeId, until: Nanos, begin_by: Nanos) {
         let until = self.clock.instant(until);
         let begin_by = (begin_by < Nanos::MAX).then(|| self.clock.instant(begin_by));
         let (carried, mut withdrawal) = {
@@ -390,11 +390,11 @@
                 biased;
                 ended = tokio::time::timeout_at(until.into(), carried) => match ended {
                     Ok(Ended { outcome, answer, seen_use, foreign_units }) => {
-                        (Input::Ended { id, attempt, outcome, seen_use, foreign_units }, answer)
+                        (Input::AttemptEnded { id, attempt, outcome, seen_use, foreign_units }, answer)
                     }
-                    Err(_) => (Input::TimeUp { id, attempt }, None),
+                    Err(_) => (Input::AttemptTimedOut { id, attempt }, None),
                 },
-                () = withdrawal.stopped() => (Input::Stopped { id, attempt }, None),
+                () = withdrawal.stopped() => (Input::AttemptCancelled { id, attempt }, None),
             };
             exchange.feed(input, brought);
         });
@@ -404,11 +404,11 @@
 /// A client that waits. Where it goes before its answer, the desk is told.
 struct Waiting<'a, T: Transport> {
     exchange: &'a Rc<Exchange<T>>,
-    id: ReqId,
+    id: RequestId,
 }
 
 impl<T: Transport> Drop for Waiting<'_, T> {
     fn drop(&mut self) {
-        self.exchange.feed(Input::Left(self.id), None);
+        self.exchange.feed(Input::ClientGone(self.id), None);
     }
 }
--- a/src/front.rs
+++ b/src/front.rs
@@ -96,8 +96,8 @@
 /// told from the first moment; where they are asked for, a list counts as told only after a time without a call,
 /// and the module's own first call comes before half of that, spread over the fleet.
 fn first_call(settings: &Settings) -> Nanos {
-    if settings.list_on_request {
-        settings.ask_every / 2
+    if settings.polls_discovery {
+        settings.poll_interval / 2
     } else {
         0
     }
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -53,7 +53,7 @@
             figures: Vec::new(),
             shards: config.shards,
             fronts: config.settings.initiators,
-            most_units: config.settings.most_units,
+            most_units: config.settings.max_units,
         };
         names.count(figures);
         names
@@ -65,7 +65,7 @@
         let carried = self.classes.retune(classes);
         self.plans.retune(config.plans.into_iter().zip(config.settings.plans.iter().cloned()).collect());
         (self.shards, self.fronts, self.most_units) =
-            (config.shards, config.settings.initiators, config.settings.most_units);
+            (config.shards, config.settings.initiators, config.settings.max_units);
         self.count(figures);
         let classes = self.classes.values().into_iter().map(|(class, _)| class).collect();
         let settings = Settings { classes, plans: self.plans.values(), ..config.settings };
@@ -271,7 +271,7 @@
             patience,
             units: units.ok_or("'units' is no size")? as f64,
             cell: CellId::try_from(cell).ok(),
-            set_size: hosts.ok_or("'hosts' is no number of fronts")? as u32,
+            front_count: hosts.ok_or("'hosts' is no number of fronts")? as u32,
         };
         Ok((id, request))
     }
--- a/src/object/mod.rs
+++ b/src/object/mod.rs
@@ -188,8 +188,8 @@
             exchange,
             shards: config.base.shards,
             deadlines,
-            unit_mean: settings.unit_mean,
-            most_units: settings.most_units.max(1.0),
+            unit_mean: settings.mean_units,
+            most_units: settings.max_units.max(1.0),
             buckets: config.buckets,
             completing: RefCell::default(),
         }))
@@ -291,7 +291,7 @@
             patience: left.as_nanos() as i64,
             units: step.units.clamp(1.0, self.most_units),
             cell: step.cell,
-            set_size: asked.bucket.hosts,
+            front_count: asked.bucket.hosts,
         };
         let target =
             if step.query.is_empty() { asked.path.clone() } else { format!("{}?{}", asked.path, step.query) };
--- a/src/telemetry/trace.rs
+++ b/src/telemetry/trace.rs
@@ -8,8 +8,8 @@
 
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue as Value};
-use tulipbridge_core::request_tracker::{Effect, Input, Verdict};
-use tulipbridge_core::{Limited, Listed, Nanos, NodeId, NodeInfo, Outcome, Scope, Told};
+use tulipbridge_core::request_tracker::{Effect, FinalAnswer, Input};
+use tulipbridge_core::{FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, SharedLimit, UpdateScope};
 
 /// The environment variable that switches the trace on.
 pub const VARIABLE: &str = "TULIPBRIDGE_TRACE";
@@ -34,34 +34,34 @@
 /// An input of the desk, before it is handled.
 pub fn input(input: &Input, name: impl Fn(NodeId) -> String) {
     let line = match input {
-        Input::Asked(r) => json!({
+        Input::RequestReceived(r) => json!({
             "e": "asked", "id": r.id, "class": r.class, "plan": r.plan, "volume": format!("{:x}", r.volume),
             "units": r.units, "cell": r.cell.map_or(-1, i64::from), "patience_ms": ms(r.patience),
-            "hosts": r.set_size,
+            "hosts": r.front_count,
         }),
-        Input::Left(id) => json!({ "e": "left", "id": id }),
+        Input::ClientGone(id) => json!({ "e": "left", "id": id }),
         Input::Overdue(id) => json!({ "e": "overdue", "id": id }),
-        Input::Ended { id, attempt, outcome, seen_use, .. } => json!({
+        Input::AttemptEnded { id, attempt, outcome, seen_use, .. } => json!({
             "e": "ended", "id": id, "attempt": attempt, "outcome": word(*outcome), "use": seen_use,
         }),
-        Input::TimeUp { id, attempt } => {
+        Input::AttemptTimedOut { id, attempt } => {
             json!({ "e": "ended", "id": id, "attempt": attempt, "outcome": "time_up" })
         }
-        Input::Stopped { id, attempt } => {
+        Input::AttemptCancelled { id, attempt } => {
             json!({ "e": "ended", "id": id, "attempt": attempt, "outcome": "stopped" })
         }
-        Input::Fleet { scope, nodes } => json!({
+        Input::Endpoints { scope, nodes } => json!({
             "e": "fleet", "scope": scope_word(*scope), "entries": nodes.len(),
             "nodes": nodes.iter().map(|n| entry(n, &name)).collect::<Vec<Value>>(),
         }),
-        Input::Told(Told::Limit { of, rate, burst, .. }) => json!({
+        Input::FleetUpdate(FleetUpdate::SharedLimit { limit: of, rate, burst, .. }) => json!({
             "e": "limit", "of": limit_name(*of), "rate": *rate, "burst": *burst,
         }),
-        Input::Told(Told::Standing { node, out }) => {
+        Input::FleetUpdate(FleetUpdate::Ejection { node, classes: out }) => {
             json!({ "e": "standing", "node": name(*node), "out": format!("Classes({})", out.bits()) })
         }
-        Input::Told(Told::Trial { node, .. }) => json!({ "e": "trial", "node": name(*node) }),
-        Input::Told(Told::Leaving { .. }) => json!({ "e": "leaving" }),
+        Input::FleetUpdate(FleetUpdate::Probe { node, .. }) => json!({ "e": "trial", "node": name(*node) }),
+        Input::FleetUpdate(FleetUpdate::Shutdown { .. }) => json!({ "e": "leaving" }),
         Input::Timer(_) => return,
     };
     write(line);
@@ -74,18 +74,18 @@
             json!({ "e": "send", "id": id, "attempt": attempt, "node": name(*node) })
         }
         Effect::Withdraw { id, attempt, .. } => json!({ "e": "withdraw", "id": id, "attempt": attempt }),
-        Effect::Stop { id, attempt } => json!({ "e": "stop", "id": id, "attempt": attempt }),
-        Effect::Answer { id, verdict } => match verdict {
-            Verdict::Served => json!({ "e": "answer", "id": id, "verdict": "served" }),
-            Verdict::Refused(wait) => {
+        Effect::Cancel { id, attempt } => json!({ "e": "stop", "id": id, "attempt": attempt }),
+        Effect::Answer { id, answer: verdict } => match verdict {
+            FinalAnswer::Served => json!({ "e": "answer", "id": id, "verdict": "served" }),
+            FinalAnswer::Rejected(wait) => {
                 json!({ "e": "answer", "id": id, "verdict": "refused", "wait_ms": ms(*wait) })
             }
-            Verdict::Failed => json!({ "e": "answer", "id": id, "verdict": "failed" }),
+            FinalAnswer::Failed => json!({ "e": "answer", "id": id, "verdict": "failed" }),
         },
         Effect::Subscribe => json!({ "e": "subscribe" }),
-        Effect::Forget(node) => json!({ "e": "forget", "node": name(*node) }),
-        Effect::Note { text, node } => json!({ "e": "note", "text": *text, "node": name(*node) }),
-        Effect::Release(_) | Effect::Sleep { .. } => return,
+        Effect::ForgetNode(node) => json!({ "e": "forget", "node": name(*node) }),
+        Effect::Log { text, node } => json!({ "e": "note", "text": *text, "node": name(*node) }),
+        Effect::Release(_) | Effect::SetTimer { .. } => return,
     };
     write(line);
 }
@@ -96,37 +96,37 @@
         Listed::Draining => "draining",
         Listed::Removed => "removed",
     };
-    json!({ "node": name(n.node), "cell": n.cell, "listed": listed, "came_up": n.came_up as f64 / 1e9 })
+    json!({ "node": name(n.node), "cell": n.cell, "listed": listed, "came_up": n.started_at as f64 / 1e9 })
 }
 
 /// The name of a limit in the trace, whatever it is called in the code.
-fn limit_name(limit: Limited) -> String {
+fn limit_name(limit: SharedLimit) -> String {
     match limit {
-        Limited::Volume(volume) => format!("Volume({volume})"),
-        Limited::Further => "Further".to_owned(),
-        Limited::Starting => "Starting".to_owned(),
-        Limited::Out => "Out".to_owned(),
+        SharedLimit::Volume(volume) => format!("Volume({volume})"),
+        SharedLimit::Retries => "Further".to_owned(),
+        SharedLimit::WarmingUpNode => "Starting".to_owned(),
+        SharedLimit::InFlightPerNode => "Out".to_owned(),
     }
 }
 
-fn scope_word(scope: Scope) -> &'static str {
+fn scope_word(scope: UpdateScope) -> &'static str {
     match scope {
-        Scope::Update => "update",
-        Scope::Replace => "replace",
-        Scope::Restored => "restored",
-        Scope::Unavailable => "unavailable",
+        UpdateScope::Update => "update",
+        UpdateScope::Replace => "replace",
+        UpdateScope::Restored => "restored",
+        UpdateScope::Unavailable => "unavailable",
     }
 }
 
 fn word(outcome: Outcome) -> &'static str {
     match outcome {
-        Outcome::Done => "done",
+        Outcome::Served => "done",
         Outcome::Error => "error",
-        Outcome::Busy => "busy",
+        Outcome::Rejected => "busy",
         Outcome::TimedOut => "timed_out",
-        Outcome::Refused => "refused",
+        Outcome::NotExecuted => "refused",
         Outcome::Reset => "reset",
-        Outcome::Canceled => "cancelled",
-        Outcome::Skipped => "skipped",
+        Outcome::Cancelled => "cancelled",
+        Outcome::NotSent => "skipped",
     }
 }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -378,7 +378,7 @@
     if response.status().is_informational() || (sized && coded) || size.lower() > MOST_STREAMED {
         return Err(Doubt::MayHaveRun);
     }
-    if long && outcome == Outcome::Done && accepts == Accepts::Served {
+    if long && outcome == Outcome::Served && accepts == Accepts::Served {
         let (head, mut body) = response.into_parts();
         let mut first = BytesMut::new();
         // It may be short after all; then it is whole like any other.
@@ -412,7 +412,7 @@
     let (head, body) = response.into_parts();
     let body = Limited::new(body, MOST_BODY).collect().await;
     let body = body.map_err(|_| Doubt::MayHaveRun)?.to_bytes();
-    let answer = (outcome == Outcome::Done).then_some(Answer {
+    let answer = (outcome == Outcome::Served).then_some(Answer {
         cell,
         status: head.status,
         headers: head.headers,
@@ -427,12 +427,12 @@
     let headers = response.headers();
     let turned_away = headers.get(TURNED_AWAY).is_some_and(|v| v == "1");
     let outcome = match response.status() {
-        StatusCode::OK => Outcome::Done,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => Outcome::Busy,
+        StatusCode::OK => Outcome::Served,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => Outcome::Rejected,
         status if accepts == Accepts::Object => match status.as_u16() {
             // 408 and 429 are the server's trouble, not the request's.
             408 | 429 => Outcome::Error,
-            200..=499 => Outcome::Done,
+            200..=499 => Outcome::Served,
             _ => Outcome::Error,
         },
         _ => Outcome::Error,
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -22,8 +22,8 @@
 use std::time::Instant;
 
 use tulipbridge::telemetry::trace;
-use tulipbridge_core::request_tracker::{Effect, Input, Verdict};
-use tulipbridge_core::{Classes, Limited, Outcome, Scope, Told};
+use tulipbridge_core::request_tracker::{Effect, FinalAnswer, Input};
+use tulipbridge_core::{ClassSet, FleetUpdate, Outcome, SharedLimit, UpdateScope};
 
 use edits::{Edit, REFUSED_BY_BOTH, REFUSED_BY_OBJECT};
 use fleet::{fleet_with_a_silent_server, read_json, shape, whole_verdict};
@@ -230,31 +230,40 @@
     let name = |node| format!("s-{node}");
     let (id, attempt) = (7, 1);
     for outcome in [
-        Outcome::Done,
+        Outcome::Served,
         Outcome::Error,
-        Outcome::Busy,
+        Outcome::Rejected,
         Outcome::TimedOut,
-        Outcome::Refused,
+        Outcome::NotExecuted,
         Outcome::Reset,
-        Outcome::Canceled,
-        Outcome::Skipped,
+        Outcome::Cancelled,
+        Outcome::NotSent,
     ] {
-        trace::input(&Input::Ended { id, attempt, outcome, seen_use: 1.5, foreign_units: 0.0 }, name);
+        trace::input(&Input::AttemptEnded { id, attempt, outcome, seen_use: 1.5, foreign_units: 0.0 }, name);
     }
-    for scope in [Scope::Update, Scope::Replace, Scope::Restored, Scope::Unavailable] {
-        trace::input(&Input::Fleet { scope, nodes: Vec::new() }, name);
+    for scope in [UpdateScope::Update, UpdateScope::Replace, UpdateScope::Restored, UpdateScope::Unavailable]
+    {
+        trace::input(&Input::Endpoints { scope, nodes: Vec::new() }, name);
     }
-    for of in [Limited::Volume(0x1f), Limited::Further, Limited::Starting, Limited::Out] {
-        trace::input(&Input::Told(Told::Limit { of, rate: 2.5, burst: 4.0, at: 0 }), name);
+    for of in [
+        SharedLimit::Volume(0x1f),
+        SharedLimit::Retries,
+        SharedLimit::WarmingUpNode,
+        SharedLimit::InFlightPerNode,
+    ] {
+        trace::input(
+            &Input::FleetUpdate(FleetUpdate::SharedLimit { limit: of, rate: 2.5, burst: 4.0, at: 0 }),
+            name,
+        );
     }
-    for out in [Classes::NONE, Classes::NONE.with(1), Classes::ALL] {
-        trace::input(&Input::Told(Told::Standing { node: 3, out }), name);
+    for out in [ClassSet::NONE, ClassSet::NONE.with(1), ClassSet::ALL] {
+        trace::input(&Input::FleetUpdate(FleetUpdate::Ejection { node: 3, classes: out }), name);
     }
-    trace::input(&Input::Told(Told::Trial { node: 3, until: 0 }), name);
+    trace::input(&Input::FleetUpdate(FleetUpdate::Probe { node: 3, until: 0 }), name);
     trace::input(&Input::Overdue(id), name);
     trace::input(&Input::Timer(1), name);
-    for verdict in [Verdict::Served, Verdict::Refused(1_500_000), Verdict::Failed] {
-        trace::effect(&Effect::Answer { id, verdict }, name);
+    for verdict in [FinalAnswer::Served, FinalAnswer::Rejected(1_500_000), FinalAnswer::Failed] {
+        trace::effect(&Effect::Answer { id, answer: verdict }, name);
     }
     trace::effect(&Effect::Release(id), name);
 }
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -16,7 +16,7 @@
 use tulipbridge::cluster::peers::Config;
 use tulipbridge::request_tracker::Input;
 use tulipbridge::telemetry::metrics::Figures;
-use tulipbridge::{Listed, NodeInfo, Outcome, Scope};
+use tulipbridge::{Listed, NodeInfo, Outcome, UpdateScope};
 use tulipbridge_fleet_limits::{Ask, Beat, Limit, Loan, Loans};
 use tulipbridge_membership::{Delta, Entries, Exchange, Hello, Item, Key, Opened, Seal};
 
@@ -152,7 +152,7 @@
 
 /// A server of the list.
 fn server(node: usize, came_up: i64) -> NodeInfo {
-    NodeInfo { node, zone: 0, cell: 0, listed: Listed::Up, came_up }
+    NodeInfo { node, zone: 0, cell: 0, listed: Listed::Up, started_at: came_up }
 }
 
 #[test]
@@ -162,12 +162,13 @@
     let terms = tulipbridge_outlier_detection::Terms::new(0, 3, 0);
     let mut bench = Bench::new(terms, Counts::new(&Figures::new())).expect("the terms hold");
     let servers = [server(0, 1), server(1, 77_000_000), server(2, 3)];
-    bench.list(Scope::Replace, &servers, |node| format!("s-{node}"));
+    bench.list(UpdateScope::Replace, &servers, |node| format!("s-{node}"));
     for id in 0..60 {
         let node = id as usize % servers.len();
-        let outcome = if node == 1 { Outcome::Error } else { Outcome::Done };
+        let outcome = if node == 1 { Outcome::Error } else { Outcome::Served };
         bench.sent(0, (id, 0), node, 0, true);
-        bench.runs(1_000, &Input::Ended { id, attempt: 0, outcome, seen_use: 0.0, foreign_units: 0.0 });
+        bench
+            .runs(1_000, &Input::AttemptEnded { id, attempt: 0, outcome, seen_use: 0.0, foreign_units: 0.0 });
     }
     let done = bench.look(2_000, 0, &Entries::new(0, 3, 1, 100_000, 0));
     let keys: Vec<Key> = done.puts.iter().map(|(key, _)| *key).collect();
