--- a/crates/core/src/door.rs
+++ b/crates/core/src/door.rs
@@ -44,13 +44,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Phase {
     /// Nothing has come yet.
-    Silent,
+    New,
     /// A head has begun.
-    Head,
+    ReadingHead,
     /// A body is awaited.
-    Body,
+    ReadingBody,
     /// A request is being answered.
-    Open,
+    Responding,
     /// Its last request has been answered.
     Idle,
     /// It is over; what is still on its way is read and dropped.
@@ -59,33 +59,33 @@
 
 /// What happens on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum OnVisitor {
+pub enum ClientEvent {
     /// Bytes of a head came.
-    Head,
+    HeadStarted,
     /// A head is whole, its body is not.
-    Body,
+    BodyStarted,
     /// A request is whole.
-    Taken,
+    RequestReceived,
     /// Its answer is handed over, or given up.
     Answered,
     /// This side has ended it.
-    Ended,
+    Closing,
 }
 
 /// A client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Visitor {
+pub struct ClientConnection {
     phase: Phase,
     since: Nanos,
-    came: Nanos,
+    connected_at: Nanos,
     /// Whether a request on it has been answered.
-    spoken: bool,
+    has_been_answered: bool,
 }
 
-impl Visitor {
+impl ClientConnection {
     /// One that has just connected.
-    pub fn new(now: Nanos) -> Visitor {
-        Visitor { phase: Phase::Silent, since: now, came: now, spoken: false }
+    pub fn new(now: Nanos) -> ClientConnection {
+        ClientConnection { phase: Phase::New, since: now, connected_at: now, has_been_answered: false }
     }
 
     /// What it is about, and since when.
@@ -94,90 +94,90 @@
     }
 
     /// When it came.
-    pub fn came(&self) -> Nanos {
-        self.came
+    pub fn connected_at(&self) -> Nanos {
+        self.connected_at
     }
 
     /// Takes what has happened. The time of a request runs on from its head to its body.
-    pub fn on(&mut self, now: Nanos, event: OnVisitor) {
+    pub fn on(&mut self, now: Nanos, event: ClientEvent) {
         let phase = match event {
-            OnVisitor::Head => Phase::Head,
-            OnVisitor::Body => Phase::Body,
-            OnVisitor::Taken => Phase::Open,
-            OnVisitor::Answered => Phase::Idle,
-            OnVisitor::Ended => Phase::Closing,
+            ClientEvent::HeadStarted => Phase::ReadingHead,
+            ClientEvent::BodyStarted => Phase::ReadingBody,
+            ClientEvent::RequestReceived => Phase::Responding,
+            ClientEvent::Answered => Phase::Idle,
+            ClientEvent::Closing => Phase::Closing,
         };
-        let restarts = phase != Phase::Body || mutated(Mutation::BodyRestartsTime);
+        let restarts = phase != Phase::ReadingBody || mutated(Mutation::BodyRestartsTime);
         if restarts && phase != self.phase {
             self.since = now;
         }
-        self.spoken |= phase == Phase::Idle;
+        self.has_been_answered |= phase == Phase::Idle;
         self.phase = phase;
     }
 
     /// When the present request must have come whole.
-    pub fn limit(&self) -> Nanos {
-        if self.spoken {
+    pub fn request_deadline(&self) -> Nanos {
+        if self.has_been_answered {
             self.since + LATER
         } else {
-            self.came + FIRST
+            self.connected_at + FIRST
         }
     }
 
     /// Whether its time is over, where places are short or not. Busy is one that closing would cross: a request
     /// has come that nobody has read, or an answer is not read yet.
-    pub fn is_over(&self, now: Nanos, short: bool, busy: impl Fn() -> bool) -> bool {
+    pub fn has_timed_out(&self, now: Nanos, short: bool, busy: impl Fn() -> bool) -> bool {
         let idle = if short { IDLE_SHORT } else { IDLE };
         match self.phase {
-            Phase::Silent | Phase::Head => now >= self.limit(),
+            Phase::New | Phase::ReadingHead => now >= self.request_deadline(),
             Phase::Idle => now - self.since >= idle && (!busy() || mutated(Mutation::ClosesAcrossRequest)),
             // These are bounded where they are awaited.
-            Phase::Body | Phase::Open | Phase::Closing => false,
+            Phase::ReadingBody | Phase::Responding | Phase::Closing => false,
         }
     }
 
     /// Whether a request is on its way on it, or may be: a front that leaves shuts it only once that is answered.
     /// `waits` says that bytes lie on the socket, or an answer is not with the system yet.
-    pub fn is_arriving(&self, now: Nanos, waits: bool) -> bool {
+    pub fn is_arriving(&self, now: Nanos, unread_bytes: bool) -> bool {
         if mutated(Mutation::ShutsAcrossArriving) {
             return false;
         }
         match self.phase {
-            Phase::Head | Phase::Body => true,
-            Phase::Silent => waits || now - self.came < FRESH,
-            Phase::Idle => waits,
-            Phase::Open | Phase::Closing => false,
+            Phase::ReadingHead | Phase::ReadingBody => true,
+            Phase::New => unread_bytes || now - self.connected_at < FRESH,
+            Phase::Idle => unread_bytes,
+            Phase::Responding | Phase::Closing => false,
         }
     }
 
     /// Whether something is owed on it: a request that is coming or open, an answer on its way out, or bytes still
     /// to be read, over which a close would reset it.
-    pub fn is_owed(&self, now: Nanos, waits: bool) -> bool {
-        self.is_arriving(now, waits) || matches!(self.phase, Phase::Open | Phase::Closing)
+    pub fn has_pending_work(&self, now: Nanos, waits: bool) -> bool {
+        self.is_arriving(now, waits) || matches!(self.phase, Phase::Responding | Phase::Closing)
     }
 
     /// Whether it may be cut off here and now, as it was told to go: what has come since is not crossed. Half a
     /// request that goes on dripping ends all the same.
-    pub fn may_be_cut(&self, now: Nanos, waits: bool) -> bool {
+    pub fn may_close_now(&self, now: Nanos, waits: bool) -> bool {
         match self.phase {
-            Phase::Open => false,
-            Phase::Head | Phase::Body => !waits || now >= self.limit() + HALF,
-            Phase::Silent | Phase::Idle | Phase::Closing => !waits,
+            Phase::Responding => false,
+            Phase::ReadingHead | Phase::ReadingBody => !waits || now >= self.request_deadline() + HALF,
+            Phase::New | Phase::Idle | Phase::Closing => !waits,
         }
     }
 
     /// How soon it gives its place up, the lowest first; none where it may be kept. With `idle` only connections
     /// that stand idle are asked for.
-    fn rank(&self, now: Nanos, idle: bool) -> Option<u8> {
+    fn eviction_rank(&self, now: Nanos, idle: bool) -> Option<u8> {
         let age = now - self.since;
         match self.phase {
             Phase::Idle if age >= IDLE_SHORT => Some(2),
             // A crowd of clients that ask once each: a new one has more use for the place.
             Phase::Idle if age >= SILENT || !idle => Some(4),
             Phase::Closing if !idle => Some(0),
-            Phase::Silent if !idle && age >= SILENT => Some(1),
-            Phase::Head | Phase::Body if !idle && age >= HALF => Some(3),
-            Phase::Open if !idle && mutated(Mutation::OpenGivesWay) => Some(5),
+            Phase::New if !idle && age >= SILENT => Some(1),
+            Phase::ReadingHead | Phase::ReadingBody if !idle && age >= HALF => Some(3),
+            Phase::Responding if !idle && mutated(Mutation::OpenGivesWay) => Some(5),
             _ => None,
         }
     }
@@ -185,10 +185,10 @@
 
 /// The places for clients' connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Door {
-    most: usize,
+pub struct ConnectionLimiter {
+    max_connections: usize,
     /// Connections past the cap that may stand at once to be told so; more wait to be accepted.
-    turned_away: usize,
+    rejection_slots: usize,
 }
 
 /// What is done before one more connection is accepted.
@@ -197,27 +197,30 @@
     /// Nothing: there is room.
     Now,
     /// One that stands idle is sent off, if there is one.
-    SendIdleOff,
+    EvictIdle,
     /// One that may be spared is sent off, if there is one.
-    SendOneOff,
+    EvictAny,
     /// It waits until another has gone.
     Wait,
 }
 
-impl Door {
+impl ConnectionLimiter {
     /// With at most so many connections, those past the cap that stand to be told so included.
-    pub fn new(most: usize, turned_away: usize) -> Door {
-        Door { most: most.saturating_sub(turned_away).max(1), turned_away }
+    pub fn new(most: usize, turned_away: usize) -> ConnectionLimiter {
+        ConnectionLimiter {
+            max_connections: most.saturating_sub(turned_away).max(1),
+            rejection_slots: turned_away,
+        }
     }
 
     /// Whether places are short.
-    pub fn is_short(&self, held: usize) -> bool {
-        held >= self.most / 2
+    pub fn is_scarce(&self, held: usize) -> bool {
+        held >= self.max_connections / 2
     }
 
     /// Whether one that comes now finds no place, and is told so.
     pub fn is_full(&self, held: usize) -> bool {
-        held >= self.most
+        held >= self.max_connections
     }
 
     /// What is done next before one more is accepted. `tried` is what was done last for it, and whether somebody
@@ -227,12 +230,12 @@
     /// are: from half of the places on, each new one sends an idle one off.
     pub fn accept(&self, held: usize, tried: Option<(Accept, bool)>) -> Accept {
         let idle_asked = tried.is_some();
-        let more_to_send = !matches!(tried, Some((Accept::SendOneOff, false)));
-        if self.is_short(held) && !idle_asked {
-            Accept::SendIdleOff
+        let more_to_send = !matches!(tried, Some((Accept::EvictAny, false)));
+        if self.is_scarce(held) && !idle_asked {
+            Accept::EvictIdle
         } else if self.is_full(held) && more_to_send {
-            Accept::SendOneOff
-        } else if held < self.most + self.turned_away || mutated(Mutation::NoCapAtDoor) {
+            Accept::EvictAny
+        } else if held < self.max_connections + self.rejection_slots || mutated(Mutation::NoCapAtDoor) {
             Accept::Now
         } else {
             Accept::Wait
@@ -241,15 +244,15 @@
 
     /// Who gives his place up, if anybody may be spared: guards the usual clients against those that connect by
     /// hundreds, and against idle connections that are kept for good. An open request never gives way.
-    pub fn gives_way(
+    pub fn eviction_candidate(
         &self,
         now: Nanos,
         idle: bool,
-        visitors: impl Iterator<Item = (u64, Visitor)>,
+        visitors: impl Iterator<Item = (u64, ClientConnection)>,
         busy: impl Fn(u64) -> bool,
     ) -> Option<u64> {
         let mut least: Vec<_> =
-            visitors.filter_map(|(n, v)| Some((v.rank(now, idle)?, v.since, n))).collect();
+            visitors.filter_map(|(n, v)| Some((v.eviction_rank(now, idle)?, v.since, n))).collect();
         least.sort_unstable();
         least.into_iter().map(|(_, _, n)| n).find(|n| mutated(Mutation::ClosesAcrossRequest) || !busy(*n))
     }
@@ -257,99 +260,108 @@
 
 /// The end of a front after SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Leaving {
-    told: Nanos,
+pub struct GracefulShutdown {
+    started_at: Nanos,
     /// All that was taken is answered by then, and the front has ended by the second.
-    answered: Nanos,
-    end: Nanos,
+    answer_deadline: Nanos,
+    exit_deadline: Nanos,
     /// Looks in a row at which nothing was open.
-    quiet: u32,
+    quiet_polls: u32,
     stage: Stage,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Stage {
-    Taking,
+    Accepting,
     Draining,
-    Over,
+    Finished,
 }
 
 /// What happens while a front leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum OnLeaving {
+pub enum ShutdownEvent {
     /// A connection was accepted.
     Accepted,
     /// None came for as long as [`Leave::Take`] said.
-    NoneCame,
+    AcceptTimedOut,
     /// The front looks at what it holds.
-    Look {
+    Poll {
         /// Connections.
-        held: usize,
+        connections: usize,
         /// Those on which something is owed: a request that has begun to come or is being answered, an answer whose
         /// last byte is not with the system, bytes that would turn the end into a reset.
-        open: usize,
+        busy: usize,
     },
 }
 
 /// What a front that leaves does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Leave {
+pub enum ShutdownStep {
     /// Accept what comes within this time.
-    Take(Nanos),
+    Accept(Nanos),
     /// Accept what waits already, close the socket, tell connections to end with their present answer.
-    Close,
+    StopAccepting,
     /// Look again after this time.
     Wait(Nanos),
     /// End.
     Exit,
 }
 
-impl Leaving {
+impl GracefulShutdown {
     /// Told to leave now, where the longest deadline of a request is so long: new connections go on coming until clients learn of the restart, and what they carry
     /// counts as taken.
-    pub fn new(now: Nanos, longest_deadline: Nanos) -> (Leaving, Leave) {
+    pub fn new(now: Nanos, longest_deadline: Nanos) -> (GracefulShutdown, ShutdownStep) {
         let kill = longest_deadline.clamp(0, KILL_DEADLINE) + KILL_MORE;
         let answered = now + (kill - ANSWERED_BEFORE).min(ANSWERED_MOST);
         let end = now + (kill - END_BEFORE).min(END_MOST);
-        (Leaving { told: now, answered, end, quiet: 0, stage: Stage::Taking }, Leave::Take(QUIET))
+        (
+            GracefulShutdown {
+                started_at: now,
+                answer_deadline: answered,
+                exit_deadline: end,
+                quiet_polls: 0,
+                stage: Stage::Accepting,
+            },
+            ShutdownStep::Accept(QUIET),
+        )
     }
 
     /// All that was taken, and is yet to be, is answered by then.
-    pub fn answered_by(&self) -> Nanos {
-        self.answered
+    pub fn answer_deadline(&self) -> Nanos {
+        self.answer_deadline
     }
 
     /// Looks in a row at which nothing was open.
-    pub fn quiet(&self) -> u32 {
-        self.quiet
+    pub fn quiet_polls(&self) -> u32 {
+        self.quiet_polls
     }
 
     /// Takes what has happened and says what is done next.
-    pub fn on(&mut self, now: Nanos, event: OnLeaving) -> Leave {
-        let since = now - self.told;
+    pub fn on(&mut self, now: Nanos, event: ShutdownEvent) -> ShutdownStep {
+        let since = now - self.started_at;
         match (self.stage, event) {
-            (Stage::Taking, OnLeaving::Accepted | OnLeaving::NoneCame) => {
-                let none = event == OnLeaving::NoneCame;
+            (Stage::Accepting, ShutdownEvent::Accepted | ShutdownEvent::AcceptTimedOut) => {
+                let none = event == ShutdownEvent::AcceptTimedOut;
                 if since >= TAKE_MOST || (none && since >= TAKE_LEAST) {
                     self.stage = Stage::Draining;
-                    Leave::Close
+                    ShutdownStep::StopAccepting
                 } else {
-                    Leave::Take(QUIET)
+                    ShutdownStep::Accept(QUIET)
                 }
             }
-            (Stage::Draining, OnLeaving::Look { held, open }) => {
-                self.quiet =
-                    if open == 0 || mutated(Mutation::LeavesOpenRequests) { self.quiet + 1 } else { 0 };
-                if held == 0 || self.quiet > LOOKS || now >= self.end {
-                    self.stage = Stage::Over;
-                    Leave::Exit
+            (Stage::Draining, ShutdownEvent::Poll { connections: held, busy: open }) => {
+                self.quiet_polls =
+                    if open == 0 || mutated(Mutation::LeavesOpenRequests) { self.quiet_polls + 1 } else { 0 };
+                if held == 0 || self.quiet_polls > LOOKS || now >= self.exit_deadline {
+                    self.stage = Stage::Finished;
+                    ShutdownStep::Exit
                 } else {
-                    Leave::Wait(LOOK)
+                    ShutdownStep::Wait(LOOK)
                 }
             }
-            (Stage::Over, _) => Leave::Exit,
-            (Stage::Taking, _) => Leave::Take(QUIET),
-            (Stage::Draining, _) => Leave::Wait(LOOK),
+            (Stage::Finished, _) => ShutdownStep::Exit,
+            (Stage::Accepting, _) => ShutdownStep::Accept(QUIET),
+            (Stage::Draining, _) => ShutdownStep::Wait(LOOK),
         }
     }
 }
--- a/crates/core/src/link.rs
+++ b/crates/core/src/link.rs
@@ -11,10 +11,10 @@
 
 /// What a connection to a node is about.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum Link {
+pub enum ServerConnection {
     /// Open, with nothing on it.
     #[default]
-    Quiet,
+    Idle,
     /// A request was handed over, its last byte is not written.
     Writing {
         /// Whether any byte is.
@@ -26,71 +26,86 @@
     Reading,
     /// Bytes came that are the answer to no request of this connection; `whole` where the last byte of the
     /// present request was written all the same.
-    Spoilt {
+    Desynchronized {
         /// Whether any byte of a request is written.
         begun: bool,
         /// Whether its last byte is.
-        whole: bool,
+        request_written: bool,
     },
 }
 
 /// What happens on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum OnLink {
+pub enum ConnectionEvent {
     /// A request was handed over.
-    HandedOver,
+    RequestAssigned,
     /// The socket took bytes, `last` where the request's last one is among them.
-    Wrote {
+    BytesWritten {
         /// Whether the request is out whole.
         last: bool,
     },
     /// Bytes came.
-    Heard,
+    BytesReceived,
     /// The answer has come whole.
-    Whole,
+    ResponseComplete,
 }
 
 /// What is known of a request whose connection broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Doubt {
+pub enum Execution {
     /// Nothing of it was written.
-    Untouched,
+    NotStarted,
     /// Its last byte was not: it never ran.
-    Partly,
+    PartiallyWritten,
     /// Its last byte was.
     MayHaveRun,
 }
 
-impl Doubt {
+impl Execution {
     /// The table of outcomes, for what broke.
     pub fn outcome(self) -> Outcome {
         match self {
-            Doubt::Untouched | Doubt::Partly => Outcome::NotExecuted,
-            Doubt::MayHaveRun => Outcome::Reset,
+            Execution::NotStarted | Execution::PartiallyWritten => Outcome::NotExecuted,
+            Execution::MayHaveRun => Outcome::Reset,
         }
     }
 }
 
-impl Link {
+impl ServerConnection {
     /// Takes what has happened.
-    pub fn on(&mut self, event: OnLink) {
+    pub fn on(&mut self, event: ConnectionEvent) {
         *self = match (*self, event) {
-            (Link::Quiet, OnLink::HandedOver) if mutated(Mutation::LastByteAtHandOver) => Link::Awaiting,
-            (Link::Quiet, OnLink::HandedOver) => Link::Writing { begun: false },
-            (Link::Writing { .. }, OnLink::Wrote { last: true }) if !mutated(Mutation::LastByteNotSeen) => {
-                Link::Awaiting
+            (ServerConnection::Idle, ConnectionEvent::RequestAssigned)
+                if mutated(Mutation::LastByteAtHandOver) =>
+            {
+                ServerConnection::Awaiting
             }
-            (Link::Writing { .. }, OnLink::Wrote { .. }) => Link::Writing { begun: true },
-            (Link::Spoilt { whole, .. }, OnLink::Wrote { last }) => {
-                Link::Spoilt { begun: true, whole: whole || last }
+            (ServerConnection::Idle, ConnectionEvent::RequestAssigned) => {
+                ServerConnection::Writing { begun: false }
             }
+            (ServerConnection::Writing { .. }, ConnectionEvent::BytesWritten { last: true })
+                if !mutated(Mutation::LastByteNotSeen) =>
+            {
+                ServerConnection::Awaiting
+            }
+            (ServerConnection::Writing { .. }, ConnectionEvent::BytesWritten { .. }) => {
+                ServerConnection::Writing { begun: true }
+            }
+            (
+                ServerConnection::Desynchronized { request_written: whole, .. },
+                ConnectionEvent::BytesWritten { last },
+            ) => ServerConnection::Desynchronized { begun: true, request_written: whole || last },
             // What comes before the request is out whole is an answer to something else.
-            (Link::Quiet, OnLink::Heard) => Link::Spoilt { begun: false, whole: false },
-            (Link::Writing { begun }, OnLink::Heard) if !mutated(Mutation::EarlyAnswerTaken) => {
-                Link::Spoilt { begun, whole: false }
+            (ServerConnection::Idle, ConnectionEvent::BytesReceived) => {
+                ServerConnection::Desynchronized { begun: false, request_written: false }
+            }
+            (ServerConnection::Writing { begun }, ConnectionEvent::BytesReceived)
+                if !mutated(Mutation::EarlyAnswerTaken) =>
+            {
+                ServerConnection::Desynchronized { begun, request_written: false }
             }
-            (Link::Awaiting, OnLink::Heard) => Link::Reading,
-            (Link::Reading, OnLink::Whole) => Link::Quiet,
+            (ServerConnection::Awaiting, ConnectionEvent::BytesReceived) => ServerConnection::Reading,
+            (ServerConnection::Reading, ConnectionEvent::ResponseComplete) => ServerConnection::Idle,
             (now, _) => now,
         }
     }
@@ -98,29 +113,35 @@
     /// Whether bytes may be written, asked just before: `waits` says that bytes, or the end, lie on the socket
     /// already, and `withdrawn` that nobody wants the request any more. Behind the last byte nothing would tell the
     /// waiting bytes from the answer; a request that has begun is not broken off.
-    pub fn may_write(&mut self, waits: bool, withdrawn: bool) -> bool {
-        if waits && !mutated(Mutation::WritesOverWaitingBytes) {
-            self.on(OnLink::Heard);
+    pub fn may_write(&mut self, unread_bytes: bool, withdrawn: bool) -> bool {
+        if unread_bytes && !mutated(Mutation::WritesOverWaitingBytes) {
+            self.on(ConnectionEvent::BytesReceived);
         }
-        let begins = *self == Link::Writing { begun: false };
+        let begins = *self == ServerConnection::Writing { begun: false };
         let unwanted = begins && withdrawn && !mutated(Mutation::WithdrawnIsWritten);
-        !matches!(self, Link::Spoilt { .. }) && !unwanted
+        !matches!(self, ServerConnection::Desynchronized { .. }) && !unwanted
     }
 
     /// What is known of the request on it, were it to break now.
-    pub fn doubt(self) -> Doubt {
+    pub fn execution(self) -> Execution {
         match self {
-            Link::Quiet | Link::Writing { begun: false } | Link::Spoilt { begun: false, whole: false } => {
-                Doubt::Untouched
+            ServerConnection::Idle
+            | ServerConnection::Writing { begun: false }
+            | ServerConnection::Desynchronized { begun: false, request_written: false } => {
+                Execution::NotStarted
             }
-            Link::Writing { begun: true } | Link::Spoilt { whole: false, .. } => Doubt::Partly,
-            Link::Awaiting | Link::Reading | Link::Spoilt { whole: true, .. } => Doubt::MayHaveRun,
+            ServerConnection::Writing { begun: true }
+            | ServerConnection::Desynchronized { request_written: false, .. } => Execution::PartiallyWritten,
+            ServerConnection::Awaiting
+            | ServerConnection::Reading
+            | ServerConnection::Desynchronized { request_written: true, .. } => Execution::MayHaveRun,
         }
     }
 
     /// Whether what has come is the answer to the request on it.
-    pub fn answers(self) -> bool {
-        self == Link::Reading || (mutated(Mutation::EarlyAnswerTaken) && matches!(self, Link::Writing { .. }))
+    pub fn is_reading_response(self) -> bool {
+        self == ServerConnection::Reading
+            || (mutated(Mutation::EarlyAnswerTaken) && matches!(self, ServerConnection::Writing { .. }))
     }
 }
 
@@ -128,33 +149,33 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Attempt {
     /// It looks for a quiet connection.
-    Choosing,
+    AcquiringConnection,
     /// It is on one that was used before.
-    Reusing,
+    OnPooledConnection,
     /// It waits for a new one.
-    Dialling,
+    Dialing,
     /// It is on a new one.
-    Fresh,
+    OnNewConnection,
     /// It has ended.
-    Over(Outcome),
+    Finished(Outcome),
 }
 
 /// What happens to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum OnAttempt {
+pub enum AttemptEvent {
     /// The pool has a quiet connection.
-    Found,
+    PooledConnectionFound,
     /// It has none; a new one may be opened, or may not.
-    NoneQuiet {
+    NoPooledConnection {
         /// Whether there is room for a new one.
-        room: bool,
+        may_open: bool,
     },
     /// A connection has come up.
     Connected,
     /// None came up.
-    NotConnected,
+    ConnectFailed,
     /// The connection broke, or what came is no answer.
-    Broke(Doubt),
+    ConnectionBroke(Execution),
     /// An answer has come whole, with this outcome by the table.
     Answered(Outcome),
     /// It was withdrawn, with this outcome, and nothing of it has been written: nothing is.
@@ -163,9 +184,9 @@
 
 /// What an attempt does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Next {
+pub enum AttemptStep {
     /// Ask the pool for a quiet connection.
-    Choose,
+    AcquireConnection,
     /// Open a new one.
     Dial,
     /// Hand the request over to the connection at hand.
@@ -176,39 +197,56 @@
 
 impl Attempt {
     /// Takes what has happened and says what is to be done.
-    pub fn on(&mut self, event: OnAttempt) -> Next {
+    pub fn on(&mut self, event: AttemptEvent) -> AttemptStep {
         let next = match (*self, event) {
-            (Attempt::Choosing, OnAttempt::Found) => Next::Send,
-            (Attempt::Choosing, OnAttempt::NoneQuiet { room: true }) => Next::Dial,
-            (Attempt::Choosing, OnAttempt::NoneQuiet { room: false }) => Next::End(Outcome::NotSent),
-            (Attempt::Dialling, OnAttempt::Connected) => Next::Send,
-            (Attempt::Dialling, OnAttempt::NotConnected) if mutated(Mutation::DialFailureInDoubt) => {
-                Next::End(Outcome::Reset)
+            (Attempt::AcquiringConnection, AttemptEvent::PooledConnectionFound) => AttemptStep::Send,
+            (Attempt::AcquiringConnection, AttemptEvent::NoPooledConnection { may_open: true }) => {
+                AttemptStep::Dial
+            }
+            (Attempt::AcquiringConnection, AttemptEvent::NoPooledConnection { may_open: false }) => {
+                AttemptStep::End(Outcome::NotSent)
+            }
+            (Attempt::Dialing, AttemptEvent::Connected) => AttemptStep::Send,
+            (Attempt::Dialing, AttemptEvent::ConnectFailed) if mutated(Mutation::DialFailureInDoubt) => {
+                AttemptStep::End(Outcome::Reset)
             }
-            (Attempt::Dialling, OnAttempt::NotConnected) => Next::End(Outcome::NotExecuted),
+            (Attempt::Dialing, AttemptEvent::ConnectFailed) => AttemptStep::End(Outcome::NotExecuted),
             // A pooled connection may prove closed before anything of the request is taken from us; that is no
             // attempt, and the next connection gets it. One that broke in mid-request is never gone round.
-            (Attempt::Reusing, OnAttempt::Broke(Doubt::Untouched)) => Next::Choose,
-            (Attempt::Reusing, OnAttempt::Broke(Doubt::Partly)) if mutated(Mutation::PartlySentGoesRound) => {
-                Next::Choose
+            (Attempt::OnPooledConnection, AttemptEvent::ConnectionBroke(Execution::NotStarted)) => {
+                AttemptStep::AcquireConnection
             }
-            (Attempt::Reusing, OnAttempt::Broke(_)) if mutated(Mutation::ResentSilently) => Next::Choose,
-            (Attempt::Reusing | Attempt::Fresh, OnAttempt::Broke(doubt)) => {
+            (Attempt::OnPooledConnection, AttemptEvent::ConnectionBroke(Execution::PartiallyWritten))
+                if mutated(Mutation::PartlySentGoesRound) =>
+            {
+                AttemptStep::AcquireConnection
+            }
+            (Attempt::OnPooledConnection, AttemptEvent::ConnectionBroke(_))
+                if mutated(Mutation::ResentSilently) =>
+            {
+                AttemptStep::AcquireConnection
+            }
+            (
+                Attempt::OnPooledConnection | Attempt::OnNewConnection,
+                AttemptEvent::ConnectionBroke(doubt),
+            ) => {
                 let refused = mutated(Mutation::ResetTakenForRefusal);
-                Next::End(if refused { Outcome::NotExecuted } else { doubt.outcome() })
+                AttemptStep::End(if refused { Outcome::NotExecuted } else { doubt.outcome() })
+            }
+            (Attempt::OnPooledConnection | Attempt::OnNewConnection, AttemptEvent::Answered(outcome)) => {
+                AttemptStep::End(outcome)
             }
-            (Attempt::Reusing | Attempt::Fresh, OnAttempt::Answered(outcome)) => Next::End(outcome),
             // What does not fit is a fault of the shell's; in doubt it may have run.
-            (Attempt::Over(outcome), _) => Next::End(outcome),
-            (_, OnAttempt::Withdrawn(outcome)) => Next::End(outcome),
-            _ => Next::End(Outcome::Reset),
+            (Attempt::Finished(outcome), _) => AttemptStep::End(outcome),
+            (_, AttemptEvent::Withdrawn(outcome)) => AttemptStep::End(outcome),
+            _ => AttemptStep::End(Outcome::Reset),
         };
         *self = match next {
-            Next::Choose => Attempt::Choosing,
-            Next::Dial => Attempt::Dialling,
-            Next::Send if *self == Attempt::Dialling => Attempt::Fresh,
-            Next::Send => Attempt::Reusing,
-            Next::End(outcome) => Attempt::Over(outcome),
+            AttemptStep::AcquireConnection => Attempt::AcquiringConnection,
+            AttemptStep::Dial => Attempt::Dialing,
+            AttemptStep::Send if *self == Attempt::Dialing => Attempt::OnNewConnection,
+            AttemptStep::Send => Attempt::OnPooledConnection,
+            AttemptStep::End(outcome) => Attempt::Finished(outcome),
         };
         next
     }
@@ -216,68 +254,68 @@
 
 /// The quiet connections to each node. `C` is a handle on a connection; dropping one closes it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Pool<C> {
-    idle: Nanos,
-    most: usize,
-    members: BTreeMap<NodeId, Member<C>>,
+pub struct ConnectionPool<C> {
+    idle_timeout: Nanos,
+    max_connections: usize,
+    nodes: BTreeMap<NodeId, NodeConnections<C>>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Member<C> {
+struct NodeConnections<C> {
     /// Goes up where the node moves: connections to where it was are of no use.
-    place: u32,
+    address_epoch: u32,
     /// The latest used last, with the moment it fell quiet.
-    quiet: Vec<(C, Nanos)>,
+    idle: Vec<(C, Nanos)>,
 }
 
 /// Whether a new connection may be opened.
 #[derive(Debug)]
-pub enum Room<C> {
+pub enum Capacity<C> {
     /// It may.
-    Free,
+    Available,
     /// It may once this one, the longest idle, is closed.
-    Close(C),
+    AfterClosing(C),
     /// All are in use.
-    Full,
+    Exhausted,
 }
 
-impl<C> Pool<C> {
+impl<C> ConnectionPool<C> {
     /// Of at most so many connections, quiet or not, each used again within `idle` of its last answer.
-    pub fn new(idle: Nanos, most: usize) -> Pool<C> {
-        Pool { idle, most, members: BTreeMap::new() }
+    pub fn new(idle: Nanos, most: usize) -> ConnectionPool<C> {
+        ConnectionPool { idle_timeout: idle, max_connections: most, nodes: BTreeMap::new() }
     }
 
     /// A node is there.
     pub fn add(&mut self, node: NodeId) {
-        self.members.entry(node).or_insert(Member { place: 0, quiet: Vec::new() });
+        self.nodes.entry(node).or_insert(NodeConnections { address_epoch: 0, idle: Vec::new() });
     }
 
     /// A node is at another address now. Gives the connections that are of no use any more.
-    pub fn moved(&mut self, node: NodeId) -> Vec<(C, Nanos)> {
-        let Some(member) = self.members.get_mut(&node) else { return Vec::new() };
-        member.place += 1;
-        std::mem::take(&mut member.quiet)
+    pub fn address_changed(&mut self, node: NodeId) -> Vec<(C, Nanos)> {
+        let Some(member) = self.nodes.get_mut(&node) else { return Vec::new() };
+        member.address_epoch += 1;
+        std::mem::take(&mut member.idle)
     }
 
     /// A node is gone. Gives its connections.
-    pub fn forget(&mut self, node: NodeId) -> Vec<(C, Nanos)> {
+    pub fn remove(&mut self, node: NodeId) -> Vec<(C, Nanos)> {
         if mutated(Mutation::ForgottenNodeKeepsConnections) {
             return Vec::new();
         }
-        self.members.remove(&node).map(|m| m.quiet).unwrap_or_default()
+        self.nodes.remove(&node).map(|m| m.idle).unwrap_or_default()
     }
 
     /// Which of its places a node is at; none where it is not known.
-    pub fn place(&self, node: NodeId) -> Option<u32> {
-        self.members.get(&node).map(|m| m.place)
+    pub fn address_epoch(&self, node: NodeId) -> Option<u32> {
+        self.nodes.get(&node).map(|m| m.address_epoch)
     }
 
     /// A connection to use again, and those found to be of no use on the way. `quiet` looks at the socket.
     pub fn take(&mut self, node: NodeId, now: Nanos, quiet: impl Fn(&C) -> bool) -> (Option<C>, Vec<C>) {
         let mut useless = Vec::new();
-        let idle = self.idle;
-        let Some(member) = self.members.get_mut(&node) else { return (None, useless) };
-        while let Some((conn, since)) = member.quiet.pop() {
+        let idle = self.idle_timeout;
+        let Some(member) = self.nodes.get_mut(&node) else { return (None, useless) };
+        while let Some((conn, since)) = member.idle.pop() {
             let fresh = now - since < idle || mutated(Mutation::IdleForTooLong);
             if fresh && quiet(&conn) {
                 return (Some(conn), useless);
@@ -289,11 +327,13 @@
 
     /// Keeps a connection that has carried an answer, opened while its node was at `place`; gives it back where
     /// it is of no use.
-    pub fn keep(&mut self, node: NodeId, place: u32, conn: C, now: Nanos, quiet: bool) -> Option<C> {
-        let stays = |m: &&mut Member<C>| m.place == place || mutated(Mutation::KeptForAnotherAddress);
-        match self.members.get_mut(&node).filter(stays).filter(|_| quiet) {
+    pub fn release(&mut self, node: NodeId, place: u32, conn: C, now: Nanos, quiet: bool) -> Option<C> {
+        let stays = |m: &&mut NodeConnections<C>| {
+            m.address_epoch == place || mutated(Mutation::KeptForAnotherAddress)
+        };
+        match self.nodes.get_mut(&node).filter(stays).filter(|_| quiet) {
             Some(member) => {
-                member.quiet.push((conn, now));
+                member.idle.push((conn, now));
                 None
             }
             None => Some(conn),
@@ -301,25 +341,25 @@
     }
 
     /// Whether one more may be opened where `open` are, in use or quiet.
-    pub fn room(&mut self, open: usize) -> Room<C> {
-        if open < self.most || mutated(Mutation::NoCapOnConnections) {
-            return Room::Free;
+    pub fn capacity(&mut self, open: usize) -> Capacity<C> {
+        if open < self.max_connections || mutated(Mutation::NoCapOnConnections) {
+            return Capacity::Available;
         }
-        let quiet = self.members.values_mut().filter(|m| !m.quiet.is_empty());
-        match quiet.min_by_key(|m| m.quiet[0].1) {
-            Some(member) => Room::Close(member.quiet.remove(0).0),
-            None => Room::Full,
+        let quiet = self.nodes.values_mut().filter(|m| !m.idle.is_empty());
+        match quiet.min_by_key(|m| m.idle[0].1) {
+            Some(member) => Capacity::AfterClosing(member.idle.remove(0).0),
+            None => Capacity::Exhausted,
         }
     }
 
     /// Gives the connections that have stood idle for long, or are closed by the node.
     pub fn sweep(&mut self, now: Nanos, open: impl Fn(&C) -> bool) -> Vec<C> {
         let mut over = Vec::new();
-        for member in self.members.values_mut() {
-            let (stay, go) = std::mem::take(&mut member.quiet)
+        for member in self.nodes.values_mut() {
+            let (stay, go) = std::mem::take(&mut member.idle)
                 .into_iter()
-                .partition(|(conn, since)| open(conn) && now - since < self.idle);
-            member.quiet = stay;
+                .partition(|(conn, since)| open(conn) && now - since < self.idle_timeout);
+            member.idle = stay;
             let go: Vec<(C, Nanos)> = go;
             over.extend(go.into_iter().map(|(conn, _)| conn));
         }
@@ -327,7 +367,7 @@
     }
 
     /// The quiet connections to each node, the latest used last.
-    pub fn quiet(&self) -> impl Iterator<Item = (NodeId, &C)> {
-        self.members.iter().flat_map(|(node, m)| m.quiet.iter().map(move |(conn, _)| (*node, conn)))
+    pub fn idle_connections(&self) -> impl Iterator<Item = (NodeId, &C)> {
+        self.nodes.iter().flat_map(|(node, m)| m.idle.iter().map(move |(conn, _)| (*node, conn)))
     }
 }
--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -373,12 +373,10 @@
     /// How long clients of a class lately tend to stay, where they leave early.
     fn stays(&self, class: usize) -> Nanos {
         let stay = &self.stay[class];
-        let leave_early = stay.rate(self.now, LEFT_MEMORY) >= LEFT_RATE;
-        if leave_early {
-            stay.age as Nanos
-        } else {
-            Nanos::MAX / 4
+        if stay.rate(self.now, LEFT_MEMORY) < LEFT_RATE {
+            return Nanos::MAX / 4;
         }
+        stay.age as Nanos
     }
 
     /// Until when an answer is in time.
--- a/crates/core/tests/door.rs
+++ b/crates/core/tests/door.rs
@@ -1,29 +1,29 @@
 //! Connections of clients at the end of a front, and at the moment in which they are cut off.
 
-use tulipbridge_core::door::{Leave, Leaving, OnLeaving, OnVisitor, Visitor};
+use tulipbridge_core::door::{ClientConnection, ClientEvent, GracefulShutdown, ShutdownEvent, ShutdownStep};
 use tulipbridge_core::Nanos;
 
 const MS: Nanos = 1_000_000;
 
-fn after(events: &[OnVisitor]) -> Visitor {
-    let mut visitor = Visitor::new(0);
+fn after(events: &[ClientEvent]) -> ClientConnection {
+    let mut visitor = ClientConnection::new(0);
     events.iter().for_each(|e| visitor.on(0, *e));
     visitor
 }
 
 #[test]
 fn a_front_that_leaves_shuts_nothing_on_which_a_request_has_begun() {
-    use OnVisitor::{Answered, Body, Ended, Head, Taken};
+    use ClientEvent::{Answered, BodyStarted, Closing, HeadStarted, RequestReceived};
     let now = 1_000 * MS;
     for (name, visitor, waits, arriving) in [
-        ("half a head", after(&[Head]), false, true),
-        ("half a body", after(&[Head, Body]), false, true),
-        ("rests", after(&[Head, Taken, Answered]), false, false),
-        ("rests, with bytes unread", after(&[Head, Taken, Answered]), true, true),
+        ("half a head", after(&[HeadStarted]), false, true),
+        ("half a body", after(&[HeadStarted, BodyStarted]), false, true),
+        ("rests", after(&[HeadStarted, RequestReceived, Answered]), false, false),
+        ("rests, with bytes unread", after(&[HeadStarted, RequestReceived, Answered]), true, true),
         ("has said nothing", after(&[]), false, false),
         ("has said nothing yet that was read", after(&[]), true, true),
-        ("is being answered", after(&[Head, Taken]), true, false),
-        ("is over", after(&[Head, Taken, Answered, Ended]), true, false),
+        ("is being answered", after(&[HeadStarted, RequestReceived]), true, false),
+        ("is over", after(&[HeadStarted, RequestReceived, Answered, Closing]), true, false),
     ] {
         assert_eq!(visitor.is_arriving(now, waits), arriving, "{name}");
     }
@@ -32,12 +32,15 @@
 
 #[test]
 fn what_has_come_since_it_was_told_to_go_is_not_crossed() {
-    use OnVisitor::{Answered, Head, Taken};
-    assert!(after(&[Head, Taken, Answered]).may_be_cut(100 * MS, false));
-    assert!(!after(&[Head, Taken, Answered]).may_be_cut(100 * MS, true));
-    assert!(!after(&[Head, Taken]).may_be_cut(100 * MS, false), "a request is open");
-    assert!(!after(&[Head]).may_be_cut(2_700 * MS, true));
-    assert!(after(&[Head]).may_be_cut(3_300 * MS, true), "half a request that drips ends all the same");
+    use ClientEvent::{Answered, HeadStarted, RequestReceived};
+    assert!(after(&[HeadStarted, RequestReceived, Answered]).may_close_now(100 * MS, false));
+    assert!(!after(&[HeadStarted, RequestReceived, Answered]).may_close_now(100 * MS, true));
+    assert!(!after(&[HeadStarted, RequestReceived]).may_close_now(100 * MS, false), "a request is open");
+    assert!(!after(&[HeadStarted]).may_close_now(2_700 * MS, true));
+    assert!(
+        after(&[HeadStarted]).may_close_now(3_300 * MS, true),
+        "half a request that drips ends all the same"
+    );
 }
 
 #[test]
@@ -49,21 +52,23 @@
         (3_000, 3_100, 3_400),
         (60_000, 3_100, 3_400),
     ] {
-        let (mut leaving, mut next) = Leaving::new(0, longest * MS);
-        assert_eq!(leaving.answered_by(), answered * MS);
+        let (mut leaving, mut next) = GracefulShutdown::new(0, longest * MS);
+        assert_eq!(leaving.answer_deadline(), answered * MS);
         let mut now = 0;
-        while next != Leave::Exit {
+        while next != ShutdownStep::Exit {
             match next {
-                Leave::Take(time) => {
+                ShutdownStep::Accept(time) => {
                     now += time;
-                    next = leaving.on(now, OnLeaving::NoneCame);
+                    next = leaving.on(now, ShutdownEvent::AcceptTimedOut);
                 }
-                Leave::Close => next = leaving.on(now, OnLeaving::Look { held: 3, open: 1 }),
-                Leave::Wait(time) => {
+                ShutdownStep::StopAccepting => {
+                    next = leaving.on(now, ShutdownEvent::Poll { connections: 3, busy: 1 })
+                }
+                ShutdownStep::Wait(time) => {
                     now += time;
-                    next = leaving.on(now, OnLeaving::Look { held: 3, open: 1 });
+                    next = leaving.on(now, ShutdownEvent::Poll { connections: 3, busy: 1 });
                 }
-                Leave::Exit => {}
+                ShutdownStep::Exit => {}
             }
         }
         assert!((end * MS..(end + 20) * MS + 1).contains(&now), "{longest} ms: {now}");
@@ -73,8 +78,11 @@
 
 #[test]
 fn a_front_on_which_nothing_is_owed_ends_soon() {
-    let (mut leaving, _) = Leaving::new(0, 3_000 * MS);
-    assert_eq!(leaving.on(500 * MS, OnLeaving::NoneCame), Leave::Close);
-    assert!(matches!(leaving.on(500 * MS, OnLeaving::Look { held: 2, open: 1 }), Leave::Wait(_)));
-    assert_eq!(leaving.on(520 * MS, OnLeaving::Look { held: 0, open: 0 }), Leave::Exit);
+    let (mut leaving, _) = GracefulShutdown::new(0, 3_000 * MS);
+    assert_eq!(leaving.on(500 * MS, ShutdownEvent::AcceptTimedOut), ShutdownStep::StopAccepting);
+    assert!(matches!(
+        leaving.on(500 * MS, ShutdownEvent::Poll { connections: 2, busy: 1 }),
+        ShutdownStep::Wait(_)
+    ));
+    assert_eq!(leaving.on(520 * MS, ShutdownEvent::Poll { connections: 0, busy: 0 }), ShutdownStep::Exit);
 }
--- a/crates/core/tests/withdrawal.rs
+++ b/crates/core/tests/withdrawal.rs
@@ -1,6 +1,8 @@
 //! What nobody wants any more and has not begun is withdrawn, and never begins.
 
-use tulipbridge_core::link::{Attempt, Doubt, Link, Next, OnAttempt, OnLink};
+use tulipbridge_core::link::{
+    Attempt, AttemptEvent, AttemptStep, ConnectionEvent, Execution, ServerConnection,
+};
 use tulipbridge_core::request_tracker::{Decisions, Effect, Input, RequestTracker};
 use tulipbridge_core::{Action, Event, Listed, Nanos, NodeInfo, Outcome, Request, UpdateScope};
 
@@ -86,19 +88,24 @@
 #[test]
 fn what_is_withdrawn_ends_where_it_stands() {
     let outcome = Outcome::NotSent;
-    for mut attempt in [Attempt::Choosing, Attempt::Dialling, Attempt::Reusing, Attempt::Fresh] {
-        assert_eq!(attempt.on(OnAttempt::Withdrawn(outcome)), Next::End(outcome));
-        assert_eq!(attempt, Attempt::Over(outcome));
+    for mut attempt in [
+        Attempt::AcquiringConnection,
+        Attempt::Dialing,
+        Attempt::OnPooledConnection,
+        Attempt::OnNewConnection,
+    ] {
+        assert_eq!(attempt.on(AttemptEvent::Withdrawn(outcome)), AttemptStep::End(outcome));
+        assert_eq!(attempt, Attempt::Finished(outcome));
     }
 }
 
 #[test]
 fn no_byte_of_what_is_withdrawn_is_written_and_what_has_begun_is_not_broken_off() {
-    let mut link = Link::Quiet;
-    link.on(OnLink::HandedOver);
+    let mut link = ServerConnection::Idle;
+    link.on(ConnectionEvent::RequestAssigned);
     assert!(link.may_write(false, false));
     assert!(!link.may_write(false, true));
-    assert_eq!(link.doubt(), Doubt::Untouched);
-    link.on(OnLink::Wrote { last: false });
+    assert_eq!(link.execution(), Execution::NotStarted);
+    link.on(ConnectionEvent::BytesWritten { last: false });
     assert!(link.may_write(false, true));
 }
--- a/crates/model-checker/src/entrance.rs
+++ b/crates/model-checker/src/entrance.rs
@@ -7,7 +7,10 @@
 use std::fmt;
 use std::hash::{Hash, Hasher};
 
-use tulipbridge_core::door::{Accept, Door, Leave, Leaving, OnLeaving, OnVisitor, Phase, Visitor};
+use tulipbridge_core::door::{
+    Accept, ClientConnection, ClientEvent, ConnectionLimiter, GracefulShutdown, Phase, ShutdownEvent,
+    ShutdownStep,
+};
 use tulipbridge_core::Nanos;
 
 use crate::explore::{same, Card, Explored};
@@ -86,7 +89,7 @@
 enum Life {
     Serving,
     /// Since when it waits for what it was told last.
-    Leaving(Leaving, Leave, Nanos),
+    Leaving(GracefulShutdown, ShutdownStep, Nanos),
     Over,
 }
 
@@ -95,8 +98,8 @@
 pub struct State {
     now: Nanos,
     steps: u8,
-    door: Door,
-    visitors: BTreeMap<u64, Visitor>,
+    door: ConnectionLimiter,
+    visitors: BTreeMap<u64, ClientConnection>,
     lines: BTreeMap<u64, Line>,
     clients: Vec<Client>,
     life: Life,
@@ -173,7 +176,7 @@
         State {
             now: BEGAN,
             steps: 0,
-            door: Door::new(self.places.0 + self.places.1, self.places.1),
+            door: ConnectionLimiter::new(self.places.0 + self.places.1, self.places.1),
             visitors: BTreeMap::new(),
             lines: BTreeMap::new(),
             clients: vec![Client::Away; self.clients],
@@ -188,7 +191,7 @@
             return;
         }
         // The socket is closed once the front drains.
-        let listens = matches!(state.life, Life::Serving | Life::Leaving(_, Leave::Take(_), _));
+        let listens = matches!(state.life, Life::Serving | Life::Leaving(_, ShutdownStep::Accept(_), _));
         if let Some(c) = state.clients.iter().position(|c| *c == Client::Away).filter(|_| listens) {
             steps.push(Step::Connect(c));
         }
@@ -214,17 +217,17 @@
                 steps.push(Step::Drained(n));
                 continue;
             }
-            if line.read < line.sent && phase != Phase::Open {
+            if line.read < line.sent && phase != Phase::Responding {
                 steps.push(Step::Read(n));
             }
-            if phase == Phase::Open {
+            if phase == Phase::Responding {
                 steps.push(Step::Answer(n));
             }
-            if phase == Phase::Body && state.now >= visitor.limit() {
+            if phase == Phase::ReadingBody && state.now >= visitor.request_deadline() {
                 steps.push(Step::BodyTimeUp(n));
             }
-            let drains = matches!(state.life, Life::Leaving(_, Leave::Wait(_), _));
-            let shut = matches!(phase, Phase::Silent | Phase::Head | Phase::Body | Phase::Idle);
+            let drains = matches!(state.life, Life::Leaving(_, ShutdownStep::Wait(_), _));
+            let shut = matches!(phase, Phase::New | Phase::ReadingHead | Phase::ReadingBody | Phase::Idle);
             if drains && shut && !visitor.is_arriving(state.now, state.busy(n)) {
                 steps.push(Step::Graceful(n));
             }
@@ -238,8 +241,10 @@
         due |= steps.iter().any(|s| matches!(s, Step::BodyTimeUp(_) | Step::Accept | Step::Read(_)));
         if let Life::Leaving(_, next, since) = state.life {
             match next {
-                Leave::Take(time) if !queued && state.now >= since + time => steps.push(Step::NoneCame),
-                Leave::Wait(time) if state.now >= since + time => steps.push(Step::LookLeaving),
+                ShutdownStep::Accept(time) if !queued && state.now >= since + time => {
+                    steps.push(Step::NoneCame)
+                }
+                ShutdownStep::Wait(time) if state.now >= since + time => steps.push(Step::LookLeaving),
                 _ => {}
             }
             due |= steps.iter().any(|s| matches!(s, Step::NoneCame | Step::LookLeaving));
@@ -273,10 +278,10 @@
     }
 
     fn is_over(&self, n: u64) -> bool {
-        let short = self.door.is_short(self.visitors.len());
+        let short = self.door.is_scarce(self.visitors.len());
         self.visitors
             .get(&n)
-            .is_some_and(|v| v.is_over(self.now, short, || self.busy(n) && v.phase().0 == Phase::Idle))
+            .is_some_and(|v| v.has_timed_out(self.now, short, || self.busy(n) && v.phase().0 == Phase::Idle))
     }
 
     /// Whether accepting would not wait; asked on a copy.
@@ -292,13 +297,13 @@
             let idle = match next {
                 Accept::Now => return true,
                 Accept::Wait => return false,
-                Accept::SendIdleOff => true,
-                Accept::SendOneOff => false,
+                Accept::EvictIdle => true,
+                Accept::EvictAny => false,
             };
             let visitors = self.visitors.iter().map(|(n, v)| (*n, *v));
             let idle_and_busy =
                 |n: u64| self.busy(n) && self.visitors.get(&n).is_some_and(|v| v.phase().0 == Phase::Idle);
-            let gone = self.door.gives_way(self.now, idle, visitors, idle_and_busy);
+            let gone = self.door.eviction_candidate(self.now, idle, visitors, idle_and_busy);
             if let Some(n) = gone {
                 self.close(n);
             }
@@ -310,14 +315,14 @@
     fn close(&mut self, n: u64) {
         let (Some(visitor), Some(line)) = (self.visitors.remove(&n), self.lines.remove(&n)) else { return };
         let phase = visitor.phase().0;
-        self.broken.open_request_cut |= phase == Phase::Open;
+        self.broken.open_request_cut |= phase == Phase::Responding;
         self.broken.closed_across_request |= phase == Phase::Idle && line.read < line.sent;
         for client in self.clients.iter_mut().filter(|c| **c == Client::On(n)) {
             *client = Client::Gone;
         }
     }
 
-    fn on(&mut self, n: u64, event: OnVisitor) {
+    fn on(&mut self, n: u64, event: ClientEvent) {
         let now = self.now;
         self.visitors.entry(n).and_modify(|v| v.on(now, event));
     }
@@ -337,40 +342,40 @@
             Step::Accept => {
                 self.accept();
                 self.admit();
-                self.leave(OnLeaving::Accepted);
+                self.leave(ShutdownEvent::Accepted);
             }
             Step::Read(n) => {
                 let Some(line) = self.lines.get_mut(&n) else { return };
                 line.read = line.sent;
                 let event = match line.sent {
                     Sent::Nothing => return,
-                    Sent::HalfHead => OnVisitor::Head,
-                    Sent::Head => OnVisitor::Body,
-                    Sent::Whole => OnVisitor::Taken,
+                    Sent::HalfHead => ClientEvent::HeadStarted,
+                    Sent::Head => ClientEvent::BodyStarted,
+                    Sent::Whole => ClientEvent::RequestReceived,
                 };
                 // A body is announced by its head, and a head by its first byte.
                 let phase = self.visitors.get(&n).map(|v| v.phase().0);
-                if matches!(phase, Some(Phase::Silent | Phase::Idle)) {
-                    self.on(n, OnVisitor::Head);
+                if matches!(phase, Some(Phase::New | Phase::Idle)) {
+                    self.on(n, ClientEvent::HeadStarted);
                 }
-                if event == OnVisitor::Taken && phase != Some(Phase::Body) {
-                    self.on(n, OnVisitor::Body);
+                if event == ClientEvent::RequestReceived && phase != Some(Phase::ReadingBody) {
+                    self.on(n, ClientEvent::BodyStarted);
                 }
                 self.on(n, event);
             }
             Step::Answer(n) => {
-                self.on(n, OnVisitor::Answered);
+                self.on(n, ClientEvent::Answered);
                 let Some(line) = self.lines.get_mut(&n) else { return };
                 (line.sent, line.read) = (Sent::Nothing, Sent::Nothing);
                 line.answered += 1;
                 // A front that drains ends each connection with its present answer, and so does one turned away.
-                if matches!(self.life, Life::Leaving(_, Leave::Wait(_), _)) {
+                if matches!(self.life, Life::Leaving(_, ShutdownStep::Wait(_), _)) {
                     self.end(n);
                 }
             }
             Step::BodyTimeUp(n) => {
-                self.on(n, OnVisitor::Taken);
-                self.on(n, OnVisitor::Answered);
+                self.on(n, ClientEvent::RequestReceived);
+                self.on(n, ClientEvent::Answered);
                 self.end(n);
             }
             Step::Drained(n) => self.close(n),
@@ -391,11 +396,11 @@
                 self.now += CLOCK[by];
             }
             Step::Term => {
-                let (leaving, next) = Leaving::new(self.now, LONGEST);
+                let (leaving, next) = GracefulShutdown::new(self.now, LONGEST);
                 self.told = self.now;
                 self.life = Life::Leaving(leaving, next, self.now);
             }
-            Step::NoneCame => self.leave(OnLeaving::NoneCame),
+            Step::NoneCame => self.leave(ShutdownEvent::AcceptTimedOut),
             Step::LookLeaving => self.leave_look(),
         }
     }
@@ -421,21 +426,21 @@
         let n = (0..).find(|n| !self.visitors.contains_key(n)).unwrap_or_default();
         let line =
             Line { sent: Sent::Nothing, read: Sent::Nothing, since: self.now, answered: 0, ended: false };
-        self.visitors.insert(n, Visitor::new(self.now));
+        self.visitors.insert(n, ClientConnection::new(self.now));
         self.lines.insert(n, line);
         self.clients[c] = Client::On(n);
     }
 
     fn end(&mut self, n: u64) {
-        self.on(n, OnVisitor::Ended);
+        self.on(n, ClientEvent::Closing);
         self.lines.entry(n).and_modify(|l| l.ended = true);
     }
 
-    fn leave(&mut self, event: OnLeaving) {
+    fn leave(&mut self, event: ShutdownEvent) {
         let Life::Leaving(mut leaving, ..) = self.life else { return };
         let next = leaving.on(self.now, event);
         self.life = Life::Leaving(leaving, next, self.now);
-        if next == Leave::Close {
+        if next == ShutdownStep::StopAccepting {
             while self.clients.contains(&Client::Queued) && self.accept() {
                 self.admit();
             }
@@ -445,10 +450,10 @@
 
     fn leave_look(&mut self) {
         let Life::Leaving(mut leaving, ..) = self.life else { return };
-        let owed = |(n, v): (&u64, &Visitor)| v.is_owed(self.now, self.busy(*n));
+        let owed = |(n, v): (&u64, &ClientConnection)| v.has_pending_work(self.now, self.busy(*n));
         let open = self.visitors.iter().filter(|entry| owed(*entry)).count();
-        let next = leaving.on(self.now, OnLeaving::Look { held: self.visitors.len(), open });
-        if next == Leave::Exit {
+        let next = leaving.on(self.now, ShutdownEvent::Poll { connections: self.visitors.len(), busy: open });
+        if next == ShutdownStep::Exit {
             self.life = Life::Over;
             let taken = |l: &Line| l.sent > Sent::Nothing && !l.ended;
             let taken = self.lines.values().any(taken);
@@ -487,15 +492,15 @@
         let ago = |t: Nanos| (self.now - t).min(70_000 * MS);
         (self.steps, self.broken, &self.clients, self.visitors.len()).hash(h);
         // Of a front that takes nobody any more, nobody is sent off for the time he has had.
-        let serving = matches!(self.life, Life::Serving | Life::Leaving(_, Leave::Take(_), _));
+        let serving = matches!(self.life, Life::Serving | Life::Leaving(_, ShutdownStep::Accept(_), _));
         for (n, v) in &self.visitors {
             (n, v.phase().0).hash(h);
             if serving {
-                (ago(v.phase().1), ago(v.came())).hash(h);
+                (ago(v.phase().1), ago(v.connected_at())).hash(h);
             }
             // What may come to be a body is bounded by this also later on.
-            if serving || matches!(v.phase().0, Phase::Silent | Phase::Head | Phase::Body) {
-                (self.now - v.limit()).min(0).hash(h);
+            if serving || matches!(v.phase().0, Phase::New | Phase::ReadingHead | Phase::ReadingBody) {
+                (self.now - v.request_deadline()).min(0).hash(h);
             }
         }
         for (n, l) in &self.lines {
@@ -506,7 +511,7 @@
         }
         match &self.life {
             Life::Leaving(leaving, next, since) => {
-                (1, leaving.quiet(), next, ago(*since), ago(self.told)).hash(h);
+                (1, leaving.quiet_polls(), next, ago(*since), ago(self.told)).hash(h);
             }
             Life::Serving => 2.hash(h),
             Life::Over => 3.hash(h),
--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -8,7 +8,10 @@
 use std::fmt;
 use std::hash::{Hash, Hasher};
 
-use tulipbridge_core::link::{Attempt, Doubt, Link, Next, OnAttempt, OnLink, Pool, Room};
+use tulipbridge_core::link::{
+    Attempt, AttemptEvent, AttemptStep, Capacity, ConnectionEvent, ConnectionPool, Execution,
+    ServerConnection,
+};
 use tulipbridge_core::request_tracker::{Effect, FinalAnswer, Input, RequestTracker};
 use tulipbridge_core::{
     Action, CellId, Listed, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, Scheduler, Semantics,
@@ -129,7 +132,7 @@
 /// What a connection is about, as both ends know together.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Wire {
-    machine: Link,
+    machine: ServerConnection,
     node: NodeId,
     place: u32,
     /// What has really gone out of the present request.
@@ -210,7 +213,7 @@
     troubles: u8,
     news: usize,
     pub(crate) desk: RequestTracker<Judge>,
-    pool: Pool<u32>,
+    pool: ConnectionPool<u32>,
     wires: BTreeMap<u32, Wire>,
     tries: BTreeMap<(RequestId, u32), Try>,
     works: Vec<Work>,
@@ -363,7 +366,7 @@
             troubles: 0,
             news: 0,
             desk: RequestTracker::new(judge),
-            pool: Pool::new(self.idle, self.connections),
+            pool: ConnectionPool::new(self.idle, self.connections),
             wires: BTreeMap::new(),
             tries: BTreeMap::new(),
             works: Vec::new(),
@@ -421,7 +424,7 @@
         for (&(id, attempt), t) in &state.tries {
             if t.stopped {
                 steps.push(Step::Drop(id, attempt));
-            } else if t.withdrawn.is_some() && t.machine == Attempt::Dialling {
+            } else if t.withdrawn.is_some() && t.machine == Attempt::Dialing {
                 steps.push(Step::Withdraw(id, attempt));
             }
             if state.now >= t.until {
@@ -621,22 +624,22 @@
                     wire.on
                 });
                 if let Some(on) = on {
-                    self.drive(world, on, OnAttempt::Connected);
+                    self.drive(world, on, AttemptEvent::Connected);
                 }
             }
             Step::Refused(w) => {
                 self.troubles += 1;
-                self.cut(world, w, OnAttempt::NotConnected);
+                self.cut(world, w, AttemptEvent::ConnectFailed);
             }
-            Step::DialTimeUp(w) => self.cut(world, w, OnAttempt::NotConnected),
+            Step::DialTimeUp(w) => self.cut(world, w, AttemptEvent::ConnectFailed),
             Step::Part(w) => self.write(world, w, false),
             Step::Rest(w) => self.write(world, w, true),
             Step::Break(w) => {
                 let Some(wire) = self.wires.get(&w) else { return };
                 self.troubles += u8::from(!wire.closed);
-                let (doubt, sent) = (wire.machine.doubt(), wire.sent);
+                let (doubt, sent) = (wire.machine.execution(), wire.sent);
                 self.doubted(doubt, sent);
-                self.cut(world, w, OnAttempt::Broke(doubt));
+                self.cut(world, w, AttemptEvent::ConnectionBroke(doubt));
             }
             Step::Close(w) => {
                 self.troubles += 1;
@@ -680,7 +683,7 @@
                 let Some(t) = self.tries.get_mut(&key) else { return };
                 let (wire, outcome) = (t.wire.take(), t.withdrawn);
                 wire.into_iter().for_each(|wire| self.close(wire));
-                self.drive(world, key, OnAttempt::Withdrawn(outcome.unwrap_or(Outcome::NotSent)));
+                self.drive(world, key, AttemptEvent::Withdrawn(outcome.unwrap_or(Outcome::NotSent)));
             }
             Step::TimeUp(id, attempt) => {
                 self.dropped((id, attempt));
@@ -723,14 +726,14 @@
                     let fresh = Try {
                         node,
                         until,
-                        machine: Attempt::Choosing,
+                        machine: Attempt::AcquiringConnection,
                         wire: None,
                         touched: 0,
                         stopped: false,
                         withdrawn: None,
                     };
                     self.tries.insert((id, attempt), fresh);
-                    self.step_on(world, (id, attempt), Next::Choose);
+                    self.step_on(world, (id, attempt), AttemptStep::AcquireConnection);
                 }
                 Effect::Cancel { id, attempt } => {
                     self.tries.entry((id, attempt)).and_modify(|t| t.stopped = true);
@@ -748,7 +751,7 @@
                     let used = self.tries.values().any(|t| t.node == node);
                     self.broken.node_forgotten_in_use |= used;
                     self.nodes[node].forgotten = true;
-                    for (conn, _) in self.pool.forget(node) {
+                    for (conn, _) in self.pool.remove(node) {
                         self.close(conn);
                     }
                 }
@@ -794,21 +797,23 @@
     }
 
     /// An attempt takes what has happened, as the upstream does.
-    fn drive(&mut self, world: &World, key: (RequestId, u32), event: OnAttempt) {
+    fn drive(&mut self, world: &World, key: (RequestId, u32), event: AttemptEvent) {
         let Some(t) = self.tries.get_mut(&key) else { return };
         let next = t.machine.on(event);
         self.step_on(world, key, next);
     }
 
-    fn step_on(&mut self, world: &World, key: (RequestId, u32), mut next: Next) {
+    fn step_on(&mut self, world: &World, key: (RequestId, u32), mut next: AttemptStep) {
         loop {
             let Some(t) = self.tries.get_mut(&key) else { return };
             next = match next {
-                Next::Choose => {
+                AttemptStep::AcquireConnection => {
                     t.wire = None;
                     let wires = &self.wires;
                     let quiet = |w: &u32| {
-                        wires.get(w).is_some_and(|w| w.machine == Link::Quiet && !w.closed && !w.unasked)
+                        wires
+                            .get(w)
+                            .is_some_and(|w| w.machine == ServerConnection::Idle && !w.closed && !w.unasked)
                     };
                     let (found, useless) = self.pool.take(t.node, self.now, quiet);
                     for conn in useless {
@@ -818,20 +823,20 @@
                     let Some(t) = self.tries.get_mut(&key) else { return };
                     t.wire = found;
                     t.machine.on(if found.is_some() {
-                        OnAttempt::Found
+                        AttemptEvent::PooledConnectionFound
                     } else {
-                        OnAttempt::NoneQuiet { room }
+                        AttemptEvent::NoPooledConnection { may_open: room }
                     })
                 }
-                Next::Dial => {
+                AttemptStep::Dial => {
                     let node = t.node;
                     // The lowest free one, so that histories that differ in numbers alone meet.
                     let number = (0..).find(|n| !self.wires.contains_key(n)).unwrap_or_default();
                     t.wire = Some(number);
                     let wire = Wire {
-                        machine: Link::Quiet,
+                        machine: ServerConnection::Idle,
                         node,
-                        place: self.pool.place(node).unwrap_or_default(),
+                        place: self.pool.address_epoch(node).unwrap_or_default(),
                         sent: Sent::Nothing,
                         closed: false,
                         unasked: false,
@@ -843,17 +848,18 @@
                     self.broken.too_many_connections |= self.wires.len() > world.connections;
                     return;
                 }
-                Next::Send => {
+                AttemptStep::Send => {
                     let Some(wire) = t.wire.and_then(|w| self.wires.get_mut(&w)) else { return };
                     let reused = wire.on.is_none();
-                    wire.machine.on(OnLink::HandedOver);
+                    wire.machine.on(ConnectionEvent::RequestAssigned);
                     wire.sent = Sent::Nothing;
                     wire.on = Some(key);
                     self.broken.idle_too_long |= reused && self.now - wire.since >= world.idle;
-                    self.broken.sent_to_old_place |= reused && Some(wire.place) != self.pool.place(wire.node);
+                    self.broken.sent_to_old_place |=
+                        reused && Some(wire.place) != self.pool.address_epoch(wire.node);
                     return;
                 }
-                Next::End(outcome) => {
+                AttemptStep::End(outcome) => {
                     let touched = self.tries.remove(&key).is_some_and(|t| t.touched > 0);
                     self.broken.doubt_is_wrong |= outcome == Outcome::Reset && !touched;
                     let (id, attempt) = key;
@@ -867,16 +873,16 @@
 
     fn room(&mut self, key: (RequestId, u32)) -> bool {
         let Some(t) = self.tries.get(&key) else { return false };
-        if self.pool.place(t.node).is_none() {
+        if self.pool.address_epoch(t.node).is_none() {
             return false;
         }
-        match self.pool.room(self.wires.len()) {
-            Room::Free => true,
-            Room::Close(conn) => {
+        match self.pool.capacity(self.wires.len()) {
+            Capacity::Available => true,
+            Capacity::AfterClosing(conn) => {
                 self.close(conn);
                 true
             }
-            Room::Full => false,
+            Capacity::Exhausted => false,
         }
     }
 
@@ -891,7 +897,7 @@
     }
 
     /// A connection ends, and its attempt is told.
-    fn cut(&mut self, world: &World, conn: u32, event: OnAttempt) {
+    fn cut(&mut self, world: &World, conn: u32, event: AttemptEvent) {
         let on = self.wires.get(&conn).and_then(|w| w.on);
         self.close(conn);
         if let Some(on) = on {
@@ -912,10 +918,10 @@
         let on = wire.on.and_then(|key| self.tries.get(&key));
         let withdrawn = on.and_then(|t| t.withdrawn.or(t.stopped.then_some(Outcome::Cancelled)));
         if !wire.machine.may_write(wire.unasked, withdrawn.is_some()) {
-            let (doubt, sent) = (wire.machine.doubt(), wire.sent);
+            let (doubt, sent) = (wire.machine.execution(), wire.sent);
             self.doubted(doubt, sent);
-            let ends = withdrawn.filter(|_| doubt == Doubt::Untouched).map(OnAttempt::Withdrawn);
-            self.cut(world, conn, ends.unwrap_or(OnAttempt::Broke(doubt)));
+            let ends = withdrawn.filter(|_| doubt == Execution::NotStarted).map(AttemptEvent::Withdrawn);
+            self.cut(world, conn, ends.unwrap_or(AttemptEvent::ConnectionBroke(doubt)));
             return;
         }
         let Some(key) = wire.on else { return };
@@ -923,7 +929,7 @@
         let waits = |c: &Client| matches!(c, Client::Waits { id, .. } if *id == key.0);
         self.broken.sent_for_nobody |= first && !self.clients.iter().any(waits);
         wire.sent = if last { Sent::Whole } else { Sent::Part };
-        wire.machine.on(OnLink::Wrote { last });
+        wire.machine.on(ConnectionEvent::BytesWritten { last });
         let told = &self.nodes[wire.node];
         self.broken.work_to_leaving_node |= first && told.listed != Listed::Up;
         if let Some(t) = self.tries.get_mut(&key) {
@@ -944,23 +950,23 @@
         usize::try_from(id).ok().filter(|c| *c < self.clients.len())
     }
 
-    fn doubted(&mut self, doubt: Doubt, sent: Sent) {
+    fn doubted(&mut self, doubt: Execution, sent: Sent) {
         let ran = sent == Sent::Whole;
-        self.broken.doubt_is_wrong |= (doubt == Doubt::MayHaveRun) != ran;
+        self.broken.doubt_is_wrong |= (doubt == Execution::MayHaveRun) != ran;
     }
 
     /// The node's answer comes whole, or cannot be read.
     fn answered(&mut self, world: &World, work: usize, outcome: Option<Outcome>) {
         let work = self.works.remove(work);
         let Some(wire) = self.wires.get_mut(&work.wire) else { return };
-        wire.machine.on(OnLink::Heard);
+        wire.machine.on(ConnectionEvent::BytesReceived);
         match outcome {
             Some(outcome) => self.hear(world, work.wire, Some((work.client, outcome))),
             // What cannot be read closes the connection, and it may have run.
             None => {
-                let (doubt, sent) = (wire.machine.doubt(), wire.sent);
+                let (doubt, sent) = (wire.machine.execution(), wire.sent);
                 self.doubted(doubt, sent);
-                self.cut(world, work.wire, OnAttempt::Broke(doubt));
+                self.cut(world, work.wire, AttemptEvent::ConnectionBroke(doubt));
             }
         }
     }
@@ -970,27 +976,27 @@
         let Some(wire) = self.wires.get_mut(&conn) else { return };
         if answer.is_none() {
             wire.unasked = false;
-            wire.machine.on(OnLink::Heard);
+            wire.machine.on(ConnectionEvent::BytesReceived);
         }
         let Some(key) = wire.on else { return };
-        if !wire.machine.answers() {
-            let (doubt, sent) = (wire.machine.doubt(), wire.sent);
+        if !wire.machine.is_reading_response() {
+            let (doubt, sent) = (wire.machine.execution(), wire.sent);
             self.doubted(doubt, sent);
-            self.cut(world, conn, OnAttempt::Broke(doubt));
+            self.cut(world, conn, AttemptEvent::ConnectionBroke(doubt));
             return;
         }
-        wire.machine.on(OnLink::Whole);
+        wire.machine.on(ConnectionEvent::ResponseComplete);
         wire.on = None;
         wire.since = self.now;
         let (node, place) = (wire.node, wire.place);
         // What lies on the socket is looked for where the connection is taken again.
-        let quiet = wire.machine == Link::Quiet;
+        let quiet = wire.machine == ServerConnection::Idle;
         let outcome = answer.map_or(Outcome::Served, |(_, outcome)| outcome);
         if let Some(t) = self.tries.get_mut(&key) {
-            t.machine.on(OnAttempt::Answered(outcome));
+            t.machine.on(AttemptEvent::Answered(outcome));
         }
         self.tries.remove(&key);
-        if let Some(conn) = self.pool.keep(node, place, conn, self.now, quiet) {
+        if let Some(conn) = self.pool.release(node, place, conn, self.now, quiet) {
             self.close(conn);
         }
         let (id, attempt) = key;
@@ -1030,7 +1036,7 @@
                 (UpdateScope::Update, node)
             }
             News::Moves(node) => {
-                for (conn, _) in self.pool.moved(node) {
+                for (conn, _) in self.pool.address_changed(node) {
                     self.close(conn);
                 }
                 return;
@@ -1055,11 +1061,12 @@
         let out =
             self.desk.requests().iter().flat_map(|(id, h)| h.in_flight.iter().map(|o| (*id, o.attempt)));
         self.broken.attempt_unknown |= !out.eq(self.tries.keys().copied());
-        self.broken.node_forgotten_in_use |= self.pool.quiet().any(|(n, _)| self.nodes[n].forgotten);
+        self.broken.node_forgotten_in_use |=
+            self.pool.idle_connections().any(|(n, _)| self.nodes[n].forgotten);
         let waits = |c: &Client| matches!(c, Client::Waits { .. });
         if !self.clients.iter().any(waits) && self.tries.is_empty() {
             let held = self.wires.values().any(|w| w.on.is_some());
-            let stray = self.pool.quiet().count() != self.wires.len();
+            let stray = self.pool.idle_connections().count() != self.wires.len();
             self.broken.left_at_rest |= held || stray || !self.desk.requests().is_empty();
             self.broken.left_at_rest |= !self.desk.decisions().is_at_rest();
             // Asked once of each history, where nothing more will come of clients.
@@ -1101,7 +1108,7 @@
             }
         }
         self.desk.decisions().fingerprint(self.now, h);
-        for (node, conn) in self.pool.quiet() {
+        for (node, conn) in self.pool.idle_connections() {
             (node, conn).hash(h);
         }
         for (number, w) in &self.wires {
--- a/src/frontend/framing.rs
+++ b/src/frontend/framing.rs
@@ -16,7 +16,7 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::Notify;
 use tokio::time::Instant;
-use tulipbridge_core::door::{OnVisitor, Phase, Visitor};
+use tulipbridge_core::door::{ClientConnection, ClientEvent, Phase};
 use tulipbridge_core::Nanos;
 
 /// Bytes of a head; what is longer is answered 431.
@@ -27,7 +27,7 @@
 const MOST_DROPPED: usize = 8 << 20;
 /// What is known of a client's connection.
 pub struct Client {
-    visitor: Cell<Visitor>,
+    visitor: Cell<ClientConnection>,
     /// From when its moments are counted.
     began: Instant,
     fault: Cell<Option<StatusCode>>,
@@ -46,7 +46,7 @@
     /// One that has just connected, on a socket, at a front that counts its time from `began`.
     pub fn new(socket: i32, began: Instant) -> Rc<Client> {
         Rc::new(Client {
-            visitor: Cell::new(Visitor::new(began.elapsed().as_nanos() as Nanos)),
+            visitor: Cell::new(ClientConnection::new(began.elapsed().as_nanos() as Nanos)),
             began,
             fault: Cell::new(None),
             last: Cell::new(false),
@@ -58,19 +58,19 @@
     }
 
     /// What it is about.
-    pub fn visitor(&self) -> Visitor {
+    pub fn visitor(&self) -> ClientConnection {
         self.visitor.get()
     }
 
     /// Tells what has happened on it.
-    pub fn on(&self, event: OnVisitor) {
+    pub fn on(&self, event: ClientEvent) {
         let mut visitor = self.visitor.get();
         visitor.on(self.now(), event);
         self.visitor.set(visitor);
         // What has been handed over is written once it has been flushed; what has ended is written.
         match event {
-            OnVisitor::Answered => self.unwritten.set(true),
-            OnVisitor::Ended => self.unwritten.set(false),
+            ClientEvent::Answered => self.unwritten.set(true),
+            ClientEvent::Closing => self.unwritten.set(false),
             _ => {}
         }
         self.changed.notify_one();
@@ -78,7 +78,7 @@
 
     /// When the present request must have come whole.
     pub fn limit(&self) -> Instant {
-        self.began + Duration::from_nanos(self.visitor().limit().max(0) as u64)
+        self.began + Duration::from_nanos(self.visitor().request_deadline().max(0) as u64)
     }
 
     /// Whether closing it now would cross a request that has come, or cut an answer off.
@@ -99,12 +99,12 @@
 
     /// Whether something is owed on it: see [`Visitor::is_owed`].
     pub fn is_owed(&self) -> bool {
-        self.visitor().is_owed(self.now(), self.waits())
+        self.visitor().has_pending_work(self.now(), self.waits())
     }
 
     /// Whether it may be cut off in this moment: see [`Visitor::may_be_cut`].
     pub fn may_be_cut(&self) -> bool {
-        self.visitor().may_be_cut(self.now(), self.waits())
+        self.visitor().may_close_now(self.now(), self.waits())
     }
 
     fn now(&self) -> Nanos {
@@ -113,7 +113,7 @@
 
     /// When it came.
     pub fn came(&self) -> Instant {
-        self.began + Duration::from_nanos(self.visitor().came().max(0) as u64)
+        self.began + Duration::from_nanos(self.visitor().connected_at().max(0) as u64)
     }
 
     fn phase(&self) -> Phase {
@@ -199,12 +199,12 @@
         match framing(&self.held[..self.free]) {
             Ok(Some(length)) => {
                 self.reading = Reading::Body(length);
-                self.client.on(OnVisitor::Body);
+                self.client.on(ClientEvent::BodyStarted);
                 self.whole_or(length, self.free);
             }
             Ok(None) => {
                 self.client.last.set(true);
-                self.client.on(OnVisitor::Body);
+                self.client.on(ClientEvent::BodyStarted);
                 self.reading = Reading::Rest;
             }
             Err(status) => {
@@ -222,7 +222,7 @@
         let left = left - come as u64;
         self.reading = if left == 0 { Reading::Whole } else { Reading::Body(left) };
         if left == 0 {
-            self.client.on(OnVisitor::Taken);
+            self.client.on(ClientEvent::RequestReceived);
             if self.held[self.free..].iter().any(|b| !matches!(b, b'\r' | b'\n')) {
                 self.client.fault.set(Some(StatusCode::BAD_REQUEST));
                 self.client.last.set(true);
@@ -255,7 +255,7 @@
                     if ready!(framed.more(cx))? == 0 {
                         return Poll::Ready(Ok(()));
                     }
-                    framed.client.on(OnVisitor::Head);
+                    framed.client.on(ClientEvent::HeadStarted);
                 }
                 Reading::Body(left) => {
                     if framed.held.is_empty() && ready!(framed.more(cx))? == 0 {
@@ -395,7 +395,7 @@
 impl Drop for Open {
     fn drop(&mut self) {
         self.count.set(self.count.get() - 1);
-        self.client.on(OnVisitor::Answered);
+        self.client.on(ClientEvent::Answered);
     }
 }
 
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -25,7 +25,9 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
-use tulipbridge_core::door::{Accept, Door, Leave, Leaving, OnLeaving, OnVisitor, Phase};
+use tulipbridge_core::door::{
+    Accept, ClientEvent, ConnectionLimiter, GracefulShutdown, Phase, ShutdownEvent, ShutdownStep,
+};
 use tulipbridge_core::Nanos;
 
 use crate::frontend::framing::{Answering, Client, Framed, Open, MOST_HEAD};
@@ -82,7 +84,7 @@
 /// A front's socket, its connections and its leaving.
 pub struct Listener<H> {
     handler: H,
-    door: Door,
+    door: ConnectionLimiter,
     began: Instant,
     clients: RefCell<HashMap<u64, Rc<Client>>>,
     next: Cell<u64>,
@@ -99,7 +101,7 @@
     pub fn new(handler: H, most: usize, standing: Standing) -> Rc<Listener<H>> {
         Rc::new(Listener {
             handler,
-            door: Door::new(most, TURNED_AWAY),
+            door: ConnectionLimiter::new(most, TURNED_AWAY),
             began: Instant::now(),
             clients: RefCell::default(),
             next: Cell::new(0),
@@ -122,27 +124,29 @@
         }
         self.taking.set(false);
         let told = self.now();
-        let (mut leaving, mut next) = Leaving::new(told, self.handler.longest().as_nanos() as Nanos);
-        self.handler.leave(duration(leaving.answered_by() - told));
+        let (mut leaving, mut next) = GracefulShutdown::new(told, self.handler.longest().as_nanos() as Nanos);
+        self.handler.leave(duration(leaving.answer_deadline() - told));
         loop {
             next = match next {
-                Leave::Take(within) => {
+                ShutdownStep::Accept(within) => {
                     let took = timeout(duration(within), self.accept_one(&listener)).await;
-                    leaving
-                        .on(self.now(), if took.is_ok() { OnLeaving::Accepted } else { OnLeaving::NoneCame })
+                    leaving.on(
+                        self.now(),
+                        if took.is_ok() { ShutdownEvent::Accepted } else { ShutdownEvent::AcceptTimedOut },
+                    )
                 }
-                Leave::Close => break,
-                Leave::Wait(_) | Leave::Exit => return,
+                ShutdownStep::StopAccepting => break,
+                ShutdownStep::Wait(_) | ShutdownStep::Exit => return,
             };
         }
         self.take_the_last(listener);
         self.leaving.send_replace(true);
         loop {
             let owed = self.clients.borrow().values().filter(|c| c.is_owed()).count();
-            let look = OnLeaving::Look { held: self.held(), open: owed.max(self.requests.get()) };
+            let look = ShutdownEvent::Poll { connections: self.held(), busy: owed.max(self.requests.get()) };
             match leaving.on(self.now(), look) {
-                Leave::Wait(time) => sleep(duration(time)).await,
-                Leave::Exit | Leave::Take(_) | Leave::Close => return,
+                ShutdownStep::Wait(time) => sleep(duration(time)).await,
+                ShutdownStep::Exit | ShutdownStep::Accept(_) | ShutdownStep::StopAccepting => return,
             }
         }
     }
@@ -180,8 +184,8 @@
             let next = self.door.accept(self.held(), tried);
             match next {
                 Accept::Now => break,
-                Accept::SendIdleOff => tried = Some((next, self.make_room(true))),
-                Accept::SendOneOff => tried = Some((next, self.make_room(false))),
+                Accept::EvictIdle => tried = Some((next, self.make_room(true))),
+                Accept::EvictAny => tried = Some((next, self.make_room(false))),
                 Accept::Wait => {
                     sleep(Duration::from_millis(5)).await;
                     tried = None;
@@ -233,7 +237,7 @@
     fn make_room(&self, idle: bool) -> bool {
         let mut clients = self.clients.borrow_mut();
         let visitors = clients.iter().map(|(n, c)| (*n, c.visitor()));
-        let gone = self.door.gives_way(self.now(), idle, visitors, |n| clients[&n].is_busy());
+        let gone = self.door.eviction_candidate(self.now(), idle, visitors, |n| clients[&n].is_busy());
         let gone = gone.and_then(|number| clients.remove(&number));
         gone.map(|client| client.gone.notify_one()).is_some()
     }
@@ -259,9 +263,9 @@
     async fn look(&self) {
         loop {
             sleep(LOOK).await;
-            let (now, short) = (self.now(), self.door.is_short(self.held()));
+            let (now, short) = (self.now(), self.door.is_scarce(self.held()));
             for client in self.clients.borrow().values() {
-                let over = client.visitor().is_over(now, short, || client.is_busy());
+                let over = client.visitor().has_timed_out(now, short, || client.is_busy());
                 if over {
                     client.gone.notify_one();
                 }
@@ -299,7 +303,7 @@
                 }
             }
         }
-        client.on(OnVisitor::Ended);
+        client.on(ClientEvent::Closing);
         let until = (client.came() + DRAIN).max(Instant::now() + DRAIN_QUIET);
         // hyper has let go of its part; what is left is this one.
         if let Ok(read) = Rc::try_unwrap(read) {
@@ -346,7 +350,7 @@
                 simd_json::json!({ "e": "not taken", "status": status.as_u16(), "length": length }),
             );
         }
-        client.on(OnVisitor::Taken);
+        client.on(ClientEvent::RequestReceived);
         let leaving = *self.leaving.borrow();
         let mut request = Request::from_parts(head, body);
         if let Some(hold) = hold {
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -28,7 +28,10 @@
 use tokio::sync::Notify;
 use tokio::task::{yield_now, JoinHandle};
 use tokio::time::sleep;
-use tulipbridge_core::link::{Attempt, Doubt, Link, Next, OnAttempt, OnLink, Pool, Room};
+use tulipbridge_core::link::{
+    Attempt, AttemptEvent, AttemptStep, Capacity, ConnectionEvent, ConnectionPool, Execution,
+    ServerConnection,
+};
 use tulipbridge_core::{CellId, Nanos, NodeId, Outcome};
 
 use crate::exchange::{Ended, Transport, Withdrawal};
@@ -113,7 +116,7 @@
     /// The body has come whole: its connection may carry another request.
     pub fn done(mut self) {
         if let Some((conn, node, shared)) = self.conn.take() {
-            conn.wire.on(OnLink::Whole);
+            conn.wire.on(ConnectionEvent::ResponseComplete);
             shared.keep(node, conn);
         }
     }
@@ -135,7 +138,7 @@
     began: Instant,
     open: Cell<usize>,
     nodes: RefCell<Nodes>,
-    pool: RefCell<Pool<Conn>>,
+    pool: RefCell<ConnectionPool<Conn>>,
 }
 
 #[derive(Default)]
@@ -156,7 +159,7 @@
     /// No chunk server is known yet. `idle_close` is when the servers close an idle connection; one written to
     /// in that moment is lost, so connections go well before. `most` bounds all connections together.
     pub fn new(dial_timeout: Duration, idle_close: Duration, most: usize) -> Upstream {
-        let pool = RefCell::new(Pool::new(idle_close.mul_f64(0.8).as_nanos() as Nanos, most));
+        let pool = RefCell::new(ConnectionPool::new(idle_close.mul_f64(0.8).as_nanos() as Nanos, most));
         let (began, open, nodes) = (Instant::now(), Cell::new(0), RefCell::default());
         Upstream { shared: Rc::new(Shared { dial_timeout, began, open, nodes, pool }) }
     }
@@ -169,7 +172,7 @@
                 member.cell = cell;
                 if member.address != address {
                     member.address = address;
-                    self.shared.pool.borrow_mut().moved(id);
+                    self.shared.pool.borrow_mut().address_changed(id);
                 }
             }
             return id;
@@ -207,7 +210,7 @@
         if let Some(member) = nodes.list.remove(&node) {
             nodes.ids.remove(&member.name);
         }
-        self.shared.pool.borrow_mut().forget(node);
+        self.shared.pool.borrow_mut().remove(node);
     }
 
     fn attempt(
@@ -231,35 +234,36 @@
         until: Instant,
         mut withdrawal: Withdrawal,
     ) -> Ended<Answer> {
-        let (mut attempt, mut next, mut at_hand) = (Attempt::Choosing, Next::Choose, None);
+        let (mut attempt, mut next, mut at_hand) =
+            (Attempt::AcquiringConnection, AttemptStep::AcquireConnection, None);
         loop {
             next = match next {
-                Next::Choose => {
+                AttemptStep::AcquireConnection => {
                     at_hand = self.pool.borrow_mut().take(node, self.now(), Conn::is_quiet).0;
                     attempt.on(match at_hand {
-                        Some(_) => OnAttempt::Found,
-                        None => OnAttempt::NoneQuiet { room: self.make_room(node) },
+                        Some(_) => AttemptEvent::PooledConnectionFound,
+                        None => AttemptEvent::NoPooledConnection { may_open: self.make_room(node) },
                     })
                 }
-                Next::Dial => tokio::select! {
+                AttemptStep::Dial => tokio::select! {
                     biased;
-                    outcome = withdrawal.comes() => attempt.on(OnAttempt::Withdrawn(outcome)),
+                    outcome = withdrawal.comes() => attempt.on(AttemptEvent::Withdrawn(outcome)),
                     conn = self.dial(node) => {
                         at_hand = conn;
                         let up = at_hand.is_some();
-                        attempt.on(if up { OnAttempt::Connected } else { OnAttempt::NotConnected })
+                        attempt.on(if up { AttemptEvent::Connected } else { AttemptEvent::ConnectFailed })
                     }
                 },
-                Next::Send => match at_hand.take() {
+                AttemptStep::Send => match at_hand.take() {
                     Some(mut conn) => match self.send(&mut conn, payload, until, &withdrawal).await {
                         // Of what was written nothing is taken back.
-                        Err(Doubt::Untouched) => attempt.on(match withdrawal.outcome() {
-                            Some(outcome) => OnAttempt::Withdrawn(outcome),
-                            None => OnAttempt::Broke(Doubt::Untouched),
+                        Err(Execution::NotStarted) => attempt.on(match withdrawal.outcome() {
+                            Some(outcome) => AttemptEvent::Withdrawn(outcome),
+                            None => AttemptEvent::ConnectionBroke(Execution::NotStarted),
                         }),
-                        Err(doubt) => attempt.on(OnAttempt::Broke(doubt)),
+                        Err(doubt) => attempt.on(AttemptEvent::ConnectionBroke(doubt)),
                         Ok(mut ended) => {
-                            attempt.on(OnAttempt::Answered(ended.outcome));
+                            attempt.on(AttemptEvent::Answered(ended.outcome));
                             // A body that is still coming keeps its connection until it has come.
                             match ended.answer.as_mut().and_then(|a| a.rest.as_mut()) {
                                 Some(rest) => rest.conn = Some((conn, node, Rc::clone(&self))),
@@ -268,9 +272,9 @@
                             return ended;
                         }
                     },
-                    None => attempt.on(OnAttempt::Broke(Doubt::MayHaveRun)),
+                    None => attempt.on(AttemptEvent::ConnectionBroke(Execution::MayHaveRun)),
                 },
-                Next::End(outcome) => return outcome.into(),
+                AttemptStep::End(outcome) => return outcome.into(),
             };
         }
     }
@@ -289,18 +293,18 @@
     fn keep(&self, node: NodeId, conn: Conn) {
         // Bytes that wait on it are looked for where it is taken again.
         let quiet = conn.is_open();
-        self.pool.borrow_mut().keep(node, conn.place, conn, self.now(), quiet);
+        self.pool.borrow_mut().release(node, conn.place, conn, self.now(), quiet);
     }
 
     /// Whether a connection to the node may be opened, which may cost the longest idle one.
     fn make_room(&self, node: NodeId) -> bool {
         self.nodes.borrow().list.contains_key(&node)
-            && !matches!(self.pool.borrow_mut().room(self.open.get()), Room::Full)
+            && !matches!(self.pool.borrow_mut().capacity(self.open.get()), Capacity::Exhausted)
     }
 
     async fn dial(self: &Rc<Self>, node: NodeId) -> Option<Conn> {
         let (address, cell) = self.nodes.borrow().list.get(&node).map(|m| (m.address, m.cell))?;
-        let place = self.pool.borrow().place(node)?;
+        let place = self.pool.borrow().address_epoch(node)?;
         let table = Place::take(self);
         if trace::on() {
             trace::write(json!({ "e": "dial", "node": self.name(node), "open": self.open.get() }));
@@ -326,8 +330,8 @@
         payload: &Payload,
         until: Instant,
         withdrawal: &Withdrawal,
-    ) -> Result<Ended<Answer>, Doubt> {
-        conn.sender.ready().await.map_err(|_| Doubt::Untouched)?;
+    ) -> Result<Ended<Answer>, Execution> {
+        conn.sender.ready().await.map_err(|_| Execution::NotStarted)?;
         let mut request = Request::new(Full::new(payload.body.clone()));
         *request.method_mut() = payload.method.clone();
         *request.uri_mut() = payload.target.clone();
@@ -348,11 +352,11 @@
         });
         let answer = async {
             let response = conn.sender.send_request(request).await.map_err(|_| wire.doubt())?;
-            if !wire.link.get().answers() {
+            if !wire.link.get().is_reading_response() {
                 return Err(wire.doubt());
             }
             let ended = whole(response, payload.accepts, cell).await?;
-            wire.on(OnLink::Whole);
+            wire.on(ConnectionEvent::ResponseComplete);
             Ok(ended)
         };
         let mut answer = pin!(answer);
@@ -367,7 +371,11 @@
 /// An answer with its body. Whatever is not framed beyond doubt and within bounds is spoilt: it may have run, and
 /// there is no answer to pass on. A served answer whose body is long, or of unknown length, is passed on as it comes, where
 /// the front takes such answers.
-async fn whole(response: Response<Incoming>, accepts: Accepts, cell: CellId) -> Result<Ended<Answer>, Doubt> {
+async fn whole(
+    response: Response<Incoming>,
+    accepts: Accepts,
+    cell: CellId,
+) -> Result<Ended<Answer>, Execution> {
     let headers = response.headers();
     let (sized, coded) = (headers.contains_key(CONTENT_LENGTH), headers.contains_key(TRANSFER_ENCODING));
     let size = response.body().size_hint();
@@ -376,7 +384,7 @@
     let (outcome, seen_use, foreign_units) = read_head(&response, accepts);
     let long = open_ended || size.lower() > MOST_BODY as u64;
     if response.status().is_informational() || (sized && coded) || size.lower() > MOST_STREAMED {
-        return Err(Doubt::MayHaveRun);
+        return Err(Execution::MayHaveRun);
     }
     if long && outcome == Outcome::Served && accepts == Accepts::Served {
         let (head, mut body) = response.into_parts();
@@ -394,7 +402,7 @@
                     };
                     return Ok(Ended { outcome, answer: Some(answer), seen_use, foreign_units });
                 }
-                Some(Err(_)) => return Err(Doubt::MayHaveRun),
+                Some(Err(_)) => return Err(Execution::MayHaveRun),
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
                         first.extend_from_slice(&data);
@@ -407,11 +415,11 @@
         return Ok(Ended { outcome, answer: Some(answer), seen_use, foreign_units });
     }
     if size.lower() > MOST_BODY as u64 {
-        return Err(Doubt::MayHaveRun);
+        return Err(Execution::MayHaveRun);
     }
     let (head, body) = response.into_parts();
     let body = Limited::new(body, MOST_BODY).collect().await;
-    let body = body.map_err(|_| Doubt::MayHaveRun)?.to_bytes();
+    let body = body.map_err(|_| Execution::MayHaveRun)?.to_bytes();
     let answer = (outcome == Outcome::Served).then_some(Answer {
         cell,
         status: head.status,
@@ -463,7 +471,7 @@
 impl Conn {
     /// Open, with nothing on it that has been read.
     fn is_open(&self) -> bool {
-        self.wire.link.get() == Link::Quiet && !self.sender.is_closed() && !self.task.is_finished()
+        self.wire.link.get() == ServerConnection::Idle && !self.sender.is_closed() && !self.task.is_finished()
     }
 
     /// The same with nothing on its socket: bytes that came unasked would be taken for the next request's answer.
@@ -499,7 +507,7 @@
 /// out.
 #[derive(Default)]
 struct Wire {
-    link: Cell<Link>,
+    link: Cell<ServerConnection>,
     /// Bytes matched of the empty line that ends the head.
     matched: Cell<usize>,
     body_left: Cell<usize>,
@@ -517,27 +525,27 @@
 const HEAD_END: &[u8; 4] = b"\r\n\r\n";
 
 impl Wire {
-    fn on(&self, event: OnLink) {
+    fn on(&self, event: ConnectionEvent) {
         let mut link = self.link.get();
         link.on(event);
         self.link.set(link);
     }
 
-    fn doubt(&self) -> Doubt {
-        self.link.get().doubt()
+    fn doubt(&self) -> Execution {
+        self.link.get().execution()
     }
 
     fn expect(&self, body: usize, figures: Option<ClassFigures>, withdrawal: Withdrawal) {
         *self.figures.borrow_mut() = figures;
         *self.withdrawal.borrow_mut() = Some(withdrawal);
-        self.on(OnLink::HandedOver);
+        self.on(ConnectionEvent::RequestAssigned);
         self.matched.set(0);
         self.body_left.set(body);
         self.answers.fetch_add(1, Ordering::Relaxed);
     }
 
     fn heard(&self) {
-        self.on(OnLink::Heard);
+        self.on(ConnectionEvent::BytesReceived);
         let answer = self.answers.load(Ordering::Relaxed);
         if self.heard.replace(answer) != answer {
             self.came.notify_one();
@@ -590,7 +598,7 @@
                 figures.sent();
             }
         }
-        self.on(OnLink::Wrote { last });
+        self.on(ConnectionEvent::BytesWritten { last });
     }
 }
 
--- a/tests/unit/upstream.rs
+++ b/tests/unit/upstream.rs
@@ -67,7 +67,7 @@
             let request = b"GET /api HTTP/1.1\r\n\r\n";
             let wrote = std::future::poll_fn(|cx| Pin::new(&mut watched).poll_write(cx, request)).await;
             assert!(wrote.is_err(), "the node ended: {ends}");
-            assert_eq!(wire.doubt(), Doubt::Untouched, "so the next connection gets the request");
+            assert_eq!(wire.doubt(), Execution::NotStarted, "so the next connection gets the request");
         }
     });
 }
