--- a/crates/core/src/maintenance.rs
+++ b/crates/core/src/maintenance.rs
@@ -12,56 +12,60 @@
 
 /// Why a server cannot be held out or let back in.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HandError {
+pub enum MaintenanceError {
     /// The list has never named it.
     NeverListed,
 }
 
-impl std::fmt::Display for HandError {
+impl std::fmt::Display for MaintenanceError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            HandError::NeverListed => write!(f, "no chunk server of that id has been listed"),
+            MaintenanceError::NeverListed => write!(f, "no chunk server of that id has been listed"),
         }
     }
 }
 
-impl std::error::Error for HandError {}
+impl std::error::Error for MaintenanceError {}
 
 /// The servers held out by hand, and what the list says of each server.
 #[derive(Clone, Debug)]
-pub struct Hand<K> {
+pub struct MaintenanceSet<K> {
     /// What the list says of each server now listed, as it said it.
     listed: BTreeMap<K, NodeInfo>,
     /// Every key that the list has named since the start, or that was held when the process began.
-    ever: BTreeSet<K>,
-    held: BTreeSet<K>,
+    ever_listed: BTreeSet<K>,
+    in_maintenance: BTreeSet<K>,
 }
 
-impl<K> Default for Hand<K> {
-    fn default() -> Hand<K> {
-        Hand { listed: BTreeMap::new(), ever: BTreeSet::new(), held: BTreeSet::new() }
+impl<K> Default for MaintenanceSet<K> {
+    fn default() -> MaintenanceSet<K> {
+        MaintenanceSet {
+            listed: BTreeMap::new(),
+            ever_listed: BTreeSet::new(),
+            in_maintenance: BTreeSet::new(),
+        }
     }
 }
 
-impl<K: Ord + Clone> Hand<K> {
+impl<K: Ord + Clone> MaintenanceSet<K> {
     /// Nothing listed, nothing held.
-    pub fn new() -> Hand<K> {
-        Hand::default()
+    pub fn new() -> MaintenanceSet<K> {
+        MaintenanceSet::default()
     }
 
     /// An entry of the list, as the list says it; gives what the module is to be told of it.
-    pub fn listed(&mut self, key: &K, info: NodeInfo) -> NodeInfo {
-        self.ever.insert(key.clone());
+    pub fn endpoint_listed(&mut self, key: &K, info: NodeInfo) -> NodeInfo {
+        self.ever_listed.insert(key.clone());
         if info.listed == Listed::Removed {
             self.listed.remove(key);
         } else {
             self.listed.insert(key.clone(), info.clone());
         }
-        self.told(key, info)
+        self.effective_entry(key, info)
     }
 
     /// A complete list has come: what it does not name is no longer listed.
-    pub fn replaced(&mut self, keys: &BTreeSet<K>) {
+    pub fn list_replaced(&mut self, keys: &BTreeSet<K>) {
         self.listed.retain(|key, _| keys.contains(key));
     }
 
@@ -70,14 +74,14 @@
     ///
     /// # Errors
     /// [`HandError::NeverListed`] where the list has never named it.
-    pub fn enter(&mut self, key: &K) -> Result<Option<NodeInfo>, HandError> {
-        if !self.ever.contains(key) {
-            return Err(HandError::NeverListed);
+    pub fn enter(&mut self, key: &K) -> Result<Option<NodeInfo>, MaintenanceError> {
+        if !self.ever_listed.contains(key) {
+            return Err(MaintenanceError::NeverListed);
         }
-        if !self.held.insert(key.clone()) {
+        if !self.in_maintenance.insert(key.clone()) {
             return Ok(None);
         }
-        Ok(self.listed.get(key).cloned().map(|info| self.told(key, info)))
+        Ok(self.listed.get(key).cloned().map(|info| self.effective_entry(key, info)))
     }
 
     /// Lets a server back in at `now`. Gives what the module is to be told, where it is listed now: as the list
@@ -86,11 +90,11 @@
     ///
     /// # Errors
     /// [`HandError::NeverListed`] where the list has never named it.
-    pub fn exit(&mut self, key: &K, now: Nanos) -> Result<Option<NodeInfo>, HandError> {
-        if !self.ever.contains(key) {
-            return Err(HandError::NeverListed);
+    pub fn exit(&mut self, key: &K, now: Nanos) -> Result<Option<NodeInfo>, MaintenanceError> {
+        if !self.ever_listed.contains(key) {
+            return Err(MaintenanceError::NeverListed);
         }
-        if !self.held.remove(key) {
+        if !self.in_maintenance.remove(key) {
             return Ok(None);
         }
         let info = self.listed.get_mut(key).map(|info| {
@@ -102,33 +106,33 @@
 
     /// Holds exactly these servers, as another process of this front has written them down. Gives what the module
     /// is to be told of those that changed and are listed now.
-    pub fn hold_exactly(&mut self, keys: &BTreeSet<K>, now: Nanos) -> Vec<NodeInfo> {
-        let gone: Vec<K> = self.held.difference(keys).cloned().collect();
-        let came: Vec<K> = keys.difference(&self.held).cloned().collect();
+    pub fn replace_set(&mut self, keys: &BTreeSet<K>, now: Nanos) -> Vec<NodeInfo> {
+        let gone: Vec<K> = self.in_maintenance.difference(keys).cloned().collect();
+        let came: Vec<K> = keys.difference(&self.in_maintenance).cloned().collect();
         let mut told = Vec::new();
         for key in gone {
             told.extend(self.exit(&key, now).ok().flatten());
         }
         for key in came {
             // One that this process has not heard of yet may be listed to it later; it is held from then on.
-            self.ever.insert(key.clone());
+            self.ever_listed.insert(key.clone());
             told.extend(self.enter(&key).ok().flatten());
         }
         told
     }
 
     /// Those held out, in order.
-    pub fn held(&self) -> impl Iterator<Item = &K> {
-        self.held.iter()
+    pub fn in_maintenance(&self) -> impl Iterator<Item = &K> {
+        self.in_maintenance.iter()
     }
 
     /// Whether the server is held out.
-    pub fn is_held(&self, key: &K) -> bool {
-        self.held.contains(key)
+    pub fn contains(&self, key: &K) -> bool {
+        self.in_maintenance.contains(key)
     }
 
-    fn told(&self, key: &K, mut info: NodeInfo) -> NodeInfo {
-        if self.held.contains(key) && info.listed == Listed::Up {
+    fn effective_entry(&self, key: &K, mut info: NodeInfo) -> NodeInfo {
+        if self.in_maintenance.contains(key) && info.listed == Listed::Up {
             info.listed = Listed::Draining;
         }
         info
@@ -145,53 +149,53 @@
 
     #[test]
     fn a_held_server_is_draining_whatever_the_list_says() {
-        let mut hand = Hand::new();
+        let mut hand = MaintenanceSet::new();
         let key = "s-1".to_owned();
-        assert_eq!(hand.listed(&key, entry(0, Listed::Up, 0)).listed, Listed::Up);
+        assert_eq!(hand.endpoint_listed(&key, entry(0, Listed::Up, 0)).listed, Listed::Up);
         assert_eq!(hand.enter(&key), Ok(Some(entry(0, Listed::Draining, 0))));
         assert_eq!(hand.enter(&key), Ok(None), "a second enter is a yes that tells nothing new");
-        assert_eq!(hand.listed(&key, entry(0, Listed::Up, 0)).listed, Listed::Draining);
+        assert_eq!(hand.endpoint_listed(&key, entry(0, Listed::Up, 0)).listed, Listed::Draining);
         // It leaves the list and comes back under another number: still held.
-        assert_eq!(hand.listed(&key, entry(0, Listed::Removed, 0)).listed, Listed::Removed);
-        hand.replaced(&BTreeSet::new());
-        assert_eq!(hand.listed(&key, entry(7, Listed::Up, 5)).listed, Listed::Draining);
+        assert_eq!(hand.endpoint_listed(&key, entry(0, Listed::Removed, 0)).listed, Listed::Removed);
+        hand.list_replaced(&BTreeSet::new());
+        assert_eq!(hand.endpoint_listed(&key, entry(7, Listed::Up, 5)).listed, Listed::Draining);
         assert_eq!(hand.exit(&key, 90), Ok(Some(entry(7, Listed::Up, 90))), "back in, cold from the call");
         assert_eq!(hand.exit(&key, 95), Ok(None));
-        assert_eq!(hand.listed(&key, entry(7, Listed::Up, 5)).listed, Listed::Up);
+        assert_eq!(hand.endpoint_listed(&key, entry(7, Listed::Up, 5)).listed, Listed::Up);
     }
 
     #[test]
     fn an_id_never_listed_is_refused_and_changes_nothing() {
-        let mut hand: Hand<String> = Hand::new();
-        assert_eq!(hand.enter(&"s-9".to_owned()), Err(HandError::NeverListed));
-        assert_eq!(hand.exit(&"s-9".to_owned(), 1), Err(HandError::NeverListed));
-        assert_eq!(hand.held().count(), 0);
+        let mut hand: MaintenanceSet<String> = MaintenanceSet::new();
+        assert_eq!(hand.enter(&"s-9".to_owned()), Err(MaintenanceError::NeverListed));
+        assert_eq!(hand.exit(&"s-9".to_owned(), 1), Err(MaintenanceError::NeverListed));
+        assert_eq!(hand.in_maintenance().count(), 0);
     }
 
     #[test]
     fn a_server_that_drains_by_the_list_stays_draining_after_the_call_back() {
-        let mut hand = Hand::new();
+        let mut hand = MaintenanceSet::new();
         let key = 4u32;
-        hand.listed(&key, entry(2, Listed::Draining, 0));
+        hand.endpoint_listed(&key, entry(2, Listed::Draining, 0));
         assert_eq!(hand.enter(&key), Ok(Some(entry(2, Listed::Draining, 0))));
         assert_eq!(hand.exit(&key, 10), Ok(Some(entry(2, Listed::Draining, 10))));
     }
 
     #[test]
     fn what_another_process_wrote_down_is_held_here_too() {
-        let mut hand = Hand::new();
+        let mut hand = MaintenanceSet::new();
         for (node, key) in [(0, 'a'), (1, 'b')] {
-            hand.listed(&key, entry(node, Listed::Up, 0));
+            hand.endpoint_listed(&key, entry(node, Listed::Up, 0));
         }
-        let told = hand.hold_exactly(&BTreeSet::from(['a', 'z']), 50);
+        let told = hand.replace_set(&BTreeSet::from(['a', 'z']), 50);
         assert_eq!(told, vec![entry(0, Listed::Draining, 0)]);
-        assert!(hand.is_held(&'z'), "held for when the list names it");
-        assert_eq!(hand.listed(&'z', entry(2, Listed::Up, 0)).listed, Listed::Draining);
-        let told = hand.hold_exactly(&BTreeSet::from(['b']), 60);
+        assert!(hand.contains(&'z'), "held for when the list names it");
+        assert_eq!(hand.endpoint_listed(&'z', entry(2, Listed::Up, 0)).listed, Listed::Draining);
+        let told = hand.replace_set(&BTreeSet::from(['b']), 60);
         assert_eq!(
             told,
             vec![entry(0, Listed::Up, 60), entry(2, Listed::Up, 60), entry(1, Listed::Draining, 0)]
         );
-        assert_eq!(hand.held().collect::<Vec<_>>(), vec![&'b']);
+        assert_eq!(hand.in_maintenance().collect::<Vec<_>>(), vec![&'b']);
     }
 }
--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -221,7 +221,7 @@
     /// the old one is warm. Guards against a release that hands all work to cold nodes.
     fn holders(&self, cell: CellId) -> Vec<NodeId> {
         let mut up: Vec<(NodeId, &Node)> = self.up(cell).collect();
-        up.sort_by_key(|entry| (!entry.1.standing.is_tried(self.now), rank(entry)));
+        up.sort_by_key(|entry| (!entry.1.standing.is_probe_due(self.now), rank(entry)));
         up.iter().map(|(id, _)| *id).collect()
     }
 
@@ -423,11 +423,11 @@
     /// Weighted draw among the nodes that could take the work now, where it is soon done: a busy node's time
     /// belongs to the reads that only it can serve. When none has room, among all.
     fn draw_cell(&self, lot: f64, req: &Request) -> Option<CellId> {
-        let open = |n: &Node| !n.standing.is_out(req.class);
+        let open = |n: &Node| !n.standing.is_ejected(req.class);
         let room = |n: &Node| n.has_room(n.window, self.now) && self.cold_room(n) >= req.units;
         let fit = |n: &Node| n.health == Health::Good && open(n) && room(n);
         let drawn = || self.draw_among(lot, fit).or_else(|| self.draw_among(lot, open));
-        self.cell_to_try(req).or_else(drawn).or_else(|| self.draw_among(lot, |_| true))
+        self.cell_to_probe(req).or_else(drawn).or_else(|| self.draw_among(lot, |_| true))
     }
 
     fn draw_among(&self, lot: f64, fit: impl Fn(&Node) -> bool) -> Option<CellId> {
@@ -481,7 +481,8 @@
     /// Whether the rules allow this request at this node now, and whether it is worth the room.
     fn may_send(&self, live: &Live, at: NodeId) -> bool {
         let node = &self.nodes[&at];
-        if self.now < live.not_before || self.now >= live.die_at - self.margin() || self.is_barred(live, at) {
+        if self.now < live.not_before || self.now >= live.die_at - self.margin() || self.is_blocked(live, at)
+        {
             return false;
         }
         let allowed = match live.tries {
@@ -625,7 +626,7 @@
         let span = node.cold_sent.iter().filter(|(t, _)| *t > self.now - self.cold_span());
         let even = part - span.map(|(_, u)| u).sum::<f64>();
         let own = if node.cold_level < self.set.mean_units { node.cold_level } else { self.set.max_units };
-        node.ration.starting_room(self.now).map_or(own.max(even), |told| told * growth)
+        node.ration.warmup_allowance(self.now).map_or(own.max(even), |told| told * growth)
     }
 
     /// The span of the rule on cold nodes, and what a batch may add.
@@ -909,7 +910,7 @@
             self.end(id, actions);
         }
         // A new object that waits for a silent or leaving node is drawn again among those with room.
-        let unwell = |n: &Node, l: &Live| n.health != Health::Good || n.standing.is_out(l.req.class);
+        let unwell = |n: &Node, l: &Live| n.health != Health::Good || n.standing.is_ejected(l.req.class);
         let at = |l: &Live| l.cell.and_then(|c| self.holder(c));
         let waiting = |l: &&Live| {
             l.queued && l.maybe_ran.is_none() && l.req.cell.is_none() && at(l).is_none_or(|n| unwell(n, l))
@@ -978,7 +979,7 @@
     /// Whether one more may go out under a window. One under 1 is a pace, with a pause after each answer,
     /// since where many initiators meet at a small node even one each is too many.
     fn has_room(&self, window: f64, now: Nanos) -> bool {
-        let window = if self.is_full() { 0.0 } else { window.min(self.ration.most_out()) };
+        let window = if self.is_full() { 0.0 } else { window.min(self.ration.max_in_flight()) };
         if window < 1.0 {
             let best = self.best[0].min(self.best[1]).clamp(1.0, SECOND as f64);
             let pause = best * (1.0 / window - 1.0);
@@ -1073,5 +1074,5 @@
 
 /// The order in which the nodes of a cell are preferred.
 fn rank(&(id, n): &(NodeId, &Node)) -> (bool, bool, Nanos, NodeId) {
-    (n.health != Health::Good || n.standing.is_out_for_all(), n.cold_since.is_some(), -n.came_up, id)
+    (n.health != Health::Good || n.standing.is_fully_ejected(), n.cold_since.is_some(), -n.came_up, id)
 }
--- a/crates/core/src/settings_reload.rs
+++ b/crates/core/src/settings_reload.rs
@@ -8,7 +8,7 @@
 
 /// Entries by name, each with a number that does not change.
 #[derive(Clone, Debug, Default)]
-pub struct Table<T> {
+pub struct VersionedTable<T> {
     entries: Vec<Entry<T>>,
 }
 
@@ -20,16 +20,16 @@
     value: T,
 }
 
-impl<T: Clone + PartialEq> Table<T> {
+impl<T: Clone + PartialEq> VersionedTable<T> {
     /// The entries of the first settings, in their order.
-    pub fn new(told: Vec<(String, T)>) -> Table<T> {
+    pub fn new(told: Vec<(String, T)>) -> VersionedTable<T> {
         let entries = told.into_iter().map(|(name, value)| Entry { name, current: true, value }).collect();
-        Table { entries }
+        VersionedTable { entries }
     }
 
     /// Takes the entries of new settings. Gives, for each entry that stands for an older one, its number and the
     /// older's: what was learned of the older one carries over.
-    pub fn retune(&mut self, told: Vec<(String, T)>) -> Vec<(usize, usize)> {
+    pub fn reload(&mut self, told: Vec<(String, T)>) -> Vec<(usize, usize)> {
         let latest = |name: &str| self.entries.iter().rposition(|e| e.name == name);
         let before: Vec<Option<usize>> = told.iter().map(|(name, _)| latest(name)).collect();
         for entry in &mut self.entries {
@@ -90,14 +90,14 @@
 
     #[test]
     fn numbers_stay_and_what_changes_is_new() {
-        let mut table = Table::new(named(&[("read", 1), ("submit", 2)]));
-        assert_eq!(table.retune(named(&[("submit", 2), ("export", 3), ("read", 1)])), vec![]);
+        let mut table = VersionedTable::new(named(&[("read", 1), ("submit", 2)]));
+        assert_eq!(table.reload(named(&[("submit", 2), ("export", 3), ("read", 1)])), vec![]);
         assert_eq!(
             [table.find("read"), table.find("submit"), table.find("export")],
             [Some(0), Some(1), Some(2)]
         );
         // submit is stricter now, and read is gone.
-        assert_eq!(table.retune(named(&[("submit", 5), ("export", 3)])), vec![(3, 1)]);
+        assert_eq!(table.reload(named(&[("submit", 5), ("export", 3)])), vec![(3, 1)]);
         assert_eq!(
             [table.find("read"), table.find("submit"), table.find("export")],
             [None, Some(3), Some(2)]
@@ -106,7 +106,7 @@
         assert_eq!(table.name(0), Some("read"));
         assert_eq!(table.values(), vec![1, 2, 3, 5]);
         // read comes back as it was, under its number; export is gone.
-        assert_eq!(table.retune(named(&[("read", 1), ("submit", 5)])), vec![]);
+        assert_eq!(table.reload(named(&[("read", 1), ("submit", 5)])), vec![]);
         assert_eq!([table.find("read"), table.find("export")], [Some(0), None]);
         assert_eq!(table.len(), 4);
     }
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{Hash, Hasher};
 
-use crate::ejection::Standing;
-use crate::fleet_limits::{Ration, Shared};
+use crate::ejection::EjectionState;
+use crate::fleet_limits::{FleetLimits, NodeLimits};
 use crate::interface::*;
 use crate::mutations::{mutated, Mutation};
 
@@ -193,9 +193,9 @@
     /// The least window, by how many initiators share the node; 0 until it is known.
     pub least: f64,
     /// What is told of limits that all share.
-    pub ration: Ration,
+    pub ration: NodeLimits,
     /// How it stands with all initiators.
-    pub standing: Standing,
+    pub standing: EjectionState,
 }
 
 impl Node {
@@ -206,13 +206,13 @@
 
     /// Whether it may be sent a trial now, not being well.
     pub fn is_due(&self, now: Nanos) -> bool {
-        (self.standing.is_tried(now) || now >= self.trial_at) && !self.is_full()
+        (self.standing.is_probe_due(now) || now >= self.trial_at) && !self.is_full()
     }
 
     /// An attempt there was answered in time, which earns it a request, up to so many, or was not.
     pub fn note_end(&mut self, class: usize, bad: bool, most: f64) {
         self.credit = if bad { 0.0 } else { (self.credit + 1.0).min(most) };
-        self.standing.note(class, bad);
+        self.standing.note_result(class, bad);
     }
 
     /// Cold from now on: what was learned of the node before is void.
@@ -247,7 +247,7 @@
     }
 
     /// A node of which nothing is known but its entry in the list.
-    pub fn new(info: &NodeInfo, now: Nanos, window: f64, ration: Ration) -> Node {
+    pub fn new(info: &NodeInfo, now: Nanos, window: f64, ration: NodeLimits) -> Node {
         Node {
             cell: info.cell,
             zone: info.zone,
@@ -282,7 +282,7 @@
             out: BTreeMap::new(),
             least: 0.0,
             ration,
-            standing: Standing::default(),
+            standing: EjectionState::default(),
         }
     }
 }
@@ -383,7 +383,7 @@
     pub(crate) volumes: BTreeMap<VolumeId, Volume>,
     /// Rate and burst of volumes whose limit is told, in place of an even part.
     pub(crate) told_limits: BTreeMap<VolumeId, (f64, f64)>,
-    pub(crate) shared: Shared,
+    pub(crate) shared: FleetLimits,
     pub(crate) lines: BTreeMap<KeyId, Line>,
     /// Learned nanoseconds for a unit of each class.
     pub(crate) unit_cost: Vec<f64>,
@@ -427,7 +427,7 @@
             live: BTreeMap::new(),
             volumes: BTreeMap::new(),
             told_limits: BTreeMap::new(),
-            shared: Shared::default(),
+            shared: FleetLimits::default(),
             lines: BTreeMap::new(),
             unit_cost,
             extras: VecDeque::new(),
@@ -485,7 +485,7 @@
     /// Nodes in the list, and of them those that get nothing new: draining, by the list or by hand, or not trusted.
     pub fn census(&self) -> (usize, usize) {
         let listed = self.nodes.values().filter(|n| n.listed != Listed::Removed);
-        let out = |n: &Node| n.health == Health::Suspect || n.standing.is_out_for_all();
+        let out = |n: &Node| n.health == Health::Suspect || n.standing.is_fully_ejected();
         let avoided = |n: &Node| usize::from(n.listed == Listed::Draining || out(n));
         listed.fold((0, 0), |(all, avoid), n| (all + 1, avoid + avoided(n)))
     }
@@ -617,7 +617,7 @@
 
     /// Whether the further attempts that all share have none left here.
     pub(crate) fn is_spent(&self) -> bool {
-        self.shared.is_spent(self.now)
+        self.shared.retries_exhausted(self.now)
     }
 
     /// Takes a request on: it is answered before this initiator ends.
@@ -629,19 +629,19 @@
     /// Books an attempt that goes out.
     pub(crate) fn note_send(&mut self, id: RequestId, at: NodeId, sent: Sent) {
         let growth = self.nodes.get(&at).and_then(|n| n.cold_since).map(|since| self.growth(since));
-        let is_trial = self.live.get(&id).is_some_and(|l| self.may_try(&l.req));
+        let is_trial = self.live.get(&id).is_some_and(|l| self.may_probe(&l.req));
         let (Some(live), Some(node)) = (self.live.get_mut(&id), self.nodes.get_mut(&at)) else { return };
         if live.tries > 0 {
             self.extras.push_back(sent.at);
-            self.shared.note_further(sent.at);
+            self.shared.note_retry(sent.at);
         }
         node.cold_sent.push_back((sent.at, live.req.units));
         if let Some(growth) = growth {
-            node.ration.note_starting(sent.at, live.req.units / growth);
+            node.ration.note_warmup_units(sent.at, live.req.units / growth);
         }
         node.cold_level -= live.req.units;
         if is_trial {
-            node.standing.tried();
+            node.standing.note_probe();
         }
         node.credit = (node.credit - 1.0).max(0.0);
         node.out.insert((id, live.tries), sent);
@@ -744,7 +744,7 @@
     pub(crate) fn place(&mut self, info: &NodeInfo, window: f64) -> &mut Node {
         self.place_in_cell(info.node, info.cell);
         let (now, shared) = (self.now, &self.shared);
-        self.nodes.entry(info.node).or_insert_with(|| Node::new(info, now, window, shared.ration(now)))
+        self.nodes.entry(info.node).or_insert_with(|| Node::new(info, now, window, shared.node_limits(now)))
     }
 
     fn leave_line(&mut self, id: RequestId, key: Option<KeyId>) {
@@ -760,8 +760,8 @@
     pub(crate) fn tell(&mut self, told: FleetUpdate) {
         match told {
             FleetUpdate::SharedLimit { limit: of, rate, burst, at } => self.tell_limit(of, rate, burst, at),
-            FleetUpdate::Ejection { node, classes: out } => self.tell_standing(node, out),
-            FleetUpdate::Probe { node, until } => self.tell_trial(node, until),
+            FleetUpdate::Ejection { node, classes: out } => self.apply_ejection(node, out),
+            FleetUpdate::Probe { node, until } => self.apply_probe(node, until),
             FleetUpdate::Shutdown { deadline: by } => {
                 self.leaves_by = by;
                 self.live.values_mut().for_each(|l| l.die_at = l.die_at.min(by));
@@ -779,9 +779,11 @@
                     limit.retell(rate, burst, at);
                 }
             }
-            SharedLimit::Retries => self.shared.tell_further(rate, burst, at),
-            SharedLimit::WarmingUpNode => self.shared.tell_starting(rate, burst, at, self.nodes.values_mut()),
-            SharedLimit::InFlightPerNode => self.shared.tell_out(rate, self.nodes.values_mut()),
+            SharedLimit::Retries => self.shared.set_retries(rate, burst, at),
+            SharedLimit::WarmingUpNode => {
+                self.shared.set_warming_up(rate, burst, at, self.nodes.values_mut())
+            }
+            SharedLimit::InFlightPerNode => self.shared.set_in_flight(rate, self.nodes.values_mut()),
         }
     }
 
--- a/crates/core/tests/watch.rs
+++ b/crates/core/tests/watch.rs
@@ -1,7 +1,9 @@
 //! The watch on discovery: that the longest time without news stays under what counts as told, in every order of a
 //! few faults, and that a fleet's calls are spread.
 
-use tulipbridge_core::discovery_watch::{OnWatch, Step, Watch, CALL, QUIET, SPREAD, TOLD};
+use tulipbridge_core::discovery_watch::{
+    DiscoveryWatch, WatchEvent, WatchStep, CALL_JITTER, CALL_TIMEOUT, SILENCE_TIMEOUT, STALE_AFTER,
+};
 use tulipbridge_core::Nanos;
 
 const MS: Nanos = 1_000_000;
@@ -9,24 +11,24 @@
 const ANSWERS: Nanos = 2_000 * MS;
 
 /// A watch that stands since 0.
-fn standing(phase: f64) -> Watch {
-    let mut watch = Watch::new(0, 0, phase);
-    assert_eq!(watch.on(0, OnWatch::Due), [Step::Call]);
-    assert_eq!(watch.on(0, OnWatch::Opened), [Step::Adopt]);
+fn standing(phase: f64) -> DiscoveryWatch {
+    let mut watch = DiscoveryWatch::new(0, 0, phase);
+    assert_eq!(watch.on(0, WatchEvent::TimerDue), [WatchStep::Call]);
+    assert_eq!(watch.on(0, WatchEvent::Opened), [WatchStep::Adopt]);
     watch
 }
 
 /// Goes to the next due moment; gives it with what is done then.
-fn next(watch: &mut Watch) -> (Nanos, Vec<Step>) {
+fn next(watch: &mut DiscoveryWatch) -> (Nanos, Vec<WatchStep>) {
     let due = watch.due().expect("something is due");
-    (due, watch.on(due, OnWatch::Due))
+    (due, watch.on(due, WatchEvent::TimerDue))
 }
 
 /// Until the next call goes out; gives when.
-fn call(watch: &mut Watch) -> Nanos {
+fn call(watch: &mut DiscoveryWatch) -> Nanos {
     loop {
         let (at, steps) = next(watch);
-        if steps.contains(&Step::Call) {
+        if steps.contains(&WatchStep::Call) {
             return at;
         }
     }
@@ -36,13 +38,16 @@
 fn a_silent_watch_is_replaced_within_the_time_that_counts_as_told() {
     for phase in [0.0, 0.3, 0.999] {
         let mut watch = standing(phase);
-        watch.on(2_000 * MS, OnWatch::Heard);
+        watch.on(2_000 * MS, WatchEvent::MessageReceived);
         let (at, steps) = next(&mut watch);
-        assert_eq!((at, &steps[..2]), (2_000 * MS + QUIET, &[Step::Drop, Step::Lost][..]));
+        assert_eq!(
+            (at, &steps[..2]),
+            (2_000 * MS + SILENCE_TIMEOUT, &[WatchStep::CloseWatch, WatchStep::ReportLost][..])
+        );
         // Who calls first of all calls at once.
-        let called = if steps.contains(&Step::Call) { at } else { call(&mut watch) };
-        assert!(called + ANSWERS <= 2_000 * MS + TOLD - 300 * MS, "{called} at phase {phase}");
-        assert_eq!(watch.on(called + ANSWERS, OnWatch::Opened), [Step::Adopt]);
+        let called = if steps.contains(&WatchStep::Call) { at } else { call(&mut watch) };
+        assert!(called + ANSWERS <= 2_000 * MS + STALE_AFTER - 300 * MS, "{called} at phase {phase}");
+        assert_eq!(watch.on(called + ANSWERS, WatchEvent::Opened), [WatchStep::Adopt]);
     }
 }
 
@@ -50,19 +55,27 @@
 #[test]
 fn a_call_that_fails_in_any_way_is_made_again_in_time() {
     for phase in [0.0, 0.5, 0.999] {
-        for (name, fails_after) in [("refused", 0), ("late", 1_900 * MS), ("hangs", CALL)] {
+        for (name, fails_after) in [("refused", 0), ("late", 1_900 * MS), ("hangs", CALL_TIMEOUT)] {
             let mut watch = standing(phase);
-            assert_eq!(watch.on(1, OnWatch::Ended), [Step::Lost]);
+            assert_eq!(watch.on(1, WatchEvent::Ended), [WatchStep::ReportLost]);
             let first = call(&mut watch);
-            if fails_after < CALL {
-                assert_eq!(watch.on(first + fails_after, OnWatch::Failed), [Step::Lost], "{name}");
+            if fails_after < CALL_TIMEOUT {
+                assert_eq!(
+                    watch.on(first + fails_after, WatchEvent::Failed),
+                    [WatchStep::ReportLost],
+                    "{name}"
+                );
             } else {
                 let (at, steps) = next(&mut watch);
-                assert_eq!((at, steps), (first + CALL, vec![Step::GiveUp, Step::Lost]), "{name}");
+                assert_eq!(
+                    (at, steps),
+                    (first + CALL_TIMEOUT, vec![WatchStep::CancelCall, WatchStep::ReportLost]),
+                    "{name}"
+                );
             }
             let second = call(&mut watch);
             assert!(second >= first + fails_after);
-            assert!(second + ANSWERS <= first + TOLD - 300 * MS, "{name}: {first} and {second}");
+            assert!(second + ANSWERS <= first + STALE_AFTER - 300 * MS, "{name}: {first} and {second}");
         }
     }
 }
@@ -71,46 +84,46 @@
 #[test]
 fn a_call_that_falls_silent_with_the_watches_costs_no_more_than_a_watch() {
     let mut watch = standing(0.999);
-    watch.on(0, OnWatch::Ended);
+    watch.on(0, WatchEvent::Ended);
     let first = call(&mut watch);
-    watch.on(first + 10 * MS, OnWatch::Opened);
+    watch.on(first + 10 * MS, WatchEvent::Opened);
     let second = call(&mut watch);
-    assert!(second + ANSWERS <= first + 10 * MS + TOLD - 300 * MS);
+    assert!(second + ANSWERS <= first + 10 * MS + STALE_AFTER - 300 * MS);
 }
 
 #[test]
 fn who_decides_may_ask_earlier_and_never_twice() {
     let mut watch = standing(0.9);
-    watch.on(MS, OnWatch::Ended);
-    assert_eq!(watch.on(200 * MS, OnWatch::Wanted), [Step::Call]);
-    assert_eq!(watch.on(201 * MS, OnWatch::Wanted), []);
-    assert_eq!(watch.on(300 * MS, OnWatch::Opened), [Step::Adopt]);
-    assert_eq!(watch.on(301 * MS, OnWatch::Wanted), []);
-    assert_eq!(watch.due(), Some(300 * MS + QUIET));
+    watch.on(MS, WatchEvent::Ended);
+    assert_eq!(watch.on(200 * MS, WatchEvent::ListWanted), [WatchStep::Call]);
+    assert_eq!(watch.on(201 * MS, WatchEvent::ListWanted), []);
+    assert_eq!(watch.on(300 * MS, WatchEvent::Opened), [WatchStep::Adopt]);
+    assert_eq!(watch.on(301 * MS, WatchEvent::ListWanted), []);
+    assert_eq!(watch.due(), Some(300 * MS + SILENCE_TIMEOUT));
 }
 
 #[test]
 fn the_old_watch_is_read_on_until_the_new_one_stands() {
     let mut watch = standing(0.5);
-    assert_eq!(watch.on(MS, OnWatch::Moved), [Step::Call]);
+    assert_eq!(watch.on(MS, WatchEvent::Moved), [WatchStep::Call]);
     // The old one ends meanwhile; nothing is asked of who decides, since a call is out.
-    assert_eq!(watch.on(2 * MS, OnWatch::Ended), []);
-    assert_eq!(watch.on(3 * MS, OnWatch::Failed), []);
+    assert_eq!(watch.on(2 * MS, WatchEvent::Ended), []);
+    assert_eq!(watch.on(3 * MS, WatchEvent::Failed), []);
     let (at, steps) = next(&mut watch);
-    assert_eq!(steps, [Step::Call]);
+    assert_eq!(steps, [WatchStep::Call]);
     assert!(at <= 300 * MS, "what is told there counts 4 s after the configuration");
-    assert_eq!(watch.on(at + MS, OnWatch::Opened), [Step::Adopt]);
+    assert_eq!(watch.on(at + MS, WatchEvent::Opened), [WatchStep::Adopt]);
 }
 
 /// A discovery that a new configuration names and that never answers is not asked without a pause for good.
 #[test]
 fn a_discovery_that_does_not_come_is_asked_at_the_usual_pace() {
     let mut watch = standing(0.5);
-    watch.on(0, OnWatch::Moved);
+    watch.on(0, WatchEvent::Moved);
     let mut now = 0;
     let mut calls = 0;
     while now < 60_000 * MS {
-        watch.on(now, OnWatch::Failed);
+        watch.on(now, WatchEvent::Failed);
         now = call(&mut watch);
         calls += 1;
     }
@@ -121,12 +134,12 @@
 fn the_calls_of_a_fleet_are_spread() {
     let calls = (0..300).map(|i| {
         let mut watch = standing(f64::from(i) / 300.0);
-        watch.on(MS, OnWatch::Ended);
+        watch.on(MS, WatchEvent::Ended);
         call(&mut watch)
     });
     let calls: Vec<Nanos> = calls.collect();
     let within = |from: Nanos| calls.iter().filter(|c| (from..from + 100 * MS).contains(*c)).count();
     let most = (0..40).map(|i| within(i * 100 * MS)).max().expect("some");
     assert!(most <= 31, "{most} calls in 100 ms");
-    assert!(calls.iter().all(|c| *c <= MS + QUIET + SPREAD));
+    assert!(calls.iter().all(|c| *c <= MS + SILENCE_TIMEOUT + CALL_JITTER));
 }
--- a/crates/model-checker/src/register.rs
+++ b/crates/model-checker/src/register.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::hash::{Hash, Hasher};
 
-use tulipbridge_core::discovery_watch::{OnWatch, Step as Do, Watch, TOLD};
+use tulipbridge_core::discovery_watch::{DiscoveryWatch, WatchEvent, WatchStep as Do, STALE_AFTER};
 use tulipbridge_core::Nanos;
 
 use crate::explore::{same, Card, Explored};
@@ -54,7 +54,7 @@
     now: Nanos,
     steps: u8,
     troubles: u8,
-    machine: Watch,
+    machine: DiscoveryWatch,
     watch: Option<Line>,
     call: Option<Line>,
     up: bool,
@@ -118,7 +118,7 @@
     }
 
     fn begin(&self) -> State {
-        let machine = Watch::new(BEGAN, 0, self.phase);
+        let machine = DiscoveryWatch::new(BEGAN, 0, self.phase);
         State {
             now: BEGAN,
             steps: 0,
@@ -191,22 +191,22 @@
             Step::Clock => {
                 self.now += CLOCK;
                 self.steps += 1;
-                self.broken.told_too_late |= self.missed.is_some_and(|since| self.now - since > TOLD);
+                self.broken.told_too_late |= self.missed.is_some_and(|since| self.now - since > STALE_AFTER);
             }
-            Step::Due => self.feed(OnWatch::Due),
-            Step::Want => self.feed(OnWatch::Wanted),
+            Step::Due => self.feed(WatchEvent::TimerDue),
+            Step::Want => self.feed(WatchEvent::ListWanted),
             Step::Answer => {
-                self.feed(OnWatch::Opened);
+                self.feed(WatchEvent::Opened);
             }
             Step::Refuse => {
                 self.call = None;
-                self.feed(OnWatch::Failed);
+                self.feed(WatchEvent::Failed);
             }
             Step::Beat => {
                 if let Some(line) = self.watch.as_mut() {
                     line.said = now;
                 }
-                self.feed(OnWatch::Heard);
+                self.feed(WatchEvent::MessageReceived);
             }
             Step::Silence => {
                 self.troubles += 1;
@@ -220,7 +220,7 @@
                 self.troubles += 1;
                 self.watch = None;
                 self.missed = self.missed.or(self.up.then_some(now));
-                self.feed(OnWatch::Ended);
+                self.feed(WatchEvent::Ended);
             }
             Step::Down => {
                 self.troubles += 1;
@@ -228,14 +228,14 @@
                 let stood = self.watch.is_some_and(|l| !l.silent);
                 if stood {
                     self.watch = None;
-                    self.feed(OnWatch::Ended);
+                    self.feed(WatchEvent::Ended);
                 }
             }
             Step::Up => (self.up, self.missed) = (true, Some(now)),
             Step::Move => {
                 self.troubles += 1;
                 self.missed = self.up.then_some(now);
-                self.feed(OnWatch::Moved);
+                self.feed(WatchEvent::Moved);
             }
         }
         // As long as one works, nothing is missed.
@@ -244,15 +244,15 @@
         }
     }
 
-    fn feed(&mut self, event: OnWatch) {
+    fn feed(&mut self, event: WatchEvent) {
         let now = self.now;
         for step in self.machine.on(now, event) {
             match step {
                 Do::Call => self.call = Some(Line { since: now, said: now, silent: false }),
-                Do::GiveUp => self.call = None,
+                Do::CancelCall => self.call = None,
                 Do::Adopt => self.watch = self.call.take().map(|l| Line { said: now, ..l }),
-                Do::Drop => self.watch = None,
-                Do::Lost => {}
+                Do::CloseWatch => self.watch = None,
+                Do::ReportLost => {}
             }
         }
     }
--- a/src/control/discovery.rs
+++ b/src/control/discovery.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 use tokio::task::yield_now;
 use tokio::time::{sleep_until, Instant};
-use tulipbridge_core::discovery_watch::{OnWatch, Step, Watch, CALL};
+use tulipbridge_core::discovery_watch::{DiscoveryWatch, WatchEvent, WatchStep, CALL_TIMEOUT};
 use tulipbridge_core::{CellId, Listed, Nanos, NodeInfo, UpdateScope};
 
 use crate::config::settings::{flag, int, list, text, Res};
@@ -71,7 +71,7 @@
     ) {
         let began = Instant::now();
         let now = || began.elapsed().as_nanos() as Nanos;
-        let mut machine = Watch::new(0, self.first_call, self.phase);
+        let mut machine = DiscoveryWatch::new(0, self.first_call, self.phase);
         let (mut standing, mut opening): (Option<Standing>, Option<Opening>) = (None, None);
         loop {
             // Without discovery the list as last held is all there is, until a configuration names one.
@@ -88,12 +88,12 @@
                 message = message(&mut standing) => match message {
                     Ok((from, message)) => {
                         self.take(message, from, &exchange);
-                        OnWatch::Heard
+                        WatchEvent::MessageReceived
                     }
                     Err(why) => {
                         log!("discovery: {why}");
                         standing = None;
-                        OnWatch::Ended
+                        WatchEvent::Ended
                     }
                 },
                 answer = ready(&mut opening) => {
@@ -101,37 +101,37 @@
                     match answer {
                         Ok(watch) => {
                             opened = Some(watch);
-                            OnWatch::Opened
+                            WatchEvent::Opened
                         }
                         Err(why) => {
                             log!("discovery: {why}");
-                            OnWatch::Failed
+                            WatchEvent::Failed
                         }
                     }
                 }
-                Ok(()) = address.changed() => OnWatch::Moved,
-                () = exchange.subscribe_wanted() => OnWatch::Wanted,
-                () = comes(due) => OnWatch::Due,
+                Ok(()) = address.changed() => WatchEvent::Moved,
+                () = exchange.subscribe_wanted() => WatchEvent::ListWanted,
+                () = comes(due) => WatchEvent::TimerDue,
             };
             for step in machine.on(now(), event) {
                 match step {
-                    Step::Call => {
+                    WatchStep::Call => {
                         // A configuration that names none leaves the watch where it is.
                         let at = address.borrow().unwrap_or(at);
                         // Another discovery may count versions in a way of its own: from 0 it tells all.
                         let after = if *self.told_by.get_or_insert(at) == at { self.generation } else { 0 };
                         opening = Some(Box::pin(open(at, after)));
                     }
-                    Step::GiveUp => {
+                    WatchStep::CancelCall => {
                         log!("discovery: no answer in time");
                         opening = None;
                     }
-                    Step::Adopt => standing = opened.take(),
-                    Step::Drop => {
+                    WatchStep::Adopt => standing = opened.take(),
+                    WatchStep::CloseWatch => {
                         log!("discovery: it is silent");
                         standing = None;
                     }
-                    Step::Lost => exchange.fleet(UpdateScope::Unavailable, Vec::new()),
+                    WatchStep::ReportLost => exchange.fleet(UpdateScope::Unavailable, Vec::new()),
                 }
             }
         }
@@ -186,7 +186,7 @@
 /// Opens a watch on what changed after a version.
 async fn open(at: SocketAddr, after: i64) -> Res<Standing> {
     let path = format!("/registry/instances?watch=1&after={after}");
-    let wait = Duration::from_nanos(CALL as u64);
+    let wait = Duration::from_nanos(CALL_TIMEOUT as u64);
     let answer = call(at, Method::GET, &path, String::new(), DIAL, wait).await?;
     match answer.status {
         StatusCode::OK => Ok(Standing { at, answer }),
--- a/src/control/maintenance.rs
+++ b/src/control/maintenance.rs
@@ -14,7 +14,7 @@
 
 use nix::fcntl::{Flock, FlockArg};
 use simd_json::prelude::*;
-use tulipbridge_core::maintenance::{Hand, HandError};
+use tulipbridge_core::maintenance::{MaintenanceError, MaintenanceSet};
 use tulipbridge_core::{NodeInfo, UpdateScope};
 
 use crate::exchange::Exchange;
@@ -26,7 +26,7 @@
 
 /// The servers held out, and where they are written down.
 pub struct Maintenance {
-    hand: RefCell<Hand<String>>,
+    hand: RefCell<MaintenanceSet<String>>,
     /// The file, where there is a place for it.
     file: Option<PathBuf>,
     /// What the file held when it was last read or written here.
@@ -46,19 +46,19 @@
 
     /// An entry of the list, as it came: gives what the module is to be told.
     pub fn listed(&self, name: &str, info: NodeInfo) -> NodeInfo {
-        self.hand.borrow_mut().listed(&name.to_owned(), info)
+        self.hand.borrow_mut().endpoint_listed(&name.to_owned(), info)
     }
 
     /// A whole list came with these names.
     pub fn replaced(&self, names: &BTreeSet<String>) {
-        self.hand.borrow_mut().replaced(names);
+        self.hand.borrow_mut().list_replaced(names);
     }
 
     /// Holds a server out; once this returns, nothing new goes to it.
     ///
     /// # Errors
     /// Where the list has never named it.
-    pub fn enter(&self, name: &str) -> Result<(), HandError> {
+    pub fn enter(&self, name: &str) -> Result<(), MaintenanceError> {
         self.change(|hand, _| hand.enter(&name.to_owned()))
     }
 
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     /// Where the list has never named it.
-    pub fn exit(&self, name: &str) -> Result<(), HandError> {
+    pub fn exit(&self, name: &str) -> Result<(), MaintenanceError> {
         self.change(|hand, now| hand.exit(&name.to_owned(), now))
     }
 
@@ -80,8 +80,8 @@
 
     fn change(
         &self,
-        change: impl FnOnce(&mut Hand<String>, i64) -> Result<Option<NodeInfo>, HandError>,
-    ) -> Result<(), HandError> {
+        change: impl FnOnce(&mut MaintenanceSet<String>, i64) -> Result<Option<NodeInfo>, MaintenanceError>,
+    ) -> Result<(), MaintenanceError> {
         let lock = self.lock();
         self.sync();
         let now = self.exchange.now();
@@ -104,7 +104,7 @@
             log!("maintenance: {} cannot be read, and is passed over", file.display());
             return;
         };
-        let told = self.hand.borrow_mut().hold_exactly(&names, self.exchange.now());
+        let told = self.hand.borrow_mut().replace_set(&names, self.exchange.now());
         self.tell(told);
     }
 
@@ -116,7 +116,7 @@
 
     fn write(&self) {
         let Some(file) = &self.file else { return };
-        let held: Vec<String> = self.hand.borrow().held().cloned().collect();
+        let held: Vec<String> = self.hand.borrow().in_maintenance().cloned().collect();
         let bytes = simd_json::json!({ "held": held }).encode().into_bytes();
         let next = file.with_extension("json.next");
         let written = std::fs::write(&next, &bytes).and_then(|()| std::fs::rename(&next, file));
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -11,7 +11,7 @@
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, COOKIE};
 use hyper::{Method, Response, StatusCode};
 use tulipbridge_core as core;
-use tulipbridge_core::settings_reload::Table;
+use tulipbridge_core::settings_reload::VersionedTable;
 use tulipbridge_core::{CellId, Class, Nanos, Plan, Settings};
 
 use crate::config::Config;
@@ -29,9 +29,9 @@
 #[derive(Clone)]
 pub struct Names {
     /// Classes, with whether they write where the settings say.
-    pub classes: Table<(Class, Option<bool>)>,
+    pub classes: VersionedTable<(Class, Option<bool>)>,
     /// Plans.
-    pub plans: Table<Plan>,
+    pub plans: VersionedTable<Plan>,
     /// The figures of each class.
     pub figures: Vec<ClassFigures>,
     /// How many shards there are.
@@ -48,8 +48,8 @@
         let classes = config.classes.iter().cloned().zip(told(config)).collect();
         let plans = config.plans.iter().cloned().zip(config.settings.plans.iter().cloned()).collect();
         let mut names = Names {
-            classes: Table::new(classes),
-            plans: Table::new(plans),
+            classes: VersionedTable::new(classes),
+            plans: VersionedTable::new(plans),
             figures: Vec::new(),
             shards: config.shards,
             fronts: config.settings.initiators,
@@ -62,8 +62,8 @@
     /// Takes a new configuration. Gives the settings for the module, and the classes that stand for older ones.
     pub fn retune(&mut self, config: Config, figures: &Figures) -> (Settings, Vec<(usize, usize)>) {
         let classes = config.classes.iter().cloned().zip(told(&config)).collect();
-        let carried = self.classes.retune(classes);
-        self.plans.retune(config.plans.into_iter().zip(config.settings.plans.iter().cloned()).collect());
+        let carried = self.classes.reload(classes);
+        self.plans.reload(config.plans.into_iter().zip(config.settings.plans.iter().cloned()).collect());
         (self.shards, self.fronts, self.most_units) =
             (config.shards, config.settings.initiators, config.settings.max_units);
         self.count(figures);
