--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -33,16 +33,20 @@
 //! assert!(actions.contains(&Action::Place { id: 1, node: 0, patience: 0 }));
 //! ```
 
+pub mod attempt;
+pub mod client_connection;
+pub mod connection_limiter;
+pub mod connection_pool;
 pub mod discovery_watch;
-pub mod door;
 mod ejection;
 mod fleet_limits;
+pub mod graceful_shutdown;
 mod interface;
-pub mod link;
 pub mod maintenance;
 pub mod mutations;
 mod policy;
 pub mod request_tracker;
+pub mod server_connection;
 pub mod settings_reload;
 mod state;
 
--- a/crates/core/tests/door.rs
+++ b/crates/core/tests/door.rs
@@ -1,6 +1,7 @@
 //! Connections of clients at the end of a front, and at the moment in which they are cut off.
 
-use tulipbridge_core::door::{ClientConnection, ClientEvent, GracefulShutdown, ShutdownEvent, ShutdownStep};
+use tulipbridge_core::client_connection::{ClientConnection, ClientEvent};
+use tulipbridge_core::graceful_shutdown::{GracefulShutdown, ShutdownEvent, ShutdownStep};
 use tulipbridge_core::Nanos;
 
 const MS: Nanos = 1_000_000;
--- a/crates/core/tests/withdrawal.rs
+++ b/crates/core/tests/withdrawal.rs
@@ -1,9 +1,8 @@
 //! What nobody wants any more and has not begun is withdrawn, and never begins.
 
-use tulipbridge_core::link::{
-    Attempt, AttemptEvent, AttemptStep, ConnectionEvent, Execution, ServerConnection,
-};
+use tulipbridge_core::attempt::{Attempt, AttemptEvent, AttemptStep};
 use tulipbridge_core::request_tracker::{Decisions, Effect, Input, RequestTracker};
+use tulipbridge_core::server_connection::{ConnectionEvent, Execution, ServerConnection};
 use tulipbridge_core::{Action, Event, Listed, Nanos, NodeInfo, Outcome, Request, UpdateScope};
 
 /// Sends each request to node 0, and does nothing else unless it is told to.
--- a/crates/fleet-limits/src/beat.rs
+++ b/crates/fleet-limits/src/beat.rs
@@ -2,9 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use tulipbridge_membership::Hello;
+use tulipbridge_membership::PeerState;
 
-use crate::{Boot, Limit, Nanos, Part, Place};
+use crate::{Incarnation, Limit, Nanos, Part, PeerId};
 
 /// What is asked for of a limit at the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -43,21 +43,21 @@
     /// Its revision.
     pub revision: u32,
     /// What it says of itself.
-    pub hello: Hello,
+    pub hello: PeerState,
     /// Whether it has held its own bank with this roster.
     pub established: bool,
     /// It answers a message that counts for nothing, and is not answered itself.
     pub reply: bool,
     /// Banks that the sender wants to hold or to go on holding.
-    pub wants: Vec<Place>,
+    pub wants: Vec<PeerId>,
     /// Of the banks that the receiver wanted in the beat that is echoed, those that the sender agrees to.
-    pub agrees: Vec<Place>,
+    pub agrees: Vec<PeerId>,
     /// Who has taken the sender's roster, as far as it knows.
-    pub settled: Vec<Place>,
+    pub settled: Vec<PeerId>,
     /// What the sender asks for.
     pub asks: Vec<Ask>,
     /// Number of the loans from the receiver that the sender uses now, with the receiver's boot.
-    pub uses: Option<(Boot, u64)>,
+    pub uses: Option<(Incarnation, u64)>,
     /// What the sender lends.
     pub loans: Loans,
 }
--- a/crates/fleet-limits/src/lib.rs
+++ b/crates/fleet-limits/src/lib.rs
@@ -26,7 +26,7 @@
 pub use beat::{Ask, Beat, Loan, Loans};
 pub use machine::{Effect, Event, Quota, Standing};
 pub use terms::{Terms, TermsError};
-pub use tulipbridge_membership::{Belief, Boot, Nanos, News, Place};
+pub use tulipbridge_membership::{Incarnation, MessageStatus, Nanos, PeerId, PeerStatus};
 
 /// A limit that holds for the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/fleet-limits/src/machine.rs
+++ b/crates/fleet-limits/src/machine.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
-use tulipbridge_membership::{Contacts, Hello};
+use tulipbridge_membership::{MembershipTable, PeerState};
 
 use crate::meter::Meter;
 use crate::mutations::{mutated, Mutation};
@@ -21,9 +21,9 @@
     /// A beat came, whose sender and integrity are proven.
     Heard {
         /// From which place.
-        from: Place,
+        from: PeerId,
         /// The sender's boot.
-        boot: Boot,
+        boot: Incarnation,
         /// What it says.
         beat: Box<Beat>,
     },
@@ -50,7 +50,7 @@
     /// A beat goes to a front.
     Send {
         /// Where to.
-        to: Place,
+        to: PeerId,
         /// What it says.
         beat: Box<Beat>,
     },
@@ -60,7 +60,7 @@
         beat: Box<Beat>,
     },
     /// What came was worth this.
-    Worth(News),
+    Worth(MessageStatus),
     /// From a moment on, which may be past, the front may use so much of a limit.
     Right {
         /// The limit.
@@ -79,15 +79,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Standing {
     /// The belief.
-    pub belief: Belief,
+    pub belief: PeerStatus,
     /// Its boot, where it has been heard.
-    pub boot: Option<Boot>,
+    pub boot: Option<Incarnation>,
     /// How long ago it was last heard.
     pub silent: Option<Nanos>,
     /// Who says that it hears it.
-    pub heard_by: Vec<Place>,
+    pub heard_by: Vec<PeerId>,
     /// Another process with its name has spoken within a life.
-    pub stranger: Option<Boot>,
+    pub stranger: Option<Incarnation>,
     /// Most that is lent to it of any limit.
     pub lent: Part,
     /// Most that is borrowed from it of any limit.
@@ -114,7 +114,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Peer {
     /// Of the banks that it wanted last, those agreed to.
-    agreed: Vec<Place>,
+    agreed: Vec<PeerId>,
     asks: BTreeMap<Limit, u64>,
     lent: Vec<Lent>,
     borrowed: Borrowed,
@@ -144,7 +144,7 @@
 /// Who an agreement was given to, and until when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Agreed {
-    to: (Place, Boot),
+    to: (PeerId, Incarnation),
     until: Nanos,
 }
 
@@ -153,7 +153,7 @@
 struct Wanted {
     since: Nanos,
     /// By place, until when it agrees, by this front's clock.
-    votes: BTreeMap<Place, Nanos>,
+    votes: BTreeMap<PeerId, Nanos>,
     /// It goes back to its home: nothing of it is used or lent any more, and from this moment on nothing runs.
     back: Option<Nanos>,
 }
@@ -162,15 +162,15 @@
 #[derive(Clone, Debug)]
 pub struct Quota {
     terms: Terms,
-    contacts: Contacts,
+    contacts: MembershipTable,
     /// Until then this front agrees to nothing and uses nothing of its own.
     quiet_until: Nanos,
     /// The floor while the roster is not settled.
     old_floor: Part,
-    settled: BTreeSet<Place>,
+    settled: BTreeSet<PeerId>,
     peers: Vec<Peer>,
     agreed: Vec<Option<Agreed>>,
-    wanted: BTreeMap<Place, Wanted>,
+    wanted: BTreeMap<PeerId, Wanted>,
     /// Whether its own bank has been held with this roster.
     established: bool,
     /// When a front with another roster of the same revision, that comes before this one, was last heard.
@@ -187,7 +187,7 @@
     ///
     /// # Errors
     /// Where the terms cannot hold.
-    pub fn new(terms: Terms, boot: Boot, now: Nanos) -> Result<Quota, TermsError> {
+    pub fn new(terms: Terms, boot: Incarnation, now: Nanos) -> Result<Quota, TermsError> {
         terms.check()?;
         let fronts = usize::from(terms.fronts);
         let first = terms.revision <= 1;
@@ -204,7 +204,7 @@
             meter: Meter::default(),
             told: BTreeMap::new(),
             ends_at: Nanos::MAX,
-            contacts: Contacts::new(terms.me, terms.fronts, boot, terms.stretched(terms.life)),
+            contacts: MembershipTable::new(terms.me, terms.fronts, boot, terms.stretched(terms.life)),
             terms,
         };
         if first {
@@ -223,7 +223,7 @@
                     effects.push(Effect::Forget(limit));
                 }
                 self.want(now);
-                self.contacts.round(now);
+                self.contacts.begin_round(now);
                 let me = self.terms.me;
                 let mut round = self.round(now);
                 for to in (0..self.terms.fronts).filter(|to| *to != me) {
@@ -239,15 +239,17 @@
                 let news = self.heard(now, from, boot, *beat, &mut less);
                 effects.push(Effect::Worth(news));
                 // Two that are strangers to each other must not answer each other's answers without end.
-                if matches!(news, News::Stranger | News::OtherRoster) && !is_reply {
+                if matches!(news, MessageStatus::Conflicting | MessageStatus::RosterMismatch) && !is_reply {
                     let beat = Box::new(self.reply(now, from, news));
                     effects.push(Effect::Reply { beat });
                 }
                 // What has become more can wait for the next beat; what has become less cannot.
                 match news {
-                    News::Counts { first } if first || self.stands_back(now) => self.tell(now, now, effects),
-                    News::OtherRoster if self.yields(now) => self.tell(now, now, effects),
-                    News::Counts { .. } => self.tell_some(now, &less, effects),
+                    MessageStatus::Accepted { first } if first || self.stands_back(now) => {
+                        self.tell(now, now, effects)
+                    }
+                    MessageStatus::RosterMismatch if self.yields(now) => self.tell(now, now, effects),
+                    MessageStatus::Accepted { .. } => self.tell_some(now, &less, effects),
                     _ => {}
                 }
             }
@@ -260,7 +262,7 @@
             Event::Look => self.look(now, effects),
             Event::Terms(terms) => self.take(now, terms, effects),
             Event::Leave => {
-                self.contacts.leave();
+                self.contacts.shut_down();
                 self.tell(now, now, effects);
             }
             Event::Absent => self.quiet_until = now + self.terms.stretched(self.terms.life),
@@ -278,7 +280,7 @@
     }
 
     fn part_of(&self, now: Nanos, own: Part, limit: Limit) -> Part {
-        if self.stands_back(now) || self.contacts.is_leaving() {
+        if self.stands_back(now) || self.contacts.is_shutting_down() {
             return 0;
         }
         let lent = if mutated(Mutation::OwnPartIsWhole) { 0 } else { self.lent(now, limit) };
@@ -290,18 +292,18 @@
     }
 
     /// The banks that this front holds now.
-    pub fn banks(&self, now: Nanos) -> Vec<Place> {
+    pub fn banks(&self, now: Nanos) -> Vec<PeerId> {
         let held = self.wanted.iter().filter(|(bank, w)| self.held_until(**bank, w) > now);
         held.map(|(bank, _)| *bank).collect()
     }
 
     /// This run of the front.
-    pub fn boot(&self) -> Boot {
-        self.contacts.boot()
+    pub fn boot(&self) -> Incarnation {
+        self.contacts.incarnation()
     }
 
     /// Who is there.
-    pub fn contacts(&self) -> &Contacts {
+    pub fn contacts(&self) -> &MembershipTable {
         &self.contacts
     }
 
@@ -322,7 +324,7 @@
 
     /// Whether another process has this front's name, so that this one uses nothing.
     pub fn stands_back(&self, now: Nanos) -> bool {
-        self.contacts.is_shunned(now) || self.yields(now)
+        self.contacts.is_rejected(now) || self.yields(now)
     }
 
     /// Whether there is another roster of the same revision, whose fronts come before this one: it uses nothing.
@@ -331,17 +333,17 @@
     }
 
     /// What it believes of another front.
-    pub fn standing(&self, now: Nanos, place: Place) -> Standing {
+    pub fn standing(&self, now: Nanos, place: PeerId) -> Standing {
         let peer = &self.peers[usize::from(place)];
         let most = |parts: &BTreeMap<Limit, Part>| parts.values().copied().max().unwrap_or(0);
         let lent = peer.lent.iter().filter(|l| now < l.until).map(|l| most(&l.parts)).max().unwrap_or(0);
         let borrowed = if now < peer.borrowed.until { most(&peer.borrowed.parts) } else { 0 };
         Standing {
-            belief: self.contacts.belief(now, place),
-            boot: self.contacts.boot_of(place),
-            silent: self.contacts.heard_at(place).map(|at| now - at),
-            heard_by: self.contacts.heard_by(now, place).collect(),
-            stranger: self.contacts.stranger(now, place),
+            belief: self.contacts.status(now, place),
+            boot: self.contacts.incarnation_of(place),
+            silent: self.contacts.last_message_at(place).map(|at| now - at),
+            heard_by: self.contacts.reachable_from(now, place).collect(),
+            stranger: self.contacts.conflicting_incarnation(now, place),
             lent,
             borrowed,
         }
@@ -402,7 +404,7 @@
     }
 
     /// Until when a bank is this front's to use.
-    fn held_until(&self, bank: Place, wanted: &Wanted) -> Nanos {
+    fn held_until(&self, bank: PeerId, wanted: &Wanted) -> Nanos {
         if wanted.back.is_some() && !mutated(Mutation::BankBackAtOnce) {
             return Nanos::MIN;
         }
@@ -442,13 +444,13 @@
     fn want(&mut self, now: Nanos) {
         let me = self.terms.me;
         // What it has held runs on where it is lent: it is not given back, and ends by itself.
-        if self.contacts.is_leaving() || self.stands_back(now) || !self.is_settled() {
+        if self.contacts.is_shutting_down() || self.stands_back(now) || !self.is_settled() {
             return;
         }
         self.wanted.entry(me).or_insert(Wanted { since: now, votes: BTreeMap::new(), back: None });
         for bank in (0..self.terms.fronts).filter(|b| *b != me) {
-            let belief = self.contacts.belief(now, bank);
-            let silent = matches!(belief, Belief::Dead | Belief::Left | Belief::Unheard);
+            let belief = self.contacts.status(now, bank);
+            let silent = matches!(belief, PeerStatus::Dead | PeerStatus::Left | PeerStatus::Unknown);
             let next = silent && self.next_after(now, bank) == me;
             let span = self.span();
             let held = self.wanted.get(&bank).is_some_and(|w| self.held_until(bank, w) > now);
@@ -478,7 +480,7 @@
         // As one of those who agree.
         if now >= self.quiet_until {
             let until = now + self.terms.life;
-            let wants: Vec<Place> = self.wanted.keys().copied().collect();
+            let wants: Vec<PeerId> = self.wanted.keys().copied().collect();
             for bank in wants {
                 if self.agrees(now, bank, (me, self.boot())) {
                     if let Some(wanted) = self.wanted.get_mut(&bank) {
@@ -487,21 +489,21 @@
                 }
             }
         }
-        let wants: Vec<Place> = self.wanted.keys().copied().collect();
+        let wants: Vec<PeerId> = self.wanted.keys().copied().collect();
         self.release((me, self.boot()), &wants);
         self.established |= self.banks(now).contains(&me) && now >= self.quiet_until;
     }
 
     /// The first front after a place, in the ring, that is heard.
-    fn next_after(&self, now: Nanos, place: Place) -> Place {
+    fn next_after(&self, now: Nanos, place: PeerId) -> PeerId {
         let fronts = u32::from(self.terms.fronts);
-        let ring = (1..fronts).map(|step| ((u32::from(place) + step) % fronts) as Place);
-        let there = |p: &Place| *p == self.terms.me || self.contacts.is_alive(now, *p);
+        let ring = (1..fronts).map(|step| ((u32::from(place) + step) % fronts) as PeerId);
+        let there = |p: &PeerId| *p == self.terms.me || self.contacts.is_alive(now, *p);
         ring.into_iter().find(there).unwrap_or(self.terms.me)
     }
 
     /// Agrees to a holder of a bank, or does not: never to two at a time.
-    fn agrees(&mut self, now: Nanos, bank: Place, to: (Place, Boot)) -> bool {
+    fn agrees(&mut self, now: Nanos, bank: PeerId, to: (PeerId, Incarnation)) -> bool {
         let until = now + self.span();
         let Some(agreed) = self.agreed.get_mut(usize::from(bank)) else { return false };
         let free = agreed.is_none_or(|a| a.until <= now || a.to == to);
@@ -513,15 +515,22 @@
     }
 
     /// Frees banks that a holder no longer wants.
-    fn release(&mut self, holder: (Place, Boot), wants: &[Place]) {
+    fn release(&mut self, holder: (PeerId, Incarnation), wants: &[PeerId]) {
         for (bank, agreed) in self.agreed.iter_mut().enumerate() {
-            if agreed.is_some_and(|a| a.to == holder) && !wants.contains(&(bank as Place)) {
+            if agreed.is_some_and(|a| a.to == holder) && !wants.contains(&(bank as PeerId)) {
                 *agreed = None;
             }
         }
     }
 
-    fn heard(&mut self, now: Nanos, from: Place, boot: Boot, beat: Beat, less: &mut BTreeSet<Limit>) -> News {
+    fn heard(
+        &mut self,
+        now: Nanos,
+        from: PeerId,
+        boot: Incarnation,
+        beat: Beat,
+        less: &mut BTreeSet<Limit>,
+    ) -> MessageStatus {
         let (mine, quiet) = (self.boot(), now < self.quiet_until && !mutated(Mutation::NoQuietTime));
         if beat.roster != self.terms.roster && !mutated(Mutation::AnyRoster) {
             // Of two rosters of one revision one is a mistake. Whoever has been at work goes on; of two that have,
@@ -534,10 +543,10 @@
                 self.yields_at = Some(now);
                 self.established = false;
             }
-            return News::OtherRoster;
+            return MessageStatus::RosterMismatch;
         }
-        let news = self.contacts.heard(now, from, boot, &beat.hello);
-        let News::Counts { first } = news else { return news };
+        let news = self.contacts.receive(now, from, boot, &beat.hello);
+        let MessageStatus::Accepted { first } = news else { return news };
         let peer = &mut self.peers[usize::from(from)];
         if first {
             let lent = std::mem::take(&mut peer.lent);
@@ -588,19 +597,19 @@
         if !leaving {
             self.release((from, boot), &beat.wants);
         }
-        let wants: &[Place] = if quiet || leaving { &[] } else { &beat.wants };
+        let wants: &[PeerId] = if quiet || leaving { &[] } else { &beat.wants };
         let agreed = wants.iter().copied().filter(|bank| self.agrees(now, *bank, (from, boot))).collect();
         self.peers[usize::from(from)].agreed = agreed;
         news
     }
 
     /// What a front is told in a round: what all are told, and what is its alone.
-    fn beat(&self, now: Nanos, to: Place, loans: Loans, round: &Round) -> Beat {
+    fn beat(&self, now: Nanos, to: PeerId, loans: Loans, round: &Round) -> Beat {
         let peer = &self.peers[usize::from(to)];
         Beat {
-            hello: self.contacts.hello(now, to),
+            hello: self.contacts.state_for(now, to),
             agrees: peer.agreed.clone(),
-            uses: self.contacts.boot_of(to).map(|boot| (boot, peer.borrowed.number)),
+            uses: self.contacts.incarnation_of(to).map(|boot| (boot, peer.borrowed.number)),
             loans,
             ..round.all.clone()
         }
@@ -608,8 +617,12 @@
 
     /// What is answered to who has another's name or another roster: that this front is there, and which roster it
     /// has. Under another roster the sender's place says nothing.
-    fn reply(&self, now: Nanos, to: Place, news: News) -> Beat {
-        let hello = if news == News::Stranger { self.contacts.hello(now, to) } else { Hello::default() };
+    fn reply(&self, now: Nanos, to: PeerId, news: MessageStatus) -> Beat {
+        let hello = if news == MessageStatus::Conflicting {
+            self.contacts.state_for(now, to)
+        } else {
+            PeerState::default()
+        };
         Beat { reply: true, hello, ..self.signed() }
     }
 
@@ -630,7 +643,7 @@
             asks.truncate(self.terms.most_limits);
         }
         let wants =
-            if self.contacts.is_leaving() { Vec::new() } else { self.wanted.keys().copied().collect() };
+            if self.contacts.is_shutting_down() { Vec::new() } else { self.wanted.keys().copied().collect() };
         // At the first revision every name counts as having taken it.
         let settled =
             if self.terms.revision > 1 { self.settled.iter().copied().collect() } else { Vec::new() };
@@ -639,7 +652,7 @@
 
     /// What this round of beats may lend, and how much is asked for and lent already.
     fn round(&self, now: Nanos) -> Round {
-        let alive = |p: &Place| self.contacts.is_alive(now, *p) && self.contacts.hears_me(now, *p);
+        let alive = |p: &PeerId| self.contacts.is_alive(now, *p) && self.contacts.hears_me(now, *p);
         let alive: Vec<bool> = (0..self.terms.fronts).map(|p| alive(&p)).collect();
         let mut limits: BTreeMap<Limit, (u64, Part)> = BTreeMap::new();
         for (limit, milli) in self.meter.all(now) {
@@ -659,7 +672,7 @@
     }
 
     /// Lends a front what this one has, in step with how much each limit is asked for at each front.
-    fn lend(&mut self, now: Nanos, to: Place, round: &mut Round) -> Loans {
+    fn lend(&mut self, now: Nanos, to: PeerId, round: &mut Round) -> Loans {
         self.number += 1;
         let (number, place) = (self.number, usize::from(to));
         let left = i128::from(round.until - now) * 1_000_000 / i128::from(1_000_000 + self.terms.drift);
@@ -669,7 +682,7 @@
             || term <= 0
             || round.own == 0
             || !self.is_settled()
-            || self.contacts.is_leaving()
+            || self.contacts.is_shutting_down()
         {
             return Loans { number, ..Loans::default() };
         }
@@ -686,7 +699,7 @@
             }
         }
         // It counts from when the beat that is echoed was sent, which was before it came.
-        let until = self.contacts.heard_at(to).unwrap_or(now) + self.terms.stretched(term);
+        let until = self.contacts.last_message_at(to).unwrap_or(now) + self.terms.stretched(term);
         if now < until && !parts.is_empty() {
             let lent = parts.iter().map(|l| (l.limit, l.part)).collect();
             peer.lent.push(Lent { number, until, parts: lent });
@@ -702,7 +715,7 @@
         let floor = if self.is_settled() { self.terms.floor_part() } else { self.old_floor };
         let Ok(mut fresh) = Quota::new(terms, self.boot(), now) else { return };
         let span = fresh.span();
-        fresh.contacts = self.contacts.renewed(fresh.terms.me, fresh.terms.fronts, span);
+        fresh.contacts = self.contacts.with_roster(fresh.terms.me, fresh.terms.fronts, span);
         // What was lent and agreed under the old terms may last as long as their life.
         fresh.quiet_until = fresh.quiet_until.max(now + self.span());
         fresh.old_floor = floor.min(fresh.terms.floor_part());
--- a/crates/fleet-limits/src/terms.rs
+++ b/crates/fleet-limits/src/terms.rs
@@ -1,6 +1,6 @@
 //! What all fronts of a fleet agree on beforehand, from the operators' files.
 
-use crate::{Nanos, Part, Place, WHOLE};
+use crate::{Nanos, Part, PeerId, WHOLE};
 
 const MS: Nanos = 1_000_000;
 
@@ -8,9 +8,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Terms {
     /// This front's place among the names of the roster, in their order.
-    pub me: Place,
+    pub me: PeerId,
     /// How many names there are.
-    pub fronts: Place,
+    pub fronts: PeerId,
     /// A digest of the roster: only fronts with the same one agree, lend and borrow.
     pub roster: u64,
     /// The roster's revision, from 1.
@@ -34,9 +34,9 @@
     #[error("place {me} is not in a roster of {fronts}")]
     Place {
         /// The place.
-        me: Place,
+        me: PeerId,
         /// How many there are.
-        fronts: Place,
+        fronts: PeerId,
     },
     /// Beats are too far apart for agreements to be renewed in time.
     #[error("a life of {life} ns must hold at least four beats of {beat} ns")]
@@ -57,7 +57,7 @@
 impl Terms {
     /// The usual terms of the front at a place among so many: a life of 2 s, a beat of 200 ms, clocks within 0.1%,
     /// and a tenth of each limit as floors.
-    pub fn new(me: Place, fronts: Place, roster: u64) -> Terms {
+    pub fn new(me: PeerId, fronts: PeerId, roster: u64) -> Terms {
         let (life, beat) = (2_000 * MS, 200 * MS);
         let (drift, floor) = (1_000, WHOLE / 10);
         Terms { me, fronts, roster, revision: 1, life, beat, drift, floor, most_limits: 1_000 }
--- a/crates/fleet-limits/tests/golden.rs
+++ b/crates/fleet-limits/tests/golden.rs
@@ -9,7 +9,7 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use tulipbridge_fleet_limits::{Ask, Beat, Limit, Loan, Loans};
-use tulipbridge_membership::{Hello, Seal};
+use tulipbridge_membership::{EnvelopeCodec, PeerState};
 
 /// Bytes of a datagram before its content.
 const HEAD: usize = 14;
@@ -23,11 +23,11 @@
 
 /// Checks that a value has exactly these bytes inside a datagram, and that it is read back as an equal value.
 fn assert_golden<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, expected: &str) {
-    let seal = Seal::new(b"golden key of the fronts").expect("the key is long enough");
-    let datagram = seal.close(1, 2, value).expect("the datagram is short");
+    let seal = EnvelopeCodec::new(b"golden key of the fronts").expect("the key is long enough");
+    let datagram = seal.seal(1, 2, value).expect("the datagram is short");
     assert_eq!(hex(&datagram[HEAD..datagram.len() - DIGEST]), expected);
     let opened = seal.open::<T>(&datagram).expect("the datagram can be opened");
-    assert_eq!(&opened.said, value);
+    assert_eq!(&opened.message, value);
 }
 
 fn loans() -> Loans {
@@ -95,7 +95,13 @@
 
 #[test]
 fn beat_with_all_fields() {
-    let hello = Hello { sent: 3_000, echo: Some((301, -64)), stranger: None, leaving: true, hears: vec![9] };
+    let hello = PeerState {
+        sent_at: 3_000,
+        echo: Some((301, -64)),
+        conflicting: None,
+        leaving: true,
+        hears: vec![9],
+    };
     let beat = Beat {
         roster: 0x8877_6655_4433_2211,
         revision: 257,
@@ -141,7 +147,7 @@
     let beat = Beat {
         roster: 1,
         revision: 2,
-        hello: Hello { sent: 3, echo: None, stranger: None, leaving: false, hears: Vec::new() },
+        hello: PeerState { sent_at: 3, echo: None, conflicting: None, leaving: false, hears: Vec::new() },
         established: true,
         reply: false,
         wants: Vec::new(),
--- a/crates/fleet-limits/tests/machine.rs
+++ b/crates/fleet-limits/tests/machine.rs
@@ -2,11 +2,11 @@
 
 use std::hash::{DefaultHasher, Hasher};
 
-use tulipbridge_fleet_limits::{Beat, Effect, Event, Limit, Nanos, Place, Quota, Terms, WHOLE};
+use tulipbridge_fleet_limits::{Beat, Effect, Event, Limit, Nanos, PeerId, Quota, Terms, WHOLE};
 
 const MS: Nanos = 1_000_000;
 
-fn front(me: Place, fronts: Place, roster: u64) -> Quota {
+fn front(me: PeerId, fronts: PeerId, roster: u64) -> Quota {
     Quota::new(Terms::new(me, fronts, roster), u64::from(me) * 100 + roster, 0).expect("the terms hold")
 }
 
@@ -110,7 +110,7 @@
     let boot = fronts[1].boot();
     let mut part = |number, term| {
         let mut told = beat.clone();
-        told.hello.sent += number as Nanos;
+        told.hello.sent_at += number as Nanos;
         told.loans.number += number;
         told.loans.term = term;
         told.loans.parts.iter_mut().for_each(|l| l.part = 200_000);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -10,15 +10,16 @@
 mod entries;
 mod seal;
 
-pub use contacts::{Belief, Contacts, Hello, News};
+pub use contacts::{MembershipTable, MessageStatus, PeerState, PeerStatus};
 pub use entries::{
-    Act, Delta, Entries, EntryError, Exchange, Item, Key, Refusal, Told, MOST_ENTRIES, MOST_VALUE,
+    Delta, EntryError, GossipAction, GossipEntry, GossipError, GossipInput, GossipMessage, GossipStore, Key,
+    MAX_ENTRIES, MAX_VALUE,
 };
-pub use seal::{Opened, Seal, SealError, MOST_MESSAGE};
+pub use seal::{Envelope, EnvelopeCodec, EnvelopeError, MAX_MESSAGE};
 
 /// A moment or a span in nanoseconds, by one front's own clock, which runs on while the front is stopped.
 pub type Nanos = i64;
 /// A front, by its place in the roster.
-pub type Place = u16;
+pub type PeerId = u16;
 /// One run of a front: no two of one name share it.
-pub type Boot = u64;
+pub type Incarnation = u64;
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -13,23 +13,23 @@
 use serde::Serialize;
 use sha2::{Digest, Sha256};
 
-use crate::{Boot, Place};
+use crate::{Incarnation, PeerId};
 
 const MAGIC: [u8; 3] = *b"TBP";
 const VERSION: u8 = 2;
 const HEAD: usize = 14;
 const MAC: usize = 32;
 /// The longest message: what one UDP datagram may hold, and no more is read of any.
-pub const MOST_MESSAGE: usize = 60_000;
+pub const MAX_MESSAGE: usize = 60_000;
 /// The shortest key that is taken, in bytes.
-const LEAST_KEY: usize = 16;
+const MIN_KEY: usize = 16;
 
 /// Why a message is not taken, or not made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
-pub enum SealError {
+pub enum EnvelopeError {
     /// It is no message of a front's.
     #[error("it is no message of a front's")]
-    NoMessage,
+    NotAMessage,
     /// It is of a version that this program does not know.
     #[error("it is of version {0}, and this program knows version {VERSION}")]
     Version(u8),
@@ -38,61 +38,66 @@
     Digest,
     /// The digest holds, and what is said is not in the form of its version.
     #[error("what it says is not in the form of its version")]
-    Form,
+    Malformed,
     /// It would be longer than a datagram.
-    #[error("it would be longer than {MOST_MESSAGE} bytes")]
-    Long,
+    #[error("it would be longer than {MAX_MESSAGE} bytes")]
+    TooLong,
     /// The key is too short to keep strangers out.
-    #[error("a key needs {LEAST_KEY} bytes or more")]
-    Key,
+    #[error("a key needs {MIN_KEY} bytes or more")]
+    KeyTooShort,
 }
 
 /// Makes and opens messages, by a key that the operators' fronts share.
 #[derive(Clone)]
-pub struct Seal {
+pub struct EnvelopeCodec {
     key: Hmac<Sha256>,
 }
 
 /// A message whose digest holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Opened<T> {
+pub struct Envelope<T> {
     /// The sender's place.
-    pub from: Place,
+    pub from: PeerId,
     /// The sender's boot.
-    pub boot: Boot,
+    pub incarnation: Incarnation,
     /// What it says.
-    pub said: T,
+    pub message: T,
 }
 
-impl Seal {
+impl EnvelopeCodec {
     /// A seal by a key, as the key file holds it; white space round it does not count.
     ///
     /// # Errors
     /// Where the key is too short.
-    pub fn new(key: &[u8]) -> Result<Seal, SealError> {
+    pub fn new(key: &[u8]) -> Result<EnvelopeCodec, EnvelopeError> {
         let key = key.trim_ascii();
-        if key.len() < LEAST_KEY {
-            return Err(SealError::Key);
+        if key.len() < MIN_KEY {
+            return Err(EnvelopeError::KeyTooShort);
         }
-        Hmac::new_from_slice(key).map(|key| Seal { key }).map_err(|_| SealError::Key)
+        Hmac::new_from_slice(key).map(|key| EnvelopeCodec { key }).map_err(|_| EnvelopeError::KeyTooShort)
     }
 
     /// A message.
     ///
     /// # Errors
     /// Where it would be too long.
-    pub fn close<T: Serialize>(&self, from: Place, boot: Boot, said: &T) -> Result<Vec<u8>, SealError> {
+    pub fn seal<T: Serialize>(
+        &self,
+        from: PeerId,
+        boot: Incarnation,
+        said: &T,
+    ) -> Result<Vec<u8>, EnvelopeError> {
         let mut bytes = Vec::with_capacity(256);
         bytes.extend(MAGIC);
         bytes.push(VERSION);
         bytes.extend(from.to_le_bytes());
         bytes.extend(boot.to_le_bytes());
-        let mut bytes = postcard::to_extend(said, bytes).map_err(|_| SealError::Form)?;
+        let mut bytes = postcard::to_extend(said, bytes).map_err(|_| EnvelopeError::Malformed)?;
         let mut mac = self.key.clone();
         mac.update(&bytes);
         bytes.extend(mac.finalize().into_bytes());
-        if bytes.len() > MOST_MESSAGE {
-            return Err(SealError::Long);
+        if bytes.len() > MAX_MESSAGE {
+            return Err(EnvelopeError::TooLong);
         }
         Ok(bytes)
     }
@@ -101,22 +106,22 @@
     ///
     /// # Errors
     /// Why it is not taken.
-    pub fn open<T: DeserializeOwned>(&self, bytes: &[u8]) -> Result<Opened<T>, SealError> {
-        if bytes.len() < HEAD + MAC || bytes.len() > MOST_MESSAGE || bytes[..3] != MAGIC {
-            return Err(SealError::NoMessage);
+    pub fn open<T: DeserializeOwned>(&self, bytes: &[u8]) -> Result<Envelope<T>, EnvelopeError> {
+        if bytes.len() < HEAD + MAC || bytes.len() > MAX_MESSAGE || bytes[..3] != MAGIC {
+            return Err(EnvelopeError::NotAMessage);
         }
         if bytes[3] != VERSION {
-            return Err(SealError::Version(bytes[3]));
+            return Err(EnvelopeError::Version(bytes[3]));
         }
         let (told, digest) = bytes.split_at(bytes.len() - MAC);
         let mut mac = self.key.clone();
         mac.update(told);
-        mac.verify_slice(digest).map_err(|_| SealError::Digest)?;
-        let from = Place::from_le_bytes([told[4], told[5]]);
-        let boot = told[6..HEAD].iter().rev().fold(0, |boot, byte| boot << 8 | Boot::from(*byte));
+        mac.verify_slice(digest).map_err(|_| EnvelopeError::Digest)?;
+        let from = PeerId::from_le_bytes([told[4], told[5]]);
+        let boot = told[6..HEAD].iter().rev().fold(0, |boot, byte| boot << 8 | Incarnation::from(*byte));
         match postcard::take_from_bytes(&told[HEAD..]) {
-            Ok((said, [])) => Ok(Opened { from, boot, said }),
-            _ => Err(SealError::Form),
+            Ok((said, [])) => Ok(Envelope { from, incarnation: boot, message: said }),
+            _ => Err(EnvelopeError::Malformed),
         }
     }
 
@@ -133,23 +138,23 @@
 
     #[test]
     fn a_message_comes_back_and_nothing_else_does() {
-        let seal = Seal::new(b"  sixteen bytes and more\n").expect("a key");
+        let seal = EnvelopeCodec::new(b"  sixteen bytes and more\n").expect("a key");
         let said = (7u32, vec!["a".to_owned(), "b".to_owned()]);
-        let bytes = seal.close(3, 0x1122_3344_5566_7788, &said).expect("short");
+        let bytes = seal.seal(3, 0x1122_3344_5566_7788, &said).expect("short");
         let opened = seal.open::<(u32, Vec<String>)>(&bytes);
-        assert_eq!(opened, Ok(Opened { from: 3, boot: 0x1122_3344_5566_7788, said }));
+        assert_eq!(opened, Ok(Envelope { from: 3, incarnation: 0x1122_3344_5566_7788, message }));
         for at in 0..bytes.len() {
             let mut damaged = bytes.clone();
             damaged[at] ^= 1;
             assert!(seal.open::<(u32, Vec<String>)>(&damaged).is_err(), "byte {at}");
             assert!(seal.open::<(u32, Vec<String>)>(&bytes[..at]).is_err(), "cut at {at}");
         }
-        let stranger = Seal::new(b"another key of sixteen").expect("a key");
-        assert_eq!(stranger.open::<(u32, Vec<String>)>(&bytes), Err(SealError::Digest));
+        let stranger = EnvelopeCodec::new(b"another key of sixteen").expect("a key");
+        assert_eq!(stranger.open::<(u32, Vec<String>)>(&bytes), Err(EnvelopeError::Digest));
         let newer = [b"TBP\x03".as_slice(), &bytes[4..]].concat();
-        assert_eq!(seal.open::<(u32, Vec<String>)>(&newer), Err(SealError::Version(3)));
-        assert_eq!(seal.open::<(u32, Vec<String>, u8)>(&bytes), Err(SealError::Form));
-        assert_eq!(Seal::new(b"short").err(), Some(SealError::Key));
-        assert_eq!(seal.close(0, 0, &vec![0u64; MOST_MESSAGE]).err(), Some(SealError::Long));
+        assert_eq!(seal.open::<(u32, Vec<String>)>(&newer), Err(EnvelopeError::Version(3)));
+        assert_eq!(seal.open::<(u32, Vec<String>, u8)>(&bytes), Err(EnvelopeError::Malformed));
+        assert_eq!(EnvelopeCodec::new(b"short").err(), Some(EnvelopeError::KeyTooShort));
+        assert_eq!(seal.seal(0, 0, &vec![0u64; MAX_MESSAGE]).err(), Some(EnvelopeError::TooLong));
     }
 }
--- a/crates/membership/tests/entries.rs
+++ b/crates/membership/tests/entries.rs
@@ -7,16 +7,16 @@
 const KEY: Key = Key { kind: 1, id: 7 };
 
 struct Front {
-    boot: Boot,
-    contacts: Contacts,
-    entries: Entries,
+    boot: Incarnation,
+    contacts: MembershipTable,
+    entries: GossipStore,
 }
 
-fn front(me: Place, boot: Boot, now: Nanos) -> Front {
+fn front(me: PeerId, boot: Incarnation, now: Nanos) -> Front {
     Front {
         boot,
-        contacts: Contacts::new(me, 3, boot, SPAN),
-        entries: Entries::new(me, 3, boot, 20_000, now),
+        contacts: MembershipTable::new(me, 3, boot, SPAN),
+        entries: GossipStore::new(me, 3, boot, 20_000, now),
     }
 }
 
@@ -26,27 +26,28 @@
 
 /// A round of each front, where `cut` loses what one sends another; gives how often a front dropped what another had
 /// said, and how many entries the first sent.
-fn round(fronts: &mut [Front], now: Nanos, cut: &[(Place, Place)]) -> (usize, usize) {
+fn round(fronts: &mut [Front], now: Nanos, cut: &[(PeerId, PeerId)]) -> (usize, usize) {
     let (mut dropped, mut entries) = (0, 0);
-    let mut queue: Vec<(Place, Place, Exchange)> = Vec::new();
+    let mut queue: Vec<(PeerId, PeerId, GossipMessage)> = Vec::new();
     for from in 0..fronts.len() {
-        let place = from as Place;
-        fronts[from].contacts.round(now);
+        let place = from as PeerId;
+        fronts[from].contacts.begin_round(now);
         for to in (0..3).filter(|to| *to != place && !cut.contains(&(place, *to))) {
-            let (boot, hello) = (fronts[from].boot, fronts[from].contacts.hello(now, to));
-            fronts[usize::from(to)].contacts.heard(now, place, boot, &hello);
+            let (boot, hello) = (fronts[from].boot, fronts[from].contacts.state_for(now, to));
+            fronts[usize::from(to)].contacts.receive(now, place, boot, &hello);
         }
         let mut acts = Vec::new();
         let one = &mut fronts[from];
-        one.entries.on(now, &one.contacts, Told::Round, &mut acts).expect("a round puts nothing");
+        one.entries.on(now, &one.contacts, GossipInput::Round, &mut acts).expect("a round puts nothing");
         queue.extend(sent(place, acts, &mut dropped));
     }
     while let Some((from, to, exchange)) = queue.pop() {
         if cut.contains(&(from, to)) {
             continue;
         }
-        entries += exchange.deltas.iter().filter(|_| from == 0).map(|d| d.items.len()).sum::<usize>();
-        let told = Told::Heard { from, boot: fronts[usize::from(from)].boot, exchange };
+        entries += exchange.deltas.iter().filter(|_| from == 0).map(|d| d.entries.len()).sum::<usize>();
+        let told =
+            GossipInput::Received { from, incarnation: fronts[usize::from(from)].boot, message: exchange };
         let mut acts = Vec::new();
         let one = &mut fronts[usize::from(to)];
         one.entries.on(now, &one.contacts, told, &mut acts).expect("hearing puts nothing");
@@ -55,24 +56,24 @@
     (dropped, entries)
 }
 
-fn sent(from: Place, acts: Vec<Act>, dropped: &mut usize) -> Vec<(Place, Place, Exchange)> {
+fn sent(from: PeerId, acts: Vec<GossipAction>, dropped: &mut usize) -> Vec<(PeerId, PeerId, GossipMessage)> {
     let mut all = Vec::new();
     for act in acts {
         match act {
-            Act::Send { to, exchange } => all.push((from, to, exchange)),
-            Act::Dropped(_) => *dropped += 1,
-            Act::Changed(..) | Act::Refused(_) => {}
+            GossipAction::Send { to, message: exchange } => all.push((from, to, exchange)),
+            GossipAction::Dropped(_) => *dropped += 1,
+            GossipAction::Changed(..) | GossipAction::Rejected(_) => {}
         }
     }
     all
 }
 
 fn put(front: &mut Front, now: Nanos, key: Key, value: Option<&[u8]>) -> Result<(), EntryError> {
-    let told = Told::Put(key, value.map(<[u8]>::to_vec));
+    let told = GossipInput::Put(key, value.map(<[u8]>::to_vec));
     front.entries.on(now, &front.contacts, told, &mut Vec::new())
 }
 
-fn held(front: &Front, now: Nanos, origin: Place) -> Option<(Vec<u8>, Nanos)> {
+fn held(front: &Front, now: Nanos, origin: PeerId) -> Option<(Vec<u8>, Nanos)> {
     front.entries.get(now, origin, KEY).map(|(value, age)| (value.to_vec(), age / MS))
 }
 
@@ -137,36 +138,43 @@
     for step in 0..3 {
         round(&mut fronts, step * 200 * MS, &[]);
     }
-    let long = vec![0; MOST_VALUE + 1];
-    assert_eq!(put(&mut fronts[0], 0, KEY, Some(&long)), Err(EntryError::Long));
-    for id in 0..MOST_ENTRIES as u64 {
+    let long = vec![0; MAX_VALUE + 1];
+    assert_eq!(put(&mut fronts[0], 0, KEY, Some(&long)), Err(EntryError::TooLong));
+    for id in 0..MAX_ENTRIES as u64 {
         put(&mut fronts[0], 0, Key { kind: 2, id }, Some(b"x")).expect("it fits");
     }
-    assert_eq!(put(&mut fronts[0], 0, KEY, Some(b"x")), Err(EntryError::Many));
+    assert_eq!(put(&mut fronts[0], 0, KEY, Some(b"x")), Err(EntryError::TooMany));
     assert_eq!(put(&mut fronts[0], 0, KEY, None), Ok(()), "what is not there goes without a place");
-    let item = |version, value: &[u8]| Item { key: KEY, version, age_ms: 0, value: Some(value.to_vec()) };
-    let delta = |origin, boot, after, to, items| Delta { origin, boot, after, to, items };
+    let item =
+        |version, value: &[u8]| GossipEntry { key: KEY, version, age_ms: 0, value: Some(value.to_vec()) };
+    let delta =
+        |origin, boot, after, to, items| Delta { origin, incarnation: boot, after, to, entries: items };
     for (delta, why) in [
-        (delta(1, 101, 0, 1, vec![item(1, &long)]), Refusal::Bounds),
-        (delta(1, 101, 0, 2, vec![item(2, b"b"), item(1, b"a")]), Refusal::Bounds),
-        (delta(1, 101, 0, 1, vec![item(9, b"a")]), Refusal::Bounds),
-        (delta(1, 101, 5, 6, vec![item(6, b"a")]), Refusal::Gap),
-        (delta(1, 999, 0, 1, vec![item(1, b"a")]), Refusal::Boot),
-        (delta(0, 100, 0, 1, vec![item(1, b"a")]), Refusal::Place),
-        (delta(9, 100, 0, 1, vec![item(1, b"a")]), Refusal::Place),
+        (delta(1, 101, 0, 1, vec![item(1, &long)]), GossipError::OutOfBounds),
+        (delta(1, 101, 0, 2, vec![item(2, b"b"), item(1, b"a")]), GossipError::OutOfBounds),
+        (delta(1, 101, 0, 1, vec![item(9, b"a")]), GossipError::OutOfBounds),
+        (delta(1, 101, 5, 6, vec![item(6, b"a")]), GossipError::MissingVersions),
+        (delta(1, 999, 0, 1, vec![item(1, b"a")]), GossipError::StaleIncarnation),
+        (delta(0, 100, 0, 1, vec![item(1, b"a")]), GossipError::UnknownOrigin),
+        (delta(9, 100, 0, 1, vec![item(1, b"a")]), GossipError::UnknownOrigin),
     ] {
-        let exchange = Exchange { echo: Some((100, 400 * MS)), deltas: vec![delta], ..Exchange::default() };
+        let exchange =
+            GossipMessage { echo: Some((100, 400 * MS)), deltas: vec![delta], ..GossipMessage::default() };
         let one = &mut fronts[0];
         let mut acts = Vec::new();
-        let told = Told::Heard { from: 1, boot: 101, exchange };
+        let told = GossipInput::Received { from: 1, incarnation: 101, message: exchange };
         one.entries.on(500 * MS, &one.contacts, told, &mut acts).expect("hearing puts nothing");
-        assert_eq!(acts, vec![Act::Refused(why)]);
+        assert_eq!(acts, vec![GossipAction::Rejected(why)]);
         assert_eq!(one.entries.known(1), Some((101, 0)));
     }
     let (one, mut acts) = (&mut fronts[0], Vec::new());
-    let told = Told::Heard { from: 1, boot: 77, exchange: Exchange::default() };
+    let told = GossipInput::Received { from: 1, incarnation: 77, message: GossipMessage::default() };
     one.entries.on(500 * MS, &one.contacts, told, &mut acts).expect("hearing puts nothing");
-    assert_eq!(acts, vec![Act::Refused(Refusal::Boot)], "a boot that does not count says nothing");
+    assert_eq!(
+        acts,
+        vec![GossipAction::Rejected(GossipError::StaleIncarnation)],
+        "a boot that does not count says nothing"
+    );
 }
 
 #[test]
@@ -197,18 +205,18 @@
     for step in 0..4 {
         round(&mut fronts, step * 200 * MS, &[]);
     }
-    let item = Item { key: KEY, version: 1, age_ms: 50, value: Some(b"late".to_vec()) };
-    let delta = Delta { origin: 1, boot: 101, after: 0, to: 1, items: vec![item] };
-    let said = |echo| Exchange { echo, deltas: vec![delta.clone()], ..Exchange::default() };
+    let item = GossipEntry { key: KEY, version: 1, age_ms: 50, value: Some(b"late".to_vec()) };
+    let delta = Delta { origin: 1, incarnation: 101, after: 0, to: 1, entries: vec![item] };
+    let said = |echo| GossipMessage { echo, deltas: vec![delta.clone()], ..GossipMessage::default() };
     let one = &mut fronts[0];
     // For another boot of this front, or for none, nothing tells how old it is.
     for echo in [None, Some((99, 400 * MS))] {
         let mut acts = Vec::new();
-        let told = Told::Heard { from: 1, boot: 101, exchange: said(echo) };
+        let told = GossipInput::Received { from: 1, incarnation: 101, message: said(echo) };
         one.entries.on(2_000 * MS, &one.contacts, told, &mut acts).expect("hearing puts nothing");
-        assert_eq!(acts, vec![Act::Refused(Refusal::Echo)]);
+        assert_eq!(acts, vec![GossipAction::Rejected(GossipError::NoEcho)]);
     }
-    let told = Told::Heard { from: 1, boot: 101, exchange: said(Some((100, 400 * MS))) };
+    let told = GossipInput::Received { from: 1, incarnation: 101, message: said(Some((100, 400 * MS))) };
     one.entries.on(2_000 * MS, &one.contacts, told, &mut Vec::new()).expect("hearing puts nothing");
     assert_eq!(held(&fronts[0], 2_000 * MS, 1), Some((b"late".to_vec(), 1_650)));
 }
@@ -219,7 +227,7 @@
     for step in 0..3 {
         round(&mut fronts, step * 200 * MS, &[]);
     }
-    fronts[0].entries.retune(1_000);
+    fronts[0].entries.set_rate(1_000);
     for id in 0..100 {
         put(&mut fronts[0], 600 * MS, Key { kind: 1, id }, Some(&[7; 100])).expect("it fits");
     }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -9,7 +9,7 @@
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use tulipbridge_membership::{Delta, Exchange, Hello, Item, Key, Opened, Seal};
+use tulipbridge_membership::{Delta, Envelope, EnvelopeCodec, GossipEntry, GossipMessage, Key, PeerState};
 
 /// Two lower-case digits for each byte.
 fn hex(bytes: &[u8]) -> String {
@@ -25,8 +25,8 @@
     assert!(rest.is_empty(), "bytes are left over");
 }
 
-fn item_with_value() -> Item {
-    Item {
+fn item_with_value() -> GossipEntry {
+    GossipEntry {
         key: Key { kind: 200, id: 500 },
         version: 131,
         age_ms: 60_000,
@@ -34,16 +34,16 @@
     }
 }
 
-fn item_taken_away() -> Item {
-    Item { key: Key { kind: 2, id: 7 }, version: 132, age_ms: 1, value: None }
+fn item_taken_away() -> GossipEntry {
+    GossipEntry { key: Key { kind: 2, id: 7 }, version: 132, age_ms: 1, value: None }
 }
 
 #[test]
 fn hello_with_all_optional_fields() {
-    let hello = Hello {
-        sent: -1_000,
+    let hello = PeerState {
+        sent_at: -1_000,
         echo: Some((0x1122_3344_5566_7788, 70_000)),
-        stranger: Some(300),
+        conflicting: Some(300),
         leaving: true,
         hears: vec![5, 640],
     };
@@ -61,7 +61,8 @@
 
 #[test]
 fn hello_without_optional_fields() {
-    let hello = Hello { sent: 1_000, echo: None, stranger: None, leaving: false, hears: Vec::new() };
+    let hello =
+        PeerState { sent_at: 1_000, echo: None, conflicting: None, leaving: false, hears: Vec::new() };
     assert_golden(
         &hello,
         concat!(
@@ -115,10 +116,10 @@
 fn delta_of_two_items() {
     let delta = Delta {
         origin: 258,
-        boot: 0x0102_0304_0506_0708,
+        incarnation: 0x0102_0304_0506_0708,
         after: 129,
         to: 133,
-        items: vec![item_with_value(), item_taken_away()],
+        entries: vec![item_with_value(), item_taken_away()],
     };
     assert_golden(
         &delta,
@@ -142,11 +143,11 @@
 
 #[test]
 fn exchange_with_all_fields() {
-    let delta = Delta { origin: 4, boot: 303, after: 5, to: 8, items: Vec::new() };
-    let exchange = Exchange {
+    let delta = Delta { origin: 4, incarnation: 303, after: 5, to: 8, entries: Vec::new() };
+    let exchange = GossipMessage {
         echo: Some((900, -5)),
         knows: vec![(3, 301, 4), (513, 6, 302)],
-        asks: true,
+        requests_missing: true,
         deltas: vec![delta],
     };
     assert_golden(
@@ -169,7 +170,8 @@
 
 #[test]
 fn exchange_that_is_empty() {
-    let exchange = Exchange { echo: None, knows: Vec::new(), asks: false, deltas: Vec::new() };
+    let exchange =
+        GossipMessage { echo: None, knows: Vec::new(), requests_missing: false, deltas: Vec::new() };
     assert_golden(
         &exchange,
         concat!(
@@ -183,9 +185,9 @@
 
 #[test]
 fn sealed_datagram() {
-    let seal = Seal::new(b"golden key of the fronts").expect("the key is long enough");
+    let seal = EnvelopeCodec::new(b"golden key of the fronts").expect("the key is long enough");
     let content = (300u32, "hi".to_owned());
-    let datagram = seal.close(0x0203, 0x1122_3344_5566_7788, &content).expect("the datagram is short");
+    let datagram = seal.seal(0x0203, 0x1122_3344_5566_7788, &content).expect("the datagram is short");
     assert_eq!(
         hex(&datagram),
         concat!(
@@ -199,11 +201,11 @@
         ),
     );
     let opened = seal.open::<(u32, String)>(&datagram);
-    assert_eq!(opened, Ok(Opened { from: 0x0203, boot: 0x1122_3344_5566_7788, said: content }));
+    assert_eq!(opened, Ok(Envelope { from: 0x0203, incarnation: 0x1122_3344_5566_7788, message: content }));
 }
 
 #[test]
 fn digest_of_a_roster() {
     // The first eight bytes of the text's SHA-256, the first one highest.
-    assert_eq!(Seal::digest(r#"7|2000000000|100000|["a", "b"]"#), 0x8251_6146_a3c1_cb43);
+    assert_eq!(EnvelopeCodec::digest(r#"7|2000000000|100000|["a", "b"]"#), 0x8251_6146_a3c1_cb43);
 }
--- a/crates/model-checker/src/entrance.rs
+++ b/crates/model-checker/src/entrance.rs
@@ -7,10 +7,9 @@
 use std::fmt;
 use std::hash::{Hash, Hasher};
 
-use tulipbridge_core::door::{
-    Accept, ClientConnection, ClientEvent, ConnectionLimiter, GracefulShutdown, Phase, ShutdownEvent,
-    ShutdownStep,
-};
+use tulipbridge_core::client_connection::{ClientConnection, ClientEvent, Phase};
+use tulipbridge_core::connection_limiter::{Accept, ConnectionLimiter};
+use tulipbridge_core::graceful_shutdown::{GracefulShutdown, ShutdownEvent, ShutdownStep};
 use tulipbridge_core::Nanos;
 
 use crate::explore::{same, Card, Explored};
--- a/crates/model-checker/src/rights.rs
+++ b/crates/model-checker/src/rights.rs
@@ -7,7 +7,7 @@
 use std::fmt::{Debug, Display};
 use std::hash::{Hash, Hasher};
 
-use tulipbridge_fleet_limits::{Beat, Effect, Event, Limit, Nanos, Part, Place, Quota, Terms, WHOLE};
+use tulipbridge_fleet_limits::{Beat, Effect, Event, Limit, Nanos, Part, PeerId, Quota, Terms, WHOLE};
 
 use crate::explore::{same, Card, Explored};
 use crate::properties::Broken;
@@ -27,7 +27,7 @@
     /// What it is about.
     pub about: &'static str,
     /// How many fronts.
-    pub fronts: Place,
+    pub fronts: PeerId,
     /// Rounds that are explored.
     pub rounds: u8,
     /// Troubles at the most.
@@ -47,8 +47,8 @@
 /// A message under way.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Message {
-    from: Place,
-    to: Place,
+    from: PeerId,
+    to: PeerId,
     boot: u64,
     beat: Beat,
     /// It stays under way for so many more rounds.
@@ -63,9 +63,9 @@
     boots: u64,
     processes: Vec<Option<Process>>,
     messages: Vec<Message>,
-    cut: Vec<(Place, Place)>,
+    cut: Vec<(PeerId, PeerId)>,
     /// Links on which the next message is late.
-    hold: Vec<(Place, Place)>,
+    hold: Vec<(PeerId, PeerId)>,
     broken: Broken,
 }
 
@@ -102,21 +102,21 @@
     /// A beat passes.
     Round,
     /// What one front sends another is lost from now on.
-    Cut(Place, Place),
+    Cut(PeerId, PeerId),
     /// Every link is whole again.
     Heal,
     /// The next message from one to another comes late.
-    Late(Place, Place),
+    Late(PeerId, PeerId),
     /// A front and all others are cut off from each other.
-    Isolate(Place),
+    Isolate(PeerId),
     /// A front stands still.
-    Stop(Place),
+    Stop(PeerId),
     /// It goes on.
-    Continue(Place),
+    Continue(PeerId),
     /// A front is killed.
-    Kill(Place),
+    Kill(PeerId),
     /// It starts again.
-    Start(Place),
+    Start(PeerId),
 }
 
 impl Display for Step {
@@ -136,14 +136,14 @@
 }
 
 impl Rights {
-    fn start(&self, place: Place, boots: &mut u64, now: Nanos) -> Process {
+    fn start(&self, place: PeerId, boots: &mut u64, now: Nanos) -> Process {
         *boots += 1;
         let terms = Terms { life: 4 * BEAT, beat: BEAT, drift: 0, ..Terms::new(place, self.fronts, 1) };
         let quota = Quota::new(terms, *boots, now).expect("the terms hold");
         Process { quota, stopped: false, right: 0 }
     }
 
-    fn feed(&self, state: &mut State, front: Place, event: Event) {
+    fn feed(&self, state: &mut State, front: PeerId, event: Event) {
         let (now, cut) = (state.now(), state.cut.clone());
         let Some(process) = &mut state.processes[usize::from(front)] else { return };
         let mut effects = Vec::new();
--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -8,11 +8,10 @@
 use std::fmt;
 use std::hash::{Hash, Hasher};
 
-use tulipbridge_core::link::{
-    Attempt, AttemptEvent, AttemptStep, Capacity, ConnectionEvent, ConnectionPool, Execution,
-    ServerConnection,
-};
+use tulipbridge_core::attempt::{Attempt, AttemptEvent, AttemptStep};
+use tulipbridge_core::connection_pool::{Capacity, ConnectionPool};
 use tulipbridge_core::request_tracker::{Effect, FinalAnswer, Input, RequestTracker};
+use tulipbridge_core::server_connection::{ConnectionEvent, Execution, ServerConnection};
 use tulipbridge_core::{
     Action, CellId, Listed, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, Scheduler, Semantics,
     Settings, UpdateScope,
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -13,7 +13,7 @@
 pub use evidence::{Evidence, Seen, Worth};
 pub use machine::{Effect, Event, Reason, Said, Saw, Verdicts};
 pub use terms::{Terms, TermsError};
-pub use tulipbridge_membership::{Boot, Entries, Key, Nanos, Place};
+pub use tulipbridge_membership::{GossipStore, Incarnation, Key, Nanos, PeerId};
 pub use watch::{How, Watch};
 
 use serde::{Deserialize, Serialize};
--- a/crates/outlier-detection/src/machine.rs
+++ b/crates/outlier-detection/src/machine.rs
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Said {
     /// Whose.
-    pub front: Place,
+    pub front: PeerId,
     /// Its zone.
     pub zone: Zone,
     /// How long ago it was last said at the most.
@@ -72,7 +72,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Saw {
     /// The front.
-    pub front: Place,
+    pub front: PeerId,
     /// Attempts, faded.
     pub attempts: f64,
     /// Of these, bad.
@@ -95,7 +95,7 @@
     /// What each front saw.
     pub saw: Vec<Saw>,
     /// Whose turn it is to try.
-    pub tries: Option<Place>,
+    pub tries: Option<PeerId>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -120,7 +120,7 @@
 /// A front's evidence on a server.
 #[derive(Clone, Debug)]
 struct View {
-    front: Place,
+    front: PeerId,
     zone: Zone,
     evidence: Evidence,
     age: Nanos,
@@ -170,7 +170,7 @@
     }
 
     /// Takes one event and appends what is to be done. `entries` holds what was told.
-    pub fn on(&mut self, now: Nanos, entries: &Entries, event: Event, effects: &mut Vec<Effect>) {
+    pub fn on(&mut self, now: Nanos, entries: &GossipStore, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::Servers(servers) => {
                 self.servers = servers.into_iter().collect();
@@ -217,7 +217,7 @@
     }
 
     /// What there is to say of each subject that anybody assents to or that this front is convinced of.
-    pub fn reasons(&self, now: Nanos, entries: &Entries) -> Vec<Reason> {
+    pub fn reasons(&self, now: Nanos, entries: &GossipStore) -> Vec<Reason> {
         let views = self.views(now, entries);
         let suspects = self.suspects(&views);
         let by_subject = self.all_assents(now, entries);
@@ -234,7 +234,7 @@
     }
 
     /// What each front says that it saw of a server, this one too.
-    pub fn saw(&self, now: Nanos, entries: &Entries, server: Server) -> Vec<Saw> {
+    pub fn saw(&self, now: Nanos, entries: &GossipStore, server: Server) -> Vec<Saw> {
         let views = self.views(now, entries);
         self.saw_for(&views, &self.suspects(&views), server, None)
     }
@@ -242,7 +242,7 @@
     fn saw_for(
         &self,
         views: &Views,
-        suspects: &BTreeSet<Place>,
+        suspects: &BTreeSet<PeerId>,
         server: Server,
         class: Option<Class>,
     ) -> Vec<Saw> {
@@ -254,7 +254,7 @@
         views.get(&server).into_iter().flatten().map(saw).collect()
     }
 
-    fn look(&mut self, now: Nanos, entries: &Entries, effects: &mut Vec<Effect>) {
+    fn look(&mut self, now: Nanos, entries: &GossipStore, effects: &mut Vec<Effect>) {
         let half_life = self.terms.half_life;
         self.counts.retain(|_, count| !count.faded(now, half_life).is_over());
         let well = self.doing_well(now, entries);
@@ -273,7 +273,7 @@
     }
 
     /// All evidence that is fresh, this front's own with it.
-    fn views(&self, now: Nanos, entries: &Entries) -> Views {
+    fn views(&self, now: Nanos, entries: &GossipStore) -> Views {
         let mut views = Views::new();
         for (front, _, server, value, age) in entries.all(now, EVIDENCE) {
             let fresh = age <= self.terms.evidence_life || mutated(Mutation::OldEvidence);
@@ -334,14 +334,14 @@
     }
 
     /// The fronts whose evidence contradicts that of most others on more than half of the servers.
-    fn suspects(&self, views: &Views) -> BTreeSet<Place> {
+    fn suspects(&self, views: &Views) -> BTreeSet<PeerId> {
         if mutated(Mutation::SuspectCounts) {
             return BTreeSet::new();
         }
         // By front: servers that it and at least two others have seen enough of, and those on which they differ.
-        let mut held: BTreeMap<Place, (u32, u32)> = BTreeMap::new();
+        let mut held: BTreeMap<PeerId, (u32, u32)> = BTreeMap::new();
         for of in views.values() {
-            let says: Vec<(Place, bool)> = of
+            let says: Vec<(PeerId, bool)> = of
                 .iter()
                 .map(|v| (v.front, Sum::of(&v.evidence, None, &self.terms)))
                 .filter(|(_, sum)| sum.attempts >= self.terms.least)
@@ -364,7 +364,7 @@
     }
 
     /// Servers of which a trier says that they did well often enough, with how long ago at the most.
-    fn doing_well(&self, now: Nanos, entries: &Entries) -> BTreeMap<Server, Nanos> {
+    fn doing_well(&self, now: Nanos, entries: &GossipStore) -> BTreeMap<Server, Nanos> {
         let mut well = BTreeMap::new();
         for (_, _, server, value, age) in entries.all(now, TRIAL) {
             let enough = matches!(value, [good] if *good >= self.terms.good_trials);
@@ -401,7 +401,7 @@
     fn conclude(
         &self,
         views: &Views,
-        suspects: &BTreeSet<Place>,
+        suspects: &BTreeSet<PeerId>,
         well: &BTreeMap<Server, Nanos>,
     ) -> BTreeMap<Subject, f64> {
         let mut all = BTreeMap::new();
@@ -521,7 +521,7 @@
 
     /// By subject, who assents to it, of which zone, and how long ago they last said so at the most. Who assents to hold
     /// a server out for all assents to each part of that.
-    fn all_assents(&self, now: Nanos, entries: &Entries) -> BTreeMap<Subject, Vec<Said>> {
+    fn all_assents(&self, now: Nanos, entries: &GossipStore) -> BTreeMap<Subject, Vec<Said>> {
         let mut all: BTreeMap<Subject, Vec<Said>> = BTreeMap::new();
         for (front, _, id, value, age) in entries.all(now, ASSENT) {
             let fresh = age <= self.terms.assent_life || mutated(Mutation::OldAssents);
@@ -560,7 +560,7 @@
     fn hold(
         &mut self,
         now: Nanos,
-        entries: &Entries,
+        entries: &GossipStore,
         well: &BTreeMap<Server, Nanos>,
         effects: &mut Vec<Effect>,
     ) {
@@ -598,8 +598,8 @@
     fn try_out(
         &mut self,
         now: Nanos,
-        entries: &Entries,
-        suspects: &BTreeSet<Place>,
+        entries: &GossipStore,
+        suspects: &BTreeSet<PeerId>,
         effects: &mut Vec<Effect>,
     ) {
         let by_subject = self.all_assents(now, entries);
@@ -627,13 +627,13 @@
         &self,
         now: Nanos,
         by: &[Said],
-        suspects: &BTreeSet<Place>,
+        suspects: &BTreeSet<PeerId>,
         subject: Subject,
         since: Nanos,
-    ) -> Option<Place> {
+    ) -> Option<PeerId> {
         let is_about = |zone: Zone| !matches!(subject.scope, Scope::Zone(z) if z != zone);
         let there = by.iter().filter(|said| is_about(said.zone) && !suspects.contains(&said.front));
-        let mut fronts: Vec<Place> = there.map(|said| said.front).collect();
+        let mut fronts: Vec<PeerId> = there.map(|said| said.front).collect();
         fronts.sort_by_key(|p| mixed(subject.server ^ (u64::from(*p) + 1).wrapping_mul(0x9e37_79b9)));
         // Each for some turns, so that its good trials can come in a row.
         let turns = Nanos::from(self.terms.good_trials) + 1;
--- a/crates/outlier-detection/src/terms.rs
+++ b/crates/outlier-detection/src/terms.rs
@@ -1,6 +1,6 @@
 //! What all fronts of a fleet agree on beforehand.
 
-use crate::{Nanos, Place, Zone};
+use crate::{Nanos, PeerId, Zone};
 
 const MS: Nanos = 1_000_000;
 
@@ -8,9 +8,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Terms {
     /// This front's place in the roster.
-    pub me: Place,
+    pub me: PeerId,
     /// How many fronts there are.
-    pub fronts: Place,
+    pub fronts: PeerId,
     /// This front's zone.
     pub zone: Zone,
     /// Fronts that must have seen a server do badly before anybody assents to hold it out.
@@ -55,9 +55,9 @@
     #[error("place {me} is not in a roster of {fronts}")]
     Place {
         /// The place.
-        me: Place,
+        me: PeerId,
         /// How many there are.
-        fronts: Place,
+        fronts: PeerId,
     },
     /// One front could condemn a server by itself.
     #[error("a verdict needs two witnesses or more, and {0} were asked for")]
@@ -85,7 +85,7 @@
 
 impl Terms {
     /// The usual terms of the front at a place among so many, in a zone.
-    pub fn new(me: Place, fronts: Place, zone: Zone) -> Terms {
+    pub fn new(me: PeerId, fronts: PeerId, zone: Zone) -> Terms {
         Terms {
             me,
             fronts,
--- a/crates/outlier-detection/tests/golden.rs
+++ b/crates/outlier-detection/tests/golden.rs
@@ -11,7 +11,7 @@
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use tulipbridge_membership::{Contacts, Delta, Exchange, Item, Told};
+use tulipbridge_membership::{Delta, GossipEntry, GossipInput, GossipMessage, MembershipTable};
 use tulipbridge_outlier_detection::*;
 
 const MS: Nanos = 1_000_000;
@@ -98,12 +98,12 @@
 }
 
 /// The front whose puts are looked at: its place, boot and zone.
-const FRONT: Place = 0;
-const BOOT: Boot = 100;
+const FRONT: PeerId = 0;
+const BOOT: Incarnation = 100;
 const ZONE: Zone = 200;
 /// A front of another zone that saw the same, and told it: both assent for all work.
-const PEER: Place = 1;
-const PEER_BOOT: Boot = 101;
+const PEER: PeerId = 1;
+const PEER_BOOT: Incarnation = 101;
 const PEER_ZONE: Zone = 7;
 /// The class of work that all attempts are of.
 const CLASS: Class = 201;
@@ -111,29 +111,34 @@
 const GOOD_SERVERS: std::ops::Range<Server> = 10..15;
 
 /// Contacts of the front, to which the peer is alive.
-fn contacts(now: Nanos) -> Contacts {
-    let mut contacts = Contacts::new(FRONT, 2, BOOT, 2_000 * MS);
-    let mut peer = Contacts::new(PEER, 2, PEER_BOOT, 2_000 * MS);
+fn contacts(now: Nanos) -> MembershipTable {
+    let mut contacts = MembershipTable::new(FRONT, 2, BOOT, 2_000 * MS);
+    let mut peer = MembershipTable::new(PEER, 2, PEER_BOOT, 2_000 * MS);
     for step in 0..4 {
         let at = now + step;
-        peer.heard(at, FRONT, BOOT, &contacts.hello(at, PEER));
-        contacts.heard(at, PEER, PEER_BOOT, &peer.hello(at, FRONT));
+        peer.receive(at, FRONT, BOOT, &contacts.state_for(at, PEER));
+        contacts.receive(at, PEER, PEER_BOOT, &peer.state_for(at, FRONT));
     }
     contacts
 }
 
 /// Entries of the front, to which the peer has told this evidence.
-fn entries_with(now: Nanos, evidence: &Evidence) -> Entries {
+fn entries_with(now: Nanos, evidence: &Evidence) -> GossipStore {
     let value = postcard::to_stdvec(evidence).expect("the evidence can be encoded");
     let key = Key { kind: EVIDENCE, id: SERVER };
-    let item = Item { key, version: 1, age_ms: 0, value: Some(value) };
-    let delta = Delta { origin: PEER, boot: PEER_BOOT, after: 0, to: 1, items: vec![item] };
-    let exchange = Exchange { echo: Some((BOOT, now)), knows: Vec::new(), asks: false, deltas: vec![delta] };
-    let mut entries = Entries::new(FRONT, 2, BOOT, 100_000, now);
+    let item = GossipEntry { key, version: 1, age_ms: 0, value: Some(value) };
+    let delta = Delta { origin: PEER, incarnation: PEER_BOOT, after: 0, to: 1, entries: vec![item] };
+    let exchange = GossipMessage {
+        echo: Some((BOOT, now)),
+        knows: Vec::new(),
+        requests_missing: false,
+        deltas: vec![delta],
+    };
+    let mut entries = GossipStore::new(FRONT, 2, BOOT, 100_000, now);
     let contacts = contacts(now);
     // The first round takes the peer's boot as the one whose entries count.
-    entries.on(now, &contacts, Told::Round, &mut Vec::new()).expect("a round puts nothing");
-    let heard = Told::Heard { from: PEER, boot: PEER_BOOT, exchange };
+    entries.on(now, &contacts, GossipInput::Round, &mut Vec::new()).expect("a round puts nothing");
+    let heard = GossipInput::Received { from: PEER, incarnation: PEER_BOOT, message: exchange };
     let mut acts = Vec::new();
     entries.on(now, &contacts, heard, &mut acts).expect("it only hears");
     assert!(entries.get(now, PEER, key).is_some(), "the evidence is taken: {acts:?}");
@@ -141,7 +146,7 @@
 }
 
 /// Feeds twenty attempts at a server, so many of them bad.
-fn attempts(verdicts: &mut Verdicts, now: Nanos, entries: &Entries, server: Server, bad: usize) {
+fn attempts(verdicts: &mut Verdicts, now: Nanos, entries: &GossipStore, server: Server, bad: usize) {
     for attempt in 0..20 {
         let worth = if attempt < bad { Worth::Bad } else { Worth::Good };
         let event = Event::Attempt { server, class: CLASS, worth };
@@ -199,7 +204,7 @@
 
 #[test]
 fn trial_as_a_front_puts_it() {
-    let entries = Entries::new(FRONT, 2, BOOT, 100_000, 0);
+    let entries = GossipStore::new(FRONT, 2, BOOT, 100_000, 0);
     let mut verdicts = Verdicts::new(Terms::new(FRONT, 2, ZONE)).expect("the terms hold");
     let mut effects = Vec::new();
     for worth in [Worth::Good, Worth::Good, Worth::Bad] {
--- a/crates/outlier-detection/tests/machine.rs
+++ b/crates/outlier-detection/tests/machine.rs
@@ -1,30 +1,30 @@
 //! What one front makes of what it saw and what others told.
 
-use tulipbridge_membership::{Contacts, Entries, Told};
+use tulipbridge_membership::{GossipInput, GossipStore, MembershipTable};
 use tulipbridge_outlier_detection::*;
 
 const MS: Nanos = 1_000_000;
 const SPAN: Nanos = 2_000 * MS;
 
 struct Front {
-    contacts: Contacts,
-    entries: Entries,
+    contacts: MembershipTable,
+    entries: GossipStore,
     verdicts: Verdicts,
     out: Vec<Subject>,
     tries: usize,
 }
 
 /// So many fronts in zones that take turns, with six servers.
-fn fleet(fronts: Place, zones: Zone) -> Vec<Front> {
-    let front = |me: Place| {
+fn fleet(fronts: PeerId, zones: Zone) -> Vec<Front> {
+    let front = |me: PeerId| {
         let boot = 100 + u64::from(me);
-        let entries = Entries::new(me, fronts, boot, 100_000, 0);
-        let terms = Terms::new(me, fronts, (me % Place::from(zones)) as Zone);
+        let entries = GossipStore::new(me, fronts, boot, 100_000, 0);
+        let terms = Terms::new(me, fronts, (me % PeerId::from(zones)) as Zone);
         let mut verdicts = Verdicts::new(terms).expect("terms hold");
         let servers = (0..6).map(|s| (s, true)).collect();
         verdicts.on(0, &entries, Event::Servers(servers), &mut Vec::new());
         Front {
-            contacts: Contacts::new(me, fronts, boot, SPAN),
+            contacts: MembershipTable::new(me, fronts, boot, SPAN),
             entries,
             verdicts,
             out: Vec::new(),
@@ -52,23 +52,30 @@
                     feed(&mut fleet[at], now, Event::Attempt { server, class, worth }, &|_| worth);
                 }
             }
-            fleet[at].contacts.round(now);
+            fleet[at].contacts.begin_round(now);
             feed(&mut fleet[at], now, Event::Look, &|s| if bad(at, s, 0) { Worth::Bad } else { Worth::Good });
             let mut acts = Vec::new();
             let one = &mut fleet[at];
-            one.entries.on(now, &one.contacts, Told::Round, &mut acts).expect("a round puts nothing");
-            let hellos: Vec<_> = one.contacts.others().map(|to| (to, one.contacts.hello(now, to))).collect();
+            one.entries.on(now, &one.contacts, GossipInput::Round, &mut acts).expect("a round puts nothing");
+            let hellos: Vec<_> =
+                one.contacts.others().map(|to| (to, one.contacts.state_for(now, to))).collect();
             for (to, hello) in hellos {
                 if hears(usize::from(to), at) {
-                    fleet[usize::from(to)].contacts.heard(now, at as Place, 100 + at as u64, &hello);
+                    fleet[usize::from(to)].contacts.receive(now, at as PeerId, 100 + at as u64, &hello);
                 }
             }
             for act in acts {
-                let tulipbridge_membership::Act::Send { to, exchange } = act else { continue };
+                let tulipbridge_membership::GossipAction::Send { to, message: exchange } = act else {
+                    continue;
+                };
                 if !hears(usize::from(to), at) {
                     continue;
                 }
-                let told = Told::Heard { from: at as Place, boot: 100 + at as u64, exchange };
+                let told = GossipInput::Received {
+                    from: at as PeerId,
+                    incarnation: 100 + at as u64,
+                    message: exchange,
+                };
                 let other = &mut fleet[usize::from(to)];
                 other.entries.on(now, &other.contacts, told, &mut Vec::new()).expect("it only hears");
             }
@@ -82,7 +89,7 @@
     for effect in effects {
         match effect {
             Effect::Put(key, value) => {
-                let told = Told::Put(key, value);
+                let told = GossipInput::Put(key, value);
                 front.entries.on(now, &front.contacts, told, &mut Vec::new()).expect("it fits");
             }
             Effect::Out(subject) => front.out.push(subject),
--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -168,7 +168,7 @@
     #[error("{0} cannot be written: {1}")]
     Write(PathBuf, String),
     #[error(transparent)]
-    Seal(#[from] tulipbridge_membership::SealError),
+    Seal(#[from] tulipbridge_membership::EnvelopeError),
     #[error(transparent)]
     Lab(#[from] crate::process::LabError),
     #[error(transparent)]
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -5,8 +5,8 @@
 use std::time::Instant;
 
 use serde::Serialize;
-use tulipbridge_fleet_limits::{Effect, Event, Limit, Nanos, Place, Quota, Terms};
-use tulipbridge_membership::{Belief, Seal, SealError};
+use tulipbridge_fleet_limits::{Effect, Event, Limit, Nanos, PeerId, Quota, Terms};
+use tulipbridge_membership::{EnvelopeCodec, EnvelopeError, PeerStatus};
 
 /// What was measured.
 #[derive(Clone, Debug, Serialize)]
@@ -37,8 +37,8 @@
 ///
 /// # Errors
 /// Where a message would be too long.
-pub fn measure(fronts: Place, volumes: u64, beats: u32) -> Result<Cost, SealError> {
-    let seal = Seal::new(b"a key for measuring, of no use else")?;
+pub fn measure(fronts: PeerId, volumes: u64, beats: u32) -> Result<Cost, EnvelopeError> {
+    let seal = EnvelopeCodec::new(b"a key for measuring, of no use else")?;
     let before = resident();
     let mut fleet: Vec<Quota> = (0..fronts)
         .map(|me| Quota::new(Terms::new(me, fronts, 1), u64::from(me) + 1, 0).expect("the terms hold"))
@@ -47,7 +47,7 @@
     let (bytes, datagrams) = (Cell::new(0usize), Cell::new(0u64));
     let mut now = 0;
     let round =
-        |fleet: &mut Vec<Quota>, now: Nanos, alive: &dyn Fn(usize) -> bool| -> Result<(), SealError> {
+        |fleet: &mut Vec<Quota>, now: Nanos, alive: &dyn Fn(usize) -> bool| -> Result<(), EnvelopeError> {
             for from in (0..fleet.len()).filter(|f| alive(*f)) {
                 for volume in 0..volumes {
                     fleet[from].on(
@@ -61,12 +61,12 @@
                 let boot = fleet[from].boot();
                 for effect in effects {
                     let Effect::Send { to, beat } = effect else { continue };
-                    let sealed = seal.close(from as Place, boot, beat.as_ref())?;
+                    let sealed = seal.seal(from as PeerId, boot, beat.as_ref())?;
                     bytes.set(bytes.get() + sealed.len());
                     datagrams.set(datagrams.get() + 1);
                     if alive(usize::from(to)) {
                         let opened = seal.open::<tulipbridge_fleet_limits::Beat>(&sealed)?;
-                        let event = Event::Heard { from: opened.from, boot, beat: Box::new(opened.said) };
+                        let event = Event::Heard { from: opened.from, boot, beat: Box::new(opened.message) };
                         fleet[usize::from(to)].on(now, event, &mut Vec::new());
                     }
                 }
@@ -89,7 +89,8 @@
     let each = f64::from(16 + beats) * beat as f64 / 1e9 * f64::from(fronts);
     let (bytes_each, datagrams_each) = (bytes.get() as f64 / each, datagrams.get() as f64 / each);
     let died = now;
-    let known = |fleet: &[Quota], now| fleet[1..].iter().all(|q| q.contacts().belief(now, 0) == Belief::Dead);
+    let known =
+        |fleet: &[Quota], now| fleet[1..].iter().all(|q| q.contacts().status(now, 0) == PeerStatus::Dead);
     while !known(&fleet, now) && now - died < 60_000_000_000 {
         now += beat;
         round(&mut fleet, now, &|front| front != 0)?;
--- a/crates/testbed/src/entries.rs
+++ b/crates/testbed/src/entries.rs
@@ -5,7 +5,7 @@
 
 use fastrand::Rng;
 use serde::Serialize;
-use tulipbridge_membership::{Act, Boot, Key, Nanos, Place, Told};
+use tulipbridge_membership::{GossipAction, GossipInput, Incarnation, Key, Nanos, PeerId};
 
 use crate::network::{Agenda, Links, Message, Peer, Said, BEAT, LIFE, MS};
 use crate::schedule::{Fault, Millis, Schedule};
@@ -43,12 +43,12 @@
     peer: Peer,
     put: u64,
     /// By origin: boot and version last seen here.
-    seen: BTreeMap<Place, (Boot, u64)>,
+    seen: BTreeMap<PeerId, (Incarnation, u64)>,
     sent: Vec<(Nanos, u64)>,
 }
 
 enum Due {
-    Round(usize, Boot),
+    Round(usize, Incarnation),
     Deliver(Message),
     Step(usize),
     Start(usize),
@@ -64,9 +64,9 @@
     fronts: Vec<Option<Front>>,
     links: Links,
     /// What was put: by boot and number.
-    put: BTreeMap<(Boot, u64), Put>,
+    put: BTreeMap<(Incarnation, u64), Put>,
     /// When: by boot and number.
-    put_at: BTreeMap<(Boot, u64), Nanos>,
+    put_at: BTreeMap<(Incarnation, u64), Nanos>,
     verdict: Verdict,
 }
 
@@ -131,7 +131,7 @@
         }
     }
 
-    fn round(&mut self, place: usize, boot: Boot) {
+    fn round(&mut self, place: usize, boot: Incarnation) {
         let now = self.now;
         let Some(front) = self.fronts[place].as_mut().filter(|f| f.peer.boot == boot) else { return };
         let wait = front.peer.stopped_until.max(now + BEAT + self.lot.i64(-20..20) * MS);
@@ -144,9 +144,10 @@
             let key = Key { kind: 1, id: self.lot.u64(0..KEYS) };
             let value = (self.lot.u8(0..5) > 0).then(|| vec![self.lot.u8(..); self.lot.usize(0..60)]);
             let peer = &mut front.peer;
-            let before = peer.entries.known(place as Place).map_or(0, |(_, v)| v);
-            let _ = peer.entries.on(now, &peer.contacts, Told::Put(key, value.clone()), &mut Vec::new());
-            let after = peer.entries.known(place as Place).map_or(0, |(_, v)| v);
+            let before = peer.entries.known(place as PeerId).map_or(0, |(_, v)| v);
+            let _ =
+                peer.entries.on(now, &peer.contacts, GossipInput::Put(key, value.clone()), &mut Vec::new());
+            let after = peer.entries.known(place as PeerId).map_or(0, |(_, v)| v);
             if after > before {
                 front.put = after;
                 self.put.insert((boot, after), (key, value));
@@ -162,10 +163,10 @@
         self.agenda.put(wait, Due::Round(place, boot));
     }
 
-    fn carry_out(&mut self, place: usize, acts: Vec<Act>) {
+    fn carry_out(&mut self, place: usize, acts: Vec<GossipAction>) {
         for act in acts {
             match act {
-                Act::Send { to, exchange } => {
+                GossipAction::Send { to, message: exchange } => {
                     let bytes: u64 = exchange.deltas.iter().map(|d| size(d) as u64).sum();
                     if let Some(front) = &mut self.fronts[place] {
                         let now = self.now;
@@ -177,17 +178,17 @@
                     self.verdict.messages += 1;
                     self.send(place, to, Said::Entries(exchange));
                 }
-                Act::Changed(..) => self.verdict.learnt += 1,
-                Act::Dropped(_) | Act::Refused(_) => {}
+                GossipAction::Changed(..) => self.verdict.learnt += 1,
+                GossipAction::Dropped(_) | GossipAction::Rejected(_) => {}
             }
         }
     }
 
-    fn send(&mut self, from: usize, to: Place, said: Said) {
+    fn send(&mut self, from: usize, to: PeerId, said: Said) {
         let to = usize::from(to);
         let Some(boot) = self.fronts[from].as_ref().map(|f| f.peer.boot) else { return };
         for wait in self.links.copies(&mut self.lot, from, to) {
-            let message = Message { to, from: from as Place, boot, said: said.clone() };
+            let message = Message { to, from: from as PeerId, boot, said: said.clone() };
             self.agenda.put(self.now + wait, Due::Deliver(message));
         }
     }
@@ -271,7 +272,7 @@
         for place in 0..self.fronts.len() {
             for origin in 0..self.fronts.len() {
                 let (Some(here), Some(there)) = (&self.fronts[place], &self.fronts[origin]) else { continue };
-                let known = here.peer.entries.known(origin as Place);
+                let known = here.peer.entries.known(origin as PeerId);
                 if place != origin && there.put > 0 && known != Some((there.peer.boot, there.put)) {
                     self.verdict.lacking = true;
                 }
--- a/crates/testbed/src/network.rs
+++ b/crates/testbed/src/network.rs
@@ -4,7 +4,10 @@
 use std::collections::BTreeMap;
 
 use fastrand::Rng;
-use tulipbridge_membership::{Act, Boot, Contacts, Entries, Exchange, Hello, Nanos, Place, Told};
+use tulipbridge_membership::{
+    GossipAction, GossipInput, GossipMessage, GossipStore, Incarnation, MembershipTable, Nanos, PeerId,
+    PeerState,
+};
 
 use crate::schedule::{Fault, Millis};
 
@@ -100,9 +103,9 @@
 #[derive(Clone, Debug)]
 pub enum Said {
     /// What a front says of itself.
-    Hello(Hello),
+    Hello(PeerState),
     /// Entries.
-    Entries(Exchange),
+    Entries(GossipMessage),
 }
 
 /// A message on its way.
@@ -111,9 +114,9 @@
     /// Where to.
     pub to: usize,
     /// Where from.
-    pub from: Place,
+    pub from: PeerId,
     /// The sender's boot.
-    pub boot: Boot,
+    pub boot: Incarnation,
     /// What it says.
     pub said: Said,
 }
@@ -121,49 +124,49 @@
 /// What each front of a simulation has, whatever else it runs: who is there, and entries.
 pub struct Peer {
     /// This run.
-    pub boot: Boot,
+    pub boot: Incarnation,
     /// Who is there.
-    pub contacts: Contacts,
+    pub contacts: MembershipTable,
     /// Entries.
-    pub entries: Entries,
+    pub entries: GossipStore,
     /// It stands still until then.
     pub stopped_until: Nanos,
 }
 
 impl Peer {
     /// One that has just started, which sends so many bytes of entries a second.
-    pub fn new(me: usize, fronts: usize, boot: Boot, rate: u64, now: Nanos) -> Peer {
-        let (place, count) = (me as Place, fronts as Place);
+    pub fn new(me: usize, fronts: usize, boot: Incarnation, rate: u64, now: Nanos) -> Peer {
+        let (place, count) = (me as PeerId, fronts as PeerId);
         Peer {
             boot,
-            contacts: Contacts::new(place, count, boot, LIFE),
-            entries: Entries::new(place, count, boot, rate, now),
+            contacts: MembershipTable::new(place, count, boot, LIFE),
+            entries: GossipStore::new(place, count, boot, rate, now),
             stopped_until: 0,
         }
     }
 
     /// A round begins: what the front says of itself to each other.
-    pub fn hellos(&mut self, now: Nanos) -> Vec<(Place, Said)> {
-        self.contacts.round(now);
-        self.contacts.others().map(|to| (to, Said::Hello(self.contacts.hello(now, to)))).collect()
+    pub fn hellos(&mut self, now: Nanos) -> Vec<(PeerId, Said)> {
+        self.contacts.begin_round(now);
+        self.contacts.others().map(|to| (to, Said::Hello(self.contacts.state_for(now, to)))).collect()
     }
 
     /// The round of its entries.
-    pub fn round(&mut self, now: Nanos) -> Vec<Act> {
+    pub fn round(&mut self, now: Nanos) -> Vec<GossipAction> {
         let mut acts = Vec::new();
-        let _ = self.entries.on(now, &self.contacts, Told::Round, &mut acts);
+        let _ = self.entries.on(now, &self.contacts, GossipInput::Round, &mut acts);
         acts
     }
 
     /// Takes a message.
-    pub fn hear(&mut self, now: Nanos, from: Place, boot: Boot, said: Said) -> Vec<Act> {
+    pub fn hear(&mut self, now: Nanos, from: PeerId, boot: Incarnation, said: Said) -> Vec<GossipAction> {
         let mut acts = Vec::new();
         match said {
             Said::Hello(hello) => {
-                self.contacts.heard(now, from, boot, &hello);
+                self.contacts.receive(now, from, boot, &hello);
             }
             Said::Entries(exchange) => {
-                let told = Told::Heard { from, boot, exchange };
+                let told = GossipInput::Received { from, incarnation: boot, message: exchange };
                 let _ = self.entries.on(now, &self.contacts, told, &mut acts);
             }
         }
--- a/crates/testbed/src/simulate.rs
+++ b/crates/testbed/src/simulate.rs
@@ -9,7 +9,9 @@
 
 use fastrand::Rng;
 use serde::Serialize;
-use tulipbridge_fleet_limits::{Beat, Boot, Effect, Event, Limit, Nanos, Part, Place, Quota, Terms, WHOLE};
+use tulipbridge_fleet_limits::{
+    Beat, Effect, Event, Incarnation, Limit, Nanos, Part, PeerId, Quota, Terms, WHOLE,
+};
 
 use crate::network::Links;
 use crate::schedule::{Fault, Millis, Schedule};
@@ -57,7 +59,7 @@
     ppm: i128,
     stopped: bool,
     /// What came while it stood still.
-    waiting: Vec<(usize, Place, Boot, Beat)>,
+    waiting: Vec<(usize, PeerId, Incarnation, Beat)>,
     rights: BTreeMap<Limit, Part>,
     twin: bool,
 }
@@ -86,8 +88,8 @@
     to: usize,
     /// The process it came from: where a reply goes.
     via: usize,
-    from: Place,
-    boot: Boot,
+    from: PeerId,
+    boot: Incarnation,
     beat: Beat,
 }
 
@@ -124,7 +126,7 @@
         links: Links::new(fronts),
         rates: vec![0; fronts],
         terms: (0..fronts)
-            .map(|me| Terms { drift: DRIFT, ..Terms::new(me as Place, fronts as Place, 1) })
+            .map(|me| Terms { drift: DRIFT, ..Terms::new(me as PeerId, fronts as PeerId, 1) })
             .collect(),
         twins: 0,
         verdict: Verdict::default(),
@@ -354,12 +356,12 @@
         }
     }
 
-    fn send(&mut self, via: usize, to: usize, from: usize, boot: Boot, beat: Beat) {
+    fn send(&mut self, via: usize, to: usize, from: usize, boot: Incarnation, beat: Beat) {
         self.verdict.messages += 1;
         let Some(place) = self.processes[to].as_ref().map(|p| p.place) else { return };
         for wait in self.links.copies(&mut self.lot, from, place) {
             let number = self.number as usize;
-            let (from, beat) = (from as Place, beat.clone());
+            let (from, beat) = (from as PeerId, beat.clone());
             self.messages.insert(number, Message { to, via, from, boot, beat });
             self.due(self.now + i128::from(wait), Due::Deliver(number));
         }
--- a/crates/testbed/src/verdicts.rs
+++ b/crates/testbed/src/verdicts.rs
@@ -5,7 +5,7 @@
 
 use fastrand::Rng;
 use serde::Serialize;
-use tulipbridge_membership::{Act, Boot, Key, Nanos, Place, Told};
+use tulipbridge_membership::{GossipAction, GossipInput, Incarnation, Key, Nanos, PeerId};
 use tulipbridge_outlier_detection::{
     Class, Effect, Event, Scope, Server, Subject, Terms, Verdicts, Worth, Zone, ASSENT, EVIDENCE,
 };
@@ -138,9 +138,9 @@
 }
 
 enum Due {
-    Round(usize, Boot),
-    Attempt(usize, Boot),
-    Look(usize, Boot),
+    Round(usize, Incarnation),
+    Attempt(usize, Incarnation),
+    Look(usize, Incarnation),
     Deliver(Message),
     Step(usize),
     Start(usize),
@@ -198,7 +198,7 @@
         }
     }
     // All is well by now: evidence and assents run out.
-    let terms = Terms::new(0, count as Place, 0);
+    let terms = Terms::new(0, count as PeerId, 0);
     world.verdict.may_out = count * terms.most_assents(SERVERS as usize) / terms.quorum();
     // Each front tries for nine turns, of which one may have been half over, and one waits before the first.
     let tried = 21 * terms.turn + 2 * BEAT;
@@ -249,7 +249,7 @@
         }
         let (boot, count, now) = (self.lot.u64(1..u64::MAX), self.fronts.len(), self.now);
         let peer = Peer::new(place, count, boot, RATE, now);
-        let terms = Terms::new(place as Place, count as Place, Self::zone(place));
+        let terms = Terms::new(place as PeerId, count as PeerId, Self::zone(place));
         let mut verdicts = Verdicts::new(terms).expect("the terms hold");
         let servers = (0..SERVERS).map(|s| (s, true)).collect();
         verdicts.on(now, &peer.entries, Event::Servers(servers), &mut Vec::new());
@@ -259,7 +259,7 @@
     }
 
     /// A front that runs, is this boot, and does not stand still; else when it goes on.
-    fn running(&mut self, place: usize, boot: Boot) -> Result<&mut Front, Option<Nanos>> {
+    fn running(&mut self, place: usize, boot: Incarnation) -> Result<&mut Front, Option<Nanos>> {
         let now = self.now;
         match self.fronts[place].as_mut().filter(|f| f.peer.boot == boot) {
             Some(front) if now < front.peer.stopped_until => Err(Some(front.peer.stopped_until)),
@@ -268,7 +268,7 @@
         }
     }
 
-    fn attempt(&mut self, place: usize, boot: Boot) {
+    fn attempt(&mut self, place: usize, boot: Incarnation) {
         let wait = -(1.0 - self.lot.f64()).ln() / f64::from(self.setting.load) * 1e9;
         let held = match self.running(place, boot) {
             Ok(front) => front.verdicts.out().collect::<Vec<Subject>>(),
@@ -311,7 +311,7 @@
         }
     }
 
-    fn look(&mut self, place: usize, boot: Boot) {
+    fn look(&mut self, place: usize, boot: Incarnation) {
         let now = self.now;
         match self.running(place, boot) {
             Ok(front) => (front.look_at, front.due) = (now + JUDGED, false),
@@ -363,7 +363,7 @@
         }
     }
 
-    fn round(&mut self, place: usize, boot: Boot) {
+    fn round(&mut self, place: usize, boot: Incarnation) {
         let now = self.now;
         let shake = self.lot.i64(-20..20) * MS;
         let hellos = match self.running(place, boot) {
@@ -453,7 +453,7 @@
     }
 
     fn put(peer: &mut Peer, now: Nanos, key: Key, value: Option<Vec<u8>>) {
-        let _ = peer.entries.on(now, &peer.contacts, Told::Put(key, value), &mut Vec::new());
+        let _ = peer.entries.on(now, &peer.contacts, GossipInput::Put(key, value), &mut Vec::new());
     }
 
     /// What all fronts that run hold out together.
@@ -490,20 +490,20 @@
         self.trials.iter().map(near).max().unwrap_or(0)
     }
 
-    fn carry_out(&mut self, place: usize, acts: Vec<Act>) {
+    fn carry_out(&mut self, place: usize, acts: Vec<GossipAction>) {
         for act in acts {
-            if let Act::Send { to, exchange } = act {
+            if let GossipAction::Send { to, message: exchange } = act {
                 self.verdict.messages += 1;
                 self.send(place, to, Said::Entries(exchange));
             }
         }
     }
 
-    fn send(&mut self, from: usize, to: Place, said: Said) {
+    fn send(&mut self, from: usize, to: PeerId, said: Said) {
         let to = usize::from(to);
         let Some(boot) = self.fronts[from].as_ref().map(|f| f.peer.boot) else { return };
         for wait in self.links.copies(&mut self.lot, from, to) {
-            let message = Message { to, from: from as Place, boot, said: said.clone() };
+            let message = Message { to, from: from as PeerId, boot, said: said.clone() };
             self.agenda.put(self.now + wait, Due::Deliver(message));
         }
     }
@@ -516,7 +516,7 @@
         }
         let Message { to, from, boot, said } = message;
         let acts = front.peer.hear(self.now, from, boot, said);
-        let changed = acts.iter().any(|a| matches!(a, Act::Changed(..)));
+        let changed = acts.iter().any(|a| matches!(a, GossipAction::Changed(..)));
         self.carry_out(to, acts);
         if changed {
             self.look_soon(to);
--- a/src/cluster/ejections.rs
+++ b/src/cluster/ejections.rs
@@ -12,7 +12,7 @@
 use tulipbridge_core::{
     ClassSet, FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, RequestId, UpdateScope as News,
 };
-use tulipbridge_membership::{Entries, Key, Place, Seal};
+use tulipbridge_membership::{EnvelopeCodec, GossipStore, Key, PeerId};
 use tulipbridge_outlier_detection::{
     Class, Effect, Event, How, Reason, Saw, Scope, Server, Subject, Terms, TermsError, Verdicts, Watch,
     Worth, Zone,
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     /// Where they cannot hold.
-    pub fn terms(&self, me: Place, fronts: Place, zone: Zone) -> Result<Terms, TermsError> {
+    pub fn terms(&self, me: PeerId, fronts: PeerId, zone: Zone) -> Result<Terms, TermsError> {
         let terms =
             Terms { most_out: self.most_out, witnesses: self.witnesses, ..Terms::new(me, fronts, zone) };
         terms.check().map(|()| terms)
@@ -84,7 +84,7 @@
 }
 
 impl Names<'_> {
-    fn front(&self, place: Place) -> String {
+    fn front(&self, place: PeerId) -> String {
         self.fronts.get(usize::from(place)).cloned().unwrap_or_default()
     }
 
@@ -230,7 +230,7 @@
                 continue;
             }
             let name = name(info.node);
-            let server = Seal::digest(&format!("{name}|{}", info.started_at));
+            let server = EnvelopeCodec::digest(&format!("{name}|{}", info.started_at));
             self.nodes.insert(info.node, Member { server, name, up: info.listed == Listed::Up });
         }
         self.listed = true;
@@ -264,7 +264,7 @@
     }
 
     /// Looks at what has been seen here and told by others. `module_now` is this moment as the module counts.
-    pub fn look(&mut self, now: Nanos, module_now: Nanos, entries: &Entries) -> Done {
+    pub fn look(&mut self, now: Nanos, module_now: Nanos, entries: &GossipStore) -> Done {
         let mut effects = Vec::new();
         if std::mem::take(&mut self.listed) {
             let servers = self.nodes.values().map(|m| (m.server, m.up)).collect();
@@ -338,7 +338,13 @@
     }
 
     /// What there is to say of verdicts, or of one server, as JSON; nothing where there is no such server.
-    pub fn status(&self, now: Nanos, entries: &Entries, names: &Names, of: Option<&str>) -> Option<Value> {
+    pub fn status(
+        &self,
+        now: Nanos,
+        entries: &GossipStore,
+        names: &Names,
+        of: Option<&str>,
+    ) -> Option<Value> {
         let server = match of {
             None => None,
             Some(name) => Some(self.nodes.values().find(|m| m.name == name)?.server),
--- a/src/cluster/peers.rs
+++ b/src/cluster/peers.rs
@@ -23,8 +23,8 @@
 use tulipbridge_core::{NodeId, RequestId, Semantics, Settings, SharedLimit};
 use tulipbridge_fleet_limits::{Beat, Effect, Event, Limit, Part, Quota, Terms, WHOLE};
 use tulipbridge_membership::{
-    Act, Belief, Entries, Exchange as Exchanged, Key, News, Place, Refusal, Seal, SealError, Told,
-    MOST_MESSAGE,
+    EnvelopeCodec, EnvelopeError, GossipAction, GossipError, GossipInput, GossipMessage as Exchanged,
+    GossipStore, Key, MessageStatus, PeerId, PeerStatus, MAX_MESSAGE,
 };
 
 use crate::cluster::ejections::{self, Bench, Done, Names};
@@ -138,14 +138,14 @@
         let roster: Vec<(String, SocketAddr)> = roster.into_iter().map(|(name, at, _)| (name, at)).collect();
         let me = roster.iter().position(|(n, _)| n == name);
         let me = me.ok_or_else(|| format!("'peers.roster' does not name this front, {name}"))?;
-        let fronts = Place::try_from(roster.len()).ok().filter(|n| *n <= 1_000);
+        let fronts = PeerId::try_from(roster.len()).ok().filter(|n| *n <= 1_000);
         let fronts = fronts.ok_or("'peers.roster' names more than 1000 fronts")?;
         let or = |key: &str, usual: f64| match num(value, key) {
             Ok(0.0) if value.get(key).is_none() => Ok(usual),
             Ok(told) if told >= 0.0 => Ok(told),
             _ => Err(format!("'peers.{key}' must be a number of 0 or more")),
         };
-        let mut terms = Terms::new(me as Place, fronts, 0);
+        let mut terms = Terms::new(me as PeerId, fronts, 0);
         terms.revision = or("revision", 1.0)? as u32;
         terms.life = (or("life_ms", terms.life as f64 / 1e6)? * 1e6) as i64;
         terms.beat = (or("beat_ms", terms.beat as f64 / 1e6)? * 1e6) as i64;
@@ -163,7 +163,7 @@
             let ejections::Config { most_out, witnesses } = ejections;
             format!("|Config {{ most_out: {most_out:?}, witnesses: {witnesses:?} }}|{zones:?}|{of_each:?}")
         });
-        terms.roster = Seal::digest(&(whole + &judged));
+        terms.roster = EnvelopeCodec::digest(&(whole + &judged));
         terms.check().map_err(|why| format!("'peers': {why}"))?;
         Ok(Config {
             listen: address(value.get("listen"), "peers.listen")?,
@@ -204,12 +204,12 @@
 /// This front among its peers.
 pub struct Peers {
     quota: RefCell<Quota>,
-    seal: Seal,
+    seal: EnvelopeCodec,
     /// Absent while another process has the address.
     socket: OnceCell<UdpSocket>,
     told: RefCell<Config>,
     shares: RefCell<Shares>,
-    entries: RefCell<Entries>,
+    entries: RefCell<GossipStore>,
     exchange: Rc<Exchange<Upstream>>,
     /// Where verdicts are shared.
     bench: RefCell<Option<Bench>>,
@@ -219,7 +219,7 @@
     classes: Vec<String>,
     counts: Counts,
     /// What each front was last believed to be, to say a change once.
-    said: RefCell<Vec<Belief>>,
+    said: RefCell<Vec<PeerStatus>>,
     stood_back: Cell<bool>,
 }
 
@@ -238,10 +238,10 @@
 }
 
 /// The key in a file.
-fn key(file: &Path) -> Res<Seal> {
+fn key(file: &Path) -> Res<EnvelopeCodec> {
     let bytes =
         std::fs::read(file).map_err(|e| format!("'peers.key_file': cannot read {}: {e}", file.display()))?;
-    Seal::new(&bytes).map_err(|why| format!("'peers.key_file': {}: {why}", file.display()))
+    EnvelopeCodec::new(&bytes).map_err(|why| format!("'peers.key_file': {}: {why}", file.display()))
 }
 
 impl Peers {
@@ -299,8 +299,8 @@
         };
         let judges = bench.is_some();
         let peers = Rc::new(Peers {
-            entries: RefCell::new(Entries::new(me, fronts, boot, told.entry_bytes, now())),
-            said: RefCell::new(vec![Belief::Unheard; told.roster.len()]),
+            entries: RefCell::new(GossipStore::new(me, fronts, boot, told.entry_bytes, now())),
+            said: RefCell::new(vec![PeerStatus::Unknown; told.roster.len()]),
             quota: RefCell::new(quota),
             seal,
             socket,
@@ -349,16 +349,16 @@
     /// Takes what a new file says of the peers, which [`Peers::check`] has found right.
     pub fn retune(&self, told: Config) {
         let terms = told.terms.clone();
-        *self.said.borrow_mut() = vec![Belief::Unheard; told.roster.len()];
+        *self.said.borrow_mut() = vec![PeerStatus::Unknown; told.roster.len()];
         *self.told.borrow_mut() = told;
         self.state();
         // Places are another roster's only where that is another.
         if self.quota.borrow().terms().roster != terms.roster {
-            let renewed = self.entries.borrow().renewed(terms.me, terms.fronts, now());
+            let renewed = self.entries.borrow().with_roster(terms.me, terms.fronts, now());
             *self.entries.borrow_mut() = renewed;
         }
         let rate = self.told.borrow().entry_bytes;
-        self.entries.borrow_mut().retune(rate);
+        self.entries.borrow_mut().set_rate(rate);
         let judged = self.told.borrow().verdict_terms();
         if let (Some(bench), Ok(Some(judged))) = (self.bench.borrow_mut().as_mut(), judged) {
             if *bench.terms() != judged {
@@ -393,7 +393,7 @@
             tokio::time::sleep(Duration::from_nanos(wait)).await;
             self.take(Event::Beat, None);
             self.judge();
-            self.tell(Told::Round);
+            self.tell(GossipInput::Round);
             self.say();
         }
     }
@@ -403,7 +403,7 @@
         loop {
             self.changed.notified().await;
             if self.judge() {
-                self.tell(Told::Round);
+                self.tell(GossipInput::Round);
             }
             tokio::time::sleep(JUDGED).await;
         }
@@ -427,7 +427,7 @@
     }
 
     async fn hear(self: Rc<Self>) {
-        let mut bytes = vec![0; MOST_MESSAGE + 1];
+        let mut bytes = vec![0; MAX_MESSAGE + 1];
         loop {
             let Some(socket) = self.socket.get() else {
                 tokio::time::sleep(AGAIN).await;
@@ -450,19 +450,21 @@
     fn arrived(&self, bytes: &[u8], source: SocketAddr) {
         match self.seal.open::<Said>(bytes) {
             Ok(opened) => {
-                let (from, boot) = (opened.from, opened.boot);
-                match opened.said {
+                let (from, boot) = (opened.from, opened.incarnation);
+                match opened.message {
                     Said::Beat(beat) => self.take(Event::Heard { from, boot, beat }, Some(source)),
                     Said::Entries(exchange) => {
-                        self.tell(Told::Heard { from, boot, exchange });
+                        self.tell(GossipInput::Received { from, incarnation: boot, message: exchange });
                     }
                 }
             }
             Err(why) => self.count(match why {
-                SealError::NoMessage | SealError::Long | SealError::Key => "no_message",
-                SealError::Version(_) => "other_version",
-                SealError::Digest => "wrong_digest",
-                SealError::Form => "wrong_form",
+                EnvelopeError::NotAMessage | EnvelopeError::TooLong | EnvelopeError::KeyTooShort => {
+                    "no_message"
+                }
+                EnvelopeError::Version(_) => "other_version",
+                EnvelopeError::Digest => "wrong_digest",
+                EnvelopeError::Malformed => "wrong_form",
             }),
         }
     }
@@ -476,11 +478,11 @@
 
     /// An entry of this front's own, which all others learn.
     fn put(&self, key: Key, value: Option<Vec<u8>>) {
-        self.tell(Told::Put(key, value));
+        self.tell(GossipInput::Put(key, value));
     }
 
     /// Has the entries take what happens, and carries out what is to be done.
-    fn tell(&self, told: Told) {
+    fn tell(&self, told: GossipInput) {
         let mut acts = Vec::new();
         let done = self.entries.borrow_mut().on(now(), self.quota.borrow().contacts(), told, &mut acts);
         if let Err(why) = done {
@@ -488,18 +490,18 @@
         }
         for act in acts {
             match act {
-                Act::Send { to, exchange } => {
+                GossipAction::Send { to, message: exchange } => {
                     let to = self.told.borrow().roster.get(usize::from(to)).map(|(_, at)| *at);
                     self.send(to, &Saying::Entries(&exchange));
                 }
-                Act::Refused(why) => self.count(match why {
-                    Refusal::Boot | Refusal::Place => "entries_no_peer",
-                    Refusal::Gap => "entries_gap",
-                    Refusal::Echo => "entries_no_echo",
-                    Refusal::Bounds => "entries_bounds",
+                GossipAction::Rejected(why) => self.count(match why {
+                    GossipError::StaleIncarnation | GossipError::UnknownOrigin => "entries_no_peer",
+                    GossipError::MissingVersions => "entries_gap",
+                    GossipError::NoEcho => "entries_no_echo",
+                    GossipError::OutOfBounds => "entries_bounds",
                 }),
                 // What is shown is looked up when it is asked for.
-                Act::Changed(..) | Act::Dropped(_) => self.changed.notify_one(),
+                GossipAction::Changed(..) | GossipAction::Dropped(_) => self.changed.notify_one(),
             }
         }
     }
@@ -543,12 +545,12 @@
                     module.extend(told.into_iter().map(|(of, figures)| self.limit(of, figures, now())));
                 }
                 Effect::Worth(news) => self.count(match news {
-                    News::Counts { .. } => "counts",
-                    News::Old => "old",
-                    News::Unproven => "unproven",
-                    News::Stranger => "stranger",
-                    News::OtherRoster => "other_roster",
-                    News::NoPeer => "no_peer",
+                    MessageStatus::Accepted { .. } => "counts",
+                    MessageStatus::Stale => "old",
+                    MessageStatus::Unconfirmed => "unproven",
+                    MessageStatus::Conflicting => "stranger",
+                    MessageStatus::RosterMismatch => "other_roster",
+                    MessageStatus::UnknownPeer => "no_peer",
                 }),
             }
         }
@@ -567,7 +569,7 @@
             (quota.terms().me, quota.boot())
         };
         let Some(to) = to else { return };
-        match self.seal.close(me, boot, saying) {
+        match self.seal.seal(me, boot, saying) {
             // A datagram that cannot go is lost like any other, and the next beat says all anew.
             Ok(bytes) => {
                 let _ = self.socket.get().map(|socket| socket.try_send_to(&bytes, to));
@@ -581,8 +583,8 @@
         let (quota, told, now) = (self.quota.borrow(), self.told.borrow(), now());
         let mut alive = 0;
         for place in quota.contacts().others() {
-            let belief = quota.contacts().belief(now, place);
-            alive += i64::from(belief == Belief::Alive);
+            let belief = quota.contacts().status(now, place);
+            alive += i64::from(belief == PeerStatus::Alive);
             let mut said = self.said.borrow_mut();
             let before = std::mem::replace(&mut said[usize::from(place)], belief);
             if before != belief {
@@ -636,7 +638,7 @@
     pub fn status(&self) -> Value {
         let (quota, told, now) = (self.quota.borrow(), self.told.borrow(), now());
         let entries = self.entries.borrow();
-        let name = |place: Place| told.roster[usize::from(place)].0.clone();
+        let name = |place: PeerId| told.roster[usize::from(place)].0.clone();
         let millis = |span: i64| span / 1_000_000;
         let peers: Vec<Value> = quota
             .contacts()
@@ -717,13 +719,13 @@
     }
 }
 
-fn word(belief: Belief) -> &'static str {
+fn word(belief: PeerStatus) -> &'static str {
     match belief {
-        Belief::Unheard => "unheard",
-        Belief::Alive => "alive",
-        Belief::Suspect => "suspect",
-        Belief::Dead => "dead",
-        Belief::Left => "left",
+        PeerStatus::Unknown => "unheard",
+        PeerStatus::Alive => "alive",
+        PeerStatus::Suspect => "suspect",
+        PeerStatus::Dead => "dead",
+        PeerStatus::Left => "left",
     }
 }
 
--- a/src/frontend/framing.rs
+++ b/src/frontend/framing.rs
@@ -16,7 +16,7 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::Notify;
 use tokio::time::Instant;
-use tulipbridge_core::door::{ClientConnection, ClientEvent, Phase};
+use tulipbridge_core::client_connection::{ClientConnection, ClientEvent, Phase};
 use tulipbridge_core::Nanos;
 
 /// Bytes of a head; what is longer is answered 431.
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -25,9 +25,9 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
-use tulipbridge_core::door::{
-    Accept, ClientEvent, ConnectionLimiter, GracefulShutdown, Phase, ShutdownEvent, ShutdownStep,
-};
+use tulipbridge_core::client_connection::{ClientEvent, Phase};
+use tulipbridge_core::connection_limiter::{Accept, ConnectionLimiter};
+use tulipbridge_core::graceful_shutdown::{GracefulShutdown, ShutdownEvent, ShutdownStep};
 use tulipbridge_core::Nanos;
 
 use crate::frontend::framing::{Answering, Client, Framed, Open, MOST_HEAD};
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -28,10 +28,9 @@
 use tokio::sync::Notify;
 use tokio::task::{yield_now, JoinHandle};
 use tokio::time::sleep;
-use tulipbridge_core::link::{
-    Attempt, AttemptEvent, AttemptStep, Capacity, ConnectionEvent, ConnectionPool, Execution,
-    ServerConnection,
-};
+use tulipbridge_core::attempt::{Attempt, AttemptEvent, AttemptStep};
+use tulipbridge_core::connection_pool::{Capacity, ConnectionPool};
+use tulipbridge_core::server_connection::{ConnectionEvent, Execution, ServerConnection};
 use tulipbridge_core::{CellId, Nanos, NodeId, Outcome};
 
 use crate::exchange::{Ended, Transport, Withdrawal};
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -18,14 +18,16 @@
 use tulipbridge::telemetry::metrics::Figures;
 use tulipbridge::{Listed, NodeInfo, Outcome, UpdateScope};
 use tulipbridge_fleet_limits::{Ask, Beat, Limit, Loan, Loans};
-use tulipbridge_membership::{Delta, Entries, Exchange, Hello, Item, Key, Opened, Seal};
+use tulipbridge_membership::{
+    Delta, Envelope, EnvelopeCodec, GossipEntry, GossipMessage, GossipStore, Key, PeerState,
+};
 
 /// What a datagram says, as the program has it privately: the order of the variants is part of the format.
 /// `program_speaks_and_hears_the_golden_format` holds this copy against the running program.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Message {
     Beat(Box<Beat>),
-    Entries(Exchange),
+    Entries(GossipMessage),
 }
 
 const KEY: &[u8] = b"golden key of the fronts";
@@ -36,8 +38,8 @@
 /// The first byte of a content that is entries.
 const ENTRIES: u8 = 1;
 
-fn seal() -> Seal {
-    Seal::new(KEY).expect("the key is long enough")
+fn seal() -> EnvelopeCodec {
+    EnvelopeCodec::new(KEY).expect("the key is long enough")
 }
 
 /// Two lower-case digits for each byte.
@@ -47,16 +49,24 @@
 
 /// Checks that a message makes exactly this datagram, and that it is read back as an equal message.
 fn assert_golden(message: &Message, expected: &str) {
-    let datagram = seal().close(0x0203, 0x1122_3344_5566_7788, message).expect("the datagram is short");
+    let datagram = seal().seal(0x0203, 0x1122_3344_5566_7788, message).expect("the datagram is short");
     assert_eq!(hex(&datagram), expected);
     let opened = seal().open::<Message>(&datagram);
-    assert_eq!(opened, Ok(Opened { from: 0x0203, boot: 0x1122_3344_5566_7788, said: message.clone() }));
+    assert_eq!(
+        opened,
+        Ok(Envelope { from: 0x0203, incarnation: 0x1122_3344_5566_7788, message: message.clone() })
+    );
 }
 
 #[test]
 fn datagram_of_a_beat() {
-    let hello =
-        Hello { sent: 3_000, echo: Some((301, -64)), stranger: Some(305), leaving: true, hears: vec![9] };
+    let hello = PeerState {
+        sent_at: 3_000,
+        echo: Some((301, -64)),
+        conflicting: Some(305),
+        leaving: true,
+        hears: vec![9],
+    };
     let volume = Loan { limit: Limit::Volume(131), part: 132 };
     let beat = Beat {
         roster: 0x8877_6655_4433_2211,
@@ -102,10 +112,14 @@
 #[test]
 fn datagram_of_entries() {
     let key = Key { kind: 200, id: 500 };
-    let item = Item { key, version: 131, age_ms: 60_000, value: Some(vec![0x00, 0xff]) };
-    let delta = Delta { origin: 4, boot: 303, after: 5, to: 8, items: vec![item] };
-    let exchange =
-        Exchange { echo: Some((900, -5)), knows: vec![(513, 6, 302)], asks: true, deltas: vec![delta] };
+    let item = GossipEntry { key, version: 131, age_ms: 60_000, value: Some(vec![0x00, 0xff]) };
+    let delta = Delta { origin: 4, incarnation: 303, after: 5, to: 8, entries: vec![item] };
+    let exchange = GossipMessage {
+        echo: Some((900, -5)),
+        knows: vec![(513, 6, 302)],
+        requests_missing: true,
+        deltas: vec![delta],
+    };
     assert_golden(
         &Message::Entries(exchange),
         concat!(
@@ -137,7 +151,7 @@
 #[test]
 fn roster_digest_without_verdicts() {
     let digested = r#"7|3000000000|250000|["a", "b"]"#;
-    assert_eq!(Seal::digest(digested), 0x21a1_d7fc_80f5_9db3);
+    assert_eq!(EnvelopeCodec::digest(digested), 0x21a1_d7fc_80f5_9db3);
     assert_eq!(roster_digest(""), 0x21a1_d7fc_80f5_9db3);
 }
 
@@ -146,7 +160,7 @@
     // The digested text has the names of a type and its fields in it: they are part of the format.
     let digested =
         r#"7|3000000000|250000|["a", "b"]|Config { most_out: 0.25, witnesses: 3 }|["east", "west"]|[1, 0]"#;
-    assert_eq!(Seal::digest(digested), 0x9a5d_abd6_94d8_0079);
+    assert_eq!(EnvelopeCodec::digest(digested), 0x9a5d_abd6_94d8_0079);
     assert_eq!(roster_digest(r#""verdicts": {"most_out": 0.25, "witnesses": 3},"#), 0x9a5d_abd6_94d8_0079);
 }
 
@@ -158,7 +172,7 @@
 #[test]
 fn server_ids_in_entries() {
     // A server's number is the digest of its name and of when it came up, which all fronts are told.
-    assert_eq!(Seal::digest("s-1|77000000"), 0x6a76_f700_4058_78ab);
+    assert_eq!(EnvelopeCodec::digest("s-1|77000000"), 0x6a76_f700_4058_78ab);
     let terms = tulipbridge_outlier_detection::Terms::new(0, 3, 0);
     let mut bench = Bench::new(terms, Counts::new(&Figures::new())).expect("the terms hold");
     let servers = [server(0, 1), server(1, 77_000_000), server(2, 3)];
@@ -170,7 +184,7 @@
         bench
             .runs(1_000, &Input::AttemptEnded { id, attempt: 0, outcome, seen_use: 0.0, foreign_units: 0.0 });
     }
-    let done = bench.look(2_000, 0, &Entries::new(0, 3, 1, 100_000, 0));
+    let done = bench.look(2_000, 0, &GossipStore::new(0, 3, 1, 100_000, 0));
     let keys: Vec<Key> = done.puts.iter().map(|(key, _)| *key).collect();
     assert_eq!(keys, [Key { kind: 2, id: 0x6a76_f700_4058_78ab }]);
 }
@@ -248,22 +262,22 @@
 }
 
 /// The next datagram of the program's, which must be byte for byte what the golden format makes of its content.
-fn next_datagram(socket: &UdpSocket) -> Opened<Message> {
+fn next_datagram(socket: &UdpSocket) -> Envelope<Message> {
     let mut bytes = vec![0; 65_536];
     let length = socket.recv(&mut bytes).expect("the program sends");
     let datagram = &bytes[..length];
     let opened = seal().open::<Message>(datagram).expect("the datagram can be opened");
-    let variant = if matches!(opened.said, Message::Beat(_)) { BEAT } else { ENTRIES };
+    let variant = if matches!(opened.message, Message::Beat(_)) { BEAT } else { ENTRIES };
     assert_eq!(datagram[CONTENT], variant);
     assert_eq!(opened.from, 0);
-    let again = seal().close(opened.from, opened.boot, &opened.said).expect("it is short");
+    let again = seal().seal(opened.from, opened.incarnation, &opened.message).expect("it is short");
     assert_eq!(hex(&again), hex(datagram));
     opened
 }
 
 /// A beat of the peer's, by which the program knows that the peer hears it.
 fn answer_to(beat: &Beat, boot: u64, sent: i64) -> Message {
-    let hello = Hello { sent, echo: Some((boot, beat.hello.sent)), ..Hello::default() };
+    let hello = PeerState { sent_at: sent, echo: Some((boot, beat.hello.sent_at)), ..PeerState::default() };
     let (roster, revision) = (beat.roster, beat.revision);
     Message::Beat(Box::new(Beat { roster, revision, hello, ..Beat::default() }))
 }
@@ -271,10 +285,10 @@
 /// Entries of the peer's, with one that says its version.
 fn version_of_peer(beat: &Beat, boot: u64) -> Message {
     let about = Key { kind: 0, id: 0 };
-    let item = Item { key: about, version: 1, age_ms: 0, value: Some(b"golden".to_vec()) };
-    let delta = Delta { origin: 1, boot: PEER_BOOT, after: 0, to: 1, items: vec![item] };
-    let echo = Some((boot, beat.hello.sent));
-    Message::Entries(Exchange { echo, knows: Vec::new(), asks: false, deltas: vec![delta] })
+    let item = GossipEntry { key: about, version: 1, age_ms: 0, value: Some(b"golden".to_vec()) };
+    let delta = Delta { origin: 1, incarnation: PEER_BOOT, after: 0, to: 1, entries: vec![item] };
+    let echo = Some((boot, beat.hello.sent_at));
+    Message::Entries(GossipMessage { echo, knows: Vec::new(), requests_missing: false, deltas: vec![delta] })
 }
 
 #[test]
@@ -283,7 +297,7 @@
     socket.set_read_timeout(Some(LONG)).expect("it can time out");
     let program = Program::start(socket.local_addr().expect("it has an address"));
     let send = |message: &Message| {
-        let datagram = seal().close(1, PEER_BOOT, message).expect("it is short");
+        let datagram = seal().seal(1, PEER_BOOT, message).expect("it is short");
         socket.send_to(&datagram, program.peers).expect("it goes out");
     };
     let until = Instant::now() + LONG;
@@ -291,7 +305,7 @@
     // Entries come only after the program has taken a beat, and the version only after it has taken entries.
     while entries.is_none() || !program.status().contains(r#""version":"golden""#) {
         assert!(Instant::now() < until, "entries: {entries:?}, status: {}", program.status());
-        let Opened { boot, said, .. } = next_datagram(&socket);
+        let Envelope { incarnation: boot, message: said, .. } = next_datagram(&socket);
         match said {
             Message::Beat(beat) => {
                 sent += 1;
@@ -306,8 +320,8 @@
     }
     // The program's own first entry is its version, under the key 0 of the kind 0.
     let (boot, delta) = entries.expect("entries came");
-    let [item] = &delta.items[..] else { panic!("one item: {delta:?}") };
-    assert_eq!((delta.boot, delta.after, delta.to), (boot, 0, 1));
+    let [item] = &delta.entries[..] else { panic!("one item: {delta:?}") };
+    assert_eq!((delta.incarnation, delta.after, delta.to), (boot, 0, 1));
     assert_eq!((item.key, item.version), (Key { kind: 0, id: 0 }, 1));
     assert_eq!(item.value.as_deref(), Some(env!("CARGO_PKG_VERSION").as_bytes()));
 }
