--- a/crates/fleet-limits/src/lib.rs
+++ b/crates/fleet-limits/src/lib.rs
@@ -23,24 +23,24 @@
 pub mod mutations;
 mod terms;
 
-pub use beat::{Ask, Beat, Loan, Loans};
-pub use machine::{Effect, Event, Quota, Standing};
-pub use terms::{Terms, TermsError};
+pub use beat::{Demand, Heartbeat, Lease, LeaseGrant};
+pub use machine::{Effect, Event, LimitCoordinator, PeerReport};
+pub use terms::{Config, ConfigError};
 pub use tulipbridge_membership::{Incarnation, MessageStatus, Nanos, PeerId, PeerStatus};
 
 /// A limit that holds for the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Limit {
     /// Further attempts, of whatever is asked for.
-    Further,
+    Retries,
     /// What all storage servers are sent, each by limits of its own: units while it starts, requests out.
-    Servers,
+    ServerLoad,
     /// Units of a volume, by its name in the store.
     Volume(u64),
 }
 
 /// Parts of a limit: [`WHOLE`] is all of it, for the whole fleet.
-pub type Part = u32;
+pub type Share = u32;
 
 /// All of a limit.
-pub const WHOLE: Part = 1_000_000;
+pub const FULL_SHARE: Share = 1_000_000;
--- a/crates/fleet-limits/src/machine.rs
+++ b/crates/fleet-limits/src/machine.rs
@@ -6,42 +6,42 @@
 
 use tulipbridge_membership::{MembershipTable, PeerState};
 
-use crate::meter::Meter;
+use crate::meter::DemandMeter;
 use crate::mutations::{mutated, Mutation};
 use crate::*;
 
 /// More thousandths of units a second than any limit is asked for: what a peer says is not added up past it.
-const MOST_MILLI: u64 = 1 << 40;
+const MAX_DEMAND: u64 = 1 << 40;
 
 /// What happens to a front.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A beat is due.
-    Beat,
+    HeartbeatDue,
     /// A beat came, whose sender and integrity are proven.
-    Heard {
+    HeartbeatReceived {
         /// From which place.
         from: PeerId,
         /// The sender's boot.
         boot: Incarnation,
         /// What it says.
-        beat: Box<Beat>,
+        heartbeat: Box<Heartbeat>,
     },
     /// Units of a limit are asked for.
-    Asked {
+    Demanded {
         /// The limit.
         limit: Limit,
         /// How many.
         units: f64,
     },
     /// Time has passed: what has ended is used no more.
-    Look,
+    Poll,
     /// A new roster, or new terms.
-    Terms(Terms),
+    Reconfigure(Config),
     /// The front ends: it renews nothing and says so.
-    Leave,
+    Shutdown,
     /// The front cannot hear yet, for another process has its address: it counts as one that starts now.
-    Absent,
+    AddressInUse,
 }
 
 /// What is to be done.
@@ -52,21 +52,21 @@
         /// Where to.
         to: PeerId,
         /// What it says.
-        beat: Box<Beat>,
+        heartbeat: Box<Heartbeat>,
     },
     /// A beat goes back to where the event's message came from: its sender has another's name, or another roster.
     Reply {
         /// What it says.
-        beat: Box<Beat>,
+        heartbeat: Box<Heartbeat>,
     },
     /// What came was worth this.
-    Worth(MessageStatus),
+    Received(MessageStatus),
     /// From a moment on, which may be past, the front may use so much of a limit.
-    Right {
+    ShareChanged {
         /// The limit.
         limit: Limit,
         /// The part.
-        part: Part,
+        share: Share,
         /// From when.
         at: Nanos,
     },
@@ -77,138 +77,143 @@
 
 /// What a front believes of another, with the evidence.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct PeerReport {
     /// The belief.
-    pub belief: PeerStatus,
+    pub status: PeerStatus,
     /// Its boot, where it has been heard.
-    pub boot: Option<Incarnation>,
+    pub incarnation: Option<Incarnation>,
     /// How long ago it was last heard.
-    pub silent: Option<Nanos>,
+    pub silent_for: Option<Nanos>,
     /// Who says that it hears it.
-    pub heard_by: Vec<PeerId>,
+    pub reachable_from: Vec<PeerId>,
     /// Another process with its name has spoken within a life.
-    pub stranger: Option<Incarnation>,
+    pub conflicting: Option<Incarnation>,
     /// Most that is lent to it of any limit.
-    pub lent: Part,
+    pub granted: Share,
     /// Most that is borrowed from it of any limit.
-    pub borrowed: Part,
+    pub leased: Share,
 }
 
 /// Loans to another front that it may still use.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Lent {
+struct GrantedLeases {
     number: u64,
-    until: Nanos,
-    parts: BTreeMap<Limit, Part>,
+    expires_at: Nanos,
+    shares: BTreeMap<Limit, Share>,
 }
 
 /// Loans from another front.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Borrowed {
+struct HeldLeases {
     number: u64,
-    until: Nanos,
-    parts: BTreeMap<Limit, Part>,
+    expires_at: Nanos,
+    shares: BTreeMap<Limit, Share>,
 }
 
 /// What passes between this front and another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Peer {
     /// Of the banks that it wanted last, those agreed to.
-    agreed: Vec<PeerId>,
-    asks: BTreeMap<Limit, u64>,
-    lent: Vec<Lent>,
-    borrowed: Borrowed,
+    votes_for: Vec<PeerId>,
+    demands: BTreeMap<Limit, u64>,
+    granted: Vec<GrantedLeases>,
+    leased: HeldLeases,
 }
 
 impl Peer {
     /// The most that it may use now of a limit, of this front's.
-    fn lent_of(&self, now: Nanos, limit: Limit) -> Part {
-        let running = self.lent.iter().filter(|l| now < l.until);
+    fn granted_share(&self, now: Nanos, limit: Limit) -> Share {
+        let running = self.granted.iter().filter(|l| now < l.expires_at);
         let running = running.rev().take(if mutated(Mutation::LoanFreedAtOnce) { 1 } else { usize::MAX });
-        running.filter_map(|l| l.parts.get(&limit)).max().copied().unwrap_or(0)
+        running.filter_map(|l| l.shares.get(&limit)).max().copied().unwrap_or(0)
     }
 }
 
 /// What a round of beats says, and what it lends from.
 struct Round {
     /// What every front is told.
-    all: Beat,
-    own: Part,
+    common: Heartbeat,
+    own: Share,
     /// Loans end by then.
-    until: Nanos,
+    expires_at: Nanos,
     alive: Vec<bool>,
     /// By limit: how much is asked for in all, in thousandths, and what is lent.
-    limits: BTreeMap<Limit, (u64, Part)>,
+    limits: BTreeMap<Limit, (u64, Share)>,
 }
 
 /// Who an agreement was given to, and until when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Agreed {
-    to: (PeerId, Incarnation),
-    until: Nanos,
+struct Vote {
+    holder: (PeerId, Incarnation),
+    expires_at: Nanos,
 }
 
 /// A bank that this front wants.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Wanted {
+struct IssuerClaim {
     since: Nanos,
     /// By place, until when it agrees, by this front's clock.
     votes: BTreeMap<PeerId, Nanos>,
     /// It goes back to its home: nothing of it is used or lent any more, and from this moment on nothing runs.
-    back: Option<Nanos>,
+    returned_at: Option<Nanos>,
 }
 
 /// One front's part in limits that hold for the whole fleet.
 #[derive(Clone, Debug)]
-pub struct Quota {
-    terms: Terms,
-    contacts: MembershipTable,
+pub struct LimitCoordinator {
+    config: Config,
+    members: MembershipTable,
     /// Until then this front agrees to nothing and uses nothing of its own.
     quiet_until: Nanos,
     /// The floor while the roster is not settled.
-    old_floor: Part,
+    old_floor: Share,
     settled: BTreeSet<PeerId>,
     peers: Vec<Peer>,
-    agreed: Vec<Option<Agreed>>,
-    wanted: BTreeMap<PeerId, Wanted>,
+    votes: Vec<Option<Vote>>,
+    claims: BTreeMap<PeerId, IssuerClaim>,
     /// Whether its own bank has been held with this roster.
     established: bool,
     /// When a front with another roster of the same revision, that comes before this one, was last heard.
     yields_at: Option<Nanos>,
-    number: u64,
-    meter: Meter,
-    told: BTreeMap<Limit, Part>,
+    grant_number: u64,
+    demand: DemandMeter,
+    reported: BTreeMap<Limit, Share>,
     /// What is used now must be looked at again at this moment.
-    ends_at: Nanos,
+    next_expiry: Nanos,
 }
 
-impl Quota {
+impl LimitCoordinator {
     /// A front that has just started and remembers nothing. `boot` is drawn anew for each run.
     ///
     /// # Errors
     /// Where the terms cannot hold.
-    pub fn new(terms: Terms, boot: Incarnation, now: Nanos) -> Result<Quota, TermsError> {
+    pub fn new(terms: Config, boot: Incarnation, now: Nanos) -> Result<LimitCoordinator, ConfigError> {
         terms.check()?;
         let fronts = usize::from(terms.fronts);
         let first = terms.revision <= 1;
-        let mut quota = Quota {
-            quiet_until: now + terms.stretched(terms.life),
-            old_floor: if first { terms.floor_part() } else { 0 },
+        let mut quota = LimitCoordinator {
+            quiet_until: now + terms.with_drift(terms.lease_duration),
+            old_floor: if first { terms.floor_share() } else { 0 },
             settled: BTreeSet::from([terms.me]),
             peers: vec![Peer::default(); fronts],
-            agreed: vec![None; fronts],
-            wanted: BTreeMap::new(),
+            votes: vec![None; fronts],
+            claims: BTreeMap::new(),
             established: false,
             yields_at: None,
-            number: 0,
-            meter: Meter::default(),
-            told: BTreeMap::new(),
-            ends_at: Nanos::MAX,
-            contacts: MembershipTable::new(terms.me, terms.fronts, boot, terms.stretched(terms.life)),
-            terms,
+            grant_number: 0,
+            demand: DemandMeter::default(),
+            reported: BTreeMap::new(),
+            next_expiry: Nanos::MAX,
+            members: MembershipTable::new(
+                terms.me,
+                terms.fronts,
+                boot,
+                terms.with_drift(terms.lease_duration),
+            ),
+            config: terms,
         };
         if first {
-            quota.settled = (0..quota.terms.fronts).collect();
+            quota.settled = (0..quota.config.fronts).collect();
         }
         Ok(quota)
     }
@@ -216,199 +221,204 @@
     /// Takes one event and appends what is to be done.
     pub fn on(&mut self, now: Nanos, event: Event, effects: &mut Vec<Effect>) {
         match event {
-            Event::Beat => {
-                self.look(now, effects);
-                for limit in self.meter.forget(now) {
-                    self.told.remove(&limit);
+            Event::HeartbeatDue => {
+                self.expire(now, effects);
+                for limit in self.demand.expire_idle(now) {
+                    self.reported.remove(&limit);
                     effects.push(Effect::Forget(limit));
                 }
-                self.want(now);
-                self.contacts.begin_round(now);
-                let me = self.terms.me;
+                self.update_claims(now);
+                self.members.begin_round(now);
+                let me = self.config.me;
                 let mut round = self.round(now);
-                for to in (0..self.terms.fronts).filter(|to| *to != me) {
-                    let loans = self.lend(now, to, &mut round);
-                    let beat = Box::new(self.beat(now, to, loans, &round));
-                    effects.push(Effect::Send { to, beat });
+                for to in (0..self.config.fronts).filter(|to| *to != me) {
+                    let loans = self.grant_to(now, to, &mut round);
+                    let beat = Box::new(self.heartbeat_for(now, to, loans, &round));
+                    effects.push(Effect::Send { to, heartbeat: beat });
                 }
-                self.tell(now, now, effects);
+                self.report_all(now, now, effects);
             }
-            Event::Heard { from, boot, beat } => {
-                self.look(now, effects);
-                let (mut less, is_reply) = (BTreeSet::new(), beat.reply);
-                let news = self.heard(now, from, boot, *beat, &mut less);
-                effects.push(Effect::Worth(news));
+            Event::HeartbeatReceived { from, boot, heartbeat: beat } => {
+                self.expire(now, effects);
+                let (mut less, is_reply) = (BTreeSet::new(), beat.is_reply);
+                let news = self.receive(now, from, boot, *beat, &mut less);
+                effects.push(Effect::Received(news));
                 // Two that are strangers to each other must not answer each other's answers without end.
                 if matches!(news, MessageStatus::Conflicting | MessageStatus::RosterMismatch) && !is_reply {
                     let beat = Box::new(self.reply(now, from, news));
-                    effects.push(Effect::Reply { beat });
+                    effects.push(Effect::Reply { heartbeat: beat });
                 }
                 // What has become more can wait for the next beat; what has become less cannot.
                 match news {
-                    MessageStatus::Accepted { first } if first || self.stands_back(now) => {
-                        self.tell(now, now, effects)
+                    MessageStatus::Accepted { first } if first || self.is_standby(now) => {
+                        self.report_all(now, now, effects)
+                    }
+                    MessageStatus::RosterMismatch if self.yields_to_roster(now) => {
+                        self.report_all(now, now, effects)
                     }
-                    MessageStatus::RosterMismatch if self.yields(now) => self.tell(now, now, effects),
-                    MessageStatus::Accepted { .. } => self.tell_some(now, &less, effects),
+                    MessageStatus::Accepted { .. } => self.report_some(now, &less, effects),
                     _ => {}
                 }
             }
-            Event::Asked { limit, units } => {
-                self.look(now, effects);
-                if self.meter.count(now, limit, units) {
-                    self.tell(now, now, effects);
+            Event::Demanded { limit, units } => {
+                self.expire(now, effects);
+                if self.demand.count(now, limit, units) {
+                    self.report_all(now, now, effects);
                 }
             }
-            Event::Look => self.look(now, effects),
-            Event::Terms(terms) => self.take(now, terms, effects),
-            Event::Leave => {
-                self.contacts.shut_down();
-                self.tell(now, now, effects);
+            Event::Poll => self.expire(now, effects),
+            Event::Reconfigure(terms) => self.reconfigure(now, terms, effects),
+            Event::Shutdown => {
+                self.members.shut_down();
+                self.report_all(now, now, effects);
+            }
+            Event::AddressInUse => {
+                self.quiet_until = now + self.config.with_drift(self.config.lease_duration)
             }
-            Event::Absent => self.quiet_until = now + self.terms.stretched(self.terms.life),
         }
     }
 
     /// The moment by which [`Event::Look`] must come: something that is used ends then.
-    pub fn ends_at(&self) -> Nanos {
-        self.ends_at
+    pub fn next_expiry(&self) -> Nanos {
+        self.next_expiry
     }
 
     /// The part of a limit that this front may use now.
-    pub fn part(&self, now: Nanos, limit: Limit) -> Part {
-        self.part_of(now, self.own(now), limit)
+    pub fn share(&self, now: Nanos, limit: Limit) -> Share {
+        self.effective_share(now, self.own_share(now), limit)
     }
 
-    fn part_of(&self, now: Nanos, own: Part, limit: Limit) -> Part {
-        if self.stands_back(now) || self.contacts.is_shutting_down() {
+    fn effective_share(&self, now: Nanos, own: Share, limit: Limit) -> Share {
+        if self.is_standby(now) || self.members.is_shutting_down() {
             return 0;
         }
-        let lent = if mutated(Mutation::OwnPartIsWhole) { 0 } else { self.lent(now, limit) };
-        let borrowed = self.peers.iter().filter(|p| now < p.borrowed.until);
+        let lent = if mutated(Mutation::OwnPartIsWhole) { 0 } else { self.total_granted(now, limit) };
+        let borrowed = self.peers.iter().filter(|p| now < p.leased.expires_at);
         let borrowed = borrowed
-            .filter_map(|p| p.borrowed.parts.get(&limit))
-            .fold(0, |all: Part, p| all.saturating_add(*p));
-        (own.saturating_sub(lent) + borrowed).min(WHOLE)
+            .filter_map(|p| p.leased.shares.get(&limit))
+            .fold(0, |all: Share, p| all.saturating_add(*p));
+        (own.saturating_sub(lent) + borrowed).min(FULL_SHARE)
     }
 
     /// The banks that this front holds now.
-    pub fn banks(&self, now: Nanos) -> Vec<PeerId> {
-        let held = self.wanted.iter().filter(|(bank, w)| self.held_until(**bank, w) > now);
+    pub fn issuers_held(&self, now: Nanos) -> Vec<PeerId> {
+        let held = self.claims.iter().filter(|(bank, w)| self.claim_expiry(**bank, w) > now);
         held.map(|(bank, _)| *bank).collect()
     }
 
     /// This run of the front.
-    pub fn boot(&self) -> Incarnation {
-        self.contacts.incarnation()
+    pub fn incarnation(&self) -> Incarnation {
+        self.members.incarnation()
     }
 
     /// Who is there.
-    pub fn contacts(&self) -> &MembershipTable {
-        &self.contacts
+    pub fn members(&self) -> &MembershipTable {
+        &self.members
     }
 
     /// The terms in force.
-    pub fn terms(&self) -> &Terms {
-        &self.terms
+    pub fn config(&self) -> &Config {
+        &self.config
     }
 
     /// Whether every name is known to have taken the roster.
     pub fn is_settled(&self) -> bool {
-        self.settled.len() == usize::from(self.terms.fronts)
+        self.settled.len() == usize::from(self.config.fronts)
     }
 
     /// Whether it has just started, and uses nothing of its own yet.
-    pub fn is_quiet(&self, now: Nanos) -> bool {
+    pub fn is_starting(&self, now: Nanos) -> bool {
         now < self.quiet_until
     }
 
     /// Whether another process has this front's name, so that this one uses nothing.
-    pub fn stands_back(&self, now: Nanos) -> bool {
-        self.contacts.is_rejected(now) || self.yields(now)
+    pub fn is_standby(&self, now: Nanos) -> bool {
+        self.members.is_rejected(now) || self.yields_to_roster(now)
     }
 
     /// Whether there is another roster of the same revision, whose fronts come before this one: it uses nothing.
-    pub fn yields(&self, now: Nanos) -> bool {
-        self.yields_at.is_some_and(|at| now < at + self.span())
+    pub fn yields_to_roster(&self, now: Nanos) -> bool {
+        self.yields_at.is_some_and(|at| now < at + self.lease_span())
     }
 
     /// What it believes of another front.
-    pub fn standing(&self, now: Nanos, place: PeerId) -> Standing {
+    pub fn peer_report(&self, now: Nanos, place: PeerId) -> PeerReport {
         let peer = &self.peers[usize::from(place)];
-        let most = |parts: &BTreeMap<Limit, Part>| parts.values().copied().max().unwrap_or(0);
-        let lent = peer.lent.iter().filter(|l| now < l.until).map(|l| most(&l.parts)).max().unwrap_or(0);
-        let borrowed = if now < peer.borrowed.until { most(&peer.borrowed.parts) } else { 0 };
-        Standing {
-            belief: self.contacts.status(now, place),
-            boot: self.contacts.incarnation_of(place),
-            silent: self.contacts.last_message_at(place).map(|at| now - at),
-            heard_by: self.contacts.reachable_from(now, place).collect(),
-            stranger: self.contacts.conflicting_incarnation(now, place),
-            lent,
-            borrowed,
+        let most = |parts: &BTreeMap<Limit, Share>| parts.values().copied().max().unwrap_or(0);
+        let lent =
+            peer.granted.iter().filter(|l| now < l.expires_at).map(|l| most(&l.shares)).max().unwrap_or(0);
+        let borrowed = if now < peer.leased.expires_at { most(&peer.leased.shares) } else { 0 };
+        PeerReport {
+            status: self.members.status(now, place),
+            incarnation: self.members.incarnation_of(place),
+            silent_for: self.members.last_message_at(place).map(|at| now - at),
+            reachable_from: self.members.reachable_from(now, place).collect(),
+            conflicting: self.members.conflicting_incarnation(now, place),
+            granted: lent,
+            leased: borrowed,
         }
     }
 
     /// The span after which what was given has ended by any clock.
-    fn span(&self) -> Nanos {
-        self.terms.stretched(self.terms.life)
+    fn lease_span(&self) -> Nanos {
+        self.config.with_drift(self.config.lease_duration)
     }
 
     /// Uses nothing that has ended.
-    fn look(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
-        if now < self.ends_at || mutated(Mutation::NoLookAfterStop) {
+    fn expire(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
+        if now < self.next_expiry || mutated(Mutation::NoLookAfterStop) {
             return;
         }
-        let ended = self.ends_at;
-        self.tell(now, ended, effects);
+        let ended = self.next_expiry;
+        self.report_all(now, ended, effects);
     }
 
     /// Says which parts have changed. What has become less is so from the moment that something ended.
-    fn tell(&mut self, now: Nanos, ended: Nanos, effects: &mut Vec<Effect>) {
-        let limits: Vec<Limit> = self.meter.limits().collect();
-        let own = self.own(now);
+    fn report_all(&mut self, now: Nanos, ended: Nanos, effects: &mut Vec<Effect>) {
+        let limits: Vec<Limit> = self.demand.limits().collect();
+        let own = self.own_share(now);
         for limit in limits {
-            self.tell_one(now, ended, own, limit, effects);
+            self.report_one(now, ended, own, limit, effects);
         }
-        self.note_end(now);
+        self.update_next_expiry(now);
     }
 
     /// The same for some limits, of those that are asked for here.
-    fn tell_some(&mut self, now: Nanos, limits: &BTreeSet<Limit>, effects: &mut Vec<Effect>) {
+    fn report_some(&mut self, now: Nanos, limits: &BTreeSet<Limit>, effects: &mut Vec<Effect>) {
         if !limits.is_empty() {
-            let own = self.own(now);
+            let own = self.own_share(now);
             for limit in limits {
-                if self.told.contains_key(limit) {
-                    self.tell_one(now, now, own, *limit, effects);
+                if self.reported.contains_key(limit) {
+                    self.report_one(now, now, own, *limit, effects);
                 }
             }
         }
-        self.note_end(now);
+        self.update_next_expiry(now);
     }
 
-    fn tell_one(&mut self, now: Nanos, ended: Nanos, own: Part, limit: Limit, effects: &mut Vec<Effect>) {
-        let part = self.part_of(now, own, limit);
-        let old = self.told.insert(limit, part);
+    fn report_one(&mut self, now: Nanos, ended: Nanos, own: Share, limit: Limit, effects: &mut Vec<Effect>) {
+        let part = self.effective_share(now, own, limit);
+        let old = self.reported.insert(limit, part);
         if old != Some(part) {
             let at = if old.is_some_and(|old| part < old) { ended } else { now };
-            effects.push(Effect::Right { limit, part, at });
+            effects.push(Effect::ShareChanged { limit, share: part, at });
         }
     }
 
     /// Notes when something that is used ends next.
-    fn note_end(&mut self, now: Nanos) {
-        let loans = self.peers.iter().map(|p| p.borrowed.until);
-        let banks = self.wanted.iter().map(|(bank, w)| self.held_until(*bank, w));
+    fn update_next_expiry(&mut self, now: Nanos) {
+        let loans = self.peers.iter().map(|p| p.leased.expires_at);
+        let banks = self.claims.iter().map(|(bank, w)| self.claim_expiry(*bank, w));
         let quiet = [self.quiet_until].into_iter();
-        self.ends_at = loans.chain(banks).chain(quiet).filter(|t| *t > now).min().unwrap_or(Nanos::MAX);
+        self.next_expiry = loans.chain(banks).chain(quiet).filter(|t| *t > now).min().unwrap_or(Nanos::MAX);
     }
 
     /// Until when a bank is this front's to use.
-    fn held_until(&self, bank: PeerId, wanted: &Wanted) -> Nanos {
-        if wanted.back.is_some() && !mutated(Mutation::BankBackAtOnce) {
+    fn claim_expiry(&self, bank: PeerId, wanted: &IssuerClaim) -> Nanos {
+        if wanted.returned_at.is_some() && !mutated(Mutation::BankBackAtOnce) {
             return Nanos::MIN;
         }
-        let mut quorum = self.terms.quorum(bank == self.terms.me);
+        let mut quorum = self.config.quorum(bank == self.config.me);
         if mutated(Mutation::SmallQuorum) {
             quorum = quorum.saturating_sub(1).max(1);
         }
@@ -418,313 +428,320 @@
     }
 
     /// What this front may use and lend of every limit: its floor and its banks.
-    fn own(&self, now: Nanos) -> Part {
-        if (now < self.quiet_until && !mutated(Mutation::FloorAtOnce)) || self.stands_back(now) {
+    fn own_share(&self, now: Nanos) -> Share {
+        if (now < self.quiet_until && !mutated(Mutation::FloorAtOnce)) || self.is_standby(now) {
             return 0;
         }
         if !self.is_settled() {
-            return self.old_floor.min(self.terms.floor_part());
+            return self.old_floor.min(self.config.floor_share());
         }
-        let banks = self.banks(now).len() as Part;
-        self.terms.floor_part() + banks * self.terms.bank_part()
+        let banks = self.issuers_held(now).len() as Share;
+        self.config.floor_share() + banks * self.config.issuer_share()
     }
 
     /// Until when all that [`Quota::own`] counts now is this front's.
-    fn own_until(&self, now: Nanos) -> Nanos {
-        let held = self.wanted.iter().map(|(bank, w)| self.held_until(*bank, w)).filter(|t| *t > now);
+    fn own_share_expiry(&self, now: Nanos) -> Nanos {
+        let held = self.claims.iter().map(|(bank, w)| self.claim_expiry(*bank, w)).filter(|t| *t > now);
         held.min().unwrap_or(Nanos::MAX)
     }
 
     /// What others may use of a limit, of this front's.
-    fn lent(&self, now: Nanos, limit: Limit) -> Part {
-        self.peers.iter().map(|p| p.lent_of(now, limit)).sum()
+    fn total_granted(&self, now: Nanos, limit: Limit) -> Share {
+        self.peers.iter().map(|p| p.granted_share(now, limit)).sum()
     }
 
     /// Which banks to hold: its own always; that of a silent front where this is the next that is not.
-    fn want(&mut self, now: Nanos) {
-        let me = self.terms.me;
+    fn update_claims(&mut self, now: Nanos) {
+        let me = self.config.me;
         // What it has held runs on where it is lent: it is not given back, and ends by itself.
-        if self.contacts.is_shutting_down() || self.stands_back(now) || !self.is_settled() {
+        if self.members.is_shutting_down() || self.is_standby(now) || !self.is_settled() {
             return;
         }
-        self.wanted.entry(me).or_insert(Wanted { since: now, votes: BTreeMap::new(), back: None });
-        for bank in (0..self.terms.fronts).filter(|b| *b != me) {
-            let belief = self.contacts.status(now, bank);
+        self.claims.entry(me).or_insert(IssuerClaim {
+            since: now,
+            votes: BTreeMap::new(),
+            returned_at: None,
+        });
+        for bank in (0..self.config.fronts).filter(|b| *b != me) {
+            let belief = self.members.status(now, bank);
             let silent = matches!(belief, PeerStatus::Dead | PeerStatus::Left | PeerStatus::Unknown);
-            let next = silent && self.next_after(now, bank) == me;
-            let span = self.span();
-            let held = self.wanted.get(&bank).is_some_and(|w| self.held_until(bank, w) > now);
-            match self.wanted.get_mut(&bank) {
+            let next = silent && self.successor_of(now, bank) == me;
+            let span = self.lease_span();
+            let held = self.claims.get(&bank).is_some_and(|w| self.claim_expiry(bank, w) > now);
+            match self.claims.get_mut(&bank) {
                 None if next => {
-                    self.wanted.insert(bank, Wanted { since: now, votes: BTreeMap::new(), back: None });
+                    self.claims
+                        .insert(bank, IssuerClaim { since: now, votes: BTreeMap::new(), returned_at: None });
                 }
                 None => {}
                 // Lent from it is nothing any more: it goes back.
-                Some(Wanted { back: Some(back), .. }) if now >= *back => {
-                    self.wanted.remove(&bank);
+                Some(IssuerClaim { returned_at: Some(back), .. }) if now >= *back => {
+                    self.claims.remove(&bank);
                 }
-                Some(Wanted { back: Some(_), .. }) => {}
+                Some(IssuerClaim { returned_at: Some(_), .. }) => {}
                 // Its home is there again. What was lent of it must end first.
                 Some(wanted) if !silent => {
                     let wait = if held { span } else { 0 };
-                    wanted.back = Some(now + if mutated(Mutation::BankBackAtOnce) { 0 } else { wait });
+                    wanted.returned_at = Some(now + if mutated(Mutation::BankBackAtOnce) { 0 } else { wait });
                 }
                 // Another tries, and this front has not won: two that try may keep each other from it.
                 Some(_) if !next && !held => {
-                    self.wanted.remove(&bank);
+                    self.claims.remove(&bank);
                 }
                 Some(_) => {}
             }
         }
-        self.wanted.retain(|_, w| w.back.is_none_or(|back| now < back));
+        self.claims.retain(|_, w| w.returned_at.is_none_or(|back| now < back));
         // As one of those who agree.
         if now >= self.quiet_until {
-            let until = now + self.terms.life;
-            let wants: Vec<PeerId> = self.wanted.keys().copied().collect();
+            let until = now + self.config.lease_duration;
+            let wants: Vec<PeerId> = self.claims.keys().copied().collect();
             for bank in wants {
-                if self.agrees(now, bank, (me, self.boot())) {
-                    if let Some(wanted) = self.wanted.get_mut(&bank) {
+                if self.vote_for(now, bank, (me, self.incarnation())) {
+                    if let Some(wanted) = self.claims.get_mut(&bank) {
                         wanted.votes.insert(me, until);
                     }
                 }
             }
         }
-        let wants: Vec<PeerId> = self.wanted.keys().copied().collect();
-        self.release((me, self.boot()), &wants);
-        self.established |= self.banks(now).contains(&me) && now >= self.quiet_until;
+        let wants: Vec<PeerId> = self.claims.keys().copied().collect();
+        self.release_votes((me, self.incarnation()), &wants);
+        self.established |= self.issuers_held(now).contains(&me) && now >= self.quiet_until;
     }
 
     /// The first front after a place, in the ring, that is heard.
-    fn next_after(&self, now: Nanos, place: PeerId) -> PeerId {
-        let fronts = u32::from(self.terms.fronts);
+    fn successor_of(&self, now: Nanos, place: PeerId) -> PeerId {
+        let fronts = u32::from(self.config.fronts);
         let ring = (1..fronts).map(|step| ((u32::from(place) + step) % fronts) as PeerId);
-        let there = |p: &PeerId| *p == self.terms.me || self.contacts.is_alive(now, *p);
-        ring.into_iter().find(there).unwrap_or(self.terms.me)
+        let there = |p: &PeerId| *p == self.config.me || self.members.is_alive(now, *p);
+        ring.into_iter().find(there).unwrap_or(self.config.me)
     }
 
     /// Agrees to a holder of a bank, or does not: never to two at a time.
-    fn agrees(&mut self, now: Nanos, bank: PeerId, to: (PeerId, Incarnation)) -> bool {
-        let until = now + self.span();
-        let Some(agreed) = self.agreed.get_mut(usize::from(bank)) else { return false };
-        let free = agreed.is_none_or(|a| a.until <= now || a.to == to);
+    fn vote_for(&mut self, now: Nanos, bank: PeerId, to: (PeerId, Incarnation)) -> bool {
+        let until = now + self.lease_span();
+        let Some(agreed) = self.votes.get_mut(usize::from(bank)) else { return false };
+        let free = agreed.is_none_or(|a| a.expires_at <= now || a.holder == to);
         if !free && !mutated(Mutation::AgreesTwice) {
             return false;
         }
-        *agreed = Some(Agreed { to, until });
+        *agreed = Some(Vote { holder: to, expires_at: until });
         true
     }
 
     /// Frees banks that a holder no longer wants.
-    fn release(&mut self, holder: (PeerId, Incarnation), wants: &[PeerId]) {
-        for (bank, agreed) in self.agreed.iter_mut().enumerate() {
-            if agreed.is_some_and(|a| a.to == holder) && !wants.contains(&(bank as PeerId)) {
+    fn release_votes(&mut self, holder: (PeerId, Incarnation), wants: &[PeerId]) {
+        for (bank, agreed) in self.votes.iter_mut().enumerate() {
+            if agreed.is_some_and(|a| a.holder == holder) && !wants.contains(&(bank as PeerId)) {
                 *agreed = None;
             }
         }
     }
 
-    fn heard(
+    fn receive(
         &mut self,
         now: Nanos,
         from: PeerId,
         boot: Incarnation,
-        beat: Beat,
+        beat: Heartbeat,
         less: &mut BTreeSet<Limit>,
     ) -> MessageStatus {
-        let (mine, quiet) = (self.boot(), now < self.quiet_until && !mutated(Mutation::NoQuietTime));
-        if beat.roster != self.terms.roster && !mutated(Mutation::AnyRoster) {
+        let (mine, quiet) = (self.incarnation(), now < self.quiet_until && !mutated(Mutation::NoQuietTime));
+        if beat.roster != self.config.roster && !mutated(Mutation::AnyRoster) {
             // Of two rosters of one revision one is a mistake. Whoever has been at work goes on; of two that have,
             // or have not, the one whose digest is less.
             let before = match (beat.established, self.established) {
                 (theirs, mine) if theirs != mine => theirs,
-                _ => beat.roster < self.terms.roster,
+                _ => beat.roster < self.config.roster,
             };
-            if beat.revision == self.terms.revision && before {
+            if beat.revision == self.config.revision && before {
                 self.yields_at = Some(now);
                 self.established = false;
             }
             return MessageStatus::RosterMismatch;
         }
-        let news = self.contacts.receive(now, from, boot, &beat.hello);
+        let news = self.members.receive(now, from, boot, &beat.state);
         let MessageStatus::Accepted { first } = news else { return news };
         let peer = &mut self.peers[usize::from(from)];
         if first {
-            let lent = std::mem::take(&mut peer.lent);
-            let borrowed = std::mem::take(&mut peer.borrowed);
-            *peer = Peer { lent, ..Peer::default() };
+            let lent = std::mem::take(&mut peer.granted);
+            let borrowed = std::mem::take(&mut peer.leased);
+            *peer = Peer { granted: lent, ..Peer::default() };
             if mutated(Mutation::LoanForPredecessor) {
-                peer.borrowed = borrowed;
+                peer.leased = borrowed;
             }
         }
-        let asks = beat.asks.iter().take(self.terms.most_limits);
-        peer.asks = asks.map(|a| (a.limit, a.milli.min(MOST_MILLI))).collect();
-        if let Some((_, used)) = beat.uses.filter(|(to, _)| *to == mine) {
-            peer.lent.retain(|l| l.number >= used);
+        let asks = beat.demands.iter().take(self.config.max_limits);
+        peer.demands = asks.map(|a| (a.limit, a.milli_units_per_second.min(MAX_DEMAND))).collect();
+        if let Some((_, used)) = beat.grant_in_use.filter(|(to, _)| *to == mine) {
+            peer.granted.retain(|l| l.number >= used);
         }
-        peer.lent.retain(|l| now < l.until);
-        if let Some((_, asked)) = beat.hello.echo.filter(|(to, _)| *to == mine) {
+        peer.granted.retain(|l| now < l.expires_at);
+        if let Some((_, asked)) = beat.state.echo.filter(|(to, _)| *to == mine) {
             // Nobody can have heard what was not sent yet.
             let asked = asked.min(now);
             let from_when = if mutated(Mutation::LoanFromReceipt) { now } else { asked };
-            if beat.loans.number > peer.borrowed.number {
-                let parts: BTreeMap<Limit, Part> =
-                    beat.loans.parts.iter().map(|l| (l.limit, l.part.min(WHOLE))).collect();
+            if beat.grant.number > peer.leased.number {
+                let parts: BTreeMap<Limit, Share> =
+                    beat.grant.leases.iter().map(|l| (l.limit, l.share.min(FULL_SHARE))).collect();
                 less.extend(
-                    peer.borrowed.parts.iter().filter(|(v, p)| parts.get(v) != Some(p)).map(|(v, _)| *v),
+                    peer.leased.shares.iter().filter(|(v, p)| parts.get(v) != Some(p)).map(|(v, _)| *v),
                 );
-                less.extend(parts.keys().filter(|v| !peer.borrowed.parts.contains_key(v)));
-                let until = from_when + beat.loans.term.clamp(0, self.terms.life);
+                less.extend(parts.keys().filter(|v| !peer.leased.shares.contains_key(v)));
+                let until = from_when + beat.grant.duration.clamp(0, self.config.lease_duration);
                 // The same parts for a shorter time are less as well.
-                if until < peer.borrowed.until && !mutated(Mutation::ShorterLoanMissed) {
+                if until < peer.leased.expires_at && !mutated(Mutation::ShorterLoanMissed) {
                     less.extend(parts.keys());
                 }
-                peer.borrowed = Borrowed { number: beat.loans.number, until, parts };
+                peer.leased = HeldLeases { number: beat.grant.number, expires_at: until, shares: parts };
             }
             let from_when = if mutated(Mutation::BankFromReceipt) { now } else { asked };
-            for bank in &beat.agrees {
-                if let Some(wanted) = self.wanted.get_mut(bank) {
+            for bank in &beat.votes {
+                if let Some(wanted) = self.claims.get_mut(bank) {
                     if asked >= wanted.since {
                         let until = wanted.votes.entry(from).or_insert(Nanos::MIN);
-                        *until = (*until).max(from_when + self.terms.life);
+                        *until = (*until).max(from_when + self.config.lease_duration);
                     }
                 }
             }
         }
-        self.settled.extend(beat.settled.iter().filter(|p| **p < self.terms.fronts));
+        self.settled.extend(beat.settled.iter().filter(|p| **p < self.config.fronts));
         self.settled.insert(from);
         // Who ends takes back nothing of what it has lent: its banks are free once that has ended by itself.
-        let leaving = beat.hello.leaving && !mutated(Mutation::LeavesAtOnce);
+        let leaving = beat.state.leaving && !mutated(Mutation::LeavesAtOnce);
         if !leaving {
-            self.release((from, boot), &beat.wants);
+            self.release_votes((from, boot), &beat.claims);
         }
-        let wants: &[PeerId] = if quiet || leaving { &[] } else { &beat.wants };
-        let agreed = wants.iter().copied().filter(|bank| self.agrees(now, *bank, (from, boot))).collect();
-        self.peers[usize::from(from)].agreed = agreed;
+        let wants: &[PeerId] = if quiet || leaving { &[] } else { &beat.claims };
+        let agreed = wants.iter().copied().filter(|bank| self.vote_for(now, *bank, (from, boot))).collect();
+        self.peers[usize::from(from)].votes_for = agreed;
         news
     }
 
     /// What a front is told in a round: what all are told, and what is its alone.
-    fn beat(&self, now: Nanos, to: PeerId, loans: Loans, round: &Round) -> Beat {
+    fn heartbeat_for(&self, now: Nanos, to: PeerId, loans: LeaseGrant, round: &Round) -> Heartbeat {
         let peer = &self.peers[usize::from(to)];
-        Beat {
-            hello: self.contacts.state_for(now, to),
-            agrees: peer.agreed.clone(),
-            uses: self.contacts.incarnation_of(to).map(|boot| (boot, peer.borrowed.number)),
-            loans,
-            ..round.all.clone()
+        Heartbeat {
+            state: self.members.state_for(now, to),
+            votes: peer.votes_for.clone(),
+            grant_in_use: self.members.incarnation_of(to).map(|boot| (boot, peer.leased.number)),
+            grant: loans,
+            ..round.common.clone()
         }
     }
 
     /// What is answered to who has another's name or another roster: that this front is there, and which roster it
     /// has. Under another roster the sender's place says nothing.
-    fn reply(&self, now: Nanos, to: PeerId, news: MessageStatus) -> Beat {
+    fn reply(&self, now: Nanos, to: PeerId, news: MessageStatus) -> Heartbeat {
         let hello = if news == MessageStatus::Conflicting {
-            self.contacts.state_for(now, to)
+            self.members.state_for(now, to)
         } else {
             PeerState::default()
         };
-        Beat { reply: true, hello, ..self.signed() }
+        Heartbeat { is_reply: true, state: hello, ..self.signed_heartbeat() }
     }
 
     /// A beat that says no more than which roster this front has.
-    fn signed(&self) -> Beat {
-        let Terms { roster, revision, .. } = self.terms;
-        Beat { roster, revision, established: self.established, ..Beat::default() }
+    fn signed_heartbeat(&self) -> Heartbeat {
+        let Config { roster, revision, .. } = self.config;
+        Heartbeat { roster, revision, established: self.established, ..Heartbeat::default() }
     }
 
     /// What every front is told in a round.
-    fn to_all(&self, now: Nanos) -> Beat {
-        let asks = self.meter.all(now).map(|(limit, milli)| Ask { limit, milli });
-        let mut asks: Vec<Ask> = asks.filter(|a| a.milli > 0).collect();
-        if asks.len() > self.terms.most_limits {
+    fn common_heartbeat(&self, now: Nanos) -> Heartbeat {
+        let asks = self.demand.all(now).map(|(limit, milli)| Demand { limit, milli_units_per_second: milli });
+        let mut asks: Vec<Demand> = asks.filter(|a| a.milli_units_per_second > 0).collect();
+        if asks.len() > self.config.max_limits {
             asks.sort_unstable_by_key(|a| {
-                (matches!(a.limit, Limit::Volume(_)), std::cmp::Reverse(a.milli), a.limit)
+                (matches!(a.limit, Limit::Volume(_)), std::cmp::Reverse(a.milli_units_per_second), a.limit)
             });
-            asks.truncate(self.terms.most_limits);
+            asks.truncate(self.config.max_limits);
         }
         let wants =
-            if self.contacts.is_shutting_down() { Vec::new() } else { self.wanted.keys().copied().collect() };
+            if self.members.is_shutting_down() { Vec::new() } else { self.claims.keys().copied().collect() };
         // At the first revision every name counts as having taken it.
         let settled =
-            if self.terms.revision > 1 { self.settled.iter().copied().collect() } else { Vec::new() };
-        Beat { wants, settled, asks, ..self.signed() }
+            if self.config.revision > 1 { self.settled.iter().copied().collect() } else { Vec::new() };
+        Heartbeat { claims: wants, settled, demands: asks, ..self.signed_heartbeat() }
     }
 
     /// What this round of beats may lend, and how much is asked for and lent already.
     fn round(&self, now: Nanos) -> Round {
-        let alive = |p: &PeerId| self.contacts.is_alive(now, *p) && self.contacts.hears_me(now, *p);
-        let alive: Vec<bool> = (0..self.terms.fronts).map(|p| alive(&p)).collect();
-        let mut limits: BTreeMap<Limit, (u64, Part)> = BTreeMap::new();
-        for (limit, milli) in self.meter.all(now) {
+        let alive = |p: &PeerId| self.members.is_alive(now, *p) && self.members.hears_me(now, *p);
+        let alive: Vec<bool> = (0..self.config.fronts).map(|p| alive(&p)).collect();
+        let mut limits: BTreeMap<Limit, (u64, Share)> = BTreeMap::new();
+        for (limit, milli) in self.demand.all(now) {
             limits.entry(limit).or_default().0 += milli;
         }
         for (peer, alive) in self.peers.iter().zip(&alive) {
-            for (limit, milli) in peer.asks.iter().filter(|_| *alive) {
+            for (limit, milli) in peer.demands.iter().filter(|_| *alive) {
                 limits.entry(*limit).or_default().0 += milli;
             }
-            let lent: BTreeSet<Limit> = peer.lent.iter().flat_map(|l| l.parts.keys().copied()).collect();
+            let lent: BTreeSet<Limit> = peer.granted.iter().flat_map(|l| l.shares.keys().copied()).collect();
             for limit in lent {
-                limits.entry(limit).or_default().1 += peer.lent_of(now, limit);
+                limits.entry(limit).or_default().1 += peer.granted_share(now, limit);
             }
         }
-        let all = self.to_all(now);
-        Round { all, own: self.own(now), until: self.own_until(now), alive, limits }
+        let all = self.common_heartbeat(now);
+        Round { common: all, own: self.own_share(now), expires_at: self.own_share_expiry(now), alive, limits }
     }
 
     /// Lends a front what this one has, in step with how much each limit is asked for at each front.
-    fn lend(&mut self, now: Nanos, to: PeerId, round: &mut Round) -> Loans {
-        self.number += 1;
-        let (number, place) = (self.number, usize::from(to));
-        let left = i128::from(round.until - now) * 1_000_000 / i128::from(1_000_000 + self.terms.drift);
-        let left = if mutated(Mutation::LoanOutlivesBank) { self.terms.life } else { left as Nanos - 1 };
-        let term = left.min(self.terms.life);
+    fn grant_to(&mut self, now: Nanos, to: PeerId, round: &mut Round) -> LeaseGrant {
+        self.grant_number += 1;
+        let (number, place) = (self.grant_number, usize::from(to));
+        let left = i128::from(round.expires_at - now) * 1_000_000
+            / i128::from(1_000_000 + self.config.max_clock_drift);
+        let left =
+            if mutated(Mutation::LoanOutlivesBank) { self.config.lease_duration } else { left as Nanos - 1 };
+        let term = left.min(self.config.lease_duration);
         if !round.alive[place]
             || term <= 0
             || round.own == 0
             || !self.is_settled()
-            || self.contacts.is_shutting_down()
+            || self.members.is_shutting_down()
         {
-            return Loans { number, ..Loans::default() };
+            return LeaseGrant { number, ..LeaseGrant::default() };
         }
         let (peer, mut parts) = (&mut self.peers[place], Vec::new());
-        for (limit, milli) in peer.asks.iter().filter(|(_, milli)| **milli > 0) {
+        for (limit, milli) in peer.demands.iter().filter(|(_, milli)| **milli > 0) {
             let Some((all, lent)) = round.limits.get_mut(limit) else { continue };
-            let share = (u128::from(round.own) * u128::from(*milli) / u128::from((*all).max(1))) as Part;
-            let before = peer.lent_of(now, *limit);
+            let share = (u128::from(round.own) * u128::from(*milli) / u128::from((*all).max(1))) as Share;
+            let before = peer.granted_share(now, *limit);
             let free = round.own.saturating_sub(*lent - before);
             let part = share.min(free);
             *lent = *lent - before + before.max(part);
             if part > 0 {
-                parts.push(Loan { limit: *limit, part });
+                parts.push(Lease { limit: *limit, share: part });
             }
         }
         // It counts from when the beat that is echoed was sent, which was before it came.
-        let until = self.contacts.last_message_at(to).unwrap_or(now) + self.terms.stretched(term);
+        let until = self.members.last_message_at(to).unwrap_or(now) + self.config.with_drift(term);
         if now < until && !parts.is_empty() {
-            let lent = parts.iter().map(|l| (l.limit, l.part)).collect();
-            peer.lent.push(Lent { number, until, parts: lent });
+            let lent = parts.iter().map(|l| (l.limit, l.share)).collect();
+            peer.granted.push(GrantedLeases { number, expires_at: until, shares: lent });
         }
-        Loans { number, term, parts }
+        LeaseGrant { number, duration: term, leases: parts }
     }
 
     /// New terms: nothing of the old ones is renewed, and what runs ends before anything of the new is used.
-    fn take(&mut self, now: Nanos, terms: Terms, effects: &mut Vec<Effect>) {
-        if terms == self.terms || terms.check().is_err() {
+    fn reconfigure(&mut self, now: Nanos, terms: Config, effects: &mut Vec<Effect>) {
+        if terms == self.config || terms.check().is_err() {
             return;
         }
-        let floor = if self.is_settled() { self.terms.floor_part() } else { self.old_floor };
-        let Ok(mut fresh) = Quota::new(terms, self.boot(), now) else { return };
-        let span = fresh.span();
-        fresh.contacts = self.contacts.with_roster(fresh.terms.me, fresh.terms.fronts, span);
+        let floor = if self.is_settled() { self.config.floor_share() } else { self.old_floor };
+        let Ok(mut fresh) = LimitCoordinator::new(terms, self.incarnation(), now) else { return };
+        let span = fresh.lease_span();
+        fresh.members = self.members.with_roster(fresh.config.me, fresh.config.fronts, span);
         // What was lent and agreed under the old terms may last as long as their life.
-        fresh.quiet_until = fresh.quiet_until.max(now + self.span());
-        fresh.old_floor = floor.min(fresh.terms.floor_part());
-        fresh.settled = BTreeSet::from([fresh.terms.me]);
-        fresh.number = self.number;
-        fresh.meter = std::mem::take(&mut self.meter);
-        fresh.told = std::mem::take(&mut self.told);
+        fresh.quiet_until = fresh.quiet_until.max(now + self.lease_span());
+        fresh.old_floor = floor.min(fresh.config.floor_share());
+        fresh.settled = BTreeSet::from([fresh.config.me]);
+        fresh.grant_number = self.grant_number;
+        fresh.demand = std::mem::take(&mut self.demand);
+        fresh.reported = std::mem::take(&mut self.reported);
         *self = fresh;
-        self.tell(now, now, effects);
+        self.report_all(now, now, effects);
     }
 
     /// All that later decisions hang on, with moments by how far they are from `now`: for checkers, which take
@@ -732,22 +749,22 @@
     pub fn fingerprint<H: Hasher>(&self, now: Nanos, h: &mut H) {
         let ago = |t: Nanos| if t <= now { -1 } else { t - now };
         (ago(self.quiet_until), self.old_floor, &self.settled).hash(h);
-        (self.established, self.yields_at.map(|t| ago(t + self.span()))).hash(h);
-        self.contacts.fingerprint(now, h);
+        (self.established, self.yields_at.map(|t| ago(t + self.lease_span()))).hash(h);
+        self.members.fingerprint(now, h);
         for p in &self.peers {
-            (&p.agreed, &p.asks).hash(h);
-            let running = p.lent.iter().filter(|l| now < l.until);
-            running.for_each(|l| (l.number, ago(l.until), &l.parts).hash(h));
-            (p.borrowed.number, ago(p.borrowed.until), &p.borrowed.parts).hash(h);
+            (&p.votes_for, &p.demands).hash(h);
+            let running = p.granted.iter().filter(|l| now < l.expires_at);
+            running.for_each(|l| (l.number, ago(l.expires_at), &l.shares).hash(h));
+            (p.leased.number, ago(p.leased.expires_at), &p.leased.shares).hash(h);
         }
-        for agreed in &self.agreed {
-            agreed.filter(|a| a.until > now).map(|a| (a.to, ago(a.until))).hash(h);
+        for agreed in &self.votes {
+            agreed.filter(|a| a.expires_at > now).map(|a| (a.holder, ago(a.expires_at))).hash(h);
         }
-        for (bank, w) in &self.wanted {
-            (bank, now - w.since, w.back.map(ago)).hash(h);
+        for (bank, w) in &self.claims {
+            (bank, now - w.since, w.returned_at.map(ago)).hash(h);
             w.votes.iter().for_each(|(p, t)| (p, ago(*t)).hash(h));
         }
-        (self.number, &self.told, ago(self.ends_at)).hash(h);
-        self.meter.fingerprint(now, h);
+        (self.grant_number, &self.reported, ago(self.next_expiry)).hash(h);
+        self.demand.fingerprint(now, h);
     }
 }
--- a/crates/fleet-limits/src/meter.rs
+++ b/crates/fleet-limits/src/meter.rs
@@ -14,11 +14,11 @@
 
 /// Smoothed rates.
 #[derive(Clone, Debug, Default)]
-pub struct Meter {
+pub struct DemandMeter {
     rates: BTreeMap<Limit, Rate>,
 }
 
-impl Meter {
+impl DemandMeter {
     /// Counts units asked for, and tells whether the limit is new.
     pub fn count(&mut self, now: Nanos, limit: Limit, units: f64) -> bool {
         let fresh = !self.rates.contains_key(&limit);
@@ -32,7 +32,7 @@
     }
 
     /// Forgets limits that nobody has asked for in a while, and names them.
-    pub fn forget(&mut self, now: Nanos) -> Vec<Limit> {
+    pub fn expire_idle(&mut self, now: Nanos) -> Vec<Limit> {
         let idle = self.rates.iter().filter(|(_, r)| now - r.at > IDLE);
         let idle: Vec<Limit> = idle.map(|(v, _)| *v).collect();
         for limit in &idle {
--- a/crates/fleet-limits/tests/golden.rs
+++ b/crates/fleet-limits/tests/golden.rs
@@ -8,7 +8,7 @@
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use tulipbridge_fleet_limits::{Ask, Beat, Limit, Loan, Loans};
+use tulipbridge_fleet_limits::{Demand, Heartbeat, Lease, LeaseGrant, Limit};
 use tulipbridge_membership::{EnvelopeCodec, PeerState};
 
 /// Bytes of a datagram before its content.
@@ -30,20 +30,20 @@
     assert_eq!(&opened.message, value);
 }
 
-fn loans() -> Loans {
-    let further = Loan { limit: Limit::Further, part: 130 };
-    let volume = Loan { limit: Limit::Volume(131), part: 132 };
-    Loans { number: 400, term: -2_500, parts: vec![further, volume] }
+fn loans() -> LeaseGrant {
+    let further = Lease { limit: Limit::Retries, share: 130 };
+    let volume = Lease { limit: Limit::Volume(131), share: 132 };
+    LeaseGrant { number: 400, duration: -2_500, leases: vec![further, volume] }
 }
 
 #[test]
 fn limit_of_further_attempts() {
-    assert_golden(&Limit::Further, "00");
+    assert_golden(&Limit::Retries, "00");
 }
 
 #[test]
 fn limit_of_servers() {
-    assert_golden(&Limit::Servers, "01");
+    assert_golden(&Limit::ServerLoad, "01");
 }
 
 #[test]
@@ -60,7 +60,7 @@
 #[test]
 fn ask() {
     assert_golden(
-        &Ask { limit: Limit::Volume(300), milli: 70_000 },
+        &Demand { limit: Limit::Volume(300), milli_units_per_second: 70_000 },
         concat!(
             "02ac02", // limit: Volume, its name
             "f0a204", // milli
@@ -71,7 +71,7 @@
 #[test]
 fn loan() {
     assert_golden(
-        &Loan { limit: Limit::Servers, part: 250_000 },
+        &Lease { limit: Limit::ServerLoad, share: 250_000 },
         concat!(
             "01",     // limit: Servers
             "90a10f", // part
@@ -102,18 +102,18 @@
         leaving: true,
         hears: vec![9],
     };
-    let beat = Beat {
+    let beat = Heartbeat {
         roster: 0x8877_6655_4433_2211,
         revision: 257,
-        hello,
+        state: hello,
         established: false,
-        reply: true,
-        wants: vec![1, 2],
-        agrees: vec![3],
+        is_reply: true,
+        claims: vec![1, 2],
+        votes: vec![3],
         settled: vec![4, 640, 6],
-        asks: vec![Ask { limit: Limit::Servers, milli: 150 }],
-        uses: Some((302, 303)),
-        loans: loans(),
+        demands: vec![Demand { limit: Limit::ServerLoad, milli_units_per_second: 150 }],
+        grant_in_use: Some((302, 303)),
+        grant: loans(),
     };
     assert_golden(
         &beat,
@@ -144,18 +144,18 @@
 
 #[test]
 fn beat_without_optional_fields() {
-    let beat = Beat {
+    let beat = Heartbeat {
         roster: 1,
         revision: 2,
-        hello: PeerState { sent_at: 3, echo: None, conflicting: None, leaving: false, hears: Vec::new() },
+        state: PeerState { sent_at: 3, echo: None, conflicting: None, leaving: false, hears: Vec::new() },
         established: true,
-        reply: false,
-        wants: Vec::new(),
-        agrees: Vec::new(),
+        is_reply: false,
+        claims: Vec::new(),
+        votes: Vec::new(),
         settled: Vec::new(),
-        asks: Vec::new(),
-        uses: None,
-        loans: Loans { number: 4, term: 5, parts: Vec::new() },
+        demands: Vec::new(),
+        grant_in_use: None,
+        grant: LeaseGrant { number: 4, duration: 5, leases: Vec::new() },
     };
     assert_golden(
         &beat,
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -142,7 +142,7 @@
         let said = (7u32, vec!["a".to_owned(), "b".to_owned()]);
         let bytes = seal.seal(3, 0x1122_3344_5566_7788, &said).expect("short");
         let opened = seal.open::<(u32, Vec<String>)>(&bytes);
-        assert_eq!(opened, Ok(Envelope { from: 3, incarnation: 0x1122_3344_5566_7788, message }));
+        assert_eq!(opened, Ok(Envelope { from: 3, incarnation: 0x1122_3344_5566_7788, message: said }));
         for at in 0..bytes.len() {
             let mut damaged = bytes.clone();
             damaged[at] ^= 1;
--- a/crates/model-checker/src/rights.rs
+++ b/crates/model-checker/src/rights.rs
@@ -7,7 +7,9 @@
 use std::fmt::{Debug, Display};
 use std::hash::{Hash, Hasher};
 
-use tulipbridge_fleet_limits::{Beat, Effect, Event, Limit, Nanos, Part, PeerId, Quota, Terms, WHOLE};
+use tulipbridge_fleet_limits::{
+    Config, Effect, Event, Heartbeat, Limit, LimitCoordinator, Nanos, PeerId, Share, FULL_SHARE,
+};
 
 use crate::explore::{same, Card, Explored};
 use crate::properties::Broken;
@@ -39,9 +41,9 @@
 /// A process of a front.
 #[derive(Clone, Debug)]
 struct Process {
-    quota: Quota,
+    quota: LimitCoordinator,
     stopped: bool,
-    right: Part,
+    right: Share,
 }
 
 /// A message under way.
@@ -50,7 +52,7 @@
     from: PeerId,
     to: PeerId,
     boot: u64,
-    beat: Beat,
+    beat: Heartbeat,
     /// It stays under way for so many more rounds.
     late: u8,
 }
@@ -138,8 +140,13 @@
 impl Rights {
     fn start(&self, place: PeerId, boots: &mut u64, now: Nanos) -> Process {
         *boots += 1;
-        let terms = Terms { life: 4 * BEAT, beat: BEAT, drift: 0, ..Terms::new(place, self.fronts, 1) };
-        let quota = Quota::new(terms, *boots, now).expect("the terms hold");
+        let terms = Config {
+            lease_duration: 4 * BEAT,
+            heartbeat_interval: BEAT,
+            max_clock_drift: 0,
+            ..Config::new(place, self.fronts, 1)
+        };
+        let quota = LimitCoordinator::new(terms, *boots, now).expect("the terms hold");
         Process { quota, stopped: false, right: 0 }
     }
 
@@ -148,12 +155,12 @@
         let Some(process) = &mut state.processes[usize::from(front)] else { return };
         let mut effects = Vec::new();
         process.quota.on(now, event, &mut effects);
-        let boot = process.quota.boot();
+        let boot = process.quota.incarnation();
         for effect in effects {
             match effect {
-                Effect::Right { part, .. } => process.right = part,
+                Effect::ShareChanged { share: part, .. } => process.right = part,
                 Effect::Forget(_) => process.right = 0,
-                Effect::Send { to, beat } if !cut.contains(&(front, to)) => {
+                Effect::Send { to, heartbeat: beat } if !cut.contains(&(front, to)) => {
                     let held = state.hold.iter().position(|l| *l == (front, to));
                     let late = held.map_or(0, |at| {
                         state.hold.remove(at);
@@ -162,7 +169,7 @@
                     state.messages.push(Message { from: front, to, boot, beat: *beat, late });
                 }
                 // No two processes of a name run here.
-                Effect::Send { .. } | Effect::Reply { .. } | Effect::Worth(_) => {}
+                Effect::Send { .. } | Effect::Reply { .. } | Effect::Received(_) => {}
             }
         }
     }
@@ -172,13 +179,13 @@
         let mut sum = 0;
         for front in 0..self.fronts {
             let process = state.processes[usize::from(front)].as_ref().filter(|p| !p.stopped);
-            if process.is_some_and(|p| now >= p.quota.ends_at()) {
-                self.feed(state, front, Event::Look);
+            if process.is_some_and(|p| now >= p.quota.next_expiry()) {
+                self.feed(state, front, Event::Poll);
             }
             let process = state.processes[usize::from(front)].as_ref().filter(|p| !p.stopped);
             sum += process.map_or(0, |p| p.right);
         }
-        state.broken.over_the_limit |= sum > WHOLE;
+        state.broken.over_the_limit |= sum > FULL_SHARE;
     }
 
     /// What is under way and not late arrives. For one that stands still it waits, and is there when it goes on.
@@ -192,7 +199,7 @@
                 continue;
             }
             let Message { from, boot, beat, .. } = state.messages.remove(at);
-            self.feed(state, to, Event::Heard { from, boot, beat: Box::new(beat) });
+            self.feed(state, to, Event::HeartbeatReceived { from, boot, heartbeat: Box::new(beat) });
             self.judge(state);
         }
     }
@@ -209,9 +216,9 @@
             // All is asked for at the first front, and some at the last.
             if front == 0 || front + 1 == self.fronts {
                 let units = if front == 0 { 8.0 } else { 1.0 };
-                self.feed(state, front, Event::Asked { limit: VOLUME, units });
+                self.feed(state, front, Event::Demanded { limit: VOLUME, units });
             }
-            self.feed(state, front, Event::Beat);
+            self.feed(state, front, Event::HeartbeatDue);
             self.judge(state);
             self.deliver(state);
         }
@@ -289,7 +296,7 @@
                 if let Some(process) = &mut state.processes[usize::from(*front)] {
                     process.stopped = false;
                 }
-                self.feed(&mut state, *front, Event::Look);
+                self.feed(&mut state, *front, Event::Poll);
                 self.judge(&mut state);
                 self.deliver(&mut state);
             }
@@ -350,9 +357,9 @@
         for fronts in [2, 3] {
             let world = Rights { name: "t", about: "t", fronts, rounds: 1, troubles: 0, quick: true };
             let state = world.begin();
-            let rights: Vec<Part> = state.processes.iter().flatten().map(|p| p.right).collect();
-            assert!(rights[0] > WHOLE / 4 * 3, "{rights:?}");
-            let borrowed = state.processes[0].as_ref().map(|p| p.quota.standing(state.now(), 1).borrowed);
+            let rights: Vec<Share> = state.processes.iter().flatten().map(|p| p.right).collect();
+            assert!(rights[0] > FULL_SHARE / 4 * 3, "{rights:?}");
+            let borrowed = state.processes[0].as_ref().map(|p| p.quota.peer_report(state.now(), 1).leased);
             assert!(borrowed.is_some_and(|b| b > 0));
         }
     }
--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -268,7 +268,7 @@
         let mut summary = summary.lock().expect("no thread panics");
         summary.schedules += 1;
         summary.messages += verdict.messages;
-        if verdict.allowed <= tulipbridge_fleet_limits::WHOLE {
+        if verdict.allowed <= tulipbridge_fleet_limits::FULL_SHARE {
             summary.most = summary.most.max(verdict.most);
         }
         if let Some(healed) = verdict.healed {
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use serde::Serialize;
-use tulipbridge_fleet_limits::{Effect, Event, Limit, Nanos, PeerId, Quota, Terms};
+use tulipbridge_fleet_limits::{Config, Effect, Event, Limit, LimitCoordinator, Nanos, PeerId};
 use tulipbridge_membership::{EnvelopeCodec, EnvelopeError, PeerStatus};
 
 /// What was measured.
@@ -40,39 +40,47 @@
 pub fn measure(fronts: PeerId, volumes: u64, beats: u32) -> Result<Cost, EnvelopeError> {
     let seal = EnvelopeCodec::new(b"a key for measuring, of no use else")?;
     let before = resident();
-    let mut fleet: Vec<Quota> = (0..fronts)
-        .map(|me| Quota::new(Terms::new(me, fronts, 1), u64::from(me) + 1, 0).expect("the terms hold"))
+    let mut fleet: Vec<LimitCoordinator> = (0..fronts)
+        .map(|me| {
+            LimitCoordinator::new(Config::new(me, fronts, 1), u64::from(me) + 1, 0).expect("the terms hold")
+        })
         .collect();
-    let beat = fleet[0].terms().beat;
+    let beat = fleet[0].config().heartbeat_interval;
     let (bytes, datagrams) = (Cell::new(0usize), Cell::new(0u64));
     let mut now = 0;
-    let round =
-        |fleet: &mut Vec<Quota>, now: Nanos, alive: &dyn Fn(usize) -> bool| -> Result<(), EnvelopeError> {
-            for from in (0..fleet.len()).filter(|f| alive(*f)) {
-                for volume in 0..volumes {
-                    fleet[from].on(
-                        now,
-                        Event::Asked { limit: Limit::Volume(volume), units: 2.0 },
-                        &mut Vec::new(),
-                    );
-                }
-                let mut effects = Vec::new();
-                fleet[from].on(now, Event::Beat, &mut effects);
-                let boot = fleet[from].boot();
-                for effect in effects {
-                    let Effect::Send { to, beat } = effect else { continue };
-                    let sealed = seal.seal(from as PeerId, boot, beat.as_ref())?;
-                    bytes.set(bytes.get() + sealed.len());
-                    datagrams.set(datagrams.get() + 1);
-                    if alive(usize::from(to)) {
-                        let opened = seal.open::<tulipbridge_fleet_limits::Beat>(&sealed)?;
-                        let event = Event::Heard { from: opened.from, boot, beat: Box::new(opened.message) };
-                        fleet[usize::from(to)].on(now, event, &mut Vec::new());
-                    }
+    let round = |fleet: &mut Vec<LimitCoordinator>,
+                 now: Nanos,
+                 alive: &dyn Fn(usize) -> bool|
+     -> Result<(), EnvelopeError> {
+        for from in (0..fleet.len()).filter(|f| alive(*f)) {
+            for volume in 0..volumes {
+                fleet[from].on(
+                    now,
+                    Event::Demanded { limit: Limit::Volume(volume), units: 2.0 },
+                    &mut Vec::new(),
+                );
+            }
+            let mut effects = Vec::new();
+            fleet[from].on(now, Event::HeartbeatDue, &mut effects);
+            let boot = fleet[from].incarnation();
+            for effect in effects {
+                let Effect::Send { to, heartbeat: beat } = effect else { continue };
+                let sealed = seal.seal(from as PeerId, boot, beat.as_ref())?;
+                bytes.set(bytes.get() + sealed.len());
+                datagrams.set(datagrams.get() + 1);
+                if alive(usize::from(to)) {
+                    let opened = seal.open::<tulipbridge_fleet_limits::Heartbeat>(&sealed)?;
+                    let event = Event::HeartbeatReceived {
+                        from: opened.from,
+                        boot,
+                        heartbeat: Box::new(opened.message),
+                    };
+                    fleet[usize::from(to)].on(now, event, &mut Vec::new());
                 }
             }
-            Ok(())
-        };
+        }
+        Ok(())
+    };
     // Until each holds its bank.
     for _ in 0..16 {
         now += beat;
@@ -89,8 +97,9 @@
     let each = f64::from(16 + beats) * beat as f64 / 1e9 * f64::from(fronts);
     let (bytes_each, datagrams_each) = (bytes.get() as f64 / each, datagrams.get() as f64 / each);
     let died = now;
-    let known =
-        |fleet: &[Quota], now| fleet[1..].iter().all(|q| q.contacts().status(now, 0) == PeerStatus::Dead);
+    let known = |fleet: &[LimitCoordinator], now| {
+        fleet[1..].iter().all(|q| q.members().status(now, 0) == PeerStatus::Dead)
+    };
     while !known(&fleet, now) && now - died < 60_000_000_000 {
         now += beat;
         round(&mut fleet, now, &|front| front != 0)?;
--- a/crates/testbed/src/simulate.rs
+++ b/crates/testbed/src/simulate.rs
@@ -10,7 +10,7 @@
 use fastrand::Rng;
 use serde::Serialize;
 use tulipbridge_fleet_limits::{
-    Beat, Effect, Event, Incarnation, Limit, Nanos, Part, PeerId, Quota, Terms, WHOLE,
+    Config, Effect, Event, Heartbeat, Incarnation, Limit, LimitCoordinator, Nanos, PeerId, Share, FULL_SHARE,
 };
 
 use crate::network::Links;
@@ -26,19 +26,19 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Verdict {
     /// The most that all rights came to, in millionths of the limit.
-    pub most: Part,
+    pub most: Share,
     /// When, in milliseconds.
     pub at: Millis,
     /// What the bound was at the moment of the largest excess; a failure is `most` above it.
-    pub allowed: Part,
+    pub allowed: Share,
     /// Whether rights went over the bound.
     pub over: bool,
     /// Whether a front went on with more than its machine says that it may use.
     pub stale: bool,
     /// Once all was healed and had settled, the rights in use where any was asked for.
-    pub healed: Option<Part>,
+    pub healed: Option<Share>,
     /// What they should have been at least.
-    pub owed: Part,
+    pub owed: Share,
     /// Messages sent.
     pub messages: u64,
 }
@@ -52,15 +52,15 @@
 
 struct Process {
     place: usize,
-    quota: Quota,
+    quota: LimitCoordinator,
     /// The clock: at the simulation's `began` it read `read`, and it gains `ppm` millionths.
     began: i128,
     read: i128,
     ppm: i128,
     stopped: bool,
     /// What came while it stood still.
-    waiting: Vec<(usize, PeerId, Incarnation, Beat)>,
-    rights: BTreeMap<Limit, Part>,
+    waiting: Vec<(usize, PeerId, Incarnation, Heartbeat)>,
+    rights: BTreeMap<Limit, Share>,
     twin: bool,
 }
 
@@ -90,7 +90,7 @@
     via: usize,
     from: PeerId,
     boot: Incarnation,
-    beat: Beat,
+    beat: Heartbeat,
 }
 
 struct World<'a> {
@@ -106,7 +106,7 @@
     messages: BTreeMap<usize, Message>,
     links: Links,
     rates: Vec<u32>,
-    terms: Vec<Terms>,
+    terms: Vec<Config>,
     /// Twins there have been that may still be: each may add a floor and a bank.
     twins: u32,
     verdict: Verdict,
@@ -126,7 +126,7 @@
         links: Links::new(fronts),
         rates: vec![0; fronts],
         terms: (0..fronts)
-            .map(|me| Terms { drift: DRIFT, ..Terms::new(me as PeerId, fronts as PeerId, 1) })
+            .map(|me| Config { max_clock_drift: DRIFT, ..Config::new(me as PeerId, fronts as PeerId, 1) })
             .collect(),
         twins: 0,
         verdict: Verdict::default(),
@@ -144,7 +144,7 @@
     world.heal();
     world.until(end + 10_000 * MS);
     // Shares of the load move from moment to moment: the mean of four seconds.
-    let looks: Vec<Option<Part>> = (0..40)
+    let looks: Vec<Option<Share>> = (0..40)
         .map(|look| {
             world.until(end + (10_000 + look * 100) * MS);
             world.in_use()
@@ -174,12 +174,12 @@
         match due {
             Due::Beat(process) => {
                 let Some(running) = &self.processes[process] else { return };
-                let beat = i128::from(running.quota.terms().beat);
+                let beat = i128::from(running.quota.config().heartbeat_interval);
                 let stopped = running.stopped;
                 let wait = beat + i128::from(self.lot.i64(-20_000_000..20_000_000));
                 self.due(self.now + wait, Due::Beat(process));
                 if !stopped {
-                    self.feed(process, process, Event::Beat);
+                    self.feed(process, process, Event::HeartbeatDue);
                 }
             }
             Due::Ask(place) => {
@@ -191,7 +191,7 @@
                 self.due(self.now + wait as i128 + 1, Due::Ask(place));
                 if let Some(process) = self.address[place] {
                     if self.processes[process].as_ref().is_some_and(|p| !p.stopped) {
-                        self.feed(process, process, Event::Asked { limit: VOLUME, units: 2.0 });
+                        self.feed(process, process, Event::Demanded { limit: VOLUME, units: 2.0 });
                     }
                 }
             }
@@ -202,8 +202,11 @@
                     process.waiting.push((message.via, message.from, message.boot, message.beat));
                     return;
                 }
-                let event =
-                    Event::Heard { from: message.from, boot: message.boot, beat: Box::new(message.beat) };
+                let event = Event::HeartbeatReceived {
+                    from: message.from,
+                    boot: message.boot,
+                    heartbeat: Box::new(message.beat),
+                };
                 self.feed(message.to, message.via, event);
             }
             Due::Step(number) => {
@@ -220,10 +223,14 @@
                 running.stopped = false;
                 // The shell looks at the clock before it does anything else; what waited comes then.
                 let waiting = std::mem::take(&mut running.waiting);
-                self.feed(process, process, Event::Look);
+                self.feed(process, process, Event::Poll);
                 self.judge();
                 for (via, from, boot, beat) in waiting {
-                    self.feed(process, via, Event::Heard { from, boot, beat: Box::new(beat) });
+                    self.feed(
+                        process,
+                        via,
+                        Event::HeartbeatReceived { from, boot, heartbeat: Box::new(beat) },
+                    );
                 }
             }
             Due::End(process) => {
@@ -241,7 +248,7 @@
                 let terms = self.terms[place].clone();
                 if let Some(process) = self.address[place] {
                     if self.processes[process].as_ref().is_some_and(|p| !p.stopped) {
-                        self.feed(process, process, Event::Terms(terms));
+                        self.feed(process, process, Event::Reconfigure(terms));
                     } else {
                         self.due(self.now + 50 * MS, Due::Take(place));
                     }
@@ -255,7 +262,8 @@
         // Each process has a clock of its own, that shows any time.
         let read = i128::from(self.lot.u32(1..4_000_000)) * MS;
         let boot = self.lot.u64(1..u64::MAX);
-        let quota = Quota::new(self.terms[place].clone(), boot, read as Nanos).expect("terms hold");
+        let quota =
+            LimitCoordinator::new(self.terms[place].clone(), boot, read as Nanos).expect("terms hold");
         let (began, ppm) = (self.now, i128::from(ppm));
         let (stopped, waiting, rights) = (false, Vec::new(), BTreeMap::new());
         self.processes.push(Some(Process { place, quota, began, read, ppm, stopped, waiting, rights, twin }));
@@ -290,8 +298,8 @@
                 if self.processes[process].as_ref().is_some_and(|p| p.stopped) {
                     return;
                 }
-                self.feed(process, process, Event::Leave);
-                self.feed(process, process, Event::Beat);
+                self.feed(process, process, Event::Shutdown);
+                self.feed(process, process, Event::HeartbeatDue);
                 self.happen(Due::End(process));
                 self.due(self.now + after(back), Due::Start(front));
             }
@@ -315,7 +323,7 @@
                     let terms = &mut self.terms[place];
                     terms.revision += 1;
                     terms.roster = terms.roster.wrapping_mul(31).wrapping_add(u64::from(floor));
-                    terms.floor = WHOLE / 100 * Part::from(floor);
+                    terms.floor = FULL_SHARE / 100 * Share::from(floor);
                     // Files are laid first; each front takes its own when it is told to, or when it starts.
                     self.due(self.now + after(each * place as Millis), Due::Take(place));
                 }
@@ -326,37 +334,37 @@
     fn feed(&mut self, process: usize, via: usize, event: Event) {
         let Some(running) = &mut self.processes[process] else { return };
         let mut effects = Vec::new();
-        let (now, boot) = (running.now(self.now), running.quota.boot());
+        let (now, boot) = (running.now(self.now), running.quota.incarnation());
         running.quota.on(now, event, &mut effects);
         let place = running.place;
         for effect in effects {
             match effect {
-                Effect::Right { limit, part, .. } => {
+                Effect::ShareChanged { limit, share: part, .. } => {
                     if let Some(running) = &mut self.processes[process] {
                         running.rights.insert(limit, part);
                     }
                 }
-                Effect::Send { to, beat } => {
+                Effect::Send { to, heartbeat: beat } => {
                     if let Some(to) = self.address[usize::from(to)] {
                         self.send(process, to, place, boot, *beat);
                     }
                 }
-                Effect::Reply { beat } => self.send(process, via, place, boot, *beat),
+                Effect::Reply { heartbeat: beat } => self.send(process, via, place, boot, *beat),
                 Effect::Forget(limit) => {
                     if let Some(running) = &mut self.processes[process] {
                         running.rights.remove(&limit);
                     }
                 }
-                Effect::Worth(_) => {}
+                Effect::Received(_) => {}
             }
         }
         if let Some(running) = &self.processes[process] {
             let told = running.rights.get(&VOLUME).copied().unwrap_or(0);
-            self.verdict.stale |= told > running.quota.part(now, VOLUME);
+            self.verdict.stale |= told > running.quota.share(now, VOLUME);
         }
     }
 
-    fn send(&mut self, via: usize, to: usize, from: usize, boot: Incarnation, beat: Beat) {
+    fn send(&mut self, via: usize, to: usize, from: usize, boot: Incarnation, beat: Heartbeat) {
         self.verdict.messages += 1;
         let Some(place) = self.processes[to].as_ref().map(|p| p.place) else { return };
         for wait in self.links.copies(&mut self.lot, from, place) {
@@ -372,15 +380,15 @@
         let mut sum = 0;
         for number in 0..self.processes.len() {
             let Some(process) = self.processes[number].as_ref().filter(|p| !p.stopped) else { continue };
-            if process.now(self.now) >= process.quota.ends_at() {
-                self.feed(number, number, Event::Look);
+            if process.now(self.now) >= process.quota.next_expiry() {
+                self.feed(number, number, Event::Poll);
             }
             sum += self.processes[number].as_ref().and_then(|p| p.rights.get(&VOLUME)).copied().unwrap_or(0);
         }
         // What each copy of a name may add: a bank where n is even and it has half of the roster, and a floor.
-        let least = self.terms.iter().map(|t| t.floor_part() + t.bank_part()).max().unwrap_or(0);
-        let allowed = WHOLE + self.twins * least;
-        let excess = |most: Part, allowed: Part| i64::from(most) - i64::from(allowed);
+        let least = self.terms.iter().map(|t| t.floor_share() + t.issuer_share()).max().unwrap_or(0);
+        let allowed = FULL_SHARE + self.twins * least;
+        let excess = |most: Share, allowed: Share| i64::from(most) - i64::from(allowed);
         if excess(sum, allowed) > excess(self.verdict.most, self.verdict.allowed.max(1)) {
             (self.verdict.most, self.verdict.allowed) = (sum, allowed);
             self.verdict.at = (self.now / MS) as Millis;
@@ -399,23 +407,23 @@
 
     /// What is in use of what is asked for, where that tells whether all is well: a roster that not all have taken
     /// leaves everybody at floors, and so does a fleet of which half is gone.
-    fn in_use(&self) -> Option<Part> {
+    fn in_use(&self) -> Option<Share> {
         let there = || self.address.iter().filter_map(|a| self.processes[(*a)?].as_ref());
         let asked = (0..self.schedule.fronts).any(|p| self.rates[p] > 0 && self.address[p].is_some());
-        let settled = there().all(|p| p.quota.is_settled() && p.quota.terms() == &self.terms[p.place]);
+        let settled = there().all(|p| p.quota.is_settled() && p.quota.config() == &self.terms[p.place]);
         let most = 2 * there().count() > self.schedule.fronts;
         (asked && settled && most).then(|| there().filter_map(|p| p.rights.get(&VOLUME)).sum())
     }
 
     /// Once all has been whole for long, what is asked for must be had.
-    fn settle(&mut self, looks: &[Option<Part>]) {
-        let seen: Vec<Part> = looks.iter().copied().flatten().collect();
+    fn settle(&mut self, looks: &[Option<Share>]) {
+        let seen: Vec<Share> = looks.iter().copied().flatten().collect();
         if seen.len() < looks.len() {
             return;
         }
         let mean = seen.iter().map(|s| u64::from(*s)).sum::<u64>() / seen.len().max(1) as u64;
-        self.verdict.healed = Some(mean as Part);
-        let gone = self.address.iter().filter(|a| a.is_none()).count() as Part;
-        self.verdict.owed = WHOLE - self.terms[0].floor_part() * gone - WHOLE / 10;
+        self.verdict.healed = Some(mean as Share);
+        let gone = self.address.iter().filter(|a| a.is_none()).count() as Share;
+        self.verdict.owed = FULL_SHARE - self.terms[0].floor_share() * gone - FULL_SHARE / 10;
     }
 }
--- a/src/cluster/limits.rs
+++ b/src/cluster/limits.rs
@@ -7,7 +7,7 @@
 use simd_json::OwnedValue as Value;
 use tulipbridge_core::request_tracker::Input;
 use tulipbridge_core::{Outcome, Settings, SharedLimit, VolumeId};
-use tulipbridge_fleet_limits::{Limit, Part, WHOLE};
+use tulipbridge_fleet_limits::{Limit, Share, FULL_SHARE};
 
 use crate::config::settings::{num, Res};
 
@@ -26,8 +26,8 @@
 
 /// A part of a limit's figures. A store holds one request at the least, so that a small part is a slow rate and not a
 /// limit on size.
-fn part_of(whole: Figures, part: Part, one: f64) -> Figures {
-    let share = f64::from(part) / f64::from(WHOLE);
+fn part_of(whole: Figures, part: Share, one: f64) -> Figures {
+    let share = f64::from(part) / f64::from(FULL_SHARE);
     let burst = if part == 0 { 0.0 } else { (whole.burst * share).max(one) };
     Figures { rate: whole.rate * share, burst }
 }
@@ -84,9 +84,9 @@
 
     /// The limits that hang on parts, by the name that operators read.
     pub fn limits(&self) -> impl Iterator<Item = (Limit, &'static str)> {
-        let further = self.further.is_some().then_some((Limit::Further, "further_attempts"));
+        let further = self.further.is_some().then_some((Limit::Retries, "further_attempts"));
         let servers = self.starting.is_some() || self.out.is_some();
-        further.into_iter().chain(servers.then_some((Limit::Servers, "servers")))
+        further.into_iter().chain(servers.then_some((Limit::ServerLoad, "servers")))
     }
 
     /// What an input asks for of them.
@@ -94,18 +94,18 @@
         let (further, servers) = (self.further.is_some(), self.starting.is_some() || self.out.is_some());
         let failed = match input {
             Input::RequestReceived(r) => {
-                let servers = servers.then_some((Limit::Servers, r.units));
-                return servers.into_iter().chain(further.then_some((Limit::Further, AHEAD))).collect();
+                let servers = servers.then_some((Limit::ServerLoad, r.units));
+                return servers.into_iter().chain(further.then_some((Limit::Retries, AHEAD))).collect();
             }
             Input::AttemptEnded { outcome, .. } => *outcome != Outcome::Served,
             Input::AttemptTimedOut { .. } => true,
             _ => false,
         };
-        (failed && further).then_some((Limit::Further, 1.0)).into_iter().collect()
+        (failed && further).then_some((Limit::Retries, 1.0)).into_iter().collect()
     }
 
     /// What a part of a limit comes to.
-    fn tell(&self, limit: Limit, part: Part, set: &Settings) -> Vec<(SharedLimit, Figures)> {
+    fn tell(&self, limit: Limit, part: Share, set: &Settings) -> Vec<(SharedLimit, Figures)> {
         let further = self.further.map(|f| (SharedLimit::Retries, part_of(f, part, 1.0)));
         let starting = self.starting.map(|s| (SharedLimit::WarmingUpNode, part_of(s, part, set.max_units)));
         let out = self.out.map(|most| {
@@ -113,8 +113,8 @@
             (SharedLimit::InFlightPerNode, Figures { burst: 0.0, ..part_of(whole, part, 0.0) })
         });
         match limit {
-            Limit::Further => further.into_iter().collect(),
-            Limit::Servers => starting.into_iter().chain(out).collect(),
+            Limit::Retries => further.into_iter().collect(),
+            Limit::ServerLoad => starting.into_iter().chain(out).collect(),
             Limit::Volume(_) => Vec::new(),
         }
     }
@@ -123,9 +123,9 @@
 /// What this front may use of each limit, with the plan that each volume last came with.
 #[derive(Default)]
 pub struct Shares {
-    volumes: HashMap<VolumeId, (usize, Part)>,
+    volumes: HashMap<VolumeId, (usize, Share)>,
     stated: Stated,
-    parts: HashMap<Limit, Part>,
+    parts: HashMap<Limit, Share>,
 }
 
 impl Shares {
@@ -143,7 +143,7 @@
     }
 
     /// This front's part of a limit that is no volume's.
-    pub fn part(&self, limit: Limit) -> Part {
+    pub fn part(&self, limit: Limit) -> Share {
         self.parts.get(&limit).copied().unwrap_or(0)
     }
 
@@ -157,7 +157,7 @@
     }
 
     /// So much of a limit is this front's.
-    pub fn tell(&mut self, limit: Limit, part: Part, set: &Settings) -> Vec<(SharedLimit, Figures)> {
+    pub fn tell(&mut self, limit: Limit, part: Share, set: &Settings) -> Vec<(SharedLimit, Figures)> {
         let Limit::Volume(volume) = limit else {
             self.parts.insert(limit, part);
             return self.stated.tell(limit, part, set);
@@ -178,7 +178,7 @@
         }
     }
 
-    fn of_plan(volume: VolumeId, plan: usize, part: Part, set: &Settings) -> Option<(SharedLimit, Figures)> {
+    fn of_plan(volume: VolumeId, plan: usize, part: Share, set: &Settings) -> Option<(SharedLimit, Figures)> {
         let plan = set.plans.get(plan)?;
         let whole = Figures { rate: plan.limit_rate, burst: plan.limit_burst };
         Some((SharedLimit::Volume(volume), part_of(whole, part, set.max_units)))
@@ -208,9 +208,9 @@
         set.plans.push(faster);
         let mut shares = Shares::default();
         let of = |rate, burst| (SharedLimit::Volume(7), Figures { rate, burst });
-        assert_eq!(shares.tell(Limit::Volume(7), WHOLE, &set), [], "nobody asks for it");
+        assert_eq!(shares.tell(Limit::Volume(7), FULL_SHARE, &set), [], "nobody asks for it");
         assert_eq!(shares.asked(7, 0, &set), None);
-        assert_eq!(shares.tell(Limit::Volume(7), WHOLE / 4, &set), [of(10.0, 6.0)]);
+        assert_eq!(shares.tell(Limit::Volume(7), FULL_SHARE / 4, &set), [of(10.0, 6.0)]);
         assert_eq!(shares.asked(7, 0, &set), None);
         assert_eq!(shares.asked(7, 1, &set), Some(of(30.0, 6.0)));
         assert_eq!(shares.tell(Limit::Volume(7), 0, &set), [of(0.0, 0.0)]);
@@ -225,17 +225,17 @@
         let told = shares.state(stated(ALL).expect("it holds"), &set);
         assert_eq!(told.len(), 3);
         assert!(told.iter().all(|(_, f)| *f == Figures::default()), "{told:?}");
-        let told = shares.tell(Limit::Servers, WHOLE / 4, &set);
+        let told = shares.tell(Limit::ServerLoad, FULL_SHARE / 4, &set);
         let of = |of, rate, burst| (of, Figures { rate, burst });
         assert_eq!(
             told,
             [of(SharedLimit::WarmingUpNode, 7.5, 10.0), of(SharedLimit::InFlightPerNode, 16.0, 0.0)]
         );
-        assert_eq!(shares.tell(Limit::Further, WHOLE / 100, &set), [of(SharedLimit::Retries, 0.2, 1.0)]);
+        assert_eq!(shares.tell(Limit::Retries, FULL_SHARE / 100, &set), [of(SharedLimit::Retries, 0.2, 1.0)]);
         // New figures hold for the part that is held.
         let told = shares.state(stated(&ALL.replace("64", "32")).expect("it holds"), &set);
         assert!(told.contains(&of(SharedLimit::InFlightPerNode, 8.0, 0.0)), "{told:?}");
-        assert_eq!(shares.forget(Limit::Further, &set), [of(SharedLimit::Retries, 0.0, 0.0)]);
+        assert_eq!(shares.forget(Limit::Retries, &set), [of(SharedLimit::Retries, 0.0, 0.0)]);
     }
 
     #[test]
--- a/src/cluster/peers.rs
+++ b/src/cluster/peers.rs
@@ -21,7 +21,9 @@
 use tulipbridge_core as core;
 use tulipbridge_core::request_tracker::Input;
 use tulipbridge_core::{NodeId, RequestId, Semantics, Settings, SharedLimit};
-use tulipbridge_fleet_limits::{Beat, Effect, Event, Limit, Part, Quota, Terms, WHOLE};
+use tulipbridge_fleet_limits::{
+    Config, Effect, Event, Heartbeat, Limit, LimitCoordinator, Share, FULL_SHARE,
+};
 use tulipbridge_membership::{
     EnvelopeCodec, EnvelopeError, GossipAction, GossipError, GossipInput, GossipMessage as Exchanged,
     GossipStore, Key, MessageStatus, PeerId, PeerStatus, MAX_MESSAGE,
@@ -48,14 +50,14 @@
 /// What a datagram says.
 #[derive(Serialize)]
 enum Saying<'a> {
-    Beat(&'a Beat),
+    Beat(&'a Heartbeat),
     Entries(&'a Exchanged),
 }
 
 /// The same, as it comes.
 #[derive(Deserialize)]
 enum Said {
-    Beat(Box<Beat>),
+    Beat(Box<Heartbeat>),
     Entries(Exchanged),
 }
 
@@ -73,7 +75,7 @@
     /// Whether and how verdicts on chunk servers are shared.
     pub verdicts: Option<ejections::Config>,
     /// What the machine is told.
-    pub terms: Terms,
+    pub terms: Config,
     /// Limits beside those of volumes' plans.
     pub stated: Stated,
     /// Bytes a second of entries that all peers together are sent at most.
@@ -145,17 +147,18 @@
             Ok(told) if told >= 0.0 => Ok(told),
             _ => Err(format!("'peers.{key}' must be a number of 0 or more")),
         };
-        let mut terms = Terms::new(me as PeerId, fronts, 0);
+        let mut terms = Config::new(me as PeerId, fronts, 0);
         terms.revision = or("revision", 1.0)? as u32;
-        terms.life = (or("life_ms", terms.life as f64 / 1e6)? * 1e6) as i64;
-        terms.beat = (or("beat_ms", terms.beat as f64 / 1e6)? * 1e6) as i64;
-        terms.floor = (or("floor", f64::from(terms.floor) / f64::from(WHOLE))? * f64::from(WHOLE)) as Part;
+        terms.lease_duration = (or("life_ms", terms.lease_duration as f64 / 1e6)? * 1e6) as i64;
+        terms.heartbeat_interval = (or("beat_ms", terms.heartbeat_interval as f64 / 1e6)? * 1e6) as i64;
+        terms.floor =
+            (or("floor", f64::from(terms.floor) / f64::from(FULL_SHARE))? * f64::from(FULL_SHARE)) as Share;
         let entry_bytes = or("entry_bytes_per_s", ENTRY_BYTES)? as u64;
         if terms.revision == 0 {
             return Err("'peers.revision' counts from 1".to_owned());
         }
         let names: Vec<&str> = roster.iter().map(|(n, _)| n.as_str()).collect();
-        let whole = format!("{}|{}|{}|{:?}", terms.revision, terms.life, terms.floor, names);
+        let whole = format!("{}|{}|{}|{:?}", terms.revision, terms.lease_duration, terms.floor, names);
         let told = value.get("verdicts").map(ejections::Config::read).transpose()?;
         // Fronts that judge by other terms, or know other zones, are of another roster.
         // This text is part of a digest that fronts of different versions compare: it must not change.
@@ -184,7 +187,7 @@
     /// # Errors
     /// Where they cannot hold.
     fn verdict_terms(&self) -> Res<Option<tulipbridge_outlier_detection::Terms>> {
-        let Terms { me, fronts, .. } = self.terms;
+        let Config { me, fronts, .. } = self.terms;
         // As many zones as fit into a number of one byte have been read.
         let zone = self.zones.1.get(usize::from(me)).copied().unwrap_or_default() as u8;
         let terms = self.verdicts.map(|told| told.terms(me, fronts, zone)).transpose();
@@ -203,7 +206,7 @@
 
 /// This front among its peers.
 pub struct Peers {
-    quota: RefCell<Quota>,
+    quota: RefCell<LimitCoordinator>,
     seal: EnvelopeCodec,
     /// Absent while another process has the address.
     socket: OnceCell<UdpSocket>,
@@ -267,7 +270,8 @@
         };
         // Not from the seed in the file: a front that starts again must be another boot.
         let boot = fastrand::Rng::new().u64(1..u64::MAX);
-        let quota = Quota::new(told.terms.clone(), boot, now()).map_err(|why| format!("'peers': {why}"))?;
+        let quota = LimitCoordinator::new(told.terms.clone(), boot, now())
+            .map_err(|why| format!("'peers': {why}"))?;
         let gauge = |name: &str, help: &str| IntGauge::new(name, help).expect("the names are valid");
         let counts = Counts {
             messages: IntCounterVec::new(
@@ -353,7 +357,7 @@
         *self.told.borrow_mut() = told;
         self.state();
         // Places are another roster's only where that is another.
-        if self.quota.borrow().terms().roster != terms.roster {
+        if self.quota.borrow().config().roster != terms.roster {
             let renewed = self.entries.borrow().with_roster(terms.me, terms.fronts, now());
             *self.entries.borrow_mut() = renewed;
         }
@@ -366,7 +370,7 @@
                 let _ = bench.renew(judged);
             }
         }
-        self.take(Event::Terms(terms), None);
+        self.take(Event::Reconfigure(terms), None);
         self.judge();
     }
 
@@ -381,17 +385,17 @@
 
     /// Says that this front ends.
     pub fn leave(&self) {
-        self.take(Event::Leave, None);
-        self.take(Event::Beat, None);
+        self.take(Event::Shutdown, None);
+        self.take(Event::HeartbeatDue, None);
     }
 
     async fn beat(self: Rc<Self>) {
         loop {
-            let beat = self.quota.borrow().terms().beat as u64;
+            let beat = self.quota.borrow().config().heartbeat_interval as u64;
             // Not all at one moment, over and over.
             let wait = beat - beat / 20 + fastrand::u64(0..=beat / 10);
             tokio::time::sleep(Duration::from_nanos(wait)).await;
-            self.take(Event::Beat, None);
+            self.take(Event::HeartbeatDue, None);
             self.judge();
             self.tell(GossipInput::Round);
             self.say();
@@ -452,7 +456,9 @@
             Ok(opened) => {
                 let (from, boot) = (opened.from, opened.incarnation);
                 match opened.message {
-                    Said::Beat(beat) => self.take(Event::Heard { from, boot, beat }, Some(source)),
+                    Said::Beat(beat) => {
+                        self.take(Event::HeartbeatReceived { from, boot, heartbeat: beat }, Some(source))
+                    }
                     Said::Entries(exchange) => {
                         self.tell(GossipInput::Received { from, incarnation: boot, message: exchange });
                     }
@@ -472,7 +478,7 @@
     /// Counts as one that starts now while another process has the address.
     fn count_as_starting(&self) {
         if self.socket.get().is_none() {
-            self.quota.borrow_mut().on(now(), Event::Absent, &mut Vec::new());
+            self.quota.borrow_mut().on(now(), Event::AddressInUse, &mut Vec::new());
         }
     }
 
@@ -484,7 +490,7 @@
     /// Has the entries take what happens, and carries out what is to be done.
     fn tell(&self, told: GossipInput) {
         let mut acts = Vec::new();
-        let done = self.entries.borrow_mut().on(now(), self.quota.borrow().contacts(), told, &mut acts);
+        let done = self.entries.borrow_mut().on(now(), self.quota.borrow().members(), told, &mut acts);
         if let Err(why) = done {
             log!("peers: an entry is not told: {why}");
         }
@@ -531,12 +537,12 @@
         let mut module = Vec::new();
         for effect in effects {
             match effect {
-                Effect::Send { to, beat } => {
+                Effect::Send { to, heartbeat: beat } => {
                     let to = self.told.borrow().roster.get(usize::from(to)).map(|(_, at)| *at);
                     self.send(to, &Saying::Beat(&beat));
                 }
-                Effect::Reply { beat } => self.send(source, &Saying::Beat(&beat)),
-                Effect::Right { limit, part, at } => {
+                Effect::Reply { heartbeat: beat } => self.send(source, &Saying::Beat(&beat)),
+                Effect::ShareChanged { limit, share: part, at } => {
                     let told = self.shares.borrow_mut().tell(limit, part, set);
                     module.extend(told.into_iter().map(|(of, figures)| self.limit(of, figures, at)));
                 }
@@ -544,7 +550,7 @@
                     let told = self.shares.borrow_mut().forget(limit, set);
                     module.extend(told.into_iter().map(|(of, figures)| self.limit(of, figures, now())));
                 }
-                Effect::Worth(news) => self.count(match news {
+                Effect::Received(news) => self.count(match news {
                     MessageStatus::Accepted { .. } => "counts",
                     MessageStatus::Stale => "old",
                     MessageStatus::Unconfirmed => "unproven",
@@ -566,7 +572,7 @@
     fn send(&self, to: Option<SocketAddr>, saying: &Saying) {
         let (me, boot) = {
             let quota = self.quota.borrow();
-            (quota.terms().me, quota.boot())
+            (quota.config().me, quota.incarnation())
         };
         let Some(to) = to else { return };
         match self.seal.seal(me, boot, saying) {
@@ -582,8 +588,8 @@
     fn say(&self) {
         let (quota, told, now) = (self.quota.borrow(), self.told.borrow(), now());
         let mut alive = 0;
-        for place in quota.contacts().others() {
-            let belief = quota.contacts().status(now, place);
+        for place in quota.members().others() {
+            let belief = quota.members().status(now, place);
             alive += i64::from(belief == PeerStatus::Alive);
             let mut said = self.said.borrow_mut();
             let before = std::mem::replace(&mut said[usize::from(place)], belief);
@@ -591,12 +597,12 @@
                 log!("peers: {} is {}", told.roster[usize::from(place)].0, word(belief));
             }
         }
-        let back = quota.stands_back(now) || self.socket.get().is_none();
+        let back = quota.is_standby(now) || self.socket.get().is_none();
         if self.stood_back.replace(back) != back {
-            let name = &told.roster[usize::from(quota.terms().me)].0;
+            let name = &told.roster[usize::from(quota.config().me)].0;
             match back {
-                true if quota.yields(now) => {
-                    let revision = quota.terms().revision;
+                true if quota.yields_to_roster(now) => {
+                    let revision = quota.config().revision;
                     log!("peers: others run with another roster of revision {revision}; this one uses no shared limit");
                 }
                 true => {
@@ -606,7 +612,7 @@
             }
         }
         self.counts.alive.set(alive);
-        self.counts.banks.set(quota.banks(now).len() as i64);
+        self.counts.banks.set(quota.issuers_held(now).len() as i64);
         self.counts.standing_back.set(i64::from(back));
         for (name, part) in self.parts() {
             self.counts.parts.with_label_values(&[name]).set(part);
@@ -616,7 +622,7 @@
     /// This front's parts of the limits that are no volume's.
     fn parts(&self) -> Vec<(&'static str, f64)> {
         let shares = self.shares.borrow();
-        let part = |limit: Limit| f64::from(shares.part(limit)) / f64::from(WHOLE);
+        let part = |limit: Limit| f64::from(shares.part(limit)) / f64::from(FULL_SHARE);
         shares.stated().limits().map(|(limit, name)| (name, part(limit))).collect()
     }
 
@@ -641,35 +647,35 @@
         let name = |place: PeerId| told.roster[usize::from(place)].0.clone();
         let millis = |span: i64| span / 1_000_000;
         let peers: Vec<Value> = quota
-            .contacts()
+            .members()
             .others()
             .map(|place| {
-                let standing = quota.standing(now, place);
+                let standing = quota.peer_report(now, place);
                 let about = entries.get(now, place, ABOUT);
                 json!({
                     "name": name(place),
                     "address": told.roster[usize::from(place)].1.to_string(),
-                    "belief": word(standing.belief),
-                    "boot": standing.boot.map(|b| format!("{b:016x}")),
-                    "silent_ms": standing.silent.map(millis),
-                    "heard_by": standing.heard_by.into_iter().map(name).collect::<Vec<_>>(),
-                    "second_process": standing.stranger.map(|b| format!("{b:016x}")),
+                    "belief": word(standing.status),
+                    "boot": standing.incarnation.map(|b| format!("{b:016x}")),
+                    "silent_ms": standing.silent_for.map(millis),
+                    "heard_by": standing.reachable_from.into_iter().map(name).collect::<Vec<_>>(),
+                    "second_process": standing.conflicting.map(|b| format!("{b:016x}")),
                     "version": about.map(|(told, _)| String::from_utf8_lossy(told).into_owned()),
                     "told_ms": about.map(|(_, age)| millis(age)),
-                    "lent": f64::from(standing.lent) / f64::from(WHOLE),
-                    "borrowed": f64::from(standing.borrowed) / f64::from(WHOLE),
+                    "lent": f64::from(standing.granted) / f64::from(FULL_SHARE),
+                    "borrowed": f64::from(standing.leased) / f64::from(FULL_SHARE),
                 })
             })
             .collect();
         json!({
-            "name": name(quota.terms().me),
-            "boot": format!("{:016x}", quota.boot()),
-            "revision": quota.terms().revision,
+            "name": name(quota.config().me),
+            "boot": format!("{:016x}", quota.incarnation()),
+            "revision": quota.config().revision,
             "settled": quota.is_settled(),
-            "just_started": quota.is_quiet(now),
-            "standing_back": quota.stands_back(now) || self.socket.get().is_none(),
-            "other_roster": quota.yields(now),
-            "banks": quota.banks(now).into_iter().map(name).collect::<Vec<_>>(),
+            "just_started": quota.is_starting(now),
+            "standing_back": quota.is_standby(now) || self.socket.get().is_none(),
+            "other_roster": quota.yields_to_roster(now),
+            "banks": quota.issuers_held(now).into_iter().map(name).collect::<Vec<_>>(),
             "limits": self.parts().into_iter()
                 .map(|(limit, part)| json!({"limit": limit, "part": part}))
                 .collect::<Vec<_>>(),
@@ -707,11 +713,11 @@
         self.count_as_starting();
         {
             let mut quota = self.quota.borrow_mut();
-            if asked.is_empty() && now >= quota.ends_at() {
-                quota.on(now, Event::Look, &mut effects);
+            if asked.is_empty() && now >= quota.next_expiry() {
+                quota.on(now, Event::Poll, &mut effects);
             }
             for (limit, units) in asked {
-                quota.on(now, Event::Asked { limit, units }, &mut effects);
+                quota.on(now, Event::Demanded { limit, units }, &mut effects);
             }
         }
         module.extend(self.carry_out(effects, None, set));
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -17,7 +17,7 @@
 use tulipbridge::request_tracker::Input;
 use tulipbridge::telemetry::metrics::Figures;
 use tulipbridge::{Listed, NodeInfo, Outcome, UpdateScope};
-use tulipbridge_fleet_limits::{Ask, Beat, Limit, Loan, Loans};
+use tulipbridge_fleet_limits::{Demand, Heartbeat, Lease, LeaseGrant, Limit};
 use tulipbridge_membership::{
     Delta, Envelope, EnvelopeCodec, GossipEntry, GossipMessage, GossipStore, Key, PeerState,
 };
@@ -26,7 +26,7 @@
 /// `program_speaks_and_hears_the_golden_format` holds this copy against the running program.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Message {
-    Beat(Box<Beat>),
+    Beat(Box<Heartbeat>),
     Entries(GossipMessage),
 }
 
@@ -67,19 +67,19 @@
         leaving: true,
         hears: vec![9],
     };
-    let volume = Loan { limit: Limit::Volume(131), part: 132 };
-    let beat = Beat {
+    let volume = Lease { limit: Limit::Volume(131), share: 132 };
+    let beat = Heartbeat {
         roster: 0x8877_6655_4433_2211,
         revision: 257,
-        hello,
+        state: hello,
         established: false,
-        reply: true,
-        wants: vec![1, 2],
-        agrees: vec![3],
+        is_reply: true,
+        claims: vec![1, 2],
+        votes: vec![3],
         settled: vec![4, 640, 6],
-        asks: vec![Ask { limit: Limit::Servers, milli: 150 }],
-        uses: Some((302, 303)),
-        loans: Loans { number: 400, term: -2_500, parts: vec![volume] },
+        demands: vec![Demand { limit: Limit::ServerLoad, milli_units_per_second: 150 }],
+        grant_in_use: Some((302, 303)),
+        grant: LeaseGrant { number: 400, duration: -2_500, leases: vec![volume] },
     };
     assert_golden(
         &Message::Beat(Box::new(beat)),
@@ -276,18 +276,18 @@
 }
 
 /// A beat of the peer's, by which the program knows that the peer hears it.
-fn answer_to(beat: &Beat, boot: u64, sent: i64) -> Message {
-    let hello = PeerState { sent_at: sent, echo: Some((boot, beat.hello.sent_at)), ..PeerState::default() };
+fn answer_to(beat: &Heartbeat, boot: u64, sent: i64) -> Message {
+    let hello = PeerState { sent_at: sent, echo: Some((boot, beat.state.sent_at)), ..PeerState::default() };
     let (roster, revision) = (beat.roster, beat.revision);
-    Message::Beat(Box::new(Beat { roster, revision, hello, ..Beat::default() }))
+    Message::Beat(Box::new(Heartbeat { roster, revision, state: hello, ..Heartbeat::default() }))
 }
 
 /// Entries of the peer's, with one that says its version.
-fn version_of_peer(beat: &Beat, boot: u64) -> Message {
+fn version_of_peer(beat: &Heartbeat, boot: u64) -> Message {
     let about = Key { kind: 0, id: 0 };
     let item = GossipEntry { key: about, version: 1, age_ms: 0, value: Some(b"golden".to_vec()) };
     let delta = Delta { origin: 1, incarnation: PEER_BOOT, after: 0, to: 1, entries: vec![item] };
-    let echo = Some((boot, beat.hello.sent_at));
+    let echo = Some((boot, beat.state.sent_at));
     Message::Entries(GossipMessage { echo, knows: Vec::new(), requests_missing: false, deltas: vec![delta] })
 }
 
