--- a/crates/fleet-limits/src/lib.rs
+++ b/crates/fleet-limits/src/lib.rs
@@ -25,7 +25,7 @@
 
 pub use beat::{Demand, Heartbeat, Lease, LeaseGrant};
 pub use machine::{Effect, Event, LimitCoordinator, PeerReport};
-pub use terms::{Config, ConfigError};
+pub use terms::{LimitsConfig, LimitsConfigError};
 pub use tulipbridge_membership::{Incarnation, MessageStatus, Nanos, PeerId, PeerStatus};
 
 /// A limit that holds for the whole fleet.
--- a/crates/fleet-limits/src/machine.rs
+++ b/crates/fleet-limits/src/machine.rs
@@ -37,7 +37,7 @@
     /// Time has passed: what has ended is used no more.
     Poll,
     /// A new roster, or new terms.
-    Reconfigure(Config),
+    Reconfigure(LimitsConfig),
     /// The front ends: it renews nothing and says so.
     Shutdown,
     /// The front cannot hear yet, for another process has its address: it counts as one that starts now.
@@ -161,7 +161,7 @@
 /// One front's part in limits that hold for the whole fleet.
 #[derive(Clone, Debug)]
 pub struct LimitCoordinator {
-    config: Config,
+    config: LimitsConfig,
     members: MembershipTable,
     /// Until then this front agrees to nothing and uses nothing of its own.
     quiet_until: Nanos,
@@ -187,7 +187,11 @@
     ///
     /// # Errors
     /// Where the terms cannot hold.
-    pub fn new(terms: Config, boot: Incarnation, now: Nanos) -> Result<LimitCoordinator, ConfigError> {
+    pub fn new(
+        terms: LimitsConfig,
+        boot: Incarnation,
+        now: Nanos,
+    ) -> Result<LimitCoordinator, LimitsConfigError> {
         terms.check()?;
         let fronts = usize::from(terms.fronts);
         let first = terms.revision <= 1;
@@ -317,7 +321,7 @@
     }
 
     /// The terms in force.
-    pub fn config(&self) -> &Config {
+    pub fn config(&self) -> &LimitsConfig {
         &self.config
     }
 
@@ -643,7 +647,7 @@
 
     /// A beat that says no more than which roster this front has.
     fn signed_heartbeat(&self) -> Heartbeat {
-        let Config { roster, revision, .. } = self.config;
+        let LimitsConfig { roster, revision, .. } = self.config;
         Heartbeat { roster, revision, established: self.established, ..Heartbeat::default() }
     }
 
@@ -725,7 +729,7 @@
     }
 
     /// New terms: nothing of the old ones is renewed, and what runs ends before anything of the new is used.
-    fn reconfigure(&mut self, now: Nanos, terms: Config, effects: &mut Vec<Effect>) {
+    fn reconfigure(&mut self, now: Nanos, terms: LimitsConfig, effects: &mut Vec<Effect>) {
         if terms == self.config || terms.check().is_err() {
             return;
         }
--- a/crates/fleet-limits/src/terms.rs
+++ b/crates/fleet-limits/src/terms.rs
@@ -6,7 +6,7 @@
 
 /// The terms of one front.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Config {
+pub struct LimitsConfig {
     /// This front's place among the names of the roster, in their order.
     pub me: PeerId,
     /// How many names there are.
@@ -29,7 +29,7 @@
 
 /// Why terms cannot hold.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ConfigError {
+pub enum LimitsConfigError {
     /// The place is not one of the roster's.
     #[error("place {me} is not in a roster of {fronts}")]
     UnknownPeer {
@@ -54,13 +54,13 @@
     Drift(u32),
 }
 
-impl Config {
+impl LimitsConfig {
     /// The usual terms of the front at a place among so many: a life of 2 s, a beat of 200 ms, clocks within 0.1%,
     /// and a tenth of each limit as floors.
-    pub fn new(me: PeerId, fronts: PeerId, roster: u64) -> Config {
+    pub fn new(me: PeerId, fronts: PeerId, roster: u64) -> LimitsConfig {
         let (life, beat) = (2_000 * MS, 200 * MS);
         let (drift, floor) = (1_000, FULL_SHARE / 10);
-        Config {
+        LimitsConfig {
             me,
             fronts,
             roster,
@@ -77,21 +77,21 @@
     ///
     /// # Errors
     /// What is wrong with them.
-    pub fn check(&self) -> Result<(), ConfigError> {
+    pub fn check(&self) -> Result<(), LimitsConfigError> {
         if self.me >= self.fronts {
-            return Err(ConfigError::UnknownPeer { me: self.me, fronts: self.fronts });
+            return Err(LimitsConfigError::UnknownPeer { me: self.me, fronts: self.fronts });
         }
         if self.heartbeat_interval <= 0 || self.lease_duration / 4 < self.heartbeat_interval {
-            return Err(ConfigError::HeartbeatTooSlow {
+            return Err(LimitsConfigError::HeartbeatTooSlow {
                 lease_duration: self.lease_duration,
                 heartbeat_interval: self.heartbeat_interval,
             });
         }
         if self.floor > FULL_SHARE {
-            return Err(ConfigError::Floor(self.floor));
+            return Err(LimitsConfigError::Floor(self.floor));
         }
         if self.max_clock_drift > 100_000 {
-            return Err(ConfigError::Drift(self.max_clock_drift));
+            return Err(LimitsConfigError::Drift(self.max_clock_drift));
         }
         Ok(())
     }
@@ -130,7 +130,7 @@
     #[test]
     fn any_home_and_any_other_share_a_front_and_the_parts_fit_the_whole() {
         for fronts in 1..=400 {
-            let terms = Config::new(0, fronts, 1);
+            let terms = LimitsConfig::new(0, fronts, 1);
             assert!(terms.quorum(true) + terms.quorum(false) > usize::from(fronts), "{fronts}");
             assert!(
                 (terms.floor_share() + terms.issuer_share()) * Share::from(fronts) <= FULL_SHARE,
@@ -141,13 +141,13 @@
 
     #[test]
     fn what_cannot_hold_is_said() {
-        let fine = Config::new(0, 4, 1);
+        let fine = LimitsConfig::new(0, 4, 1);
         assert_eq!(fine.check(), Ok(()));
         let wrong = [
-            Config { me: 4, ..fine.clone() },
-            Config { heartbeat_interval: fine.lease_duration, ..fine.clone() },
-            Config { floor: FULL_SHARE + 1, ..fine.clone() },
-            Config { max_clock_drift: 200_000, ..fine },
+            LimitsConfig { me: 4, ..fine.clone() },
+            LimitsConfig { heartbeat_interval: fine.lease_duration, ..fine.clone() },
+            LimitsConfig { floor: FULL_SHARE + 1, ..fine.clone() },
+            LimitsConfig { max_clock_drift: 200_000, ..fine },
         ];
         let said: Vec<String> =
             wrong.iter().map(|t| t.check().expect_err("it cannot hold").to_string()).collect();
--- a/crates/fleet-limits/tests/machine.rs
+++ b/crates/fleet-limits/tests/machine.rs
@@ -3,13 +3,13 @@
 use std::hash::{DefaultHasher, Hasher};
 
 use tulipbridge_fleet_limits::{
-    Config, Effect, Event, Heartbeat, Limit, LimitCoordinator, Nanos, PeerId, FULL_SHARE,
+    Effect, Event, Heartbeat, Limit, LimitCoordinator, LimitsConfig, Nanos, PeerId, FULL_SHARE,
 };
 
 const MS: Nanos = 1_000_000;
 
 fn front(me: PeerId, fronts: PeerId, roster: u64) -> LimitCoordinator {
-    LimitCoordinator::new(Config::new(me, fronts, roster), u64::from(me) * 100 + roster, 0)
+    LimitCoordinator::new(LimitsConfig::new(me, fronts, roster), u64::from(me) * 100 + roster, 0)
         .expect("the terms hold")
 }
 
--- a/crates/model-checker/src/rights.rs
+++ b/crates/model-checker/src/rights.rs
@@ -8,7 +8,7 @@
 use std::hash::{Hash, Hasher};
 
 use tulipbridge_fleet_limits::{
-    Config, Effect, Event, Heartbeat, Limit, LimitCoordinator, Nanos, PeerId, Share, FULL_SHARE,
+    Effect, Event, Heartbeat, Limit, LimitCoordinator, LimitsConfig, Nanos, PeerId, Share, FULL_SHARE,
 };
 
 use crate::explore::{same, Card, Explored};
@@ -140,11 +140,11 @@
 impl Rights {
     fn start(&self, place: PeerId, boots: &mut u64, now: Nanos) -> Process {
         *boots += 1;
-        let terms = Config {
+        let terms = LimitsConfig {
             lease_duration: 4 * BEAT,
             heartbeat_interval: BEAT,
             max_clock_drift: 0,
-            ..Config::new(place, self.fronts, 1)
+            ..LimitsConfig::new(place, self.fronts, 1)
         };
         let quota = LimitCoordinator::new(terms, *boots, now).expect("the terms hold");
         Process { quota, stopped: false, right: 0 }
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -10,11 +10,11 @@
 mod terms;
 mod watch;
 
-pub use evidence::{Evidence, Seen, Worth};
-pub use machine::{Effect, Event, Reason, Said, Saw, Verdicts};
-pub use terms::{Terms, TermsError};
+pub use evidence::{ClassEvidence, Evidence, SampleQuality};
+pub use machine::{Effect, EjectionReport, Event, Observation, OutlierDetector, Vote};
+pub use terms::{DetectorConfig, DetectorConfigError};
 pub use tulipbridge_membership::{GossipStore, Incarnation, Key, Nanos, PeerId};
-pub use watch::{How, Watch};
+pub use watch::{AttemptObserver, AttemptResult};
 
 use serde::{Deserialize, Serialize};
 
@@ -38,7 +38,7 @@
 
 /// What a verdict is on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Subject {
+pub struct EjectionTarget {
     /// The server.
     pub server: Server,
     /// For what.
@@ -48,11 +48,11 @@
 /// Entries that tell what a front saw; the id is the server.
 pub const EVIDENCE: u8 = 2;
 /// Entries by which a front assents; the id is the subject's own, see [`Subject::id`].
-pub const ASSENT: u8 = 3;
+pub const VOTE: u8 = 3;
 /// Entries by which the front that tries a server tells how often in a row it did well; the id is the server.
-pub const TRIAL: u8 = 4;
+pub const PROBE: u8 = 4;
 
-impl Subject {
+impl EjectionTarget {
     /// A number of its own for an entry's key. Two subjects that came to share one would replace each other's entry,
     /// which says what it is about: an assent less, and no verdict too many.
     pub fn id(&self) -> u64 {
--- a/crates/outlier-detection/tests/golden.rs
+++ b/crates/outlier-detection/tests/golden.rs
@@ -33,7 +33,7 @@
 
 #[test]
 fn kinds_of_entries() {
-    assert_eq!((EVIDENCE, ASSENT, TRIAL), (2, 3, 4));
+    assert_eq!((EVIDENCE, VOTE, PROBE), (2, 3, 4));
 }
 
 #[test]
@@ -54,7 +54,7 @@
 #[test]
 fn subject() {
     assert_golden(
-        &Subject { server: SERVER, scope: Scope::Class(201) },
+        &EjectionTarget { server: SERVER, scope: Scope::Class(201) },
         concat!(
             "88ef99abc5e88c9111", // server
             "02c9",               // scope: Class, its number in one byte
@@ -64,7 +64,7 @@
 
 #[test]
 fn subject_ids_are_keys_of_assents() {
-    let id = |scope| Subject { server: SERVER, scope }.id();
+    let id = |scope| EjectionTarget { server: SERVER, scope }.id();
     assert_eq!(id(Scope::All), 0x7709_291b_83f6_32e2);
     assert_eq!(id(Scope::Zone(200)), 0x3af1_14a4_1730_e1a7);
     assert_eq!(id(Scope::Class(201)), 0xb36f_1ca2_ada6_6c67);
@@ -73,7 +73,7 @@
 #[test]
 fn seen() {
     assert_golden(
-        &Seen { class: 202, attempts: 301, bad: 130 },
+        &ClassEvidence { class: 202, attempts: 301, failures: 130 },
         concat!(
             "ca",   // class, in one byte
             "ad02", // attempts
@@ -84,9 +84,12 @@
 
 #[test]
 fn evidence() {
-    let seen = vec![Seen { class: 202, attempts: 301, bad: 130 }, Seen { class: 3, attempts: 5, bad: 4 }];
+    let seen = vec![
+        ClassEvidence { class: 202, attempts: 301, failures: 130 },
+        ClassEvidence { class: 3, attempts: 5, failures: 4 },
+    ];
     assert_golden(
-        &Evidence { zone: 201, base: 400, seen },
+        &Evidence { zone: 201, baseline: 400, classes: seen },
         concat!(
             "c9",         // zone, in one byte
             "9003",       // base
@@ -146,10 +149,10 @@
 }
 
 /// Feeds twenty attempts at a server, so many of them bad.
-fn attempts(verdicts: &mut Verdicts, now: Nanos, entries: &GossipStore, server: Server, bad: usize) {
+fn attempts(verdicts: &mut OutlierDetector, now: Nanos, entries: &GossipStore, server: Server, bad: usize) {
     for attempt in 0..20 {
-        let worth = if attempt < bad { Worth::Bad } else { Worth::Good };
-        let event = Event::Attempt { server, class: CLASS, worth };
+        let worth = if attempt < bad { SampleQuality::Failed } else { SampleQuality::Healthy };
+        let event = Event::Attempt { server, class: CLASS, quality: worth };
         verdicts.on(now, entries, event, &mut Vec::new());
     }
 }
@@ -157,16 +160,16 @@
 /// What the front puts when it looks, with a server that is bad by its own attempts and by the peer's evidence.
 fn puts_on_a_bad_server() -> Vec<(Key, Option<String>)> {
     let now = 1_000 * MS;
-    let seen = vec![Seen { class: CLASS, attempts: 200, bad: 180 }];
-    let entries = entries_with(now, &Evidence { zone: PEER_ZONE, base: 50, seen });
-    let mut verdicts = Verdicts::new(Terms::new(FRONT, 2, ZONE)).expect("the terms hold");
+    let seen = vec![ClassEvidence { class: CLASS, attempts: 200, failures: 180 }];
+    let entries = entries_with(now, &Evidence { zone: PEER_ZONE, baseline: 50, classes: seen });
+    let mut verdicts = OutlierDetector::new(DetectorConfig::new(FRONT, 2, ZONE)).expect("the terms hold");
     let servers = GOOD_SERVERS.chain([SERVER]).map(|server| (server, true)).collect();
     verdicts.on(now, &entries, Event::Servers(servers), &mut Vec::new());
     attempts(&mut verdicts, now, &entries, SERVER, 18);
     GOOD_SERVERS.for_each(|server| attempts(&mut verdicts, now, &entries, server, 1));
     let mut effects = Vec::new();
-    verdicts.on(now, &entries, Event::Look, &mut effects);
-    verdicts.on(now + 400 * MS, &entries, Event::Look, &mut effects);
+    verdicts.on(now, &entries, Event::Evaluate, &mut effects);
+    verdicts.on(now + 400 * MS, &entries, Event::Evaluate, &mut effects);
     puts(effects)
 }
 
@@ -205,10 +208,15 @@
 #[test]
 fn trial_as_a_front_puts_it() {
     let entries = GossipStore::new(FRONT, 2, BOOT, 100_000, 0);
-    let mut verdicts = Verdicts::new(Terms::new(FRONT, 2, ZONE)).expect("the terms hold");
+    let mut verdicts = OutlierDetector::new(DetectorConfig::new(FRONT, 2, ZONE)).expect("the terms hold");
     let mut effects = Vec::new();
-    for worth in [Worth::Good, Worth::Good, Worth::Bad] {
-        verdicts.on(0, &entries, Event::Tried { server: SERVER, class: CLASS, worth }, &mut effects);
+    for worth in [SampleQuality::Healthy, SampleQuality::Healthy, SampleQuality::Failed] {
+        verdicts.on(
+            0,
+            &entries,
+            Event::Probed { server: SERVER, class: CLASS, quality: worth },
+            &mut effects,
+        );
     }
     // How often in a row it did well, in one byte.
     let put = |value: &str| (Key { kind: 4, id: SERVER }, Some(value.to_owned()));
--- a/crates/outlier-detection/tests/machine.rs
+++ b/crates/outlier-detection/tests/machine.rs
@@ -9,8 +9,8 @@
 struct Front {
     contacts: MembershipTable,
     entries: GossipStore,
-    verdicts: Verdicts,
-    out: Vec<Subject>,
+    verdicts: OutlierDetector,
+    out: Vec<EjectionTarget>,
     tries: usize,
 }
 
@@ -19,8 +19,8 @@
     let front = |me: PeerId| {
         let boot = 100 + u64::from(me);
         let entries = GossipStore::new(me, fronts, boot, 100_000, 0);
-        let terms = Terms::new(me, fronts, (me % PeerId::from(zones)) as Zone);
-        let mut verdicts = Verdicts::new(terms).expect("terms hold");
+        let terms = DetectorConfig::new(me, fronts, (me % PeerId::from(zones)) as Zone);
+        let mut verdicts = OutlierDetector::new(terms).expect("terms hold");
         let servers = (0..6).map(|s| (s, true)).collect();
         verdicts.on(0, &entries, Event::Servers(servers), &mut Vec::new());
         Front {
@@ -48,12 +48,19 @@
             for server in 0..6 {
                 let out = fleet[at].out.iter().any(|s| s.server == server);
                 for class in [0, 1].into_iter().filter(|_| !out) {
-                    let worth = if bad(at, server, class) { Worth::Bad } else { Worth::Good };
-                    feed(&mut fleet[at], now, Event::Attempt { server, class, worth }, &|_| worth);
+                    let worth =
+                        if bad(at, server, class) { SampleQuality::Failed } else { SampleQuality::Healthy };
+                    feed(&mut fleet[at], now, Event::Attempt { server, class, quality: worth }, &|_| worth);
                 }
             }
             fleet[at].contacts.begin_round(now);
-            feed(&mut fleet[at], now, Event::Look, &|s| if bad(at, s, 0) { Worth::Bad } else { Worth::Good });
+            feed(&mut fleet[at], now, Event::Evaluate, &|s| {
+                if bad(at, s, 0) {
+                    SampleQuality::Failed
+                } else {
+                    SampleQuality::Healthy
+                }
+            });
             let mut acts = Vec::new();
             let one = &mut fleet[at];
             one.entries.on(now, &one.contacts, GossipInput::Round, &mut acts).expect("a round puts nothing");
@@ -83,7 +90,7 @@
     }
 }
 
-fn feed(front: &mut Front, now: Nanos, event: Event, tried: &dyn Fn(Server) -> Worth) {
+fn feed(front: &mut Front, now: Nanos, event: Event, tried: &dyn Fn(Server) -> SampleQuality) {
     let mut effects = Vec::new();
     front.verdicts.on(now, &front.entries, event, &mut effects);
     for effect in effects {
@@ -92,19 +99,19 @@
                 let told = GossipInput::Put(key, value);
                 front.entries.on(now, &front.contacts, told, &mut Vec::new()).expect("it fits");
             }
-            Effect::Out(subject) => front.out.push(subject),
-            Effect::Back { subject, .. } => front.out.retain(|s| *s != subject),
-            Effect::Try(server) => {
+            Effect::Ejected(subject) => front.out.push(subject),
+            Effect::Readmitted { target: subject, .. } => front.out.retain(|s| *s != subject),
+            Effect::Probe(server) => {
                 front.tries += 1;
                 let worth = tried(server);
-                feed(front, now, Event::Tried { server, class: 0, worth }, &|_| worth);
+                feed(front, now, Event::Probed { server, class: 0, quality: worth }, &|_| worth);
             }
             Effect::Suspect(_) => {}
         }
     }
 }
 
-const ALL: Subject = Subject { server: 3, scope: Scope::All };
+const ALL: EjectionTarget = EjectionTarget { server: 3, scope: Scope::All };
 
 #[test]
 fn a_bad_server_is_held_out_by_all_tried_by_one_and_comes_back() {
@@ -125,7 +132,7 @@
     let mut fronts = fleet(6, 2);
     rounds(&mut fronts, 0, 1_000 * MS, |_, _| true, |_, _, _| false);
     rounds(&mut fronts, 1_000 * MS, 6_000 * MS, |_, _| true, |at, server, _| server == 3 && at % 2 == 1);
-    let zone = Subject { server: 3, scope: Scope::Zone(1) };
+    let zone = EjectionTarget { server: 3, scope: Scope::Zone(1) };
     for (at, front) in fronts.iter().enumerate() {
         assert_eq!(front.out, if at % 2 == 1 { vec![zone] } else { Vec::new() }, "front {at}");
     }
@@ -136,7 +143,7 @@
     let mut fronts = fleet(4, 1);
     rounds(&mut fronts, 0, 2_000 * MS, |_, _| true, |_, _, _| false);
     rounds(&mut fronts, 2_000 * MS, 6_000 * MS, |_, _| true, |_, server, class| server == 3 && class == 1);
-    let class = Subject { server: 3, scope: Scope::Class(1) };
+    let class = EjectionTarget { server: 3, scope: Scope::Class(1) };
     assert!(fronts.iter().all(|f| f.out == [class]), "{:?}", fronts[0].out);
 }
 
@@ -170,7 +177,9 @@
     rounds(&mut fronts, 2_000 * MS, 8_000 * MS, side, |_, server, _| server == 3);
     assert!(fronts.iter().all(|f| f.out.is_empty()), "two of four");
     rounds(&mut fronts, 8_000 * MS, 12_000 * MS, |_, _| true, |_, server, _| server == 3);
-    assert!(fronts.iter().all(|f| f.out == [ALL] || f.out == [Subject { scope: Scope::Zone(0), ..ALL }]));
+    assert!(fronts
+        .iter()
+        .all(|f| f.out == [ALL] || f.out == [EjectionTarget { scope: Scope::Zone(0), ..ALL }]));
     rounds(&mut fronts, 12_000 * MS, 17_000 * MS, side, |_, server, _| server == 3);
     assert!(fronts.iter().all(|f| f.out.is_empty()), "no older than an assent's life");
 }
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use serde::Serialize;
-use tulipbridge_fleet_limits::{Config, Effect, Event, Limit, LimitCoordinator, Nanos, PeerId};
+use tulipbridge_fleet_limits::{Effect, Event, Limit, LimitCoordinator, LimitsConfig, Nanos, PeerId};
 use tulipbridge_membership::{EnvelopeCodec, EnvelopeError, PeerStatus};
 
 /// What was measured.
@@ -42,7 +42,8 @@
     let before = resident();
     let mut fleet: Vec<LimitCoordinator> = (0..fronts)
         .map(|me| {
-            LimitCoordinator::new(Config::new(me, fronts, 1), u64::from(me) + 1, 0).expect("the terms hold")
+            LimitCoordinator::new(LimitsConfig::new(me, fronts, 1), u64::from(me) + 1, 0)
+                .expect("the terms hold")
         })
         .collect();
     let beat = fleet[0].config().heartbeat_interval;
--- a/crates/testbed/src/simulate.rs
+++ b/crates/testbed/src/simulate.rs
@@ -10,7 +10,8 @@
 use fastrand::Rng;
 use serde::Serialize;
 use tulipbridge_fleet_limits::{
-    Config, Effect, Event, Heartbeat, Incarnation, Limit, LimitCoordinator, Nanos, PeerId, Share, FULL_SHARE,
+    Effect, Event, Heartbeat, Incarnation, Limit, LimitCoordinator, LimitsConfig, Nanos, PeerId, Share,
+    FULL_SHARE,
 };
 
 use crate::network::Links;
@@ -106,7 +107,7 @@
     messages: BTreeMap<usize, Message>,
     links: Links,
     rates: Vec<u32>,
-    terms: Vec<Config>,
+    terms: Vec<LimitsConfig>,
     /// Twins there have been that may still be: each may add a floor and a bank.
     twins: u32,
     verdict: Verdict,
@@ -126,7 +127,10 @@
         links: Links::new(fronts),
         rates: vec![0; fronts],
         terms: (0..fronts)
-            .map(|me| Config { max_clock_drift: DRIFT, ..Config::new(me as PeerId, fronts as PeerId, 1) })
+            .map(|me| LimitsConfig {
+                max_clock_drift: DRIFT,
+                ..LimitsConfig::new(me as PeerId, fronts as PeerId, 1)
+            })
             .collect(),
         twins: 0,
         verdict: Verdict::default(),
--- a/crates/testbed/src/verdicts.rs
+++ b/crates/testbed/src/verdicts.rs
@@ -7,7 +7,8 @@
 use serde::Serialize;
 use tulipbridge_membership::{GossipAction, GossipInput, Incarnation, Key, Nanos, PeerId};
 use tulipbridge_outlier_detection::{
-    Class, Effect, Event, Scope, Server, Subject, Terms, Verdicts, Worth, Zone, ASSENT, EVIDENCE,
+    Class, DetectorConfig, Effect, EjectionTarget, Event, OutlierDetector, SampleQuality, Scope, Server,
+    Zone, EVIDENCE, VOTE,
 };
 
 use crate::network::{Agenda, Links, Message, Peer, Said, BEAT, LIFE, MS};
@@ -131,7 +132,7 @@
 
 struct Front {
     peer: Peer,
-    verdicts: Verdicts,
+    verdicts: OutlierDetector,
     /// When it may look again beside its rounds, and whether it is to.
     look_at: Nanos,
     due: bool,
@@ -158,7 +159,7 @@
     trials: Vec<(Nanos, Server)>,
     held: BTreeSet<Server>,
     /// When each front last put which assent, and evidence of which server, that stands.
-    assents: BTreeMap<(usize, Subject), Nanos>,
+    assents: BTreeMap<(usize, EjectionTarget), Nanos>,
     evidence: BTreeMap<(usize, Server), Nanos>,
     verdict: Verdict,
 }
@@ -198,19 +199,19 @@
         }
     }
     // All is well by now: evidence and assents run out.
-    let terms = Terms::new(0, count as PeerId, 0);
-    world.verdict.may_out = count * terms.most_assents(SERVERS as usize) / terms.quorum();
+    let terms = DetectorConfig::new(0, count as PeerId, 0);
+    world.verdict.may_out = count * terms.max_votes(SERVERS as usize) / terms.quorum();
     // Each front tries for nine turns, of which one may have been half over, and one waits before the first.
-    let tried = 21 * terms.turn + 2 * BEAT;
+    let tried = 21 * terms.probe_turn + 2 * BEAT;
     world.until(end + tried);
     // Where more are bad than may be out, they take turns, and their triers with them.
-    let few = world.setting.ill.len() <= terms.most_assents(SERVERS as usize);
+    let few = world.setting.ill.len() <= terms.max_votes(SERVERS as usize);
     let busy = world.setting.calm && world.setting.faulty.is_none() && world.setting.load >= 16 && few;
-    let holds = world.fronts.iter().flatten().any(|f| f.verdicts.out().next().is_some());
+    let holds = world.fronts.iter().flatten().any(|f| f.verdicts.ejected().next().is_some());
     world.verdict.not_back = busy && holds;
-    let wait = terms.evidence_life + 2 * terms.assent_life + 4 * LIFE;
+    let wait = terms.evidence_ttl + 2 * terms.vote_ttl + 4 * LIFE;
     world.until(end + wait);
-    world.verdict.not_lapsed = world.fronts.iter().flatten().any(|f| f.verdicts.out().next().is_some());
+    world.verdict.not_lapsed = world.fronts.iter().flatten().any(|f| f.verdicts.ejected().next().is_some());
     let ill = world.setting.ill.iter().filter(|(_, _, illness)| matches!(illness, Illness::All(_)));
     world.verdict.found = ill.filter(|(_, server, _)| world.held.contains(server)).count() as u64;
     if let [(_, server, Illness::All(1_000))] = world.setting.ill[..] {
@@ -249,8 +250,8 @@
         }
         let (boot, count, now) = (self.lot.u64(1..u64::MAX), self.fronts.len(), self.now);
         let peer = Peer::new(place, count, boot, RATE, now);
-        let terms = Terms::new(place as PeerId, count as PeerId, Self::zone(place));
-        let mut verdicts = Verdicts::new(terms).expect("the terms hold");
+        let terms = DetectorConfig::new(place as PeerId, count as PeerId, Self::zone(place));
+        let mut verdicts = OutlierDetector::new(terms).expect("the terms hold");
         let servers = (0..SERVERS).map(|s| (s, true)).collect();
         verdicts.on(now, &peer.entries, Event::Servers(servers), &mut Vec::new());
         self.fronts[place] = Some(Front { peer, verdicts, look_at: now, due: false });
@@ -271,7 +272,7 @@
     fn attempt(&mut self, place: usize, boot: Incarnation) {
         let wait = -(1.0 - self.lot.f64()).ln() / f64::from(self.setting.load) * 1e9;
         let held = match self.running(place, boot) {
-            Ok(front) => front.verdicts.out().collect::<Vec<Subject>>(),
+            Ok(front) => front.verdicts.ejected().collect::<Vec<EjectionTarget>>(),
             Err(again) => {
                 if let Some(at) = again {
                     self.agenda.put(at, Due::Attempt(place, boot));
@@ -295,9 +296,9 @@
         let worth = self.worth(place, server, class);
         let liar = self.setting.faulty == Some((place, Defect::AllGood)) && self.now < self.end;
         for _ in 0..if liar { 50 } else { 1 } {
-            self.feed(place, Event::Attempt { server, class, worth });
+            self.feed(place, Event::Attempt { server, class, quality: worth });
         }
-        if worth == Worth::Bad {
+        if worth == SampleQuality::Failed {
             self.look_soon(place);
         }
     }
@@ -322,7 +323,7 @@
                 return;
             }
         }
-        if self.feed(place, Event::Look) {
+        if self.feed(place, Event::Evaluate) {
             let acts = self.fronts[place].as_mut().map_or_else(Vec::new, |front| front.peer.round(now));
             self.carry_out(place, acts);
         }
@@ -332,7 +333,7 @@
     }
 
     /// What an attempt comes to, as the front takes it.
-    fn worth(&mut self, place: usize, server: Server, class: Class) -> Worth {
+    fn worth(&mut self, place: usize, server: Server, class: Class) -> SampleQuality {
         let (now, end, zone) = (self.now, self.end, Self::zone(place));
         let lot = self.lot.u32(0..1_000);
         let ill = |(at, s, illness): &(Millis, Server, Illness)| {
@@ -357,9 +358,9 @@
             None => ill || lot < CHANCE,
         };
         if bad {
-            Worth::Bad
+            SampleQuality::Failed
         } else {
-            Worth::Good
+            SampleQuality::Healthy
         }
     }
 
@@ -378,7 +379,7 @@
         for (to, hello) in hellos {
             self.send(place, to, hello);
         }
-        self.feed(place, Event::Look);
+        self.feed(place, Event::Evaluate);
         let acts = self.fronts[place].as_mut().map_or_else(Vec::new, |front| front.peer.round(now));
         self.carry_out(place, acts);
         self.agenda.put(now + BEAT + shake, Due::Round(place, boot));
@@ -398,13 +399,13 @@
                         puts.push((key, value.clone()));
                         Self::put(&mut front.peer, now, key, value);
                     }
-                    Effect::Try(server) => tries.push(server),
-                    Effect::Out(subject) => {
+                    Effect::Probe(server) => tries.push(server),
+                    Effect::Ejected(subject) => {
                         let told = innocent(&self.setting, subject);
                         self.verdict.innocent = self.verdict.innocent.take().or(told);
                         self.held.insert(subject.server);
                     }
-                    Effect::Back { .. } | Effect::Suspect(_) => {}
+                    Effect::Readmitted { .. } | Effect::Suspect(_) => {}
                 }
             }
         }
@@ -415,7 +416,7 @@
             self.trials.push((now, server));
             let class = self.lot.u8(0..CLASSES);
             let worth = self.worth(place, server, class);
-            self.feed(place, Event::Tried { server, class, worth });
+            self.feed(place, Event::Probed { server, class, quality: worth });
             self.look_soon(place);
         }
         self.judge();
@@ -425,15 +426,15 @@
     /// Notes what a front tells, and holds a new assent against the evidence there is.
     fn note(&mut self, place: usize, key: Key, value: Option<Vec<u8>>) {
         let now = self.now;
-        let subject = value.as_ref().and_then(|v| postcard::from_bytes::<(Subject, Zone)>(v).ok());
+        let subject = value.as_ref().and_then(|v| postcard::from_bytes::<(EjectionTarget, Zone)>(v).ok());
         match (key.kind, value.is_some(), subject) {
             (EVIDENCE, true, _) => {
                 self.evidence.insert((place, key.id), now);
             }
-            (ASSENT, true, Some((subject, _))) => {
-                let terms = Terms::new(0, 1, 0);
+            (VOTE, true, Some((subject, _))) => {
+                let terms = DetectorConfig::new(0, 1, 0);
                 let fresh = self.evidence.iter().filter(|((_, server), at)| {
-                    *server == subject.server && now - **at <= terms.evidence_life + BEAT
+                    *server == subject.server && now - **at <= terms.evidence_ttl + BEAT
                 });
                 let first = !self.assents.contains_key(&(place, subject));
                 if first && fresh.count() < terms.witnesses {
@@ -442,10 +443,12 @@
                 }
                 self.assents.insert((place, subject), now);
             }
-            (ASSENT, false, _) => {
+            (VOTE, false, _) => {
                 self.assents.retain(|(front, subject), at| {
                     // Taken back, it counts nowhere once that is heard; until then it counts by its age.
-                    *front != place || subject.id() != key.id || now - *at <= Terms::new(0, 1, 0).assent_life
+                    *front != place
+                        || subject.id() != key.id
+                        || now - *at <= DetectorConfig::new(0, 1, 0).vote_ttl
                 });
             }
             _ => {}
@@ -460,7 +463,7 @@
     fn judge(&mut self) {
         let now = self.now;
         let there = self.fronts.iter().flatten().filter(|f| now >= f.peer.stopped_until);
-        let out: BTreeSet<Server> = there.flat_map(|f| f.verdicts.out().map(|s| s.server)).collect();
+        let out: BTreeSet<Server> = there.flat_map(|f| f.verdicts.ejected().map(|s| s.server)).collect();
         self.verdict.most_out = self.verdict.most_out.max(out.len());
         if self.verdict.unfounded.is_some() {
             return;
@@ -468,14 +471,14 @@
         // A front that stood still looks at its next beat.
         let looked = |f: &&Front| now >= f.peer.stopped_until + 2 * BEAT;
         let unfounded = self.fronts.iter().flatten().filter(looked).find_map(|front| {
-            let terms = front.verdicts.terms();
-            let oldest = now - terms.assent_span() - 2 * BEAT;
-            let stands = |place: &usize, subject: Subject| {
-                let whole = Subject { scope: Scope::All, ..subject };
+            let terms = front.verdicts.config();
+            let oldest = now - terms.vote_span() - 2 * BEAT;
+            let stands = |place: &usize, subject: EjectionTarget| {
+                let whole = EjectionTarget { scope: Scope::All, ..subject };
                 let put = [subject, whole].into_iter().filter_map(|s| self.assents.get(&(*place, s)));
                 put.max().is_some_and(|at| *at >= oldest)
             };
-            front.verdicts.out().find(|subject| {
+            front.verdicts.ejected().find(|subject| {
                 (0..self.fronts.len()).filter(|place| stands(place, *subject)).count() < terms.quorum()
             })
         });
@@ -483,7 +486,7 @@
     }
 
     fn most_trials(&self) -> usize {
-        let turn = Terms::new(0, 1, 0).turn;
+        let turn = DetectorConfig::new(0, 1, 0).probe_turn;
         let near = |(at, server): &(Nanos, Server)| {
             self.trials.iter().filter(|(t, s)| s == server && *t >= *at && *t < at + turn / 2).count()
         };
@@ -553,7 +556,7 @@
 }
 
 /// What is wrong with a verdict on a server that was never bad for what it is held out for.
-fn innocent(setting: &Setting, subject: Subject) -> Option<String> {
+fn innocent(setting: &Setting, subject: EjectionTarget) -> Option<String> {
     let guilty = |(_, server, illness): &(Millis, Server, Illness)| {
         *server == subject.server
             && match (subject.scope, illness) {
--- a/src/cluster/ejections.rs
+++ b/src/cluster/ejections.rs
@@ -14,8 +14,8 @@
 };
 use tulipbridge_membership::{EnvelopeCodec, GossipStore, Key, PeerId};
 use tulipbridge_outlier_detection::{
-    Class, Effect, Event, How, Reason, Saw, Scope, Server, Subject, Terms, TermsError, Verdicts, Watch,
-    Worth, Zone,
+    AttemptObserver, AttemptResult, Class, DetectorConfig, DetectorConfigError, Effect, EjectionReport,
+    EjectionTarget, Event, Observation, OutlierDetector, SampleQuality, Scope, Server, Zone,
 };
 
 use crate::config::settings::{num, Res};
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
     /// Part of all servers that may be held out at a time.
-    pub most_out: f64,
+    pub max_ejected_fraction: f64,
     /// Fronts that must have seen a server do badly.
     pub witnesses: usize,
 }
@@ -41,10 +41,10 @@
         if let Some(other) = object.keys().find(|k| !["most_out", "witnesses"].contains(&k.as_str())) {
             return Err(format!("'peers.verdicts.{other}' is not known"));
         }
-        let usual = Terms::new(0, 1, 0);
+        let usual = DetectorConfig::new(0, 1, 0);
         let part = |told: &f64| (0.0..1.0).contains(told);
         let most_out = match value.get("most_out") {
-            None => usual.most_out,
+            None => usual.max_ejected_fraction,
             Some(_) => num(value, "most_out")
                 .ok()
                 .filter(part)
@@ -59,16 +59,24 @@
                 .ok_or("'peers.verdicts.witnesses' must be a whole number of 2 or more")?
                 as usize,
         };
-        Ok(Config { most_out, witnesses })
+        Ok(Config { max_ejected_fraction: most_out, witnesses })
     }
 
     /// The terms of the front at a place among so many, in a zone.
     ///
     /// # Errors
     /// Where they cannot hold.
-    pub fn terms(&self, me: PeerId, fronts: PeerId, zone: Zone) -> Result<Terms, TermsError> {
-        let terms =
-            Terms { most_out: self.most_out, witnesses: self.witnesses, ..Terms::new(me, fronts, zone) };
+    pub fn terms(
+        &self,
+        me: PeerId,
+        fronts: PeerId,
+        zone: Zone,
+    ) -> Result<DetectorConfig, DetectorConfigError> {
+        let terms = DetectorConfig {
+            max_ejected_fraction: self.max_ejected_fraction,
+            witnesses: self.witnesses,
+            ..DetectorConfig::new(me, fronts, zone)
+        };
         terms.check().map(|()| terms)
     }
 }
@@ -151,8 +159,8 @@
 
 /// This front's part in verdicts.
 pub struct Bench {
-    machine: Verdicts,
-    watch: Watch,
+    machine: OutlierDetector,
+    watch: AttemptObserver,
     nodes: BTreeMap<NodeId, Member>,
     /// For what the module was told that nodes are out.
     told: BTreeMap<NodeId, ClassSet>,
@@ -167,10 +175,10 @@
     ///
     /// # Errors
     /// Where the terms cannot hold.
-    pub fn new(terms: Terms, counts: Counts) -> Result<Bench, TermsError> {
+    pub fn new(terms: DetectorConfig, counts: Counts) -> Result<Bench, DetectorConfigError> {
         Ok(Bench {
-            machine: Verdicts::new(terms)?,
-            watch: Watch::default(),
+            machine: OutlierDetector::new(terms)?,
+            watch: AttemptObserver::default(),
             nodes: BTreeMap::new(),
             told: BTreeMap::new(),
             seen: Vec::new(),
@@ -183,28 +191,28 @@
     ///
     /// # Errors
     /// Where the terms cannot hold.
-    pub fn renew(&mut self, terms: Terms) -> Result<(), TermsError> {
-        self.machine = Verdicts::new(terms)?;
+    pub fn renew(&mut self, terms: DetectorConfig) -> Result<(), DetectorConfigError> {
+        self.machine = OutlierDetector::new(terms)?;
         self.listed = true;
         Ok(())
     }
 
     /// The terms in force.
-    pub fn terms(&self) -> &Terms {
-        self.machine.terms()
+    pub fn terms(&self) -> &DetectorConfig {
+        self.machine.config()
     }
 
     /// Takes an input of the front's, before its desk does. Says whether a look should come soon: an attempt has gone
     /// badly, or at a timer of the desk's, which come often, is out for so long that it is bad.
     pub fn runs(&mut self, now: Nanos, input: &Input) -> bool {
-        self.watch.runs(now);
+        self.watch.step(now);
         if let Input::Timer(_) = input {
-            return self.watch.is_overdue(now);
+            return self.watch.has_overdue(now);
         }
         let event = self.ended(now, input);
         let soon = match &event {
-            Some(Event::Attempt { worth, .. }) => *worth == Worth::Bad,
-            Some(Event::Tried { .. }) => true,
+            Some(Event::Attempt { quality: worth, .. }) => *worth == SampleQuality::Failed,
+            Some(Event::Probed { .. }) => true,
             _ => false,
         };
         self.seen.extend(event);
@@ -239,7 +247,7 @@
     /// An attempt went out.
     pub fn sent(&mut self, now: Nanos, key: (RequestId, u32), node: NodeId, class: usize, repeatable: bool) {
         if let (Some(member), Ok(class)) = (self.nodes.get(&node), Class::try_from(class)) {
-            self.watch.sent(now, key, member.server, class, repeatable);
+            self.watch.attempt_sent(now, key, member.server, class, repeatable);
         }
     }
 
@@ -248,19 +256,19 @@
         let (key, how) = match input {
             Input::AttemptEnded { id, attempt, outcome, .. } => {
                 let how = match outcome {
-                    Outcome::Served => How::Answered,
-                    Outcome::Error | Outcome::NotExecuted | Outcome::Reset => How::Failed,
-                    Outcome::Rejected => How::TurnedAway,
-                    Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => How::GivenUp,
+                    Outcome::Served => AttemptResult::Answered,
+                    Outcome::Error | Outcome::NotExecuted | Outcome::Reset => AttemptResult::Failed,
+                    Outcome::Rejected => AttemptResult::Rejected,
+                    Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => AttemptResult::Cancelled,
                 };
                 ((*id, *attempt), how)
             }
             Input::AttemptTimedOut { id, attempt } | Input::AttemptCancelled { id, attempt } => {
-                ((*id, *attempt), How::GivenUp)
+                ((*id, *attempt), AttemptResult::Cancelled)
             }
             _ => return None,
         };
-        self.watch.ended(now, key, how)
+        self.watch.attempt_ended(now, key, how)
     }
 
     /// Looks at what has been seen here and told by others. `module_now` is this moment as the module counts.
@@ -270,11 +278,11 @@
             let servers = self.nodes.values().map(|m| (m.server, m.up)).collect();
             self.machine.on(now, entries, Event::Servers(servers), &mut effects);
         }
-        let overdue = self.watch.overdue(now);
+        let overdue = self.watch.take_overdue(now);
         for event in std::mem::take(&mut self.seen).into_iter().chain(overdue) {
             self.machine.on(now, entries, event, &mut effects);
         }
-        self.machine.on(now, entries, Event::Look, &mut effects);
+        self.machine.on(now, entries, Event::Evaluate, &mut effects);
         let mut done = Done::default();
         for effect in effects {
             self.carry_out(now, module_now, effect, &mut done);
@@ -284,18 +292,18 @@
     }
 
     fn carry_out(&mut self, now: Nanos, module_now: Nanos, effect: Effect, done: &mut Done) {
-        let turn = self.machine.terms().turn;
+        let turn = self.machine.config().probe_turn;
         match effect {
             Effect::Put(key, value) => done.puts.push((key, value)),
-            Effect::Out(subject) => log!("verdicts: {} is held out", self.name(subject.server)),
-            Effect::Back { subject, well } => {
-                self.watch.back(subject.server);
+            Effect::Ejected(subject) => log!("verdicts: {} is held out", self.name(subject.server)),
+            Effect::Readmitted { target: subject, healthy: well } => {
+                self.watch.readmitted(subject.server);
                 let why = if well { "it did well in trials" } else { "the verdict on it has ended" };
                 log!("verdicts: {} is held out no more: {why}", self.name(subject.server));
             }
-            Effect::Try(server) => {
+            Effect::Probe(server) => {
                 self.counts.trials.inc();
-                self.watch.try_next(server, now + turn);
+                self.watch.probe_next(server, now + turn);
                 let until = module_now + turn;
                 let nodes = self.nodes.iter().filter(|(_, m)| m.server == server);
                 done.told.extend(nodes.map(|(node, _)| FleetUpdate::Probe { node: *node, until }));
@@ -313,7 +321,7 @@
     /// For what each node is out by now, where that has changed.
     fn tell(&mut self, done: &mut Done) {
         let mut out: BTreeMap<Server, ClassSet> = BTreeMap::new();
-        for Subject { server, scope } in self.machine.out() {
+        for EjectionTarget { server, scope } in self.machine.ejected() {
             let held = out.entry(server).or_default();
             *held = match scope {
                 Scope::All | Scope::Zone(_) => ClassSet::ALL,
@@ -351,19 +359,19 @@
         };
         let reasons: Vec<Value> = self
             .machine
-            .reasons(now, entries)
+            .reports(now, entries)
             .into_iter()
-            .filter(|reason| server.is_none_or(|s| s == reason.subject.server))
+            .filter(|reason| server.is_none_or(|s| s == reason.target.server))
             .map(|reason| self.reason(now, names, reason))
             .collect();
-        let saw = server.map(|server| self.saw(names, self.machine.saw(now, entries, server)));
+        let saw = server.map(|server| self.saw(names, self.machine.observations(now, entries, server)));
         let classes = names.classes.iter().enumerate();
         let medians = classes.filter_map(|(class, name)| {
             let median = self.watch.median(Class::try_from(class).ok()?)?;
             Some(json!({"class": name.as_str(), "median_us": median / 1_000}))
         });
-        let terms = self.machine.terms();
-        let (most, listed) = (terms.most_assents(self.nodes.len()), self.nodes.len());
+        let terms = self.machine.config();
+        let (most, listed) = (terms.max_votes(self.nodes.len()), self.nodes.len());
         Some(json!({
             "name": names.front(terms.me),
             "suspect": self.machine.is_suspect(),
@@ -377,34 +385,34 @@
         }))
     }
 
-    fn reason(&self, now: Nanos, names: &Names, reason: Reason) -> Value {
-        let terms = self.machine.terms();
-        let mut ages: Vec<Nanos> = reason.assents.iter().map(|said| said.age).collect();
+    fn reason(&self, now: Nanos, names: &Names, reason: EjectionReport) -> Value {
+        let terms = self.machine.config();
+        let mut ages: Vec<Nanos> = reason.votes.iter().map(|said| said.age).collect();
         ages.sort_unstable();
         // With the youngest that make more than half the verdict stands until the oldest of them has run out.
-        let lapses = ages.get(terms.quorum() - 1).map(|age| millis(terms.assent_life - age));
+        let lapses = ages.get(terms.quorum() - 1).map(|age| millis(terms.vote_ttl - age));
         let assents: Vec<Value> = reason
-            .assents
+            .votes
             .iter()
             .map(|said| json!({"front": names.front(said.front), "age_ms": millis(said.age)}))
             .collect();
         json!({
-            "server": self.name(reason.subject.server),
-            "scope": names.scope(reason.subject.scope),
-            "out_ms": reason.out_since.map(|since| millis(now - since)),
+            "server": self.name(reason.target.server),
+            "scope": names.scope(reason.target.scope),
+            "out_ms": reason.ejected_since.map(|since| millis(now - since)),
             "lapses_ms": lapses,
-            "tries": reason.tries.map(|place| names.front(place)),
+            "tries": reason.prober.map(|place| names.front(place)),
             "assents": assents,
-            "saw": self.saw(names, reason.saw),
+            "saw": self.saw(names, reason.observations),
         })
     }
 
-    fn saw(&self, names: &Names, saw: Vec<Saw>) -> Value {
-        let one = |saw: Saw| {
+    fn saw(&self, names: &Names, saw: Vec<Observation>) -> Value {
+        let one = |saw: Observation| {
             json!({
                 "front": names.front(saw.front),
                 "attempts": saw.attempts,
-                "bad": saw.bad,
+                "bad": saw.failures,
                 "age_ms": millis(saw.age),
                 "counts": saw.counts,
             })
@@ -427,9 +435,9 @@
 
     #[test]
     fn what_is_told_holds_and_what_is_wrong_is_named_by_its_path() {
-        assert_eq!(read("{}"), Ok(Config { most_out: 0.5, witnesses: 2 }));
+        assert_eq!(read("{}"), Ok(Config { max_ejected_fraction: 0.5, witnesses: 2 }));
         let told = r#"{"most_out": 0.25, "witnesses": 3}"#;
-        assert_eq!(read(told), Ok(Config { most_out: 0.25, witnesses: 3 }));
+        assert_eq!(read(told), Ok(Config { max_ejected_fraction: 0.25, witnesses: 3 }));
         for (text, said) in [
             ("[]", "'peers.verdicts' must be an object"),
             (r#"{"most": 1}"#, "'peers.verdicts.most' is not known"),
--- a/src/cluster/peers.rs
+++ b/src/cluster/peers.rs
@@ -22,7 +22,7 @@
 use tulipbridge_core::request_tracker::Input;
 use tulipbridge_core::{NodeId, RequestId, Semantics, Settings, SharedLimit};
 use tulipbridge_fleet_limits::{
-    Config, Effect, Event, Heartbeat, Limit, LimitCoordinator, Share, FULL_SHARE,
+    Effect, Event, Heartbeat, Limit, LimitCoordinator, LimitsConfig, Share, FULL_SHARE,
 };
 use tulipbridge_membership::{
     EnvelopeCodec, EnvelopeError, GossipAction, GossipError, GossipInput, GossipMessage as Exchanged,
@@ -75,7 +75,7 @@
     /// Whether and how verdicts on chunk servers are shared.
     pub verdicts: Option<ejections::Config>,
     /// What the machine is told.
-    pub terms: Config,
+    pub terms: LimitsConfig,
     /// Limits beside those of volumes' plans.
     pub stated: Stated,
     /// Bytes a second of entries that all peers together are sent at most.
@@ -147,7 +147,7 @@
             Ok(told) if told >= 0.0 => Ok(told),
             _ => Err(format!("'peers.{key}' must be a number of 0 or more")),
         };
-        let mut terms = Config::new(me as PeerId, fronts, 0);
+        let mut terms = LimitsConfig::new(me as PeerId, fronts, 0);
         terms.revision = or("revision", 1.0)? as u32;
         terms.lease_duration = (or("life_ms", terms.lease_duration as f64 / 1e6)? * 1e6) as i64;
         terms.heartbeat_interval = (or("beat_ms", terms.heartbeat_interval as f64 / 1e6)? * 1e6) as i64;
@@ -163,8 +163,8 @@
         // Fronts that judge by other terms, or know other zones, are of another roster.
         // This text is part of a digest that fronts of different versions compare: it must not change.
         let judged = told.map_or_else(String::new, |ejections| {
-            let ejections::Config { most_out, witnesses } = ejections;
-            format!("|Config {{ most_out: {most_out:?}, witnesses: {witnesses:?} }}|{zones:?}|{of_each:?}")
+            let ejections::Config { max_ejected_fraction, witnesses } = ejections;
+            format!("|Config {{ most_out: {max_ejected_fraction:?}, witnesses: {witnesses:?} }}|{zones:?}|{of_each:?}")
         });
         terms.roster = EnvelopeCodec::digest(&(whole + &judged));
         terms.check().map_err(|why| format!("'peers': {why}"))?;
@@ -186,8 +186,8 @@
     ///
     /// # Errors
     /// Where they cannot hold.
-    fn verdict_terms(&self) -> Res<Option<tulipbridge_outlier_detection::Terms>> {
-        let Config { me, fronts, .. } = self.terms;
+    fn verdict_terms(&self) -> Res<Option<tulipbridge_outlier_detection::DetectorConfig>> {
+        let LimitsConfig { me, fronts, .. } = self.terms;
         // As many zones as fit into a number of one byte have been read.
         let zone = self.zones.1.get(usize::from(me)).copied().unwrap_or_default() as u8;
         let terms = self.verdicts.map(|told| told.terms(me, fronts, zone)).transpose();
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -173,7 +173,7 @@
 fn server_ids_in_entries() {
     // A server's number is the digest of its name and of when it came up, which all fronts are told.
     assert_eq!(EnvelopeCodec::digest("s-1|77000000"), 0x6a76_f700_4058_78ab);
-    let terms = tulipbridge_outlier_detection::Terms::new(0, 3, 0);
+    let terms = tulipbridge_outlier_detection::DetectorConfig::new(0, 3, 0);
     let mut bench = Bench::new(terms, Counts::new(&Figures::new())).expect("the terms hold");
     let servers = [server(0, 1), server(1, 77_000_000), server(2, 3)];
     bench.list(UpdateScope::Replace, &servers, |node| format!("s-{node}"));
