--- a/src/cli.rs
+++ b/src/cli.rs
@@ -163,7 +163,7 @@
     let asked = call(console, Method::GET, path, String::new(), ANSWER, ANSWER).await;
     let answer = asked.map_err(|why| format!("the console at {console}: {why}"))?;
     let status = answer.status;
-    let mut body = answer.whole(ANSWER).await?;
+    let mut body = answer.read_all(ANSWER).await?;
     if status != StatusCode::OK {
         return Err(format!("the console at {console}: {}", String::from_utf8_lossy(&body).trim()));
     }
@@ -316,7 +316,7 @@
         let answer = call(self.agent, method, path, String::new(), ANSWER, ANSWER).await;
         let answer = answer.map_err(|why| format!("the agent at {}: {why}", self.agent))?;
         let status = answer.status;
-        let body = answer.whole(ANSWER).await?;
+        let body = answer.read_all(ANSWER).await?;
         match status {
             StatusCode::OK | StatusCode::ACCEPTED => Ok(body),
             _ => Err(format!("the agent at {}: {}", self.agent, String::from_utf8_lossy(&body))),
--- a/src/cluster/ejections.rs
+++ b/src/cluster/ejections.rs
@@ -20,7 +20,7 @@
 
 use crate::config::settings::{num, Res};
 use crate::telemetry::log::log;
-use crate::telemetry::metrics::Figures;
+use crate::telemetry::metrics::Metrics;
 
 /// What the operators' file says of verdicts.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     /// Where they cannot hold.
-    pub fn terms(
+    pub fn detector_config(
         &self,
         me: PeerId,
         fronts: PeerId,
@@ -82,7 +82,7 @@
 }
 
 /// What operators call things, to say them.
-pub struct Names<'a> {
+pub struct DisplayNames<'a> {
     /// Fronts by their places.
     pub fronts: &'a [String],
     /// Zones by their numbers.
@@ -91,7 +91,7 @@
     pub classes: &'a [String],
 }
 
-impl Names<'_> {
+impl DisplayNames<'_> {
     fn front(&self, place: PeerId) -> String {
         self.fronts.get(usize::from(place)).cloned().unwrap_or_default()
     }
@@ -112,7 +112,7 @@
 }
 
 /// A node of the module, as the list has it.
-struct Member {
+struct ListedServer {
     /// Of its name and its start: its next start is another server.
     server: Server,
     name: String,
@@ -121,68 +121,68 @@
 
 /// Counts for operators.
 #[derive(Clone)]
-pub struct Counts {
-    out: IntGauge,
+pub struct EjectionMetrics {
+    ejected: IntGauge,
     suspect: IntGauge,
-    trials: IntCounter,
+    probes: IntCounter,
 }
 
-impl Counts {
+impl EjectionMetrics {
     /// At 0, among the front's figures.
-    pub fn new(figures: &Figures) -> Counts {
+    pub fn new(figures: &Metrics) -> EjectionMetrics {
         let gauge = |name: &str, help: &str| IntGauge::new(name, help).expect("the names are valid");
         let trials =
             IntCounter::new("app_verdict_trials", "Times that it was this front's turn to try a server");
-        let counts = Counts {
-            out: gauge("app_verdicts_out", "Chunk servers that this front holds out with its peers"),
+        let counts = EjectionMetrics {
+            ejected: gauge("app_verdicts_out", "Chunk servers that this front holds out with its peers"),
             suspect: gauge(
                 "app_verdict_suspect",
                 "1 while this front's view contradicts that of its peers, and counts for nothing",
             ),
-            trials: trials.expect("the names are valid"),
+            probes: trials.expect("the names are valid"),
         };
-        figures.add(counts.out.clone());
-        figures.add(counts.suspect.clone());
-        figures.add(counts.trials.clone());
+        figures.register(counts.ejected.clone());
+        figures.register(counts.suspect.clone());
+        figures.register(counts.probes.clone());
         counts
     }
 }
 
 /// What is to be done after a look.
 #[derive(Default)]
-pub struct Done {
+pub struct EjectionChanges {
     /// Entries of this front's.
-    pub puts: Vec<(Key, Option<Vec<u8>>)>,
+    pub entries: Vec<(Key, Option<Vec<u8>>)>,
     /// What the module is to be told.
-    pub told: Vec<FleetUpdate>,
+    pub updates: Vec<FleetUpdate>,
 }
 
 /// This front's part in verdicts.
-pub struct Bench {
-    machine: OutlierDetector,
-    watch: AttemptObserver,
-    nodes: BTreeMap<NodeId, Member>,
+pub struct Ejections {
+    detector: OutlierDetector,
+    observer: AttemptObserver,
+    nodes: BTreeMap<NodeId, ListedServer>,
     /// For what the module was told that nodes are out.
-    told: BTreeMap<NodeId, ClassSet>,
+    reported: BTreeMap<NodeId, ClassSet>,
     /// What attempts have said since the last look.
-    seen: Vec<Event>,
-    listed: bool,
-    counts: Counts,
+    pending_events: Vec<Event>,
+    list_changed: bool,
+    counts: EjectionMetrics,
 }
 
-impl Bench {
+impl Ejections {
     /// With nothing known.
     ///
     /// # Errors
     /// Where the terms cannot hold.
-    pub fn new(terms: DetectorConfig, counts: Counts) -> Result<Bench, DetectorConfigError> {
-        Ok(Bench {
-            machine: OutlierDetector::new(terms)?,
-            watch: AttemptObserver::default(),
+    pub fn new(terms: DetectorConfig, counts: EjectionMetrics) -> Result<Ejections, DetectorConfigError> {
+        Ok(Ejections {
+            detector: OutlierDetector::new(terms)?,
+            observer: AttemptObserver::default(),
             nodes: BTreeMap::new(),
-            told: BTreeMap::new(),
-            seen: Vec::new(),
-            listed: false,
+            reported: BTreeMap::new(),
+            pending_events: Vec::new(),
+            list_changed: false,
             counts,
         })
     }
@@ -191,41 +191,41 @@
     ///
     /// # Errors
     /// Where the terms cannot hold.
-    pub fn renew(&mut self, terms: DetectorConfig) -> Result<(), DetectorConfigError> {
-        self.machine = OutlierDetector::new(terms)?;
-        self.listed = true;
+    pub fn reconfigure(&mut self, terms: DetectorConfig) -> Result<(), DetectorConfigError> {
+        self.detector = OutlierDetector::new(terms)?;
+        self.list_changed = true;
         Ok(())
     }
 
     /// The terms in force.
-    pub fn terms(&self) -> &DetectorConfig {
-        self.machine.config()
+    pub fn config(&self) -> &DetectorConfig {
+        self.detector.config()
     }
 
     /// Takes an input of the front's, before its desk does. Says whether a look should come soon: an attempt has gone
     /// badly, or at a timer of the desk's, which come often, is out for so long that it is bad.
-    pub fn runs(&mut self, now: Nanos, input: &Input) -> bool {
-        self.watch.step(now);
+    pub fn observe_input(&mut self, now: Nanos, input: &Input) -> bool {
+        self.observer.step(now);
         if let Input::Timer(_) = input {
-            return self.watch.has_overdue(now);
+            return self.observer.has_overdue(now);
         }
-        let event = self.ended(now, input);
+        let event = self.attempt_event(now, input);
         let soon = match &event {
             Some(Event::Attempt { quality: worth, .. }) => *worth == SampleQuality::Failed,
             Some(Event::Probed { .. }) => true,
             _ => false,
         };
-        self.seen.extend(event);
+        self.pending_events.extend(event);
         soon
     }
 
     /// Whether the machine waits for what others saw, so that the next look should come soon.
     pub fn is_waiting(&self, now: Nanos) -> bool {
-        self.machine.is_waiting(now)
+        self.detector.is_waiting(now)
     }
 
     /// News of the list.
-    pub fn list(&mut self, scope: News, infos: &[NodeInfo], name: impl Fn(NodeId) -> String) {
+    pub fn update_endpoints(&mut self, scope: News, infos: &[NodeInfo], name: impl Fn(NodeId) -> String) {
         if scope == News::Unavailable {
             return;
         }
@@ -239,20 +239,27 @@
             }
             let name = name(info.node);
             let server = EnvelopeCodec::digest(&format!("{name}|{}", info.started_at));
-            self.nodes.insert(info.node, Member { server, name, up: info.listed == Listed::Up });
+            self.nodes.insert(info.node, ListedServer { server, name, up: info.listed == Listed::Up });
         }
-        self.listed = true;
+        self.list_changed = true;
     }
 
     /// An attempt went out.
-    pub fn sent(&mut self, now: Nanos, key: (RequestId, u32), node: NodeId, class: usize, repeatable: bool) {
+    pub fn attempt_sent(
+        &mut self,
+        now: Nanos,
+        key: (RequestId, u32),
+        node: NodeId,
+        class: usize,
+        repeatable: bool,
+    ) {
         if let (Some(member), Ok(class)) = (self.nodes.get(&node), Class::try_from(class)) {
-            self.watch.attempt_sent(now, key, member.server, class, repeatable);
+            self.observer.attempt_sent(now, key, member.server, class, repeatable);
         }
     }
 
     /// What an input says of an attempt.
-    fn ended(&mut self, now: Nanos, input: &Input) -> Option<Event> {
+    fn attempt_event(&mut self, now: Nanos, input: &Input) -> Option<Event> {
         let (key, how) = match input {
             Input::AttemptEnded { id, attempt, outcome, .. } => {
                 let how = match outcome {
@@ -268,45 +275,45 @@
             }
             _ => return None,
         };
-        self.watch.attempt_ended(now, key, how)
+        self.observer.attempt_ended(now, key, how)
     }
 
     /// Looks at what has been seen here and told by others. `module_now` is this moment as the module counts.
-    pub fn look(&mut self, now: Nanos, module_now: Nanos, entries: &GossipStore) -> Done {
+    pub fn evaluate(&mut self, now: Nanos, module_now: Nanos, entries: &GossipStore) -> EjectionChanges {
         let mut effects = Vec::new();
-        if std::mem::take(&mut self.listed) {
+        if std::mem::take(&mut self.list_changed) {
             let servers = self.nodes.values().map(|m| (m.server, m.up)).collect();
-            self.machine.on(now, entries, Event::Servers(servers), &mut effects);
+            self.detector.on(now, entries, Event::Servers(servers), &mut effects);
         }
-        let overdue = self.watch.take_overdue(now);
-        for event in std::mem::take(&mut self.seen).into_iter().chain(overdue) {
-            self.machine.on(now, entries, event, &mut effects);
+        let overdue = self.observer.take_overdue(now);
+        for event in std::mem::take(&mut self.pending_events).into_iter().chain(overdue) {
+            self.detector.on(now, entries, event, &mut effects);
         }
-        self.machine.on(now, entries, Event::Evaluate, &mut effects);
-        let mut done = Done::default();
+        self.detector.on(now, entries, Event::Evaluate, &mut effects);
+        let mut done = EjectionChanges::default();
         for effect in effects {
             self.carry_out(now, module_now, effect, &mut done);
         }
-        self.tell(&mut done);
+        self.report_ejections(&mut done);
         done
     }
 
-    fn carry_out(&mut self, now: Nanos, module_now: Nanos, effect: Effect, done: &mut Done) {
-        let turn = self.machine.config().probe_turn;
+    fn carry_out(&mut self, now: Nanos, module_now: Nanos, effect: Effect, done: &mut EjectionChanges) {
+        let turn = self.detector.config().probe_turn;
         match effect {
-            Effect::Put(key, value) => done.puts.push((key, value)),
+            Effect::Put(key, value) => done.entries.push((key, value)),
             Effect::Ejected(subject) => log!("verdicts: {} is held out", self.name(subject.server)),
             Effect::Readmitted { target: subject, healthy: well } => {
-                self.watch.readmitted(subject.server);
+                self.observer.readmitted(subject.server);
                 let why = if well { "it did well in trials" } else { "the verdict on it has ended" };
                 log!("verdicts: {} is held out no more: {why}", self.name(subject.server));
             }
             Effect::Probe(server) => {
-                self.counts.trials.inc();
-                self.watch.probe_next(server, now + turn);
+                self.counts.probes.inc();
+                self.observer.probe_next(server, now + turn);
                 let until = module_now + turn;
                 let nodes = self.nodes.iter().filter(|(_, m)| m.server == server);
-                done.told.extend(nodes.map(|(node, _)| FleetUpdate::Probe { node: *node, until }));
+                done.updates.extend(nodes.map(|(node, _)| FleetUpdate::Probe { node: *node, until }));
             }
             Effect::Suspect(suspect) => {
                 self.counts.suspect.set(i64::from(suspect));
@@ -319,25 +326,25 @@
     }
 
     /// For what each node is out by now, where that has changed.
-    fn tell(&mut self, done: &mut Done) {
+    fn report_ejections(&mut self, done: &mut EjectionChanges) {
         let mut out: BTreeMap<Server, ClassSet> = BTreeMap::new();
-        for EjectionTarget { server, scope } in self.machine.ejected() {
+        for EjectionTarget { server, scope } in self.detector.ejected() {
             let held = out.entry(server).or_default();
             *held = match scope {
                 Scope::All | Scope::Zone(_) => ClassSet::ALL,
                 Scope::Class(class) => held.with(usize::from(class)),
             };
         }
-        let of = |member: &Member| out.get(&member.server).copied().unwrap_or_default();
+        let of = |member: &ListedServer| out.get(&member.server).copied().unwrap_or_default();
         for (node, member) in &self.nodes {
             let now = of(member);
-            if self.told.insert(*node, now).unwrap_or_default() != now {
-                done.told.push(FleetUpdate::Ejection { node: *node, classes: now });
+            if self.reported.insert(*node, now).unwrap_or_default() != now {
+                done.updates.push(FleetUpdate::Ejection { node: *node, classes: now });
             }
         }
         let nodes = &self.nodes;
-        self.told.retain(|node, _| nodes.contains_key(node));
-        self.counts.out.set(out.len() as i64);
+        self.reported.retain(|node, _| nodes.contains_key(node));
+        self.counts.ejected.set(out.len() as i64);
     }
 
     fn name(&self, server: Server) -> String {
@@ -350,7 +357,7 @@
         &self,
         now: Nanos,
         entries: &GossipStore,
-        names: &Names,
+        names: &DisplayNames,
         of: Option<&str>,
     ) -> Option<Value> {
         let server = match of {
@@ -358,23 +365,24 @@
             Some(name) => Some(self.nodes.values().find(|m| m.name == name)?.server),
         };
         let reasons: Vec<Value> = self
-            .machine
+            .detector
             .reports(now, entries)
             .into_iter()
             .filter(|reason| server.is_none_or(|s| s == reason.target.server))
-            .map(|reason| self.reason(now, names, reason))
+            .map(|reason| self.report(now, names, reason))
             .collect();
-        let saw = server.map(|server| self.saw(names, self.machine.observations(now, entries, server)));
+        let saw =
+            server.map(|server| self.observations(names, self.detector.observations(now, entries, server)));
         let classes = names.classes.iter().enumerate();
         let medians = classes.filter_map(|(class, name)| {
-            let median = self.watch.median(Class::try_from(class).ok()?)?;
+            let median = self.observer.median(Class::try_from(class).ok()?)?;
             Some(json!({"class": name.as_str(), "median_us": median / 1_000}))
         });
-        let terms = self.machine.config();
+        let terms = self.detector.config();
         let (most, listed) = (terms.max_votes(self.nodes.len()), self.nodes.len());
         Some(json!({
             "name": names.front(terms.me),
-            "suspect": self.machine.is_suspect(),
+            "suspect": self.detector.is_suspect(),
             "servers": listed,
             "most_assents": most,
             "needed": terms.quorum(),
@@ -385,8 +393,8 @@
         }))
     }
 
-    fn reason(&self, now: Nanos, names: &Names, reason: EjectionReport) -> Value {
-        let terms = self.machine.config();
+    fn report(&self, now: Nanos, names: &DisplayNames, reason: EjectionReport) -> Value {
+        let terms = self.detector.config();
         let mut ages: Vec<Nanos> = reason.votes.iter().map(|said| said.age).collect();
         ages.sort_unstable();
         // With the youngest that make more than half the verdict stands until the oldest of them has run out.
@@ -403,11 +411,11 @@
             "lapses_ms": lapses,
             "tries": reason.prober.map(|place| names.front(place)),
             "assents": assents,
-            "saw": self.saw(names, reason.observations),
+            "saw": self.observations(names, reason.observations),
         })
     }
 
-    fn saw(&self, names: &Names, saw: Vec<Observation>) -> Value {
+    fn observations(&self, names: &DisplayNames, saw: Vec<Observation>) -> Value {
         let one = |saw: Observation| {
             json!({
                 "front": names.front(saw.front),
--- a/src/cluster/limits.rs
+++ b/src/cluster/limits.rs
@@ -13,11 +13,11 @@
 
 /// A request that comes asks for this much of the further attempts, where one that has failed asks for 1: a front with
 /// traffic has a part before its first failure.
-const AHEAD: f64 = 0.02;
+const RETRY_RESERVE_PER_REQUEST: f64 = 0.02;
 
 /// A limit's figures, or a part of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct LimitRate {
     /// A second; of requests out at a server, how many.
     pub rate: f64,
     /// Most in store.
@@ -26,27 +26,27 @@
 
 /// A part of a limit's figures. A store holds one request at the least, so that a small part is a slow rate and not a
 /// limit on size.
-fn part_of(whole: Figures, part: Share, one: f64) -> Figures {
+fn scaled(whole: LimitRate, part: Share, one: f64) -> LimitRate {
     let share = f64::from(part) / f64::from(FULL_SHARE);
     let burst = if part == 0 { 0.0 } else { (whole.burst * share).max(one) };
-    Figures { rate: whole.rate * share, burst }
+    LimitRate { rate: whole.rate * share, burst }
 }
 
 /// Limits that are no volume's, as the operators' file states them for the whole fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Stated {
-    further: Option<Figures>,
-    starting: Option<Figures>,
-    out: Option<f64>,
+pub struct ConfiguredLimits {
+    retries: Option<LimitRate>,
+    warming_up: Option<LimitRate>,
+    in_flight: Option<f64>,
 }
 
-impl Stated {
+impl ConfiguredLimits {
     /// Reads `peers.limits`.
     ///
     /// # Errors
     /// A plain sentence that names the path of what is wrong.
-    pub fn read(value: Option<&Value>) -> Res<Stated> {
-        let Some(value) = value else { return Ok(Stated::default()) };
+    pub fn read(value: Option<&Value>) -> Res<ConfiguredLimits> {
+        let Some(value) = value else { return Ok(ConfiguredLimits::default()) };
         let object = value.as_object().ok_or("'peers.limits' must be an object")?;
         let known = ["further_attempts", "starting_server", "out_at_server"];
         if let Some(other) = object.keys().find(|k| !known.contains(&k.as_str())) {
@@ -64,38 +64,42 @@
             }
             let rate = figure(of, "rate", &format!("{key}.rate"))?;
             let burst = figure(of, "burst", &format!("{key}.burst"))?;
-            Ok::<_, String>(Some(Figures { rate, burst }))
+            Ok::<_, String>(Some(LimitRate { rate, burst }))
         };
         let out = value.get("out_at_server").map(|_| figure(value, "out_at_server", "out_at_server"));
-        Ok(Stated {
-            further: figures("further_attempts")?,
-            starting: figures("starting_server")?,
-            out: out.transpose()?,
+        Ok(ConfiguredLimits {
+            retries: figures("further_attempts")?,
+            warming_up: figures("starting_server")?,
+            in_flight: out.transpose()?,
         })
     }
 
     /// Whether every limit that is stated here is stated there as well.
-    pub fn is_within(&self, there: &Stated) -> bool {
+    pub fn is_within(&self, there: &ConfiguredLimits) -> bool {
         let kept = |here: bool, there: bool| !here || there;
-        kept(self.further.is_some(), there.further.is_some())
-            && kept(self.starting.is_some(), there.starting.is_some())
-            && kept(self.out.is_some(), there.out.is_some())
+        kept(self.retries.is_some(), there.retries.is_some())
+            && kept(self.warming_up.is_some(), there.warming_up.is_some())
+            && kept(self.in_flight.is_some(), there.in_flight.is_some())
     }
 
     /// The limits that hang on parts, by the name that operators read.
     pub fn limits(&self) -> impl Iterator<Item = (Limit, &'static str)> {
-        let further = self.further.is_some().then_some((Limit::Retries, "further_attempts"));
-        let servers = self.starting.is_some() || self.out.is_some();
+        let further = self.retries.is_some().then_some((Limit::Retries, "further_attempts"));
+        let servers = self.warming_up.is_some() || self.in_flight.is_some();
         further.into_iter().chain(servers.then_some((Limit::ServerLoad, "servers")))
     }
 
     /// What an input asks for of them.
-    pub fn asked(&self, input: &Input) -> Vec<(Limit, f64)> {
-        let (further, servers) = (self.further.is_some(), self.starting.is_some() || self.out.is_some());
+    pub fn demand_of(&self, input: &Input) -> Vec<(Limit, f64)> {
+        let (further, servers) =
+            (self.retries.is_some(), self.warming_up.is_some() || self.in_flight.is_some());
         let failed = match input {
             Input::RequestReceived(r) => {
                 let servers = servers.then_some((Limit::ServerLoad, r.units));
-                return servers.into_iter().chain(further.then_some((Limit::Retries, AHEAD))).collect();
+                return servers
+                    .into_iter()
+                    .chain(further.then_some((Limit::Retries, RETRY_RESERVE_PER_REQUEST)))
+                    .collect();
             }
             Input::AttemptEnded { outcome, .. } => *outcome != Outcome::Served,
             Input::AttemptTimedOut { .. } => true,
@@ -105,12 +109,12 @@
     }
 
     /// What a part of a limit comes to.
-    fn tell(&self, limit: Limit, part: Share, set: &Settings) -> Vec<(SharedLimit, Figures)> {
-        let further = self.further.map(|f| (SharedLimit::Retries, part_of(f, part, 1.0)));
-        let starting = self.starting.map(|s| (SharedLimit::WarmingUpNode, part_of(s, part, set.max_units)));
-        let out = self.out.map(|most| {
-            let whole = Figures { rate: most, burst: 0.0 };
-            (SharedLimit::InFlightPerNode, Figures { burst: 0.0, ..part_of(whole, part, 0.0) })
+    fn limits_for_share(&self, limit: Limit, part: Share, set: &Settings) -> Vec<(SharedLimit, LimitRate)> {
+        let further = self.retries.map(|f| (SharedLimit::Retries, scaled(f, part, 1.0)));
+        let starting = self.warming_up.map(|s| (SharedLimit::WarmingUpNode, scaled(s, part, set.max_units)));
+        let out = self.in_flight.map(|most| {
+            let whole = LimitRate { rate: most, burst: 0.0 };
+            (SharedLimit::InFlightPerNode, LimitRate { burst: 0.0, ..scaled(whole, part, 0.0) })
         });
         match limit {
             Limit::Retries => further.into_iter().collect(),
@@ -122,66 +126,76 @@
 
 /// What this front may use of each limit, with the plan that each volume last came with.
 #[derive(Default)]
-pub struct Shares {
+pub struct FleetLimits {
     volumes: HashMap<VolumeId, (usize, Share)>,
-    stated: Stated,
-    parts: HashMap<Limit, Share>,
+    configured: ConfiguredLimits,
+    shares: HashMap<Limit, Share>,
 }
 
-impl Shares {
+impl FleetLimits {
     /// Takes what the operators' file states; gives what the module is told of it now: nothing of a limit, until there
     /// is a part.
-    pub fn state(&mut self, stated: Stated, set: &Settings) -> Vec<(SharedLimit, Figures)> {
-        self.stated = stated;
-        let part = |limit| self.parts.get(&limit).copied().unwrap_or(0);
-        stated.limits().flat_map(|(limit, _)| stated.tell(limit, part(limit), set)).collect()
+    pub fn configure(&mut self, stated: ConfiguredLimits, set: &Settings) -> Vec<(SharedLimit, LimitRate)> {
+        self.configured = stated;
+        let part = |limit| self.shares.get(&limit).copied().unwrap_or(0);
+        stated.limits().flat_map(|(limit, _)| stated.limits_for_share(limit, part(limit), set)).collect()
     }
 
     /// What is stated.
-    pub fn stated(&self) -> &Stated {
-        &self.stated
+    pub fn configured(&self) -> &ConfiguredLimits {
+        &self.configured
     }
 
     /// This front's part of a limit that is no volume's.
-    pub fn part(&self, limit: Limit) -> Share {
-        self.parts.get(&limit).copied().unwrap_or(0)
+    pub fn share(&self, limit: Limit) -> Share {
+        self.shares.get(&limit).copied().unwrap_or(0)
     }
 
     /// A volume is asked for under a plan. Gives its limit anew where the plan is another than before: a file taken
     /// at SIGHUP may have changed its figures.
-    pub fn asked(&mut self, volume: VolumeId, plan: usize, set: &Settings) -> Option<(SharedLimit, Figures)> {
+    pub fn volume_requested(
+        &mut self,
+        volume: VolumeId,
+        plan: usize,
+        set: &Settings,
+    ) -> Option<(SharedLimit, LimitRate)> {
         let (held, part) = self.volumes.entry(volume).or_insert((plan, 0));
         let other = std::mem::replace(held, plan) != plan;
         let part = *part;
-        other.then(|| Shares::of_plan(volume, plan, part, set)).flatten()
+        other.then(|| FleetLimits::volume_limit(volume, plan, part, set)).flatten()
     }
 
     /// So much of a limit is this front's.
-    pub fn tell(&mut self, limit: Limit, part: Share, set: &Settings) -> Vec<(SharedLimit, Figures)> {
+    pub fn set_share(&mut self, limit: Limit, part: Share, set: &Settings) -> Vec<(SharedLimit, LimitRate)> {
         let Limit::Volume(volume) = limit else {
-            self.parts.insert(limit, part);
-            return self.stated.tell(limit, part, set);
+            self.shares.insert(limit, part);
+            return self.configured.limits_for_share(limit, part, set);
         };
         let Some((plan, held)) = self.volumes.get_mut(&volume) else { return Vec::new() };
         *held = part;
-        Shares::of_plan(volume, *plan, part, set).into_iter().collect()
+        FleetLimits::volume_limit(volume, *plan, part, set).into_iter().collect()
     }
 
     /// Nobody asks for a limit any more: nothing of it is this front's.
-    pub fn forget(&mut self, limit: Limit, set: &Settings) -> Vec<(SharedLimit, Figures)> {
+    pub fn forget(&mut self, limit: Limit, set: &Settings) -> Vec<(SharedLimit, LimitRate)> {
         match limit {
             Limit::Volume(volume) => {
                 self.volumes.remove(&volume);
-                vec![(SharedLimit::Volume(volume), Figures::default())]
+                vec![(SharedLimit::Volume(volume), LimitRate::default())]
             }
-            _ => self.tell(limit, 0, set),
+            _ => self.set_share(limit, 0, set),
         }
     }
 
-    fn of_plan(volume: VolumeId, plan: usize, part: Share, set: &Settings) -> Option<(SharedLimit, Figures)> {
+    fn volume_limit(
+        volume: VolumeId,
+        plan: usize,
+        part: Share,
+        set: &Settings,
+    ) -> Option<(SharedLimit, LimitRate)> {
         let plan = set.plans.get(plan)?;
-        let whole = Figures { rate: plan.limit_rate, burst: plan.limit_burst };
-        Some((SharedLimit::Volume(volume), part_of(whole, part, set.max_units)))
+        let whole = LimitRate { rate: plan.limit_rate, burst: plan.limit_burst };
+        Some((SharedLimit::Volume(volume), scaled(whole, part, set.max_units)))
     }
 }
 
@@ -195,9 +209,9 @@
         crate::config::settings::settings(&boot).expect("it holds")
     }
 
-    fn stated(text: &str) -> Res<Stated> {
+    fn stated(text: &str) -> Res<ConfiguredLimits> {
         let value = simd_json::to_owned_value(&mut text.as_bytes().to_vec()).expect("JSON");
-        Stated::read(Some(&value))
+        ConfiguredLimits::read(Some(&value))
     }
 
     #[test]
@@ -206,14 +220,14 @@
         let mut faster = set.plans[0].clone();
         faster.limit_rate *= 3.0;
         set.plans.push(faster);
-        let mut shares = Shares::default();
-        let of = |rate, burst| (SharedLimit::Volume(7), Figures { rate, burst });
-        assert_eq!(shares.tell(Limit::Volume(7), FULL_SHARE, &set), [], "nobody asks for it");
-        assert_eq!(shares.asked(7, 0, &set), None);
-        assert_eq!(shares.tell(Limit::Volume(7), FULL_SHARE / 4, &set), [of(10.0, 6.0)]);
-        assert_eq!(shares.asked(7, 0, &set), None);
-        assert_eq!(shares.asked(7, 1, &set), Some(of(30.0, 6.0)));
-        assert_eq!(shares.tell(Limit::Volume(7), 0, &set), [of(0.0, 0.0)]);
+        let mut shares = FleetLimits::default();
+        let of = |rate, burst| (SharedLimit::Volume(7), LimitRate { rate, burst });
+        assert_eq!(shares.set_share(Limit::Volume(7), FULL_SHARE, &set), [], "nobody asks for it");
+        assert_eq!(shares.volume_requested(7, 0, &set), None);
+        assert_eq!(shares.set_share(Limit::Volume(7), FULL_SHARE / 4, &set), [of(10.0, 6.0)]);
+        assert_eq!(shares.volume_requested(7, 0, &set), None);
+        assert_eq!(shares.volume_requested(7, 1, &set), Some(of(30.0, 6.0)));
+        assert_eq!(shares.set_share(Limit::Volume(7), 0, &set), [of(0.0, 0.0)]);
     }
 
     const ALL: &str = r#"{"further_attempts": {"rate": 20, "burst": 8}, "out_at_server": 64,
@@ -221,19 +235,22 @@
 
     #[test]
     fn what_is_stated_is_told_by_parts_and_nothing_of_it_without_one() {
-        let (set, mut shares) = (set(), Shares::default());
-        let told = shares.state(stated(ALL).expect("it holds"), &set);
+        let (set, mut shares) = (set(), FleetLimits::default());
+        let told = shares.configure(stated(ALL).expect("it holds"), &set);
         assert_eq!(told.len(), 3);
-        assert!(told.iter().all(|(_, f)| *f == Figures::default()), "{told:?}");
-        let told = shares.tell(Limit::ServerLoad, FULL_SHARE / 4, &set);
-        let of = |of, rate, burst| (of, Figures { rate, burst });
+        assert!(told.iter().all(|(_, f)| *f == LimitRate::default()), "{told:?}");
+        let told = shares.set_share(Limit::ServerLoad, FULL_SHARE / 4, &set);
+        let of = |of, rate, burst| (of, LimitRate { rate, burst });
         assert_eq!(
             told,
             [of(SharedLimit::WarmingUpNode, 7.5, 10.0), of(SharedLimit::InFlightPerNode, 16.0, 0.0)]
         );
-        assert_eq!(shares.tell(Limit::Retries, FULL_SHARE / 100, &set), [of(SharedLimit::Retries, 0.2, 1.0)]);
+        assert_eq!(
+            shares.set_share(Limit::Retries, FULL_SHARE / 100, &set),
+            [of(SharedLimit::Retries, 0.2, 1.0)]
+        );
         // New figures hold for the part that is held.
-        let told = shares.state(stated(&ALL.replace("64", "32")).expect("it holds"), &set);
+        let told = shares.configure(stated(&ALL.replace("64", "32")).expect("it holds"), &set);
         assert!(told.contains(&of(SharedLimit::InFlightPerNode, 8.0, 0.0)), "{told:?}");
         assert_eq!(shares.forget(Limit::Retries, &set), [of(SharedLimit::Retries, 0.0, 0.0)]);
     }
@@ -250,7 +267,7 @@
         ] {
             assert_eq!(stated(&ALL.replacen(from, to, 1)).err().as_deref(), Some(said), "{to}");
         }
-        assert_eq!(Stated::read(None), Ok(Stated::default()));
+        assert_eq!(ConfiguredLimits::read(None), Ok(ConfiguredLimits::default()));
         let (all, less) =
             (stated(ALL).expect("it holds"), stated("{\"out_at_server\": 9}").expect("it holds"));
         assert!(less.is_within(&all) && !all.is_within(&less));
--- a/src/cluster/peers.rs
+++ b/src/cluster/peers.rs
@@ -29,36 +29,36 @@
     GossipStore, Key, MessageStatus, PeerId, PeerStatus, MAX_MESSAGE,
 };
 
-use crate::cluster::ejections::{self, Bench, Done, Names};
-use crate::cluster::limits::{self, Shares, Stated};
+use crate::cluster::ejections::{self, DisplayNames, EjectionChanges, Ejections};
+use crate::cluster::limits::{self, ConfiguredLimits, FleetLimits};
 use crate::config::settings::{list, num, text, Res};
-use crate::exchange::{Exchange, Rights};
+use crate::exchange::{Exchange, FleetState};
 use crate::telemetry::log::log;
-use crate::telemetry::metrics::Figures;
+use crate::telemetry::metrics::Metrics;
 use crate::upstream::Upstream;
 
 /// Between two tries to hear, where the system refuses.
-const AGAIN: Duration = Duration::from_millis(10);
+const RECEIVE_RETRY: Duration = Duration::from_millis(10);
 /// Between two looks at verdicts for what others told or went badly here.
-const JUDGED: Duration = Duration::from_millis(50);
+const EVALUATION_PAUSE: Duration = Duration::from_millis(50);
 
 /// What a front tells of itself: the version of its program.
-const ABOUT: Key = Key { kind: 0, id: 0 };
+const VERSION_KEY: Key = Key { kind: 0, id: 0 };
 /// Bytes a second of entries, where nothing else is told.
-const ENTRY_BYTES: f64 = 20_000.0;
+const DEFAULT_GOSSIP_RATE: f64 = 20_000.0;
 
 /// What a datagram says.
 #[derive(Serialize)]
-enum Saying<'a> {
-    Beat(&'a Heartbeat),
-    Entries(&'a Exchanged),
+enum OutgoingMessage<'a> {
+    Heartbeat(&'a Heartbeat),
+    Gossip(&'a Exchanged),
 }
 
 /// The same, as it comes.
 #[derive(Deserialize)]
-enum Said {
-    Beat(Box<Heartbeat>),
-    Entries(Exchanged),
+enum IncomingMessage {
+    Heartbeat(Box<Heartbeat>),
+    Gossip(Exchanged),
 }
 
 /// What the operators' file says of the front's peers.
@@ -73,13 +73,13 @@
     /// The zones there are by their names, and the one of each name in the roster.
     pub zones: (Vec<String>, Vec<usize>),
     /// Whether and how verdicts on chunk servers are shared.
-    pub verdicts: Option<ejections::Config>,
+    pub ejections: Option<ejections::Config>,
     /// What the machine is told.
-    pub terms: LimitsConfig,
+    pub limits_config: LimitsConfig,
     /// Limits beside those of volumes' plans.
-    pub stated: Stated,
+    pub fleet_limits: ConfiguredLimits,
     /// Bytes a second of entries that all peers together are sent at most.
-    pub entry_bytes: u64,
+    pub gossip_bytes_per_second: u64,
 }
 
 impl Config {
@@ -153,7 +153,7 @@
         terms.heartbeat_interval = (or("beat_ms", terms.heartbeat_interval as f64 / 1e6)? * 1e6) as i64;
         terms.floor =
             (or("floor", f64::from(terms.floor) / f64::from(FULL_SHARE))? * f64::from(FULL_SHARE)) as Share;
-        let entry_bytes = or("entry_bytes_per_s", ENTRY_BYTES)? as u64;
+        let entry_bytes = or("entry_bytes_per_s", DEFAULT_GOSSIP_RATE)? as u64;
         if terms.revision == 0 {
             return Err("'peers.revision' counts from 1".to_owned());
         }
@@ -172,11 +172,11 @@
             listen: address(value.get("listen"), "peers.listen")?,
             key_file: PathBuf::from(text(value.get("key_file"), "peers.key_file")?),
             roster,
-            terms,
-            stated: Stated::read(value.get("limits"))?,
+            limits_config: terms,
+            fleet_limits: ConfiguredLimits::read(value.get("limits"))?,
             zones: (zones, of_each),
-            verdicts: told,
-            entry_bytes,
+            ejections: told,
+            gossip_bytes_per_second: entry_bytes,
         })
     }
 }
@@ -186,11 +186,11 @@
     ///
     /// # Errors
     /// Where they cannot hold.
-    fn verdict_terms(&self) -> Res<Option<tulipbridge_outlier_detection::DetectorConfig>> {
-        let LimitsConfig { me, fronts, .. } = self.terms;
+    fn ejection_config(&self) -> Res<Option<tulipbridge_outlier_detection::DetectorConfig>> {
+        let LimitsConfig { me, fronts, .. } = self.limits_config;
         // As many zones as fit into a number of one byte have been read.
         let zone = self.zones.1.get(usize::from(me)).copied().unwrap_or_default() as u8;
-        let terms = self.verdicts.map(|told| told.terms(me, fronts, zone)).transpose();
+        let terms = self.ejections.map(|told| told.detector_config(me, fronts, zone)).transpose();
         terms.map_err(|why| format!("'peers.verdicts': {why}"))
     }
 }
@@ -199,31 +199,31 @@
 struct Counts {
     messages: IntCounterVec,
     alive: IntGauge,
-    banks: IntGauge,
-    standing_back: IntGauge,
-    parts: GaugeVec,
+    issuers_held: IntGauge,
+    standby: IntGauge,
+    shares: GaugeVec,
 }
 
 /// This front among its peers.
 pub struct Peers {
-    quota: RefCell<LimitCoordinator>,
-    seal: EnvelopeCodec,
+    coordinator: RefCell<LimitCoordinator>,
+    codec: EnvelopeCodec,
     /// Absent while another process has the address.
     socket: OnceCell<UdpSocket>,
-    told: RefCell<Config>,
-    shares: RefCell<Shares>,
-    entries: RefCell<GossipStore>,
+    config: RefCell<Config>,
+    limits: RefCell<FleetLimits>,
+    gossip: RefCell<GossipStore>,
     exchange: Rc<Exchange<Upstream>>,
     /// Where verdicts are shared.
-    bench: RefCell<Option<Bench>>,
+    ejections: RefCell<Option<Ejections>>,
     /// What others told of servers has changed.
-    changed: Notify,
+    gossip_changed: Notify,
     /// Names of the classes, in the settings' order.
     classes: Vec<String>,
     counts: Counts,
     /// What each front was last believed to be, to say a change once.
-    said: RefCell<Vec<PeerStatus>>,
-    stood_back: Cell<bool>,
+    logged_status: RefCell<Vec<PeerStatus>>,
+    was_standby: Cell<bool>,
 }
 
 /// This moment by a clock that runs on while the process, or the machine, stands still, and that no one sets.
@@ -232,7 +232,7 @@
 }
 
 /// A socket that hears what comes to an address.
-fn hearing(at: SocketAddr) -> std::io::Result<UdpSocket> {
+fn bind_socket(at: SocketAddr) -> std::io::Result<UdpSocket> {
     let socket = std::net::UdpSocket::bind(at)?;
     socket.set_nonblocking(true)?;
     let socket = UdpSocket::from_std(socket)?;
@@ -241,7 +241,7 @@
 }
 
 /// The key in a file.
-fn key(file: &Path) -> Res<EnvelopeCodec> {
+fn read_key(file: &Path) -> Res<EnvelopeCodec> {
     let bytes =
         std::fs::read(file).map_err(|e| format!("'peers.key_file': cannot read {}: {e}", file.display()))?;
     EnvelopeCodec::new(&bytes).map_err(|why| format!("'peers.key_file': {}: {why}", file.display()))
@@ -256,10 +256,10 @@
         told: Config,
         classes: Vec<String>,
         exchange: &Rc<Exchange<Upstream>>,
-        figures: &Figures,
+        figures: &Metrics,
     ) -> Res<Rc<Peers>> {
-        let seal = key(&told.key_file)?;
-        let socket = match hearing(told.listen) {
+        let seal = read_key(&told.key_file)?;
+        let socket = match bind_socket(told.listen) {
             Ok(socket) => OnceCell::from(socket),
             Err(why) if why.kind() == std::io::ErrorKind::AddrInUse => {
                 let at = told.listen;
@@ -270,7 +270,7 @@
         };
         // Not from the seed in the file: a front that starts again must be another boot.
         let boot = fastrand::Rng::new().u64(1..u64::MAX);
-        let quota = LimitCoordinator::new(told.terms.clone(), boot, now())
+        let quota = LimitCoordinator::new(told.limits_config.clone(), boot, now())
             .map_err(|why| format!("'peers': {why}"))?;
         let gauge = |name: &str, help: &str| IntGauge::new(name, help).expect("the names are valid");
         let counts = Counts {
@@ -280,50 +280,50 @@
             )
             .expect("the names are valid"),
             alive: gauge("app_peers_alive", "Peers that are heard"),
-            banks: gauge("app_peer_banks", "Banks of the fleet's limits that this front holds"),
-            standing_back: gauge("app_peer_standing_back", "1 while another process has this front's name"),
-            parts: GaugeVec::new(
+            issuers_held: gauge("app_peer_banks", "Banks of the fleet's limits that this front holds"),
+            standby: gauge("app_peer_standing_back", "1 while another process has this front's name"),
+            shares: GaugeVec::new(
                 Opts::new("app_peer_part", "This front's part of a limit that the fleet shares"),
                 &["limit"],
             )
             .expect("the names are valid"),
         };
-        figures.add(counts.messages.clone());
-        figures.add(counts.parts.clone());
-        for gauge in [&counts.alive, &counts.banks, &counts.standing_back] {
-            figures.add(gauge.clone());
+        figures.register(counts.messages.clone());
+        figures.register(counts.shares.clone());
+        for gauge in [&counts.alive, &counts.issuers_held, &counts.standby] {
+            figures.register(gauge.clone());
         }
-        let (me, fronts) = (told.terms.me, told.terms.fronts);
-        let bench = match told.verdict_terms()? {
+        let (me, fronts) = (told.limits_config.me, told.limits_config.fronts);
+        let bench = match told.ejection_config()? {
             None => None,
             Some(terms) => Some(
-                Bench::new(terms, ejections::Counts::new(figures))
+                Ejections::new(terms, ejections::EjectionMetrics::new(figures))
                     .map_err(|why| format!("'peers.verdicts': {why}"))?,
             ),
         };
         let judges = bench.is_some();
         let peers = Rc::new(Peers {
-            entries: RefCell::new(GossipStore::new(me, fronts, boot, told.entry_bytes, now())),
-            said: RefCell::new(vec![PeerStatus::Unknown; told.roster.len()]),
-            quota: RefCell::new(quota),
-            seal,
+            gossip: RefCell::new(GossipStore::new(me, fronts, boot, told.gossip_bytes_per_second, now())),
+            logged_status: RefCell::new(vec![PeerStatus::Unknown; told.roster.len()]),
+            coordinator: RefCell::new(quota),
+            codec: seal,
             socket,
-            told: RefCell::new(told),
-            shares: RefCell::default(),
+            config: RefCell::new(told),
+            limits: RefCell::default(),
             exchange: Rc::clone(exchange),
-            bench: RefCell::new(bench),
-            changed: Notify::new(),
+            ejections: RefCell::new(bench),
+            gossip_changed: Notify::new(),
             classes,
             counts,
-            stood_back: Cell::new(false),
+            was_standby: Cell::new(false),
         });
-        exchange.share(Rc::clone(&peers) as Rc<dyn Rights>);
-        peers.state();
-        peers.put(ABOUT, Some(env!("CARGO_PKG_VERSION").into()));
-        spawn_local(Rc::clone(&peers).hear());
-        spawn_local(Rc::clone(&peers).beat());
+        exchange.set_fleet_state(Rc::clone(&peers) as Rc<dyn FleetState>);
+        peers.apply_fleet_limits();
+        peers.publish(VERSION_KEY, Some(env!("CARGO_PKG_VERSION").into()));
+        spawn_local(Rc::clone(&peers).receive_loop());
+        spawn_local(Rc::clone(&peers).send_heartbeats());
         if judges {
-            spawn_local(Rc::clone(&peers).judge_changes());
+            spawn_local(Rc::clone(&peers).evaluate_on_change());
         }
         Ok(peers)
     }
@@ -334,15 +334,15 @@
     /// Where it says what only a restart can change.
     pub fn check(&self, told: Option<&Config>) -> Res<()> {
         let told = told.ok_or("'peers' cannot be left out while the front runs; restart it")?;
-        let held = self.told.borrow();
+        let held = self.config.borrow();
         if held.listen != told.listen || held.key_file != told.key_file {
             return Err("'peers.listen' and 'peers.key_file' change with a restart only".to_owned());
         }
-        if held.verdicts.is_some() != told.verdicts.is_some() {
+        if held.ejections.is_some() != told.ejections.is_some() {
             return Err("'peers.verdicts' comes and goes with a restart only".to_owned());
         }
-        told.verdict_terms()?;
-        if !held.stated.is_within(&told.stated) {
+        told.ejection_config()?;
+        if !held.fleet_limits.is_within(&told.fleet_limits) {
             return Err(
                 "a limit in 'peers.limits' cannot be left out while the front runs; restart it".to_owned()
             );
@@ -351,116 +351,121 @@
     }
 
     /// Takes what a new file says of the peers, which [`Peers::check`] has found right.
-    pub fn retune(&self, told: Config) {
-        let terms = told.terms.clone();
-        *self.said.borrow_mut() = vec![PeerStatus::Unknown; told.roster.len()];
-        *self.told.borrow_mut() = told;
-        self.state();
+    pub fn reload(&self, told: Config) {
+        let terms = told.limits_config.clone();
+        *self.logged_status.borrow_mut() = vec![PeerStatus::Unknown; told.roster.len()];
+        *self.config.borrow_mut() = told;
+        self.apply_fleet_limits();
         // Places are another roster's only where that is another.
-        if self.quota.borrow().config().roster != terms.roster {
-            let renewed = self.entries.borrow().with_roster(terms.me, terms.fronts, now());
-            *self.entries.borrow_mut() = renewed;
+        if self.coordinator.borrow().config().roster != terms.roster {
+            let renewed = self.gossip.borrow().with_roster(terms.me, terms.fronts, now());
+            *self.gossip.borrow_mut() = renewed;
         }
-        let rate = self.told.borrow().entry_bytes;
-        self.entries.borrow_mut().set_rate(rate);
-        let judged = self.told.borrow().verdict_terms();
-        if let (Some(bench), Ok(Some(judged))) = (self.bench.borrow_mut().as_mut(), judged) {
-            if *bench.terms() != judged {
+        let rate = self.config.borrow().gossip_bytes_per_second;
+        self.gossip.borrow_mut().set_rate(rate);
+        let judged = self.config.borrow().ejection_config();
+        if let (Some(bench), Ok(Some(judged))) = (self.ejections.borrow_mut().as_mut(), judged) {
+            if *bench.config() != judged {
                 // Checked before the file was taken.
-                let _ = bench.renew(judged);
+                let _ = bench.reconfigure(judged);
             }
         }
-        self.take(Event::Reconfigure(terms), None);
-        self.judge();
+        self.update_limits(Event::Reconfigure(terms), None);
+        self.evaluate_ejections();
     }
 
     /// Has the module told what the file states for the fleet, as far as there is a part of it here.
-    fn state(&self) {
-        let stated = self.told.borrow().stated;
-        let told = self.exchange.settings_of(|set| self.shares.borrow_mut().state(stated, set));
+    fn apply_fleet_limits(&self) {
+        let stated = self.config.borrow().fleet_limits;
+        let told = self.exchange.with_settings(|set| self.limits.borrow_mut().configure(stated, set));
         for (of, figures) in told {
-            self.exchange.tell(self.limit(of, figures, now()));
+            self.exchange.apply_fleet_update(self.limit_update(of, figures, now()));
         }
     }
 
     /// Says that this front ends.
-    pub fn leave(&self) {
-        self.take(Event::Shutdown, None);
-        self.take(Event::HeartbeatDue, None);
+    pub fn shut_down(&self) {
+        self.update_limits(Event::Shutdown, None);
+        self.update_limits(Event::HeartbeatDue, None);
     }
 
-    async fn beat(self: Rc<Self>) {
+    async fn send_heartbeats(self: Rc<Self>) {
         loop {
-            let beat = self.quota.borrow().config().heartbeat_interval as u64;
+            let beat = self.coordinator.borrow().config().heartbeat_interval as u64;
             // Not all at one moment, over and over.
             let wait = beat - beat / 20 + fastrand::u64(0..=beat / 10);
             tokio::time::sleep(Duration::from_nanos(wait)).await;
-            self.take(Event::HeartbeatDue, None);
-            self.judge();
-            self.tell(GossipInput::Round);
-            self.say();
+            self.update_limits(Event::HeartbeatDue, None);
+            self.evaluate_ejections();
+            self.update_gossip(GossipInput::Round);
+            self.report_status();
         }
     }
 
     /// Looks at verdicts when others have told something of servers or an attempt went badly, and not over and over.
-    async fn judge_changes(self: Rc<Self>) {
+    async fn evaluate_on_change(self: Rc<Self>) {
         loop {
-            self.changed.notified().await;
-            if self.judge() {
-                self.tell(GossipInput::Round);
+            self.gossip_changed.notified().await;
+            if self.evaluate_ejections() {
+                self.update_gossip(GossipInput::Round);
             }
-            tokio::time::sleep(JUDGED).await;
+            tokio::time::sleep(EVALUATION_PAUSE).await;
         }
     }
 
     /// Looks at what was seen of servers here and told by others; whether there is something to tell them.
-    fn judge(&self) -> bool {
+    fn evaluate_ejections(&self) -> bool {
         let (now, module_now) = (now(), self.exchange.now());
-        let done = match self.bench.borrow_mut().as_mut() {
-            Some(bench) => bench.look(now, module_now, &self.entries.borrow()),
+        let done = match self.ejections.borrow_mut().as_mut() {
+            Some(bench) => bench.evaluate(now, module_now, &self.gossip.borrow()),
             None => return false,
         };
-        if self.bench.borrow().as_ref().is_some_and(|bench| bench.is_waiting(now)) {
-            self.changed.notify_one();
+        if self.ejections.borrow().as_ref().is_some_and(|bench| bench.is_waiting(now)) {
+            self.gossip_changed.notify_one();
         }
-        let Done { puts, told } = done;
+        let EjectionChanges { entries: puts, updates: told } = done;
         let tells = !puts.is_empty();
-        puts.into_iter().for_each(|(key, value)| self.put(key, value));
-        told.into_iter().for_each(|told| self.exchange.tell(told));
+        puts.into_iter().for_each(|(key, value)| self.publish(key, value));
+        told.into_iter().for_each(|told| self.exchange.apply_fleet_update(told));
         tells
     }
 
-    async fn hear(self: Rc<Self>) {
+    async fn receive_loop(self: Rc<Self>) {
         let mut bytes = vec![0; MAX_MESSAGE + 1];
         loop {
             let Some(socket) = self.socket.get() else {
-                tokio::time::sleep(AGAIN).await;
-                let at = self.told.borrow().listen;
+                tokio::time::sleep(RECEIVE_RETRY).await;
+                let at = self.config.borrow().listen;
                 // In this order, so that nothing of its own is used before the whole quiet time.
-                self.count_as_starting();
-                if let Ok(socket) = hearing(at) {
+                self.note_address_in_use();
+                if let Ok(socket) = bind_socket(at) {
                     let _ = self.socket.set(socket);
                 }
                 continue;
             };
             match socket.recv_from(&mut bytes).await {
-                Ok((length, source)) => self.arrived(&bytes[..length], source),
+                Ok((length, source)) => self.receive(&bytes[..length], source),
                 // A peer that is gone makes its system say so, once; what lasts must not keep this thread busy.
-                Err(_) => tokio::time::sleep(AGAIN).await,
+                Err(_) => tokio::time::sleep(RECEIVE_RETRY).await,
             }
         }
     }
 
-    fn arrived(&self, bytes: &[u8], source: SocketAddr) {
-        match self.seal.open::<Said>(bytes) {
+    fn receive(&self, bytes: &[u8], source: SocketAddr) {
+        match self.codec.open::<IncomingMessage>(bytes) {
             Ok(opened) => {
                 let (from, boot) = (opened.from, opened.incarnation);
                 match opened.message {
-                    Said::Beat(beat) => {
-                        self.take(Event::HeartbeatReceived { from, boot, heartbeat: beat }, Some(source))
-                    }
-                    Said::Entries(exchange) => {
-                        self.tell(GossipInput::Received { from, incarnation: boot, message: exchange });
+                    IncomingMessage::Heartbeat(beat) => self.update_limits(
+                        Event::HeartbeatReceived { from, boot, heartbeat: beat },
+                        Some(source),
+                    ),
+                    IncomingMessage::Gossip(exchange) => {
+                        self.update_gossip(GossipInput::Received {
+                            from,
+                            incarnation: boot,
+                            message: exchange,
+                        });
                     }
                 }
             }
@@ -476,29 +481,29 @@
     }
 
     /// Counts as one that starts now while another process has the address.
-    fn count_as_starting(&self) {
+    fn note_address_in_use(&self) {
         if self.socket.get().is_none() {
-            self.quota.borrow_mut().on(now(), Event::AddressInUse, &mut Vec::new());
+            self.coordinator.borrow_mut().on(now(), Event::AddressInUse, &mut Vec::new());
         }
     }
 
     /// An entry of this front's own, which all others learn.
-    fn put(&self, key: Key, value: Option<Vec<u8>>) {
-        self.tell(GossipInput::Put(key, value));
+    fn publish(&self, key: Key, value: Option<Vec<u8>>) {
+        self.update_gossip(GossipInput::Put(key, value));
     }
 
     /// Has the entries take what happens, and carries out what is to be done.
-    fn tell(&self, told: GossipInput) {
+    fn update_gossip(&self, told: GossipInput) {
         let mut acts = Vec::new();
-        let done = self.entries.borrow_mut().on(now(), self.quota.borrow().members(), told, &mut acts);
+        let done = self.gossip.borrow_mut().on(now(), self.coordinator.borrow().members(), told, &mut acts);
         if let Err(why) = done {
             log!("peers: an entry is not told: {why}");
         }
         for act in acts {
             match act {
                 GossipAction::Send { to, message: exchange } => {
-                    let to = self.told.borrow().roster.get(usize::from(to)).map(|(_, at)| *at);
-                    self.send(to, &Saying::Entries(&exchange));
+                    let to = self.config.borrow().roster.get(usize::from(to)).map(|(_, at)| *at);
+                    self.send(to, &OutgoingMessage::Gossip(&exchange));
                 }
                 GossipAction::Rejected(why) => self.count(match why {
                     GossipError::StaleIncarnation | GossipError::UnknownOrigin => "entries_no_peer",
@@ -507,7 +512,7 @@
                     GossipError::OutOfBounds => "entries_bounds",
                 }),
                 // What is shown is looked up when it is asked for.
-                GossipAction::Changed(..) | GossipAction::Dropped(_) => self.changed.notify_one(),
+                GossipAction::Changed(..) | GossipAction::Dropped(_) => self.gossip_changed.notify_one(),
             }
         }
     }
@@ -517,13 +522,13 @@
     }
 
     /// Has the machine take an event, and carries out what it says.
-    fn take(&self, event: Event, source: Option<SocketAddr>) {
+    fn update_limits(&self, event: Event, source: Option<SocketAddr>) {
         let mut effects = Vec::new();
-        self.count_as_starting();
-        self.quota.borrow_mut().on(now(), event, &mut effects);
-        let module = self.exchange.settings_of(|set| self.carry_out(effects, source, set));
+        self.note_address_in_use();
+        self.coordinator.borrow_mut().on(now(), event, &mut effects);
+        let module = self.exchange.with_settings(|set| self.carry_out(effects, source, set));
         for told in module {
-            self.exchange.tell(told);
+            self.exchange.apply_fleet_update(told);
         }
     }
 
@@ -538,17 +543,18 @@
         for effect in effects {
             match effect {
                 Effect::Send { to, heartbeat: beat } => {
-                    let to = self.told.borrow().roster.get(usize::from(to)).map(|(_, at)| *at);
-                    self.send(to, &Saying::Beat(&beat));
+                    let to = self.config.borrow().roster.get(usize::from(to)).map(|(_, at)| *at);
+                    self.send(to, &OutgoingMessage::Heartbeat(&beat));
                 }
-                Effect::Reply { heartbeat: beat } => self.send(source, &Saying::Beat(&beat)),
+                Effect::Reply { heartbeat: beat } => self.send(source, &OutgoingMessage::Heartbeat(&beat)),
                 Effect::ShareChanged { limit, share: part, at } => {
-                    let told = self.shares.borrow_mut().tell(limit, part, set);
-                    module.extend(told.into_iter().map(|(of, figures)| self.limit(of, figures, at)));
+                    let told = self.limits.borrow_mut().set_share(limit, part, set);
+                    module.extend(told.into_iter().map(|(of, figures)| self.limit_update(of, figures, at)));
                 }
                 Effect::Forget(limit) => {
-                    let told = self.shares.borrow_mut().forget(limit, set);
-                    module.extend(told.into_iter().map(|(of, figures)| self.limit(of, figures, now())));
+                    let told = self.limits.borrow_mut().forget(limit, set);
+                    module
+                        .extend(told.into_iter().map(|(of, figures)| self.limit_update(of, figures, now())));
                 }
                 Effect::Received(news) => self.count(match news {
                     MessageStatus::Accepted { .. } => "counts",
@@ -564,18 +570,18 @@
     }
 
     /// What the module is told of a limit, from a moment on.
-    fn limit(&self, of: SharedLimit, figures: limits::Figures, at: i64) -> core::FleetUpdate {
+    fn limit_update(&self, of: SharedLimit, figures: limits::LimitRate, at: i64) -> core::FleetUpdate {
         let at = self.exchange.now() - (now() - at);
         core::FleetUpdate::SharedLimit { limit: of, rate: figures.rate, burst: figures.burst, at }
     }
 
-    fn send(&self, to: Option<SocketAddr>, saying: &Saying) {
+    fn send(&self, to: Option<SocketAddr>, saying: &OutgoingMessage) {
         let (me, boot) = {
-            let quota = self.quota.borrow();
+            let quota = self.coordinator.borrow();
             (quota.config().me, quota.incarnation())
         };
         let Some(to) = to else { return };
-        match self.seal.seal(me, boot, saying) {
+        match self.codec.seal(me, boot, saying) {
             // A datagram that cannot go is lost like any other, and the next beat says all anew.
             Ok(bytes) => {
                 let _ = self.socket.get().map(|socket| socket.try_send_to(&bytes, to));
@@ -585,20 +591,20 @@
     }
 
     /// Says changes in the log, and sets the figures.
-    fn say(&self) {
-        let (quota, told, now) = (self.quota.borrow(), self.told.borrow(), now());
+    fn report_status(&self) {
+        let (quota, told, now) = (self.coordinator.borrow(), self.config.borrow(), now());
         let mut alive = 0;
         for place in quota.members().others() {
             let belief = quota.members().status(now, place);
             alive += i64::from(belief == PeerStatus::Alive);
-            let mut said = self.said.borrow_mut();
+            let mut said = self.logged_status.borrow_mut();
             let before = std::mem::replace(&mut said[usize::from(place)], belief);
             if before != belief {
-                log!("peers: {} is {}", told.roster[usize::from(place)].0, word(belief));
+                log!("peers: {} is {}", told.roster[usize::from(place)].0, status_name(belief));
             }
         }
         let back = quota.is_standby(now) || self.socket.get().is_none();
-        if self.stood_back.replace(back) != back {
+        if self.was_standby.replace(back) != back {
             let name = &told.roster[usize::from(quota.config().me)].0;
             match back {
                 true if quota.yields_to_roster(now) => {
@@ -612,38 +618,38 @@
             }
         }
         self.counts.alive.set(alive);
-        self.counts.banks.set(quota.issuers_held(now).len() as i64);
-        self.counts.standing_back.set(i64::from(back));
-        for (name, part) in self.parts() {
-            self.counts.parts.with_label_values(&[name]).set(part);
+        self.counts.issuers_held.set(quota.issuers_held(now).len() as i64);
+        self.counts.standby.set(i64::from(back));
+        for (name, part) in self.shares() {
+            self.counts.shares.with_label_values(&[name]).set(part);
         }
     }
 
     /// This front's parts of the limits that are no volume's.
-    fn parts(&self) -> Vec<(&'static str, f64)> {
-        let shares = self.shares.borrow();
-        let part = |limit: Limit| f64::from(shares.part(limit)) / f64::from(FULL_SHARE);
-        shares.stated().limits().map(|(limit, name)| (name, part(limit))).collect()
+    fn shares(&self) -> Vec<(&'static str, f64)> {
+        let shares = self.limits.borrow();
+        let part = |limit: Limit| f64::from(shares.share(limit)) / f64::from(FULL_SHARE);
+        shares.configured().limits().map(|(limit, name)| (name, part(limit))).collect()
     }
 
     /// What there is to say of verdicts on servers, or of one of them, as JSON.
     ///
     /// # Errors
     /// A plain sentence, where verdicts are not shared or there is no such server.
-    pub fn verdicts(&self, server: Option<&str>) -> Res<Value> {
-        let bench = self.bench.borrow();
+    pub fn ejection_status(&self, server: Option<&str>) -> Res<Value> {
+        let bench = self.ejections.borrow();
         let bench = bench.as_ref().ok_or("this front shares no verdicts")?;
-        let told = self.told.borrow();
+        let told = self.config.borrow();
         let fronts: Vec<String> = told.roster.iter().map(|(name, _)| name.clone()).collect();
-        let names = Names { fronts: &fronts, zones: &told.zones.0, classes: &self.classes };
-        let status = bench.status(now(), &self.entries.borrow(), &names, server);
+        let names = DisplayNames { fronts: &fronts, zones: &told.zones.0, classes: &self.classes };
+        let status = bench.status(now(), &self.gossip.borrow(), &names, server);
         status.ok_or_else(|| format!("no such chunk server: {}", server.unwrap_or_default()))
     }
 
     /// What this front believes of its peers, as JSON.
     pub fn status(&self) -> Value {
-        let (quota, told, now) = (self.quota.borrow(), self.told.borrow(), now());
-        let entries = self.entries.borrow();
+        let (quota, told, now) = (self.coordinator.borrow(), self.config.borrow(), now());
+        let entries = self.gossip.borrow();
         let name = |place: PeerId| told.roster[usize::from(place)].0.clone();
         let millis = |span: i64| span / 1_000_000;
         let peers: Vec<Value> = quota
@@ -651,11 +657,11 @@
             .others()
             .map(|place| {
                 let standing = quota.peer_report(now, place);
-                let about = entries.get(now, place, ABOUT);
+                let about = entries.get(now, place, VERSION_KEY);
                 json!({
                     "name": name(place),
                     "address": told.roster[usize::from(place)].1.to_string(),
-                    "belief": word(standing.status),
+                    "belief": status_name(standing.status),
                     "boot": standing.incarnation.map(|b| format!("{b:016x}")),
                     "silent_ms": standing.silent_for.map(millis),
                     "heard_by": standing.reachable_from.into_iter().map(name).collect::<Vec<_>>(),
@@ -676,7 +682,7 @@
             "standing_back": quota.is_standby(now) || self.socket.get().is_none(),
             "other_roster": quota.yields_to_roster(now),
             "banks": quota.issuers_held(now).into_iter().map(name).collect::<Vec<_>>(),
-            "limits": self.parts().into_iter()
+            "limits": self.shares().into_iter()
                 .map(|(limit, part)| json!({"limit": limit, "part": part}))
                 .collect::<Vec<_>>(),
             "peers": peers,
@@ -684,35 +690,35 @@
     }
 }
 
-impl Rights for Peers {
-    fn sent(&self, id: RequestId, attempt: u32, node: NodeId, class: usize) {
-        if let Some(bench) = self.bench.borrow_mut().as_mut() {
-            let semantics = self.exchange.settings_of(|set| set.classes.get(class).map(|c| c.semantics));
-            bench.sent(now(), (id, attempt), node, class, semantics == Some(Semantics::Idempotent));
+impl FleetState for Peers {
+    fn attempt_sent(&self, id: RequestId, attempt: u32, node: NodeId, class: usize) {
+        if let Some(bench) = self.ejections.borrow_mut().as_mut() {
+            let semantics = self.exchange.with_settings(|set| set.classes.get(class).map(|c| c.semantics));
+            bench.attempt_sent(now(), (id, attempt), node, class, semantics == Some(Semantics::Idempotent));
         }
     }
 
-    fn before(&self, input: &Input, set: &Settings) -> Vec<core::FleetUpdate> {
+    fn updates_before(&self, input: &Input, set: &Settings) -> Vec<core::FleetUpdate> {
         let (mut effects, mut module, now) = (Vec::new(), Vec::new(), now());
-        if let Some(bench) = self.bench.borrow_mut().as_mut() {
-            if bench.runs(now, input) {
-                self.changed.notify_one();
+        if let Some(bench) = self.ejections.borrow_mut().as_mut() {
+            if bench.observe_input(now, input) {
+                self.gossip_changed.notify_one();
             }
             if let Input::Endpoints { scope, nodes } = input {
-                bench.list(*scope, nodes, |node| self.exchange.transport().id(node));
+                bench.update_endpoints(*scope, nodes, |node| self.exchange.transport().id(node));
             }
         }
-        let mut asked = self.shares.borrow().stated().asked(input);
+        let mut asked = self.limits.borrow().configured().demand_of(input);
         if let Input::RequestReceived(r) = input {
             if set.plans.get(r.plan).is_some_and(|p| p.limit_rate > 0.0) {
-                let told = self.shares.borrow_mut().asked(r.volume, r.plan, set);
-                module.extend(told.map(|(of, figures)| self.limit(of, figures, now)));
+                let told = self.limits.borrow_mut().volume_requested(r.volume, r.plan, set);
+                module.extend(told.map(|(of, figures)| self.limit_update(of, figures, now)));
                 asked.push((Limit::Volume(r.volume), r.units));
             }
         }
-        self.count_as_starting();
+        self.note_address_in_use();
         {
-            let mut quota = self.quota.borrow_mut();
+            let mut quota = self.coordinator.borrow_mut();
             if asked.is_empty() && now >= quota.next_expiry() {
                 quota.on(now, Event::Poll, &mut effects);
             }
@@ -725,7 +731,7 @@
     }
 }
 
-fn word(belief: PeerStatus) -> &'static str {
+fn status_name(belief: PeerStatus) -> &'static str {
     match belief {
         PeerStatus::Unknown => "unheard",
         PeerStatus::Alive => "alive",
@@ -749,11 +755,14 @@
     #[test]
     fn places_follow_the_names_and_addresses_may_differ() {
         let peers = read(FINE).expect("it holds");
-        assert_eq!((peers.terms.me, peers.terms.fronts, peers.terms.revision), (1, 2, 1));
+        assert_eq!(
+            (peers.limits_config.me, peers.limits_config.fronts, peers.limits_config.revision),
+            (1, 2, 1)
+        );
         let elsewhere = read(&FINE.replace("127.0.0.1:3", "127.0.0.1:9")).expect("it holds");
-        assert_eq!(elsewhere.terms, peers.terms);
+        assert_eq!(elsewhere.limits_config, peers.limits_config);
         let other = read(&FINE.replace("\"a\"", "\"c\"")).expect("it holds");
-        assert_ne!(other.terms.roster, peers.terms.roster);
+        assert_ne!(other.limits_config.roster, peers.limits_config.roster);
     }
 
     #[test]
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -39,7 +39,7 @@
     /// The settings, for the module.
     pub settings: Settings,
     /// The settings as they came, to hold a later file against.
-    pub told: Value,
+    pub raw_settings: Value,
     /// Names of the classes, in the settings' order.
     pub classes: Vec<String>,
     /// Whether each class writes, where the settings say.
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     /// A plain sentence on what is missing or wrong.
-    pub fn reread() -> Res<Config> {
+    pub fn reread_from_env() -> Res<Config> {
         let (path, mut bytes) = file()?;
         let newer = |name: &str| (name != "BALANCER_DISCOVERY").then(|| std::env::var(name).ok()).flatten();
         let mut config = Config::read(&mut bytes.clone(), newer).map_err(|why| format!("{path}: {why}"))?;
@@ -99,7 +99,7 @@
             };
             told.parse().map_err(|_| format!("'{key}' {told} is no address"))
         };
-        if crate::telemetry::trace::on() {
+        if crate::telemetry::trace::is_enabled() {
             let settings = value.get("settings").cloned();
             crate::telemetry::trace::write(simd_json::json!({ "e": "start", "settings": settings }));
         }
@@ -136,7 +136,7 @@
             memory: limit("memory_mb", 192.0)?.saturating_mul(1 << 20),
             known: value.get("known").cloned().ok_or("'known' is missing")?,
             settings: settings(boot)?,
-            told: boot.clone(),
+            raw_settings: boot.clone(),
             classes: names(boot, "Services")?,
             writes: {
                 let told = family.get("ChangesData").and_then(Value::as_array);
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -15,61 +15,61 @@
 use crate::config::settings::Res;
 use crate::config::Config;
 use crate::exchange::Exchange;
-use crate::frontend::platform::Names;
+use crate::frontend::platform::RequestTables;
 use crate::telemetry::log::log;
-use crate::telemetry::metrics::Figures;
+use crate::telemetry::metrics::Metrics;
 use crate::upstream::Upstream;
 
 /// What a new file changes.
-pub struct Retune {
+pub struct SettingsReload {
     /// Where the module is.
     pub exchange: Rc<Exchange<Upstream>>,
     /// What requests may name.
-    pub names: Rc<RefCell<Names>>,
+    pub tables: Rc<RefCell<RequestTables>>,
     /// Where files are counted.
-    pub figures: Rc<Figures>,
+    pub metrics: Rc<Metrics>,
     /// Where discovery is.
     pub discovery: watch::Sender<Option<SocketAddr>>,
     /// The front's peers, where it has any.
     pub peers: Option<Rc<Peers>>,
     /// The settings last taken, as they came.
-    pub told: Value,
+    pub current: Value,
 }
 
-impl Retune {
+impl SettingsReload {
     /// Takes the file that `read` gives at each SIGHUP, for as long as the program runs.
     pub async fn follow(mut self, mut hangup: Signal, read: impl Fn() -> Res<Config>) {
         while hangup.recv().await.is_some() {
-            match read().and_then(|config| self.take(config)) {
+            match read().and_then(|config| self.apply(config)) {
                 Ok(()) => {
-                    self.figures.conf_loaded.inc();
+                    self.metrics.conf_loaded.inc();
                     log!("the new configuration is taken");
                 }
                 Err(why) => {
-                    self.figures.conf_invalid.inc();
+                    self.metrics.conf_invalid.inc();
                     log!("the new configuration is not taken, and the one before stays: {why}");
                 }
             }
         }
     }
 
-    fn take(&mut self, config: Config) -> Res<()> {
-        if let Some(path) = missing(&self.told, &config.told, "settings") {
+    fn apply(&mut self, config: Config) -> Res<()> {
+        if let Some(path) = missing(&self.current, &config.raw_settings, "settings") {
             return Err(format!("'{path}' is missing"));
         }
         if let Some(peers) = &self.peers {
             peers.check(config.peers.as_ref())?;
         }
         let told_peers = config.peers.clone();
-        let (told, discovery) = (config.told.clone(), config.discovery);
-        let mut names = self.names.borrow().clone();
-        let (settings, carried) = names.retune(config, &self.figures);
-        self.exchange.retune(settings, &carried).map_err(|e| e.to_string())?;
+        let (told, discovery) = (config.raw_settings.clone(), config.discovery);
+        let mut names = self.tables.borrow().clone();
+        let (settings, carried) = names.reload(config, &self.metrics);
+        self.exchange.reload_settings(settings, &carried).map_err(|e| e.to_string())?;
         if let (Some(peers), Some(told)) = (&self.peers, told_peers) {
-            peers.retune(told);
+            peers.reload(told);
         }
-        *self.names.borrow_mut() = names;
-        self.told = told;
+        *self.tables.borrow_mut() = names;
+        self.current = told;
         if let Some(address) = discovery {
             self.discovery.send_if_modified(|held| held.replace(address) != Some(address));
         }
--- a/src/control/agent.rs
+++ b/src/control/agent.rs
@@ -23,8 +23,8 @@
 use crate::config::settings::{text, Res};
 use crate::control::etcd::{Declared, Prefix};
 use crate::control::http_client::call;
-use crate::front::{on_one_thread, stop};
-use crate::frontend::listener::{listen, plain, Handler, Listener, Reply, Standing, Taken};
+use crate::front::{on_one_thread, shutdown_signal};
+use crate::frontend::listener::{listen, plain, Handler, Listener, ListenerState, ReceivedRequest, Reply};
 use crate::telemetry::log::log;
 
 /// First and longest pause before a crashed front is started again, and how long one must have run for the first
@@ -103,7 +103,7 @@
 pub fn run(source: Source, control: SocketAddr) -> Res<()> {
     on_one_thread(async move {
         let listener = listen(control).await?;
-        let stop = stop()?;
+        let shutdown = shutdown_signal()?;
         let agent = Rc::new(Agent::default());
         let (out, mut declared) = mpsc::channel(8);
         let followed = tokio::task::spawn_local(async move {
@@ -118,7 +118,9 @@
                 applied.apply(all);
             }
         });
-        Listener::new(Control(Rc::clone(&agent)), MOST, Standing::default()).serve(listener, stop).await;
+        Listener::new(Control(Rc::clone(&agent)), MOST, ListenerState::default())
+            .serve(listener, shutdown)
+            .await;
         followed.abort();
         applying.abort();
         let all = std::mem::take(&mut *agent.fronts.borrow_mut());
@@ -323,11 +325,11 @@
 struct Control(Rc<Agent>);
 
 impl Handler for Control {
-    fn longest(&self) -> Duration {
+    fn longest_deadline(&self) -> Duration {
         GRACE
     }
 
-    async fn answer(&self, request: Taken, _leaving: bool) -> Reply {
+    async fn answer(&self, request: ReceivedRequest, _leaving: bool) -> Reply {
         if let Err(status) = *request.body() {
             return plain(status, "the request is not taken");
         }
--- a/src/control/console.rs
+++ b/src/control/console.rs
@@ -33,32 +33,32 @@
 use crate::control::maintenance::Maintenance;
 use crate::exchange::Exchange;
 use crate::telemetry::log::log;
-use crate::telemetry::metrics::{Figures, Reading};
+use crate::telemetry::metrics::{GaugeReadings, Metrics};
 use crate::upstream::Upstream;
 
 /// A whole call, from connecting to the last byte of its answer, within this, or the connection is closed.
-const CALL: Duration = Duration::from_millis(900);
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 /// Connections held at once; one more closes the oldest.
-pub const MOST: usize = 8;
+pub const MAX_CONNECTIONS: usize = 8;
 /// Bytes of a call's body that are read; the console's calls have none that matters.
-const MOST_BODY: usize = 4096;
+const MAX_BODY: usize = 4096;
 
 /// What the console answers from.
 pub struct Console {
     /// Whether the front takes clients.
-    pub taking: Rc<Cell<bool>>,
+    pub accepting: Rc<Cell<bool>>,
     /// Requests taken and not yet ended.
-    pub current: Rc<Cell<usize>>,
+    pub active_requests: Rc<Cell<usize>>,
     /// The figures.
-    pub figures: Rc<Figures>,
+    pub metrics: Rc<Metrics>,
     /// Where the module is.
     pub exchange: Rc<Exchange<Upstream>>,
     /// Chunk servers out by hand.
     pub maintenance: Rc<Maintenance>,
     /// The front's peers, where it has any.
     pub peers: Option<Rc<Peers>>,
-    held: RefCell<VecDeque<(u64, Rc<Notify>)>>,
-    next: Cell<u64>,
+    open_calls: RefCell<VecDeque<(u64, Rc<Notify>)>>,
+    next_call: Cell<u64>,
 }
 
 impl Console {
@@ -66,20 +66,29 @@
     pub fn new(
         taking: Rc<Cell<bool>>,
         current: Rc<Cell<usize>>,
-        figures: Rc<Figures>,
+        figures: Rc<Metrics>,
         exchange: Rc<Exchange<Upstream>>,
         maintenance: Rc<Maintenance>,
         peers: Option<Rc<Peers>>,
     ) -> Rc<Console> {
         let (held, next) = (RefCell::default(), Cell::new(0));
-        Rc::new(Console { taking, current, figures, exchange, maintenance, peers, held, next })
+        Rc::new(Console {
+            accepting: taking,
+            active_requests: current,
+            metrics: figures,
+            exchange,
+            maintenance,
+            peers,
+            open_calls: held,
+            next_call: next,
+        })
     }
 
     /// Serves for as long as the program runs.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => self.take(stream),
+                Ok((stream, _)) => self.accept(stream),
                 Err(why) => {
                     log!("console: cannot accept: {why}");
                     tokio::time::sleep(Duration::from_millis(10)).await;
@@ -88,13 +97,13 @@
         }
     }
 
-    fn take(self: &Rc<Self>, stream: TcpStream) {
-        let number = self.next.get();
-        self.next.set(number + 1);
+    fn accept(self: &Rc<Self>, stream: TcpStream) {
+        let number = self.next_call.get();
+        self.next_call.set(number + 1);
         let gone = Rc::new(Notify::new());
         {
-            let mut held = self.held.borrow_mut();
-            if held.len() >= MOST {
+            let mut held = self.open_calls.borrow_mut();
+            if held.len() >= MAX_CONNECTIONS {
                 if let Some((_, oldest)) = held.pop_front() {
                     oldest.notify_one();
                 }
@@ -111,39 +120,42 @@
             let connection =
                 http1::Builder::new().keep_alive(false).serve_connection(TokioIo::new(stream), service);
             tokio::select! {
-                _ = timeout(CALL, connection) => {}
+                _ = timeout(CALL_TIMEOUT, connection) => {}
                 () = gone.notified() => {}
             }
-            console.held.borrow_mut().retain(|(n, _)| *n != number);
+            console.open_calls.borrow_mut().retain(|(n, _)| *n != number);
         });
     }
 
     async fn answer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let (head, body) = request.into_parts();
         // A body is read, so that the answer does not cross it; none is needed.
-        let _ = Limited::new(body, MOST_BODY).collect().await;
+        let _ = Limited::new(body, MAX_BODY).collect().await;
         let path = head.uri.path();
         match (&head.method, path.strip_prefix("/maintenance/")) {
-            (&Method::GET, None) if path == "/status" => match self.taking.get() {
+            (&Method::GET, None) if path == "/status" => match self.accepting.get() {
                 true => plain(StatusCode::OK, "taking clients\n".into()),
                 false => plain(StatusCode::SERVICE_UNAVAILABLE, "not taking clients\n".into()),
             },
             (&Method::GET, None) if path == "/status/metrics" => {
-                let (cluster_size, cluster_unhealthy) = self.exchange.census();
-                let reading = Reading { current: self.current.get(), cluster_size, cluster_unhealthy };
-                let mut reply = plain(StatusCode::OK, self.figures.text(&reading).into());
+                let (cluster_size, cluster_unhealthy) = self.exchange.endpoint_counts();
+                let reading =
+                    GaugeReadings { current: self.active_requests.get(), cluster_size, cluster_unhealthy };
+                let mut reply = plain(StatusCode::OK, self.metrics.render(&reading).into());
                 reply.headers_mut().insert(
                     CONTENT_TYPE,
                     HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8"),
                 );
                 reply
             }
-            (&Method::GET, None) if path == "/status/peers" => self.of_peers(|peers| Ok(peers.status())),
-            (&Method::GET, None) if path == "/status/verdicts" => self.of_peers(|peers| peers.verdicts(None)),
+            (&Method::GET, None) if path == "/status/peers" => self.peer_status(|peers| Ok(peers.status())),
+            (&Method::GET, None) if path == "/status/verdicts" => {
+                self.peer_status(|peers| peers.ejection_status(None))
+            }
             (&Method::GET, None) if path.starts_with("/status/verdicts/") => {
                 let id = path.trim_start_matches("/status/verdicts/");
                 let id = percent_encoding::percent_decode_str(id).decode_utf8_lossy();
-                self.of_peers(|peers| peers.verdicts(Some(&id)))
+                self.peer_status(|peers| peers.ejection_status(Some(&id)))
             }
             (&Method::PUT, Some(rest)) => self.maintenance_call(rest),
             (_, Some(_)) => plain(StatusCode::METHOD_NOT_ALLOWED, "maintenance is called with PUT\n".into()),
@@ -159,7 +171,7 @@
     }
 
     /// What the front's peers have to say, where it has any.
-    fn of_peers(&self, say: impl FnOnce(&Peers) -> Res<Value>) -> Response<Full<Bytes>> {
+    fn peer_status(&self, say: impl FnOnce(&Peers) -> Res<Value>) -> Response<Full<Bytes>> {
         let told = self.peers.as_ref().map_or_else(|| Err("this front has no peers".to_owned()), |p| say(p));
         match told {
             Ok(value) => {
--- a/src/control/discovery.rs
+++ b/src/control/discovery.rs
@@ -16,7 +16,7 @@
 use tulipbridge_core::{CellId, Listed, Nanos, NodeInfo, UpdateScope};
 
 use crate::config::settings::{flag, int, list, text, Res};
-use crate::control::http_client::{call, Answer};
+use crate::control::http_client::{call, CallResponse};
 use crate::control::json_stream::Message;
 use crate::control::maintenance::Maintenance;
 use crate::exchange::Exchange;
@@ -32,7 +32,7 @@
 /// A watch that stands, and where.
 struct Standing {
     at: SocketAddr,
-    answer: Answer,
+    answer: CallResponse,
 }
 
 /// How far this front has followed discovery.
@@ -46,9 +46,9 @@
     /// The version of the list held.
     pub generation: i64,
     /// Who counts versions so; at first whoever is asked first.
-    pub told_by: Option<SocketAddr>,
+    pub list_source: Option<SocketAddr>,
     /// Chunk servers held out by hand, between the list and the module.
-    pub hand: Rc<Maintenance>,
+    pub maintenance: Rc<Maintenance>,
 }
 
 impl Discovery {
@@ -58,7 +58,7 @@
     /// A plain sentence, where it is not in discovery's form.
     pub fn restore(&mut self, known: &Value, exchange: &Rc<Exchange<Upstream>>) -> Res<()> {
         let (_, nodes) = self.read(known, exchange.transport())?;
-        exchange.fleet(UpdateScope::Restored, nodes);
+        exchange.update_endpoints(UpdateScope::Restored, nodes);
         Ok(())
     }
 
@@ -110,7 +110,7 @@
                     }
                 }
                 Ok(()) = address.changed() => WatchEvent::Moved,
-                () = exchange.subscribe_wanted() => WatchEvent::ListWanted,
+                () = exchange.list_wanted() => WatchEvent::ListWanted,
                 () = comes(due) => WatchEvent::TimerDue,
             };
             for step in machine.on(now(), event) {
@@ -119,7 +119,8 @@
                         // A configuration that names none leaves the watch where it is.
                         let at = address.borrow().unwrap_or(at);
                         // Another discovery may count versions in a way of its own: from 0 it tells all.
-                        let after = if *self.told_by.get_or_insert(at) == at { self.generation } else { 0 };
+                        let after =
+                            if *self.list_source.get_or_insert(at) == at { self.generation } else { 0 };
                         opening = Some(Box::pin(open(at, after)));
                     }
                     WatchStep::CancelCall => {
@@ -131,7 +132,7 @@
                         log!("discovery: it is silent");
                         standing = None;
                     }
-                    WatchStep::ReportLost => exchange.fleet(UpdateScope::Unavailable, Vec::new()),
+                    WatchStep::ReportLost => exchange.update_endpoints(UpdateScope::Unavailable, Vec::new()),
                 }
             }
         }
@@ -143,8 +144,8 @@
         let value = simd_json::to_owned_value(&mut json).map_err(|e| e.to_string());
         match value.and_then(|v| self.read(&v, exchange.transport())) {
             Ok((scope, nodes)) => {
-                self.told_by = Some(from);
-                exchange.fleet(scope, nodes);
+                self.list_source = Some(from);
+                exchange.update_endpoints(scope, nodes);
             }
             Err(why) => log!("discovery: a message that cannot be read: {why}"),
         }
@@ -156,9 +157,9 @@
         let entries = list(value, "instances")?;
         let named = entries.iter().map(|e| self.entry(e, upstream)).collect::<Res<Vec<_>>>()?;
         if scope == UpdateScope::Replace {
-            self.hand.replaced(&named.iter().map(|(name, _)| name.clone()).collect());
+            self.maintenance.replaced(&named.iter().map(|(name, _)| name.clone()).collect());
         }
-        let nodes = named.into_iter().map(|(name, info)| self.hand.listed(&name, info)).collect();
+        let nodes = named.into_iter().map(|(name, info)| self.maintenance.listed(&name, info)).collect();
         self.generation = generation;
         Ok((scope, nodes))
     }
@@ -197,7 +198,7 @@
 /// The next message of the watch that stands; never, where there is none.
 async fn message(standing: &mut Option<Standing>) -> Res<(SocketAddr, Message)> {
     match standing {
-        Some(standing) => standing.answer.message().await.map(|message| (standing.at, message)),
+        Some(standing) => standing.answer.next_message().await.map(|message| (standing.at, message)),
         None => std::future::pending().await,
     }
 }
--- a/src/control/etcd.rs
+++ b/src/control/etcd.rs
@@ -74,7 +74,7 @@
             }
             loop {
                 // Nothing was missed: the next watch begins where this one ended.
-                let Ok(message) = timeout(SILENT, watch.message()).await else { break };
+                let Ok(message) = timeout(SILENT, watch.next_message()).await else { break };
                 let Message::Json(mut line) = message? else { continue };
                 let value = simd_json::to_owned_value(&mut line).map_err(|e| format!("not JSON: {e}"))?;
                 if let Some(error) = value.get("error") {
@@ -111,7 +111,7 @@
             let body = request.encode();
             let answer = call(self.address, Method::POST, "/v3/kv/range", body, DIAL, ANSWER).await?;
             let status = answer.status;
-            let mut bytes = answer.whole(ANSWER).await?;
+            let mut bytes = answer.read_all(ANSWER).await?;
             if status != StatusCode::OK {
                 return Err(format!("the list was answered {status}: {}", String::from_utf8_lossy(&bytes)));
             }
--- a/src/control/http_client.rs
+++ b/src/control/http_client.rs
@@ -16,24 +16,24 @@
 use tokio::time::timeout;
 
 use crate::config::settings::Res;
-use crate::control::json_stream::{Message, Messages};
+use crate::control::json_stream::{Message, MessageReader};
 
 /// The longest message or whole answer that is taken in.
-const MOST: usize = 8 << 20;
+const MAX_MESSAGE: usize = 8 << 20;
 
 /// An answer that is coming. Dropping it closes the connection.
-pub struct Answer {
+pub struct CallResponse {
     /// Its status.
     pub status: StatusCode,
     body: Incoming,
-    messages: Messages,
-    _task: Driven,
+    messages: MessageReader,
+    _task: ConnectionTask,
 }
 
 /// The task that drives a connection, for as long as it is of use.
-struct Driven(JoinHandle<()>);
+struct ConnectionTask(JoinHandle<()>);
 
-impl Drop for Driven {
+impl Drop for ConnectionTask {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -50,11 +50,11 @@
     body: String,
     dial: Duration,
     wait: Duration,
-) -> Res<Answer> {
+) -> Res<CallResponse> {
     let dialled = timeout(dial, TcpStream::connect(address)).await;
     let stream = dialled.map_err(|_| "no connection in time")?.map_err(|e| e.to_string())?;
     let (mut sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())?;
-    let task = Driven(tokio::task::spawn_local(async move {
+    let task = ConnectionTask(tokio::task::spawn_local(async move {
         // How it ends shows in the answer.
         let _ = connection.await;
     }));
@@ -66,20 +66,20 @@
     let sent = sender.send_request(request.map_err(|e| e.to_string())?);
     let answer = timeout(wait, sent).await.map_err(|_| "no answer in time")?.map_err(|e| e.to_string())?;
     let (status, body) = (answer.status(), answer.into_body());
-    Ok(Answer { status, body, messages: Messages::default(), _task: task })
+    Ok(CallResponse { status, body, messages: MessageReader::default(), _task: task })
 }
 
-impl Answer {
+impl CallResponse {
     /// The next message, however long it takes. Dropping the future loses nothing of it.
     ///
     /// # Errors
     /// Where it is broken or without end, and where the answer has ended.
-    pub async fn message(&mut self) -> Res<Message> {
+    pub async fn next_message(&mut self) -> Res<Message> {
         loop {
             if let Some(message) = self.messages.pop() {
                 return Ok(message);
             }
-            if self.messages.held() > MOST {
+            if self.messages.buffered() > MAX_MESSAGE {
                 return Err("a message without end".to_owned());
             }
             let frame = self.body.frame().await.ok_or("it has ended")?.map_err(|e| e.to_string())?;
@@ -91,8 +91,8 @@
     ///
     /// # Errors
     /// Where it does not come whole, in time and within bounds.
-    pub async fn whole(mut self, wait: Duration) -> Res<Vec<u8>> {
-        let whole = timeout(wait, Limited::new(&mut self.body, MOST).collect()).await;
+    pub async fn read_all(mut self, wait: Duration) -> Res<Vec<u8>> {
+        let whole = timeout(wait, Limited::new(&mut self.body, MAX_MESSAGE).collect()).await;
         Ok(whole.map_err(|_| "it is silent")?.map_err(|e| e.to_string())?.to_bytes().to_vec())
     }
 }
--- a/src/control/json_stream.rs
+++ b/src/control/json_stream.rs
@@ -7,15 +7,15 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Message {
     /// An empty line.
-    Empty,
+    KeepAlive,
     /// A JSON object or array; or a line that is neither, for its reader to refuse.
     Json(BytesMut),
 }
 
 /// Takes bytes as they come and gives messages, each once it is whole.
 #[derive(Debug, Default)]
-pub struct Messages {
-    held: BytesMut,
+pub struct MessageReader {
+    buffer: BytesMut,
     /// Bytes looked at already, and what is open there.
     seen: usize,
     depth: usize,
@@ -23,32 +23,32 @@
     escaped: bool,
 }
 
-impl Messages {
+impl MessageReader {
     /// Takes what has come.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
     /// Bytes held of a message that is not whole.
-    pub fn held(&self) -> usize {
-        self.held.len()
+    pub fn buffered(&self) -> usize {
+        self.buffer.len()
     }
 
     /// The next message, where one is whole.
     pub fn pop(&mut self) -> Option<Message> {
         if self.seen == 0 {
-            let blank = self.held.iter().take_while(|b| b.is_ascii_whitespace()).count();
-            let empty = self.held[..blank].contains(&b'\n');
-            self.held.advance(blank);
+            let blank = self.buffer.iter().take_while(|b| b.is_ascii_whitespace()).count();
+            let empty = self.buffer[..blank].contains(&b'\n');
+            self.buffer.advance(blank);
             if empty {
-                return Some(Message::Empty);
+                return Some(Message::KeepAlive);
             }
-            if !matches!(self.held.first(), None | Some(b'{' | b'[')) {
-                let end = self.held.iter().position(|b| *b == b'\n')?;
-                return Some(Message::Json(self.held.split_to(end + 1)));
+            if !matches!(self.buffer.first(), None | Some(b'{' | b'[')) {
+                let end = self.buffer.iter().position(|b| *b == b'\n')?;
+                return Some(Message::Json(self.buffer.split_to(end + 1)));
             }
         }
-        while let Some(byte) = self.held.get(self.seen).copied() {
+        while let Some(byte) = self.buffer.get(self.seen).copied() {
             self.seen += 1;
             match byte {
                 _ if self.escaped => self.escaped = false,
@@ -60,7 +60,7 @@
                     self.depth = self.depth.saturating_sub(1);
                     if self.depth == 0 {
                         let end = std::mem::take(&mut self.seen);
-                        return Some(Message::Json(self.held.split_to(end)));
+                        return Some(Message::Json(self.buffer.split_to(end)));
                     }
                 }
                 _ => {}
--- a/src/control/maintenance.rs
+++ b/src/control/maintenance.rs
@@ -110,7 +110,7 @@
 
     fn tell(&self, told: Vec<NodeInfo>) {
         if !told.is_empty() {
-            self.exchange.fleet(UpdateScope::Update, told);
+            self.exchange.update_endpoints(UpdateScope::Update, told);
         }
     }
 
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -17,7 +17,7 @@
 
 /// A module that leaves a request unanswered for this long past its deadline is overruled with a failure.
 /// Guards the rule of one final answer against faults of ours; well inside the slack that clients grant.
-const OVERDUE: Duration = Duration::from_millis(20);
+const OVERDUE_AFTER: Duration = Duration::from_millis(20);
 
 /// The time as the decision module counts it: Unix time when the program began, and monotonic from there, so
 /// that a step of the system's clock reorders nothing.
@@ -46,7 +46,7 @@
 }
 
 /// How an attempt ended, and what came back.
-pub struct Ended<A> {
+pub struct AttemptReport<A> {
     /// The outcome; what came back is an answer only where it is `Done`.
     pub outcome: Outcome,
     /// What goes to the client.
@@ -57,9 +57,9 @@
     pub foreign_units: f64,
 }
 
-impl<A> From<Outcome> for Ended<A> {
-    fn from(outcome: Outcome) -> Ended<A> {
-        Ended { outcome, answer: None, seen_use: 0.0, foreign_units: 0.0 }
+impl<A> From<Outcome> for AttemptReport<A> {
+    fn from(outcome: Outcome) -> AttemptReport<A> {
+        AttemptReport { outcome, answer: None, seen_use: 0.0, foreign_units: 0.0 }
     }
 }
 
@@ -84,14 +84,14 @@
         payload: Rc<Self::Payload>,
         until: Instant,
         withdrawal: Withdrawal,
-    ) -> impl Future<Output = Ended<Self::Answer>> + 'static;
+    ) -> impl Future<Output = AttemptReport<Self::Answer>> + 'static;
 }
 
 /// What the desk has said of an attempt that is out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Order {
+enum AttemptOrder {
     /// It is dropped.
-    Stop,
+    Cancel,
     /// It ends so, unless it has begun.
     Withdraw(Outcome),
 }
@@ -102,22 +102,22 @@
     attempt: u32,
     /// Where it has not begun by then, it is not wanted any more.
     begin_by: Option<Instant>,
-    orders: watch::Receiver<Option<(u32, Order)>>,
+    orders: watch::Receiver<Option<(u32, AttemptOrder)>>,
 }
 
 impl Withdrawal {
     /// How the attempt ends, where it has been withdrawn.
     pub fn outcome(&self) -> Option<Outcome> {
         match *self.orders.borrow() {
-            Some((attempt, Order::Withdraw(outcome))) if attempt == self.attempt => Some(outcome),
+            Some((attempt, AttemptOrder::Withdraw(outcome))) if attempt == self.attempt => Some(outcome),
             // One that is to be dropped does not begin before it is.
-            Some((attempt, Order::Stop)) if attempt == self.attempt => Some(Outcome::Cancelled),
+            Some((attempt, AttemptOrder::Cancel)) if attempt == self.attempt => Some(Outcome::Cancelled),
             _ => self.begin_by.filter(|by| Instant::now() >= *by).map(|_| Outcome::NotSent),
         }
     }
 
     /// Returns when the attempt is withdrawn, with how it ends.
-    pub async fn comes(&mut self) -> Outcome {
+    pub async fn withdrawn(&mut self) -> Outcome {
         loop {
             if let Some(outcome) = self.outcome() {
                 return outcome;
@@ -138,8 +138,8 @@
     }
 
     /// Returns when the attempt is to be dropped.
-    async fn stopped(&mut self) {
-        let stop = Some((self.attempt, Order::Stop));
+    async fn cancelled(&mut self) {
+        let stop = Some((self.attempt, AttemptOrder::Cancel));
         if self.orders.wait_for(|order| *order == stop).await.is_err() {
             std::future::pending::<()>().await;
         }
@@ -153,37 +153,37 @@
 
 /// The final answer to a request.
 #[derive(Debug)]
-pub enum Final<A> {
+pub enum FinalResponse<A> {
     /// A node's answer.
     Served(A),
     /// It never ran, or repeating is harmless; the client may come back after the wait.
-    Refused(Duration),
+    Rejected(Duration),
     /// Nothing is promised.
     Failed,
 }
 
-struct Live<T: Transport> {
+struct PendingRequest<T: Transport> {
     payload: Rc<T::Payload>,
     class: usize,
     /// Taken by the final answer.
-    answer: Option<oneshot::Sender<Final<T::Answer>>>,
+    answer: Option<oneshot::Sender<FinalResponse<T::Answer>>>,
     /// What was said last of one of its attempts.
-    orders: watch::Sender<Option<(u32, Order)>>,
+    orders: watch::Sender<Option<(u32, AttemptOrder)>>,
 }
 
 /// Who knows what this front may use of limits that others share, and what all hold of nodes.
-pub trait Rights {
+pub trait FleetState {
     /// What the module must be told before it takes an input: what was used so far may have ended.
-    fn before(&self, input: &Input, settings: &Settings) -> Vec<FleetUpdate>;
+    fn updates_before(&self, input: &Input, settings: &Settings) -> Vec<FleetUpdate>;
 
     /// An attempt of a request of a class goes out. Nothing may be fed to the exchange in here.
-    fn sent(&self, id: RequestId, attempt: u32, node: NodeId, class: usize);
+    fn attempt_sent(&self, id: RequestId, attempt: u32, node: NodeId, class: usize);
 }
 
 struct Core<T: Transport> {
-    desk: RequestTracker<Scheduler>,
+    tracker: RequestTracker<Scheduler>,
     /// What the desk's requests carry.
-    live: HashMap<RequestId, Live<T>>,
+    pending: HashMap<RequestId, PendingRequest<T>>,
 }
 
 /// The meeting place. Its methods must be called inside a tokio `LocalSet`.
@@ -192,7 +192,7 @@
     transport: T,
     clock: Clock,
     subscribe: Notify,
-    rights: RefCell<Option<Rc<dyn Rights>>>,
+    fleet_state: RefCell<Option<Rc<dyn FleetState>>>,
 }
 
 impl<T: Transport> Exchange<T> {
@@ -203,13 +203,13 @@
     pub fn new(settings: Settings, seed: u64, transport: T) -> Result<Rc<Self>, SettingsError> {
         let clock = Clock::start();
         let desk = RequestTracker::new(Scheduler::new(settings, seed, clock.now())?);
-        let core = Core { desk, live: HashMap::new() };
+        let core = Core { tracker: desk, pending: HashMap::new() };
         Ok(Rc::new(Exchange {
             core: RefCell::new(core),
             transport,
             clock,
             subscribe: Notify::new(),
-            rights: RefCell::default(),
+            fleet_state: RefCell::default(),
         }))
     }
 
@@ -224,107 +224,116 @@
     }
 
     /// Nodes in the list, and of them those that get nothing new.
-    pub fn census(&self) -> (usize, usize) {
-        self.core.borrow().desk.decisions().census()
+    pub fn endpoint_counts(&self) -> (usize, usize) {
+        self.core.borrow().tracker.decisions().census()
     }
 
     /// The settings in force.
     pub fn settings(&self) -> Settings {
-        self.core.borrow().desk.decisions().settings().clone()
+        self.core.borrow().tracker.decisions().settings().clone()
     }
 
     /// What `look` finds in the settings in force.
-    pub fn settings_of<R>(&self, look: impl FnOnce(&Settings) -> R) -> R {
-        look(self.core.borrow().desk.decisions().settings())
+    pub fn with_settings<R>(&self, look: impl FnOnce(&Settings) -> R) -> R {
+        look(self.core.borrow().tracker.decisions().settings())
     }
 
     /// The longest deadline of a class.
     pub fn longest_deadline(&self) -> Duration {
-        let longest = self.settings_of(|set| set.classes.iter().map(|c| c.deadline).max());
+        let longest = self.with_settings(|set| set.classes.iter().map(|c| c.deadline).max());
         Duration::from_nanos(longest.unwrap_or(0).max(0) as u64)
     }
 
     /// Has limits shared with other fronts from now on.
-    pub fn share(&self, rights: Rc<dyn Rights>) {
-        *self.rights.borrow_mut() = Some(rights);
+    pub fn set_fleet_state(&self, rights: Rc<dyn FleetState>) {
+        *self.fleet_state.borrow_mut() = Some(rights);
     }
 
     /// What this front is told of what all fronts share: see [`Rights`].
-    pub fn tell(self: &Rc<Self>, told: FleetUpdate) {
-        self.take(Input::FleetUpdate(told), None);
+    pub fn apply_fleet_update(self: &Rc<Self>, told: FleetUpdate) {
+        self.process(Input::FleetUpdate(told), None);
     }
 
     /// New settings, for requests from now on; see [`Scheduler::retune`].
     ///
     /// # Errors
     /// When they cannot hold; then nothing changes.
-    pub fn retune(&self, settings: Settings, carried: &[(usize, usize)]) -> Result<(), SettingsError> {
-        self.core.borrow_mut().desk.decisions_mut().retune(settings, carried)
+    pub fn reload_settings(
+        &self,
+        settings: Settings,
+        carried: &[(usize, usize)],
+    ) -> Result<(), SettingsError> {
+        self.core.borrow_mut().tracker.decisions_mut().retune(settings, carried)
     }
 
     /// This front ends: what it has taken, and takes from now on, is answered within a time, by the rules, however long
     /// its clients would wait.
-    pub fn leave(self: &Rc<Self>, within: Duration) {
+    pub fn begin_shutdown(self: &Rc<Self>, within: Duration) {
         let by = self.clock.now() + within.as_nanos() as Nanos;
         self.feed(Input::FleetUpdate(FleetUpdate::Shutdown { deadline: by }), None);
     }
 
     /// Requests not yet answered, or with attempts out.
-    pub fn held(&self) -> usize {
-        self.core.borrow().desk.requests().len()
+    pub fn pending_requests(&self) -> usize {
+        self.core.borrow().tracker.requests().len()
     }
 
     /// Returns when the module next wants the node list.
-    pub async fn subscribe_wanted(&self) {
+    pub async fn list_wanted(&self) {
         self.subscribe.notified().await;
     }
 
     /// News of the node list.
-    pub fn fleet(self: &Rc<Self>, scope: UpdateScope, nodes: Vec<NodeInfo>) {
+    pub fn update_endpoints(self: &Rc<Self>, scope: UpdateScope, nodes: Vec<NodeInfo>) {
         self.feed(Input::Endpoints { scope, nodes }, None);
     }
 
     /// Takes a request and gives its one final answer. `request.id` is given here. Dropping the future says
     /// that the client has gone.
-    pub async fn ask(self: &Rc<Self>, mut request: Request, payload: T::Payload) -> Final<T::Answer> {
+    pub async fn submit(
+        self: &Rc<Self>,
+        mut request: Request,
+        payload: T::Payload,
+    ) -> FinalResponse<T::Answer> {
         let patience = Duration::from_nanos(request.patience.max(0) as u64);
         let (sender, mut answer) = oneshot::channel();
         {
             let mut core = self.core.borrow_mut();
-            request.id = core.desk.allocate_id();
+            request.id = core.tracker.allocate_id();
             let (answer, orders) = (Some(sender), watch::Sender::new(None));
             let (payload, class) = (Rc::new(payload), request.class);
-            core.live.insert(request.id, Live { payload, class, answer, orders });
+            core.pending.insert(request.id, PendingRequest { payload, class, answer, orders });
         }
         let id = request.id;
         let waiting = Waiting { exchange: self, id };
         self.feed(Input::RequestReceived(request), None);
-        if let Ok(answer) = tokio::time::timeout(patience + OVERDUE, &mut answer).await {
+        if let Ok(answer) = tokio::time::timeout(patience + OVERDUE_AFTER, &mut answer).await {
             drop(waiting);
-            return answer.unwrap_or(Final::Failed);
+            return answer.unwrap_or(FinalResponse::Failed);
         }
         self.feed(Input::Overdue(id), None);
-        answer.try_recv().unwrap_or(Final::Failed)
+        answer.try_recv().unwrap_or(FinalResponse::Failed)
     }
 
     /// Takes what has happened, with the answer that an attempt brought, if any. What may be used of shared limits
     /// is looked at first: this process may have stood still.
     fn feed(self: &Rc<Self>, input: Input, brought: Option<T::Answer>) {
-        let rights = self.rights.borrow().clone();
-        for told in rights.map_or_else(Vec::new, |r| self.settings_of(|set| r.before(&input, set))) {
-            self.tell(told);
+        let rights = self.fleet_state.borrow().clone();
+        for told in rights.map_or_else(Vec::new, |r| self.with_settings(|set| r.updates_before(&input, set)))
+        {
+            self.apply_fleet_update(told);
         }
-        self.take(input, brought);
+        self.process(input, brought);
     }
 
-    fn take(self: &Rc<Self>, input: Input, mut brought: Option<T::Answer>) {
+    fn process(self: &Rc<Self>, input: Input, mut brought: Option<T::Answer>) {
         let mut effects = Vec::new();
-        if trace::on() {
+        if trace::is_enabled() {
             trace::input(&input, |node| self.transport.name(node));
         }
-        self.core.borrow_mut().desk.on(self.clock.now(), input, &mut effects);
+        self.core.borrow_mut().tracker.on(self.clock.now(), input, &mut effects);
         for effect in effects {
-            if trace::on() {
+            if trace::is_enabled() {
                 trace::effect(&effect, |node| self.transport.name(node));
             }
             self.carry_out(effect, &mut brought);
@@ -337,20 +346,24 @@
             Effect::Send { id, attempt, node, deadline: until, begin_by } => {
                 self.send((id, attempt), node, until, begin_by);
             }
-            Effect::Cancel { id, attempt } => self.order(id, attempt, Order::Stop),
-            Effect::Withdraw { id, attempt, outcome } => self.order(id, attempt, Order::Withdraw(outcome)),
+            Effect::Cancel { id, attempt } => self.order(id, attempt, AttemptOrder::Cancel),
+            Effect::Withdraw { id, attempt, outcome } => {
+                self.order(id, attempt, AttemptOrder::Withdraw(outcome))
+            }
             Effect::Answer { id, answer: verdict } => {
-                let sender = self.core.borrow_mut().live.get_mut(&id).and_then(|l| l.answer.take());
+                let sender = self.core.borrow_mut().pending.get_mut(&id).and_then(|l| l.answer.take());
                 let answer = match (verdict, brought.take()) {
-                    (FinalAnswer::Served, Some(answer)) => Final::Served(answer),
-                    (FinalAnswer::Rejected(wait), _) => Final::Refused(Duration::from_nanos(wait as u64)),
-                    _ => Final::Failed,
+                    (FinalAnswer::Served, Some(answer)) => FinalResponse::Served(answer),
+                    (FinalAnswer::Rejected(wait), _) => {
+                        FinalResponse::Rejected(Duration::from_nanos(wait as u64))
+                    }
+                    _ => FinalResponse::Failed,
                 };
                 // The client may have left in this very moment.
                 let _ = sender.map(|s| s.send(answer));
             }
             Effect::Release(id) => {
-                self.core.borrow_mut().live.remove(&id);
+                self.core.borrow_mut().pending.remove(&id);
             }
             Effect::SetTimer { after, cookie } => {
                 let exchange = Rc::clone(self);
@@ -365,8 +378,8 @@
         }
     }
 
-    fn order(&self, id: RequestId, attempt: u32, order: Order) {
-        if let Some(live) = self.core.borrow().live.get(&id) {
+    fn order(&self, id: RequestId, attempt: u32, order: AttemptOrder) {
+        if let Some(live) = self.core.borrow().pending.get(&id) {
             live.orders.send_replace(Some((attempt, order)));
         }
     }
@@ -377,9 +390,9 @@
         let begin_by = (begin_by < Nanos::MAX).then(|| self.clock.instant(begin_by));
         let (carried, mut withdrawal) = {
             let core = self.core.borrow();
-            let Some(live) = core.live.get(&id) else { return };
-            if let Some(rights) = &*self.rights.borrow() {
-                rights.sent(id, attempt, node, live.class);
+            let Some(live) = core.pending.get(&id) else { return };
+            if let Some(rights) = &*self.fleet_state.borrow() {
+                rights.attempt_sent(id, attempt, node, live.class);
             }
             let withdrawal = Withdrawal { attempt, begin_by, orders: live.orders.subscribe() };
             (self.transport.attempt(node, Rc::clone(&live.payload), until, withdrawal.clone()), withdrawal)
@@ -389,12 +402,12 @@
             let (input, brought) = tokio::select! {
                 biased;
                 ended = tokio::time::timeout_at(until.into(), carried) => match ended {
-                    Ok(Ended { outcome, answer, seen_use, foreign_units }) => {
+                    Ok(AttemptReport { outcome, answer, seen_use, foreign_units }) => {
                         (Input::AttemptEnded { id, attempt, outcome, seen_use, foreign_units }, answer)
                     }
                     Err(_) => (Input::AttemptTimedOut { id, attempt }, None),
                 },
-                () = withdrawal.stopped() => (Input::AttemptCancelled { id, attempt }, None),
+                () = withdrawal.cancelled() => (Input::AttemptCancelled { id, attempt }, None),
             };
             exchange.feed(input, brought);
         });
--- a/src/front.rs
+++ b/src/front.rs
@@ -13,25 +13,25 @@
 use tulipbridge_core::{Nanos, Settings};
 
 use crate::cluster::peers::Peers;
-use crate::config::reload::Retune;
+use crate::config::reload::SettingsReload;
 use crate::config::settings::Res;
 use crate::config::Config;
 use crate::control::console::{self, Console};
 use crate::control::discovery::Discovery;
 use crate::control::maintenance::Maintenance;
 use crate::exchange::Exchange;
-use crate::frontend::listener::{listen, Listener, Room, Standing};
-use crate::frontend::platform::{Names, Server};
+use crate::frontend::listener::{listen, BodyBudget, Listener, ListenerState};
+use crate::frontend::platform::{PlatformFront, RequestTables};
 use crate::telemetry::log::log;
-use crate::telemetry::metrics::Figures;
-use crate::upstream::{Upstream, MOST_BODY};
+use crate::telemetry::metrics::Metrics;
+use crate::upstream::{Upstream, MAX_BODY};
 
 /// Descriptors that are not connections with clients or chunk servers: the runtime's, the log's, the listeners',
 /// discovery's, a file's, and the console's connections, of which there are at most `console::MOST`.
-const RESERVED: usize = 24;
-const _: () = assert!(console::MOST <= RESERVED / 2);
+const RESERVED_DESCRIPTORS: usize = 24;
+const _: () = assert!(console::MAX_CONNECTIONS <= RESERVED_DESCRIPTORS / 2);
 /// Request bodies may take this part of memory: one in so many bytes.
-const BODIES: usize = 4;
+const BODY_MEMORY_DIVISOR: usize = 4;
 
 /// Runs one front, on one thread, until SIGTERM or SIGINT.
 ///
@@ -53,43 +53,43 @@
 
 async fn front(config: Config) -> Res<()> {
     // First of all, so that no signal finds the front without them.
-    let stop = stop()?;
+    let shutdown = shutdown_signal()?;
     let hangup = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
     // Nobody is to meet a front that cannot run.
     config.settings.check().map_err(|e| e.to_string())?;
     let listener = listen(config.listen).await?;
     let (moved, address) = watch::channel(config.discovery);
     let parts = assemble(&config, address)?;
-    let names = Rc::new(RefCell::new(Names::new(&config, &parts.figures)));
-    let retune = Retune {
+    let names = Rc::new(RefCell::new(RequestTables::new(&config, &parts.metrics)));
+    let retune = SettingsReload {
         exchange: Rc::clone(&parts.exchange),
-        names: Rc::clone(&names),
-        figures: Rc::clone(&parts.figures),
+        tables: Rc::clone(&names),
+        metrics: Rc::clone(&parts.metrics),
         discovery: moved,
-        told: config.told,
+        current: config.raw_settings,
         peers: parts.peers.clone(),
     };
-    spawn_local(retune.follow(hangup, Config::reread));
-    let server = Server::new(Rc::clone(&parts.exchange), names);
-    Listener::new(server, parts.places, parts.standing).serve(listener, stop).await;
-    parts.peers.iter().for_each(|peers| peers.leave());
+    spawn_local(retune.follow(hangup, Config::reread_from_env));
+    let server = PlatformFront::new(Rc::clone(&parts.exchange), names);
+    Listener::new(server, parts.max_clients, parts.listener_state).serve(listener, shutdown).await;
+    parts.peers.iter().for_each(|peers| peers.shut_down());
     Ok(())
 }
 
 /// The parts behind a front.
-pub struct Parts {
+pub struct FrontParts {
     /// Where requests meet their attempts.
     pub exchange: Rc<Exchange<Upstream>>,
     /// Chunk servers out by hand.
     pub maintenance: Rc<Maintenance>,
     /// What operators scrape.
-    pub figures: Rc<Figures>,
+    pub metrics: Rc<Metrics>,
     /// What the listener tells of itself.
-    pub standing: Standing,
+    pub listener_state: ListenerState,
     /// The front's peers, where it has any.
     pub peers: Option<Rc<Peers>>,
     /// How many connections the client side may hold.
-    pub places: usize,
+    pub max_clients: usize,
 }
 
 /// How long a front that starts may wait before it calls discovery. Where lists are pushed, what the agent has counts as
@@ -108,15 +108,16 @@
 ///
 /// # Errors
 /// A plain sentence on a configuration that cannot hold.
-pub fn assemble(config: &Config, address: watch::Receiver<Option<SocketAddr>>) -> Res<Parts> {
+pub fn assemble(config: &Config, address: watch::Receiver<Option<SocketAddr>>) -> Res<FrontParts> {
     // Of the descriptors, a few are the runtime's, the log's, the listener's, the console's and discovery's; the
     // chunk servers' side pools its connections and needs the smaller part. Memory bounds both, at a body each way.
-    let both = config.sockets.saturating_sub(RESERVED).min(config.memory / (2 * MOST_BODY)).max(32);
+    let both =
+        config.sockets.saturating_sub(RESERVED_DESCRIPTORS).min(config.memory / (2 * MAX_BODY)).max(32);
     let servers = both * 2 / 5;
     let upstream = Upstream::new(config.dial_timeout, config.idle_close, servers);
     let exchange =
         Exchange::new(config.settings.clone(), config.seed, upstream).map_err(|e| e.to_string())?;
-    let figures = Rc::new(Figures::new());
+    let figures = Rc::new(Metrics::new());
     // Before the first list, of which it must know.
     let peers = config
         .peers
@@ -130,8 +131,8 @@
         phase: fastrand::Rng::with_seed(config.seed).f64(),
         zones: config.zones.clone(),
         generation: 0,
-        told_by: None,
-        hand: Rc::clone(&maintenance),
+        list_source: None,
+        maintenance: Rc::clone(&maintenance),
     };
     discovery.restore(&config.known, &exchange).map_err(|why| format!("'known': {why}"))?;
     spawn_local(discovery.follow(address, Rc::clone(&exchange)));
@@ -144,14 +145,24 @@
         }
     });
     // Bodies of requests are held whole until they are answered, in a part of memory.
-    let standing = Standing { room: Some(Room::new(config.memory / BODIES)), ..Standing::default() };
+    let standing = ListenerState {
+        body_budget: Some(BodyBudget::new(config.memory / BODY_MEMORY_DIVISOR)),
+        ..ListenerState::default()
+    };
     if let Some(at) = config.console {
         let listener = console::listen(at)?;
-        let (taking, current) = (Rc::clone(&standing.taking), Rc::clone(&standing.current));
+        let (taking, current) = (Rc::clone(&standing.accepting), Rc::clone(&standing.active_requests));
         let parts = (Rc::clone(&figures), Rc::clone(&exchange), Rc::clone(&maintenance));
         spawn_local(Console::new(taking, current, parts.0, parts.1, parts.2, peers.clone()).serve(listener));
     }
-    Ok(Parts { exchange, maintenance, figures, standing, peers, places: both - servers })
+    Ok(FrontParts {
+        exchange,
+        maintenance,
+        metrics: figures,
+        listener_state: standing,
+        peers,
+        max_clients: both - servers,
+    })
 }
 
 /// Where discovery is: as told at the start, and after each SIGHUP as `read` finds it in the new file. A file
@@ -159,7 +170,7 @@
 ///
 /// # Errors
 /// Where the system gives no signals.
-pub fn reload(
+pub fn watch_discovery_address(
     told: Option<SocketAddr>,
     read: impl Fn() -> Res<Option<SocketAddr>> + 'static,
 ) -> Res<watch::Receiver<Option<SocketAddr>>> {
@@ -183,7 +194,7 @@
 ///
 /// # Errors
 /// Where the system gives no signals.
-pub fn stop() -> Res<impl Future<Output = ()>> {
+pub fn shutdown_signal() -> Res<impl Future<Output = ()>> {
     let mut term = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
     let mut int = signal(SignalKind::interrupt()).map_err(|e| e.to_string())?;
     Ok(async move {
--- a/src/frontend/framing.rs
+++ b/src/frontend/framing.rs
@@ -20,13 +20,13 @@
 use tulipbridge_core::Nanos;
 
 /// Bytes of a head; what is longer is answered 431.
-pub const MOST_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD: usize = 16 * 1024;
 /// Fields of a head, as hyper takes them.
 const MOST_FIELDS: usize = 100;
 /// Bytes behind a request that are read and dropped while it is answered; a client that sends more waits.
 const MOST_DROPPED: usize = 8 << 20;
 /// What is known of a client's connection.
-pub struct Client {
+pub struct ClientState {
     visitor: Cell<ClientConnection>,
     /// From when its moments are counted.
     began: Instant,
@@ -37,28 +37,28 @@
     /// Lives as long as the connection has its place.
     socket: i32,
     /// Told when the connection must go.
-    pub gone: Notify,
+    pub evicted: Notify,
     /// Told when something has happened on it.
     pub changed: Notify,
 }
 
-impl Client {
+impl ClientState {
     /// One that has just connected, on a socket, at a front that counts its time from `began`.
-    pub fn new(socket: i32, began: Instant) -> Rc<Client> {
-        Rc::new(Client {
+    pub fn new(socket: i32, began: Instant) -> Rc<ClientState> {
+        Rc::new(ClientState {
             visitor: Cell::new(ClientConnection::new(began.elapsed().as_nanos() as Nanos)),
             began,
             fault: Cell::new(None),
             last: Cell::new(false),
             unwritten: Cell::new(false),
             socket,
-            gone: Notify::new(),
+            evicted: Notify::new(),
             changed: Notify::new(),
         })
     }
 
     /// What it is about.
-    pub fn visitor(&self) -> ClientConnection {
+    pub fn connection(&self) -> ClientConnection {
         self.visitor.get()
     }
 
@@ -77,8 +77,8 @@
     }
 
     /// When the present request must have come whole.
-    pub fn limit(&self) -> Instant {
-        self.began + Duration::from_nanos(self.visitor().request_deadline().max(0) as u64)
+    pub fn request_deadline(&self) -> Instant {
+        self.began + Duration::from_nanos(self.connection().request_deadline().max(0) as u64)
     }
 
     /// Whether closing it now would cross a request that has come, or cut an answer off.
@@ -94,17 +94,17 @@
 
     /// Whether a request is on its way on it: see [`Visitor::is_arriving`].
     pub fn is_arriving(&self) -> bool {
-        self.visitor().is_arriving(self.now(), self.waits())
+        self.connection().is_arriving(self.now(), self.waits())
     }
 
     /// Whether something is owed on it: see [`Visitor::is_owed`].
-    pub fn is_owed(&self) -> bool {
-        self.visitor().has_pending_work(self.now(), self.waits())
+    pub fn has_pending_work(&self) -> bool {
+        self.connection().has_pending_work(self.now(), self.waits())
     }
 
     /// Whether it may be cut off in this moment: see [`Visitor::may_be_cut`].
-    pub fn may_be_cut(&self) -> bool {
-        self.visitor().may_close_now(self.now(), self.waits())
+    pub fn may_close_now(&self) -> bool {
+        self.connection().may_close_now(self.now(), self.waits())
     }
 
     fn now(&self) -> Nanos {
@@ -112,12 +112,12 @@
     }
 
     /// When it came.
-    pub fn came(&self) -> Instant {
-        self.began + Duration::from_nanos(self.visitor().connected_at().max(0) as u64)
+    pub fn connected_at(&self) -> Instant {
+        self.began + Duration::from_nanos(self.connection().connected_at().max(0) as u64)
     }
 
     fn phase(&self) -> Phase {
-        self.visitor().phase().0
+        self.connection().phase().0
     }
 
     /// What is wrong with how the present request is framed.
@@ -126,7 +126,7 @@
     }
 
     /// Whether nothing may be read behind the present request.
-    pub fn last(&self) -> bool {
+    pub fn is_last_request(&self) -> bool {
         self.last.get()
     }
 }
@@ -147,7 +147,7 @@
     /// Shared with the listener, which reads on where hyper has ended.
     read: Rc<RefCell<OwnedReadHalf>>,
     write: OwnedWriteHalf,
-    client: Rc<Client>,
+    client: Rc<ClientState>,
     held: BytesMut,
     /// So many bytes of what is held are hyper's.
     free: usize,
@@ -160,7 +160,7 @@
 
 impl Framed {
     /// On a connection's two halves.
-    pub fn new(read: Rc<RefCell<OwnedReadHalf>>, write: OwnedWriteHalf, client: Rc<Client>) -> Framed {
+    pub fn new(read: Rc<RefCell<OwnedReadHalf>>, write: OwnedWriteHalf, client: Rc<ClientState>) -> Framed {
         Framed {
             read,
             write,
@@ -188,7 +188,7 @@
         let blank = self.held.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
         self.held.advance(blank);
         let Some(end) = self.held.windows(4).position(|w| w == b"\r\n\r\n") else {
-            if self.held.len() >= MOST_HEAD {
+            if self.held.len() >= MAX_HEAD {
                 self.client.fault.set(Some(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE));
                 self.reading = Reading::Rest;
             }
@@ -346,19 +346,19 @@
 }
 
 /// An answer's body that tells when it has been handed over whole, or given up.
-pub struct Answering<B> {
+pub struct ResponseBody<B> {
     body: B,
-    _open: Open,
+    _open: OpenRequest,
 }
 
-impl<B> Answering<B> {
+impl<B> ResponseBody<B> {
     /// Around a body.
-    pub fn new(body: B, open: Open) -> Answering<B> {
-        Answering { body, _open: open }
+    pub fn new(body: B, open: OpenRequest) -> ResponseBody<B> {
+        ResponseBody { body, _open: open }
     }
 }
 
-impl<B: Body + Unpin> Body for Answering<B> {
+impl<B: Body + Unpin> Body for ResponseBody<B> {
     type Data = B::Data;
     type Error = B::Error;
 
@@ -379,20 +379,20 @@
 }
 
 /// A request that is being answered; it is over when this goes.
-pub struct Open {
-    client: Rc<Client>,
+pub struct OpenRequest {
+    client: Rc<ClientState>,
     count: Rc<Cell<usize>>,
 }
 
-impl Open {
+impl OpenRequest {
     /// Counts one more.
-    pub fn new(client: &Rc<Client>, count: &Rc<Cell<usize>>) -> Open {
+    pub fn new(client: &Rc<ClientState>, count: &Rc<Cell<usize>>) -> OpenRequest {
         count.set(count.get() + 1);
-        Open { client: Rc::clone(client), count: Rc::clone(count) }
+        OpenRequest { client: Rc::clone(client), count: Rc::clone(count) }
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.count.set(self.count.get() - 1);
         self.client.on(ClientEvent::Answered);
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -15,11 +15,11 @@
 use tulipbridge_core::{CellId, Class, Nanos, Plan, Settings};
 
 use crate::config::Config;
-use crate::exchange::{Exchange, Final};
-use crate::frontend::listener::{plain, refused, Handler, Hold, Reply, Taken};
-use crate::telemetry::metrics::{ClassFigures, Figures};
+use crate::exchange::{Exchange, FinalResponse};
+use crate::frontend::listener::{plain, rejected, BodyReservation, Handler, ReceivedRequest, Reply};
+use crate::telemetry::metrics::{ClassMetrics, Metrics};
 use crate::telemetry::trace;
-use crate::upstream::{Accepts, Answer, Payload, Rest, Upstream};
+use crate::upstream::{Accepts, Answer, Payload, StreamedBody, Upstream};
 
 const TXN: &str = "x-txn";
 const LANE: &str = "x-lane";
@@ -27,44 +27,44 @@
 /// What requests may name, by the numbers that the module knows them by. What no chunk server can use is refused
 /// here, and costs none of them anything.
 #[derive(Clone)]
-pub struct Names {
+pub struct RequestTables {
     /// Classes, with whether they write where the settings say.
     pub classes: VersionedTable<(Class, Option<bool>)>,
     /// Plans.
     pub plans: VersionedTable<Plan>,
     /// The figures of each class.
-    pub figures: Vec<ClassFigures>,
+    pub metrics: Vec<ClassMetrics>,
     /// How many shards there are.
     pub shards: u32,
     /// Through how many fronts a volume's requests may come.
     pub fronts: u32,
     /// The most units of a request.
-    pub most_units: f64,
+    pub max_units: f64,
 }
 
-impl Names {
+impl RequestTables {
     /// The names of a configuration, in its order, which is the module's.
-    pub fn new(config: &Config, figures: &Figures) -> Names {
+    pub fn new(config: &Config, figures: &Metrics) -> RequestTables {
         let classes = config.classes.iter().cloned().zip(told(config)).collect();
         let plans = config.plans.iter().cloned().zip(config.settings.plans.iter().cloned()).collect();
-        let mut names = Names {
+        let mut names = RequestTables {
             classes: VersionedTable::new(classes),
             plans: VersionedTable::new(plans),
-            figures: Vec::new(),
+            metrics: Vec::new(),
             shards: config.shards,
             fronts: config.settings.initiators,
-            most_units: config.settings.max_units,
+            max_units: config.settings.max_units,
         };
         names.count(figures);
         names
     }
 
     /// Takes a new configuration. Gives the settings for the module, and the classes that stand for older ones.
-    pub fn retune(&mut self, config: Config, figures: &Figures) -> (Settings, Vec<(usize, usize)>) {
+    pub fn reload(&mut self, config: Config, figures: &Metrics) -> (Settings, Vec<(usize, usize)>) {
         let classes = config.classes.iter().cloned().zip(told(&config)).collect();
         let carried = self.classes.reload(classes);
         self.plans.reload(config.plans.into_iter().zip(config.settings.plans.iter().cloned()).collect());
-        (self.shards, self.fronts, self.most_units) =
+        (self.shards, self.fronts, self.max_units) =
             (config.shards, config.settings.initiators, config.settings.max_units);
         self.count(figures);
         let classes = self.classes.values().into_iter().map(|(class, _)| class).collect();
@@ -73,9 +73,9 @@
     }
 
     /// Figures for every class, from 0 where it is new.
-    fn count(&mut self, figures: &Figures) {
-        for number in self.figures.len()..self.classes.len() {
-            self.figures.push(figures.class(self.classes.name(number).unwrap_or_default()));
+    fn count(&mut self, figures: &Metrics) {
+        for number in self.metrics.len()..self.classes.len() {
+            self.metrics.push(figures.class(self.classes.name(number).unwrap_or_default()));
         }
     }
 }
@@ -86,23 +86,23 @@
 }
 
 /// The platform's front.
-pub struct Server {
+pub struct PlatformFront {
     exchange: Rc<Exchange<Upstream>>,
-    names: Rc<RefCell<Names>>,
+    names: Rc<RefCell<RequestTables>>,
     /// The ids of the requests that are open here.
     open: RefCell<HashSet<u64>>,
 }
 
-impl Handler for Server {
-    fn leave(&self, within: Duration) {
-        self.exchange.leave(within);
+impl Handler for PlatformFront {
+    fn begin_shutdown(&self, within: Duration) {
+        self.exchange.begin_shutdown(within);
     }
 
-    fn longest(&self) -> Duration {
+    fn longest_deadline(&self) -> Duration {
         self.exchange.longest_deadline()
     }
 
-    async fn answer(&self, request: Taken, leaving: bool) -> Reply {
+    async fn answer(&self, request: ReceivedRequest, leaving: bool) -> Reply {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/health/ready") if leaving => plain(StatusCode::SERVICE_UNAVAILABLE, "leaving"),
             (&Method::GET, "/health/ready" | "/health/live") => plain(StatusCode::OK, "ok"),
@@ -111,9 +111,9 @@
                 let reply = self.pass(request).await.unwrap_or_else(|refusal| refusal);
                 let names = self.names.borrow();
                 if let Some(figures) =
-                    lane.and_then(|l| names.classes.find(&l)).and_then(|c| names.figures.get(c))
+                    lane.and_then(|l| names.classes.find(&l)).and_then(|c| names.metrics.get(c))
                 {
-                    figures.answer(reply.status().as_u16());
+                    figures.count_answer(reply.status().as_u16());
                 }
                 reply
             }
@@ -121,16 +121,16 @@
     }
 }
 
-impl Server {
+impl PlatformFront {
     /// A front on an exchange, with what requests may name, which may change.
-    pub fn new(exchange: Rc<Exchange<Upstream>>, names: Rc<RefCell<Names>>) -> Server {
-        Server { exchange, names, open: RefCell::default() }
+    pub fn new(exchange: Rc<Exchange<Upstream>>, names: Rc<RefCell<RequestTables>>) -> PlatformFront {
+        PlatformFront { exchange, names, open: RefCell::default() }
     }
 
-    async fn pass(&self, request: Taken) -> Result<Reply, Reply> {
+    async fn pass(&self, request: ReceivedRequest) -> Result<Reply, Reply> {
         let (mut head, body) = request.into_parts();
         let body = body.map_err(|status| plain(status, "the request is not taken"))?;
-        let hold = head.extensions.remove::<Arc<Hold>>();
+        let hold = head.extensions.remove::<Arc<BodyReservation>>();
         let taken = self.names.borrow().read(&head.method, &head.headers);
         let (id, request) = taken.map_err(|why| plain(StatusCode::BAD_REQUEST, why))?;
         if head.method == Method::GET && !body.is_empty() {
@@ -143,14 +143,22 @@
         let _open = OpenId { open: &self.open, id };
         let (headers, accepts) = (kept(&head.headers), Accepts::Served);
         let id = head.headers.get(TXN).cloned().unwrap_or(HeaderValue::from_static(""));
-        let figures = self.names.borrow().figures.get(request.class).cloned();
-        let payload =
-            Payload { method: head.method, target: head.uri, id, headers, body, accepts, figures, hold };
-        Ok(match self.exchange.ask(request, payload).await {
-            Final::Served(Answer { rest: Some(rest), .. }) => pass_on(rest),
-            Final::Served(answer) => Response::new(Either::Left(Full::new(answer.body))),
-            Final::Refused(wait) => refused(wait),
-            Final::Failed => plain(StatusCode::BAD_GATEWAY, "failed"),
+        let figures = self.names.borrow().metrics.get(request.class).cloned();
+        let payload = Payload {
+            method: head.method,
+            target: head.uri,
+            id,
+            headers,
+            body,
+            accepts,
+            metrics: figures,
+            reservation: hold,
+        };
+        Ok(match self.exchange.submit(request, payload).await {
+            FinalResponse::Served(Answer { streamed: Some(rest), .. }) => pass_on(rest),
+            FinalResponse::Served(answer) => Response::new(Either::Left(Full::new(answer.body))),
+            FinalResponse::Rejected(wait) => rejected(wait),
+            FinalResponse::Failed => plain(StatusCode::BAD_GATEWAY, "failed"),
         })
     }
 }
@@ -176,7 +184,7 @@
 
 /// A long body, passed on to the client as it comes. Its length is told where the chunk server told it, so that a
 /// client can see an answer that breaks off; where the server breaks off, so does the answer.
-fn pass_on(rest: Rest) -> Reply {
+fn pass_on(rest: StreamedBody) -> Reply {
     let (mut sender, body) = Channel::new(PIECES);
     let length = rest.length;
     tokio::task::spawn_local(async move {
@@ -202,7 +210,7 @@
                 }
             }
         };
-        if trace::on() {
+        if trace::is_enabled() {
             let ms = began.elapsed().as_secs_f64() * 1e3;
             trace::write(
                 simd_json::json!({ "e": "passed", "bytes": passed, "of": length, "ms": ms, "end": end }),
@@ -231,7 +239,7 @@
     }
 }
 
-impl Names {
+impl RequestTables {
     /// The id and the request in a head.
     fn read(&self, method: &Method, headers: &HeaderMap) -> Result<(u64, core::Request), &'static str> {
         let text = |name: &str| first(headers, name);
@@ -252,7 +260,7 @@
             let (name, value) = field.trim().split_once('=').ok_or("X-IO is not a list of fields")?;
             match name {
                 "volume" => volume = hex(value),
-                "units" => units = whole(value, 1, self.most_units as i64),
+                "units" => units = whole(value, 1, self.max_units as i64),
                 "shard" => cell = whole(value, -1, i64::from(self.shards) - 1),
                 "hosts" => hosts = whole(value, 1, i64::from(self.fronts)),
                 _ => {}
--- a/src/object/config.rs
+++ b/src/object/config.rs
@@ -110,7 +110,7 @@
     fn the_file_with_peers_holds_and_what_is_wrong_in_it_is_named_by_line_and_path() {
         let file = include_str!("../../deploy/object-peers.json");
         let config = Config::read(file.as_bytes()).expect("it holds");
-        assert_eq!(config.base.peers.map(|p| (p.terms.me, p.terms.fronts)), Some((0, 3)));
+        assert_eq!(config.base.peers.map(|p| (p.limits_config.me, p.limits_config.fronts)), Some((0, 3)));
         for (from, to, said) in [
             ("127.0.0.1:7402", "nowhere", "line 11: 'peers.roster[1].address' nowhere is no address"),
             (
--- a/src/object/mod.rs
+++ b/src/object/mod.rs
@@ -27,10 +27,10 @@
 
 use crate::cluster::peers::Peers;
 use crate::config::settings::Res;
-use crate::exchange::{Exchange, Final};
-use crate::front::{assemble, on_one_thread, reload, stop};
-use crate::frontend::listener::{listen, plain, Handler, Listener, Reply, Taken};
-use crate::upstream::{Accepts, Answer, Payload, Upstream, MOST_BODY};
+use crate::exchange::{Exchange, FinalResponse};
+use crate::front::{assemble, on_one_thread, shutdown_signal, watch_discovery_address};
+use crate::frontend::listener::{listen, plain, Handler, Listener, ReceivedRequest, Reply};
+use crate::upstream::{Accepts, Answer, Payload, Upstream, MAX_BODY};
 
 pub use config::{Bucket, Config};
 
@@ -55,15 +55,15 @@
 pub fn run(file: &Path) -> Res<()> {
     let config = Config::from_file(file)?;
     on_one_thread(async move {
-        let stop = stop()?;
+        let shutdown = shutdown_signal()?;
         let file = file.to_owned();
         let peers: Rc<RefCell<Option<Rc<Peers>>>> = Rc::default();
         let joined = Rc::clone(&peers);
-        let moved = reload(config.base.discovery, move || {
+        let moved = watch_discovery_address(config.base.discovery, move || {
             let base = Config::from_file(&file)?.base;
             if let Some(joined) = &*joined.borrow() {
                 joined.check(base.peers.as_ref())?;
-                base.peers.into_iter().for_each(|told| joined.retune(told));
+                base.peers.into_iter().for_each(|told| joined.reload(told));
             }
             Ok(base.discovery)
         })?;
@@ -72,8 +72,8 @@
         let parts = assemble(&config.base, moved)?;
         peers.borrow_mut().clone_from(&parts.peers);
         let front = ObjectFront::new(parts.exchange, config);
-        Listener::new(front, parts.places, parts.standing).serve(listener, stop).await;
-        parts.peers.iter().for_each(|peers| peers.leave());
+        Listener::new(front, parts.max_clients, parts.listener_state).serve(listener, shutdown).await;
+        parts.peers.iter().for_each(|peers| peers.shut_down());
         Ok(())
     })
 }
@@ -150,15 +150,15 @@
 }
 
 impl Handler for ObjectFront {
-    fn leave(&self, within: Duration) {
-        self.0.exchange.leave(within);
+    fn begin_shutdown(&self, within: Duration) {
+        self.0.exchange.begin_shutdown(within);
     }
 
-    fn longest(&self) -> Duration {
+    fn longest_deadline(&self) -> Duration {
         self.0.exchange.longest_deadline()
     }
 
-    async fn answer(&self, request: Taken, leaving: bool) -> Reply {
+    async fn answer(&self, request: ReceivedRequest, leaving: bool) -> Reply {
         let (method, path) = (request.method().clone(), request.uri().path().to_owned());
         match (&method, path.as_str()) {
             (&Method::GET, "/health/ready") if leaving => {
@@ -197,11 +197,11 @@
 }
 
 impl Front {
-    async fn serve(self: &Rc<Self>, request: Taken) -> Result<Reply, Fault> {
+    async fn serve(self: &Rc<Self>, request: ReceivedRequest) -> Result<Reply, Fault> {
         let (head, body) = request.into_parts();
         // Bodies of the object API come whole within one piece; larger objects come in parts.
         let body =
-            body.and_then(|b| if b.len() > MOST_BODY { Err(StatusCode::PAYLOAD_TOO_LARGE) } else { Ok(b) });
+            body.and_then(|b| if b.len() > MAX_BODY { Err(StatusCode::PAYLOAD_TOO_LARGE) } else { Ok(b) });
         let body = body.map_err(|status| match status {
             StatusCode::PAYLOAD_TOO_LARGE => {
                 said(StatusCode::BAD_REQUEST, "EntityTooLarge", "A body holds at most 64 KiB; send parts.")
@@ -307,13 +307,13 @@
             headers,
             body,
             accepts: Accepts::Object,
-            figures: None,
-            hold: None,
+            metrics: None,
+            reservation: None,
         };
-        match self.exchange.ask(request, payload).await {
-            Final::Served(answer) => Ok(answer),
-            Final::Refused(wait) => Err(Fault::SlowDown(wait)),
-            Final::Failed => Err(Fault::Uncertain),
+        match self.exchange.submit(request, payload).await {
+            FinalResponse::Served(answer) => Ok(answer),
+            FinalResponse::Rejected(wait) => Err(Fault::SlowDown(wait)),
+            FinalResponse::Failed => Err(Fault::Uncertain),
         }
     }
 
--- a/src/object/read.rs
+++ b/src/object/read.rs
@@ -20,7 +20,7 @@
 };
 use tulipbridge_core::CellId;
 
-use crate::upstream::MOST_BODY;
+use crate::upstream::MAX_BODY;
 
 /// What of a node's answer describes an object, besides the `x-amz-meta-` headers.
 const DESCRIBED: [&str; 8] = [
@@ -67,7 +67,7 @@
         }
         let range = asked.headers.get(RANGE).and_then(|v| v.to_str().ok()).and_then(Range::parse);
         let first = match range {
-            Some(Range::Last(count)) if count > MOST_BODY as u64 => {
+            Some(Range::Last(count)) if count > MAX_BODY as u64 => {
                 // The end alone tells the size, and with it where such a range begins.
                 let end = self.piece(&asked, cell, &query, "bytes=-1".to_owned(), conditions()).await?;
                 end.size.saturating_sub(count)
@@ -76,11 +76,11 @@
             _ => 0,
         };
         let told = match range {
-            Some(Range::Last(count)) if count <= MOST_BODY as u64 => format!("bytes=-{count}"),
+            Some(Range::Last(count)) if count <= MAX_BODY as u64 => format!("bytes=-{count}"),
             Some(Range::From(first, Some(last))) => {
-                format!("bytes={first}-{}", last.min(first.saturating_add(MOST_BODY as u64 - 1)))
+                format!("bytes={first}-{}", last.min(first.saturating_add(MAX_BODY as u64 - 1)))
             }
-            _ => format!("bytes={first}-{}", first.saturating_add(MOST_BODY as u64 - 1)),
+            _ => format!("bytes={first}-{}", first.saturating_add(MAX_BODY as u64 - 1)),
         };
         let piece = match self.piece(&asked, cell, &query, told, conditions()).await {
             // An object of no bytes has no first one, which a client that asked for all of it cannot mean.
@@ -181,7 +181,7 @@
             // An error here means that the client has gone.
             while sender.send_data(bytes).await.is_ok() && at < end {
                 asked.until = Instant::now() + front.deadlines[asked.bucket.read];
-                let range = format!("bytes={at}-{}", (at + MOST_BODY as u64).min(end) - 1);
+                let range = format!("bytes={at}-{}", (at + MAX_BODY as u64).min(end) - 1);
                 match front.piece(&asked, cell, &query, range, headers.clone()).await {
                     Ok(next) if next.first == at && next.size == piece.size => {
                         at = next.end;
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -6,7 +6,7 @@
 
 /// The figures of one class.
 #[derive(Clone)]
-pub struct ClassFigures {
+pub struct ClassMetrics {
     /// Requests served.
     pub answered: IntCounter,
     /// Requests refused: 429 or 503.
@@ -17,9 +17,9 @@
     sends: [IntCounter; 2],
 }
 
-impl ClassFigures {
+impl ClassMetrics {
     /// Counts a final answer by its status.
-    pub fn answer(&self, status: u16) {
+    pub fn count_answer(&self, status: u16) {
         match status {
             200..=299 => self.answered.inc(),
             429 | 503 => self.deferred.inc(),
@@ -28,13 +28,13 @@
     }
 
     /// Counts an attempt whose last byte is written.
-    pub fn sent(&self) {
+    pub fn count_send(&self) {
         self.sends.iter().for_each(IntCounter::inc);
     }
 }
 
 /// All figures of a front.
-pub struct Figures {
+pub struct Metrics {
     registry: Registry,
     transactions: IntCounterVec,
     sends: IntCounter,
@@ -48,7 +48,7 @@
 }
 
 /// What is read at the scrape.
-pub struct Reading {
+pub struct GaugeReadings {
     /// Requests taken and not yet ended.
     pub current: usize,
     /// Chunk servers in the list.
@@ -57,15 +57,15 @@
     pub cluster_unhealthy: usize,
 }
 
-impl Default for Figures {
-    fn default() -> Figures {
-        Figures::new()
+impl Default for Metrics {
+    fn default() -> Metrics {
+        Metrics::new()
     }
 }
 
-impl Figures {
+impl Metrics {
     /// All at 0.
-    pub fn new() -> Figures {
+    pub fn new() -> Metrics {
         let registry = Registry::new();
         let transactions = IntCounterVec::new(
             Opts::new("app_transactions", "Requests by class and how they ended; attempts written whole"),
@@ -74,7 +74,7 @@
         .expect("the names are valid");
         let counter = |name: &str, help: &str| IntCounter::new(name, help).expect("the names are valid");
         let gauge = |name: &str, help: &str| IntGauge::new(name, help).expect("the names are valid");
-        let figures = Figures {
+        let figures = Metrics {
             transactions,
             sends: counter("app_sends", "Attempts written whole to chunk servers"),
             current: gauge("app_current", "Requests taken and not yet ended"),
@@ -101,14 +101,14 @@
     }
 
     /// Further figures, of a part that not every front has.
-    pub fn add(&self, collector: impl prometheus::core::Collector + 'static) {
+    pub fn register(&self, collector: impl prometheus::core::Collector + 'static) {
         self.registry.register(Box::new(collector)).expect("each name once");
     }
 
     /// The figures of a class, at 0 where it is new: a scrape shows every class from the start.
-    pub fn class(&self, name: &str) -> ClassFigures {
+    pub fn class(&self, name: &str) -> ClassMetrics {
         let counter = |state: &str| self.transactions.with_label_values(&[name, state]);
-        ClassFigures {
+        ClassMetrics {
             answered: counter("answered"),
             deferred: counter("deferred"),
             errored: counter("errored"),
@@ -117,7 +117,7 @@
     }
 
     /// The text that a scrape gets.
-    pub fn text(&self, reading: &Reading) -> Vec<u8> {
+    pub fn render(&self, reading: &GaugeReadings) -> Vec<u8> {
         let gauge = |g: &IntGauge, v: usize| g.set(i64::try_from(v).unwrap_or(i64::MAX));
         gauge(&self.current, reading.current);
         gauge(&self.cluster_size, reading.cluster_size);
--- a/src/telemetry/trace.rs
+++ b/src/telemetry/trace.rs
@@ -15,7 +15,7 @@
 pub const VARIABLE: &str = "TULIPBRIDGE_TRACE";
 
 /// Whether lines are written.
-pub fn on() -> bool {
+pub fn is_enabled() -> bool {
     static ON: OnceLock<bool> = OnceLock::new();
     *ON.get_or_init(|| std::env::var_os(VARIABLE).is_some_and(|v| v == "1"))
 }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -33,25 +33,25 @@
 use tulipbridge_core::server_connection::{ConnectionEvent, Execution, ServerConnection};
 use tulipbridge_core::{CellId, Nanos, NodeId, Outcome};
 
-use crate::exchange::{Ended, Transport, Withdrawal};
-use crate::frontend::listener::Hold;
-use crate::telemetry::metrics::ClassFigures;
+use crate::exchange::{AttemptReport, Transport, Withdrawal};
+use crate::frontend::listener::BodyReservation;
+use crate::telemetry::metrics::ClassMetrics;
 use crate::telemetry::trace;
 
 /// The most bytes of a body, either way, that is held whole.
-pub const MOST_BODY: usize = 64 * 1024;
+pub const MAX_BODY: usize = 64 * 1024;
 /// The most bytes of a body that is passed on as it comes; a longer one is taken for spoilt.
-const MOST_STREAMED: u64 = 1 << 30;
+const MAX_STREAMED: u64 = 1 << 30;
 /// Bytes that a connection holds of what it reads: a head past it has no end that matters.
-const MOST_BUFFER: usize = 32 * 1024;
+const MAX_BUFFER: usize = 32 * 1024;
 /// From an answer's first byte to its last. A server has an answer whole before it sends it; where the rest does
 /// not come, waiting until the client's time is over would leave none for another attempt. Shorter than what the
 /// module takes for silence of the node, which this is not.
-const STALLED: Duration = Duration::from_millis(100);
+const STALL_TIMEOUT: Duration = Duration::from_millis(100);
 const HOST_NAME: HeaderValue = HeaderValue::from_static("chunk.internal");
 const ID: HeaderName = HeaderName::from_static("x-txn");
 const REMAINING: HeaderName = HeaderName::from_static("x-remaining");
-const TURNED_AWAY: HeaderName = HeaderName::from_static("x-turned-away");
+const REJECTED_HEADER: HeaderName = HeaderName::from_static("x-turned-away");
 const VOLUME_USE: HeaderName = HeaderName::from_static("x-volume-use");
 const SERVED_ELSEWHERE: HeaderName = HeaderName::from_static("x-served-elsewhere");
 
@@ -70,9 +70,9 @@
     /// Which answers are the client's.
     pub accepts: Accepts,
     /// Where an attempt is counted once its last byte is written.
-    pub figures: Option<ClassFigures>,
+    pub metrics: Option<ClassMetrics>,
     /// What keeps the body's bytes counted in the room for bodies, for as long as they are held.
-    pub hold: Option<Arc<Hold>>,
+    pub reservation: Option<Arc<BodyReservation>>,
 }
 
 /// What a front takes for a chunk server's answer to its client.
@@ -96,32 +96,32 @@
     /// The body, where it came whole.
     pub body: Bytes,
     /// A long body, still coming, where it did not: it is passed on as it comes.
-    pub rest: Option<Rest>,
+    pub streamed: Option<StreamedBody>,
 }
 
 /// A long body that is still coming from a chunk server, with the connection that it comes on. It is read only as
 /// fast as it is passed on, so that memory holds a few pieces of it at most. Dropping it closes the connection.
-pub struct Rest {
+pub struct StreamedBody {
     /// What has come of the body already.
     pub first: Bytes,
     /// The rest of the body.
     pub body: Incoming,
     /// The whole length, where the server said it.
     pub length: Option<u64>,
-    conn: Option<(Conn, NodeId, Rc<Shared>)>,
+    conn: Option<(PooledConnection, NodeId, Rc<Connections>)>,
 }
 
-impl Rest {
+impl StreamedBody {
     /// The body has come whole: its connection may carry another request.
     pub fn done(mut self) {
         if let Some((conn, node, shared)) = self.conn.take() {
             conn.wire.on(ConnectionEvent::ResponseComplete);
-            shared.keep(node, conn);
+            shared.release(node, conn);
         }
     }
 }
 
-impl std::fmt::Debug for Rest {
+impl std::fmt::Debug for StreamedBody {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "Rest({:?})", self.length)
     }
@@ -129,15 +129,15 @@
 
 /// Where chunk servers are and the connections to them.
 pub struct Upstream {
-    shared: Rc<Shared>,
+    shared: Rc<Connections>,
 }
 
-struct Shared {
+struct Connections {
     dial_timeout: Duration,
     began: Instant,
     open: Cell<usize>,
     nodes: RefCell<Nodes>,
-    pool: RefCell<ConnectionPool<Conn>>,
+    pool: RefCell<ConnectionPool<PooledConnection>>,
 }
 
 #[derive(Default)]
@@ -160,7 +160,7 @@
     pub fn new(dial_timeout: Duration, idle_close: Duration, most: usize) -> Upstream {
         let pool = RefCell::new(ConnectionPool::new(idle_close.mul_f64(0.8).as_nanos() as Nanos, most));
         let (began, open, nodes) = (Instant::now(), Cell::new(0), RefCell::default());
-        Upstream { shared: Rc::new(Shared { dial_timeout, began, open, nodes, pool }) }
+        Upstream { shared: Rc::new(Connections { dial_timeout, began, open, nodes, pool }) }
     }
 
     /// The number of a chunk server, given at its first mention, and where it is from now on.
@@ -192,7 +192,7 @@
     /// Closes connections that have stood idle for long.
     pub fn sweep(&self) {
         let now = self.shared.now();
-        self.shared.pool.borrow_mut().sweep(now, Conn::is_open);
+        self.shared.pool.borrow_mut().sweep(now, PooledConnection::is_open);
     }
 }
 
@@ -218,13 +218,13 @@
         payload: Rc<Payload>,
         until: Instant,
         withdrawal: Withdrawal,
-    ) -> impl Future<Output = Ended<Answer>> + 'static {
+    ) -> impl Future<Output = AttemptReport<Answer>> + 'static {
         let shared = Rc::clone(&self.shared);
         async move { shared.attempt(node, &payload, until, withdrawal).await }
     }
 }
 
-impl Shared {
+impl Connections {
     /// Carries an attempt out, step by step as the machine says.
     async fn attempt(
         self: Rc<Self>,
@@ -232,21 +232,21 @@
         payload: &Payload,
         until: Instant,
         mut withdrawal: Withdrawal,
-    ) -> Ended<Answer> {
+    ) -> AttemptReport<Answer> {
         let (mut attempt, mut next, mut at_hand) =
             (Attempt::AcquiringConnection, AttemptStep::AcquireConnection, None);
         loop {
             next = match next {
                 AttemptStep::AcquireConnection => {
-                    at_hand = self.pool.borrow_mut().take(node, self.now(), Conn::is_quiet).0;
+                    at_hand = self.pool.borrow_mut().take(node, self.now(), PooledConnection::is_quiet).0;
                     attempt.on(match at_hand {
                         Some(_) => AttemptEvent::PooledConnectionFound,
-                        None => AttemptEvent::NoPooledConnection { may_open: self.make_room(node) },
+                        None => AttemptEvent::NoPooledConnection { may_open: self.may_open(node) },
                     })
                 }
                 AttemptStep::Dial => tokio::select! {
                     biased;
-                    outcome = withdrawal.comes() => attempt.on(AttemptEvent::Withdrawn(outcome)),
+                    outcome = withdrawal.withdrawn() => attempt.on(AttemptEvent::Withdrawn(outcome)),
                     conn = self.dial(node) => {
                         at_hand = conn;
                         let up = at_hand.is_some();
@@ -264,9 +264,9 @@
                         Ok(mut ended) => {
                             attempt.on(AttemptEvent::Answered(ended.outcome));
                             // A body that is still coming keeps its connection until it has come.
-                            match ended.answer.as_mut().and_then(|a| a.rest.as_mut()) {
+                            match ended.answer.as_mut().and_then(|a| a.streamed.as_mut()) {
                                 Some(rest) => rest.conn = Some((conn, node, Rc::clone(&self))),
-                                None => self.keep(node, conn),
+                                None => self.release(node, conn),
                             }
                             return ended;
                         }
@@ -289,47 +289,47 @@
         self.began.elapsed().as_nanos() as Nanos
     }
 
-    fn keep(&self, node: NodeId, conn: Conn) {
+    fn release(&self, node: NodeId, conn: PooledConnection) {
         // Bytes that wait on it are looked for where it is taken again.
         let quiet = conn.is_open();
-        self.pool.borrow_mut().release(node, conn.place, conn, self.now(), quiet);
+        self.pool.borrow_mut().release(node, conn.address_epoch, conn, self.now(), quiet);
     }
 
     /// Whether a connection to the node may be opened, which may cost the longest idle one.
-    fn make_room(&self, node: NodeId) -> bool {
+    fn may_open(&self, node: NodeId) -> bool {
         self.nodes.borrow().list.contains_key(&node)
             && !matches!(self.pool.borrow_mut().capacity(self.open.get()), Capacity::Exhausted)
     }
 
-    async fn dial(self: &Rc<Self>, node: NodeId) -> Option<Conn> {
+    async fn dial(self: &Rc<Self>, node: NodeId) -> Option<PooledConnection> {
         let (address, cell) = self.nodes.borrow().list.get(&node).map(|m| (m.address, m.cell))?;
         let place = self.pool.borrow().address_epoch(node)?;
-        let table = Place::take(self);
-        if trace::on() {
+        let table = OpenSlot::take(self);
+        if trace::is_enabled() {
             trace::write(json!({ "e": "dial", "node": self.name(node), "open": self.open.get() }));
         }
         let dialled = tokio::time::timeout(self.dial_timeout, TcpStream::connect(address)).await;
         let stream = dialled.ok()?.ok()?;
         // Without it, a request in two writes would wait for an acknowledgement; failing costs only time.
         let _ = stream.set_nodelay(true);
-        let wire = Rc::new(Wire::default());
+        let wire = Rc::new(WireState::default());
         let socket = stream.as_raw_fd();
-        let io = TokioIo::new(Watched { stream, wire: Rc::clone(&wire) });
-        let (sender, connection) = Builder::new().max_buf_size(MOST_BUFFER).handshake(io).await.ok()?;
+        let io = TokioIo::new(ObservedStream { stream, wire: Rc::clone(&wire) });
+        let (sender, connection) = Builder::new().max_buf_size(MAX_BUFFER).handshake(io).await.ok()?;
         let task = tokio::task::spawn_local(async move {
             // How a connection ends shows in the attempt that it carries.
             let _ = connection.await;
         });
-        Some(Conn { sender, task, socket, wire, place, cell, _place: table })
+        Some(PooledConnection { sender, task, socket, wire, address_epoch: place, cell, _slot: table })
     }
 
     async fn send(
         &self,
-        conn: &mut Conn,
+        conn: &mut PooledConnection,
         payload: &Payload,
         until: Instant,
         withdrawal: &Withdrawal,
-    ) -> Result<Ended<Answer>, Execution> {
+    ) -> Result<AttemptReport<Answer>, Execution> {
         conn.sender.ready().await.map_err(|_| Execution::NotStarted)?;
         let mut request = Request::new(Full::new(payload.body.clone()));
         *request.method_mut() = payload.method.clone();
@@ -343,18 +343,18 @@
             headers.insert(REMAINING, left);
         }
         let (wire, cell) = (Rc::clone(&conn.wire), conn.cell);
-        wire.expect(payload.body.len(), payload.figures.clone(), withdrawal.clone());
+        wire.begin_request(payload.body.len(), payload.metrics.clone(), withdrawal.clone());
         // What comes ahead of an answer is none of it.
-        let answers = Arc::clone(&wire.answers);
+        let answers = Arc::clone(&wire.responses_started);
         on_informational(&mut request, move |_| {
             answers.fetch_add(1, Ordering::Relaxed);
         });
         let answer = async {
-            let response = conn.sender.send_request(request).await.map_err(|_| wire.doubt())?;
-            if !wire.link.get().is_reading_response() {
-                return Err(wire.doubt());
+            let response = conn.sender.send_request(request).await.map_err(|_| wire.execution())?;
+            if !wire.connection.get().is_reading_response() {
+                return Err(wire.execution());
             }
-            let ended = whole(response, payload.accepts, cell).await?;
+            let ended = read_response(response, payload.accepts, cell).await?;
             wire.on(ConnectionEvent::ResponseComplete);
             Ok(ended)
         };
@@ -362,7 +362,7 @@
         tokio::select! {
             biased;
             answer = answer.as_mut() => answer,
-            () = wire.stalled() => Err(wire.doubt()),
+            () = wire.stalled() => Err(wire.execution()),
         }
     }
 }
@@ -370,26 +370,26 @@
 /// An answer with its body. Whatever is not framed beyond doubt and within bounds is spoilt: it may have run, and
 /// there is no answer to pass on. A served answer whose body is long, or of unknown length, is passed on as it comes, where
 /// the front takes such answers.
-async fn whole(
+async fn read_response(
     response: Response<Incoming>,
     accepts: Accepts,
     cell: CellId,
-) -> Result<Ended<Answer>, Execution> {
+) -> Result<AttemptReport<Answer>, Execution> {
     let headers = response.headers();
     let (sized, coded) = (headers.contains_key(CONTENT_LENGTH), headers.contains_key(TRANSFER_ENCODING));
     let size = response.body().size_hint();
     // A body without a length ends with its connection. A reset is no end: then the rest is lacking.
     let open_ended = size.exact().is_none();
     let (outcome, seen_use, foreign_units) = read_head(&response, accepts);
-    let long = open_ended || size.lower() > MOST_BODY as u64;
-    if response.status().is_informational() || (sized && coded) || size.lower() > MOST_STREAMED {
+    let long = open_ended || size.lower() > MAX_BODY as u64;
+    if response.status().is_informational() || (sized && coded) || size.lower() > MAX_STREAMED {
         return Err(Execution::MayHaveRun);
     }
     if long && outcome == Outcome::Served && accepts == Accepts::Served {
         let (head, mut body) = response.into_parts();
         let mut first = BytesMut::new();
         // It may be short after all; then it is whole like any other.
-        while open_ended && first.len() <= MOST_BODY {
+        while open_ended && first.len() <= MAX_BODY {
             match body.frame().await {
                 None => {
                     let answer = Answer {
@@ -397,9 +397,9 @@
                         status: head.status,
                         headers: head.headers,
                         body: first.freeze(),
-                        rest: None,
+                        streamed: None,
                     };
-                    return Ok(Ended { outcome, answer: Some(answer), seen_use, foreign_units });
+                    return Ok(AttemptReport { outcome, answer: Some(answer), seen_use, foreign_units });
                 }
                 Some(Err(_)) => return Err(Execution::MayHaveRun),
                 Some(Ok(frame)) => {
@@ -409,30 +409,31 @@
                 }
             }
         }
-        let rest = Some(Rest { first: first.freeze(), body, length: size.exact(), conn: None });
-        let answer = Answer { cell, status: head.status, headers: head.headers, body: Bytes::new(), rest };
-        return Ok(Ended { outcome, answer: Some(answer), seen_use, foreign_units });
+        let rest = Some(StreamedBody { first: first.freeze(), body, length: size.exact(), conn: None });
+        let answer =
+            Answer { cell, status: head.status, headers: head.headers, body: Bytes::new(), streamed: rest };
+        return Ok(AttemptReport { outcome, answer: Some(answer), seen_use, foreign_units });
     }
-    if size.lower() > MOST_BODY as u64 {
+    if size.lower() > MAX_BODY as u64 {
         return Err(Execution::MayHaveRun);
     }
     let (head, body) = response.into_parts();
-    let body = Limited::new(body, MOST_BODY).collect().await;
+    let body = Limited::new(body, MAX_BODY).collect().await;
     let body = body.map_err(|_| Execution::MayHaveRun)?.to_bytes();
     let answer = (outcome == Outcome::Served).then_some(Answer {
         cell,
         status: head.status,
         headers: head.headers,
         body,
-        rest: None,
+        streamed: None,
     });
-    Ok(Ended { outcome, answer, seen_use, foreign_units })
+    Ok(AttemptReport { outcome, answer, seen_use, foreign_units })
 }
 
 /// The table of outcomes, for what came back.
 fn read_head<B>(response: &Response<B>, accepts: Accepts) -> (Outcome, f64, f64) {
     let headers = response.headers();
-    let turned_away = headers.get(TURNED_AWAY).is_some_and(|v| v == "1");
+    let turned_away = headers.get(REJECTED_HEADER).is_some_and(|v| v == "1");
     let outcome = match response.status() {
         StatusCode::OK => Outcome::Served,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => Outcome::Rejected,
@@ -455,22 +456,24 @@
 }
 
 /// A connection; dropping it closes it, also in mid-request.
-struct Conn {
+struct PooledConnection {
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
     /// Lives as long as the task does, and that as long as the sender is not closed.
     socket: i32,
-    wire: Rc<Wire>,
+    wire: Rc<WireState>,
     /// Which of its node's places it leads to.
-    place: u32,
+    address_epoch: u32,
     cell: CellId,
-    _place: Place,
+    _slot: OpenSlot,
 }
 
-impl Conn {
+impl PooledConnection {
     /// Open, with nothing on it that has been read.
     fn is_open(&self) -> bool {
-        self.wire.link.get() == ServerConnection::Idle && !self.sender.is_closed() && !self.task.is_finished()
+        self.wire.connection.get() == ServerConnection::Idle
+            && !self.sender.is_closed()
+            && !self.task.is_finished()
     }
 
     /// The same with nothing on its socket: bytes that came unasked would be taken for the next request's answer.
@@ -480,23 +483,23 @@
     }
 }
 
-impl Drop for Conn {
+impl Drop for PooledConnection {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
 /// A place in the table of open connections.
-struct Place(Rc<Shared>);
+struct OpenSlot(Rc<Connections>);
 
-impl Place {
-    fn take(shared: &Rc<Shared>) -> Place {
+impl OpenSlot {
+    fn take(shared: &Rc<Connections>) -> OpenSlot {
         shared.open.set(shared.open.get() + 1);
-        Place(Rc::clone(shared))
+        OpenSlot(Rc::clone(shared))
     }
 }
 
-impl Drop for Place {
+impl Drop for OpenSlot {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
     }
@@ -505,62 +508,62 @@
 /// What the socket has taken and brought: no error of a library tells whether the last byte of a request is
 /// out.
 #[derive(Default)]
-struct Wire {
-    link: Cell<ServerConnection>,
+struct WireState {
+    connection: Cell<ServerConnection>,
     /// Bytes matched of the empty line that ends the head.
     matched: Cell<usize>,
     body_left: Cell<usize>,
     /// Answers begun on this connection, those ahead of the last one included.
-    answers: Arc<AtomicU64>,
+    responses_started: Arc<AtomicU64>,
     /// The one that a byte has come of last, and the news of its first.
-    heard: Cell<u64>,
-    came: Notify,
+    last_response_seen: Cell<u64>,
+    response_started: Notify,
     /// Where the present request is counted once its last byte is written.
-    figures: RefCell<Option<ClassFigures>>,
+    metrics: RefCell<Option<ClassMetrics>>,
     /// Whether the present request is still wanted.
     withdrawal: RefCell<Option<Withdrawal>>,
 }
 
 const HEAD_END: &[u8; 4] = b"\r\n\r\n";
 
-impl Wire {
+impl WireState {
     fn on(&self, event: ConnectionEvent) {
-        let mut link = self.link.get();
+        let mut link = self.connection.get();
         link.on(event);
-        self.link.set(link);
+        self.connection.set(link);
     }
 
-    fn doubt(&self) -> Execution {
-        self.link.get().execution()
+    fn execution(&self) -> Execution {
+        self.connection.get().execution()
     }
 
-    fn expect(&self, body: usize, figures: Option<ClassFigures>, withdrawal: Withdrawal) {
-        *self.figures.borrow_mut() = figures;
+    fn begin_request(&self, body: usize, figures: Option<ClassMetrics>, withdrawal: Withdrawal) {
+        *self.metrics.borrow_mut() = figures;
         *self.withdrawal.borrow_mut() = Some(withdrawal);
         self.on(ConnectionEvent::RequestAssigned);
         self.matched.set(0);
         self.body_left.set(body);
-        self.answers.fetch_add(1, Ordering::Relaxed);
+        self.responses_started.fetch_add(1, Ordering::Relaxed);
     }
 
-    fn heard(&self) {
+    fn bytes_received(&self) {
         self.on(ConnectionEvent::BytesReceived);
-        let answer = self.answers.load(Ordering::Relaxed);
-        if self.heard.replace(answer) != answer {
-            self.came.notify_one();
+        let answer = self.responses_started.load(Ordering::Relaxed);
+        if self.last_response_seen.replace(answer) != answer {
+            self.response_started.notify_one();
         }
     }
 
     /// Returns when an answer has begun and does not end.
     async fn stalled(&self) {
         loop {
-            self.came.notified().await;
-            let answer = self.heard.get();
-            if self.answers.load(Ordering::Relaxed) == answer {
-                sleep(STALLED).await;
+            self.response_started.notified().await;
+            let answer = self.last_response_seen.get();
+            if self.responses_started.load(Ordering::Relaxed) == answer {
+                sleep(STALL_TIMEOUT).await;
                 // If it was this process that stood still, what has come meanwhile is read first.
                 yield_now().await;
-                if self.answers.load(Ordering::Relaxed) == answer {
+                if self.responses_started.load(Ordering::Relaxed) == answer {
                     return;
                 }
             }
@@ -570,15 +573,15 @@
     /// Nothing of a request is begun that nobody wants. Looks at the socket first: what waits there is no answer to what has not been written, and where the node
     /// has ended the connection, nothing of the request need be risked on it.
     fn may_write(&self, socket: i32) -> bool {
-        let mut link = self.link.get();
+        let mut link = self.connection.get();
         let waits = recv(socket, &mut [0], MsgFlags::MSG_PEEK | MsgFlags::MSG_DONTWAIT).is_ok();
         let withdrawn = self.withdrawal.borrow().as_ref().is_some_and(|w| w.outcome().is_some());
         let may = link.may_write(waits, withdrawn);
-        self.link.set(link);
+        self.connection.set(link);
         may
     }
 
-    fn wrote(&self, bytes: &[u8]) {
+    fn bytes_written(&self, bytes: &[u8]) {
         if bytes.is_empty() {
             return;
         }
@@ -593,8 +596,8 @@
         self.body_left.set(self.body_left.get().saturating_sub(bytes.len() - head));
         let last = self.matched.get() == HEAD_END.len() && self.body_left.get() == 0;
         if last {
-            if let Some(figures) = self.figures.borrow_mut().take() {
-                figures.sent();
+            if let Some(figures) = self.metrics.borrow_mut().take() {
+                figures.count_send();
             }
         }
         self.on(ConnectionEvent::BytesWritten { last });
@@ -602,12 +605,12 @@
 }
 
 /// A socket that keeps count of what it has taken.
-struct Watched {
+struct ObservedStream {
     stream: TcpStream,
-    wire: Rc<Wire>,
+    wire: Rc<WireState>,
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for ObservedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -616,13 +619,13 @@
         let before = buf.filled().len();
         let done = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.wire.heard();
+            self.wire.bytes_received();
         }
         done
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for ObservedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -633,7 +636,7 @@
         }
         let done = Pin::new(&mut self.stream).poll_write(cx, buf);
         if let Poll::Ready(Ok(count)) = done {
-            self.wire.wrote(&buf[..count]);
+            self.wire.bytes_written(&buf[..count]);
         }
         done
     }
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -12,10 +12,10 @@
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
-use tulipbridge::cluster::ejections::{Bench, Counts};
+use tulipbridge::cluster::ejections::{EjectionMetrics, Ejections};
 use tulipbridge::cluster::peers::Config;
 use tulipbridge::request_tracker::Input;
-use tulipbridge::telemetry::metrics::Figures;
+use tulipbridge::telemetry::metrics::Metrics;
 use tulipbridge::{Listed, NodeInfo, Outcome, UpdateScope};
 use tulipbridge_fleet_limits::{Demand, Heartbeat, Lease, LeaseGrant, Limit};
 use tulipbridge_membership::{
@@ -145,7 +145,7 @@
         {{"name": "a", "address": "127.0.0.1:3", "zone": "west"}}]}}"#
     );
     let value = simd_json::to_owned_value(&mut peers.into_bytes()).expect("it is JSON");
-    Config::read(&value, "a").expect("the peers can be read").terms.roster
+    Config::read(&value, "a").expect("the peers can be read").limits_config.roster
 }
 
 #[test]
@@ -174,18 +174,20 @@
     // A server's number is the digest of its name and of when it came up, which all fronts are told.
     assert_eq!(EnvelopeCodec::digest("s-1|77000000"), 0x6a76_f700_4058_78ab);
     let terms = tulipbridge_outlier_detection::DetectorConfig::new(0, 3, 0);
-    let mut bench = Bench::new(terms, Counts::new(&Figures::new())).expect("the terms hold");
+    let mut bench = Ejections::new(terms, EjectionMetrics::new(&Metrics::new())).expect("the terms hold");
     let servers = [server(0, 1), server(1, 77_000_000), server(2, 3)];
-    bench.list(UpdateScope::Replace, &servers, |node| format!("s-{node}"));
+    bench.update_endpoints(UpdateScope::Replace, &servers, |node| format!("s-{node}"));
     for id in 0..60 {
         let node = id as usize % servers.len();
         let outcome = if node == 1 { Outcome::Error } else { Outcome::Served };
-        bench.sent(0, (id, 0), node, 0, true);
-        bench
-            .runs(1_000, &Input::AttemptEnded { id, attempt: 0, outcome, seen_use: 0.0, foreign_units: 0.0 });
+        bench.attempt_sent(0, (id, 0), node, 0, true);
+        bench.observe_input(
+            1_000,
+            &Input::AttemptEnded { id, attempt: 0, outcome, seen_use: 0.0, foreign_units: 0.0 },
+        );
     }
-    let done = bench.look(2_000, 0, &GossipStore::new(0, 3, 1, 100_000, 0));
-    let keys: Vec<Key> = done.puts.iter().map(|(key, _)| *key).collect();
+    let done = bench.evaluate(2_000, 0, &GossipStore::new(0, 3, 1, 100_000, 0));
+    let keys: Vec<Key> = done.entries.iter().map(|(key, _)| *key).collect();
     assert_eq!(keys, [Key { kind: 2, id: 0x6a76_f700_4058_78ab }]);
 }
 
--- a/tests/messages.rs
+++ b/tests/messages.rs
@@ -1,10 +1,10 @@
 //! Where a message of discovery's stream ends, however it is written and in whatever pieces it comes.
 
-use tulipbridge::control::json_stream::{Message, Messages};
+use tulipbridge::control::json_stream::{Message, MessageReader};
 
 /// All messages of a stream that comes in pieces of so many bytes.
 fn messages(stream: &str, piece: usize) -> Vec<String> {
-    let mut messages = Messages::default();
+    let mut messages = MessageReader::default();
     let mut seen = Vec::new();
     for bytes in stream.as_bytes().chunks(piece) {
         messages.push(bytes);
@@ -32,13 +32,13 @@
 
 #[test]
 fn an_empty_line_is_heard_and_half_a_message_is_not() {
-    let mut messages = Messages::default();
+    let mut messages = MessageReader::default();
     messages.push(b"\r\n");
-    assert_eq!(messages.pop(), Some(Message::Empty));
+    assert_eq!(messages.pop(), Some(Message::KeepAlive));
     assert_eq!(messages.pop(), None);
     messages.push(b"{\"generation\":1,\n\n\n");
     assert_eq!(messages.pop(), None);
-    assert!(messages.held() > 0);
+    assert!(messages.buffered() > 0);
 }
 
 #[test]
--- a/tests/unit/upstream.rs
+++ b/tests/unit/upstream.rs
@@ -21,8 +21,8 @@
             headers: HeaderMap::new(),
             body: Bytes::new(),
             accepts: Accepts::Served,
-            figures: None,
-            hold: None,
+            metrics: None,
+            reservation: None,
         });
         let until = Instant::now() + Duration::from_secs(10);
         let say = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{body}");
@@ -61,13 +61,13 @@
                 node.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
             }
             stream.readable().await.expect("what the node sent is there");
-            let wire = Rc::new(Wire::default());
-            wire.expect(0, None, Withdrawal::never());
-            let mut watched = Watched { stream, wire: Rc::clone(&wire) };
+            let wire = Rc::new(WireState::default());
+            wire.begin_request(0, None, Withdrawal::never());
+            let mut watched = ObservedStream { stream, wire: Rc::clone(&wire) };
             let request = b"GET /api HTTP/1.1\r\n\r\n";
             let wrote = std::future::poll_fn(|cx| Pin::new(&mut watched).poll_write(cx, request)).await;
             assert!(wrote.is_err(), "the node ended: {ends}");
-            assert_eq!(wire.doubt(), Execution::NotStarted, "so the next connection gets the request");
+            assert_eq!(wire.execution(), Execution::NotStarted, "so the next connection gets the request");
         }
     });
 }
