--- /dev/null
+++ b/src/cluster/ejections/mod.rs
@@ -0,0 +1,267 @@
+//! Outlier ejection of chunk servers, decided together with the peers.
+//!
+//! [`Ejections`] connects the state machine [`OutlierDetector`] to the front: it turns inputs of the request tracker into
+//! observations of servers, and the detector's effects into gossip entries and into updates for the decision module.
+//! It is only used where the configuration file has `peers.verdicts`.
+
+mod config;
+mod metrics;
+mod status;
+
+use std::collections::BTreeMap;
+
+use tulipbridge_core::request_tracker::Input;
+use tulipbridge_core::{
+    ClassSet, FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, RequestId, UpdateScope,
+};
+use tulipbridge_membership::{EnvelopeCodec, GossipStore, Key};
+use tulipbridge_outlier_detection::{
+    AttemptObserver, AttemptResult, Class, DetectorConfig, DetectorConfigError, Effect, EjectionTarget,
+    Event, OutlierDetector, SampleQuality, Scope, Server,
+};
+
+pub use self::config::EjectionConfig;
+pub use self::metrics::EjectionMetrics;
+pub use self::status::DisplayNames;
+use crate::telemetry::log::log;
+
+/// A node of the decision module, as the endpoint list has it.
+struct ListedServer {
+    /// Digest of the name and of the start time: a restarted server is another server to the detector.
+    server: Server,
+    name: String,
+    is_up: bool,
+}
+
+/// What is to be done after an evaluation.
+#[derive(Default)]
+pub struct EjectionChanges {
+    /// Gossip entries of this front to be put; one without a value is to be removed.
+    pub entries: Vec<(Key, Option<Vec<u8>>)>,
+    /// Updates for the decision module.
+    pub updates: Vec<FleetUpdate>,
+}
+
+/// This front's part in fleet-wide ejection.
+pub struct Ejections {
+    detector: OutlierDetector,
+    observer: AttemptObserver,
+    nodes: BTreeMap<NodeId, ListedServer>,
+    /// The classes for which the decision module was last told that a node is ejected.
+    reported: BTreeMap<NodeId, ClassSet>,
+    /// Observations since the last evaluation.
+    pending_events: Vec<Event>,
+    list_changed: bool,
+    metrics: EjectionMetrics,
+}
+
+impl Ejections {
+    /// Without any server or observation.
+    ///
+    /// # Errors
+    /// An invalid configuration.
+    pub fn new(config: DetectorConfig, metrics: EjectionMetrics) -> Result<Ejections, DetectorConfigError> {
+        Ok(Ejections {
+            detector: OutlierDetector::new(config)?,
+            observer: AttemptObserver::default(),
+            nodes: BTreeMap::new(),
+            reported: BTreeMap::new(),
+            pending_events: Vec::new(),
+            list_changed: false,
+            metrics,
+        })
+    }
+
+    /// Starts the detector anew with another configuration. The endpoint list stays, all evidence is dropped.
+    ///
+    /// # Errors
+    /// An invalid configuration; then nothing changes.
+    pub fn reconfigure(&mut self, config: DetectorConfig) -> Result<(), DetectorConfigError> {
+        self.detector = OutlierDetector::new(config)?;
+        self.list_changed = true;
+        Ok(())
+    }
+
+    /// The configuration in force.
+    pub fn config(&self) -> &DetectorConfig {
+        self.detector.config()
+    }
+
+    /// Observes an input before the request tracker processes it. Gives whether an evaluation should follow soon: an
+    /// attempt has failed, a probe has ended or, at a timer, which fires often, an attempt is overdue.
+    pub fn observe_input(&mut self, now: Nanos, input: &Input) -> bool {
+        self.observer.step(now);
+        if let Input::Timer(_) = input {
+            return self.observer.has_overdue(now);
+        }
+        let event = self.attempt_event(now, input);
+        let needs_evaluation = match &event {
+            Some(Event::Attempt { quality, .. }) => *quality == SampleQuality::Failed,
+            Some(Event::Probed { .. }) => true,
+            _ => false,
+        };
+        self.pending_events.extend(event);
+        needs_evaluation
+    }
+
+    /// Whether the detector waits for observations of other fronts, so that the next evaluation should follow soon.
+    pub fn is_waiting(&self, now: Nanos) -> bool {
+        self.detector.is_waiting(now)
+    }
+
+    /// Applies an update of the endpoint list. `name_of` gives the name of a node.
+    pub fn update_endpoints(
+        &mut self,
+        scope: UpdateScope,
+        infos: &[NodeInfo],
+        name_of: impl Fn(NodeId) -> String,
+    ) {
+        if scope == UpdateScope::Unavailable {
+            return;
+        }
+        if scope != UpdateScope::Update {
+            self.nodes.retain(|node, _| infos.iter().any(|info| info.node == *node));
+        }
+        for info in infos {
+            if info.listed == Listed::Removed {
+                self.nodes.remove(&info.node);
+                continue;
+            }
+            let name = name_of(info.node);
+            let server = EnvelopeCodec::digest(&format!("{name}|{}", info.started_at));
+            self.nodes.insert(info.node, ListedServer { server, name, is_up: info.listed == Listed::Up });
+        }
+        self.list_changed = true;
+    }
+
+    /// Notes that an attempt was sent. `attempt` is the request with the attempt's number.
+    pub fn attempt_sent(
+        &mut self,
+        now: Nanos,
+        attempt: (RequestId, u32),
+        node: NodeId,
+        class: usize,
+        idempotent: bool,
+    ) {
+        if let (Some(listed), Ok(class)) = (self.nodes.get(&node), Class::try_from(class)) {
+            self.observer.attempt_sent(now, attempt, listed.server, class, idempotent);
+        }
+    }
+
+    /// What an input says about an attempt's server.
+    fn attempt_event(&mut self, now: Nanos, input: &Input) -> Option<Event> {
+        let (attempt, result) = match input {
+            Input::AttemptEnded { id, attempt, outcome, .. } => ((*id, *attempt), attempt_result(*outcome)),
+            Input::AttemptTimedOut { id, attempt } | Input::AttemptCancelled { id, attempt } => {
+                ((*id, *attempt), AttemptResult::Cancelled)
+            }
+            _ => return None,
+        };
+        self.observer.attempt_ended(now, attempt, result)
+    }
+
+    /// Has the detector evaluate all observations, this front's and those in `gossip`. `module_now` is the present time
+    /// by the decision module's clock.
+    pub fn evaluate(&mut self, now: Nanos, module_now: Nanos, gossip: &GossipStore) -> EjectionChanges {
+        let mut effects = Vec::new();
+        for event in self.take_events(now) {
+            self.detector.on(now, gossip, event, &mut effects);
+        }
+        self.detector.on(now, gossip, Event::Evaluate, &mut effects);
+        let mut changes = EjectionChanges::default();
+        for effect in effects {
+            self.apply_effect(now, module_now, effect, &mut changes);
+        }
+        self.report_ejections(&mut changes);
+        changes
+    }
+
+    /// The events since the last evaluation: the endpoint list first, then attempts, then those that are overdue.
+    fn take_events(&mut self, now: Nanos) -> Vec<Event> {
+        let mut events = Vec::new();
+        if std::mem::take(&mut self.list_changed) {
+            let servers = self.nodes.values().map(|listed| (listed.server, listed.is_up)).collect();
+            events.push(Event::Servers(servers));
+        }
+        events.append(&mut self.pending_events);
+        events.extend(self.observer.take_overdue(now));
+        events
+    }
+
+    fn apply_effect(&mut self, now: Nanos, module_now: Nanos, effect: Effect, changes: &mut EjectionChanges) {
+        match effect {
+            Effect::Put(key, value) => changes.entries.push((key, value)),
+            Effect::Ejected(target) => log!("verdicts: {} is held out", self.name(target.server)),
+            Effect::Readmitted { target, healthy } => {
+                self.observer.readmitted(target.server);
+                let reason = if healthy { "it did well in trials" } else { "the verdict on it has ended" };
+                log!("verdicts: {} is held out no more: {reason}", self.name(target.server));
+            }
+            Effect::Probe(server) => changes.updates.extend(self.probe(now, module_now, server)),
+            Effect::Suspect(suspect) => self.set_suspect(suspect),
+        }
+    }
+
+    /// Has the next idempotent request probe a server, within this front's turn.
+    fn probe(&mut self, now: Nanos, module_now: Nanos, server: Server) -> Vec<FleetUpdate> {
+        let turn = self.detector.config().probe_turn;
+        self.metrics.probes.inc();
+        self.observer.probe_next(server, now + turn);
+        let until = module_now + turn;
+        let nodes = self.nodes.iter().filter(|(_, listed)| listed.server == server);
+        nodes.map(|(node, _)| FleetUpdate::Probe { node: *node, until }).collect()
+    }
+
+    fn set_suspect(&self, suspect: bool) {
+        self.metrics.suspect.set(i64::from(suspect));
+        match suspect {
+            true => log!(
+                "verdicts: what this front sees contradicts its peers, and counts for nothing: look at its own network"
+            ),
+            false => log!("verdicts: what this front sees agrees with its peers again"),
+        }
+    }
+
+    /// Adds an update for each node whose ejection has changed.
+    fn report_ejections(&mut self, changes: &mut EjectionChanges) {
+        let ejected = self.ejected_classes();
+        for (node, listed) in &self.nodes {
+            let classes = ejected.get(&listed.server).copied().unwrap_or_default();
+            if self.reported.insert(*node, classes).unwrap_or_default() != classes {
+                changes.updates.push(FleetUpdate::Ejection { node: *node, classes });
+            }
+        }
+        let nodes = &self.nodes;
+        self.reported.retain(|node, _| nodes.contains_key(node));
+        self.metrics.ejected.set(ejected.len() as i64);
+    }
+
+    /// The classes of work for which each ejected server is out.
+    fn ejected_classes(&self) -> BTreeMap<Server, ClassSet> {
+        let mut ejected: BTreeMap<Server, ClassSet> = BTreeMap::new();
+        for EjectionTarget { server, scope } in self.detector.ejected() {
+            let classes = ejected.entry(server).or_default();
+            *classes = match scope {
+                Scope::All | Scope::Zone(_) => ClassSet::ALL,
+                Scope::Class(class) => classes.with(usize::from(class)),
+            };
+        }
+        ejected
+    }
+
+    /// The name of a server, for operators.
+    fn name(&self, server: Server) -> String {
+        let listed = self.nodes.values().find(|listed| listed.server == server);
+        listed.map_or_else(|| format!("a server that is gone ({server:016x})"), |listed| listed.name.clone())
+    }
+}
+
+/// What an outcome says about the server.
+fn attempt_result(outcome: Outcome) -> AttemptResult {
+    match outcome {
+        Outcome::Served => AttemptResult::Answered,
+        Outcome::Error | Outcome::NotExecuted | Outcome::Reset => AttemptResult::Failed,
+        Outcome::Rejected => AttemptResult::Rejected,
+        Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => AttemptResult::Cancelled,
+    }
+}
--- /dev/null
+++ b/src/cluster/metrics.rs
@@ -0,0 +1,95 @@
+//! Prometheus metrics of membership, gossip and the fleet's limits.
+
+use prometheus::{GaugeVec, IntCounterVec, IntGauge, Opts};
+use tulipbridge_fleet_limits::{Share, FULL_SHARE};
+use tulipbridge_membership::{EnvelopeError, GossipError, MessageStatus};
+
+use crate::telemetry::metrics::Metrics;
+
+/// The metrics. Names, help texts and labels are what operators' dashboards use.
+pub(super) struct ClusterMetrics {
+    messages: IntCounterVec,
+    pub(super) alive: IntGauge,
+    pub(super) issuers_held: IntGauge,
+    pub(super) standby: IntGauge,
+    shares: GaugeVec,
+}
+
+impl ClusterMetrics {
+    /// Registers all metrics with the value 0.
+    pub(super) fn register(registry: &Metrics) -> ClusterMetrics {
+        let gauge = |name: &str, help: &str| IntGauge::new(name, help).expect("the name is valid");
+        let metrics = ClusterMetrics {
+            messages: IntCounterVec::new(
+                Opts::new("app_peer_messages", "Messages of peers by what they were worth"),
+                &["worth"],
+            )
+            .expect("the names are valid"),
+            alive: gauge("app_peers_alive", "Peers that are heard"),
+            issuers_held: gauge("app_peer_banks", "Banks of the fleet's limits that this front holds"),
+            standby: gauge("app_peer_standing_back", "1 while another process has this front's name"),
+            shares: GaugeVec::new(
+                Opts::new("app_peer_part", "This front's part of a limit that the fleet shares"),
+                &["limit"],
+            )
+            .expect("the names are valid"),
+        };
+        registry.register(metrics.messages.clone());
+        registry.register(metrics.shares.clone());
+        for gauge in [&metrics.alive, &metrics.issuers_held, &metrics.standby] {
+            registry.register(gauge.clone());
+        }
+        metrics
+    }
+
+    /// Counts a heartbeat by how membership judged it.
+    pub(super) fn count_heartbeat(&self, status: MessageStatus) {
+        self.count(match status {
+            MessageStatus::Accepted { .. } => "counts",
+            MessageStatus::Stale => "old",
+            MessageStatus::Unconfirmed => "unproven",
+            MessageStatus::Conflicting => "stranger",
+            MessageStatus::RosterMismatch => "other_roster",
+            MessageStatus::UnknownPeer => "no_peer",
+        });
+    }
+
+    /// Counts a datagram that could not be decoded.
+    pub(super) fn count_undecodable(&self, error: EnvelopeError) {
+        self.count(match error {
+            EnvelopeError::NotAMessage | EnvelopeError::TooLong | EnvelopeError::KeyTooShort => "no_message",
+            EnvelopeError::Version(_) => "other_version",
+            EnvelopeError::Digest => "wrong_digest",
+            EnvelopeError::Malformed => "wrong_form",
+        });
+    }
+
+    /// Counts a part of a gossip message that was rejected.
+    pub(super) fn count_rejected_gossip(&self, error: GossipError) {
+        self.count(match error {
+            GossipError::StaleIncarnation | GossipError::UnknownOrigin => "entries_no_peer",
+            GossipError::MissingVersions => "entries_gap",
+            GossipError::NoEcho => "entries_no_echo",
+            GossipError::OutOfBounds => "entries_bounds",
+        });
+    }
+
+    /// Counts a message of this front's that could not be encoded.
+    pub(super) fn count_too_long(&self) {
+        self.count("too_long");
+    }
+
+    /// Sets this front's share of a limit, by the limit's label.
+    pub(super) fn set_share(&self, limit: &str, share: Share) {
+        self.shares.with_label_values(&[limit]).set(fraction(share));
+    }
+
+    fn count(&self, worth: &str) {
+        self.messages.with_label_values(&[worth]).inc();
+    }
+}
+
+/// A share as a fraction of the whole limit, from 0 to 1.
+pub(super) fn fraction(share: Share) -> f64 {
+    f64::from(share) / f64::from(FULL_SHARE)
+}
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -1,5 +1,17 @@
-//! This front among its peers: membership, limits that the whole fleet shares, and outlier ejection.
+//! This front among its peers: membership, limits shared by the whole fleet, and fleet-wide outlier ejection.
+//!
+//! The state machines have no I/O and live in crates of their own (`tulipbridge_membership`,
+//! `tulipbridge_fleet_limits`, `tulipbridge_outlier_detection`). The modules here connect them to a UDP socket, the
+//! clock, the configuration file, the decision module, the metrics and the console.
 
+mod clock;
+pub mod config;
 pub mod ejections;
+pub mod errors;
+pub mod fields;
 pub mod limits;
+mod messages;
+mod metrics;
 pub mod peers;
+pub mod roster;
+mod socket;
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -120,7 +120,7 @@
         let name = name.unwrap_or_else(|| "front".to_owned());
         let peers = value.get("peers").map(|peers| peers::Config::read(peers, &name));
         Ok(Config {
-            peers: peers.transpose().map_err(|why| at_line(&told, why))?,
+            peers: peers.transpose().map_err(|why| at_line(&told, why.to_string()))?,
             name,
             listen: address("BALANCER_LISTEN", "listen")?,
             console: match (variable("BALANCER_CONSOLE"), value.get("console")) {
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -58,7 +58,7 @@
             return Err(format!("'{path}' is missing"));
         }
         if let Some(peers) = &self.peers {
-            peers.check(config.peers.as_ref())?;
+            peers.check(config.peers.as_ref()).map_err(|e| e.to_string())?;
         }
         let told_peers = config.peers.clone();
         let (told, discovery) = (config.raw_settings.clone(), config.discovery);
--- a/src/control/console.rs
+++ b/src/control/console.rs
@@ -150,12 +150,12 @@
             }
             (&Method::GET, None) if path == "/status/peers" => self.peer_status(|peers| Ok(peers.status())),
             (&Method::GET, None) if path == "/status/verdicts" => {
-                self.peer_status(|peers| peers.ejection_status(None))
+                self.peer_status(|peers| peers.ejection_status(None).map_err(|e| e.to_string()))
             }
             (&Method::GET, None) if path.starts_with("/status/verdicts/") => {
                 let id = path.trim_start_matches("/status/verdicts/");
                 let id = percent_encoding::percent_decode_str(id).decode_utf8_lossy();
-                self.peer_status(|peers| peers.ejection_status(Some(&id)))
+                self.peer_status(|peers| peers.ejection_status(Some(&id)).map_err(|e| e.to_string()))
             }
             (&Method::PUT, Some(rest)) => self.maintenance_call(rest),
             (_, Some(_)) => plain(StatusCode::METHOD_NOT_ALLOWED, "maintenance is called with PUT\n".into()),
--- a/src/front.rs
+++ b/src/front.rs
@@ -123,7 +123,8 @@
         .peers
         .clone()
         .map(|told| Peers::join(told, config.classes.clone(), &exchange, &figures))
-        .transpose()?;
+        .transpose()
+        .map_err(|e| e.to_string())?;
     let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
     let maintenance = Maintenance::new(folder, &config.name, Rc::clone(&exchange));
     let mut discovery = Discovery {
--- a/src/object/mod.rs
+++ b/src/object/mod.rs
@@ -62,7 +62,7 @@
         let moved = watch_discovery_address(config.base.discovery, move || {
             let base = Config::from_file(&file)?.base;
             if let Some(joined) = &*joined.borrow() {
-                joined.check(base.peers.as_ref())?;
+                joined.check(base.peers.as_ref()).map_err(|e| e.to_string())?;
                 base.peers.into_iter().for_each(|told| joined.reload(told));
             }
             Ok(base.discovery)
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -12,8 +12,8 @@
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
+use tulipbridge::cluster::config::ClusterConfig;
 use tulipbridge::cluster::ejections::{EjectionMetrics, Ejections};
-use tulipbridge::cluster::peers::Config;
 use tulipbridge::request_tracker::Input;
 use tulipbridge::telemetry::metrics::Metrics;
 use tulipbridge::{Listed, NodeInfo, Outcome, UpdateScope};
@@ -145,7 +145,7 @@
         {{"name": "a", "address": "127.0.0.1:3", "zone": "west"}}]}}"#
     );
     let value = simd_json::to_owned_value(&mut peers.into_bytes()).expect("it is JSON");
-    Config::read(&value, "a").expect("the peers can be read").limits_config.roster
+    ClusterConfig::read(&value, "a").expect("the peers can be read").limits_config.roster
 }
 
 #[test]
