--- a/src/cluster/limits.rs
+++ b/src/cluster/limits/config.rs
@@ -1,16 +1,13 @@
-//! Fleet-wide limits as the decision module applies them: the rates that this front's shares come to, computed from the
-//! plans of volumes and from `peers.limits` of the configuration file.
-
-use std::collections::HashMap;
+//! The object `peers.limits` of a front's configuration file: fleet-wide limits beside those of the volumes' plans.
 
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
 use tulipbridge_core::request_tracker::Input;
-use tulipbridge_core::{Outcome, Settings, SharedLimit, VolumeId};
+use tulipbridge_core::{Outcome, Settings, SharedLimit};
 use tulipbridge_fleet_limits::{Limit, Share};
 
+use super::{fraction, LimitDemand, LimitRate, LimitUpdate};
 use crate::cluster::fields::{self, FieldError};
-use crate::cluster::metrics::fraction;
 
 /// Retries that each request demands in advance, where a failed attempt demands 1: a front with traffic then has a share
 /// of the retries before its first failure.
@@ -22,43 +19,6 @@
 const WARMING_UP_KEY: &str = "starting_server";
 const IN_FLIGHT_KEY: &str = "out_at_server";
 
-/// The values of a limit, of the whole fleet or of one front.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LimitRate {
-    /// Units or attempts a second; for the limit on requests in flight at a server, how many.
-    pub rate: f64,
-    /// Size of the token bucket, in units or attempts; 0 for requests in flight.
-    pub burst: f64,
-}
-
-impl LimitRate {
-    /// A front's share of the limit. The bucket holds at least one request of size `min_burst`, so that a small share is
-    /// a low rate and not a bound on the size of a request.
-    fn scaled(self, share: Share, min_burst: f64) -> LimitRate {
-        let fraction = fraction(share);
-        let burst = if share == 0 { 0.0 } else { (self.burst * fraction).max(min_burst) };
-        LimitRate { rate: self.rate * fraction, burst }
-    }
-}
-
-/// What the decision module may use of a limit from now on.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitUpdate {
-    /// The limit.
-    pub limit: SharedLimit,
-    /// This front's rate and burst.
-    pub rate: LimitRate,
-}
-
-/// Demand for a fleet-wide limit.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitDemand {
-    /// The limit.
-    pub limit: Limit,
-    /// Units or attempts that are about to be used.
-    pub units: f64,
-}
-
 /// The fleet-wide limits of `peers.limits`, beside those of the volumes' plans. Each may be missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ConfiguredLimits {
@@ -121,7 +81,7 @@
     }
 
     /// What a share of a configured limit comes to.
-    fn updates(&self, limit: Limit, share: Share, settings: &Settings) -> Vec<LimitUpdate> {
+    pub(super) fn updates(&self, limit: Limit, share: Share, settings: &Settings) -> Vec<LimitUpdate> {
         match limit {
             Limit::Retries => self.retries_update(share).into_iter().collect(),
             Limit::ServerLoad => self
@@ -175,88 +135,3 @@
         _ => false,
     }
 }
-
-/// This front's share of a volume's limit, with the plan that the volume's last request had.
-#[derive(Clone, Copy)]
-struct VolumeShare {
-    plan: usize,
-    share: Share,
-}
-
-impl VolumeShare {
-    /// What the share comes to under the plan; `None` where the settings have no such plan.
-    fn update(self, volume: VolumeId, settings: &Settings) -> Option<LimitUpdate> {
-        let plan = settings.plans.get(self.plan)?;
-        let limit = LimitRate { rate: plan.limit_rate, burst: plan.limit_burst };
-        let rate = limit.scaled(self.share, settings.max_units);
-        Some(LimitUpdate { limit: SharedLimit::Volume(volume), rate })
-    }
-}
-
-/// This front's shares of all fleet-wide limits.
-#[derive(Default)]
-pub struct FleetLimits {
-    volumes: HashMap<VolumeId, VolumeShare>,
-    configured: ConfiguredLimits,
-    shares: HashMap<Limit, Share>,
-}
-
-impl FleetLimits {
-    /// Applies a new configuration. Gives what this front may use of each configured limit now: nothing, until it has a
-    /// share of it.
-    pub fn configure(&mut self, configured: ConfiguredLimits, settings: &Settings) -> Vec<LimitUpdate> {
-        self.configured = configured;
-        configured
-            .limits()
-            .flat_map(|(limit, _)| configured.updates(limit, self.share(limit), settings))
-            .collect()
-    }
-
-    /// The configuration in force.
-    pub fn configured(&self) -> &ConfiguredLimits {
-        &self.configured
-    }
-
-    /// This front's share of a limit that is not a volume's.
-    pub fn share(&self, limit: Limit) -> Share {
-        self.shares.get(&limit).copied().unwrap_or(0)
-    }
-
-    /// Notes the plan of a volume's request. Gives an update of the volume's limit where the plan has changed, as it may
-    /// after a reload.
-    pub fn volume_requested(
-        &mut self,
-        volume: VolumeId,
-        plan: usize,
-        settings: &Settings,
-    ) -> Option<LimitUpdate> {
-        let entry = self.volumes.entry(volume).or_insert(VolumeShare { plan, share: 0 });
-        if entry.plan == plan {
-            return None;
-        }
-        entry.plan = plan;
-        entry.update(volume, settings)
-    }
-
-    /// Sets this front's share of a limit. A volume that has had no request here has no plan yet, and no update.
-    pub fn set_share(&mut self, limit: Limit, share: Share, settings: &Settings) -> Vec<LimitUpdate> {
-        let Limit::Volume(volume) = limit else {
-            self.shares.insert(limit, share);
-            return self.configured.updates(limit, share, settings);
-        };
-        let Some(entry) = self.volumes.get_mut(&volume) else { return Vec::new() };
-        entry.share = share;
-        entry.update(volume, settings).into_iter().collect()
-    }
-
-    /// Drops a limit that has had no demand for a while: this front may use nothing of it.
-    pub fn forget(&mut self, limit: Limit, settings: &Settings) -> Vec<LimitUpdate> {
-        match limit {
-            Limit::Volume(volume) => {
-                self.volumes.remove(&volume);
-                vec![LimitUpdate { limit: SharedLimit::Volume(volume), rate: LimitRate::default() }]
-            }
-            _ => self.set_share(limit, 0, settings),
-        }
-    }
-}
--- a/src/cluster/metrics.rs
+++ b/src/cluster/metrics.rs
@@ -1,9 +1,10 @@
 //! Prometheus metrics of membership, gossip and the fleet's limits.
 
 use prometheus::{GaugeVec, IntCounterVec, IntGauge, Opts};
-use tulipbridge_fleet_limits::{Share, FULL_SHARE};
+use tulipbridge_fleet_limits::Share;
 use tulipbridge_membership::{EnvelopeError, GossipError, MessageStatus};
 
+use crate::cluster::limits::fraction;
 use crate::telemetry::metrics::Metrics;
 
 /// The metrics. Names, help texts and labels are what operators' dashboards use.
@@ -88,8 +89,3 @@
         self.messages.with_label_values(&[worth]).inc();
     }
 }
-
-/// A share as a fraction of the whole limit, from 0 to 1.
-pub(super) fn fraction(share: Share) -> f64 {
-    f64::from(share) / f64::from(FULL_SHARE)
-}
--- a/src/cluster/peers/status.rs
+++ b/src/cluster/peers/status.rs
@@ -10,7 +10,7 @@
 use crate::cluster::clock::{self, millis};
 use crate::cluster::ejections::DisplayNames;
 use crate::cluster::errors::EjectionStatusError;
-use crate::cluster::metrics::fraction;
+use crate::cluster::limits::fraction;
 use crate::telemetry::log::log;
 
 impl Peers {
--- a/src/cluster/peers/tasks.rs
+++ b/src/cluster/peers/tasks.rs
@@ -16,7 +16,7 @@
 const RECEIVE_RETRY_PAUSE: Duration = Duration::from_millis(10);
 /// Least time between two evaluations of ejections that observations trigger.
 const EVALUATION_PAUSE: Duration = Duration::from_millis(50);
-/// A heartbeat comes earlier or later by up to half of this part of the interval: one in so many.
+/// The random variation of the heartbeat interval, as a divisor of the interval: plus or minus 5%.
 const HEARTBEAT_JITTER_DIVISOR: u64 = 10;
 
 impl Peers {
@@ -109,7 +109,7 @@
     }
 }
 
-/// An interval in nanoseconds, changed at random so that fronts do not all send at the same moment again and again.
+/// An interval in nanoseconds with random variation, so that the fronts do not stay in step with each other.
 fn with_jitter(interval: u64) -> u64 {
     let jitter = interval / HEARTBEAT_JITTER_DIVISOR;
     interval - jitter / 2 + fastrand::u64(0..=jitter)
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -26,8 +26,8 @@
 /// `program_speaks_and_hears_the_golden_format` holds this copy against the running program.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Message {
-    Beat(Box<Heartbeat>),
-    Entries(GossipMessage),
+    Heartbeat(Box<Heartbeat>),
+    Gossip(GossipMessage),
 }
 
 const KEY: &[u8] = b"golden key of the fronts";
@@ -82,7 +82,7 @@
         grant: LeaseGrant { number: 400, duration: -2_500, leases: vec![volume] },
     };
     assert_golden(
-        &Message::Beat(Box::new(beat)),
+        &Message::Heartbeat(Box::new(beat)),
         concat!(
             "54425002",                                                         // the letters TBP, version
             "0302",                 // the sender's place, low byte first
@@ -121,7 +121,7 @@
         deltas: vec![delta],
     };
     assert_golden(
-        &Message::Entries(exchange),
+        &Message::Gossip(exchange),
         concat!(
             "54425002",                                                         // the letters TBP, version
             "0302",                       // the sender's place, low byte first
@@ -269,7 +269,7 @@
     let length = socket.recv(&mut bytes).expect("the program sends");
     let datagram = &bytes[..length];
     let opened = seal().open::<Message>(datagram).expect("the datagram can be opened");
-    let variant = if matches!(opened.message, Message::Beat(_)) { BEAT } else { ENTRIES };
+    let variant = if matches!(opened.message, Message::Heartbeat(_)) { BEAT } else { ENTRIES };
     assert_eq!(datagram[CONTENT], variant);
     assert_eq!(opened.from, 0);
     let again = seal().seal(opened.from, opened.incarnation, &opened.message).expect("it is short");
@@ -281,7 +281,7 @@
 fn answer_to(beat: &Heartbeat, boot: u64, sent: i64) -> Message {
     let hello = PeerState { sent_at: sent, echo: Some((boot, beat.state.sent_at)), ..PeerState::default() };
     let (roster, revision) = (beat.roster, beat.revision);
-    Message::Beat(Box::new(Heartbeat { roster, revision, state: hello, ..Heartbeat::default() }))
+    Message::Heartbeat(Box::new(Heartbeat { roster, revision, state: hello, ..Heartbeat::default() }))
 }
 
 /// Entries of the peer's, with one that says its version.
@@ -290,7 +290,7 @@
     let item = GossipEntry { key: about, version: 1, age_ms: 0, value: Some(b"golden".to_vec()) };
     let delta = Delta { origin: 1, incarnation: PEER_BOOT, after: 0, to: 1, entries: vec![item] };
     let echo = Some((boot, beat.state.sent_at));
-    Message::Entries(GossipMessage { echo, knows: Vec::new(), requests_missing: false, deltas: vec![delta] })
+    Message::Gossip(GossipMessage { echo, knows: Vec::new(), requests_missing: false, deltas: vec![delta] })
 }
 
 #[test]
@@ -309,12 +309,12 @@
         assert!(Instant::now() < until, "entries: {entries:?}, status: {}", program.status());
         let Envelope { incarnation: boot, message: said, .. } = next_datagram(&socket);
         match said {
-            Message::Beat(beat) => {
+            Message::Heartbeat(beat) => {
                 sent += 1;
                 send(&answer_to(&beat, boot, sent));
                 send(&version_of_peer(&beat, boot));
             }
-            Message::Entries(exchange) => {
+            Message::Gossip(exchange) => {
                 let told = exchange.deltas.into_iter().find(|delta| delta.origin == 0);
                 entries = entries.or(told.map(|delta| (boot, delta)));
             }
