--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -1,114 +1,122 @@
 //! One attempt of a request: it acquires a connection, sends the request and ends with one outcome.
 //!
-//! The machine says what the transport does next. It does no I/O.
+//! The machine tells the transport its next step. It does no I/O.
 
 use crate::interface::Outcome;
 use crate::mutations::{mutated, Mutation};
 use crate::server_connection::Execution;
 
-/// An attempt: found or dialled a connection, sent, and ended in one outcome.
+/// State of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Attempt {
-    /// It looks for a quiet connection.
+    /// Looking for an idle connection in the pool.
     AcquiringConnection,
-    /// It is on one that was used before.
+    /// Using a connection that carried requests before.
     OnPooledConnection,
-    /// It waits for a new one.
+    /// Waiting for a new connection.
     Dialing,
-    /// It is on a new one.
+    /// Using a new connection.
     OnNewConnection,
-    /// It has ended.
+    /// Ended.
     Finished(Outcome),
 }
 
-/// What happens to an attempt.
+/// An event in the life of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptEvent {
-    /// The pool has a quiet connection.
+    /// The pool returned an idle connection.
     PooledConnectionFound,
-    /// It has none; a new one may be opened, or may not.
+    /// The pool has no idle connection.
     NoPooledConnection {
-        /// Whether there is room for a new one.
+        /// Whether the cap on connections allows a new one.
         may_open: bool,
     },
-    /// A connection has come up.
+    /// The new connection is established.
     Connected,
-    /// None came up.
+    /// The new connection could not be established.
     ConnectFailed,
-    /// The connection broke, or what came is no answer.
+    /// The connection broke, or delivered bytes that are no response to this request.
     ConnectionBroke(Execution),
-    /// An answer has come whole, with this outcome by the table.
+    /// The response is complete; its status maps to this outcome.
     Answered(Outcome),
-    /// It was withdrawn, with this outcome, and nothing of it has been written: nothing is.
+    /// The attempt was withdrawn with this outcome before any byte was written; none will be.
     Withdrawn(Outcome),
 }
 
-/// What an attempt does next.
+/// The transport's next step for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptStep {
-    /// Ask the pool for a quiet connection.
+    /// Take an idle connection from the pool.
     AcquireConnection,
-    /// Open a new one.
+    /// Open a new connection.
     Dial,
-    /// Hand the request over to the connection at hand.
+    /// Write the request to the acquired connection.
     Send,
-    /// Nothing more.
+    /// Report this outcome; the attempt is over.
     End(Outcome),
 }
 
 impl Attempt {
-    /// Takes what has happened and says what is to be done.
+    /// Handles an event and returns the next step.
     pub fn on(&mut self, event: AttemptEvent) -> AttemptStep {
-        let next = match (*self, event) {
+        let step = self.next_step(event);
+        *self = match step {
+            AttemptStep::AcquireConnection => Attempt::AcquiringConnection,
+            AttemptStep::Dial => Attempt::Dialing,
+            AttemptStep::Send if *self == Attempt::Dialing => Attempt::OnNewConnection,
+            AttemptStep::Send => Attempt::OnPooledConnection,
+            AttemptStep::End(outcome) => Attempt::Finished(outcome),
+        };
+        step
+    }
+
+    fn next_step(self, event: AttemptEvent) -> AttemptStep {
+        match (self, event) {
+            (Attempt::Finished(outcome), _) => AttemptStep::End(outcome),
             (Attempt::AcquiringConnection, AttemptEvent::PooledConnectionFound) => AttemptStep::Send,
-            (Attempt::AcquiringConnection, AttemptEvent::NoPooledConnection { may_open: true }) => {
-                AttemptStep::Dial
-            }
-            (Attempt::AcquiringConnection, AttemptEvent::NoPooledConnection { may_open: false }) => {
-                AttemptStep::End(Outcome::NotSent)
+            (Attempt::AcquiringConnection, AttemptEvent::NoPooledConnection { may_open }) => {
+                if may_open {
+                    AttemptStep::Dial
+                } else {
+                    AttemptStep::End(Outcome::NotSent)
+                }
             }
             (Attempt::Dialing, AttemptEvent::Connected) => AttemptStep::Send,
-            (Attempt::Dialing, AttemptEvent::ConnectFailed) if mutated(Mutation::DialFailureInDoubt) => {
-                AttemptStep::End(Outcome::Reset)
-            }
-            (Attempt::Dialing, AttemptEvent::ConnectFailed) => AttemptStep::End(Outcome::NotExecuted),
-            // A pooled connection may prove closed before anything of the request is taken from us; that is no
-            // attempt, and the next connection gets it. One that broke in mid-request is never gone round.
-            (Attempt::OnPooledConnection, AttemptEvent::ConnectionBroke(Execution::NotStarted)) => {
-                AttemptStep::AcquireConnection
-            }
-            (Attempt::OnPooledConnection, AttemptEvent::ConnectionBroke(Execution::PartiallyWritten))
-                if mutated(Mutation::PartlySentGoesRound) =>
-            {
-                AttemptStep::AcquireConnection
+            (Attempt::Dialing, AttemptEvent::ConnectFailed) => {
+                let in_doubt = mutated(Mutation::DialFailureInDoubt);
+                AttemptStep::End(if in_doubt { Outcome::Reset } else { Outcome::NotExecuted })
             }
-            (Attempt::OnPooledConnection, AttemptEvent::ConnectionBroke(_))
-                if mutated(Mutation::ResentSilently) =>
+            (Attempt::OnPooledConnection, AttemptEvent::ConnectionBroke(execution))
+                if may_use_another_connection(execution) =>
             {
                 AttemptStep::AcquireConnection
             }
             (
                 Attempt::OnPooledConnection | Attempt::OnNewConnection,
-                AttemptEvent::ConnectionBroke(doubt),
+                AttemptEvent::ConnectionBroke(execution),
             ) => {
                 let refused = mutated(Mutation::ResetTakenForRefusal);
-                AttemptStep::End(if refused { Outcome::NotExecuted } else { doubt.outcome() })
+                AttemptStep::End(if refused { Outcome::NotExecuted } else { execution.outcome() })
             }
             (Attempt::OnPooledConnection | Attempt::OnNewConnection, AttemptEvent::Answered(outcome)) => {
                 AttemptStep::End(outcome)
             }
-            // What does not fit is a fault of the shell's; in doubt it may have run.
-            (Attempt::Finished(outcome), _) => AttemptStep::End(outcome),
             (_, AttemptEvent::Withdrawn(outcome)) => AttemptStep::End(outcome),
+            // Any other event is a defect of the caller; assume that the request may have run.
             _ => AttemptStep::End(Outcome::Reset),
-        };
-        *self = match next {
-            AttemptStep::AcquireConnection => Attempt::AcquiringConnection,
-            AttemptStep::Dial => Attempt::Dialing,
-            AttemptStep::Send if *self == Attempt::Dialing => Attempt::OnNewConnection,
-            AttemptStep::Send => Attempt::OnPooledConnection,
-            AttemptStep::End(outcome) => Attempt::Finished(outcome),
-        };
-        next
+        }
+    }
+}
+
+/// Whether a request whose pooled connection broke may be written to another one within the same attempt. A pooled
+/// connection may turn out to be closed before it accepts a byte; a request that was written in part is never
+/// resent silently.
+fn may_use_another_connection(execution: Execution) -> bool {
+    match execution {
+        Execution::NotStarted => true,
+        Execution::PartiallyWritten => {
+            mutated(Mutation::PartlySentGoesRound) || mutated(Mutation::ResentSilently)
+        }
+        Execution::MayHaveRun => mutated(Mutation::ResentSilently),
     }
 }
--- a/crates/core/src/server_connection.rs
+++ b/crates/core/src/server_connection.rs
@@ -1,65 +1,64 @@
-//! A connection to a server, and what is known of the request on it.
+//! The state of a connection to a chunk server, and what is known about the request on it.
 //!
-//! Whether a request may have been executed depends on one fact: whether its last byte was written. The machine records
-//! that from what the socket accepted, and reports it as [`Execution`]. It does no I/O.
+//! Whether a request may have been executed depends on one fact: whether its last byte was written. The machine
+//! records that from the bytes that the socket accepted, and reports it as [`Execution`]. It does no I/O.
 
 use crate::interface::Outcome;
 use crate::mutations::{mutated, Mutation};
 
-/// What a connection to a node is about.
+/// State of a connection to a chunk server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum ServerConnection {
-    /// Open, with nothing on it.
+    /// Open, without a request.
     #[default]
     Idle,
-    /// A request was handed over, its last byte is not written.
+    /// A request is assigned and its last byte is not written.
     Writing {
-        /// Whether any byte is.
+        /// Whether any byte of it is written.
         begun: bool,
     },
-    /// The last byte is written, no byte of an answer has come.
+    /// The request is written and no byte of the response has arrived.
     Awaiting,
-    /// An answer has begun.
+    /// Part of the response has arrived.
     Reading,
-    /// Bytes came that are the answer to no request of this connection; `whole` where the last byte of the
-    /// present request was written all the same.
+    /// Bytes arrived that are the response to no request of this connection.
     Desynchronized {
-        /// Whether any byte of a request is written.
+        /// Whether any byte of the present request is written.
         begun: bool,
-        /// Whether its last byte is.
+        /// Whether its last byte is written.
         request_written: bool,
     },
 }
 
-/// What happens on a connection.
+/// An event on a connection to a chunk server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConnectionEvent {
-    /// A request was handed over.
+    /// A request was assigned to the connection.
     RequestAssigned,
-    /// The socket took bytes, `last` where the request's last one is among them.
+    /// The socket accepted bytes of the request.
     BytesWritten {
-        /// Whether the request is out whole.
+        /// Whether the last byte of the request is among them.
         last: bool,
     },
-    /// Bytes came.
+    /// Bytes arrived.
     BytesReceived,
-    /// The answer has come whole.
+    /// The response is complete.
     ResponseComplete,
 }
 
-/// What is known of a request whose connection broke.
+/// What is known about the execution of a request whose connection broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Execution {
     /// Nothing of it was written.
     NotStarted,
-    /// Its last byte was not: it never ran.
+    /// Its last byte was not written, so it was not executed.
     PartiallyWritten,
-    /// Its last byte was.
+    /// Its last byte was written.
     MayHaveRun,
 }
 
 impl Execution {
-    /// The table of outcomes, for what broke.
+    /// The outcome of an attempt that ends because its connection broke.
     pub fn outcome(self) -> Outcome {
         match self {
             Execution::NotStarted | Execution::PartiallyWritten => Outcome::NotExecuted,
@@ -69,57 +68,65 @@
 }
 
 impl ServerConnection {
-    /// Takes what has happened.
+    /// Handles an event. Events that do not apply to the present state are ignored.
     pub fn on(&mut self, event: ConnectionEvent) {
-        *self = match (*self, event) {
-            (ServerConnection::Idle, ConnectionEvent::RequestAssigned)
-                if mutated(Mutation::LastByteAtHandOver) =>
-            {
-                ServerConnection::Awaiting
-            }
-            (ServerConnection::Idle, ConnectionEvent::RequestAssigned) => {
-                ServerConnection::Writing { begun: false }
-            }
-            (ServerConnection::Writing { .. }, ConnectionEvent::BytesWritten { last: true })
-                if !mutated(Mutation::LastByteNotSeen) =>
-            {
+        *self = match event {
+            ConnectionEvent::RequestAssigned => self.after_assignment(),
+            ConnectionEvent::BytesWritten { last } => self.after_write(last),
+            ConnectionEvent::BytesReceived => self.after_receipt(),
+            ConnectionEvent::ResponseComplete if *self == ServerConnection::Reading => ServerConnection::Idle,
+            ConnectionEvent::ResponseComplete => *self,
+        };
+    }
+
+    fn after_assignment(self) -> ServerConnection {
+        match self {
+            ServerConnection::Idle if mutated(Mutation::LastByteAtHandOver) => ServerConnection::Awaiting,
+            ServerConnection::Idle => ServerConnection::Writing { begun: false },
+            unchanged => unchanged,
+        }
+    }
+
+    fn after_write(self, last: bool) -> ServerConnection {
+        match self {
+            ServerConnection::Writing { .. } if last && !mutated(Mutation::LastByteNotSeen) => {
                 ServerConnection::Awaiting
             }
-            (ServerConnection::Writing { .. }, ConnectionEvent::BytesWritten { .. }) => {
-                ServerConnection::Writing { begun: true }
+            ServerConnection::Writing { .. } => ServerConnection::Writing { begun: true },
+            ServerConnection::Desynchronized { request_written, .. } => {
+                ServerConnection::Desynchronized { begun: true, request_written: request_written || last }
             }
-            (
-                ServerConnection::Desynchronized { request_written: whole, .. },
-                ConnectionEvent::BytesWritten { last },
-            ) => ServerConnection::Desynchronized { begun: true, request_written: whole || last },
-            // What comes before the request is out whole is an answer to something else.
-            (ServerConnection::Idle, ConnectionEvent::BytesReceived) => {
+            unchanged => unchanged,
+        }
+    }
+
+    /// Bytes that arrive before the request is written completely cannot be its response.
+    fn after_receipt(self) -> ServerConnection {
+        match self {
+            ServerConnection::Idle => {
                 ServerConnection::Desynchronized { begun: false, request_written: false }
             }
-            (ServerConnection::Writing { begun }, ConnectionEvent::BytesReceived)
-                if !mutated(Mutation::EarlyAnswerTaken) =>
-            {
+            ServerConnection::Writing { begun } if !mutated(Mutation::EarlyAnswerTaken) => {
                 ServerConnection::Desynchronized { begun, request_written: false }
             }
-            (ServerConnection::Awaiting, ConnectionEvent::BytesReceived) => ServerConnection::Reading,
-            (ServerConnection::Reading, ConnectionEvent::ResponseComplete) => ServerConnection::Idle,
-            (now, _) => now,
+            ServerConnection::Awaiting => ServerConnection::Reading,
+            unchanged => unchanged,
         }
     }
 
-    /// Whether bytes may be written, asked just before: `waits` says that bytes, or the end, lie on the socket
-    /// already, and `withdrawn` that nobody wants the request any more. Behind the last byte nothing would tell the
-    /// waiting bytes from the answer; a request that has begun is not broken off.
+    /// Whether bytes may be written now. `unread_bytes` says that bytes, or the end of the stream, wait on the socket:
+    /// once the last byte is written they could not be told from the response. `withdrawn` says that the request is
+    /// no longer wanted, which stops it only while no byte of it is written.
     pub fn may_write(&mut self, unread_bytes: bool, withdrawn: bool) -> bool {
         if unread_bytes && !mutated(Mutation::WritesOverWaitingBytes) {
             self.on(ConnectionEvent::BytesReceived);
         }
-        let begins = *self == ServerConnection::Writing { begun: false };
-        let unwanted = begins && withdrawn && !mutated(Mutation::WithdrawnIsWritten);
+        let not_begun = *self == ServerConnection::Writing { begun: false };
+        let unwanted = not_begun && withdrawn && !mutated(Mutation::WithdrawnIsWritten);
         !matches!(self, ServerConnection::Desynchronized { .. }) && !unwanted
     }
 
-    /// What is known of the request on it, were it to break now.
+    /// What would be known about the present request if the connection broke now.
     pub fn execution(self) -> Execution {
         match self {
             ServerConnection::Idle
@@ -135,7 +142,7 @@
         }
     }
 
-    /// Whether what has come is the answer to the request on it.
+    /// Whether the bytes that arrived are the response to the present request.
     pub fn is_reading_response(self) -> bool {
         self == ServerConnection::Reading
             || (mutated(Mutation::EarlyAnswerTaken) && matches!(self, ServerConnection::Writing { .. }))
