--- a/crates/core/src/client_connection.rs
+++ b/crates/core/src/client_connection.rs
@@ -4,7 +4,8 @@
 use crate::mutations::{mutated, Mutation};
 
 const MS: Nanos = 1_000_000;
-/// From connecting until the first request is complete: a client that sends no request is told so within 3 s.
+/// From accepting a connection until its first request is complete. A client that sends none gets an answer within
+/// 3 s.
 const FIRST_REQUEST_TIMEOUT: Nanos = 2_700 * MS;
 /// From the first byte of a later request until it is complete.
 const REQUEST_TIMEOUT: Nanos = 6_000 * MS;
@@ -19,65 +20,65 @@
 /// A connection that was just accepted is expected to send a request.
 const NEW_CONNECTION_GRACE: Nanos = 150 * MS;
 
-/// What a connection is about.
+/// The phase that a client's connection is in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Phase {
-    /// Nothing has come yet.
+    /// Accepted; no byte has arrived.
     New,
-    /// A head has begun.
+    /// Part of a request's head has arrived.
     ReadingHead,
-    /// A body is awaited.
+    /// A head is complete and its body is not.
     ReadingBody,
-    /// A request is being answered.
+    /// A request is complete and its response is not.
     Responding,
-    /// Its last request has been answered.
+    /// The last request is answered.
     Idle,
-    /// It is over; what is still on its way is read and dropped.
+    /// This side ended the connection; bytes that still arrive are read and discarded.
     Closing,
 }
 
-/// What happens on a connection.
+/// An event on a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ClientEvent {
-    /// Bytes of a head came.
+    /// Bytes of a request's head arrived.
     HeadStarted,
-    /// A head is whole, its body is not.
+    /// A head is complete and its body is not.
     BodyStarted,
-    /// A request is whole.
+    /// A request is complete.
     RequestReceived,
-    /// Its answer is handed over, or given up.
+    /// Its response was handed to the socket, or given up.
     Answered,
-    /// This side has ended it.
+    /// This side has ended the connection.
     Closing,
 }
 
-/// A client's connection.
+/// State of a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ClientConnection {
     phase: Phase,
     since: Nanos,
     connected_at: Nanos,
-    /// Whether a request on it has been answered.
+    /// Whether a request on it was answered.
     has_been_answered: bool,
 }
 
 impl ClientConnection {
-    /// One that has just connected.
+    /// A connection that was accepted at `now`.
     pub fn new(now: Nanos) -> ClientConnection {
         ClientConnection { phase: Phase::New, since: now, connected_at: now, has_been_answered: false }
     }
 
-    /// What it is about, and since when.
+    /// The present phase, and since when it lasts. A body does not restart the time of its head.
     pub fn phase(&self) -> (Phase, Nanos) {
         (self.phase, self.since)
     }
 
-    /// When it came.
+    /// When it was accepted.
     pub fn connected_at(&self) -> Nanos {
         self.connected_at
     }
 
-    /// Takes what has happened. The time of a request runs on from its head to its body.
+    /// Handles an event. A body shares the timeout of its request's head.
     pub fn on(&mut self, now: Nanos, event: ClientEvent) {
         let phase = match event {
             ClientEvent::HeadStarted => Phase::ReadingHead,
@@ -94,7 +95,7 @@
         self.phase = phase;
     }
 
-    /// When the present request must have come whole.
+    /// When the present request must be complete.
     pub fn request_deadline(&self) -> Nanos {
         if self.has_been_answered {
             self.since + REQUEST_TIMEOUT
@@ -103,20 +104,23 @@
         }
     }
 
-    /// Whether its time is over, where places are short or not. Busy is one that closing would cross: a request
-    /// has come that nobody has read, or an answer is not read yet.
-    pub fn has_timed_out(&self, now: Nanos, short: bool, busy: impl Fn() -> bool) -> bool {
-        let idle = if short { SCARCE_IDLE_TIMEOUT } else { IDLE_TIMEOUT };
+    /// Whether the connection is to be closed for a timeout, which is shorter while connections are `scarce`.
+    /// `is_busy` says that closing it would lose data: a request waits unread, or a response was not read yet.
+    pub fn has_timed_out(&self, now: Nanos, scarce: bool, is_busy: impl Fn() -> bool) -> bool {
+        let idle_timeout = if scarce { SCARCE_IDLE_TIMEOUT } else { IDLE_TIMEOUT };
         match self.phase {
             Phase::New | Phase::ReadingHead => now >= self.request_deadline(),
-            Phase::Idle => now - self.since >= idle && (!busy() || mutated(Mutation::ClosesAcrossRequest)),
-            // These are bounded where they are awaited.
+            Phase::Idle => {
+                now - self.since >= idle_timeout && (!is_busy() || mutated(Mutation::ClosesAcrossRequest))
+            }
+            // Their timeouts apply where the caller awaits the end of the phase.
             Phase::ReadingBody | Phase::Responding | Phase::Closing => false,
         }
     }
 
-    /// Whether a request is on its way on it, or may be: a front that leaves shuts it only once that is answered.
-    /// `waits` says that bytes lie on the socket, or an answer is not with the system yet.
+    /// Whether a request is arriving, or may be. During a graceful shutdown the connection stays open until that
+    /// request is answered. `unread_bytes` says that bytes wait on the socket, or that the system does not have
+    /// the whole response yet.
     pub fn is_arriving(&self, now: Nanos, unread_bytes: bool) -> bool {
         if mutated(Mutation::ShutsAcrossArriving) {
             return false;
@@ -129,36 +133,36 @@
         }
     }
 
-    /// Whether something is owed on it: a request that is coming or open, an answer on its way out, or bytes still
-    /// to be read, over which a close would reset it.
-    pub fn has_pending_work(&self, now: Nanos, waits: bool) -> bool {
-        self.is_arriving(now, waits) || matches!(self.phase, Phase::Responding | Phase::Closing)
+    /// Whether the process must not exit because of this connection: a request is arriving or open, a response is
+    /// being written, or unread bytes would turn the close into a reset.
+    pub fn has_pending_work(&self, now: Nanos, unread_bytes: bool) -> bool {
+        self.is_arriving(now, unread_bytes) || matches!(self.phase, Phase::Responding | Phase::Closing)
     }
 
-    /// Whether it may be cut off here and now, as it was told to go: what has come since is not crossed. Half a
-    /// request that goes on dripping ends all the same.
-    pub fn may_close_now(&self, now: Nanos, waits: bool) -> bool {
+    /// Whether the connection, which is due to close, may be closed now without losing a request that has arrived
+    /// meanwhile. A request that keeps arriving in pieces does not prevent the close for ever.
+    pub fn may_close_now(&self, now: Nanos, unread_bytes: bool) -> bool {
         match self.phase {
             Phase::Responding => false,
             Phase::ReadingHead | Phase::ReadingBody => {
-                !waits || now >= self.request_deadline() + MIN_PARTIAL_AGE
+                !unread_bytes || now >= self.request_deadline() + MIN_PARTIAL_AGE
             }
-            Phase::New | Phase::Idle | Phase::Closing => !waits,
+            Phase::New | Phase::Idle | Phase::Closing => !unread_bytes,
         }
     }
 
-    /// How soon it gives its place up, the lowest first; none where it may be kept. With `idle` only connections
-    /// that stand idle are asked for.
-    pub(crate) fn eviction_rank(&self, now: Nanos, idle: bool) -> Option<u8> {
+    /// Rank in the order of eviction, the lowest first; `None` where the connection must be kept. With `only_idle`
+    /// all but idle connections are kept.
+    pub(crate) fn eviction_rank(&self, now: Nanos, only_idle: bool) -> Option<u8> {
         let age = now - self.since;
         match self.phase {
             Phase::Idle if age >= SCARCE_IDLE_TIMEOUT => Some(2),
-            // A crowd of clients that ask once each: a new one has more use for the place.
-            Phase::Idle if age >= MIN_SILENT_AGE || !idle => Some(4),
-            Phase::Closing if !idle => Some(0),
-            Phase::New if !idle && age >= MIN_SILENT_AGE => Some(1),
-            Phase::ReadingHead | Phase::ReadingBody if !idle && age >= MIN_PARTIAL_AGE => Some(3),
-            Phase::Responding if !idle && mutated(Mutation::OpenGivesWay) => Some(5),
+            // While many clients send one request each, a new client needs the connection more.
+            Phase::Idle if age >= MIN_SILENT_AGE || !only_idle => Some(4),
+            Phase::Closing if !only_idle => Some(0),
+            Phase::New if !only_idle && age >= MIN_SILENT_AGE => Some(1),
+            Phase::ReadingHead | Phase::ReadingBody if !only_idle && age >= MIN_PARTIAL_AGE => Some(3),
+            Phase::Responding if !only_idle && mutated(Mutation::OpenGivesWay) => Some(5),
             _ => None,
         }
     }
--- a/crates/core/src/connection_limiter.rs
+++ b/crates/core/src/connection_limiter.rs
@@ -4,77 +4,84 @@
 use crate::interface::Nanos;
 use crate::mutations::{mutated, Mutation};
 
-/// The places for clients' connections.
+/// Connections count as scarce from this fraction, 1/2, of the cap on.
+const SCARCE_DIVISOR: usize = 2;
+
+/// The limit on connections from clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ConnectionLimiter {
+    /// Cap on connections that are served.
     max_connections: usize,
-    /// Connections past the cap that may stand at once to be told so; more wait to be accepted.
+    /// Connections past the cap that are accepted at a time, only to be answered with a rejection.
     rejection_slots: usize,
 }
 
-/// What is done before one more connection is accepted.
+/// What to do before the next connection is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Accept {
-    /// Nothing: there is room.
+    /// Accept it.
     Now,
-    /// One that stands idle is sent off, if there is one.
+    /// Evict an idle connection, if there is one.
     EvictIdle,
-    /// One that may be spared is sent off, if there is one.
+    /// Evict any connection that may be evicted, if there is one.
     EvictAny,
-    /// It waits until another has gone.
+    /// Wait until a connection has closed.
     Wait,
 }
 
 impl ConnectionLimiter {
-    /// With at most so many connections, those past the cap that stand to be told so included.
-    pub fn new(most: usize, turned_away: usize) -> ConnectionLimiter {
-        ConnectionLimiter {
-            max_connections: most.saturating_sub(turned_away).max(1),
-            rejection_slots: turned_away,
-        }
+    /// A limit of `max_connections` in total, of which `rejection_slots` are used for rejections alone.
+    pub fn new(max_connections: usize, rejection_slots: usize) -> ConnectionLimiter {
+        let max_connections = max_connections.saturating_sub(rejection_slots).max(1);
+        ConnectionLimiter { max_connections, rejection_slots }
     }
 
-    /// Whether places are short.
-    pub fn is_scarce(&self, held: usize) -> bool {
-        held >= self.max_connections / 2
+    /// Whether connections are scarce while `open` are open.
+    pub fn is_scarce(&self, open: usize) -> bool {
+        open >= self.max_connections / SCARCE_DIVISOR
     }
 
-    /// Whether one that comes now finds no place, and is told so.
-    pub fn is_full(&self, held: usize) -> bool {
-        held >= self.max_connections
+    /// Whether a connection accepted while `open` are open is answered with a rejection.
+    pub fn is_full(&self, open: usize) -> bool {
+        open >= self.max_connections
     }
 
-    /// What is done next before one more is accepted. `tried` is what was done last for it, and whether somebody
-    /// went; none at first, and again after a wait.
+    /// The next step before one more connection is accepted while `open` are open. `tried` is the previous step for
+    /// it and whether that evicted a connection; `None` at first and after a wait.
     ///
-    /// Clients, too, may hold only so many connections, and those that ask once and stay use them up before ours
-    /// are: from half of the places on, each new one sends an idle one off.
-    pub fn accept(&self, held: usize, tried: Option<(Accept, bool)>) -> Accept {
-        let idle_asked = tried.is_some();
-        let more_to_send = !matches!(tried, Some((Accept::EvictAny, false)));
-        if self.is_scarce(held) && !idle_asked {
+    /// Eviction starts before the cap is reached: clients that send one request and keep their connection would
+    /// otherwise use up the connections that other clients need, and their own.
+    pub fn accept(&self, open: usize, tried: Option<(Accept, bool)>) -> Accept {
+        let idle_tried = tried.is_some();
+        let more_to_evict = !matches!(tried, Some((Accept::EvictAny, false)));
+        if self.is_scarce(open) && !idle_tried {
             Accept::EvictIdle
-        } else if self.is_full(held) && more_to_send {
+        } else if self.is_full(open) && more_to_evict {
             Accept::EvictAny
-        } else if held < self.max_connections + self.rejection_slots || mutated(Mutation::NoCapAtDoor) {
+        } else if open < self.max_connections + self.rejection_slots || mutated(Mutation::NoCapAtDoor) {
             Accept::Now
         } else {
             Accept::Wait
         }
     }
 
-    /// Who gives his place up, if anybody may be spared: guards the usual clients against those that connect by
-    /// hundreds, and against idle connections that are kept for good. An open request never gives way.
+    /// The connection to evict, if any may be evicted. `connections` yields each with its id; with `only_idle` all
+    /// but idle ones are kept. A connection with an open request, or one that `is_busy`, is never evicted.
     pub fn eviction_candidate(
         &self,
         now: Nanos,
-        idle: bool,
-        visitors: impl Iterator<Item = (u64, ClientConnection)>,
-        busy: impl Fn(u64) -> bool,
+        only_idle: bool,
+        connections: impl Iterator<Item = (u64, ClientConnection)>,
+        is_busy: impl Fn(u64) -> bool,
     ) -> Option<u64> {
-        let mut least: Vec<_> =
-            visitors.filter_map(|(n, v)| Some((v.eviction_rank(now, idle)?, v.phase().1, n))).collect();
-        least.sort_unstable();
-        least.into_iter().map(|(_, _, n)| n).find(|n| mutated(Mutation::ClosesAcrossRequest) || !busy(*n))
+        let mut candidates: Vec<_> = connections
+            .filter_map(|(id, connection)| {
+                let (_, since) = connection.phase();
+                Some((connection.eviction_rank(now, only_idle)?, since, id))
+            })
+            .collect();
+        candidates.sort_unstable();
+        let mut ids = candidates.into_iter().map(|(_, _, id)| id);
+        ids.find(|id| mutated(Mutation::ClosesAcrossRequest) || !is_busy(*id))
     }
 }
--- a/crates/core/src/discovery_watch.rs
+++ b/crates/core/src/discovery_watch.rs
@@ -1,13 +1,14 @@
-//! The watch on discovery: when it counts as broken, when a call is given up, and when the next one goes out.
+//! The subscription to discovery's endpoint list: when it counts as broken, when a call is abandoned, and when the
+//! next call is made.
 //!
-//! What a front misses counts as told [`TOLD`] after its watch fell silent, and [`TOLD`] after discovery had it and
-//! could be reached, whatever calls have failed. So the longest time without news is a sum that stays under that: a
-//! watch may say nothing for [`QUIET`], the next call goes out within [`SPREAD`] after that, and is given up after
-//! [`CALL`]. A failed call counts like a silent watch, from when it went out. Who decides may ask earlier (its pauses
-//! spread a fleet's calls), never later.
+//! An update that discovery publishes must take effect within [`STALE_AFTER`], even if the watch falls silent or calls
+//! fail at the same time. The longest time without news is therefore the sum of three bounds that stays below it:
+//! a watch may be silent for [`SILENCE_TIMEOUT`], the next call is made within [`CALL_JITTER`] after that, and it is
+//! abandoned after [`CALL_TIMEOUT`]. A failed call counts like a silent watch from the time it was made. The decision
+//! module may request the list earlier (its own backoff spreads a fleet's calls), never later.
 //!
-//! [`Watch`] does no I/O and holds no clock: the shell tells it what happens, carries out its steps and comes back at
-//! [`Watch::due`].
+//! [`DiscoveryWatch`] does no I/O and has no clock: the caller reports each [`WatchEvent`], carries out the
+//! [`WatchStep`]s and reports [`WatchEvent::TimerDue`] at [`DiscoveryWatch::due`].
 
 use std::hash::{Hash, Hasher};
 
@@ -15,110 +16,107 @@
 use crate::mutations::{mutated, Mutation};
 
 const MS: Nanos = 1_000_000;
-/// An empty line comes every 2 s while nothing changes: a watch that says nothing for so long has fallen silent.
+/// A watch without a message for this long has fallen silent: discovery sends an empty line every 2 s while nothing
+/// changes.
 pub const SILENCE_TIMEOUT: Nanos = 2_500 * MS;
-/// Many fronts lose one discovery at one moment: their next calls are spread over this.
+/// The next calls of all fronts that lose one discovery at the same time are spread over this.
 pub const CALL_JITTER: Nanos = 1_000 * MS;
-/// Discovery fails calls that wait for 2 s: a call that is not answered by then hangs.
+/// A call without a response for this long is abandoned: discovery fails calls that wait for 2 s.
 pub const CALL_TIMEOUT: Nanos = 2_100 * MS;
-/// When what was missed counts as told.
+/// An update must take effect within this time, although the watch or a call failed.
 pub const STALE_AFTER: Nanos = 6_000 * MS;
-const _: () = assert!(SILENCE_TIMEOUT + CALL_JITTER + CALL_TIMEOUT <= STALE_AFTER - 300 * MS);
-/// After a new configuration what its discovery tells counts sooner: a call to it that fails is made again after
-/// [`AGAIN`], for [`MOVE`].
+/// What must remain of [`STALE_AFTER`] to apply the update.
+const APPLY_MARGIN: Nanos = 300 * MS;
+const _: () = assert!(SILENCE_TIMEOUT + CALL_JITTER + CALL_TIMEOUT <= STALE_AFTER - APPLY_MARGIN);
+/// Pause after a failed call to a new address of discovery, whose updates must take effect sooner.
 const RETRY_AFTER_MOVE: Nanos = 200 * MS;
+/// How long after a change of discovery's address [`RETRY_AFTER_MOVE`] applies.
 const MOVE_SPAN: Nanos = 4_000 * MS;
 
-/// What happens.
+/// An event of the watch or of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum WatchEvent {
-    /// Who decides wants the list.
+    /// The decision module requests the endpoint list.
     ListWanted,
-    /// Discovery is elsewhere from now on.
+    /// Discovery's address has changed.
     Moved,
-    /// The call has been answered: a new watch stands.
+    /// The call succeeded and opened a new watch.
     Opened,
-    /// The call has failed.
+    /// The call failed.
     Failed,
-    /// The watch has said something whole, if only that nothing has changed. A part of a message is none.
+    /// The watch delivered a complete message, if only that nothing changed. Part of a message does not count.
     MessageReceived,
-    /// The watch has ended.
+    /// The watch ended.
     Ended,
-    /// The time that [`Watch::due`] told has come.
+    /// The time returned by [`DiscoveryWatch::due`] has come.
     TimerDue,
 }
 
-/// What is done next.
+/// A command to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum WatchStep {
-    /// Call discovery where it is now; a call that is out is dropped.
+    /// Call discovery at its present address; abandon a call in flight.
     Call,
-    /// Drop the call that is out.
+    /// Abandon the call in flight.
     CancelCall,
-    /// The new watch takes the place of the one that stood.
+    /// Replace the open watch, if any, by the new one.
     Adopt,
-    /// Drop the watch: it has fallen silent.
+    /// Close the watch, which has fallen silent.
     CloseWatch,
-    /// There is no watch: say so to who decides.
+    /// Report to the decision module that there is no watch.
     ReportLost,
 }
 
-/// The watch of one front.
+/// The discovery subscription of one front.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveryWatch {
-    /// A watch stands, and has last said something then.
+    /// When the open watch delivered its last message; none without an open watch.
     last_message_at: Option<Nanos>,
-    /// A call is out since then.
+    /// When the call in flight was made.
     call_started_at: Option<Nanos>,
-    /// Without either, a call goes out then at the latest.
+    /// When the next call is made at the latest.
     next_call_at: Option<Nanos>,
-    /// Discovery has moved then, and no watch stands where it is now.
+    /// When discovery's address changed, until a watch at the new address is open.
     address_changed_at: Option<Nanos>,
-    /// Where in what calls are spread over those of this front lie, from 0 to 1.
+    /// Position of this front within the jitter of calls, from 0 to 1.
     phase: f64,
 }
 
 impl DiscoveryWatch {
-    /// None stands; the first call goes out within a time. `phase`, from 0 to 1, differs from front to front: many
-    /// lose one discovery, or start, at one moment.
+    /// Without a watch; the first call is made `within` a time. `phase`, from 0 to 1, differs between fronts, so
+    /// that their calls are spread when they start or lose discovery together.
     pub fn new(now: Nanos, within: Nanos, phase: f64) -> DiscoveryWatch {
-        let first = now + (within as f64 * phase) as Nanos;
+        let first_call_at = now + (within as f64 * phase) as Nanos;
         DiscoveryWatch {
             last_message_at: None,
             call_started_at: None,
-            next_call_at: Some(first),
+            next_call_at: Some(first_call_at),
             address_changed_at: None,
             phase,
         }
     }
 
-    /// When [`OnWatch::Due`] is to be told next, where nothing else happens before.
+    /// When [`WatchEvent::TimerDue`] must be reported, unless another event comes first.
     pub fn due(&self) -> Option<Nanos> {
-        let quiet = if mutated(Mutation::SilentWatchStands) {
-            None
-        } else {
-            self.last_message_at.map(|t| t + SILENCE_TIMEOUT)
-        };
-        let hangs =
-            if mutated(Mutation::CallHangs) { None } else { self.call_started_at.map(|t| t + CALL_TIMEOUT) };
-        [quiet, hangs, self.next_call_at].into_iter().flatten().min()
+        let silent_at = self.last_message_at.map(|at| at + SILENCE_TIMEOUT);
+        let hangs_at = self.call_started_at.map(|at| at + CALL_TIMEOUT);
+        let silent_at = silent_at.filter(|_| !mutated(Mutation::SilentWatchStands));
+        let hangs_at = hangs_at.filter(|_| !mutated(Mutation::CallHangs));
+        [silent_at, hangs_at, self.next_call_at].into_iter().flatten().min()
     }
 
-    /// All that its next step hangs on.
-    pub fn fingerprint<H: Hasher>(&self, now: Nanos, h: &mut H) {
-        let ago = |t: Option<Nanos>| t.map(|t| now - t);
-        let moved = ago(self.address_changed_at).map(|t| t.min(MOVE_SPAN));
-        (
-            ago(self.last_message_at),
-            ago(self.call_started_at),
-            ago(self.next_call_at),
-            moved,
-            self.phase.to_bits(),
-        )
-            .hash(h);
+    /// Hashes all state that later steps depend on, with times relative to `now`.
+    pub fn fingerprint<H: Hasher>(&self, now: Nanos, hasher: &mut H) {
+        let elapsed = |since: Option<Nanos>| since.map(|at| now - at);
+        let since_move = elapsed(self.address_changed_at).map(|time| time.min(MOVE_SPAN));
+        elapsed(self.last_message_at).hash(hasher);
+        elapsed(self.call_started_at).hash(hasher);
+        elapsed(self.next_call_at).hash(hasher);
+        since_move.hash(hasher);
+        self.phase.to_bits().hash(hasher);
     }
 
-    /// Takes what has happened and says what is done next, in this order.
+    /// Handles an event and returns the steps to carry out, in order.
     pub fn on(&mut self, now: Nanos, event: WatchEvent) -> Vec<WatchStep> {
         let mut steps = Vec::new();
         match event {
@@ -127,69 +125,80 @@
                     self.call(now, &mut steps);
                 }
             }
-            // The watch that stands is kept until the new one does, so that no change falls between them.
+            // The open watch is kept until the new one is open, so that no update is missed in between.
             WatchEvent::Moved => {
                 self.address_changed_at = Some(now);
                 self.call(now, &mut steps);
             }
             WatchEvent::Opened => {
-                (self.last_message_at, self.call_started_at, self.next_call_at, self.address_changed_at) =
-                    (Some(now), None, None, None);
+                self.opened(now);
                 steps.push(WatchStep::Adopt);
             }
-            WatchEvent::Failed => self.failed(now, &mut steps),
+            WatchEvent::Failed => self.call_failed(now, &mut steps),
             WatchEvent::MessageReceived => self.last_message_at = self.last_message_at.map(|_| now),
             WatchEvent::Ended => {
                 self.last_message_at = None;
-                self.lost(now, now, &mut steps);
-            }
-            WatchEvent::TimerDue => {
-                if let Some(heard) = self.last_message_at.filter(|t| now >= t + SILENCE_TIMEOUT) {
-                    self.last_message_at = None;
-                    steps.push(WatchStep::CloseWatch);
-                    self.lost(now, heard, &mut steps);
-                }
-                if self.call_started_at.is_some_and(|t| now >= t + CALL_TIMEOUT) {
-                    steps.push(WatchStep::CancelCall);
-                    self.failed(now, &mut steps);
-                }
-                if self.next_call_at.is_some_and(|t| now >= t) {
-                    self.call(now, &mut steps);
-                }
+                self.watch_lost(now, now, &mut steps);
             }
+            WatchEvent::TimerDue => self.timer_due(now, &mut steps),
         }
         steps
     }
 
+    fn opened(&mut self, now: Nanos) {
+        self.last_message_at = Some(now);
+        self.call_started_at = None;
+        self.next_call_at = None;
+        self.address_changed_at = None;
+    }
+
+    fn timer_due(&mut self, now: Nanos, steps: &mut Vec<WatchStep>) {
+        if let Some(silent_since) = self.last_message_at.filter(|at| now >= at + SILENCE_TIMEOUT) {
+            self.last_message_at = None;
+            steps.push(WatchStep::CloseWatch);
+            self.watch_lost(now, silent_since, steps);
+        }
+        if self.call_started_at.is_some_and(|at| now >= at + CALL_TIMEOUT) {
+            steps.push(WatchStep::CancelCall);
+            self.call_failed(now, steps);
+        }
+        if self.next_call_at.is_some_and(|at| now >= at) {
+            self.call(now, steps);
+        }
+    }
+
     fn call(&mut self, now: Nanos, steps: &mut Vec<WatchStep>) {
-        (self.call_started_at, self.next_call_at) = (Some(now), None);
+        self.call_started_at = Some(now);
+        self.next_call_at = None;
         steps.push(WatchStep::Call);
     }
 
-    fn failed(&mut self, now: Nanos, steps: &mut Vec<WatchStep>) {
-        let Some(called) = self.call_started_at.take() else { return };
-        if self.address_changed_at.is_some_and(|t| now - t < MOVE_SPAN) {
+    fn call_failed(&mut self, now: Nanos, steps: &mut Vec<WatchStep>) {
+        let Some(started_at) = self.call_started_at.take() else { return };
+        if self.address_changed_at.is_some_and(|at| now - at < MOVE_SPAN) {
             self.next_call_at = Some(now + RETRY_AFTER_MOVE);
         } else if self.last_message_at.is_some() {
-            self.next_call_at = Some(self.latest(now, called));
+            self.next_call_at = Some(self.latest_call(now, started_at));
         } else {
-            self.lost(now, called, steps);
+            self.watch_lost(now, started_at, steps);
         }
     }
 
-    /// No watch stands, and none has said anything, or could have, since then.
-    fn lost(&mut self, now: Nanos, since: Nanos, steps: &mut Vec<WatchStep>) {
-        // A call that is out, or due because discovery moved, brings a watch or its own failure.
+    /// Schedules the next call when there is neither a watch nor a call. `since` is the last time at which an update
+    /// could have been received.
+    fn watch_lost(&mut self, now: Nanos, since: Nanos, steps: &mut Vec<WatchStep>) {
+        // A call that is in flight or scheduled opens a watch or reports its own failure.
         if self.call_started_at.is_none() && self.next_call_at.is_none() {
-            self.next_call_at = Some(self.latest(now, since));
+            self.next_call_at = Some(self.latest_call(now, since));
             steps.push(WatchStep::ReportLost);
         }
     }
 
-    fn latest(&self, now: Nanos, since: Nanos) -> Nanos {
+    fn latest_call(&self, now: Nanos, since: Nanos) -> Nanos {
         if mutated(Mutation::AsksWhenWantedAlone) {
             return Nanos::MAX;
         }
-        (since + SILENCE_TIMEOUT + (CALL_JITTER as f64 * self.phase) as Nanos).max(now)
+        let jitter = (CALL_JITTER as f64 * self.phase) as Nanos;
+        (since + SILENCE_TIMEOUT + jitter).max(now)
     }
 }
--- a/crates/core/src/graceful_shutdown.rs
+++ b/crates/core/src/graceful_shutdown.rs
@@ -28,110 +28,115 @@
 /// process, while an idle connection closes by itself.
 const QUIET_POLLS_TO_EXIT: u32 = 10;
 
-/// The end of a front after SIGTERM.
+/// The shutdown of a front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct GracefulShutdown {
     started_at: Nanos,
-    /// All that was taken is answered by then, and the front has ended by the second.
     answer_deadline: Nanos,
     exit_deadline: Nanos,
-    /// Looks in a row at which nothing was open.
+    /// Polls in a row without pending work.
     quiet_polls: u32,
     stage: Stage,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Stage {
+    /// New connections are accepted.
     Accepting,
+    /// Open connections are served to their end.
     Draining,
     Finished,
 }
 
-/// What happens while a front leaves.
+/// An event during the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ShutdownEvent {
     /// A connection was accepted.
     Accepted,
-    /// None came for as long as [`Leave::Take`] said.
+    /// No connection came within the time of [`ShutdownStep::Accept`].
     AcceptTimedOut,
-    /// The front looks at what it holds.
+    /// The front counted its connections.
     Poll {
-        /// Connections.
+        /// Open connections.
         connections: usize,
-        /// Those on which something is owed: a request that has begun to come or is being answered, an answer whose
-        /// last byte is not with the system, bytes that would turn the end into a reset.
+        /// Those with pending work, see [`ClientConnection::has_pending_work`].
+        ///
+        /// [`ClientConnection::has_pending_work`]: crate::client_connection::ClientConnection::has_pending_work
         busy: usize,
     },
 }
 
-/// What a front that leaves does next.
+/// What the front does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ShutdownStep {
-    /// Accept what comes within this time.
+    /// Accept connections for this time.
     Accept(Nanos),
-    /// Accept what waits already, close the socket, tell connections to end with their present answer.
+    /// Accept the connections in the backlog, close the listener, and let each connection end with its present
+    /// response.
     StopAccepting,
-    /// Look again after this time.
+    /// Poll again after this time.
     Wait(Nanos),
-    /// End.
+    /// Exit the process.
     Exit,
 }
 
 impl GracefulShutdown {
-    /// Told to leave now, where the longest deadline of a request is so long: new connections go on coming until clients learn of the restart, and what they carry
-    /// counts as taken.
+    /// Starts the shutdown at `now` and returns its first step. `longest_deadline` is the longest deadline of a
+    /// request. Clients learn of a restart late, so new connections are accepted for a while, and their requests
+    /// are served like those received before.
     pub fn new(now: Nanos, longest_deadline: Nanos) -> (GracefulShutdown, ShutdownStep) {
-        let kill = longest_deadline.clamp(0, MAX_DEADLINE_BEFORE_KILL) + KILL_GRACE;
-        let answered = now + (kill - ANSWER_MARGIN).min(MAX_ANSWER_TIME);
-        let end = now + (kill - EXIT_MARGIN).min(MAX_EXIT_TIME);
-        (
-            GracefulShutdown {
-                started_at: now,
-                answer_deadline: answered,
-                exit_deadline: end,
-                quiet_polls: 0,
-                stage: Stage::Accepting,
-            },
-            ShutdownStep::Accept(ACCEPT_QUIET),
-        )
+        let kill_after = longest_deadline.clamp(0, MAX_DEADLINE_BEFORE_KILL) + KILL_GRACE;
+        let shutdown = GracefulShutdown {
+            started_at: now,
+            answer_deadline: now + (kill_after - ANSWER_MARGIN).min(MAX_ANSWER_TIME),
+            exit_deadline: now + (kill_after - EXIT_MARGIN).min(MAX_EXIT_TIME),
+            quiet_polls: 0,
+            stage: Stage::Accepting,
+        };
+        (shutdown, ShutdownStep::Accept(ACCEPT_QUIET))
     }
 
-    /// All that was taken, and is yet to be, is answered by then.
+    /// When every request, received before or after the shutdown began, must have its answer.
     pub fn answer_deadline(&self) -> Nanos {
         self.answer_deadline
     }
 
-    /// Looks in a row at which nothing was open.
+    /// Polls in a row without pending work.
     pub fn quiet_polls(&self) -> u32 {
         self.quiet_polls
     }
 
-    /// Takes what has happened and says what is done next.
+    /// Handles an event and returns the next step. An event that does not belong to the present stage changes
+    /// nothing.
     pub fn on(&mut self, now: Nanos, event: ShutdownEvent) -> ShutdownStep {
-        let since = now - self.started_at;
         match (self.stage, event) {
-            (Stage::Accepting, ShutdownEvent::Accepted | ShutdownEvent::AcceptTimedOut) => {
-                let none = event == ShutdownEvent::AcceptTimedOut;
-                if since >= MAX_ACCEPT_TIME || (none && since >= MIN_ACCEPT_TIME) {
-                    self.stage = Stage::Draining;
-                    ShutdownStep::StopAccepting
-                } else {
-                    ShutdownStep::Accept(ACCEPT_QUIET)
-                }
-            }
-            (Stage::Draining, ShutdownEvent::Poll { connections: held, busy: open }) => {
-                self.quiet_polls =
-                    if open == 0 || mutated(Mutation::LeavesOpenRequests) { self.quiet_polls + 1 } else { 0 };
-                if held == 0 || self.quiet_polls > QUIET_POLLS_TO_EXIT || now >= self.exit_deadline {
-                    self.stage = Stage::Finished;
-                    ShutdownStep::Exit
-                } else {
-                    ShutdownStep::Wait(POLL_INTERVAL)
-                }
-            }
-            (Stage::Finished, _) => ShutdownStep::Exit,
-            (Stage::Accepting, _) => ShutdownStep::Accept(ACCEPT_QUIET),
+            (Stage::Accepting, ShutdownEvent::Accepted) => self.accept_or_stop(now, false),
+            (Stage::Accepting, ShutdownEvent::AcceptTimedOut) => self.accept_or_stop(now, true),
+            (Stage::Accepting, ShutdownEvent::Poll { .. }) => ShutdownStep::Accept(ACCEPT_QUIET),
+            (Stage::Draining, ShutdownEvent::Poll { connections, busy }) => self.poll(now, connections, busy),
             (Stage::Draining, _) => ShutdownStep::Wait(POLL_INTERVAL),
+            (Stage::Finished, _) => ShutdownStep::Exit,
+        }
+    }
+
+    fn accept_or_stop(&mut self, now: Nanos, timed_out: bool) -> ShutdownStep {
+        let elapsed = now - self.started_at;
+        if elapsed >= MAX_ACCEPT_TIME || (timed_out && elapsed >= MIN_ACCEPT_TIME) {
+            self.stage = Stage::Draining;
+            ShutdownStep::StopAccepting
+        } else {
+            ShutdownStep::Accept(ACCEPT_QUIET)
+        }
+    }
+
+    fn poll(&mut self, now: Nanos, connections: usize, busy: usize) -> ShutdownStep {
+        let quiet = busy == 0 || mutated(Mutation::LeavesOpenRequests);
+        self.quiet_polls = if quiet { self.quiet_polls + 1 } else { 0 };
+        if connections == 0 || self.quiet_polls > QUIET_POLLS_TO_EXIT || now >= self.exit_deadline {
+            self.stage = Stage::Finished;
+            ShutdownStep::Exit
+        } else {
+            ShutdownStep::Wait(POLL_INTERVAL)
         }
     }
 }
