--- /dev/null
+++ b/crates/core/tests/client_connection.rs
@@ -0,0 +1,45 @@
+//! Connections from clients: which of them hold a request that a close would lose.
+
+use tulipbridge_core::client_connection::{ClientConnection, ClientEvent};
+use tulipbridge_core::Nanos;
+
+const MS: Nanos = 1_000_000;
+
+/// A connection accepted at 0, after events at 0.
+fn after(events: &[ClientEvent]) -> ClientConnection {
+    let mut connection = ClientConnection::new(0);
+    events.iter().for_each(|event| connection.on(0, *event));
+    connection
+}
+
+#[test]
+fn connection_with_an_arriving_request_is_not_closed_at_shutdown() {
+    use ClientEvent::{Answered, BodyStarted, Closing, HeadStarted, RequestReceived};
+    let now = 1_000 * MS;
+    for (name, connection, unread_bytes, arriving) in [
+        ("half a head", after(&[HeadStarted]), false, true),
+        ("half a body", after(&[HeadStarted, BodyStarted]), false, true),
+        ("idle", after(&[HeadStarted, RequestReceived, Answered]), false, false),
+        ("idle, with bytes unread", after(&[HeadStarted, RequestReceived, Answered]), true, true),
+        ("silent", after(&[]), false, false),
+        ("silent, with bytes unread", after(&[]), true, true),
+        ("responding", after(&[HeadStarted, RequestReceived]), true, false),
+        ("closing", after(&[HeadStarted, RequestReceived, Answered, Closing]), true, false),
+    ] {
+        assert_eq!(connection.is_arriving(now, unread_bytes), arriving, "{name}");
+    }
+    assert!(after(&[]).is_arriving(100 * MS, false), "a new connection is expected to send a request");
+}
+
+#[test]
+fn close_waits_for_a_request_that_arrived_meanwhile() {
+    use ClientEvent::{Answered, HeadStarted, RequestReceived};
+    assert!(after(&[HeadStarted, RequestReceived, Answered]).may_close_now(100 * MS, false));
+    assert!(!after(&[HeadStarted, RequestReceived, Answered]).may_close_now(100 * MS, true));
+    assert!(!after(&[HeadStarted, RequestReceived]).may_close_now(100 * MS, false), "a request is open");
+    assert!(!after(&[HeadStarted]).may_close_now(2_700 * MS, true));
+    assert!(
+        after(&[HeadStarted]).may_close_now(3_300 * MS, true),
+        "a request that keeps arriving in pieces does not prevent the close"
+    );
+}
