--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -83,8 +83,8 @@
             }
             (Attempt::Dialing, AttemptEvent::Connected) => AttemptStep::Send,
             (Attempt::Dialing, AttemptEvent::ConnectFailed) => {
-                let in_doubt = mutated(Mutation::DialFailureInDoubt);
-                AttemptStep::End(if in_doubt { Outcome::Reset } else { Outcome::NotExecuted })
+                let may_have_run = mutated(Mutation::DialFailureMayHaveRun);
+                AttemptStep::End(if may_have_run { Outcome::Reset } else { Outcome::NotExecuted })
             }
             (Attempt::OnPooledConnection, AttemptEvent::ConnectionBroke(execution))
                 if may_use_another_connection(execution) =>
@@ -95,8 +95,8 @@
                 Attempt::OnPooledConnection | Attempt::OnNewConnection,
                 AttemptEvent::ConnectionBroke(execution),
             ) => {
-                let refused = mutated(Mutation::ResetTakenForRefusal);
-                AttemptStep::End(if refused { Outcome::NotExecuted } else { execution.outcome() })
+                let not_executed = mutated(Mutation::ResetCountsAsNotExecuted);
+                AttemptStep::End(if not_executed { Outcome::NotExecuted } else { execution.outcome() })
             }
             (Attempt::OnPooledConnection | Attempt::OnNewConnection, AttemptEvent::Answered(outcome)) => {
                 AttemptStep::End(outcome)
@@ -115,8 +115,8 @@
     match execution {
         Execution::NotStarted => true,
         Execution::PartiallyWritten => {
-            mutated(Mutation::PartlySentGoesRound) || mutated(Mutation::ResentSilently)
+            mutated(Mutation::PartiallyWrittenRequestResent) || mutated(Mutation::WrittenRequestResent)
         }
-        Execution::MayHaveRun => mutated(Mutation::ResentSilently),
+        Execution::MayHaveRun => mutated(Mutation::WrittenRequestResent),
     }
 }
--- a/crates/core/src/client_connection.rs
+++ b/crates/core/src/client_connection.rs
@@ -87,7 +87,7 @@
             ClientEvent::Answered => Phase::Idle,
             ClientEvent::Closing => Phase::Closing,
         };
-        let restarts = phase != Phase::ReadingBody || mutated(Mutation::BodyRestartsTime);
+        let restarts = phase != Phase::ReadingBody || mutated(Mutation::BodyRestartsTimeout);
         if restarts && phase != self.phase {
             self.since = now;
         }
@@ -111,7 +111,8 @@
         match self.phase {
             Phase::New | Phase::ReadingHead => now >= self.request_deadline(),
             Phase::Idle => {
-                now - self.since >= idle_timeout && (!is_busy() || mutated(Mutation::ClosesAcrossRequest))
+                now - self.since >= idle_timeout
+                    && (!is_busy() || mutated(Mutation::ClosesOverArrivedRequest))
             }
             // Their timeouts apply where the caller awaits the end of the phase.
             Phase::ReadingBody | Phase::Responding | Phase::Closing => false,
@@ -122,7 +123,7 @@
     /// request is answered. `unread_bytes` says that bytes wait on the socket, or that the system does not have
     /// the whole response yet.
     pub fn is_arriving(&self, now: Nanos, unread_bytes: bool) -> bool {
-        if mutated(Mutation::ShutsAcrossArriving) {
+        if mutated(Mutation::ShutdownClosesArrivingRequest) {
             return false;
         }
         match self.phase {
@@ -162,7 +163,7 @@
             Phase::Closing if !only_idle => Some(0),
             Phase::New if !only_idle && age >= MIN_SILENT_AGE => Some(1),
             Phase::ReadingHead | Phase::ReadingBody if !only_idle && age >= MIN_PARTIAL_AGE => Some(3),
-            Phase::Responding if !only_idle && mutated(Mutation::OpenGivesWay) => Some(5),
+            Phase::Responding if !only_idle && mutated(Mutation::RespondingConnectionEvicted) => Some(5),
             _ => None,
         }
     }
--- a/crates/core/src/connection_limiter.rs
+++ b/crates/core/src/connection_limiter.rs
@@ -46,19 +46,21 @@
         open >= self.max_connections
     }
 
-    /// The next step before one more connection is accepted while `open` are open. `tried` is the previous step for
+    /// The next step before one more connection is accepted while `open` are open. `previous` is the previous step for
     /// it and whether that evicted a connection; `None` at first and after a wait.
     ///
     /// Eviction starts before the cap is reached: clients that send one request and keep their connection would
     /// otherwise use up the connections that other clients need, and their own.
-    pub fn accept(&self, open: usize, tried: Option<(Accept, bool)>) -> Accept {
-        let idle_tried = tried.is_some();
-        let more_to_evict = !matches!(tried, Some((Accept::EvictAny, false)));
-        if self.is_scarce(open) && !idle_tried {
+    pub fn accept(&self, open: usize, previous: Option<(Accept, bool)>) -> Accept {
+        let eviction_attempted = previous.is_some();
+        let more_to_evict = !matches!(previous, Some((Accept::EvictAny, false)));
+        if self.is_scarce(open) && !eviction_attempted {
             Accept::EvictIdle
         } else if self.is_full(open) && more_to_evict {
             Accept::EvictAny
-        } else if open < self.max_connections + self.rejection_slots || mutated(Mutation::NoCapAtDoor) {
+        } else if open < self.max_connections + self.rejection_slots
+            || mutated(Mutation::ClientConnectionCapIgnored)
+        {
             Accept::Now
         } else {
             Accept::Wait
@@ -82,6 +84,6 @@
             .collect();
         candidates.sort_unstable();
         let mut ids = candidates.into_iter().map(|(_, _, id)| id);
-        ids.find(|id| mutated(Mutation::ClosesAcrossRequest) || !is_busy(*id))
+        ids.find(|id| mutated(Mutation::ClosesOverArrivedRequest) || !is_busy(*id))
     }
 }
--- a/crates/core/src/connection_pool.rs
+++ b/crates/core/src/connection_pool.rs
@@ -53,7 +53,7 @@
 
     /// Removes a node. Returns its idle connections.
     pub fn remove(&mut self, node: NodeId) -> Vec<(C, Nanos)> {
-        if mutated(Mutation::ForgottenNodeKeepsConnections) {
+        if mutated(Mutation::RemovedNodeKeepsConnections) {
             return Vec::new();
         }
         self.nodes.remove(&node).map(|connections| connections.idle).unwrap_or_default()
@@ -71,7 +71,7 @@
         let mut unusable = Vec::new();
         let Some(connections) = self.nodes.get_mut(&node) else { return (None, unusable) };
         while let Some((connection, idle_since)) = connections.idle.pop() {
-            let fresh = now - idle_since < self.idle_timeout || mutated(Mutation::IdleForTooLong);
+            let fresh = now - idle_since < self.idle_timeout || mutated(Mutation::IdleTimeoutIgnored);
             if fresh && is_quiet(&connection) {
                 return (Some(connection), unusable);
             }
@@ -92,7 +92,7 @@
     ) -> Option<C> {
         let Some(connections) = self.nodes.get_mut(&node) else { return Some(connection) };
         let same_address =
-            connections.address_epoch == address_epoch || mutated(Mutation::KeptForAnotherAddress);
+            connections.address_epoch == address_epoch || mutated(Mutation::ReusedAfterAddressChange);
         if !same_address || !is_quiet {
             return Some(connection);
         }
@@ -103,7 +103,7 @@
     /// Whether one more connection may be opened while `open` are open, idle ones included. Removes the longest
     /// idle connection from the pool if it must make room.
     pub fn capacity(&mut self, open: usize) -> Capacity<C> {
-        if open < self.max_connections || mutated(Mutation::NoCapOnConnections) {
+        if open < self.max_connections || mutated(Mutation::ServerConnectionCapIgnored) {
             return Capacity::Available;
         }
         let with_idle = self.nodes.values_mut().filter(|connections| !connections.idle.is_empty());
--- a/crates/core/src/discovery_watch.rs
+++ b/crates/core/src/discovery_watch.rs
@@ -100,8 +100,8 @@
     pub fn due(&self) -> Option<Nanos> {
         let silent_at = self.last_message_at.map(|at| at + SILENCE_TIMEOUT);
         let hangs_at = self.call_started_at.map(|at| at + CALL_TIMEOUT);
-        let silent_at = silent_at.filter(|_| !mutated(Mutation::SilentWatchStands));
-        let hangs_at = hangs_at.filter(|_| !mutated(Mutation::CallHangs));
+        let silent_at = silent_at.filter(|_| !mutated(Mutation::SilentWatchCountsAsOpen));
+        let hangs_at = hangs_at.filter(|_| !mutated(Mutation::CallTimeoutIgnored));
         [silent_at, hangs_at, self.next_call_at].into_iter().flatten().min()
     }
 
@@ -195,7 +195,7 @@
     }
 
     fn latest_call(&self, now: Nanos, since: Nanos) -> Nanos {
-        if mutated(Mutation::AsksWhenWantedAlone) {
+        if mutated(Mutation::CallsOnlyOnRequest) {
             return Nanos::MAX;
         }
         let jitter = (CALL_JITTER as f64 * self.phase) as Nanos;
--- a/crates/core/src/graceful_shutdown.rs
+++ b/crates/core/src/graceful_shutdown.rs
@@ -130,7 +130,7 @@
     }
 
     fn poll(&mut self, now: Nanos, connections: usize, busy: usize) -> ShutdownStep {
-        let quiet = busy == 0 || mutated(Mutation::LeavesOpenRequests);
+        let quiet = busy == 0 || mutated(Mutation::ExitsWithOpenRequests);
         self.quiet_polls = if quiet { self.quiet_polls + 1 } else { 0 };
         if connections == 0 || self.quiet_polls > QUIET_POLLS_TO_EXIT || now >= self.exit_deadline {
             self.stage = Stage::Finished;
--- a/crates/core/src/request_tracker.rs
+++ b/crates/core/src/request_tracker.rs
@@ -19,7 +19,7 @@
 use crate::mutations::{mutated, Mutation};
 use crate::state::Scheduler;
 
-/// How far [`Mutation::UntilPastClient`] moves the deadline of an attempt past that of its client.
+/// How far [`Mutation::TimeoutPastClientDeadline`] moves the deadline of an attempt past that of its client.
 const MUTATED_DEADLINE_EXCESS: Nanos = 1_000_000_000;
 
 /// The policy that decides on requests: handles events in order and appends its actions.
@@ -108,12 +108,12 @@
                 self.attempt_ended(now, end, effects);
             }
             Input::AttemptTimedOut { id, attempt } => {
-                let not_executed = mutated(Mutation::TimeUpProvesNothingRan);
+                let not_executed = mutated(Mutation::TimeoutCountsAsNotExecuted);
                 let outcome = if not_executed { Outcome::NotExecuted } else { Outcome::TimedOut };
                 self.attempt_ended(now, AttemptEnd::without_response(id, attempt, outcome), effects);
             }
             Input::AttemptCancelled { id, attempt } => {
-                let not_executed = mutated(Mutation::CancelProvesNothingRan);
+                let not_executed = mutated(Mutation::CancelCountsAsNotExecuted);
                 let outcome = if not_executed { Outcome::NotExecuted } else { Outcome::Cancelled };
                 self.attempt_ended(now, AttemptEnd::without_response(id, attempt, outcome), effects);
             }
@@ -130,7 +130,7 @@
     /// a checker that takes the place of the policy calls it directly.
     pub fn apply_decision(&mut self, now: Nanos, action: Action, effects: &mut Vec<Effect>) {
         let mut follow_ups = VecDeque::new();
-        self.carry_out(now, action, &mut follow_ups, effects);
+        self.apply_action(now, action, &mut follow_ups, effects);
         for event in follow_ups {
             self.decide(now, event, effects);
         }
@@ -152,9 +152,9 @@
 
     fn client_gone(&mut self, now: Nanos, id: RequestId, effects: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.answered) else { return };
-        request.answered = !mutated(Mutation::AnswerToClientThatLeft);
+        request.answered = !mutated(Mutation::AnswerAfterClientGone);
         self.withdraw_attempts(id, effects);
-        if !mutated(Mutation::LeftChargedForEver) {
+        if !mutated(Mutation::NoReleaseAfterClientGone) {
             self.release_if_finished(id, effects);
         }
         self.decide(now, Event::ClientGone(id), effects);
@@ -167,7 +167,7 @@
         let position = request.in_flight.iter().position(|in_flight| in_flight.attempt == attempt);
         let Some(position) = position else { return };
         let InFlightAttempt { node, sent_at, .. } = request.in_flight[position];
-        if !mutated(Mutation::AttemptLeftInTable) {
+        if !mutated(Mutation::EndedAttemptRetained) {
             request.in_flight.remove(position);
         }
         if outcome == Outcome::Served && (!request.answered || mutated(Mutation::SecondFinalAnswer)) {
@@ -183,7 +183,7 @@
         self.decide(now, event, effects);
     }
 
-    /// Passes an event to the policy and carries out its actions. Events that the actions cause follow after all
+    /// Passes an event to the policy and applies its actions. Events that the actions cause follow after all
     /// actions of the same batch.
     fn decide(&mut self, now: Nanos, event: Event, effects: &mut Vec<Effect>) {
         let mut follow_ups = VecDeque::new();
@@ -192,14 +192,14 @@
             let mut actions = std::mem::take(&mut self.actions);
             self.decisions.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(now, action, &mut follow_ups, effects);
+                self.apply_action(now, action, &mut follow_ups, effects);
             }
             self.actions = actions;
             next = follow_ups.pop_front();
         }
     }
 
-    fn carry_out(
+    fn apply_action(
         &mut self,
         now: Nanos,
         action: Action,
@@ -233,7 +233,7 @@
     ) -> Option<Event> {
         let request = self.requests.get_mut(&id)?;
         let attempt = request.allocate_attempt();
-        if request.answered && !mutated(Mutation::PlacedAfterAnswer) {
+        if request.answered && !mutated(Mutation::AttemptAfterAnswer) {
             return Some(Event::AttemptEnded {
                 id,
                 attempt,
@@ -247,7 +247,7 @@
         }
         request.in_flight.push(InFlightAttempt { attempt, node, sent_at: now, cancelled: false });
         let deadline = match timeout {
-            0 if mutated(Mutation::UntilPastClient) => request.deadline + MUTATED_DEADLINE_EXCESS,
+            0 if mutated(Mutation::TimeoutPastClientDeadline) => request.deadline + MUTATED_DEADLINE_EXCESS,
             0 => request.deadline,
             timeout => request.deadline.min(now + timeout.max(0)),
         };
@@ -278,7 +278,7 @@
     /// Withdraws the attempts of a request whose response nobody waits for. Their end says nothing about their
     /// chunk servers, hence [`Outcome::NotSent`].
     fn withdraw_attempts(&self, id: RequestId, effects: &mut Vec<Effect>) {
-        if mutated(Mutation::LeftAttemptGoesOut) {
+        if mutated(Mutation::WithdrawalOmitted) {
             return;
         }
         let Some(request) = self.requests.get(&id) else { return };
@@ -291,7 +291,7 @@
     /// Withdraws the attempts at chunk servers that drain or are removed: one that has not begun was not executed
     /// and may be retried elsewhere.
     fn withdraw_from_draining(&self, scope: UpdateScope, nodes: &[NodeInfo], effects: &mut Vec<Effect>) {
-        if mutated(Mutation::DrainMissesDialling) {
+        if mutated(Mutation::DrainIgnoresDialing) {
             return;
         }
         let stays = |node: NodeId| match nodes.iter().rev().find(|info| info.node == node) {
@@ -309,7 +309,8 @@
     /// Drops a request that is answered and has no attempt in flight.
     fn release_if_finished(&mut self, id: RequestId, effects: &mut Vec<Effect>) {
         let finished = self.requests.get(&id).is_some_and(|request| {
-            request.answered && (request.in_flight.is_empty() || mutated(Mutation::ReleasedWhileOut))
+            request.answered
+                && (request.in_flight.is_empty() || mutated(Mutation::ReleasedWithAttemptInFlight))
         });
         if finished {
             self.requests.remove(&id);
--- a/crates/core/src/server_connection.rs
+++ b/crates/core/src/server_connection.rs
@@ -81,7 +81,9 @@
 
     fn after_assignment(self) -> ServerConnection {
         match self {
-            ServerConnection::Idle if mutated(Mutation::LastByteAtHandOver) => ServerConnection::Awaiting,
+            ServerConnection::Idle if mutated(Mutation::LastByteCountedAtAssignment) => {
+                ServerConnection::Awaiting
+            }
             ServerConnection::Idle => ServerConnection::Writing { begun: false },
             unchanged => unchanged,
         }
@@ -89,7 +91,7 @@
 
     fn after_write(self, last: bool) -> ServerConnection {
         match self {
-            ServerConnection::Writing { .. } if last && !mutated(Mutation::LastByteNotSeen) => {
+            ServerConnection::Writing { .. } if last && !mutated(Mutation::LastByteNotRecorded) => {
                 ServerConnection::Awaiting
             }
             ServerConnection::Writing { .. } => ServerConnection::Writing { begun: true },
@@ -106,7 +108,7 @@
             ServerConnection::Idle => {
                 ServerConnection::Desynchronized { begun: false, request_written: false }
             }
-            ServerConnection::Writing { begun } if !mutated(Mutation::EarlyAnswerTaken) => {
+            ServerConnection::Writing { begun } if !mutated(Mutation::EarlyBytesTakenAsResponse) => {
                 ServerConnection::Desynchronized { begun, request_written: false }
             }
             ServerConnection::Awaiting => ServerConnection::Reading,
@@ -118,11 +120,11 @@
     /// once the last byte is written they could not be told from the response. `withdrawn` says that the request is
     /// no longer wanted, which stops it only while no byte of it is written.
     pub fn may_write(&mut self, unread_bytes: bool, withdrawn: bool) -> bool {
-        if unread_bytes && !mutated(Mutation::WritesOverWaitingBytes) {
+        if unread_bytes && !mutated(Mutation::WritesOverUnreadBytes) {
             self.on(ConnectionEvent::BytesReceived);
         }
         let not_begun = *self == ServerConnection::Writing { begun: false };
-        let unwanted = not_begun && withdrawn && !mutated(Mutation::WithdrawnIsWritten);
+        let unwanted = not_begun && withdrawn && !mutated(Mutation::WithdrawnRequestWritten);
         !matches!(self, ServerConnection::Desynchronized { .. }) && !unwanted
     }
 
@@ -145,6 +147,7 @@
     /// Whether the bytes that arrived are the response to the present request.
     pub fn is_reading_response(self) -> bool {
         self == ServerConnection::Reading
-            || (mutated(Mutation::EarlyAnswerTaken) && matches!(self, ServerConnection::Writing { .. }))
+            || (mutated(Mutation::EarlyBytesTakenAsResponse)
+                && matches!(self, ServerConnection::Writing { .. }))
     }
 }
