--- /dev/null
+++ b/crates/membership/src/gossip/origin.rs
@@ -0,0 +1,166 @@
+//! The entries of one incarnation of one front.
+
+use std::collections::BTreeMap;
+
+use super::{Delta, EntryError, GossipEntry, GossipError, Key, MAX_ENTRIES, MAX_VALUE_BYTES};
+use crate::{Incarnation, Nanos, PeerId};
+
+/// Upper bound of the encoded length of an entry without its value.
+const ENTRY_OVERHEAD_BYTES: usize = 24;
+/// Upper bound of the encoded length of a delta without its entries.
+const DELTA_OVERHEAD_BYTES: usize = 32;
+const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
+
+/// The latest version of an entry.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct StoredEntry {
+    pub(super) version: u64,
+    /// When it was written, or a time before that.
+    pub(super) put_at: Nanos,
+    /// The value; `None` if the entry was deleted.
+    pub(super) value: Option<Vec<u8>>,
+}
+
+impl StoredEntry {
+    fn encoded_bytes(&self) -> i64 {
+        let value_bytes = self.value.as_ref().map_or(0, Vec::len);
+        (ENTRY_OVERHEAD_BYTES + value_bytes) as i64
+    }
+
+    fn to_message(&self, now: Nanos, key: Key) -> GossipEntry {
+        let age = (now - self.put_at).max(0) as u64;
+        let age_ms = age.div_ceil(NANOS_PER_MILLISECOND as u64).min(u64::from(u32::MAX)) as u32;
+        GossipEntry { key, version: self.version, age_ms, value: self.value.clone() }
+    }
+}
+
+/// A delta to send, with an upper bound of its encoded length.
+pub(super) struct SizedDelta {
+    pub(super) delta: Delta,
+    pub(super) bytes: i64,
+}
+
+/// The entries of one incarnation of a front, complete up to a version.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(super) struct Origin {
+    pub(super) incarnation: Incarnation,
+    pub(super) version: u64,
+    pub(super) entries: BTreeMap<Key, StoredEntry>,
+}
+
+impl Origin {
+    /// An incarnation without entries.
+    pub(super) fn new(incarnation: Incarnation) -> Origin {
+        Origin { incarnation, ..Origin::default() }
+    }
+
+    /// Follows a new incarnation. Returns whether entries of the old one were discarded.
+    pub(super) fn replace_incarnation(&mut self, incarnation: Incarnation) -> bool {
+        let old = std::mem::replace(self, Origin::new(incarnation));
+        !old.entries.is_empty()
+    }
+
+    /// The version known of an incarnation: 0 for all but the present one.
+    pub(super) fn version_of(&self, incarnation: Incarnation) -> u64 {
+        if self.incarnation == incarnation {
+            self.version
+        } else {
+            0
+        }
+    }
+
+    /// Writes an entry as its origin. Deleting an unknown key does nothing.
+    ///
+    /// # Errors
+    /// If the value is too long or there are too many entries; nothing changes then.
+    pub(super) fn put(&mut self, now: Nanos, key: Key, value: Option<Vec<u8>>) -> Result<(), EntryError> {
+        if value.as_ref().is_some_and(|value| value.len() > MAX_VALUE_BYTES) {
+            return Err(EntryError::TooLong);
+        }
+        if !self.entries.contains_key(&key) {
+            match value {
+                None => return Ok(()),
+                Some(_) if self.entries.len() >= MAX_ENTRIES => return Err(EntryError::TooMany),
+                Some(_) => {}
+            }
+        }
+        self.version += 1;
+        self.entries.insert(key, StoredEntry { version: self.version, put_at: now, value });
+        Ok(())
+    }
+
+    /// The changes after a version, cut off so that they fit into `max_bytes`; `None` if there are none or not even
+    /// the first one fits.
+    pub(super) fn delta(&self, now: Nanos, origin: PeerId, after: u64, max_bytes: i64) -> Option<SizedDelta> {
+        if self.version <= after {
+            return None;
+        }
+        let changed = self.entries.iter().filter(|(_, entry)| entry.version > after);
+        let mut changed: Vec<(&Key, &StoredEntry)> = changed.collect();
+        changed.sort_unstable_by_key(|(_, entry)| entry.version);
+        let mut bytes = DELTA_OVERHEAD_BYTES as i64;
+        let mut to = after;
+        let mut entries = Vec::new();
+        for (key, entry) in &changed {
+            let entry_bytes = entry.encoded_bytes();
+            if bytes + entry_bytes > max_bytes {
+                break;
+            }
+            bytes += entry_bytes;
+            to = entry.version;
+            entries.push(entry.to_message(now, **key));
+        }
+        if entries.len() == changed.len() {
+            to = self.version;
+        }
+        let delta = Delta { origin, incarnation: self.incarnation, after, to, entries };
+        (to != after).then_some(SizedDelta { delta, bytes })
+    }
+
+    /// Checks that a received delta can be applied.
+    ///
+    /// # Errors
+    /// Why it cannot.
+    pub(super) fn check(&self, delta: &Delta) -> Result<(), GossipError> {
+        if !is_well_formed(delta) {
+            return Err(GossipError::OutOfBounds);
+        }
+        if delta.after > self.version_of(delta.incarnation) {
+            return Err(GossipError::MissingVersions);
+        }
+        let same_incarnation = self.incarnation == delta.incarnation;
+        let present = if same_incarnation { self.entries.len() } else { 0 };
+        let is_new = |key: &Key| !same_incarnation || !self.entries.contains_key(key);
+        let added = delta.entries.iter().filter(|entry| is_new(&entry.key)).count();
+        if added + present > MAX_ENTRIES {
+            return Err(GossipError::OutOfBounds);
+        }
+        Ok(())
+    }
+
+    /// Applies a delta of the present incarnation that was sent at `sent_at` or later. Returns the changed keys.
+    pub(super) fn apply(&mut self, delta: Delta, sent_at: Nanos) -> Vec<Key> {
+        let mut changed = Vec::new();
+        for entry in delta.entries {
+            let GossipEntry { key, version, age_ms, value } = entry;
+            if self.entries.get(&key).is_some_and(|stored| stored.version >= version) {
+                continue;
+            }
+            let put_at = sent_at - Nanos::from(age_ms) * NANOS_PER_MILLISECOND;
+            self.entries.insert(key, StoredEntry { version, put_at, value });
+            changed.push(key);
+        }
+        self.version = self.version.max(delta.to);
+        changed
+    }
+}
+
+/// Whether a delta's entries are in order, within its range of versions and within the limits of the protocol.
+fn is_well_formed(delta: &Delta) -> bool {
+    let in_order = delta.entries.windows(2).all(|pair| pair[0].version < pair[1].version);
+    let in_bounds = delta.entries.iter().all(|entry| {
+        let too_long = entry.value.as_ref().is_some_and(|value| value.len() > MAX_VALUE_BYTES);
+        entry.version > delta.after && entry.version <= delta.to && !too_long
+    });
+    in_order && in_bounds && delta.entries.len() <= MAX_ENTRIES
+}
--- /dev/null
+++ b/crates/membership/src/gossip/store.rs
@@ -0,0 +1,300 @@
+//! The replicated entries of all fronts, and the protocol that keeps them up to date.
+
+use super::acknowledgement::Acknowledgement;
+use super::byte_budget::ByteBudget;
+use super::origin::Origin;
+use super::{Delta, EntryError, GossipAction, GossipError, GossipInput, GossipMessage, Key, KnownVersion};
+use crate::{Incarnation, MembershipTable, Nanos, PeerId};
+
+/// Cap on the encoded length of a delta, well below that of a datagram.
+const MAX_DELTA_BYTES: i64 = 24_000;
+
+/// The entries of one front and its replicas of those of all others.
+#[derive(Clone, Debug)]
+pub struct GossipStore {
+    me: PeerId,
+    /// By position.
+    origins: Vec<Origin>,
+    /// By position.
+    acked: Vec<Acknowledgement>,
+    /// Whether a peer, by position, must get an acknowledgement of its entries.
+    ack_due: Vec<bool>,
+    /// The last peer that was asked for all missing entries.
+    last_asked: PeerId,
+    budget: ByteBudget,
+}
+
+impl GossipStore {
+    /// The store of an incarnation of the front at position `me` in a roster of `front_count` fronts, which sends
+    /// at most `bytes_per_second` of entries.
+    pub fn new(
+        me: PeerId,
+        front_count: PeerId,
+        incarnation: Incarnation,
+        bytes_per_second: u64,
+        now: Nanos,
+    ) -> GossipStore {
+        let budget = ByteBudget::new(bytes_per_second, now);
+        GossipStore::with_budget(me, front_count, Origin::new(incarnation), budget)
+    }
+
+    /// A store that has only this front's entries.
+    fn with_budget(me: PeerId, front_count: PeerId, own: Origin, budget: ByteBudget) -> GossipStore {
+        let count = usize::from(front_count);
+        let mut origins = vec![Origin::default(); count];
+        origins[usize::from(me)] = own;
+        GossipStore {
+            me,
+            origins,
+            acked: vec![Acknowledgement::default(); count],
+            ack_due: vec![false; count],
+            last_asked: me,
+            budget,
+        }
+    }
+
+    /// Changes the limit on the bytes of entries sent per second.
+    pub fn set_rate(&mut self, bytes_per_second: u64) {
+        self.budget.set_rate(bytes_per_second);
+    }
+
+    /// The store for another roster; it has this front's entries only.
+    #[must_use]
+    pub fn with_roster(&self, me: PeerId, front_count: PeerId, now: Nanos) -> GossipStore {
+        let own = self.origins[usize::from(self.me)].clone();
+        GossipStore::with_budget(me, front_count, own, self.budget.restarted(now))
+    }
+
+    /// Handles an input and appends actions. `members` tells which incarnations are accepted.
+    ///
+    /// # Errors
+    /// If an entry of this front cannot be written; nothing changes then.
+    pub fn on(
+        &mut self,
+        now: Nanos,
+        members: &MembershipTable,
+        input: GossipInput,
+        actions: &mut Vec<GossipAction>,
+    ) -> Result<(), EntryError> {
+        match input {
+            GossipInput::Put(key, value) => return self.origins[usize::from(self.me)].put(now, key, value),
+            GossipInput::Round => self.round(now, members, actions),
+            GossipInput::Received { from, incarnation, message } => {
+                if members.incarnation_of(from) == Some(incarnation) && members.is_alive(now, from) {
+                    self.receive(now, members, from, incarnation, message, actions);
+                } else {
+                    actions.push(GossipAction::Rejected(GossipError::StaleIncarnation));
+                }
+            }
+        }
+        Ok(())
+    }
+
+    /// The value of a front's entry, and an upper bound of its age.
+    pub fn get(&self, now: Nanos, origin: PeerId, key: Key) -> Option<(&[u8], Nanos)> {
+        let entry = self.origins.get(usize::from(origin))?.entries.get(&key)?;
+        entry.value.as_deref().map(|value| (value, now - entry.put_at))
+    }
+
+    /// All entries of a namespace: the origin, its incarnation, the id of the key, the value, and an upper bound of
+    /// its age.
+    pub fn all(
+        &self,
+        now: Nanos,
+        kind: u8,
+    ) -> impl Iterator<Item = (PeerId, Incarnation, u64, &[u8], Nanos)> + '_ {
+        let keys = Key { kind, id: 0 }..=Key { kind, id: u64::MAX };
+        self.origins.iter().enumerate().flat_map(move |(position, origin)| {
+            origin.entries.range(keys.clone()).filter_map(move |(key, entry)| {
+                let value = entry.value.as_deref()?;
+                Some((position as PeerId, origin.incarnation, key.id, value, now - entry.put_at))
+            })
+        })
+    }
+
+    /// The incarnation of a front whose entries are known, and the version up to which they are.
+    pub fn known(&self, origin: PeerId) -> Option<(Incarnation, u64)> {
+        self.origins.get(usize::from(origin)).map(|origin| (origin.incarnation, origin.version))
+    }
+
+    fn round(&mut self, now: Nanos, members: &MembershipTable, actions: &mut Vec<GossipAction>) {
+        self.budget.refill(now);
+        for peer in members.others() {
+            self.follow_incarnation(now, members, peer, actions);
+        }
+        let peers: Vec<PeerId> = members.others().filter(|peer| members.is_alive(now, *peer)).collect();
+        // Each round starts with another peer, so that a scarce budget does not always serve the same one.
+        let first = peers.iter().position(|peer| *peer > self.last_asked).unwrap_or(0);
+        let asked = peers.get(first).copied();
+        for to in peers[first..].iter().chain(&peers[..first]).copied() {
+            let message = self.round_message(now, members, to, asked == Some(to));
+            if message.requests_missing || !message.knows.is_empty() || !message.deltas.is_empty() {
+                actions.push(GossipAction::Send { to, message });
+            }
+        }
+        self.last_asked = asked.unwrap_or(self.last_asked);
+    }
+
+    /// The message to a peer in this round: this front's changes, a due acknowledgement, and to the peer whose turn it
+    /// is the request for all that is missing.
+    fn round_message(
+        &mut self,
+        now: Nanos,
+        members: &MembershipTable,
+        to: PeerId,
+        requests_missing: bool,
+    ) -> GossipMessage {
+        let incarnation = members.incarnation_of(to).unwrap_or_default();
+        let acked_version = self.acked[usize::from(to)].version_by(incarnation);
+        let delta = self.take_delta(now, self.me, acked_version);
+        let ack_due = std::mem::take(&mut self.ack_due[usize::from(to)]);
+        let knows = match (requests_missing, ack_due) {
+            (true, _) => self.known_versions().collect(),
+            (false, true) => self.known_versions().filter(|(origin, _, _)| *origin == to).collect(),
+            (false, false) => Vec::new(),
+        };
+        GossipMessage { echo: members.echo(to), knows, requests_missing, deltas: delta.into_iter().collect() }
+    }
+
+    /// Discards the entries of a peer's earlier incarnation once another one is alive. Entries of a peer that is not
+    /// alive here are kept: other fronts may have sent those of a later incarnation.
+    fn follow_incarnation(
+        &mut self,
+        now: Nanos,
+        members: &MembershipTable,
+        peer: PeerId,
+        actions: &mut Vec<GossipAction>,
+    ) {
+        let origin = &mut self.origins[usize::from(peer)];
+        let alive = members.incarnation_of(peer).filter(|_| members.is_alive(now, peer));
+        let Some(incarnation) = alive.filter(|incarnation| *incarnation != origin.incarnation) else {
+            return;
+        };
+        if origin.replace_incarnation(incarnation) {
+            actions.push(GossipAction::Dropped(peer));
+        }
+    }
+
+    fn known_versions(&self) -> impl Iterator<Item = KnownVersion> + '_ {
+        let known = self.origins.iter().enumerate().filter(|(_, origin)| origin.version > 0);
+        known.map(|(position, origin)| (position as PeerId, origin.incarnation, origin.version))
+    }
+
+    /// The changes of a front's entries after a version, as far as the budget allows, which is charged for them.
+    fn take_delta(&mut self, now: Nanos, origin: PeerId, after: u64) -> Option<Delta> {
+        let max_bytes = self.budget.available().min(MAX_DELTA_BYTES);
+        let sized = self.origins[usize::from(origin)].delta(now, origin, after, max_bytes)?;
+        self.budget.spend(sized.bytes);
+        Some(sized.delta)
+    }
+
+    fn receive(
+        &mut self,
+        now: Nanos,
+        members: &MembershipTable,
+        from: PeerId,
+        incarnation: Incarnation,
+        message: GossipMessage,
+        actions: &mut Vec<GossipAction>,
+    ) {
+        let GossipMessage { echo, knows, requests_missing, deltas } = message;
+        // The message was sent after the echoed one, which bounds its transit time.
+        let echo = echo.filter(|(echoed, _)| *echoed == members.incarnation());
+        let sent_after = echo.map(|(_, sent_at)| sent_at.min(now));
+        for delta in deltas {
+            let origin = delta.origin;
+            let applied = match sent_after {
+                Some(sent_after) => self.apply_delta(now, members, from, delta, sent_after, actions),
+                None => Err(GossipError::NoEcho),
+            };
+            match applied {
+                Ok(()) if origin == from => self.ack_due[usize::from(from)] = true,
+                Ok(()) => {}
+                Err(error) => actions.push(GossipAction::Rejected(error)),
+            }
+        }
+        self.record_acknowledgement(from, incarnation, &knows, requests_missing);
+        if requests_missing {
+            self.send_missing(now, members, from, &knows, actions);
+        }
+    }
+
+    /// Records which version of this front's entries a peer knows. A complete list that does not name them means that
+    /// the peer has none: it may have discarded them.
+    fn record_acknowledgement(
+        &mut self,
+        from: PeerId,
+        incarnation: Incarnation,
+        knows: &[KnownVersion],
+        knows_is_complete: bool,
+    ) {
+        let own = &self.origins[usize::from(self.me)];
+        let known = find_version(knows, self.me, own.incarnation).map(|version| version.min(own.version));
+        if let Some(version) = known.or(knows_is_complete.then_some(0)) {
+            self.acked[usize::from(from)] = Acknowledgement { incarnation, version };
+        }
+    }
+
+    /// Sends a peer the entries that it does not know, of this front and of all that are alive here. Entries of
+    /// others are left out: the peer may have accepted a later incarnation than this front.
+    fn send_missing(
+        &mut self,
+        now: Nanos,
+        members: &MembershipTable,
+        to: PeerId,
+        knows: &[KnownVersion],
+        actions: &mut Vec<GossipAction>,
+    ) {
+        self.budget.refill(now);
+        let mut deltas = Vec::new();
+        for origin in (0..self.origins.len() as PeerId).filter(|origin| *origin != to) {
+            let incarnation = self.origins[usize::from(origin)].incarnation;
+            let after = find_version(knows, origin, incarnation).unwrap_or(0);
+            if origin == self.me || members.is_alive(now, origin) {
+                deltas.extend(self.take_delta(now, origin, after));
+            }
+        }
+        if !deltas.is_empty() {
+            let message = GossipMessage { echo: members.echo(to), deltas, ..GossipMessage::default() };
+            actions.push(GossipAction::Send { to, message });
+        }
+    }
+
+    fn apply_delta(
+        &mut self,
+        now: Nanos,
+        members: &MembershipTable,
+        from: PeerId,
+        delta: Delta,
+        sent_after: Nanos,
+        actions: &mut Vec<GossipAction>,
+    ) -> Result<(), GossipError> {
+        let peer = delta.origin;
+        if peer == self.me || usize::from(peer) >= self.origins.len() {
+            return Err(GossipError::UnknownOrigin);
+        }
+        // The incarnation of a peer that is alive here is the accepted one; that of another peer is taken from any
+        // front that relays its entries.
+        let is_current = match members.incarnation_of(peer) {
+            Some(incarnation) if members.is_alive(now, peer) => delta.incarnation == incarnation,
+            _ => peer != from,
+        };
+        if !is_current {
+            return Err(GossipError::StaleIncarnation);
+        }
+        let origin = &mut self.origins[usize::from(peer)];
+        origin.check(&delta)?;
+        if origin.incarnation != delta.incarnation && origin.replace_incarnation(delta.incarnation) {
+            actions.push(GossipAction::Dropped(peer));
+        }
+        let changed = origin.apply(delta, sent_after);
+        actions.extend(changed.into_iter().map(|key| GossipAction::Changed(peer, key)));
+        Ok(())
+    }
+}
+
+/// The version of an origin's incarnation in a list of known versions.
+fn find_version(knows: &[KnownVersion], origin: PeerId, incarnation: Incarnation) -> Option<u64> {
+    let known = knows.iter().find(|known| known.0 == origin && known.1 == incarnation);
+    known.map(|(_, _, version)| *version)
+}
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,25 +1,30 @@
-//! Which fronts of a fleet there are. [`Contacts`] is a machine without I/O and without a clock: it is told what each
-//! front said of itself ([`Hello`]) and when, and says what to believe of each. [`Seal`] is how a message travels: its
-//! format, and a keyed digest that strangers cannot make. [`Entries`] is what fronts tell each other beside.
+//! Membership of a fleet of front-end processes and gossip between them, without I/O and without a clock.
 //!
-//! Fronts are told apart by their place in the operators' roster **and** by boot, so that what a predecessor said no
-//! longer counts. A boot counts once it has shown that it hears this one; a second boot of a name is a stranger until
-//! the first has been silent for a life.
+//! - [`MembershipTable`] is the failure detector: it records the [`PeerState`] that each front reports and when, and
+//!   derives the [`PeerStatus`] of each peer.
+//! - [`GossipStore`] replicates small entries between fronts.
+//! - [`EnvelopeCodec`] frames and authenticates messages.
+//!
+//! A front is identified by its position in the operators' roster **and** by its incarnation, so that reports of a
+//! predecessor are not attributed to its successor. A new incarnation is accepted once it has shown that it receives
+//! this front's messages. While an incarnation is alive, another one with its position is a conflict.
 
-mod contacts;
-mod entries;
-mod seal;
+mod envelope;
+mod gossip;
+mod membership_table;
+mod peer_state;
 
-pub use contacts::{MembershipTable, MessageStatus, PeerState, PeerStatus};
-pub use entries::{
+pub use envelope::{Envelope, EnvelopeCodec, EnvelopeError, MAX_MESSAGE};
+pub use gossip::{
     Delta, EntryError, GossipAction, GossipEntry, GossipError, GossipInput, GossipMessage, GossipStore, Key,
-    MAX_ENTRIES, MAX_VALUE,
+    KnownVersion, MAX_ENTRIES, MAX_VALUE_BYTES,
 };
-pub use seal::{Envelope, EnvelopeCodec, EnvelopeError, MAX_MESSAGE};
+pub use membership_table::MembershipTable;
+pub use peer_state::{Echo, MessageStatus, PeerState, PeerStatus};
 
-/// A moment or a span in nanoseconds, by one front's own clock, which runs on while the front is stopped.
+/// A time or a duration in nanoseconds, by the clock of one front, which also advances while the front is stopped.
 pub type Nanos = i64;
-/// A front, by its place in the roster.
+/// A front, by its position in the roster.
 pub type PeerId = u16;
-/// One run of a front: no two of one name share it.
+/// One run of a front process; differs between all runs of a front.
 pub type Incarnation = u64;
