--- a/crates/core/src/request_tracker.rs
+++ b/crates/core/src/request_tracker.rs
@@ -1,49 +1,28 @@
 //! Tracks client requests and their attempts, from receipt to the one final answer.
 //!
 //! The [`RequestTracker`] connects three parties: the front that receives requests, the transport that carries
-//! attempts, and the policy that decides (the [`Scheduler`], or another implementation of [`Decisions`]). It
+//! attempts, and the policy that decides (the [`Scheduler`](crate::Scheduler), or another implementation of [`Decisions`]). It
 //! enforces what must hold whatever the policy decides: each request gets one final answer, each attempt starts
 //! once and ends once, and the state of a finished request is dropped. It does no I/O: feed it each [`Input`] and
 //! carry out the [`Effect`]s in their order.
 
+mod decisions;
 mod in_flight;
 mod messages;
 
 use std::collections::{BTreeMap, VecDeque};
 
+pub use self::decisions::Decisions;
 pub use self::in_flight::{InFlightAttempt, InFlightRequest};
 pub use self::messages::{Effect, FinalAnswer, Input};
 use crate::interface::{
     Action, Event, Listed, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, UpdateScope,
 };
 use crate::mutations::{mutated, Mutation};
-use crate::state::Scheduler;
 
 /// How far [`Mutation::TimeoutPastClientDeadline`] moves the deadline of an attempt past that of its client.
 const MUTATED_DEADLINE_EXCESS: Nanos = 1_000_000_000;
 
-/// The policy that decides on requests: handles events in order and appends its actions.
-pub trait Decisions {
-    /// Handles one event. `now` never goes back between calls.
-    fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>);
-
-    /// Until when the first byte of an attempt placed now may be written; later the request may no longer be
-    /// repeated.
-    fn begins_by(&self, _id: RequestId) -> Nanos {
-        Nanos::MAX
-    }
-}
-
-impl Decisions for Scheduler {
-    fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
-        Scheduler::handle(self, now, event, actions);
-    }
-
-    fn begins_by(&self, id: RequestId) -> Nanos {
-        Scheduler::begins_by(self, id)
-    }
-}
-
 /// How an attempt ended, with the use of its volume that the chunk server reported.
 struct AttemptEnd {
     id: RequestId,
--- a/crates/membership/src/gossip/store.rs
+++ b/crates/membership/src/gossip/store.rs
@@ -19,8 +19,8 @@
     acked: Vec<Acknowledgement>,
     /// Whether a peer, by position, must get an acknowledgement of its entries.
     ack_due: Vec<bool>,
-    /// The last peer that was asked for all missing entries.
-    last_asked: PeerId,
+    /// The last peer that was requested to send all missing entries.
+    last_pulled_from: PeerId,
     budget: ByteBudget,
 }
 
@@ -48,7 +48,7 @@
             origins,
             acked: vec![Acknowledgement::default(); count],
             ack_due: vec![false; count],
-            last_asked: me,
+            last_pulled_from: me,
             budget,
         }
     }
@@ -124,15 +124,15 @@
         }
         let peers: Vec<PeerId> = members.others().filter(|peer| members.is_alive(now, *peer)).collect();
         // Each round starts with another peer, so that a scarce budget does not always serve the same one.
-        let first = peers.iter().position(|peer| *peer > self.last_asked).unwrap_or(0);
-        let asked = peers.get(first).copied();
+        let first = peers.iter().position(|peer| *peer > self.last_pulled_from).unwrap_or(0);
+        let pulled_from = peers.get(first).copied();
         for to in peers[first..].iter().chain(&peers[..first]).copied() {
-            let message = self.round_message(now, members, to, asked == Some(to));
+            let message = self.round_message(now, members, to, pulled_from == Some(to));
             if message.requests_missing || !message.knows.is_empty() || !message.deltas.is_empty() {
                 actions.push(GossipAction::Send { to, message });
             }
         }
-        self.last_asked = asked.unwrap_or(self.last_asked);
+        self.last_pulled_from = pulled_from.unwrap_or(self.last_pulled_from);
     }
 
     /// The message to a peer in this round: this front's changes, a due acknowledgement, and to the peer whose turn it
--- a/crates/membership/src/membership_table.rs
+++ b/crates/membership/src/membership_table.rs
@@ -74,7 +74,7 @@
         self.round_sent_at = now.max(self.round_sent_at.saturating_add(1));
         let recent = self.failure_timeout / 2;
         self.reachable =
-            self.others().filter(|peer| self.member(*peer).is_heard_within(now, recent)).collect();
+            self.others().filter(|peer| self.member(*peer).is_live_within(now, recent)).collect();
     }
 
     /// The echo of a peer's latest accepted message.
@@ -142,7 +142,7 @@
 
     /// Whether messages of a peer arrive, and it does not shut down.
     pub fn is_alive(&self, now: Nanos, peer: PeerId) -> bool {
-        self.member(peer).is_heard_within(now, self.failure_timeout)
+        self.member(peer).is_live_within(now, self.failure_timeout)
     }
 
     /// The live peers that report receiving messages of a peer.
--- a/crates/membership/src/membership_table/member.rs
+++ b/crates/membership/src/membership_table/member.rs
@@ -37,7 +37,7 @@
 
 impl Member {
     /// Whether it has an accepted incarnation that is not shutting down and sent a message within `span`.
-    pub(super) fn is_heard_within(&self, now: Nanos, span: Nanos) -> bool {
+    pub(super) fn is_live_within(&self, now: Nanos, span: Nanos) -> bool {
         self.incarnation.is_some() && !self.left && now < self.last_message_at + span
     }
 
@@ -60,7 +60,7 @@
         failure_timeout: Nanos,
     ) -> Result<(), MessageStatus> {
         // A predecessor that reported its shutdown holds no resources any more: its successor need not wait.
-        if self.is_heard_within(now, failure_timeout) {
+        if self.is_live_within(now, failure_timeout) {
             self.conflicting = Some(RejectedIncarnation { incarnation, last_message_at: now });
             return Err(MessageStatus::Conflicting);
         }
