--- /dev/null
+++ b/crates/fleet-limits/src/leases.rs
@@ -0,0 +1,138 @@
+//! Leases between this front and one of its peers, in both directions.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::hash::{Hash, Hasher};
+
+use crate::mutations::{mutated, Mutation};
+use crate::{Limit, Nanos, PeerId, Share};
+
+/// Leased shares of several limits that were granted together and expire together.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(crate) struct LeaseSet {
+    /// Sequence number of the grant.
+    pub number: u64,
+    /// The shares may be used before this time, by this front's clock.
+    pub expires_at: Nanos,
+    /// The leased share of each limit.
+    pub shares: BTreeMap<Limit, Share>,
+}
+
+impl LeaseSet {
+    fn is_active(&self, now: Nanos) -> bool {
+        now < self.expires_at
+    }
+
+    /// The largest leased share of any limit.
+    fn largest_share(&self) -> Share {
+        self.shares.values().copied().max().unwrap_or(0)
+    }
+
+    /// The limits of which `next` leases another share than this set.
+    fn limits_changed_by(&self, next: &LeaseSet) -> BTreeSet<Limit> {
+        let limits = self.shares.keys().chain(next.shares.keys());
+        limits.filter(|limit| self.shares.get(limit) != next.shares.get(limit)).copied().collect()
+    }
+
+    fn fingerprint<H: Hasher>(&self, now: Nanos, hasher: &mut H) {
+        (self.number, time_until(now, self.expires_at), &self.shares).hash(hasher);
+    }
+}
+
+/// What this front knows about one peer, apart from its membership.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(crate) struct Peer {
+    /// Homes of the issuers that the peer claimed last and for which this front votes.
+    pub votes_for: Vec<PeerId>,
+    /// The peer's demand for each limit, in thousandths of units per second.
+    pub demands: BTreeMap<Limit, u64>,
+    /// Leases granted to the peer that it may still use, oldest first.
+    pub granted: Vec<LeaseSet>,
+    /// The latest leases from the peer.
+    pub held: LeaseSet,
+}
+
+impl Peer {
+    /// The largest share of a limit that the peer may be using now by this front's grants.
+    ///
+    /// The peer uses one grant at a time, and it is unknown which, so that the largest one counts.
+    pub fn granted_share(&self, now: Nanos, limit: Limit) -> Share {
+        let considered = if mutated(Mutation::LoanFreedAtOnce) { 1 } else { usize::MAX };
+        let active = self.granted.iter().filter(|grant| grant.is_active(now));
+        let latest = active.rev().take(considered);
+        latest.filter_map(|grant| grant.shares.get(&limit)).max().copied().unwrap_or(0)
+    }
+
+    /// The limits that are part of any grant to the peer.
+    pub fn granted_limits(&self) -> BTreeSet<Limit> {
+        self.granted.iter().flat_map(|grant| grant.shares.keys().copied()).collect()
+    }
+
+    /// The largest share of any limit that the peer may be using now by this front's grants.
+    pub fn largest_granted_share(&self, now: Nanos) -> Share {
+        let active = self.granted.iter().filter(|grant| grant.is_active(now));
+        active.map(LeaseSet::largest_share).max().unwrap_or(0)
+    }
+
+    /// The share of a limit that this front may use now by leases from the peer.
+    pub fn held_share(&self, now: Nanos, limit: Limit) -> Share {
+        if !self.held.is_active(now) {
+            return 0;
+        }
+        self.held.shares.get(&limit).copied().unwrap_or(0)
+    }
+
+    /// The largest share of any limit that this front may use now by leases from the peer.
+    pub fn largest_held_share(&self, now: Nanos) -> Share {
+        if !self.held.is_active(now) {
+            return 0;
+        }
+        self.held.largest_share()
+    }
+
+    /// Forgets what an earlier incarnation of the peer said. Leases granted to it stay, since it may still use them.
+    pub fn reset_for_new_incarnation(&mut self) {
+        let granted = std::mem::take(&mut self.granted);
+        let held = std::mem::take(&mut self.held);
+        *self = Peer { granted, ..Peer::default() };
+        if mutated(Mutation::LoanForPredecessor) {
+            self.held = held;
+        }
+    }
+
+    /// Drops grants that the peer no longer uses: those before the one it reports, and those that have expired.
+    pub fn release_unused_grants(&mut self, now: Nanos, grant_in_use: Option<u64>) {
+        if let Some(in_use) = grant_in_use {
+            self.granted.retain(|grant| grant.number >= in_use);
+        }
+        self.granted.retain(|grant| grant.is_active(now));
+    }
+
+    /// Replaces the held leases by later ones and returns the limits that are affected.
+    pub fn replace_held(&mut self, next: LeaseSet) -> BTreeSet<Limit> {
+        let mut changed = self.held.limits_changed_by(&next);
+        // The same share for a shorter time is a reduction, too.
+        if next.expires_at < self.held.expires_at && !mutated(Mutation::ShorterLoanMissed) {
+            changed.extend(next.shares.keys());
+        }
+        self.held = next;
+        changed
+    }
+
+    /// Hashes everything on which later decisions depend, with times relative to `now`.
+    pub fn fingerprint<H: Hasher>(&self, now: Nanos, hasher: &mut H) {
+        (&self.votes_for, &self.demands).hash(hasher);
+        for grant in self.granted.iter().filter(|grant| grant.is_active(now)) {
+            grant.fingerprint(now, hasher);
+        }
+        self.held.fingerprint(now, hasher);
+    }
+}
+
+/// The time from `now` until `at` for fingerprints, in which all moments that are not in the future are alike.
+pub(crate) fn time_until(now: Nanos, at: Nanos) -> Nanos {
+    if at <= now {
+        -1
+    } else {
+        at - now
+    }
+}
--- a/crates/fleet-limits/src/lib.rs
+++ b/crates/fleet-limits/src/lib.rs
@@ -1,46 +1,54 @@
-//! Limits that hold for a whole fleet of fronts. Each front runs one [`Quota`]: it is told the time, what is asked for
-//! and what the others' beats say, and says which part of each limit its front may use now. The parts of all fronts
-//! together never exceed the whole, whatever is lost, late, repeated, cut off, stopped or started again.
+//! Rate and concurrency limits that hold for a whole fleet of front ends. Each front runs one [`LimitCoordinator`]:
+//! it is fed the current time, the demand at its front and the heartbeats of its peers, and answers which share of
+//! each limit its front may use now. The shares of all fronts never add up to more than the limit, whatever messages
+//! are lost, delayed or duplicated, and whichever fronts are partitioned, paused, stopped or restarted.
 //!
-//! There is no I/O here and no clock. How it works and which bounds hold is in `docs/fleet-limits.md`.
+//! The crate does no I/O and reads no clock. The protocol and its bounds are described in `docs/fleet-limits.md`.
 //!
 //! ```
-//! use tulipbridge_fleet_limits::{Event, Limit, Quota, Terms, WHOLE};
+//! use tulipbridge_fleet_limits::{Event, Limit, LimitCoordinator, LimitsConfig, FULL_SHARE};
 //!
 //! let second = 1_000_000_000;
-//! let mut alone = Quota::new(Terms::new(0, 1, 7), 1, 0).expect("terms hold");
+//! let volume = Limit::Volume(9);
+//! let config = LimitsConfig::new(0, 1, 7);
+//! let mut coordinator = LimitCoordinator::new(config, 1, 0).expect("the configuration is valid");
 //! let mut effects = Vec::new();
-//! alone.on(3 * second, Event::Beat, &mut effects);
-//! alone.on(3 * second, Event::Asked { limit: Limit::Volume(9), units: 2.0 }, &mut effects);
-//! assert_eq!(alone.part(3 * second, Limit::Volume(9)), WHOLE, "the only front of a fleet may use it all");
+//! coordinator.on(3 * second, Event::HeartbeatDue, &mut effects);
+//! coordinator.on(3 * second, Event::Demanded { limit: volume, units: 2.0 }, &mut effects);
+//! assert_eq!(coordinator.share(3 * second, volume), FULL_SHARE, "the only front of a fleet may use it all");
 //! ```
 
 use serde::{Deserialize, Serialize};
 
-mod beat;
-mod machine;
-mod meter;
+mod claims;
+mod config;
+mod coordinator;
+mod demand;
+mod event;
+mod heartbeat;
+mod leases;
 pub mod mutations;
-mod terms;
+mod votes;
 
-pub use beat::{Demand, Heartbeat, Lease, LeaseGrant};
-pub use machine::{Effect, Event, LimitCoordinator, PeerReport};
-pub use terms::{LimitsConfig, LimitsConfigError};
+pub use config::{LimitsConfig, LimitsConfigError};
+pub use coordinator::{LimitCoordinator, PeerReport};
+pub use event::{Effect, Event};
+pub use heartbeat::{Demand, Heartbeat, Lease, LeaseGrant};
 pub use tulipbridge_membership::{Incarnation, MessageStatus, Nanos, PeerId, PeerStatus};
 
 /// A limit that holds for the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Limit {
-    /// Further attempts, of whatever is asked for.
+    /// Second and later attempts of requests to any volume.
     Retries,
-    /// What all storage servers are sent, each by limits of its own: units while it starts, requests out.
+    /// Load on the chunk servers: units sent to one that is starting, and requests in flight at any one.
     ServerLoad,
-    /// Units of a volume, by its name in the store.
+    /// Units of one volume, by its identifier in the store.
     Volume(u64),
 }
 
-/// Parts of a limit: [`WHOLE`] is all of it, for the whole fleet.
+/// A share of a limit in millionths, so that [`FULL_SHARE`] is the whole limit of the fleet.
 pub type Share = u32;
 
-/// All of a limit.
+/// The whole of a limit.
 pub const FULL_SHARE: Share = 1_000_000;
--- a/crates/fleet-limits/src/mutations.rs
+++ b/crates/fleet-limits/src/mutations.rs
@@ -1,42 +1,43 @@
-//! Bugs that are seeded on purpose, to see whether the simulation and the checker find them. In every build without
-//! the feature `seeded`, [`seeded`] is the constant `false` and none of them is compiled in.
+//! Mutations of the coordinator for mutation testing: each one breaks a rule of the protocol, and the simulation and
+//! the model checker must notice it. Without the feature `mutations`, [`mutated`] is the constant `false`, so that none
+//! of them is compiled in.
 
-/// One alteration of the machine's own code path.
+/// A deliberate fault in the coordinator. The variants' names are printed by the tools that run them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mutation {
-    /// A loan ends when its grant came, plus its term, not when it was asked for.
+    /// The duration of a lease counts from the receipt of its grant, not from when it was requested.
     LoanFromReceipt,
-    /// A bank is held from the receipt of an agreement, not from the moment it was asked for.
+    /// The duration of a vote counts from its receipt, not from when it was requested.
     BankFromReceipt,
-    /// A restarted front agrees at once, having forgotten what it agreed to.
+    /// A restarted front votes at once, though an earlier incarnation may have votes outstanding.
     NoQuietTime,
-    /// A front that agreed to one holder agrees to another before the first has ended.
+    /// A front votes for a second holder of a lease issuer before its first vote has expired.
     AgreesTwice,
-    /// Less than half keeps a bank.
+    /// A lease issuer is held with one vote less than the quorum.
     SmallQuorum,
-    /// What a borrower no longer uses is taken as free before the borrower has said so.
+    /// A share that was leased counts as free before the lessee has confirmed a later grant.
     LoanFreedAtOnce,
-    /// A loan of the same parts that ends sooner than the one before is not noticed.
+    /// A lease of the same share that expires earlier than the one before does not count as a reduction.
     ShorterLoanMissed,
-    /// A loan believed after its lender's agreement has ended: its term ignores the lender's own.
+    /// A lease may last longer than the votes for the issuer that it is granted from.
     LoanOutlivesBank,
-    /// A bank is given back to its home at once, while loans from it run.
+    /// A lease issuer returns to its home at once, while leases from it run.
     BankBackAtOnce,
-    /// The banks of a front that ends are free at once, while loans from them run.
+    /// The votes for a front that shuts down are released at once, while leases from it run.
     LeavesAtOnce,
-    /// What a predecessor had borrowed counts for its successor.
+    /// A front goes on using leases from an earlier incarnation of the grantor.
     LoanForPredecessor,
-    /// A front that goes on after a stop looks at nothing that has ended.
+    /// A front that resumes after a pause does not check what has expired meanwhile.
     NoLookAfterStop,
-    /// Agreements with a front of another roster count.
+    /// Heartbeats from a front with another roster are accepted.
     AnyRoster,
-    /// Floors are used at once by a new boot.
+    /// A new incarnation uses its floor at once.
     FloorAtOnce,
-    /// A front gives itself what it has lent.
+    /// A front uses its own share without deducting what it has leased to peers.
     OwnPartIsWhole,
 }
 
-/// All of them.
+/// All mutations.
 pub const ALL: [Mutation; 15] = [
     Mutation::LoanFromReceipt,
     Mutation::BankFromReceipt,
