--- a/crates/fleet-limits/tests/coordinator.rs
+++ b/crates/fleet-limits/tests/coordinator.rs
@@ -1,209 +1,221 @@
-//! What a few machines do among themselves, step by step. Orders of faults are the simulation's and the checker's.
+//! Behavior of a few coordinators among themselves, step by step. Arbitrary orders of faults are covered by the
+//! simulation and by the model checker.
 
 use std::hash::{DefaultHasher, Hasher};
 
 use tulipbridge_fleet_limits::{
-    Effect, Event, Heartbeat, Limit, LimitCoordinator, LimitsConfig, Nanos, PeerId, FULL_SHARE,
+    Effect, Event, Heartbeat, Limit, LimitCoordinator, LimitsConfig, Nanos, PeerId, Share, FULL_SHARE,
 };
 
 const MS: Nanos = 1_000_000;
+const HEARTBEAT_INTERVAL: Nanos = 200 * MS;
+const VOLUME: Limit = Limit::Volume(7);
 
 fn front(me: PeerId, fronts: PeerId, roster: u64) -> LimitCoordinator {
-    LimitCoordinator::new(LimitsConfig::new(me, fronts, roster), u64::from(me) * 100 + roster, 0)
-        .expect("the terms hold")
+    let incarnation = u64::from(me) * 100 + roster;
+    LimitCoordinator::new(LimitsConfig::new(me, fronts, roster), incarnation, 0)
+        .expect("the configuration is valid")
 }
 
-/// A beat of each, heard by all others at once; answers go back to whom they answer.
+/// The event by which a heartbeat of a front arrives.
+fn received(sender: &LimitCoordinator, heartbeat: Box<Heartbeat>) -> Event {
+    Event::HeartbeatReceived { from: sender.config().me, boot: sender.incarnation(), heartbeat }
+}
+
+/// The heartbeat to a peer, or to any peer where `to` is `None`.
+fn heartbeat_to(effects: &[Effect], to: Option<PeerId>) -> Option<Box<Heartbeat>> {
+    effects.iter().find_map(|effect| match effect {
+        Effect::Send { to: receiver, heartbeat } if to.is_none_or(|to| to == *receiver) => {
+            Some(heartbeat.clone())
+        }
+        _ => None,
+    })
+}
+
+/// The next heartbeat of a front to its first peer.
+fn next_heartbeat(front: &mut LimitCoordinator, now: Nanos) -> Box<Heartbeat> {
+    let mut effects = Vec::new();
+    front.on(now, Event::HeartbeatDue, &mut effects);
+    heartbeat_to(&effects[..1], None).expect("the first effect is a heartbeat")
+}
+
+/// The first change of a share among some effects, with the time from which it applies.
+fn first_share_change(effects: &[Effect]) -> Option<(Share, Nanos)> {
+    effects.iter().find_map(|effect| match effect {
+        Effect::ShareChanged { share, at, .. } => Some((*share, *at)),
+        _ => None,
+    })
+}
+
+/// One round of heartbeats: all others receive each at once, and replies go back to the sender.
 fn round(fronts: &mut [LimitCoordinator], now: Nanos) {
     for from in 0..fronts.len() {
         let mut effects = Vec::new();
-        fronts[from].on(now, Event::Demanded { limit: Limit::Volume(7), units: 2.0 }, &mut effects);
+        fronts[from].on(now, Event::Demanded { limit: VOLUME, units: 2.0 }, &mut effects);
         fronts[from].on(now, Event::HeartbeatDue, &mut effects);
-        let (place, boot) = (fronts[from].config().me, fronts[from].incarnation());
-        let beat = effects.iter().find_map(|e| match e {
-            Effect::Send { heartbeat: beat, .. } => Some(beat.clone()),
-            _ => None,
-        });
         for to in (0..fronts.len()).filter(|to| *to != from) {
-            // Each is sent its own; where the receiver is in no roster of the sender's, what any other is sent.
-            let own = effects.iter().find_map(|e| match e {
-                Effect::Send { to: at, heartbeat: beat } if *at == fronts[to].config().me => {
-                    Some(beat.clone())
-                }
-                _ => None,
-            });
-            let Some(beat) = own.or(beat.clone()) else { continue };
-            let mut answers = Vec::new();
-            fronts[to].on(now, Event::HeartbeatReceived { from: place, boot, heartbeat: beat }, &mut answers);
-            let (at, its) = (fronts[to].config().me, fronts[to].incarnation());
-            for answer in answers {
-                if let Effect::Reply { heartbeat: beat } = answer {
-                    fronts[from].on(
-                        now,
-                        Event::HeartbeatReceived { from: at, boot: its, heartbeat: beat },
-                        &mut Vec::new(),
-                    );
-                }
-            }
+            // A receiver that is not in the sender's roster gets the heartbeat for some other front.
+            let own = heartbeat_to(&effects, Some(fronts[to].config().me));
+            let Some(heartbeat) = own.or_else(|| heartbeat_to(&effects, None)) else { continue };
+            deliver(fronts, now, from, to, heartbeat);
         }
     }
 }
 
-fn parts(fronts: &[LimitCoordinator], now: Nanos) -> Vec<u32> {
-    fronts.iter().map(|f| f.share(now, Limit::Volume(7))).collect()
+/// Delivers a heartbeat, and the replies to it.
+fn deliver(fronts: &mut [LimitCoordinator], now: Nanos, from: usize, to: usize, heartbeat: Box<Heartbeat>) {
+    let heartbeat = received(&fronts[from], heartbeat);
+    let mut effects = Vec::new();
+    fronts[to].on(now, heartbeat, &mut effects);
+    for effect in effects {
+        if let Effect::Reply { heartbeat } = effect {
+            let reply = received(&fronts[to], heartbeat);
+            fronts[from].on(now, reply, &mut Vec::new());
+        }
+    }
+}
+
+/// Two fronts after 19 rounds, the last one at 3.8 s.
+fn established_pair() -> [LimitCoordinator; 2] {
+    let mut fronts = [front(0, 2, 1), front(1, 2, 1)];
+    for step in 1..20 {
+        round(&mut fronts, step * HEARTBEAT_INTERVAL);
+    }
+    fronts
+}
+
+fn shares(fronts: &[LimitCoordinator], now: Nanos) -> Vec<Share> {
+    fronts.iter().map(|front| front.share(now, VOLUME)).collect()
 }
 
 #[test]
-fn a_front_that_has_started_uses_nothing_of_its_own_for_a_life() {
+fn a_restarted_front_uses_nothing_of_its_own_for_a_lease_duration() {
     let mut fronts = [front(0, 2, 1), front(1, 2, 1)];
     let mut now = 0;
     while now < 1_900 * MS {
-        now += 200 * MS;
+        now += HEARTBEAT_INTERVAL;
         round(&mut fronts, now);
-        assert_eq!(parts(&fronts, now), vec![0, 0], "at {} ms", now / MS);
+        assert_eq!(shares(&fronts, now), vec![0, 0], "at {} ms", now / MS);
     }
     for _ in 0..10 {
-        now += 200 * MS;
+        now += HEARTBEAT_INTERVAL;
         round(&mut fronts, now);
     }
-    let sum: u32 = parts(&fronts, now).iter().sum();
+    let sum: Share = shares(&fronts, now).iter().sum();
     assert!((FULL_SHARE - FULL_SHARE / 50..=FULL_SHARE).contains(&sum), "{sum}");
 }
 
 #[test]
-fn who_is_cut_off_among_three_falls_to_its_floor_when_its_agreements_end() {
+fn a_partitioned_front_of_three_falls_to_its_floor_when_its_votes_expire() {
     let mut fronts = [front(0, 3, 1), front(1, 3, 1), front(2, 3, 1)];
     let mut now = 0;
     for _ in 0..20 {
-        now += 200 * MS;
+        now += HEARTBEAT_INTERVAL;
         round(&mut fronts, now);
     }
     let floor = fronts[0].config().floor_share();
     let mut effects = Vec::new();
     fronts[2].on(now + 2_001 * MS, Event::Poll, &mut effects);
-    let told = effects.iter().find_map(|e| match e {
-        Effect::ShareChanged { share: part, at, .. } => Some((*part, *at)),
-        _ => None,
-    });
-    let (part, at) = told.expect("it is told that it has less");
-    assert_eq!(part, floor);
-    assert!(at <= now + 2_000 * MS, "from when it ended, not from when it was looked at");
+    let (share, at) = first_share_change(&effects).expect("the smaller share is reported");
+    assert_eq!(share, floor);
+    assert!(at <= now + 2_000 * MS, "since it expired, not since it was noticed");
 }
 
 #[test]
-fn of_two_rosters_of_one_revision_the_fronts_of_one_use_nothing() {
-    // Two that know each other alone, and two that know all four: places 0 and 1 are the same fronts in both.
+fn of_two_rosters_with_the_same_revision_one_yields() {
+    // Two fronts whose roster has only the two, and two whose roster has all four: 0 and 1 are the same in both.
     let mut fronts = [front(0, 2, 1), front(1, 2, 1), front(2, 4, 2), front(3, 4, 2)];
     let mut now = 0;
     for _ in 0..40 {
-        now += 200 * MS;
+        now += HEARTBEAT_INTERVAL;
         round(&mut fronts, now);
-        let sum: u32 = parts(&fronts, now).iter().sum();
+        let sum: Share = shares(&fronts, now).iter().sum();
         assert!(sum <= FULL_SHARE, "{sum} at {} ms", now / MS);
     }
-    let yields: Vec<bool> = fronts.iter().map(|f| f.yields_to_roster(now)).collect();
-    assert_eq!(yields, vec![false, false, true, true]);
-    assert!(parts(&fronts, now)[..2].iter().all(|p| *p > FULL_SHARE / 3));
+    let yielding: Vec<bool> = fronts.iter().map(|front| front.yields_to_roster(now)).collect();
+    assert_eq!(yielding, vec![false, false, true, true]);
+    assert!(shares(&fronts, now)[..2].iter().all(|share| *share > FULL_SHARE / 3));
 }
 
 #[test]
-fn the_same_loan_for_a_shorter_time_is_less() {
-    let mut fronts = [front(0, 2, 1), front(1, 2, 1)];
-    for step in 1..20 {
-        round(&mut fronts, step * 200 * MS);
-    }
+fn a_lease_of_the_same_share_for_a_shorter_time_is_reported_as_a_reduction() {
+    let mut fronts = established_pair();
     let now = 4_000 * MS;
-    let mut effects = Vec::new();
-    fronts[1].on(now, Event::HeartbeatDue, &mut effects);
-    let Some(Effect::Send { heartbeat: beat, .. }) = effects.into_iter().next() else { panic!("a beat") };
-    let boot = fronts[1].incarnation();
-    let mut part = |number, term| {
-        let mut told = beat.clone();
-        told.state.sent_at += number as Nanos;
-        told.grant.number += number;
-        told.grant.duration = term;
-        told.grant.leases.iter_mut().for_each(|l| l.share = 200_000);
+    let heartbeat = next_heartbeat(&mut fronts[1], now);
+    let mut share_after = |number: u64, duration: Nanos| {
+        let mut heartbeat = heartbeat.clone();
+        heartbeat.state.sent_at += number as Nanos;
+        heartbeat.grant.number += number;
+        heartbeat.grant.duration = duration;
+        heartbeat.grant.leases.iter_mut().for_each(|lease| lease.share = 200_000);
+        let event = received(&fronts[1], heartbeat);
         let mut effects = Vec::new();
-        fronts[0].on(now, Event::HeartbeatReceived { from: 1, boot, heartbeat: told }, &mut effects);
-        let told = effects.iter().find_map(|e| match e {
-            Effect::ShareChanged { share: part, .. } => Some(*part),
-            _ => None,
-        });
-        (told, fronts[0].share(now, Limit::Volume(7)))
+        fronts[0].on(now, event, &mut effects);
+        let reported = first_share_change(&effects).map(|(share, _)| share);
+        (reported, fronts[0].share(now, VOLUME))
     };
-    let (_, longer) = part(1, 2_000 * MS);
-    let (told, shorter) = part(2, 0);
-    assert!(shorter + 200_000 == longer, "{shorter}, {longer}");
-    assert_eq!(told, Some(shorter), "the module must be told");
+    let (_, with_longer_lease) = share_after(1, 2_000 * MS);
+    let (reported, with_shorter_lease) = share_after(2, 0);
+    assert!(with_shorter_lease + 200_000 == with_longer_lease, "{with_shorter_lease}, {with_longer_lease}");
+    assert_eq!(reported, Some(with_shorter_lease), "the reduction must be reported");
 }
 
 #[test]
-fn a_volume_that_nobody_asks_for_is_forgotten() {
+fn a_volume_without_demand_is_forgotten_after_fifteen_seconds() {
     let mut alone = front(0, 1, 1);
     let mut effects = Vec::new();
-    alone.on(3_000 * MS, Event::Demanded { limit: Limit::Volume(7), units: 2.0 }, &mut effects);
+    alone.on(3_000 * MS, Event::Demanded { limit: VOLUME, units: 2.0 }, &mut effects);
     alone.on(3_200 * MS, Event::HeartbeatDue, &mut effects);
     alone.on(17_000 * MS, Event::HeartbeatDue, &mut effects);
-    assert!(!effects.contains(&Effect::Forget(Limit::Volume(7))));
+    assert!(!effects.contains(&Effect::Forget(VOLUME)));
     alone.on(19_000 * MS, Event::HeartbeatDue, &mut effects);
-    assert!(effects.contains(&Effect::Forget(Limit::Volume(7))));
+    assert!(effects.contains(&Effect::Forget(VOLUME)));
 }
 
 #[test]
-fn states_from_which_different_things_follow_have_different_fingerprints() {
-    let mut fronts = [front(0, 2, 1), front(1, 2, 1)];
-    for step in 1..20 {
-        round(&mut fronts, step * 200 * MS);
-    }
+fn states_that_lead_to_different_behavior_have_different_fingerprints() {
+    let mut fronts = established_pair();
     let now = 4_000 * MS;
-    let mut effects = Vec::new();
-    fronts[1].on(now, Event::HeartbeatDue, &mut effects);
-    let Some(Effect::Send { heartbeat: beat, .. }) = effects.into_iter().next() else { panic!("a beat") };
-    let print = |number: u64, units: f64| {
-        let (mut one, mut told) = (fronts[0].clone(), beat.clone());
-        told.grant.number += number;
-        one.on(
-            now,
-            Event::HeartbeatReceived { from: 1, boot: fronts[1].incarnation(), heartbeat: told },
-            &mut Vec::new(),
-        );
-        one.on(now, Event::Demanded { limit: Limit::Volume(7), units }, &mut Vec::new());
+    let heartbeat = next_heartbeat(&mut fronts[1], now);
+    let fingerprint_after = |number: u64, units: f64| {
+        let mut front = fronts[0].clone();
+        let mut heartbeat = heartbeat.clone();
+        heartbeat.grant.number += number;
+        front.on(now, received(&fronts[1], heartbeat), &mut Vec::new());
+        front.on(now, Event::Demanded { limit: VOLUME, units }, &mut Vec::new());
         let mut hasher = DefaultHasher::new();
-        one.fingerprint(now, &mut hasher);
+        front.fingerprint(now, &mut hasher);
         hasher.finish()
     };
-    assert_eq!(print(0, 2.0), print(0, 2.0));
+    assert_eq!(fingerprint_after(0, 2.0), fingerprint_after(0, 2.0));
+    assert_ne!(
+        fingerprint_after(0, 2.0),
+        fingerprint_after(1, 2.0),
+        "the number of the held grant decides whether the next grant is taken"
+    );
     assert_ne!(
-        print(0, 2.0),
-        print(1, 2.0),
-        "the next loan may be the same number as the one held, or a later"
+        fingerprint_after(0, 2.0),
+        fingerprint_after(0, 2.000_001),
+        "demands that are reported alike now drift apart later"
     );
-    assert_ne!(print(0, 2.0), print(0, 2.000_001), "demands that are told alike now drift apart");
 }
 
 #[test]
-fn a_beat_with_any_places_and_numbers_does_no_harm() {
-    let mut fronts = [front(0, 2, 1), front(1, 2, 1)];
-    for step in 1..20 {
-        round(&mut fronts, step * 200 * MS);
-    }
-    let mut effects = Vec::new();
-    fronts[1].on(4_000 * MS, Event::HeartbeatDue, &mut effects);
-    let Some(Effect::Send { heartbeat: beat, .. }) = effects.into_iter().next() else { panic!("a beat") };
-    let mut wild: Heartbeat = *beat;
-    (wild.claims, wild.votes) = (vec![0, 1, 9, u16::MAX], vec![0, 1, 9, u16::MAX]);
-    (wild.settled, wild.state.hears) = (vec![7, u16::MAX], vec![9, u16::MAX]);
+fn a_heartbeat_with_arbitrary_peers_and_numbers_does_no_harm() {
+    let mut fronts = established_pair();
+    let mut wild = next_heartbeat(&mut fronts[1], 4_000 * MS);
+    wild.claims = vec![0, 1, 9, u16::MAX];
+    wild.votes = vec![0, 1, 9, u16::MAX];
+    wild.settled = vec![7, u16::MAX];
+    wild.state.hears = vec![9, u16::MAX];
     wild.grant.number = u64::MAX;
     wild.grant.duration = Nanos::MAX;
-    wild.demands.iter_mut().for_each(|a| a.milli_units_per_second = u64::MAX);
+    wild.demands.iter_mut().for_each(|demand| demand.milli_units_per_second = u64::MAX);
     let boot = fronts[1].incarnation();
     for from in [0, 1, 2, u16::MAX] {
-        fronts[0].on(
-            4_001 * MS,
-            Event::HeartbeatReceived { from, boot, heartbeat: Box::new(wild.clone()) },
-            &mut Vec::new(),
-        );
+        let event = Event::HeartbeatReceived { from, boot, heartbeat: wild.clone() };
+        fronts[0].on(4_001 * MS, event, &mut Vec::new());
         fronts[0].on(4_200 * MS, Event::HeartbeatDue, &mut Vec::new());
     }
-    assert!(fronts[0].share(4_300 * MS, Limit::Volume(7)) <= FULL_SHARE);
+    assert!(fronts[0].share(4_300 * MS, VOLUME) <= FULL_SHARE);
 }
