--- /dev/null
+++ b/crates/outlier-detection/src/event.rs
@@ -0,0 +1,50 @@
+//! Inputs and outputs of an [`OutlierDetector`](crate::OutlierDetector).
+
+use crate::{Class, EjectionTarget, Key, SampleQuality, Server};
+
+/// An input of the detector.
+#[derive(Clone, Debug)]
+pub enum Event {
+    /// The known servers, each with whether the endpoint list has it as up.
+    Servers(Vec<(Server, bool)>),
+    /// An attempt has ended.
+    Attempt {
+        /// The server that it was sent to.
+        server: Server,
+        /// The class of work.
+        class: Class,
+        /// Its result.
+        quality: SampleQuality,
+    },
+    /// A probe of an ejected server has ended. It counts as an attempt, too.
+    Probed {
+        /// The server.
+        server: Server,
+        /// The class of work.
+        class: Class,
+        /// Its result.
+        quality: SampleQuality,
+    },
+    /// Time has passed, or gossip entries have arrived.
+    Evaluate,
+}
+
+/// An output of the detector, to be carried out by its caller.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Effect {
+    /// Publish a gossip entry of this front, or withdraw it where there is no value.
+    Put(Key, Option<Vec<u8>>),
+    /// Eject a server.
+    Ejected(EjectionTarget),
+    /// End an ejection.
+    Readmitted {
+        /// What was ejected.
+        target: EjectionTarget,
+        /// Whether enough probes in a row have succeeded.
+        healthy: bool,
+    },
+    /// It is this front's turn to probe a server, once, within [`probe_turn`](crate::DetectorConfig::probe_turn).
+    Probe(Server),
+    /// Whether this front's evidence contradicts that of most peers, so that it is ignored.
+    Suspect(bool),
+}
--- a/crates/outlier-detection/src/evidence.rs
+++ b/crates/outlier-detection/src/evidence.rs
@@ -1,132 +1,126 @@
-//! What a front saw of a server.
-
-use std::collections::BTreeMap;
+//! Evidence of one front on one server, and what it says about the server's health.
 
 use serde::{Deserialize, Serialize};
 
 use crate::mutations::{mutated, Mutation};
-use crate::{Class, DetectorConfig, Nanos, Zone};
+use crate::{Class, DetectorConfig, Zone};
 
-/// Attempts are told in tenths.
+/// Maximum number of classes of work in one [`Evidence`].
+pub(crate) const MAX_CLASSES: usize = 16;
+/// Attempts are published in tenths.
 const TENTHS: f64 = 10.0;
-/// Parts are told in thousandths.
+/// Failure rates are published in thousandths.
 const THOUSANDTHS: f64 = 1_000.0;
-/// Most classes of one evidence.
-pub(crate) const MAX_CLASSES: usize = 16;
+/// Where the failure rate of a front's median server exceeds this, the front cannot tell an outlier from the rest.
+const MAX_BASELINE: f64 = 0.4;
+/// Upper bound of the failure rate that is assumed of an outlier.
+const MAX_FAILURE_RATE: f64 = 0.95;
+/// The failure rate that is assumed of an outlier is at least this many times that of a healthy server.
+const MIN_RATE_RATIO: f64 = 2.0;
 
-/// What an attempt was worth.
+/// The result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SampleQuality {
-    /// Answered in time, by this front's own base.
+    /// It was answered in time, compared to this front's median.
     Healthy,
-    /// Slow by this front's own base, failed, or not answered.
+    /// It was slow compared to this front's median, failed, or was not answered.
     Failed,
 }
 
-/// Attempts at a server for one class of work, fading.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct DecayingCount {
-    attempts: f64,
-    failures: f64,
-    at: Nanos,
-}
-
-impl DecayingCount {
-    pub fn add(&mut self, now: Nanos, worth: SampleQuality, half_life: Nanos) {
-        *self = self.decayed(now, half_life);
-        self.attempts += 1.0;
-        self.failures += f64::from(u8::from(worth == SampleQuality::Failed));
-    }
-
-    pub fn decayed(&self, now: Nanos, half_life: Nanos) -> DecayingCount {
-        let left = 0.5f64.powf((now - self.at).max(0) as f64 / half_life as f64);
-        DecayingCount { attempts: self.attempts * left, failures: self.failures * left, at: now }
-    }
-
-    pub fn is_negligible(&self) -> bool {
-        self.attempts < 0.05
-    }
-
-    pub fn seen(&self, class: Class) -> ClassEvidence {
-        let tenths = |x: f64| (x * TENTHS).round().min(f64::from(u16::MAX)) as u16;
-        ClassEvidence { class, attempts: tenths(self.attempts), failures: tenths(self.failures) }
-    }
-}
-
-/// Attempts for one class of work, in tenths.
+/// A front's attempts at one server for one class of work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClassEvidence {
-    /// The class.
+    /// The class of work.
     pub class: Class,
-    /// All.
+    /// All attempts, with exponential decay, in tenths.
     pub attempts: u16,
-    /// Of these, bad.
+    /// The failed ones among these, in tenths.
     pub failures: u16,
 }
 
-/// What a front saw of a server, as it tells the others.
+/// A front's evidence on one server, as it is published.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
     /// The front's zone.
     pub zone: Zone,
-    /// Thousandths of bad attempts at the front's median server.
+    /// Failure rate of the front's median server, in thousandths.
     pub baseline: u16,
-    /// By class of work.
+    /// The attempts, by class of work.
     pub classes: Vec<ClassEvidence>,
 }
 
-/// Where more than this part is bad at a front's median server, it cannot tell a bad server from the rest.
-const MAX_BASELINE: f64 = 0.4;
-/// No part is taken for more.
-const MAX_FAILURE_RATE: f64 = 0.95;
-
-/// What evidence says, of one front or of several added up.
+/// What a front's evidence says about a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct EvidenceSummary {
+    /// All attempts.
     pub attempts: f64,
+    /// The failed ones among these.
     pub failures: f64,
-    /// How much more likely it is for a bad server than for a good one, as a logarithm.
+    /// Natural logarithm of how much more likely the evidence is for an outlier than for a healthy server.
     pub log_likelihood_ratio: f64,
 }
 
+/// The failure rates that evidence is tested against.
+struct FailureRates {
+    healthy: f64,
+    outlier: f64,
+}
+
+impl FailureRates {
+    /// Both rates rise with the failure rate of the front's median server.
+    fn new(baseline: f64, config: &DetectorConfig) -> FailureRates {
+        let scaled_baseline = if mutated(Mutation::NoBase) { 0.0 } else { config.baseline_factor * baseline };
+        let healthy = config.healthy_failure_rate.max(scaled_baseline);
+        let outlier = config.outlier_failure_rate.max(MIN_RATE_RATIO * healthy).min(MAX_FAILURE_RATE);
+        FailureRates { healthy, outlier }
+    }
+
+    fn log_likelihood_ratio(&self, attempts: f64, failures: f64) -> f64 {
+        let of_failure = (self.outlier / self.healthy).ln();
+        let of_success = ((1.0 - self.outlier) / (1.0 - self.healthy)).ln();
+        failures * of_failure + (attempts - failures) * of_success
+    }
+}
+
 impl EvidenceSummary {
-    /// Of a front's evidence, what counts for a class or for all.
-    pub fn of(evidence: &Evidence, class: Option<Class>, terms: &DetectorConfig) -> EvidenceSummary {
-        let seen = evidence.classes.iter().take(MAX_CLASSES).filter(|s| class.is_none_or(|c| c == s.class));
-        let (mut attempts, mut bad) = (0.0, 0.0);
-        for one in seen {
-            attempts += f64::from(one.attempts) / TENTHS;
-            bad += f64::from(one.failures.min(one.attempts)) / TENTHS;
+    /// Summarizes a front's evidence for one class of work, or for all of them.
+    pub fn of(evidence: &Evidence, class: Option<Class>, config: &DetectorConfig) -> EvidenceSummary {
+        let listed = evidence.classes.iter().take(MAX_CLASSES);
+        let mut attempts = 0.0;
+        let mut failures = 0.0;
+        for counted in listed.filter(|listed| class.is_none_or(|class| class == listed.class)) {
+            attempts += f64::from(counted.attempts) / TENTHS;
+            failures += f64::from(counted.failures.min(counted.attempts)) / TENTHS;
         }
-        let base = f64::from(evidence.baseline) / THOUSANDTHS;
-        if attempts <= 0.0 || (base > MAX_BASELINE && !mutated(Mutation::NoBase)) {
-            return EvidenceSummary { attempts, failures: bad, log_likelihood_ratio: 0.0 };
+        let baseline = f64::from(evidence.baseline) / THOUSANDTHS;
+        let is_inconclusive = baseline > MAX_BASELINE && !mutated(Mutation::NoBase);
+        if attempts <= 0.0 || is_inconclusive {
+            return EvidenceSummary { attempts, failures, log_likelihood_ratio: 0.0 };
         }
-        // No front's word weighs more for having tried more often than any other would have.
+        // A front with many attempts must not outweigh all the others.
         let weight =
-            if mutated(Mutation::SamplesUncapped) { 1.0 } else { (terms.max_weight / attempts).min(1.0) };
-        let well = if mutated(Mutation::NoBase) { 0.0 } else { terms.baseline_factor * base };
-        let well = terms.healthy_failure_rate.max(well);
-        let ill = terms.outlier_failure_rate.max(2.0 * well).min(MAX_FAILURE_RATE);
-        let proof = bad * (ill / well).ln() + (attempts - bad) * ((1.0 - ill) / (1.0 - well)).ln();
-        EvidenceSummary { attempts, failures: bad, log_likelihood_ratio: proof * weight }
+            if mutated(Mutation::SamplesUncapped) { 1.0 } else { (config.max_weight / attempts).min(1.0) };
+        let ratio = FailureRates::new(baseline, config).log_likelihood_ratio(attempts, failures);
+        EvidenceSummary { attempts, failures, log_likelihood_ratio: ratio * weight }
     }
 }
 
-/// Thousandths of bad attempts at the median of a front's servers, the upper of two.
-pub(crate) fn baseline(parts: &mut [f64]) -> u16 {
-    parts.sort_by(f64::total_cmp);
-    parts.get(parts.len() / 2).map_or(u16::MAX, |part| (part * THOUSANDTHS).round() as u16)
+/// A number of attempts in tenths, as it is published.
+pub(crate) fn to_tenths(attempts: f64) -> u16 {
+    (attempts * TENTHS).round().min(f64::from(u16::MAX)) as u16
+}
+
+/// A front's failure rate over all classes of work; NaN without attempts.
+pub(crate) fn failure_rate(classes: &[ClassEvidence]) -> f64 {
+    let failures: f64 = classes.iter().map(|class| f64::from(class.failures)).sum();
+    let attempts: f64 = classes.iter().map(|class| f64::from(class.attempts)).sum();
+    failures / attempts
 }
 
-/// Adds the counts of a server up, by class.
-pub(crate) fn class_evidence(
-    counts: &BTreeMap<(u64, Class), DecayingCount>,
-    server: u64,
-    now: Nanos,
-    half_life: Nanos,
-) -> Vec<ClassEvidence> {
-    let of = counts.range((server, 0)..=(server, Class::MAX));
-    let all = of.map(|((_, class), count)| count.decayed(now, half_life).seen(*class));
-    all.filter(|s| s.attempts > 0).take(MAX_CLASSES).collect()
+/// The median of a front's failure rates, the upper one of two, in thousandths. The largest number without any, since
+/// nothing can be compared then.
+pub(crate) fn baseline(mut failure_rates: Vec<f64>) -> u16 {
+    failure_rates.sort_by(f64::total_cmp);
+    let median = failure_rates.get(failure_rates.len() / 2);
+    median.map_or(u16::MAX, |rate| (rate * THOUSANDTHS).round() as u16)
 }
--- /dev/null
+++ b/crates/outlier-detection/src/gossip.rs
@@ -0,0 +1,75 @@
+//! The gossip entries of outlier detection: their kinds, keys and values.
+//!
+//! Kinds and values are the wire format: fronts of two versions run side by side during an upgrade.
+
+use serde::de::DeserializeOwned;
+use serde::{Deserialize, Serialize};
+use tulipbridge_membership::Key;
+
+use crate::{EjectionTarget, Server, Zone};
+
+/// Kind of the entries with a front's [`Evidence`](crate::Evidence) on a server; the id is the server.
+pub const EVIDENCE: u8 = 2;
+/// Kind of the entries with a front's vote for an ejection; the id is [`EjectionTarget::id`].
+pub const VOTE: u8 = 3;
+/// Kind of the entries with the probes of a server that succeeded in a row; the id is the server.
+pub const PROBE: u8 = 4;
+
+/// Key of the evidence on a server.
+pub(crate) fn evidence_key(server: Server) -> Key {
+    Key { kind: EVIDENCE, id: server }
+}
+
+/// Key of a vote for an ejection.
+pub(crate) fn vote_key(target: EjectionTarget) -> Key {
+    Key { kind: VOTE, id: target.id() }
+}
+
+/// Key of the probe results of a server.
+pub(crate) fn probe_key(server: Server) -> Key {
+    Key { kind: PROBE, id: server }
+}
+
+/// Value of a vote.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) struct VoteEntry {
+    /// What the voter wants to be ejected.
+    pub target: EjectionTarget,
+    /// The voter's zone.
+    pub zone: Zone,
+}
+
+/// Value of probe results.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct ProbeEntry {
+    /// Probes that have succeeded in a row.
+    pub successes: u8,
+}
+
+impl ProbeEntry {
+    /// The value of the entry, one byte.
+    pub fn encode(self) -> Vec<u8> {
+        vec![self.successes]
+    }
+
+    /// Reads a value; `None` where it is malformed.
+    pub fn decode(value: &[u8]) -> Option<ProbeEntry> {
+        match value {
+            [successes] => Some(ProbeEntry { successes: *successes }),
+            _ => None,
+        }
+    }
+}
+
+/// Encodes the value of an evidence or vote entry; `None` where that fails.
+pub(crate) fn encode<T: Serialize>(value: &T) -> Option<Vec<u8>> {
+    postcard::to_stdvec(value).ok()
+}
+
+/// Decodes the value of an evidence or vote entry; `None` where it is malformed or has further bytes.
+pub(crate) fn decode<T: DeserializeOwned>(value: &[u8]) -> Option<T> {
+    match postcard::take_from_bytes(value) {
+        Ok((decoded, [])) => Some(decoded),
+        _ => None,
+    }
+}
--- a/crates/outlier-detection/src/mutations.rs
+++ b/crates/outlier-detection/src/mutations.rs
@@ -1,40 +1,40 @@
-//! Bugs that are seeded on purpose, to see whether the simulation and the checker find them. In every build without
-//! the feature `seeded`, [`seeded`] is the constant `false` and none of them is compiled in.
+//! Mutations of the detector for mutation testing: each one breaks a rule of the protocol, and the simulation must
+//! notice it. Without the feature `mutations`, [`mutated`] is the constant `false`, so that none of them is compiled in.
 
-/// One alteration of the machine's own code path.
+/// A deliberate fault in the detector. The variants' names are printed by the tools that run them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mutation {
-    /// One witness is enough.
+    /// One witness suffices.
     OneWitness,
-    /// The evidence of a front that contradicts all others counts.
+    /// The evidence of a suspect front counts.
     SuspectCounts,
-    /// Half of the roster is enough to hold a server out.
+    /// Half of the fronts suffice to eject a server.
     HalfIsEnough,
-    /// An assent that is taken back is forgotten at once.
+    /// A withdrawn vote no longer counts for the bound on votes, though it may still count at peers.
     AssentForgotten,
     /// Evidence counts whatever its age.
     OldEvidence,
-    /// Assents count whatever their age.
+    /// Votes count whatever their age.
     OldAssents,
-    /// What is bad is not held against what is bad at the other servers.
+    /// The failure rate of the median server is ignored.
     NoBase,
-    /// Who has tried a thousand times outweighs all others.
+    /// The weight of a front grows with its attempts without bound.
     SamplesUncapped,
-    /// What others saw is not waited for.
+    /// A front votes without waiting for its peers' evidence.
     NoWait,
-    /// A server that one zone cannot reach is held out for all.
+    /// A server that one zone alone cannot reach is ejected for all fronts.
     ZoneIsAll,
-    /// A verdict never lapses.
+    /// A vote is never withdrawn.
     NeverLapses,
-    /// All fronts try a server that is held out.
+    /// All fronts probe an ejected server at the same time.
     AllTry,
-    /// What was seen of a server before it did well in trials counts on.
+    /// Evidence from before a server recovered still counts.
     OldSins,
-    /// One front's evidence may make a whole verdict.
+    /// One front's evidence may reach the ejection threshold by itself.
     OneMakesAll,
 }
 
-/// All of them.
+/// All mutations.
 pub const ALL: [Mutation; 14] = [
     Mutation::OneWitness,
     Mutation::SuspectCounts,
