--- a/crates/outlier-detection/tests/detector.rs
+++ b/crates/outlier-detection/tests/detector.rs
@@ -1,195 +1,214 @@
-//! What one front makes of what it saw and what others told.
+//! Behavior of a small fleet of detectors that gossip with each other, step by step. Arbitrary orders of faults are
+//! covered by the simulation.
 
-use tulipbridge_membership::{GossipInput, GossipStore, MembershipTable};
+use tulipbridge_membership::{GossipAction, GossipInput, GossipStore, MembershipTable};
 use tulipbridge_outlier_detection::*;
 
 const MS: Nanos = 1_000_000;
-const SPAN: Nanos = 2_000 * MS;
+const FAILURE_TIMEOUT: Nanos = 2_000 * MS;
+const ROUND_INTERVAL: Nanos = 200 * MS;
+const SERVERS: Server = 6;
+const CLASSES: [Class; 2] = [0, 1];
+/// The server that fails in most tests, for all work.
+const OUTLIER: EjectionTarget = EjectionTarget { server: 3, scope: Scope::All };
 
 struct Front {
-    contacts: MembershipTable,
+    me: PeerId,
+    incarnation: Incarnation,
+    members: MembershipTable,
     entries: GossipStore,
-    verdicts: OutlierDetector,
-    out: Vec<EjectionTarget>,
-    tries: usize,
+    detector: OutlierDetector,
+    ejected: Vec<EjectionTarget>,
+    probes: usize,
 }
 
-/// So many fronts in zones that take turns, with six servers.
-fn fleet(fronts: PeerId, zones: Zone) -> Vec<Front> {
-    let front = |me: PeerId| {
-        let boot = 100 + u64::from(me);
-        let entries = GossipStore::new(me, fronts, boot, 100_000, 0);
-        let terms = DetectorConfig::new(me, fronts, (me % PeerId::from(zones)) as Zone);
-        let mut verdicts = OutlierDetector::new(terms).expect("terms hold");
-        let servers = (0..6).map(|s| (s, true)).collect();
-        verdicts.on(0, &entries, Event::Servers(servers), &mut Vec::new());
-        Front {
-            contacts: MembershipTable::new(me, fronts, boot, SPAN),
-            entries,
-            verdicts,
-            out: Vec::new(),
-            tries: 0,
+impl Front {
+    fn new(me: PeerId, fronts: PeerId, zone: Zone) -> Front {
+        let incarnation = 100 + u64::from(me);
+        let entries = GossipStore::new(me, fronts, incarnation, 100_000, 0);
+        let config = DetectorConfig::new(me, fronts, zone);
+        let mut detector = OutlierDetector::new(config).expect("the configuration is valid");
+        let servers = (0..SERVERS).map(|server| (server, true)).collect();
+        detector.on(0, &entries, Event::Servers(servers), &mut Vec::new());
+        let members = MembershipTable::new(me, fronts, incarnation, FAILURE_TIMEOUT);
+        Front { me, incarnation, members, entries, detector, ejected: Vec::new(), probes: 0 }
+    }
+
+    /// Handles an event and its effects. `probe` gives the result of a probe of a server.
+    fn handle(&mut self, now: Nanos, event: Event, probe: &dyn Fn(Server) -> SampleQuality) {
+        let mut effects = Vec::new();
+        self.detector.on(now, &self.entries, event, &mut effects);
+        for effect in effects {
+            match effect {
+                Effect::Put(key, value) => {
+                    let put = GossipInput::Put(key, value);
+                    self.entries.on(now, &self.members, put, &mut Vec::new()).expect("the entry fits");
+                }
+                Effect::Ejected(target) => self.ejected.push(target),
+                Effect::Readmitted { target, .. } => self.ejected.retain(|ejected| *ejected != target),
+                Effect::Probe(server) => {
+                    self.probes += 1;
+                    let probed = Event::Probed { server, class: 0, quality: probe(server) };
+                    self.handle(now, probed, probe);
+                }
+                Effect::Suspect(_) => {}
+            }
+        }
+    }
+
+    /// One attempt of each class at each server that is not ejected, and an evaluation.
+    fn attempt_and_evaluate(&mut self, now: Nanos, quality: &dyn Fn(Server, Class) -> SampleQuality) {
+        let probe = |server| quality(server, 0);
+        for server in 0..SERVERS {
+            let is_ejected = self.ejected.iter().any(|target| target.server == server);
+            for class in CLASSES.into_iter().filter(|_| !is_ejected) {
+                let quality = quality(server, class);
+                self.handle(now, Event::Attempt { server, class, quality }, &probe);
+            }
         }
-    };
-    (0..fronts).map(front).collect()
+        self.members.begin_round(now);
+        self.handle(now, Event::Evaluate, &probe);
+    }
+}
+
+/// Fronts in zones that alternate.
+fn fleet(fronts: PeerId, zones: Zone) -> Vec<Front> {
+    (0..fronts).map(|me| Front::new(me, fronts, (me % PeerId::from(zones)) as Zone)).collect()
 }
 
-/// Rounds of all fronts over a time, each after ten attempts a front at each server it does not hold out; `bad` says
-/// what comes of them.
+/// Rounds of all fronts from one time to another. `is_linked(to, from)` says which messages arrive, and
+/// `fails(front, server, class)` which attempts fail.
 fn rounds(
     fleet: &mut [Front],
     from: Nanos,
     to: Nanos,
-    hears: impl Fn(usize, usize) -> bool,
-    bad: impl Fn(usize, Server, Class) -> bool,
+    is_linked: impl Fn(usize, usize) -> bool,
+    fails: impl Fn(usize, Server, Class) -> bool,
 ) {
-    for now in (from..to).step_by(200 * MS as usize) {
-        for at in 0..fleet.len() {
-            for server in 0..6 {
-                let out = fleet[at].out.iter().any(|s| s.server == server);
-                for class in [0, 1].into_iter().filter(|_| !out) {
-                    let worth =
-                        if bad(at, server, class) { SampleQuality::Failed } else { SampleQuality::Healthy };
-                    feed(&mut fleet[at], now, Event::Attempt { server, class, quality: worth }, &|_| worth);
-                }
-            }
-            fleet[at].contacts.begin_round(now);
-            feed(&mut fleet[at], now, Event::Evaluate, &|s| {
-                if bad(at, s, 0) {
+    for now in (from..to).step_by(ROUND_INTERVAL as usize) {
+        for sender in 0..fleet.len() {
+            let quality = |server, class| {
+                if fails(sender, server, class) {
                     SampleQuality::Failed
                 } else {
                     SampleQuality::Healthy
                 }
-            });
-            let mut acts = Vec::new();
-            let one = &mut fleet[at];
-            one.entries.on(now, &one.contacts, GossipInput::Round, &mut acts).expect("a round puts nothing");
-            let hellos: Vec<_> =
-                one.contacts.others().map(|to| (to, one.contacts.state_for(now, to))).collect();
-            for (to, hello) in hellos {
-                if hears(usize::from(to), at) {
-                    fleet[usize::from(to)].contacts.receive(now, at as PeerId, 100 + at as u64, &hello);
-                }
-            }
-            for act in acts {
-                let tulipbridge_membership::GossipAction::Send { to, message: exchange } = act else {
-                    continue;
-                };
-                if !hears(usize::from(to), at) {
-                    continue;
-                }
-                let told = GossipInput::Received {
-                    from: at as PeerId,
-                    incarnation: 100 + at as u64,
-                    message: exchange,
-                };
-                let other = &mut fleet[usize::from(to)];
-                other.entries.on(now, &other.contacts, told, &mut Vec::new()).expect("it only hears");
-            }
+            };
+            fleet[sender].attempt_and_evaluate(now, &quality);
+            send_messages(fleet, now, sender, &is_linked);
         }
     }
 }
 
-fn feed(front: &mut Front, now: Nanos, event: Event, tried: &dyn Fn(Server) -> SampleQuality) {
-    let mut effects = Vec::new();
-    front.verdicts.on(now, &front.entries, event, &mut effects);
-    for effect in effects {
-        match effect {
-            Effect::Put(key, value) => {
-                let told = GossipInput::Put(key, value);
-                front.entries.on(now, &front.contacts, told, &mut Vec::new()).expect("it fits");
-            }
-            Effect::Ejected(subject) => front.out.push(subject),
-            Effect::Readmitted { target: subject, .. } => front.out.retain(|s| *s != subject),
-            Effect::Probe(server) => {
-                front.tries += 1;
-                let worth = tried(server);
-                feed(front, now, Event::Probed { server, class: 0, quality: worth }, &|_| worth);
-            }
-            Effect::Suspect(_) => {}
+/// Sends a front's heartbeats and gossip to the peers that it is linked to.
+fn send_messages(fleet: &mut [Front], now: Nanos, sender: usize, is_linked: &dyn Fn(usize, usize) -> bool) {
+    let Front { me, incarnation, .. } = fleet[sender];
+    let front = &mut fleet[sender];
+    let mut actions = Vec::new();
+    front.entries.on(now, &front.members, GossipInput::Round, &mut actions).expect("a round puts nothing");
+    let states: Vec<_> = front.members.others().map(|to| (to, front.members.state_for(now, to))).collect();
+    for (to, state) in states {
+        if is_linked(usize::from(to), sender) {
+            fleet[usize::from(to)].members.receive(now, me, incarnation, &state);
+        }
+    }
+    for action in actions {
+        let GossipAction::Send { to, message } = action else { continue };
+        if is_linked(usize::from(to), sender) {
+            let received = GossipInput::Received { from: me, incarnation, message };
+            let receiver = &mut fleet[usize::from(to)];
+            receiver.entries.on(now, &receiver.members, received, &mut Vec::new()).expect("it puts nothing");
         }
     }
 }
 
-const ALL: EjectionTarget = EjectionTarget { server: 3, scope: Scope::All };
+fn all_linked(_: usize, _: usize) -> bool {
+    true
+}
+
+fn no_failures(_: usize, _: Server, _: Class) -> bool {
+    false
+}
 
 #[test]
-fn a_bad_server_is_held_out_by_all_tried_by_one_and_comes_back() {
+fn an_outlier_is_ejected_by_all_probed_by_one_and_readmitted() {
     let mut fronts = fleet(4, 2);
-    rounds(&mut fronts, 0, 2_000 * MS, |_, _| true, |_, _, _| false);
-    rounds(&mut fronts, 2_000 * MS, 6_000 * MS, |_, _| true, |_, server, _| server == 3);
-    assert!(fronts.iter().all(|f| f.out == [ALL]));
-    let tries: usize = fronts.iter().map(|f| f.tries).sum();
-    assert!((3..=9).contains(&tries), "one front at a time, each half second: {tries}");
-    rounds(&mut fronts, 6_000 * MS, 16_000 * MS, |_, _| true, |_, _, _| false);
-    assert!(fronts.iter().all(|f| f.out.is_empty()), "it does well");
-    rounds(&mut fronts, 16_000 * MS, 20_000 * MS, |_, _| true, |_, _, _| false);
-    assert!(fronts.iter().all(|f| f.out.is_empty()), "and what was seen before says nothing");
+    rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
+    rounds(&mut fronts, 2_000 * MS, 6_000 * MS, all_linked, |_, server, _| server == OUTLIER.server);
+    assert!(fronts.iter().all(|front| front.ejected == [OUTLIER]));
+    let probes: usize = fronts.iter().map(|front| front.probes).sum();
+    assert!((3..=9).contains(&probes), "one front at a time, every half second: {probes}");
+    rounds(&mut fronts, 6_000 * MS, 16_000 * MS, all_linked, no_failures);
+    assert!(fronts.iter().all(|front| front.ejected.is_empty()), "it has recovered");
+    rounds(&mut fronts, 16_000 * MS, 20_000 * MS, all_linked, no_failures);
+    assert!(fronts.iter().all(|front| front.ejected.is_empty()), "earlier evidence is ignored");
 }
 
 #[test]
-fn a_server_that_one_zone_cannot_reach_is_held_out_there_alone() {
+fn a_server_that_one_zone_cannot_reach_is_ejected_in_that_zone_alone() {
     let mut fronts = fleet(6, 2);
-    rounds(&mut fronts, 0, 1_000 * MS, |_, _| true, |_, _, _| false);
-    rounds(&mut fronts, 1_000 * MS, 6_000 * MS, |_, _| true, |at, server, _| server == 3 && at % 2 == 1);
-    let zone = EjectionTarget { server: 3, scope: Scope::Zone(1) };
-    for (at, front) in fronts.iter().enumerate() {
-        assert_eq!(front.out, if at % 2 == 1 { vec![zone] } else { Vec::new() }, "front {at}");
+    let is_unreachable = |front: usize, server, _| server == OUTLIER.server && front % 2 == 1;
+    rounds(&mut fronts, 0, 1_000 * MS, all_linked, no_failures);
+    rounds(&mut fronts, 1_000 * MS, 6_000 * MS, all_linked, is_unreachable);
+    let in_zone = EjectionTarget { scope: Scope::Zone(1), ..OUTLIER };
+    for (me, front) in fronts.iter().enumerate() {
+        assert_eq!(front.ejected, if me % 2 == 1 { vec![in_zone] } else { Vec::new() }, "front {me}");
     }
 }
 
 #[test]
-fn a_server_bad_for_one_class_of_work_is_held_out_for_that() {
+fn a_server_that_fails_for_one_class_of_work_is_ejected_for_that_class() {
     let mut fronts = fleet(4, 1);
-    rounds(&mut fronts, 0, 2_000 * MS, |_, _| true, |_, _, _| false);
-    rounds(&mut fronts, 2_000 * MS, 6_000 * MS, |_, _| true, |_, server, class| server == 3 && class == 1);
-    let class = EjectionTarget { server: 3, scope: Scope::Class(1) };
-    assert!(fronts.iter().all(|f| f.out == [class]), "{:?}", fronts[0].out);
+    let fails = |_, server, class| server == OUTLIER.server && class == 1;
+    rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
+    rounds(&mut fronts, 2_000 * MS, 6_000 * MS, all_linked, fails);
+    let for_class = EjectionTarget { scope: Scope::Class(1), ..OUTLIER };
+    assert!(fronts.iter().all(|front| front.ejected == [for_class]), "{:?}", fronts[0].ejected);
 }
 
 #[test]
-fn a_front_that_finds_all_bad_condemns_nobody_and_is_told() {
+fn a_front_for_which_all_servers_fail_ejects_none_and_is_suspect() {
     let mut fronts = fleet(4, 2);
-    rounds(&mut fronts, 0, 2_000 * MS, |_, _| true, |_, _, _| false);
-    rounds(&mut fronts, 2_000 * MS, 8_000 * MS, |_, _| true, |at, _, _| at == 2);
-    assert!(fronts.iter().all(|f| f.out.is_empty()));
-    // One that finds one server in three bad has a base by which it could be a witness.
+    rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
+    rounds(&mut fronts, 2_000 * MS, 8_000 * MS, all_linked, |front, _, _| front == 2);
+    assert!(fronts.iter().all(|front| front.ejected.is_empty()));
+    // Where one server in three fails, the front has a baseline by which it could be a witness.
     let mut fronts = fleet(4, 2);
-    rounds(&mut fronts, 0, 2_000 * MS, |_, _| true, |_, _, _| false);
-    rounds(&mut fronts, 2_000 * MS, 8_000 * MS, |_, _| true, |at, server, _| at == 2 && server % 3 == 0);
-    assert!(fronts.iter().all(|f| f.out.is_empty()));
-    assert!(fronts[2].verdicts.is_suspect() && !fronts[1].verdicts.is_suspect());
+    rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
+    rounds(&mut fronts, 2_000 * MS, 8_000 * MS, all_linked, |front, server, _| front == 2 && server % 3 == 0);
+    assert!(fronts.iter().all(|front| front.ejected.is_empty()));
+    assert!(fronts[2].detector.is_suspect() && !fronts[1].detector.is_suspect());
 }
 
 #[test]
-fn half_of_all_servers_slow_from_load_are_no_reason_for_a_verdict() {
+fn nothing_is_ejected_where_half_of_all_servers_are_slow_under_load() {
     let mut fronts = fleet(4, 2);
-    rounds(&mut fronts, 0, 2_000 * MS, |_, _| true, |_, _, _| false);
-    rounds(&mut fronts, 2_000 * MS, 10_000 * MS, |_, _| true, |_, server, _| server % 2 == 0);
-    assert!(fronts.iter().all(|f| f.out.is_empty()), "{:?}", fronts[0].out);
+    rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
+    rounds(&mut fronts, 2_000 * MS, 10_000 * MS, all_linked, |_, server, _| server % 2 == 0);
+    assert!(fronts.iter().all(|front| front.ejected.is_empty()), "{:?}", fronts[0].ejected);
 }
 
 #[test]
-fn half_of_the_roster_holds_nothing_out_and_what_was_lapses() {
+fn half_of_the_fronts_eject_nothing_and_an_ejection_ends_without_a_quorum() {
     let mut fronts = fleet(4, 1);
-    let side = |a: usize, b: usize| (a < 2) == (b < 2);
-    rounds(&mut fronts, 0, 2_000 * MS, |_, _| true, |_, _, _| false);
-    rounds(&mut fronts, 2_000 * MS, 8_000 * MS, side, |_, server, _| server == 3);
-    assert!(fronts.iter().all(|f| f.out.is_empty()), "two of four");
-    rounds(&mut fronts, 8_000 * MS, 12_000 * MS, |_, _| true, |_, server, _| server == 3);
-    assert!(fronts
-        .iter()
-        .all(|f| f.out == [ALL] || f.out == [EjectionTarget { scope: Scope::Zone(0), ..ALL }]));
-    rounds(&mut fronts, 12_000 * MS, 17_000 * MS, side, |_, server, _| server == 3);
-    assert!(fronts.iter().all(|f| f.out.is_empty()), "no older than an assent's life");
+    let same_half = |a: usize, b: usize| (a < 2) == (b < 2);
+    let fails = |_, server, _| server == OUTLIER.server;
+    rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
+    rounds(&mut fronts, 2_000 * MS, 8_000 * MS, same_half, fails);
+    assert!(fronts.iter().all(|front| front.ejected.is_empty()), "two of four");
+    rounds(&mut fronts, 8_000 * MS, 12_000 * MS, all_linked, fails);
+    let in_zone = EjectionTarget { scope: Scope::Zone(0), ..OUTLIER };
+    assert!(fronts.iter().all(|front| front.ejected == [OUTLIER] || front.ejected == [in_zone]));
+    rounds(&mut fronts, 12_000 * MS, 17_000 * MS, same_half, fails);
+    assert!(fronts.iter().all(|front| front.ejected.is_empty()), "the votes have expired");
 }
 
 #[test]
-fn no_more_than_the_stated_part_goes() {
+fn no_more_than_the_maximum_fraction_is_ejected() {
     let mut fronts = fleet(4, 1);
-    rounds(&mut fronts, 0, 2_000 * MS, |_, _| true, |_, _, _| false);
-    rounds(&mut fronts, 2_000 * MS, 12_000 * MS, |_, _| true, |_, server, _| server == 2 || server == 3);
+    rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
+    rounds(&mut fronts, 2_000 * MS, 12_000 * MS, all_linked, |_, server, _| server == 2 || server == 3);
     for front in &fronts {
-        assert_eq!(front.out.len(), 1, "half of a half of six: {:?}", front.out);
+        assert_eq!(front.ejected.len(), 1, "half of a half of six: {:?}", front.ejected);
     }
 }
--- a/crates/outlier-detection/tests/golden.rs
+++ b/crates/outlier-detection/tests/golden.rs
@@ -1,11 +1,11 @@
-//! Golden bytes of the entries by which fronts reach verdicts on servers.
+//! Golden bytes of the gossip entries of outlier detection.
 //!
 //! Fronts of two versions run side by side during an upgrade, so the bytes are a contract: names of types and fields
-//! may change, their order, their widths and the numbers of enum variants may not. The expected bytes were worked out
-//! from the postcard format by an encoder of its own, not copied from a run.
+//! may change, their order, their widths and the numbers of enum variants may not. The expected bytes were
+//! derived from the postcard format by an independent encoder, not copied from a run.
 //!
-//! What a front puts is also taken from a running [`Verdicts`], so that the values which it encodes in place (an assent
-//! is a subject and a zone, a trial is one byte) are pinned as it encodes them.
+//! What a front publishes is also taken from a running [`OutlierDetector`], so that the values of votes (a target and a
+//! zone) and of probe results (one byte) are pinned as it encodes them.
 
 use std::fmt::Debug;
 
@@ -17,12 +17,12 @@
 const MS: Nanos = 1_000_000;
 const SERVER: Server = 0x1122_3344_5566_7788;
 
-/// Two lower-case digits for each byte.
+/// Lower-case hexadecimal digits of some bytes.
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Checks that a value has exactly these bytes, and that they are read back as an equal value.
+/// Checks that a value has exactly these bytes, and that decoding them gives an equal value.
 fn assert_golden<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, expected: &str) {
     let bytes = postcard::to_stdvec(value).expect("the value can be encoded");
     assert_eq!(hex(&bytes), expected);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn kinds_of_entries() {
+fn entry_kinds() {
     assert_eq!((EVIDENCE, VOTE, PROBE), (2, 3, 4));
 }
 
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn subject() {
+fn ejection_target() {
     assert_golden(
         &EjectionTarget { server: SERVER, scope: Scope::Class(201) },
         concat!(
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn subject_ids_are_keys_of_assents() {
+fn target_ids_in_the_keys_of_votes() {
     let id = |scope| EjectionTarget { server: SERVER, scope }.id();
     assert_eq!(id(Scope::All), 0x7709_291b_83f6_32e2);
     assert_eq!(id(Scope::Zone(200)), 0x3af1_14a4_1730_e1a7);
@@ -71,110 +71,117 @@
 }
 
 #[test]
-fn seen() {
+fn class_evidence() {
     assert_golden(
         &ClassEvidence { class: 202, attempts: 301, failures: 130 },
         concat!(
             "ca",   // class, in one byte
             "ad02", // attempts
-            "8201", // bad
+            "8201", // failures
         ),
     );
 }
 
 #[test]
 fn evidence() {
-    let seen = vec![
+    let classes = vec![
         ClassEvidence { class: 202, attempts: 301, failures: 130 },
         ClassEvidence { class: 3, attempts: 5, failures: 4 },
     ];
     assert_golden(
-        &Evidence { zone: 201, baseline: 400, classes: seen },
+        &Evidence { zone: 201, baseline: 400, classes },
         concat!(
             "c9",         // zone, in one byte
-            "9003",       // base
-            "02",         // seen: length
-            "caad028201", // seen: class in one byte, attempts, bad
-            "030504",     // seen: class in one byte, attempts, bad
+            "9003",       // baseline
+            "02",         // classes: length
+            "caad028201", // classes: class in one byte, attempts, failures
+            "030504",     // classes: class in one byte, attempts, failures
         ),
     );
 }
 
-/// The front whose puts are looked at: its place, boot and zone.
+/// The front whose entries are tested.
 const FRONT: PeerId = 0;
-const BOOT: Incarnation = 100;
+const INCARNATION: Incarnation = 100;
 const ZONE: Zone = 200;
-/// A front of another zone that saw the same, and told it: both assent for all work.
+/// A front of another zone with the same evidence, so that both vote to eject the server for all work.
 const PEER: PeerId = 1;
-const PEER_BOOT: Incarnation = 101;
+const PEER_INCARNATION: Incarnation = 101;
 const PEER_ZONE: Zone = 7;
-/// The class of work that all attempts are of.
+/// The class of work of all attempts.
 const CLASS: Class = 201;
-/// Other servers than the one that does badly.
-const GOOD_SERVERS: std::ops::Range<Server> = 10..15;
+/// The servers that are no outliers.
+const HEALTHY_SERVERS: std::ops::Range<Server> = 10..15;
 
-/// Contacts of the front, to which the peer is alive.
-fn contacts(now: Nanos) -> MembershipTable {
-    let mut contacts = MembershipTable::new(FRONT, 2, BOOT, 2_000 * MS);
-    let mut peer = MembershipTable::new(PEER, 2, PEER_BOOT, 2_000 * MS);
+/// The membership of the front, to which the peer is alive.
+fn membership(now: Nanos) -> MembershipTable {
+    let mut members = MembershipTable::new(FRONT, 2, INCARNATION, 2_000 * MS);
+    let mut peer = MembershipTable::new(PEER, 2, PEER_INCARNATION, 2_000 * MS);
     for step in 0..4 {
         let at = now + step;
-        peer.receive(at, FRONT, BOOT, &contacts.state_for(at, PEER));
-        contacts.receive(at, PEER, PEER_BOOT, &peer.state_for(at, FRONT));
+        peer.receive(at, FRONT, INCARNATION, &members.state_for(at, PEER));
+        members.receive(at, PEER, PEER_INCARNATION, &peer.state_for(at, FRONT));
     }
-    contacts
+    members
 }
 
-/// Entries of the front, to which the peer has told this evidence.
+/// The entries of the front, which has received this evidence from the peer.
 fn entries_with(now: Nanos, evidence: &Evidence) -> GossipStore {
     let value = postcard::to_stdvec(evidence).expect("the evidence can be encoded");
     let key = Key { kind: EVIDENCE, id: SERVER };
-    let item = GossipEntry { key, version: 1, age_ms: 0, value: Some(value) };
-    let delta = Delta { origin: PEER, incarnation: PEER_BOOT, after: 0, to: 1, entries: vec![item] };
-    let exchange = GossipMessage {
-        echo: Some((BOOT, now)),
+    let entry = GossipEntry { key, version: 1, age_ms: 0, value: Some(value) };
+    let delta = Delta { origin: PEER, incarnation: PEER_INCARNATION, after: 0, to: 1, entries: vec![entry] };
+    let message = GossipMessage {
+        echo: Some((INCARNATION, now)),
         knows: Vec::new(),
         requests_missing: false,
         deltas: vec![delta],
     };
-    let mut entries = GossipStore::new(FRONT, 2, BOOT, 100_000, now);
-    let contacts = contacts(now);
-    // The first round takes the peer's boot as the one whose entries count.
-    entries.on(now, &contacts, GossipInput::Round, &mut Vec::new()).expect("a round puts nothing");
-    let heard = GossipInput::Received { from: PEER, incarnation: PEER_BOOT, message: exchange };
-    let mut acts = Vec::new();
-    entries.on(now, &contacts, heard, &mut acts).expect("it only hears");
-    assert!(entries.get(now, PEER, key).is_some(), "the evidence is taken: {acts:?}");
+    let mut entries = GossipStore::new(FRONT, 2, INCARNATION, 100_000, now);
+    let members = membership(now);
+    // Entries count from the first round on that knows the peer's incarnation.
+    entries.on(now, &members, GossipInput::Round, &mut Vec::new()).expect("a round puts nothing");
+    let received = GossipInput::Received { from: PEER, incarnation: PEER_INCARNATION, message };
+    let mut actions = Vec::new();
+    entries.on(now, &members, received, &mut actions).expect("it puts nothing");
+    assert!(entries.get(now, PEER, key).is_some(), "the evidence is accepted: {actions:?}");
     entries
 }
 
-/// Feeds twenty attempts at a server, so many of them bad.
-fn attempts(verdicts: &mut OutlierDetector, now: Nanos, entries: &GossipStore, server: Server, bad: usize) {
+/// Records twenty attempts at a server, the first ones of which fail.
+fn record_attempts(
+    detector: &mut OutlierDetector,
+    now: Nanos,
+    entries: &GossipStore,
+    server: Server,
+    failures: usize,
+) {
     for attempt in 0..20 {
-        let worth = if attempt < bad { SampleQuality::Failed } else { SampleQuality::Healthy };
-        let event = Event::Attempt { server, class: CLASS, quality: worth };
-        verdicts.on(now, entries, event, &mut Vec::new());
+        let quality = if attempt < failures { SampleQuality::Failed } else { SampleQuality::Healthy };
+        let event = Event::Attempt { server, class: CLASS, quality };
+        detector.on(now, entries, event, &mut Vec::new());
     }
 }
 
-/// What the front puts when it looks, with a server that is bad by its own attempts and by the peer's evidence.
-fn puts_on_a_bad_server() -> Vec<(Key, Option<String>)> {
+/// What the front publishes of a server that is an outlier by its own attempts and by the peer's evidence.
+fn entries_on_an_outlier() -> Vec<(Key, Option<String>)> {
     let now = 1_000 * MS;
-    let seen = vec![ClassEvidence { class: CLASS, attempts: 200, failures: 180 }];
-    let entries = entries_with(now, &Evidence { zone: PEER_ZONE, baseline: 50, classes: seen });
-    let mut verdicts = OutlierDetector::new(DetectorConfig::new(FRONT, 2, ZONE)).expect("the terms hold");
-    let servers = GOOD_SERVERS.chain([SERVER]).map(|server| (server, true)).collect();
-    verdicts.on(now, &entries, Event::Servers(servers), &mut Vec::new());
-    attempts(&mut verdicts, now, &entries, SERVER, 18);
-    GOOD_SERVERS.for_each(|server| attempts(&mut verdicts, now, &entries, server, 1));
+    let classes = vec![ClassEvidence { class: CLASS, attempts: 200, failures: 180 }];
+    let entries = entries_with(now, &Evidence { zone: PEER_ZONE, baseline: 50, classes });
+    let mut detector =
+        OutlierDetector::new(DetectorConfig::new(FRONT, 2, ZONE)).expect("the configuration is valid");
+    let servers = HEALTHY_SERVERS.chain([SERVER]).map(|server| (server, true)).collect();
+    detector.on(now, &entries, Event::Servers(servers), &mut Vec::new());
+    record_attempts(&mut detector, now, &entries, SERVER, 18);
+    HEALTHY_SERVERS.for_each(|server| record_attempts(&mut detector, now, &entries, server, 1));
     let mut effects = Vec::new();
-    verdicts.on(now, &entries, Event::Evaluate, &mut effects);
-    verdicts.on(now + 400 * MS, &entries, Event::Evaluate, &mut effects);
-    puts(effects)
+    detector.on(now, &entries, Event::Evaluate, &mut effects);
+    detector.on(now + 400 * MS, &entries, Event::Evaluate, &mut effects);
+    published(effects)
 }
 
-/// The entries that effects put, with their values in hex.
-fn puts(effects: Vec<Effect>) -> Vec<(Key, Option<String>)> {
+/// The entries that effects publish, with their values in hexadecimal.
+fn published(effects: Vec<Effect>) -> Vec<(Key, Option<String>)> {
     let put = |effect| match effect {
         Effect::Put(key, value) => Some((key, value.as_deref().map(hex))),
         _ => None,
@@ -183,42 +190,38 @@
 }
 
 #[test]
-fn evidence_as_a_front_puts_it() {
+fn evidence_as_published() {
     let value = concat!(
         "c8",         // zone, in one byte
-        "32",         // base
-        "01",         // seen: length
-        "c9c801b401", // seen: class in one byte, attempts, bad
+        "32",         // baseline
+        "01",         // classes: length
+        "c9c801b401", // classes: class in one byte, attempts, failures
     );
     let expected = (Key { kind: 2, id: SERVER }, Some(value.to_owned()));
-    assert_eq!(puts_on_a_bad_server().first(), Some(&expected));
+    assert_eq!(entries_on_an_outlier().first(), Some(&expected));
 }
 
 #[test]
-fn assent_as_a_front_puts_it() {
+fn vote_as_published() {
     let value = concat!(
-        "88ef99abc5e88c9111", // subject: server
-        "00",                 // subject: scope All
+        "88ef99abc5e88c9111", // target: server
+        "00",                 // target: scope All
         "c8",                 // zone, in one byte
     );
     let expected = (Key { kind: 3, id: 0x7709_291b_83f6_32e2 }, Some(value.to_owned()));
-    assert_eq!(puts_on_a_bad_server().last(), Some(&expected));
+    assert_eq!(entries_on_an_outlier().last(), Some(&expected));
 }
 
 #[test]
-fn trial_as_a_front_puts_it() {
-    let entries = GossipStore::new(FRONT, 2, BOOT, 100_000, 0);
-    let mut verdicts = OutlierDetector::new(DetectorConfig::new(FRONT, 2, ZONE)).expect("the terms hold");
+fn probe_result_as_published() {
+    let entries = GossipStore::new(FRONT, 2, INCARNATION, 100_000, 0);
+    let mut detector =
+        OutlierDetector::new(DetectorConfig::new(FRONT, 2, ZONE)).expect("the configuration is valid");
     let mut effects = Vec::new();
-    for worth in [SampleQuality::Healthy, SampleQuality::Healthy, SampleQuality::Failed] {
-        verdicts.on(
-            0,
-            &entries,
-            Event::Probed { server: SERVER, class: CLASS, quality: worth },
-            &mut effects,
-        );
+    for quality in [SampleQuality::Healthy, SampleQuality::Healthy, SampleQuality::Failed] {
+        detector.on(0, &entries, Event::Probed { server: SERVER, class: CLASS, quality }, &mut effects);
     }
-    // How often in a row it did well, in one byte.
+    // The number of successes in a row, in one byte.
     let put = |value: &str| (Key { kind: 4, id: SERVER }, Some(value.to_owned()));
-    assert_eq!(puts(effects), [put("01"), put("02"), put("00")]);
+    assert_eq!(published(effects), [put("01"), put("02"), put("00")]);
 }
