--- a/crates/core/src/ejection.rs
+++ b/crates/core/src/ejection.rs
@@ -1,112 +1,119 @@
-//! What all initiators together hold a node out for, as one of them is told, merged with what it saw itself.
+//! Ejections of chunk servers that the fleet voted for, merged with this front's own results.
 //!
-//! Untold, nothing here holds anything back.
+//! Without an update from the fleet nothing here holds a request back.
 
 use std::hash::{Hash, Hasher};
 
 use crate::interface::{CellId, ClassSet, Listed, Nanos, NodeId, Request, Semantics};
-use crate::state::{Live, Node, Scheduler};
+use crate::state::{LiveRequest, Node, Scheduler};
 
-/// Own answers in time in a row that end a verdict here: as many as good trials end it for all. Ours.
-const READMIT_AFTER: u8 = 8;
-/// A node that is held out no more counts as one that starts for this long. Ours.
+/// Timely results in a row of this front that readmit a server here: as many as successful probes readmit it for all.
+const READMIT_AFTER_GOOD_RESULTS: u8 = 8;
+/// A readmitted server warms up for this long, in nanoseconds.
 const READMIT_WARMUP: Nanos = 4_000_000_000;
 
-/// How a node stands with all initiators, as one of them sees it.
+/// The ejection of one chunk server, as this front sees it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EjectionState {
     ejected_for: ClassSet,
-    /// Own answers in time in a row since it is out.
-    good_answers: u8,
-    /// Until then the next request that may run again goes there, whatever the verdict.
+    /// This front's timely results in a row since the ejection.
+    good_results: u8,
+    /// Until then the next idempotent request is sent there as a probe.
     probe_until: Nanos,
 }
 
 impl EjectionState {
-    /// Whether it is held out for a class of work.
+    /// Whether the server is ejected for a request class.
     pub fn is_ejected(&self, class: usize) -> bool {
-        self.ejected_for.contains(class) && self.good_answers < READMIT_AFTER
+        self.ejected_for.contains(class) && !self.is_readmitted()
     }
 
-    /// Whether it is held out for all work.
+    /// Whether the server is ejected for all classes.
     pub fn is_fully_ejected(&self) -> bool {
-        self.ejected_for == ClassSet::ALL && self.good_answers < READMIT_AFTER
+        self.ejected_for == ClassSet::ALL && !self.is_readmitted()
     }
 
-    /// Whether it is to be tried now.
+    fn is_readmitted(&self) -> bool {
+        self.good_results >= READMIT_AFTER_GOOD_RESULTS
+    }
+
+    /// Whether the fleet asked this front for a probe.
     pub fn is_probe_due(&self, now: Nanos) -> bool {
         now < self.probe_until
     }
 
-    /// A request goes there that may be the trial.
-    pub fn note_probe(&mut self) {
+    /// Records that a request was sent that serves as the probe.
+    pub fn record_probe(&mut self) {
         self.probe_until = 0;
     }
 
-    /// An own attempt there was answered in time, or was not. Work for which it is not out says nothing of it.
-    pub fn note_result(&mut self, class: usize, bad: bool) {
+    /// Records a result of this front. Results of classes that are not ejected say nothing about the ejection.
+    pub fn record_result(&mut self, class: usize, failed: bool) {
         if self.ejected_for.contains(class) {
-            self.good_answers = if bad { 0 } else { self.good_answers.saturating_add(1) };
+            self.good_results = if failed { 0 } else { self.good_results.saturating_add(1) };
         }
     }
 
-    /// All that later decisions hang on.
+    /// Hashes all that later decisions depend on.
     pub fn fingerprint<H: Hasher>(&self, now: Nanos, h: &mut H) {
-        (self.ejected_for, self.good_answers.min(READMIT_AFTER), (self.probe_until - now).max(0)).hash(h);
+        let good_results = self.good_results.min(READMIT_AFTER_GOOD_RESULTS);
+        (self.ejected_for, good_results, (self.probe_until - now).max(0)).hash(h);
     }
 }
 
 impl Scheduler {
-    /// Takes for which work a node is held out from now on. One that comes back counts as one that starts, lest all
-    /// initiators meet it at once.
-    pub(crate) fn apply_ejection(&mut self, at: NodeId, out: ClassSet) {
+    /// Applies the classes for which a server is ejected. A readmitted server warms up, as all fronts would send to it
+    /// at once.
+    pub(crate) fn apply_ejection(&mut self, at: NodeId, classes: ClassSet) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&at) else { return };
-        let before = std::mem::replace(&mut node.standing.ejected_for, out);
-        if before == ClassSet::NONE && out != ClassSet::NONE {
-            node.standing.good_answers = 0;
+        let before = std::mem::replace(&mut node.ejection.ejected_for, classes);
+        if before == ClassSet::NONE && classes != ClassSet::NONE {
+            node.ejection.good_results = 0;
         }
-        if before != ClassSet::NONE && out == ClassSet::NONE {
-            node.standing.note_probe();
-            if node.cold_since.is_none() {
-                node.start_cold(now, now + READMIT_WARMUP);
-                node.cold_level = 0.0;
+        if before != ClassSet::NONE && classes == ClassSet::NONE {
+            node.ejection.record_probe();
+            if node.warmup_since.is_none() {
+                node.start_warmup(now, now + READMIT_WARMUP);
+                node.warmup_budget = 0.0;
             }
         }
     }
 
-    /// The next request that may run again goes to a node, once.
+    /// Sends the next idempotent request to a server as a probe, once.
     pub(crate) fn apply_probe(&mut self, at: NodeId, until: Nanos) {
-        self.nodes.entry(at).and_modify(|n| n.standing.probe_until = until);
+        self.nodes.entry(at).and_modify(|node| node.ejection.probe_until = until);
     }
 
-    /// Whether a verdict keeps a request from a node: a new object while another node is there for it, what is stored
-    /// while its shard has another holder. The last one is never out for what only it can do.
-    pub(crate) fn is_blocked(&self, live: &Live, at: NodeId) -> bool {
-        let (class, node) = (live.req.class, &self.nodes[&at]);
-        if !node.standing.is_ejected(class)
-            || (node.standing.is_probe_due(self.now) && self.may_probe(&live.req))
-        {
+    /// Whether an ejection keeps a request from a server: a new object while any other server takes it, stored data
+    /// while its shard has another server. The last one still gets what only it can serve.
+    pub(crate) fn is_blocked(&self, live: &LiveRequest, at: NodeId) -> bool {
+        let (class, node) = (live.request.class, &self.nodes[&at]);
+        let is_probe = node.ejection.is_probe_due(self.now) && self.may_probe(&live.request);
+        if !node.ejection.is_ejected(class) || is_probe {
             return false;
         }
-        match live.req.cell {
-            Some(cell) => self.up(cell).any(|(_, n)| !n.standing.is_ejected(class)),
-            None => self.nodes.values().any(|n| n.listed == Listed::Up && !n.standing.is_ejected(class)),
+        let accepts = |node: &Node| !node.ejection.is_ejected(class);
+        match live.request.cell {
+            Some(cell) => self.up_nodes(cell).any(|(_, node)| accepts(node)),
+            None => self.nodes.values().any(|node| node.listed == Listed::Up && accepts(node)),
         }
     }
 
-    /// The shard of a node that is to be tried, where a request may be the trial.
-    pub(crate) fn cell_to_probe(&self, req: &Request) -> Option<CellId> {
-        if !self.may_probe(req) {
+    /// The shard of a server that is to be probed, for a request that may be the probe.
+    pub(crate) fn cell_to_probe(&self, request: &Request) -> Option<CellId> {
+        if !self.may_probe(request) {
             return None;
         }
-        let room = |n: &Node| !n.is_full() && self.cold_room(n) >= req.units;
-        let due = |n: &&Node| n.standing.is_probe_due(self.now) && n.listed == Listed::Up && room(n);
-        self.nodes.values().find(due).map(|n| n.cell)
+        let has_room = |node: &Node| !node.is_full() && self.warmup_room(node) >= request.units;
+        let is_due = |node: &&Node| {
+            node.ejection.is_probe_due(self.now) && node.listed == Listed::Up && has_room(node)
+        };
+        self.nodes.values().find(is_due).map(|node| node.cell)
     }
 
-    /// Work that may run only once is never a trial.
-    pub(crate) fn may_probe(&self, req: &Request) -> bool {
-        self.set.classes[req.class].semantics == Semantics::Idempotent
+    /// Whether a request may be a probe: only if it may be repeated.
+    pub(crate) fn may_probe(&self, request: &Request) -> bool {
+        self.settings.classes[request.class].semantics == Semantics::Idempotent
     }
 }
--- a/crates/core/src/fleet_limits.rs
+++ b/crates/core/src/fleet_limits.rs
@@ -1,119 +1,124 @@
-//! What this initiator may use of limits that all initiators share and that are no volume's, as it is told: further
-//! attempts, and what any one node is sent. Untold, nothing here holds anything back.
+//! This front's part of the limits that all fronts share, other than those of volumes: retries, units sent to a server
+//! that is warming up, requests in flight at a server.
+//!
+//! Without an update from the fleet nothing here holds a request back.
 
 use std::hash::{Hash, Hasher};
 
 use crate::interface::Nanos;
-use crate::state::{Bucket, Node};
+use crate::state::{Node, RateLimit, TokenBucket};
 
-/// What rounding may take from a whole number of requests out. A thousand initiators that each have this much more
-/// send no whole request more.
-const ROUNDED: f64 = 1e-4;
+/// Added to a limit on requests in flight, so that rounding does not take a whole request away. A thousand fronts with
+/// this much more send no whole request more.
+const IN_FLIGHT_ROUNDING: f64 = 1e-4;
 
-/// What is told, for all nodes.
+/// The limits, as they hold for each server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetLimits {
-    retries: Option<Bucket>,
-    /// Units a second, and most in store, to a node that has just started; they grow with it.
-    warming_up: Option<(f64, f64)>,
-    /// Requests out at a node.
+    retries: Option<TokenBucket>,
+    /// Units to a server that has just started; the limit grows during the warm-up.
+    warming_up: Option<RateLimit>,
+    /// Requests in flight at a server.
     in_flight: Option<f64>,
 }
 
-/// What is told, as one node has it.
+/// The limits and their use at one server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NodeLimits {
-    warming_up: Option<Bucket>,
+    warming_up: Option<TokenBucket>,
     in_flight: Option<f64>,
 }
 
 impl FleetLimits {
-    /// Further attempts of whatever is asked for: so many a second, and so many in store.
-    pub fn set_retries(&mut self, rate: f64, burst: f64, at: Nanos) {
-        match &mut self.retries {
-            Some(bucket) => bucket.retell(rate, burst, at),
-            None => self.retries = Some(Bucket::new(rate, burst, 0.0, at)),
-        }
+    /// Sets the limit on retries.
+    pub fn set_retries(&mut self, limit: RateLimit, effective_at: Nanos) {
+        set_or_create(&mut self.retries, limit, effective_at);
     }
 
-    /// Units to any node that has just started.
+    /// Sets the limit on units to a server that has just started.
     pub fn set_warming_up<'a>(
         &mut self,
-        rate: f64,
-        burst: f64,
-        at: Nanos,
+        limit: RateLimit,
+        effective_at: Nanos,
         nodes: impl Iterator<Item = &'a mut Node>,
     ) {
-        self.warming_up = Some((rate, burst));
+        self.warming_up = Some(limit);
         for node in nodes {
-            match &mut node.ration.warming_up {
-                Some(bucket) => bucket.retell(rate, burst, at),
-                None => node.ration.warming_up = Some(Bucket::new(rate, burst, 0.0, at)),
-            }
+            set_or_create(&mut node.limits.warming_up, limit, effective_at);
         }
     }
 
-    /// Requests out at any node; under 1 it is a pace.
-    pub fn set_in_flight<'a>(&mut self, most: f64, nodes: impl Iterator<Item = &'a mut Node>) {
-        let most = if most > 0.0 { most + ROUNDED } else { 0.0 };
-        self.in_flight = Some(most);
-        nodes.for_each(|node| node.ration.in_flight = Some(most));
+    /// Sets the limit on requests in flight at any server; below 1 it is a pace.
+    pub fn set_in_flight<'a>(&mut self, limit: f64, nodes: impl Iterator<Item = &'a mut Node>) {
+        let limit = if limit > 0.0 { limit + IN_FLIGHT_ROUNDING } else { 0.0 };
+        self.in_flight = Some(limit);
+        nodes.for_each(|node| node.limits.in_flight = Some(limit));
     }
 
-    /// What a node has that is new here.
+    /// The limits of a server that is new in the endpoint list.
     pub fn node_limits(&self, now: Nanos) -> NodeLimits {
-        let starting = self.warming_up.map(|(rate, burst)| Bucket::new(rate, burst, 0.0, now));
-        NodeLimits { warming_up: starting, in_flight: self.in_flight }
+        let warming_up = self.warming_up.map(|limit| limit.empty_bucket(now));
+        NodeLimits { warming_up, in_flight: self.in_flight }
     }
 
-    /// Whether no further attempt may go out now.
+    /// Whether no retry may be sent now.
     pub fn retries_exhausted(&self, now: Nanos) -> bool {
-        self.retries.as_ref().is_some_and(|f| f.level_at(now) < 1.0)
+        self.retries.as_ref().is_some_and(|bucket| bucket.level_at(now) < 1.0)
     }
 
-    /// A further attempt goes out.
-    pub fn note_retry(&mut self, now: Nanos) {
-        if let Some(further) = &mut self.retries {
-            further.fill(now);
-            further.level -= 1.0;
+    /// Records a retry that is sent.
+    pub fn record_retry(&mut self, now: Nanos) {
+        if let Some(bucket) = &mut self.retries {
+            bucket.charge(now, 1.0);
         }
     }
 
-    /// All that later decisions hang on.
+    /// Hashes all that later decisions depend on.
     pub fn fingerprint<H: Hasher>(&self, now: Nanos, h: &mut H) {
-        self.retries.as_ref().map(|f| (f.rate.to_bits(), f.level_at(now).to_bits())).hash(h);
-        self.warming_up.map(|(rate, burst)| (rate.to_bits(), burst.to_bits())).hash(h);
+        hash_bucket(self.retries.as_ref(), now, h);
+        self.warming_up.map(|limit| (limit.rate.to_bits(), limit.burst.to_bits())).hash(h);
         self.in_flight.map(f64::to_bits).hash(h);
     }
 }
 
 impl NodeLimits {
-    /// Units that might go to the node now if it had started just now, where that is told.
+    /// Units that may be sent now to the server if it had just started; absent without a limit.
     pub fn warmup_allowance(&self, now: Nanos) -> Option<f64> {
-        self.warming_up.as_ref().map(|s| s.level_at(now))
+        self.warming_up.as_ref().map(|bucket| bucket.level_at(now))
     }
 
-    /// Units go to the node, as a part of what it can do by now of what it could at first.
-    pub fn note_warmup_units(&mut self, now: Nanos, units: f64) {
-        if let Some(starting) = &mut self.warming_up {
-            starting.fill(now);
-            starting.level -= units;
+    /// Records units sent to the server, divided by its growth since its start.
+    pub fn record_warmup_units(&mut self, now: Nanos, units: f64) {
+        if let Some(bucket) = &mut self.warming_up {
+            bucket.charge(now, units);
         }
     }
 
-    /// Requests that may be out at the node, or the pace.
+    /// The requests that may be in flight at the server; below 1 it is a pace.
     pub fn max_in_flight(&self) -> f64 {
         self.in_flight.unwrap_or(f64::INFINITY)
     }
 
-    /// Whether nothing more may go out to the node that has so many out.
-    pub fn is_full(&self, out: usize) -> bool {
-        self.in_flight.is_some_and(|most| most <= 0.0 || out as f64 >= most.floor().max(1.0))
+    /// Whether a server with this many requests in flight may get no further one.
+    pub fn is_full(&self, in_flight: usize) -> bool {
+        self.in_flight.is_some_and(|limit| limit <= 0.0 || in_flight as f64 >= limit.floor().max(1.0))
     }
 
-    /// All that later decisions hang on.
+    /// Hashes all that later decisions depend on.
     pub fn fingerprint<H: Hasher>(&self, now: Nanos, h: &mut H) {
-        self.warming_up.as_ref().map(|s| (s.rate.to_bits(), s.level_at(now).to_bits())).hash(h);
+        hash_bucket(self.warming_up.as_ref(), now, h);
         self.in_flight.map(f64::to_bits).hash(h);
     }
 }
+
+/// Applies a limit to a bucket; a new one is empty at the time from which the limit holds.
+fn set_or_create(bucket: &mut Option<TokenBucket>, limit: RateLimit, effective_at: Nanos) {
+    match bucket {
+        Some(bucket) => bucket.set_limit(limit, effective_at),
+        None => *bucket = Some(limit.empty_bucket(effective_at)),
+    }
+}
+
+fn hash_bucket<H: Hasher>(bucket: Option<&TokenBucket>, now: Nanos, h: &mut H) {
+    bucket.map(|bucket| (bucket.rate.to_bits(), bucket.level_at(now).to_bits())).hash(h);
+}
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -263,6 +263,18 @@
     NotSent,
 }
 
+impl Outcome {
+    /// Whether the server may have executed the attempt.
+    pub(crate) fn may_have_executed(self) -> bool {
+        !matches!(self, Outcome::Rejected | Outcome::NotExecuted | Outcome::NotSent)
+    }
+
+    /// Whether the server may execute the attempt after its end.
+    pub(crate) fn may_still_execute(self) -> bool {
+        matches!(self, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
+    }
+}
+
 /// What an initiator is told of what all share, and of its own end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FleetUpdate {
--- /dev/null
+++ b/crates/core/src/policy/placement.rs
@@ -0,0 +1,187 @@
+//! Which chunk server gets a request, and when: the shard of a new object, a shard's servers and queue.
+
+use super::{admission, value, Actions, SECOND};
+use crate::interface::{Action, CellId, Nanos, NodeId, Request, RequestId, Semantics};
+use crate::state::{mean, weighted_choice, LiveRequest, Node, Scheduler, SentAttempt};
+
+/// The weight is multiplied by this power of a server's speed relative to the mean, within a bound.
+const SPEED_EXPONENT: i32 = 2;
+const SPEED_FACTOR_MAX: f64 = 30.0;
+/// Without answers the factor decays to a fraction, with a time constant in nanoseconds.
+const SPEED_MEMORY_NS: f64 = 5.0 * SECOND as f64;
+const SPEED_DECAY_MIN: f64 = 0.03;
+const QUEUE_MAX_REQUESTS: usize = 160;
+const LOW_VALUE_FRACTION: f64 = 0.25;
+const LOW_VALUE_WINDOW_FRACTION: f64 = 0.5;
+const CUT_OFF_FAILURE_RATIO: f64 = 0.1;
+
+impl Scheduler {
+    /// Queues a request at its shard, choosing the shard of a new object, and sends from that queue.
+    pub(super) fn enqueue(&mut self, id: RequestId, actions: &mut Actions) {
+        let draw = self.random.f64();
+        let Some(live) = self.live.get(&id) else { return };
+        let cell = live.cell.or_else(|| self.choose_cell(draw, &live.request));
+        if let Some(live) = self.live.get_mut(&id) {
+            live.cell = cell;
+            live.queued = true;
+        }
+        // Without any listed server a new object waits for one outside of the queues.
+        let Some(cell) = cell else { return };
+        let queue = self.queues.entry(cell).or_default();
+        queue.push(id);
+        if queue.len() > QUEUE_MAX_REQUESTS {
+            self.give_up(id, actions);
+        }
+        self.dispatch(cell, actions);
+    }
+
+    /// Sends from a shard's queue while its servers have room.
+    pub(super) fn dispatch(&mut self, cell: CellId, actions: &mut Actions) {
+        if self.queues.get(&cell).is_none_or(Vec::is_empty) {
+            return;
+        }
+        for at in self.nodes_by_preference(cell) {
+            while let Some(id) = self.take_next(cell, at) {
+                self.send(id, at, actions);
+            }
+        }
+    }
+
+    pub(super) fn dispatch_all(&mut self, actions: &mut Actions) {
+        for cell in self.queues.keys().copied().collect::<Vec<_>>() {
+            self.dispatch(cell, actions);
+        }
+    }
+
+    /// Takes the request that a server should get now: of the highest score, then of the earliest objective.
+    fn take_next(&mut self, cell: CellId, at: NodeId) -> Option<RequestId> {
+        let node = &self.nodes[&at];
+        let has_room = node.has_room(node.window.max(1.0), self.now);
+        let is_open = if node.is_healthy() { has_room } else { node.may_probe(self.now) };
+        if !is_open {
+            return None;
+        }
+        let queued = self.queues[&cell].iter().map(|id| &self.live[id]).enumerate();
+        let sendable = queued.filter(|(_, live)| self.may_send(live, at));
+        let scored = sendable.map(|(index, live)| (self.score(live, node), live.objective_at, index));
+        let precedes = |a: &(f64, Nanos, _), b: &(f64, Nanos, _)| a.0 > b.0 || (a.0 == b.0 && a.1 < b.1);
+        let (_, _, index) = scored.reduce(|best, next| if precedes(&next, &best) { next } else { best })?;
+        self.queues.get_mut(&cell).map(|queue| queue.remove(index))
+    }
+
+    /// Whether the rules allow this request at this server now, and whether it is worth the room.
+    fn may_send(&self, live: &LiveRequest, at: NodeId) -> bool {
+        if self.now < live.not_before || self.is_expired(live) || self.is_blocked(live, at) {
+            return false;
+        }
+        let is_allowed = match live.attempts {
+            0 => self.volume_limit_allows(&live.request),
+            _ => self.may_retry(live, Some(at)),
+        };
+        let node = &self.nodes[&at];
+        let fits = self.warmup_room(node) >= live.request.units && self.is_worth_room(live, node);
+        is_allowed && fits && self.is_next_for_key(live)
+    }
+
+    /// Low value keeps to a part of the window and to the pace, so as not to delay better work.
+    fn is_worth_room(&self, live: &LiveRequest, node: &Node) -> bool {
+        if !node.is_healthy() {
+            return true;
+        }
+        // Servers answer in order: work with a wide objective must not fill the queue ahead of a tight one.
+        let is_slow = node.fast_latency.is_some_and(|fast| fast > node.tightest_objective);
+        if !is_slow && self.value_fraction(live, node) >= LOW_VALUE_FRACTION {
+            return true;
+        }
+        let reduced_window = (node.window * LOW_VALUE_WINDOW_FRACTION).max(1.0);
+        node.has_room(reduced_window.min(node.window), self.now)
+    }
+
+    fn send(&mut self, id: RequestId, at: NodeId, actions: &mut Actions) {
+        let (now, node) = (self.now, &self.nodes[&at]);
+        let Some(live) = self.live.get(&id) else { return };
+        let time_left = (self.answer_due_at(live) - now).max(0);
+        let timeout = if self.is_cut_off_when_late(live) { time_left } else { 0 };
+        let expected_latency = self.expected_latency(live, node);
+        let due_at = self.due_at(&live.request, node);
+        let sent = SentAttempt::new(now, live.request.class, expected_latency, due_at);
+        if node.admission_credit < 1.0 {
+            self.admission.uncredited_sends.count(now, admission::RATE_MEMORY_NS);
+        }
+        if let Some(volume) = self.volumes.get_mut(&live.request.volume).filter(|_| live.attempts == 0) {
+            volume.charge(now, live.request.units, value::VOLUME_RATE_MEMORY_NS);
+        }
+        let jitter = 0.5 + self.random.f64();
+        self.record_send(id, at, sent);
+        self.schedule_probe(at, jitter);
+        actions.push(Action::Send { id, node: at, timeout });
+    }
+
+    /// While many attempts fail, a late read is worth less than its place in a queue.
+    fn is_cut_off_when_late(&self, live: &LiveRequest) -> bool {
+        let class = self.class(&live.request);
+        let is_read = class.late_value < LOW_VALUE_FRACTION && class.semantics == Semantics::Idempotent;
+        let many_fail = self.admission.failure_ratio > CUT_OFF_FAILURE_RATIO;
+        is_read && many_fail && self.settings.cancellation
+    }
+
+    /// While one server of a shard replaces another both are listed, and the old one is warm and preferred.
+    pub(super) fn nodes_by_preference(&self, cell: CellId) -> Vec<NodeId> {
+        let mut nodes: Vec<(NodeId, &Node)> = self.up_nodes(cell).collect();
+        nodes.sort_by_key(|entry| (!entry.1.ejection.is_probe_due(self.now), preference(entry)));
+        nodes.iter().map(|(id, _)| *id).collect()
+    }
+
+    pub(super) fn preferred_node(&self, cell: CellId) -> Option<&Node> {
+        self.up_nodes(cell).min_by_key(preference).map(|(_, node)| node)
+    }
+
+    /// Chooses the shard of a new object by weight, among servers with room: the others have reads to serve.
+    pub(super) fn choose_cell(&self, draw: f64, request: &Request) -> Option<CellId> {
+        let accepts = |node: &Node| !node.ejection.is_ejected(request.class);
+        let has_room = |n: &Node| n.has_room(n.window, self.now) && self.warmup_room(n) >= request.units;
+        let is_free = |node: &Node| node.is_healthy() && accepts(node) && has_room(node);
+        let choose_regular = || self.choose_among(draw, is_free).or_else(|| self.choose_among(draw, accepts));
+        self.cell_to_probe(request).or_else(choose_regular).or_else(|| self.choose_among(draw, |_| true))
+    }
+
+    fn choose_among(&self, draw: f64, is_eligible: impl Fn(&Node) -> bool) -> Option<CellId> {
+        let nodes = || self.nodes.values().filter(|node| node.is_up() && is_eligible(node));
+        let mean_latency = mean(nodes().filter_map(|node| node.fast_latency));
+        let weight = |node: &Node| node.weight * speed_factor(node, mean_latency, self.now);
+        weighted_choice(draw, &nodes().map(|node| (node.cell, weight(node))).collect::<Vec<_>>())
+    }
+
+    /// Chooses another shard for new objects that wait for a server that is suspect, ejected or not listed.
+    pub(super) fn move_waiting_objects(&mut self, actions: &mut Actions) {
+        for id in self.live_ids(|live| self.waits_in_vain(live)) {
+            let draw = self.random.f64();
+            let live = self.live.get(&id).filter(|live| live.queued);
+            let cell = live.and_then(|live| self.choose_cell(draw, &live.request));
+            if let Some(cell) = cell.filter(|cell| self.move_to_cell(id, *cell)) {
+                self.dispatch(cell, actions);
+            }
+        }
+    }
+
+    fn waits_in_vain(&self, live: &LiveRequest) -> bool {
+        let node = live.cell.and_then(|cell| self.preferred_node(cell));
+        let is_available = |n: &Node| n.is_healthy() && !n.ejection.is_ejected(live.request.class);
+        let is_new_object = live.request.cell.is_none() && live.possible_execution.is_none();
+        live.queued && is_new_object && !node.is_some_and(is_available)
+    }
+}
+
+/// Prefers fast servers with recent answers, as the weight adapts too slowly for one front of a hundred.
+fn speed_factor(node: &Node, mean_latency: f64, now: Nanos) -> f64 {
+    let speed = mean_latency.max(1.0) / node.fast_latency.unwrap_or(mean_latency).max(1.0);
+    let silence = node.fast_latency.map_or(f64::INFINITY, |_| (now - node.latency_updated_at) as f64);
+    let decay = (-silence / SPEED_MEMORY_NS).exp().max(SPEED_DECAY_MIN);
+    decay * speed.powi(SPEED_EXPONENT).clamp(1.0 / SPEED_FACTOR_MAX, SPEED_FACTOR_MAX)
+}
+
+/// Healthy servers come first, then warm ones, then those that started last.
+fn preference(&(id, node): &(NodeId, &Node)) -> (bool, bool, Nanos, NodeId) {
+    let is_avoided = !node.is_healthy() || node.ejection.is_fully_ejected();
+    (is_avoided, node.warmup_since.is_some(), -node.started_at, id)
+}
--- /dev/null
+++ b/crates/core/src/state/node_table.rs
@@ -0,0 +1,86 @@
+//! The table of chunk servers and its index by shard.
+
+use crate::interface::{CellId, Listed, NodeId, NodeInfo};
+use crate::mutations::{mutated, Mutation};
+use crate::state::{Node, Scheduler};
+
+impl Scheduler {
+    /// The chunk servers that are listed up for a shard.
+    pub(crate) fn up_nodes(&self, cell: CellId) -> impl Iterator<Item = (NodeId, &Node)> {
+        let members = self.cells.get(&cell).into_iter().flatten().map(|id| (*id, &self.nodes[id]));
+        let drain_missed =
+            |node: &Node| mutated(Mutation::DrainMissesQueued) && node.listed == Listed::Draining;
+        members.filter(move |(_, node)| node.listed == Listed::Up || drain_missed(node))
+    }
+
+    /// Applies an entry of the endpoint list. A new chunk server starts with the given window, and with the rate that
+    /// its shard's other servers serve.
+    pub(crate) fn upsert_node(&mut self, info: &NodeInfo, window: f64) -> &mut Node {
+        let members = self.cells.get(&info.cell).into_iter().flatten();
+        let warm_rate = members.map(|id| self.nodes[id].warm_rate).fold(0.0, f64::max);
+        self.assign_cell(info.node, info.cell);
+        let (now, limits) = (self.now, &self.fleet_limits);
+        let new_node = || Node::new(info, now, window, limits.node_limits(now));
+        let node = self.nodes.entry(info.node).or_insert_with(new_node);
+        node.warm_rate = node.warm_rate.max(warm_rate);
+        node.zone = info.zone;
+        node.listed = info.listed;
+        node
+    }
+
+    /// Notes the rate that each warm server serves and their mean, for servers that start anew.
+    pub(crate) fn update_warm_rates(&mut self, memory: f64) {
+        let (mut sum, mut count) = (0.0, 0.0);
+        for node in self.nodes.values_mut().filter(|node| node.is_warm()) {
+            node.warm_rate = node.served_rate.now(self.now, memory);
+            sum += node.warm_rate;
+            count += 1.0;
+        }
+        if count > 0.0 {
+            self.mean_warm_rate = sum / count;
+        }
+    }
+
+    /// Keeps the index by shard; a chunk server may move to another shard.
+    fn assign_cell(&mut self, id: NodeId, cell: CellId) {
+        self.queues.entry(cell).or_default();
+        let old = self.nodes.get_mut(&id).map(|node| std::mem::replace(&mut node.cell, cell));
+        if let Some(members) = old.filter(|old| *old != cell).and_then(|old| self.cells.get_mut(&old)) {
+            members.retain(|member| *member != id);
+        }
+        let members = self.cells.entry(cell).or_default();
+        if !members.contains(&id) {
+            members.push(id);
+        }
+    }
+
+    /// Marks the chunk servers that are missing in a complete list as removed.
+    pub(crate) fn mark_unlisted_removed(&mut self, listed: &[NodeInfo]) {
+        for (id, node) in &mut self.nodes {
+            if !listed.iter().any(|info| info.node == *id) {
+                node.listed = Listed::Removed;
+            }
+        }
+    }
+
+    /// Drops removed chunk servers that nothing refers to any more and returns their ids. Without this the table would
+    /// grow with every replacement.
+    pub(crate) fn forget_removed_nodes(&mut self) -> Vec<NodeId> {
+        let executions = self.live.values().filter_map(|live| live.possible_execution);
+        let referenced: Vec<NodeId> = executions.map(|execution| execution.node).collect();
+        let is_unused = |id: &NodeId, node: &Node| {
+            node.listed == Listed::Removed
+                && node.in_flight.is_empty()
+                && node.warmup_sends.is_empty()
+                && !referenced.contains(id)
+        };
+        let unused = self.nodes.iter().filter(|(id, node)| is_unused(id, node));
+        let removed: Vec<NodeId> = unused.map(|(id, _)| *id).collect();
+        for id in &removed {
+            if let Some(members) = self.nodes.remove(id).and_then(|node| self.cells.get_mut(&node.cell)) {
+                members.retain(|member| member != id);
+            }
+        }
+        removed
+    }
+}
--- /dev/null
+++ b/crates/core/src/state/settings_check.rs
@@ -0,0 +1,51 @@
+//! The check of the settings.
+
+use crate::interface::{Class, Plan, Settings, SettingsError};
+
+impl Settings {
+    /// The number of fronts.
+    pub(crate) fn fronts(&self) -> f64 {
+        f64::from(self.initiators.max(1))
+    }
+
+    /// Checks that the settings are valid.
+    ///
+    /// # Errors
+    /// [`SettingsError`] with the first rule that is broken.
+    pub fn check(&self) -> Result<(), SettingsError> {
+        if self.classes.is_empty() || self.plans.is_empty() {
+            return Err(SettingsError("there must be a class and a plan"));
+        }
+        if !self.classes.iter().all(is_valid_class) {
+            return Err(SettingsError("a class needs an aim, a deadline and a worth"));
+        }
+        if !self.plans.iter().all(is_valid_plan) {
+            return Err(SettingsError("a plan's rates must be numbers of 0 or more"));
+        }
+        if self.initiators == 0 || self.max_attempts == 0 || self.quantum < 0 {
+            return Err(SettingsError("initiators and tries must be 1 or more"));
+        }
+        let has_mean = self.mean_units.is_finite() && self.mean_units > 0.0;
+        let others = [self.warmup_units, self.fair_share_value, self.idle_value];
+        if !has_mean || !others.into_iter().all(is_non_negative) {
+            return Err(SettingsError("units and worths must be numbers of 0 or more"));
+        }
+        Ok(())
+    }
+}
+
+fn is_valid_class(class: &Class) -> bool {
+    class.latency_objective > 0
+        && class.deadline > 0
+        && is_non_negative(class.priority_weight)
+        && is_non_negative(class.objective_stretch)
+}
+
+fn is_valid_plan(plan: &Plan) -> bool {
+    let figures = [plan.limit_rate, plan.limit_burst, plan.reserve_rate, plan.weight, plan.price];
+    figures.into_iter().all(is_non_negative)
+}
+
+fn is_non_negative(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
+}
