--- /dev/null
+++ b/crates/core/src/interface/mod.rs
@@ -0,0 +1,29 @@
+//! The types that cross the boundary of the decision module: its settings, the events it takes, the actions it returns.
+//!
+//! Classes, plans, zones, shards and chunk servers are indices; volumes, keys and requests are opaque integers, so that
+//! no name can influence a decision. All times are integer nanoseconds.
+
+mod endpoints;
+mod events;
+mod fleet;
+mod request;
+mod settings;
+
+pub use endpoints::{Listed, NodeInfo, UpdateScope};
+pub use events::{Action, Event, Outcome};
+pub use fleet::{ClassSet, FleetUpdate, SharedLimit};
+pub use request::Request;
+pub use settings::{Class, Group, Plan, RetryBudget, Semantics, Settings, SettingsError};
+
+/// A time or a duration in nanoseconds.
+pub type Nanos = i64;
+/// A client request, unique during the life of one front.
+pub type RequestId = u64;
+/// A chunk server, numbered in the order in which the front first heard of it.
+pub type NodeId = usize;
+/// A volume.
+pub type VolumeId = u64;
+/// A piece of data.
+pub type KeyId = u64;
+/// A shard. The chunk server that holds it may be replaced; the shard stays.
+pub type CellId = u32;
--- a/crates/core/src/state/scheduler.rs
+++ b/crates/core/src/state/scheduler.rs
@@ -105,7 +105,7 @@
         let keeps_classes = settings.classes.len() >= self.settings.classes.len();
         let keeps_plans = settings.plans.len() >= self.settings.plans.len();
         if !keeps_classes || !keeps_plans {
-            return Err(SettingsError("classes and plans keep their numbers"));
+            return Err(SettingsError::FewerClassesOrPlans);
         }
         let classes = settings.classes.len();
         self.unit_cost.resize(classes, 0.0);
--- a/crates/core/src/state/settings_check.rs
+++ b/crates/core/src/state/settings_check.rs
@@ -14,21 +14,21 @@
     /// [`SettingsError`] with the first rule that is broken.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() || self.plans.is_empty() {
-            return Err(SettingsError("there must be a class and a plan"));
+            return Err(SettingsError::MissingClassOrPlan);
         }
         if !self.classes.iter().all(is_valid_class) {
-            return Err(SettingsError("a class needs an aim, a deadline and a worth"));
+            return Err(SettingsError::InvalidClass);
         }
         if !self.plans.iter().all(is_valid_plan) {
-            return Err(SettingsError("a plan's rates must be numbers of 0 or more"));
+            return Err(SettingsError::InvalidPlan);
         }
         if self.initiators == 0 || self.max_attempts == 0 || self.quantum < 0 {
-            return Err(SettingsError("initiators and tries must be 1 or more"));
+            return Err(SettingsError::InvalidCount);
         }
         let has_mean = self.mean_units.is_finite() && self.mean_units > 0.0;
         let others = [self.warmup_units, self.fair_share_value, self.idle_value];
         if !has_mean || !others.into_iter().all(is_non_negative) {
-            return Err(SettingsError("units and worths must be numbers of 0 or more"));
+            return Err(SettingsError::InvalidUnits);
         }
         Ok(())
     }
