--- a/crates/core/src/ejection.rs
+++ b/crates/core/src/ejection.rs
@@ -8,7 +8,7 @@
 use crate::state::{LiveRequest, Node, Scheduler};
 
 /// Timely results in a row of this front that readmit a server here: as many as successful probes readmit it for all.
-const READMIT_AFTER_GOOD_RESULTS: u8 = 8;
+const READMIT_AFTER_SUCCESSES: u8 = 8;
 /// A readmitted server warms up for this long, in nanoseconds.
 const READMIT_WARMUP: Nanos = 4_000_000_000;
 
@@ -17,7 +17,7 @@
 pub(crate) struct EjectionState {
     ejected_for: ClassSet,
     /// This front's timely results in a row since the ejection.
-    good_results: u8,
+    consecutive_successes: u8,
     /// Until then the next idempotent request is sent there as a probe.
     probe_until: Nanos,
 }
@@ -34,7 +34,7 @@
     }
 
     fn is_readmitted(&self) -> bool {
-        self.good_results >= READMIT_AFTER_GOOD_RESULTS
+        self.consecutive_successes >= READMIT_AFTER_SUCCESSES
     }
 
     /// Whether the fleet asked this front for a probe.
@@ -50,14 +50,15 @@
     /// Records a result of this front. Results of classes that are not ejected say nothing about the ejection.
     pub fn record_result(&mut self, class: usize, failed: bool) {
         if self.ejected_for.contains(class) {
-            self.good_results = if failed { 0 } else { self.good_results.saturating_add(1) };
+            self.consecutive_successes =
+                if failed { 0 } else { self.consecutive_successes.saturating_add(1) };
         }
     }
 
     /// Hashes all that later decisions depend on.
     pub fn fingerprint<H: Hasher>(&self, now: Nanos, h: &mut H) {
-        let good_results = self.good_results.min(READMIT_AFTER_GOOD_RESULTS);
-        (self.ejected_for, good_results, (self.probe_until - now).max(0)).hash(h);
+        let consecutive_successes = self.consecutive_successes.min(READMIT_AFTER_SUCCESSES);
+        (self.ejected_for, consecutive_successes, (self.probe_until - now).max(0)).hash(h);
     }
 }
 
@@ -69,7 +70,7 @@
         let Some(node) = self.nodes.get_mut(&at) else { return };
         let before = std::mem::replace(&mut node.ejection.ejected_for, classes);
         if before == ClassSet::NONE && classes != ClassSet::NONE {
-            node.ejection.good_results = 0;
+            node.ejection.consecutive_successes = 0;
         }
         if before != ClassSet::NONE && classes == ClassSet::NONE {
             node.ejection.record_probe();
@@ -105,9 +106,9 @@
         if !self.may_probe(request) {
             return None;
         }
-        let has_room = |node: &Node| !node.is_full() && self.warmup_room(node) >= request.units;
+        let has_capacity = |node: &Node| !node.is_full() && self.warmup_quota(node) >= request.units;
         let is_due = |node: &&Node| {
-            node.ejection.is_probe_due(self.now) && node.listed == Listed::Up && has_room(node)
+            node.ejection.is_probe_due(self.now) && node.listed == Listed::Up && has_capacity(node)
         };
         self.nodes.values().find(is_due).map(|node| node.cell)
     }
--- a/crates/core/src/policy/congestion.rs
+++ b/crates/core/src/policy/congestion.rs
@@ -38,7 +38,7 @@
 
 impl Node {
     /// Whether a window allows one more request. Below 1 it paces, as one of each front may be too many.
-    pub(super) fn has_room(&self, window: f64, now: Nanos) -> bool {
+    pub(super) fn has_capacity(&self, window: f64, now: Nanos) -> bool {
         let window = if self.is_full() { 0.0 } else { window.min(self.limits.max_in_flight()) };
         if window < 1.0 {
             let best = self.best_latency.minimum().clamp(1.0, SECOND as f64);
--- a/crates/core/src/policy/health.rs
+++ b/crates/core/src/policy/health.rs
@@ -79,7 +79,7 @@
         match outcome {
             Outcome::Served | Outcome::Error => {
                 node.record_answer(now, sent.sent_at);
-                node.health = Health::Good;
+                node.health = Health::Healthy;
             }
             // A lost answer says little: the work was done, and a dead server shows with the next attempt.
             Outcome::NotExecuted | Outcome::Reset | Outcome::TimedOut | Outcome::Rejected => {
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -35,7 +35,7 @@
         self.dispatch(cell, actions);
     }
 
-    /// Sends from a shard's queue while its servers have room.
+    /// Sends from a shard's queue while its servers have capacity.
     pub(super) fn dispatch(&mut self, cell: CellId, actions: &mut Actions) {
         if self.queues.get(&cell).is_none_or(Vec::is_empty) {
             return;
@@ -56,8 +56,8 @@
     /// Takes the request that a server should get now: of the highest score, then of the earliest objective.
     fn take_next(&mut self, cell: CellId, at: NodeId) -> Option<RequestId> {
         let node = &self.nodes[&at];
-        let has_room = node.has_room(node.window.max(1.0), self.now);
-        let is_open = if node.is_healthy() { has_room } else { node.may_probe(self.now) };
+        let has_capacity = node.has_capacity(node.window.max(1.0), self.now);
+        let is_open = if node.is_healthy() { has_capacity } else { node.may_probe(self.now) };
         if !is_open {
             return None;
         }
@@ -69,7 +69,7 @@
         self.queues.get_mut(&cell).map(|queue| queue.remove(index))
     }
 
-    /// Whether the rules allow this request at this server now, and whether it is worth the room.
+    /// Whether the rules allow this request at this server now, and whether it is worth the capacity.
     fn may_send(&self, live: &LiveRequest, at: NodeId) -> bool {
         if self.now < live.not_before || self.is_expired(live) || self.is_blocked(live, at) {
             return false;
@@ -79,12 +79,12 @@
             _ => self.may_retry(live, Some(at)),
         };
         let node = &self.nodes[&at];
-        let fits = self.warmup_room(node) >= live.request.units && self.is_worth_room(live, node);
+        let fits = self.warmup_quota(node) >= live.request.units && self.may_use_window(live, node);
         is_allowed && fits && self.is_next_for_key(live)
     }
 
     /// Low value keeps to a part of the window and to the pace, so as not to delay better work.
-    fn is_worth_room(&self, live: &LiveRequest, node: &Node) -> bool {
+    fn may_use_window(&self, live: &LiveRequest, node: &Node) -> bool {
         if !node.is_healthy() {
             return true;
         }
@@ -94,7 +94,7 @@
             return true;
         }
         let reduced_window = (node.window * LOW_VALUE_WINDOW_FRACTION).max(1.0);
-        node.has_room(reduced_window.min(node.window), self.now)
+        node.has_capacity(reduced_window.min(node.window), self.now)
     }
 
     fn send(&mut self, id: RequestId, at: NodeId, actions: &mut Actions) {
@@ -117,7 +117,7 @@
         actions.push(Action::Send { id, node: at, timeout });
     }
 
-    /// While many attempts fail, a late read is worth less than its place in a queue.
+    /// While many attempts fail, a late read has less value than the work queued behind it.
     fn is_cut_off_when_late(&self, live: &LiveRequest) -> bool {
         let class = self.class(&live.request);
         let is_read = class.late_value < LOW_VALUE_FRACTION && class.semantics == Semantics::Idempotent;
@@ -136,11 +136,11 @@
         self.up_nodes(cell).min_by_key(preference).map(|(_, node)| node)
     }
 
-    /// Chooses the shard of a new object by weight, among servers with room: the others have reads to serve.
+    /// Chooses the shard of a new object by weight, among servers with free capacity.
     pub(super) fn choose_cell(&self, draw: f64, request: &Request) -> Option<CellId> {
         let accepts = |node: &Node| !node.ejection.is_ejected(request.class);
-        let has_room = |n: &Node| n.has_room(n.window, self.now) && self.warmup_room(n) >= request.units;
-        let is_free = |node: &Node| node.is_healthy() && accepts(node) && has_room(node);
+        let fits = |n: &Node| n.has_capacity(n.window, self.now) && self.warmup_quota(n) >= request.units;
+        let is_free = |node: &Node| node.is_healthy() && accepts(node) && fits(node);
         let choose_regular = || self.choose_among(draw, is_free).or_else(|| self.choose_among(draw, accepts));
         self.cell_to_probe(request).or_else(choose_regular).or_else(|| self.choose_among(draw, |_| true))
     }
--- a/crates/core/src/policy/slow_start.rs
+++ b/crates/core/src/policy/slow_start.rs
@@ -29,7 +29,7 @@
 impl Scheduler {
     /// Units that a server may get now, by the larger of two budgets: an even part of what a starting server
     /// can always bear, growing with its age, and one that accrues by the rate that it served before.
-    pub(crate) fn warmup_room(&self, node: &Node) -> f64 {
+    pub(crate) fn warmup_quota(&self, node: &Node) -> f64 {
         let Some(since) = node.warmup_since else { return f64::INFINITY };
         let growth = self.warmup_growth(since);
         let even_part = self.settings.warmup_units / self.settings.fronts() * growth;
--- a/crates/core/src/state/node.rs
+++ b/crates/core/src/state/node.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Health {
     /// It takes regular requests.
-    Good,
+    Healthy,
     /// It does not answer or its connections fail: it gets probe requests only.
     Suspect,
 }
@@ -145,7 +145,7 @@
             period_started_at: now,
             period_congested: false,
             window_reduced: false,
-            health: Health::Good,
+            health: Health::Healthy,
             consecutive_losses: 0,
             last_answer_at: now,
             newest_answered_send: 0,
@@ -165,7 +165,7 @@
 
     /// Whether it is trusted.
     pub fn is_healthy(&self) -> bool {
-        self.health == Health::Good
+        self.health == Health::Healthy
     }
 
     /// Whether it is up and past its warm-up: what it serves is what such a server can do.
--- a/crates/core/src/state/settings_check.rs
+++ b/crates/core/src/state/settings_check.rs
@@ -42,8 +42,8 @@
 }
 
 fn is_valid_plan(plan: &Plan) -> bool {
-    let figures = [plan.limit_rate, plan.limit_burst, plan.reserve_rate, plan.weight, plan.price];
-    figures.into_iter().all(is_non_negative)
+    let values = [plan.limit_rate, plan.limit_burst, plan.reserve_rate, plan.weight, plan.price];
+    values.into_iter().all(is_non_negative)
 }
 
 fn is_non_negative(value: f64) -> bool {
--- a/crates/core/tests/hundred_fronts.rs
+++ b/crates/core/tests/hundred_fronts.rs
@@ -180,7 +180,7 @@
     })
 }
 
-/// While many attempts fail, a read ends when it is late, as its place in a queue is worth more. A write does not, as it
+/// While many attempts fail, a read ends when it is late, as other work is more valuable. A write does not, as it
 /// would be in doubt; without overload nothing is cut off.
 #[test]
 fn in_an_overload_reads_end_at_their_objective_and_writes_do_not() {
