--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -1,140 +1,137 @@
-//! Connections from clients, for either front: the places for them, who gives his up, and leaving in order.
+//! The accept loop of a front: admission and eviction of client connections, and graceful shutdown.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
-use std::convert::Infallible;
 use std::future::Future;
-use std::io;
-use std::net::SocketAddr;
 use std::os::fd::AsRawFd;
+use std::pin::pin;
 use std::rc::Rc;
-use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 
-use bytes::{Bytes, BytesMut};
-use http_body_util::channel::Channel;
-use http_body_util::{BodyExt, Either, Full};
-use hyper::body::{Body, Incoming};
-use hyper::header::{HeaderValue, CONNECTION, RETRY_AFTER};
-use hyper::server::conn::http1;
-use hyper::service::service_fn;
-use hyper::{Request, Response, StatusCode};
-use hyper_util::rt::TokioIo;
-use tokio::net::tcp::OwnedReadHalf;
-use tokio::net::{TcpListener, TcpSocket, TcpStream};
+use bytes::Bytes;
+use hyper::{Request, StatusCode};
+use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
-use tokio::time::{sleep, timeout, timeout_at, Instant};
-use tulipbridge_core::client_connection::{ClientEvent, Phase};
+use tokio::time::{sleep, timeout, Instant};
+use tulipbridge_core::client_connection::Phase;
 use tulipbridge_core::connection_limiter::{Accept, ConnectionLimiter};
 use tulipbridge_core::graceful_shutdown::{GracefulShutdown, ShutdownEvent, ShutdownStep};
 use tulipbridge_core::Nanos;
 
-use crate::frontend::framing::{ClientState, Framed, OpenRequest, ResponseBody, MAX_HEAD};
+use super::body::MAX_REQUEST_BODY;
+use super::client_state::ClientState;
 use crate::telemetry::log::log;
-use crate::upstream::MAX_BODY;
 
-/// Connections past the cap that may stand at once to be told so; more wait to be accepted.
+pub use super::body::BodyBudget;
+pub use super::replies::{plain, Reply};
+pub use super::socket::listen;
+
+/// Connections above the limit that are accepted at a time to be answered with a rejection; others wait in the
+/// kernel's queue.
 const REJECTION_SLOTS: usize = 16;
-/// How often connections are looked at.
+/// How often connections are checked for timeouts.
 const TIMEOUT_POLL: Duration = Duration::from_millis(100);
-/// When a client that was turned away at the door may come back.
-const REJECTION_RETRY_AFTER: Duration = Duration::from_millis(250);
-/// A connection that this side has ended is read on for so long at the most, and no longer than the second
-/// without a byte: closing on bytes that were not read would reset it, and could take the answer along.
-const LINGER: Duration = Duration::from_secs(4);
-const LINGER_IDLE: Duration = Duration::from_millis(500);
-/// How often a front that leaves looks whether what was on its way has come.
-const ARRIVAL_POLL: Duration = Duration::from_millis(5);
-/// Bytes that are dropped at once.
-const DISCARD_BUFFER: usize = 64 * 1024;
-/// The longest body of a request.
-const MAX_REQUEST_BODY: usize = 32 << 20;
-/// A body that stands still for so long has broken off.
-const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// An answer: whole, or passed on piece by piece.
-pub type Reply = Response<Either<Full<Bytes>, Channel<Bytes, io::Error>>>;
-
-/// A request with its body, or why that is not taken.
+/// How long the accept loop waits where no connection can be evicted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// How long the accept loop waits after an error of `accept`.
+const ACCEPT_ERROR_DELAY: Duration = Duration::from_millis(10);
+/// The shortest time between two log lines about the connection limit.
+const FULL_LOG_INTERVAL: Duration = Duration::from_secs(1);
+/// Size of the buffer that data of closing connections is discarded into.
+const DISCARD_BUFFER_BYTES: usize = 64 * 1024;
+
+/// A request with its complete body, or the status that the body was refused with.
 pub type ReceivedRequest = Request<Result<Bytes, StatusCode>>;
 
-/// What the listener tells others of itself: the console says it.
+/// State of a listener that is shared with the admin console.
 #[derive(Clone, Default)]
 pub struct ListenerState {
-    /// Whether it takes clients: from its start until SIGTERM.
+    /// Whether clients are accepted: from the start until SIGTERM.
     pub accepting: Rc<Cell<bool>>,
-    /// Requests taken and not yet ended.
+    /// Requests received whose responses are not complete.
     pub active_requests: Rc<Cell<usize>>,
-    /// Room for request bodies; where none is given, one of the longest body.
+    /// Memory for request bodies; `None` allows one body of the largest size.
     pub body_budget: Option<Arc<BodyBudget>>,
 }
 
-/// What a front does with a request.
+/// Answers the requests that a listener receives.
 pub trait Handler: 'static {
-    /// The one answer to a request.
-    fn answer(&self, request: ReceivedRequest, leaving: bool) -> impl Future<Output = Reply>;
+    /// The response to a request. `shutting_down` tells that the listener has stopped accepting.
+    fn answer(&self, request: ReceivedRequest, shutting_down: bool) -> impl Future<Output = Reply>;
 
-    /// The front ends: all that was taken and is yet to be is answered within this time.
+    /// The listener shuts down: every request, received or still to come, must be answered `within` this time.
     fn begin_shutdown(&self, _within: Duration) {}
 
-    /// The longest time that a client may wait for its answer.
+    /// The longest deadline of any request.
     fn longest_deadline(&self) -> Duration;
 }
 
-/// A front's socket, its connections and its leaving.
+/// Key of a connection in the table of its listener.
+type ConnectionId = u64;
+
+/// Accepts client connections and passes their requests to a [`Handler`].
 pub struct Listener<H> {
-    handler: H,
+    pub(super) handler: H,
     limiter: ConnectionLimiter,
-    began: Instant,
-    clients: RefCell<HashMap<u64, Rc<ClientState>>>,
-    next: Cell<u64>,
+    /// Origin of the times given to the state machines.
+    epoch: Instant,
+    clients: RefCell<HashMap<ConnectionId, Rc<ClientState>>>,
+    next_connection: Cell<ConnectionId>,
     full_logged_at: Cell<Option<Instant>>,
-    requests: Rc<Cell<usize>>,
+    pub(super) active_requests: Rc<Cell<usize>>,
     accepting: Rc<Cell<bool>>,
-    shutting_down: watch::Sender<bool>,
-    discard_buffer: RefCell<Vec<u8>>,
-    body_budget: Arc<BodyBudget>,
+    pub(super) shutting_down: watch::Sender<bool>,
+    pub(super) discard_buffer: RefCell<Vec<u8>>,
+    pub(super) body_budget: Arc<BodyBudget>,
 }
 
 impl<H: Handler> Listener<H> {
-    /// A front that takes at most so many connections, and tells how it stands.
-    pub fn new(handler: H, most: usize, standing: ListenerState) -> Rc<Listener<H>> {
+    /// A listener that keeps at most `max_connections` connections and publishes its state in `state`.
+    pub fn new(handler: H, max_connections: usize, state: ListenerState) -> Rc<Listener<H>> {
         Rc::new(Listener {
             handler,
-            limiter: ConnectionLimiter::new(most, REJECTION_SLOTS),
-            began: Instant::now(),
+            limiter: ConnectionLimiter::new(max_connections, REJECTION_SLOTS),
+            epoch: Instant::now(),
             clients: RefCell::default(),
-            next: Cell::new(0),
+            next_connection: Cell::new(0),
             full_logged_at: Cell::new(None),
-            requests: standing.active_requests,
-            accepting: standing.accepting,
-            body_budget: standing.body_budget.unwrap_or_else(|| BodyBudget::new(MAX_REQUEST_BODY)),
+            active_requests: state.active_requests,
+            accepting: state.accepting,
             shutting_down: watch::Sender::new(false),
-            discard_buffer: RefCell::new(vec![0; DISCARD_BUFFER]),
+            discard_buffer: RefCell::new(vec![0; DISCARD_BUFFER_BYTES]),
+            body_budget: state.body_budget.unwrap_or_else(|| BodyBudget::new(MAX_REQUEST_BODY)),
         })
     }
 
-    /// Serves until the signal comes, then answers all that was taken.
-    pub async fn serve(self: &Rc<Self>, listener: TcpListener, signal: impl Future<Output = ()>) {
+    /// Serves until `shutdown_signal` completes, then returns once every received request has been answered. Must be
+    /// called inside a tokio `LocalSet`.
+    pub async fn serve(self: &Rc<Self>, listener: TcpListener, shutdown_signal: impl Future<Output = ()>) {
         self.accepting.set(true);
         tokio::select! {
-            () = self.accept(&listener) => {}
+            () = self.accept_forever(&listener) => {}
             () = self.close_timed_out() => {}
-            () = signal => {}
+            () = shutdown_signal => {}
         }
         self.accepting.set(false);
-        let told = self.now();
-        let (mut leaving, mut next) =
-            GracefulShutdown::new(told, self.handler.longest_deadline().as_nanos() as Nanos);
-        self.handler.begin_shutdown(duration(leaving.answer_deadline() - told));
+        self.shut_down(listener).await;
+    }
+
+    /// Carries out the steps of a graceful shutdown.
+    async fn shut_down(self: &Rc<Self>, listener: TcpListener) {
+        let started = self.now();
+        let longest_deadline = self.handler.longest_deadline().as_nanos() as Nanos;
+        let (mut shutdown, mut step) = GracefulShutdown::new(started, longest_deadline);
+        self.handler.begin_shutdown(duration(shutdown.answer_deadline() - started));
         loop {
-            next = match next {
+            step = match step {
                 ShutdownStep::Accept(within) => {
-                    let took = timeout(duration(within), self.accept_one(&listener)).await;
-                    leaving.on(
-                        self.now(),
-                        if took.is_ok() { ShutdownEvent::Accepted } else { ShutdownEvent::AcceptTimedOut },
-                    )
+                    let accepted = timeout(duration(within), self.accept_one(&listener)).await;
+                    let event = match accepted {
+                        Ok(()) => ShutdownEvent::Accepted,
+                        Err(_) => ShutdownEvent::AcceptTimedOut,
+                    };
+                    shutdown.on(self.now(), event)
                 }
                 ShutdownStep::StopAccepting => break,
                 ShutdownStep::Wait(_) | ShutdownStep::Exit => return,
@@ -142,377 +139,164 @@
         }
         self.accept_backlog(listener);
         self.shutting_down.send_replace(true);
+        self.wait_for_pending_work(&mut shutdown).await;
+    }
+
+    /// Returns once the state machine of the shutdown finds that nothing is pending, or gives up.
+    async fn wait_for_pending_work(&self, shutdown: &mut GracefulShutdown) {
         loop {
-            let owed = self.clients.borrow().values().filter(|c| c.has_pending_work()).count();
-            let look = ShutdownEvent::Poll {
+            let pending = self.clients.borrow().values().filter(|client| client.has_pending_work()).count();
+            let poll = ShutdownEvent::Poll {
                 connections: self.connection_count(),
-                busy: owed.max(self.requests.get()),
+                busy: pending.max(self.active_requests.get()),
             };
-            match leaving.on(self.now(), look) {
+            match shutdown.on(self.now(), poll) {
                 ShutdownStep::Wait(time) => sleep(duration(time)).await,
                 ShutdownStep::Exit | ShutdownStep::Accept(_) | ShutdownStep::StopAccepting => return,
             }
         }
     }
 
-    /// The time as the machines count it.
+    /// Time since the epoch of this listener.
     fn now(&self) -> Nanos {
-        self.began.elapsed().as_nanos() as Nanos
+        self.epoch.elapsed().as_nanos() as Nanos
     }
 
     fn connection_count(&self) -> usize {
         self.clients.borrow().len()
     }
 
-    async fn accept(self: &Rc<Self>, listener: &TcpListener) {
+    async fn accept_forever(self: &Rc<Self>, listener: &TcpListener) {
         loop {
             self.accept_one(listener).await;
         }
     }
 
-    /// Takes what waits in the socket's queue and closes it. The queue itself is asked, until it is empty: the runtime
-    /// hears of a connection later than the system, and one that is left in the queue would be reset.
+    /// Accepts every connection in the kernel's queue and closes the listening socket. The kernel is asked directly
+    /// until the queue is empty: the runtime learns of a connection later, and one left in the queue would be reset.
     fn accept_backlog(self: &Rc<Self>, listener: TcpListener) {
         let Ok(listener) = listener.into_std() else { return };
         while let Ok((stream, _)) = listener.accept() {
             let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
             if let Ok(stream) = stream {
-                self.serve_connection(stream);
+                self.spawn_connection(stream);
             }
         }
     }
 
     async fn accept_one(self: &Rc<Self>, listener: &TcpListener) {
+        self.make_room().await;
+        match listener.accept().await {
+            Ok((stream, _)) => self.spawn_connection(stream),
+            // Out of file descriptors, or the client left the queue. Waiting lets other connections close.
+            Err(why) => {
+                log!("cannot accept: {why}");
+                sleep(ACCEPT_ERROR_DELAY).await;
+            }
+        }
+    }
+
+    /// Returns once the limiter admits another connection, evicting one where it says so.
+    async fn make_room(&self) {
         let mut tried = None;
         loop {
             let next = self.limiter.accept(self.connection_count(), tried);
             match next {
-                Accept::Now => break,
+                Accept::Now => return,
                 Accept::EvictIdle => tried = Some((next, self.evict(true))),
                 Accept::EvictAny => tried = Some((next, self.evict(false))),
                 Accept::Wait => {
-                    sleep(Duration::from_millis(5)).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                     tried = None;
                 }
             }
         }
-        match listener.accept().await {
-            Ok((stream, _)) => self.serve_connection(stream),
-            // Out of descriptors, or a client that left in the queue. Waiting lets others close.
-            Err(why) => {
-                log!("cannot accept: {why}");
-                sleep(Duration::from_millis(10)).await;
-            }
-        }
     }
 
-    /// Gives a connection its place and serves it.
-    fn serve_connection(self: &Rc<Self>, stream: TcpStream) {
-        let (server, client, number) =
-            (Rc::clone(self), ClientState::new(stream.as_raw_fd(), self.began), self.next.get());
-        self.next.set(number + 1);
+    /// Registers an accepted connection and serves it in a task of its own.
+    fn spawn_connection(self: &Rc<Self>, stream: TcpStream) {
+        let client = ClientState::new(stream.as_raw_fd(), self.epoch);
+        let id = self.next_connection.get();
+        self.next_connection.set(id + 1);
         let full = self.limiter.is_full(self.connection_count());
         if full {
             self.log_full();
         }
-        self.clients.borrow_mut().insert(number, Rc::clone(&client));
+        self.clients.borrow_mut().insert(id, Rc::clone(&client));
+        let listener = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            {
-                let mut connection = std::pin::pin!(server.connection(stream, &client, full));
-                loop {
-                    tokio::select! {
-                        biased;
-                        () = client.evicted.notified() => {
-                            if client.may_close_now() {
-                                break;
-                            }
-                            // Something has come since it was told to go. It keeps its place.
-                            server.clients.borrow_mut().entry(number).or_insert_with(|| Rc::clone(&client));
-                        }
-                        () = connection.as_mut() => break,
+            listener.serve_until_evicted(id, stream, &client, full).await;
+            listener.clients.borrow_mut().remove(&id);
+        });
+    }
+
+    /// Serves a connection until it ends, or is evicted while nothing is under way on it.
+    async fn serve_until_evicted(
+        self: &Rc<Self>,
+        id: ConnectionId,
+        stream: TcpStream,
+        client: &Rc<ClientState>,
+        full: bool,
+    ) {
+        let mut connection = pin!(self.serve_connection(stream, client, full));
+        loop {
+            tokio::select! {
+                biased;
+                () = client.evicted.notified() => {
+                    if client.may_close_now() {
+                        return;
                     }
+                    // Data has arrived since the eviction, so the connection is registered again.
+                    self.clients.borrow_mut().entry(id).or_insert_with(|| Rc::clone(client));
                 }
+                () = connection.as_mut() => return,
             }
-            server.clients.borrow_mut().remove(&number);
-        });
+        }
     }
 
-    /// Sends off the connection that is of least use, if any may be spared.
-    fn evict(&self, idle: bool) -> bool {
+    /// Evicts the connection that the limiter can best spare. Returns whether there was one.
+    fn evict(&self, idle_only: bool) -> bool {
         let mut clients = self.clients.borrow_mut();
-        let visitors = clients.iter().map(|(n, c)| (*n, c.connection()));
-        let gone = self.limiter.eviction_candidate(self.now(), idle, visitors, |n| clients[&n].is_busy());
-        let gone = gone.and_then(|number| clients.remove(&number));
-        gone.map(|client| client.evicted.notify_one()).is_some()
+        let connections = clients.iter().map(|(id, client)| (*id, client.connection()));
+        let is_busy = |id| clients[&id].is_busy();
+        let candidate = self.limiter.eviction_candidate(self.now(), idle_only, connections, is_busy);
+        let Some(client) = candidate.and_then(|id| clients.remove(&id)) else { return false };
+        client.evicted.notify_one();
+        true
     }
 
-    /// Says who holds the places, once a second at the most.
+    /// Logs the phases of all connections, at most once in [`FULL_LOG_INTERVAL`].
     fn log_full(&self) {
         let now = Instant::now();
-        if self.full_logged_at.get().is_some_and(|said| now - said < Duration::from_secs(1)) {
+        if self.full_logged_at.get().is_some_and(|logged| now - logged < FULL_LOG_INTERVAL) {
             return;
         }
         self.full_logged_at.set(Some(now));
-        let mut held: Vec<(Phase, usize)> = Vec::new();
-        for (phase, _) in self.clients.borrow().values().map(|c| c.connection().phase()) {
-            match held.iter_mut().find(|(p, _)| *p == phase) {
+        let mut counts: Vec<(Phase, usize)> = Vec::new();
+        for phase in self.clients.borrow().values().map(|client| client.phase()) {
+            match counts.iter_mut().find(|(counted, _)| *counted == phase) {
                 Some((_, count)) => *count += 1,
-                None => held.push((phase, 1)),
+                None => counts.push((phase, 1)),
             }
         }
-        log!("no place for another client: {held:?}");
+        log!("no place for another client: {counts:?}");
     }
 
-    /// Closes the connections whose time is over.
+    /// Evicts connections whose timeouts have passed, for ever.
     async fn close_timed_out(&self) {
         loop {
             sleep(TIMEOUT_POLL).await;
-            let (now, short) = (self.now(), self.limiter.is_scarce(self.connection_count()));
+            let now = self.now();
+            let scarce = self.limiter.is_scarce(self.connection_count());
             for client in self.clients.borrow().values() {
-                let over = client.connection().has_timed_out(now, short, || client.is_busy());
-                if over {
+                if client.connection().has_timed_out(now, scarce, || client.is_busy()) {
                     client.evicted.notify_one();
                 }
             }
         }
     }
-
-    async fn connection(self: &Rc<Self>, stream: TcpStream, client: &Rc<ClientState>, full: bool) {
-        // Without it, an answer in two writes would wait for an acknowledgement; failing costs only time.
-        let _ = stream.set_nodelay(true);
-        let (read, write) = stream.into_split();
-        let read = Rc::new(RefCell::new(read));
-        let framed = Framed::new(Rc::clone(&read), write, Rc::clone(client));
-        let service = service_fn(|request| async move {
-            let open = OpenRequest::new(client, &self.requests);
-            let reply = self.answer(request, client, full).await;
-            Ok::<_, Infallible>(reply.map(|body| ResponseBody::new(body, open)))
-        });
-        let leaving = self.shutting_down.subscribe();
-        {
-            let connection = http1::Builder::new()
-                .keep_alive(!full)
-                .header_read_timeout(None)
-                .max_buf_size(MAX_HEAD)
-                .serve_connection(TokioIo::new(framed), service);
-            tokio::pin!(connection);
-            // How a client's connection ends is the client's affair; requests in it have told the exchange.
-            // What has come is read before it is asked whether anything has.
-            tokio::select! {
-                biased;
-                _ = connection.as_mut() => {}
-                () = ready_to_shut_down(client, leaving) => {
-                    connection.as_mut().graceful_shutdown();
-                    let _ = connection.await;
-                }
-            }
-        }
-        client.on(ClientEvent::Closing);
-        let until = (client.connected_at() + LINGER).max(Instant::now() + LINGER_IDLE);
-        // hyper has let go of its part; what is left is this one.
-        if let Ok(read) = Rc::try_unwrap(read) {
-            let _ = timeout_at(until, self.linger(read.into_inner())).await;
-        }
-    }
-
-    /// Drops what still comes, until the client ends the connection or stops sending.
-    async fn linger(&self, read: OwnedReadHalf) {
-        while let Ok(Ok(())) = timeout(LINGER_IDLE, read.readable()).await {
-            match read.try_read(&mut self.discard_buffer.borrow_mut()) {
-                Ok(0) => return,
-                Ok(_) => {}
-                Err(why) if why.kind() == io::ErrorKind::WouldBlock => {}
-                Err(_) => return,
-            }
-            tokio::task::yield_now().await;
-        }
-    }
-
-    async fn answer(&self, request: Request<Incoming>, client: &Rc<ClientState>, full: bool) -> Reply {
-        if full {
-            return connection_limit_reached();
-        }
-        let (head, body) = request.into_parts();
-        let body = match client.fault() {
-            Some(fault) => Err(fault),
-            None => read_body(body, client.request_deadline(), &self.body_budget).await,
-        };
-        let (body, hold) = match body {
-            Ok((body, hold)) => (Ok(body), Some(hold)),
-            Err(status) => (Err(status), None),
-        };
-        // Whether something stands behind the request is known once it is whole.
-        let body = client.fault().map_or(body, Err);
-        let spoilt = body.is_err();
-        if let (Err(status), true) = (&body, crate::telemetry::trace::is_enabled()) {
-            let length = head
-                .headers
-                .get(hyper::header::CONTENT_LENGTH)
-                .and_then(|v| v.to_str().ok())
-                .map(str::to_owned);
-            crate::telemetry::trace::write(
-                simd_json::json!({ "e": "not taken", "status": status.as_u16(), "length": length }),
-            );
-        }
-        client.on(ClientEvent::RequestReceived);
-        let leaving = *self.shutting_down.borrow();
-        let mut request = Request::from_parts(head, body);
-        if let Some(hold) = hold {
-            request.extensions_mut().insert(hold);
-        }
-        if request.body() == &Err(StatusCode::SERVICE_UNAVAILABLE) {
-            return closing(rejected(REJECTION_RETRY_AFTER));
-        }
-        let reply = self.handler.answer(request, leaving).await;
-        if spoilt || client.is_last_request() {
-            closing(reply)
-        } else {
-            reply
-        }
-    }
-}
-
-/// Returns once the front leaves and nothing is on its way on this connection: with the answer to an open request it
-/// ends by itself.
-async fn ready_to_shut_down(client: &ClientState, mut leaving: watch::Receiver<bool>) {
-    if leaving.wait_for(|l| *l).await.is_err() {
-        return std::future::pending().await;
-    }
-    while client.is_arriving() {
-        // Bytes on the socket are nothing that anybody is told of.
-        let _ = timeout(ARRIVAL_POLL, client.changed.notified()).await;
-    }
-}
-
-/// Reads a body: 413 where it is larger than any request's, 503 where memory for bodies is short, 400 where it
-/// breaks off, 408 where it does not begin by `until` or stands still for [`BODY_GAP`]. A slow client may take long
-/// for a long body, as long as it goes on sending.
-async fn read_body(
-    mut body: Incoming,
-    until: Instant,
-    room: &Arc<BodyBudget>,
-) -> Result<(Bytes, Arc<BodyReservation>), StatusCode> {
-    let told = body.size_hint();
-    if told.lower() > MAX_REQUEST_BODY as u64 {
-        return Err(StatusCode::PAYLOAD_TOO_LARGE);
-    }
-    let mut hold = BodyReservation::take(room, usize::try_from(told.lower()).unwrap_or(usize::MAX))?;
-    let mut bytes = BytesMut::with_capacity(usize::try_from(told.lower()).unwrap_or(0).min(MAX_BODY));
-    let mut next = until;
-    loop {
-        let frame = timeout_at(next, body.frame()).await.map_err(|_| StatusCode::REQUEST_TIMEOUT)?;
-        let Some(frame) = frame else { break };
-        let frame = frame.map_err(|_| StatusCode::BAD_REQUEST)?;
-        if let Ok(data) = frame.into_data() {
-            if bytes.len() + data.len() > MAX_REQUEST_BODY {
-                return Err(StatusCode::PAYLOAD_TOO_LARGE);
-            }
-            hold.grow(bytes.len() + data.len())?;
-            bytes.extend_from_slice(&data);
-        }
-        next = Instant::now() + BODY_IDLE_TIMEOUT;
-    }
-    Ok((bytes.freeze(), Arc::new(hold)))
-}
-
-/// Bytes of request bodies that a front holds at once, of what memory allows.
-pub struct BodyBudget {
-    most: usize,
-    held: AtomicUsize,
-}
-
-impl BodyBudget {
-    /// So many bytes at most.
-    pub fn new(most: usize) -> Arc<BodyBudget> {
-        Arc::new(BodyBudget { most, held: AtomicUsize::new(0) })
-    }
-}
-
-/// A body's bytes, held in a [`Room`] for as long as this lives: a front keeps it with what it sends.
-pub struct BodyReservation {
-    room: Arc<BodyBudget>,
-    bytes: usize,
-}
-
-impl BodyReservation {
-    /// So many bytes, or 503 where there is no room for them.
-    fn take(room: &Arc<BodyBudget>, bytes: usize) -> Result<BodyReservation, StatusCode> {
-        let mut hold = BodyReservation { room: Arc::clone(room), bytes: 0 };
-        hold.grow(bytes)?;
-        Ok(hold)
-    }
-
-    /// Holds so many bytes in all, or 503 where there is no room for more.
-    fn grow(&mut self, bytes: usize) -> Result<(), StatusCode> {
-        let more = bytes.saturating_sub(self.bytes);
-        let held = self.room.held.fetch_add(more, Ordering::Relaxed) + more;
-        self.bytes += more;
-        // A body alone always fits, so that no long request is refused for ever.
-        if held > self.room.most && held > self.bytes {
-            return Err(StatusCode::SERVICE_UNAVAILABLE);
-        }
-        Ok(())
-    }
-}
-
-impl Drop for BodyReservation {
-    fn drop(&mut self) {
-        self.room.held.fetch_sub(self.bytes, Ordering::Relaxed);
-    }
 }
 
 fn duration(time: Nanos) -> Duration {
     Duration::from_nanos(time.max(0) as u64)
 }
-
-/// A short plain answer.
-pub fn plain(status: StatusCode, why: &'static str) -> Reply {
-    let mut reply = Response::new(Either::Left(Full::new(Bytes::from_static(why.as_bytes()))));
-    *reply.status_mut() = status;
-    reply
-}
-
-/// Ends the connection after this answer.
-fn closing(mut reply: Reply) -> Reply {
-    reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
-    reply
-}
-
-/// It never ran: the client may come back after the wait.
-pub fn rejected(wait: Duration) -> Reply {
-    let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
-    if let Ok(wait) = HeaderValue::try_from(format!("{:.3}", wait.as_secs_f64())) {
-        reply.headers_mut().insert(RETRY_AFTER, wait);
-    }
-    reply
-}
-
-fn connection_limit_reached() -> Reply {
-    closing(rejected(REJECTION_RETRY_AFTER))
-}
-
-/// Connections that the system holds for the front before it accepts them.
-const BACKLOG: u32 = 1024;
-
-/// Opens the front's socket, and says where it is: a port of 0 is any that is free. Another process may listen at
-/// the same address beside it (`SO_REUSEPORT`): a new version starts so while the old one serves.
-///
-/// # Errors
-/// A plain sentence, where the address cannot be had.
-pub async fn listen(address: SocketAddr) -> Result<TcpListener, String> {
-    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
-    let bound = socket.and_then(|socket| {
-        socket.set_reuseaddr(true)?;
-        socket.set_reuseport(true)?;
-        socket.bind(address)?;
-        socket.listen(BACKLOG)
-    });
-    let listener = bound.map_err(|e| format!("cannot listen on {address}: {e}"))?;
-    let address = listener.local_addr().map_err(|e| e.to_string())?;
-    log!("listening on {address}");
-    Ok(listener)
-}
-
-#[cfg(test)]
-#[path = "../../tests/unit/listener.rs"]
-mod tests;
--- /dev/null
+++ b/src/frontend/platform/request_parser.rs
@@ -0,0 +1,179 @@
+//! Parsing the headers of the platform's protocol into a request for the decision module.
+
+use hyper::header::{HeaderMap, COOKIE};
+use hyper::Method;
+use tulipbridge_core as core;
+use tulipbridge_core::{CellId, Nanos};
+
+use super::request_tables::RequestTables;
+use super::{CLASS, TRANSACTION_ID};
+
+/// Header with the plan of a request.
+const PLAN: &str = "x-plan";
+/// Header with the time that the client still waits.
+const REMAINING: &str = "x-remaining";
+/// Header with the list of fields that describe the operation.
+const OPERATION: &str = "x-io";
+/// Prefix of the cookie that names the block.
+const BLOCK_COOKIE: &str = "block=";
+/// Digits of an id in hexadecimal.
+const ID_DIGITS: usize = 16;
+/// The longest remaining time that is taken, an hour; a longer one is shortened to it.
+const MAX_REMAINING_NANOS: f64 = 3.6e12;
+const NANOS_PER_MILLISECOND: f64 = 1e6;
+const NANOS_PER_MICROSECOND: f64 = 1e3;
+/// Value of the field `shard` where the front may choose the shard.
+const ANY_SHARD: i64 = -1;
+
+/// Why a request is refused with 400.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum RequestError {
+    InvalidTransactionId,
+    MissingClass,
+    UnknownClass,
+    WrongMethod,
+    MissingPlan,
+    UnknownPlan,
+    InvalidRemaining,
+    MissingOperation,
+    MalformedOperation,
+    InvalidShard,
+    MissingShard,
+    InvalidVolume,
+    InvalidBlock,
+    InvalidUnits,
+    InvalidFrontCount,
+}
+
+impl RequestError {
+    /// The sentence that the client gets.
+    pub fn message(self) -> &'static str {
+        match self {
+            RequestError::InvalidTransactionId => "X-Txn is not of 16 hex digits",
+            RequestError::MissingClass => "X-Lane is missing",
+            RequestError::UnknownClass => "X-Lane names no class",
+            RequestError::WrongMethod => "the method is not that of the class",
+            RequestError::MissingPlan => "X-Plan is missing",
+            RequestError::UnknownPlan => "X-Plan names no plan",
+            RequestError::InvalidRemaining => "X-Remaining is not a time",
+            RequestError::MissingOperation => "X-IO is missing",
+            RequestError::MalformedOperation => "X-IO is not a list of fields",
+            RequestError::InvalidShard => "'shard' names no shard",
+            RequestError::MissingShard => "'shard' must say where the data lies",
+            RequestError::InvalidVolume => "'volume' is not of 16 hex digits",
+            RequestError::InvalidBlock => "the cookie 'block' is not of 16 hex digits",
+            RequestError::InvalidUnits => "'units' is no size",
+            RequestError::InvalidFrontCount => "'hosts' is no number of fronts",
+        }
+    }
+}
+
+/// A request with its transaction id.
+pub(super) struct ParsedRequest {
+    pub transaction_id: u64,
+    pub request: core::Request,
+}
+
+/// The fields of the operation header that are used; each is `None` where it is absent or invalid.
+#[derive(Default)]
+struct Operation {
+    volume: Option<u64>,
+    units: Option<i64>,
+    /// A shard, or [`ANY_SHARD`].
+    shard: Option<i64>,
+    front_count: Option<i64>,
+}
+
+impl RequestTables {
+    /// Parses a request head.
+    pub(super) fn parse(&self, method: &Method, headers: &HeaderMap) -> Result<ParsedRequest, RequestError> {
+        let value = |name: &str| single_value(headers, name);
+        let transaction_id = value(TRANSACTION_ID).and_then(hex_id);
+        let transaction_id = transaction_id.ok_or(RequestError::InvalidTransactionId)?;
+        let class = value(CLASS).ok_or(RequestError::MissingClass)?;
+        let class = self.classes.find(class).ok_or(RequestError::UnknownClass)?;
+        let writes = self.writes(class, method);
+        let expected_method = if writes { Method::PUT } else { Method::GET };
+        if *method != expected_method {
+            return Err(RequestError::WrongMethod);
+        }
+        let plan = value(PLAN).ok_or(RequestError::MissingPlan)?;
+        let plan = self.plans.find(plan).ok_or(RequestError::UnknownPlan)?;
+        let patience = value(REMAINING).and_then(parse_remaining).ok_or(RequestError::InvalidRemaining)?;
+        let operation = self.parse_operation(value(OPERATION).ok_or(RequestError::MissingOperation)?)?;
+        let shard = operation.shard.ok_or(RequestError::InvalidShard)?;
+        if shard < 0 && !writes {
+            return Err(RequestError::MissingShard);
+        }
+        let request = core::Request {
+            id: 0,
+            class,
+            plan,
+            volume: operation.volume.ok_or(RequestError::InvalidVolume)?,
+            key: block_id(headers)?,
+            patience,
+            units: operation.units.ok_or(RequestError::InvalidUnits)? as f64,
+            cell: CellId::try_from(shard).ok(),
+            front_count: operation.front_count.ok_or(RequestError::InvalidFrontCount)? as u32,
+        };
+        Ok(ParsedRequest { transaction_id, request })
+    }
+
+    /// Whether a class writes. Where the configuration does not say, the method decides.
+    fn writes(&self, class: usize, method: &Method) -> bool {
+        let configured = self.classes.get(class).and_then(|(_, writes)| *writes);
+        configured.unwrap_or(*method == Method::PUT)
+    }
+
+    /// Parses `name=value` fields separated by commas; unknown names are ignored.
+    fn parse_operation(&self, header: &str) -> Result<Operation, RequestError> {
+        let mut operation = Operation::default();
+        for field in header.split(',') {
+            let (name, value) = field.trim().split_once('=').ok_or(RequestError::MalformedOperation)?;
+            match name {
+                "volume" => operation.volume = hex_id(value),
+                "units" => operation.units = integer_between(value, 1, self.max_units as i64),
+                "shard" => operation.shard = integer_between(value, ANY_SHARD, i64::from(self.shards) - 1),
+                "hosts" => operation.front_count = integer_between(value, 1, i64::from(self.fronts)),
+                _ => {}
+            }
+        }
+        Ok(operation)
+    }
+}
+
+/// The value of a header that is present exactly once; one that is repeated would be ambiguous.
+pub(super) fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+    let mut values = headers.get_all(name).iter();
+    let value = values.next().filter(|_| values.next().is_none());
+    value.and_then(|value| value.to_str().ok()).map(str::trim)
+}
+
+/// An id of exactly [`ID_DIGITS`] hexadecimal digits. `from_str_radix` alone would accept a sign and fewer digits.
+fn hex_id(value: &str) -> Option<u64> {
+    let is_valid = value.len() == ID_DIGITS && value.bytes().all(|byte| byte.is_ascii_hexdigit());
+    u64::from_str_radix(value, 16).ok().filter(|_| is_valid)
+}
+
+fn integer_between(value: &str, min: i64, max: i64) -> Option<i64> {
+    value.parse().ok().filter(|number| (min..=max).contains(number))
+}
+
+/// The block that a request concerns, from its cookies.
+fn block_id(headers: &HeaderMap) -> Result<Option<u64>, RequestError> {
+    let values = headers.get_all(COOKIE).iter().filter_map(|value| value.to_str().ok());
+    let mut cookies = values.flat_map(|value| value.split(';'));
+    let block = cookies.find_map(|cookie| cookie.trim().strip_prefix(BLOCK_COOKIE));
+    block.map(|digits| hex_id(digits).ok_or(RequestError::InvalidBlock)).transpose()
+}
+
+/// Parses a time such as `480m` (milliseconds) or `480000u` (microseconds).
+fn parse_remaining(value: &str) -> Option<Nanos> {
+    let (number, nanos_per_unit) = match (value.strip_suffix('m'), value.strip_suffix('u')) {
+        (Some(number), _) => (number, NANOS_PER_MILLISECOND),
+        (_, Some(number)) => (number, NANOS_PER_MICROSECOND),
+        _ => return None,
+    };
+    let nanos = number.parse::<f64>().ok()? * nanos_per_unit;
+    (nanos.is_finite() && nanos >= 0.0).then_some(nanos.min(MAX_REMAINING_NANOS) as Nanos)
+}
--- /dev/null
+++ b/src/frontend/platform/request_tables.rs
@@ -0,0 +1,71 @@
+//! The names that requests may use (classes, plans), with the indices that the decision module knows them by.
+
+use tulipbridge_core::settings_reload::VersionedTable;
+use tulipbridge_core::{Class, Plan, Settings};
+
+use crate::config::Config;
+use crate::telemetry::metrics::{ClassMetrics, Metrics};
+
+/// What the parser of requests looks up. A request that no chunk server could execute is refused by these tables, and
+/// costs no server anything.
+#[derive(Clone)]
+pub struct RequestTables {
+    /// Classes, and whether each writes where the configuration says so.
+    pub classes: VersionedTable<(Class, Option<bool>)>,
+    /// Plans.
+    pub plans: VersionedTable<Plan>,
+    /// Metrics of each class, in the order of `classes`.
+    pub metrics: Vec<ClassMetrics>,
+    /// Number of shards.
+    pub shards: u32,
+    /// The largest number of fronts that a volume's requests may come through.
+    pub fronts: u32,
+    /// The most units of a request.
+    pub max_units: f64,
+}
+
+impl RequestTables {
+    /// The tables of a configuration; classes and plans keep its order, which is that of the decision module.
+    pub fn new(config: &Config, metrics: &Metrics) -> RequestTables {
+        let mut tables = RequestTables {
+            classes: VersionedTable::new(class_entries(config)),
+            plans: VersionedTable::new(plan_entries(config)),
+            metrics: Vec::new(),
+            shards: config.shards,
+            fronts: config.settings.initiators,
+            max_units: config.settings.max_units,
+        };
+        tables.add_class_metrics(metrics);
+        tables
+    }
+
+    /// Applies a new configuration. Returns the settings for the decision module, and pairs of an old class and the
+    /// new one that replaces it.
+    pub fn reload(&mut self, config: Config, metrics: &Metrics) -> (Settings, Vec<(usize, usize)>) {
+        let replaced_classes = self.classes.reload(class_entries(&config));
+        self.plans.reload(plan_entries(&config));
+        self.shards = config.shards;
+        self.fronts = config.settings.initiators;
+        self.max_units = config.settings.max_units;
+        self.add_class_metrics(metrics);
+        let classes = self.classes.values().into_iter().map(|(class, _)| class).collect();
+        let settings = Settings { classes, plans: self.plans.values(), ..config.settings };
+        (settings, replaced_classes)
+    }
+
+    /// Creates the metrics of classes that are new, starting at 0.
+    fn add_class_metrics(&mut self, metrics: &Metrics) {
+        for class in self.metrics.len()..self.classes.len() {
+            self.metrics.push(metrics.class(self.classes.name(class).unwrap_or_default()));
+        }
+    }
+}
+
+fn class_entries(config: &Config) -> Vec<(String, (Class, Option<bool>))> {
+    let classes = config.settings.classes.iter().cloned().zip(config.writes.iter().copied());
+    config.classes.iter().cloned().zip(classes).collect()
+}
+
+fn plan_entries(config: &Config) -> Vec<(String, Plan)> {
+    config.plans.iter().cloned().zip(config.settings.plans.iter().cloned()).collect()
+}
--- /dev/null
+++ b/src/frontend/replies.rs
@@ -0,0 +1,43 @@
+//! Responses that every front gives: plain text, rejections with a retry time, and closing the connection.
+
+use std::io;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::channel::Channel;
+use http_body_util::{Either, Full};
+use hyper::header::{HeaderValue, CONNECTION, RETRY_AFTER};
+use hyper::{Response, StatusCode};
+
+/// `Retry-After` of a rejection by the listener itself.
+const REJECTION_RETRY_AFTER: Duration = Duration::from_millis(250);
+
+/// A response whose body is either complete or streamed.
+pub type Reply = Response<Either<Full<Bytes>, Channel<Bytes, io::Error>>>;
+
+/// A response with a short plain-text body.
+pub fn plain(status: StatusCode, text: &'static str) -> Reply {
+    let mut reply = Response::new(Either::Left(Full::new(Bytes::from_static(text.as_bytes()))));
+    *reply.status_mut() = status;
+    reply
+}
+
+/// 503 for a request that was not executed: the client may retry after `retry_after`.
+pub fn rejected(retry_after: Duration) -> Reply {
+    let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
+    if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", retry_after.as_secs_f64())) {
+        reply.headers_mut().insert(RETRY_AFTER, seconds);
+    }
+    reply
+}
+
+/// Rejects a request and closes its connection: the listener has no capacity for it.
+pub(super) fn listener_overloaded() -> Reply {
+    closing(rejected(REJECTION_RETRY_AFTER))
+}
+
+/// Closes the connection after this response.
+pub(super) fn closing(mut reply: Reply) -> Reply {
+    reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    reply
+}
--- /dev/null
+++ b/src/frontend/response_body.rs
@@ -0,0 +1,65 @@
+//! Tracking of open requests until their response bodies have been consumed.
+
+use std::cell::Cell;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+
+use hyper::body::{Body, Frame, SizeHint};
+use tulipbridge_core::client_connection::ClientEvent;
+
+use super::client_state::ClientState;
+
+/// A response body that keeps its request counted as open until hyper has taken it completely or dropped it.
+pub struct ResponseBody<B> {
+    body: B,
+    _open: OpenRequest,
+}
+
+impl<B> ResponseBody<B> {
+    /// Wraps the body of the response to `open`.
+    pub fn new(body: B, open: OpenRequest) -> ResponseBody<B> {
+        ResponseBody { body, _open: open }
+    }
+}
+
+impl<B: Body + Unpin> Body for ResponseBody<B> {
+    type Data = B::Data;
+    type Error = B::Error;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<B::Data>, B::Error>>> {
+        Pin::new(&mut self.body).poll_frame(cx)
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.body.is_end_stream()
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        self.body.size_hint()
+    }
+}
+
+/// A request that is being answered; dropping it ends the request.
+pub struct OpenRequest {
+    client: Rc<ClientState>,
+    active_requests: Rc<Cell<usize>>,
+}
+
+impl OpenRequest {
+    /// Counts a request of `client` in `active_requests` for as long as the value lives.
+    pub fn new(client: &Rc<ClientState>, active_requests: &Rc<Cell<usize>>) -> OpenRequest {
+        active_requests.set(active_requests.get() + 1);
+        OpenRequest { client: Rc::clone(client), active_requests: Rc::clone(active_requests) }
+    }
+}
+
+impl Drop for OpenRequest {
+    fn drop(&mut self) {
+        self.active_requests.set(self.active_requests.get() - 1);
+        self.client.on(ClientEvent::Answered);
+    }
+}
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -34,7 +34,7 @@
 use tulipbridge_core::{CellId, Nanos, NodeId, Outcome};
 
 use crate::exchange::{AttemptReport, Transport, Withdrawal};
-use crate::frontend::listener::BodyReservation;
+use crate::frontend::body::BodyReservation;
 use crate::telemetry::metrics::ClassMetrics;
 use crate::telemetry::trace;
 
--- a/tests/unit/framing.rs
+++ b/tests/unit/framing.rs
@@ -1,14 +1,22 @@
-//! Where a request ends.
+//! Framing of request bodies.
 
-use super::*;
+use hyper::StatusCode;
+use tulipbridge::frontend::framing::{body_framing, BodyFraming};
+
+fn framing_of(fields: &str) -> Result<BodyFraming, StatusCode> {
+    body_framing(format!("PUT / HTTP/1.1\r\n{fields}\r\n").as_bytes())
+}
+
+#[test]
+fn a_body_is_framed_by_its_length_or_in_chunks() {
+    assert_eq!(framing_of(""), Ok(BodyFraming::Length(0)));
+    assert_eq!(framing_of("content-length: 12\r\n"), Ok(BodyFraming::Length(12)));
+    assert_eq!(framing_of("Transfer-Encoding: chunked\r\n"), Ok(BodyFraming::Chunked));
+}
 
 #[test]
-fn lengths_that_contradict_each_other_are_no_framing() {
-    let told = |fields: &str| framing(format!("PUT / HTTP/1.1\r\n{fields}\r\n").as_bytes());
-    assert_eq!(told(""), Ok(Some(0)));
-    assert_eq!(told("content-length: 12\r\n"), Ok(Some(12)));
-    assert_eq!(told("Transfer-Encoding: chunked\r\n"), Ok(None));
-    for bad in [
+fn ambiguous_or_malformed_framing_is_refused() {
+    for fields in [
         "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
         "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n",
         "Content-Length: 3\r\nContent-Length: 3\r\n",
@@ -21,7 +29,7 @@
         "Content-Length : 3\r\n",
         "\n",
     ] {
-        assert_eq!(told(bad), Err(StatusCode::BAD_REQUEST), "{bad:?}");
+        assert_eq!(framing_of(fields), Err(StatusCode::BAD_REQUEST), "{fields:?}");
     }
-    assert_eq!(told("Content-Length: 99999999999999999999\r\n"), Err(StatusCode::PAYLOAD_TOO_LARGE));
+    assert_eq!(framing_of("Content-Length: 99999999999999999999\r\n"), Err(StatusCode::PAYLOAD_TOO_LARGE));
 }
--- a/tests/unit/listener.rs
+++ b/tests/unit/listener.rs
@@ -1,8 +1,8 @@
-//! The socket that a front listens on.
+//! The listening socket of a front.
 
-use super::*;
+use tulipbridge::frontend::socket::listen;
 
-/// A new version listens at the address of the old one while the old one serves.
+/// A new version listens at the address of the old one while the old one still serves.
 #[test]
 fn a_second_process_may_listen_beside_the_first() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
--- /dev/null
+++ b/tests/unit/main.rs
@@ -0,0 +1,4 @@
+//! Tests of single modules of the front through their public items.
+
+mod framing;
+mod listener;
