--- /dev/null
+++ b/src/upstream/connection.rs
@@ -0,0 +1,197 @@
+//! One connection to a chunk server: the socket that records its traffic, and the handle that the pool keeps.
+
+use std::os::fd::AsRawFd;
+use std::pin::{pin, Pin};
+use std::rc::Rc;
+use std::sync::atomic::Ordering;
+use std::task::{Context, Poll};
+use std::time::Instant;
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::client::conn::http1::{Builder, SendRequest};
+use hyper::ext::on_informational;
+use hyper::header::{HeaderName, HeaderValue, HOST};
+use hyper::Request;
+use hyper_util::rt::TokioIo;
+use nix::errno::Errno;
+use nix::sys::socket::{recv, MsgFlags};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+use tokio::task::JoinHandle;
+use tulipbridge_core::server_connection::{ConnectionEvent, Execution, ServerConnection};
+use tulipbridge_core::CellId;
+
+use super::connections::OpenSlot;
+use super::payload::{Answer, Payload};
+use super::response::read_response;
+use super::wire_state::WireState;
+use crate::exchange::{AttemptReport, Withdrawal};
+
+/// Size of hyper's read buffer; a response head that is longer is an error.
+const MAX_BUFFER_BYTES: usize = 32 * 1024;
+/// Value of the `Host` header.
+const HOST_NAME: HeaderValue = HeaderValue::from_static("chunk.internal");
+/// Header with the transaction id.
+const TRANSACTION_ID: HeaderName = HeaderName::from_static("x-txn");
+/// Header with the time that the client still waits, in microseconds with the suffix `u`.
+const REMAINING: HeaderName = HeaderName::from_static("x-remaining");
+
+/// A connection to a chunk server; dropping it closes the connection, even during a request.
+pub(super) struct PooledConnection {
+    sender: SendRequest<Full<Bytes>>,
+    task: JoinHandle<()>,
+    /// File descriptor, open as long as the task runs, which is until the sender is closed.
+    socket: i32,
+    pub wire: Rc<WireState>,
+    /// Which of its server's addresses it leads to.
+    pub address_epoch: u32,
+    cell: CellId,
+    _slot: OpenSlot,
+}
+
+impl PooledConnection {
+    /// Performs the HTTP handshake on a stream to the address `address_epoch` of a server of shard `cell`.
+    pub async fn handshake(
+        stream: TcpStream,
+        address_epoch: u32,
+        cell: CellId,
+        slot: OpenSlot,
+    ) -> Option<PooledConnection> {
+        // Nagle's algorithm would delay a request that takes two writes; a failure here costs only time.
+        let _ = stream.set_nodelay(true);
+        let wire = Rc::new(WireState::default());
+        let socket = stream.as_raw_fd();
+        let io = TokioIo::new(ObservedStream::new(stream, Rc::clone(&wire)));
+        let (sender, connection) = Builder::new().max_buf_size(MAX_BUFFER_BYTES).handshake(io).await.ok()?;
+        let task = tokio::task::spawn_local(async move {
+            // An error of the connection shows in the attempt that it carries.
+            let _ = connection.await;
+        });
+        Some(PooledConnection { sender, task, socket, wire, address_epoch, cell, _slot: slot })
+    }
+
+    /// Whether the connection is open and idle, as far as has been read from it.
+    pub fn is_open(&self) -> bool {
+        self.wire.connection() == ServerConnection::Idle
+            && !self.sender.is_closed()
+            && !self.task.is_finished()
+    }
+
+    /// Whether the connection is open and no bytes wait on its socket: unsolicited bytes would be taken for the next
+    /// response.
+    pub fn is_quiet(&self) -> bool {
+        let peek = MsgFlags::MSG_PEEK | MsgFlags::MSG_DONTWAIT;
+        self.is_open() && recv(self.socket, &mut [0], peek) == Err(Errno::EAGAIN)
+    }
+
+    /// Sends a request and reads its response.
+    ///
+    /// # Errors
+    /// Whether the request may have been executed, where no valid response arrives.
+    pub async fn send(
+        &mut self,
+        payload: &Payload,
+        deadline: Instant,
+        withdrawal: &Withdrawal,
+    ) -> Result<AttemptReport<Answer>, Execution> {
+        self.sender.ready().await.map_err(|_| Execution::NotStarted)?;
+        let wire = Rc::clone(&self.wire);
+        let mut request = build_request(payload, deadline);
+        wire.begin_request(payload.body.len(), payload.metrics.clone(), withdrawal.clone());
+        // An informational response ahead of the final one is ignored.
+        let responses = wire.response_counter();
+        on_informational(&mut request, move |_| {
+            responses.fetch_add(1, Ordering::Relaxed);
+        });
+        let response = async {
+            let response = self.sender.send_request(request).await.map_err(|_| wire.execution())?;
+            if !wire.connection().is_reading_response() {
+                return Err(wire.execution());
+            }
+            let report = read_response(response, payload.accepts, self.cell).await?;
+            wire.on(ConnectionEvent::ResponseComplete);
+            Ok(report)
+        };
+        let mut response = pin!(response);
+        tokio::select! {
+            biased;
+            report = response.as_mut() => report,
+            () = wire.stalled() => Err(wire.execution()),
+        }
+    }
+}
+
+impl Drop for PooledConnection {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
+
+fn build_request(payload: &Payload, deadline: Instant) -> Request<Full<Bytes>> {
+    let mut request = Request::new(Full::new(payload.body.clone()));
+    *request.method_mut() = payload.method.clone();
+    *request.uri_mut() = payload.target.clone();
+    let remaining = deadline.saturating_duration_since(Instant::now()).as_micros();
+    let headers = request.headers_mut();
+    headers.clone_from(&payload.headers);
+    headers.insert(HOST, HOST_NAME);
+    headers.insert(TRANSACTION_ID, payload.id.clone());
+    if let Ok(remaining) = HeaderValue::try_from(format!("{remaining}u")) {
+        headers.insert(REMAINING, remaining);
+    }
+    request
+}
+
+/// A socket that records its traffic in a [`WireState`].
+pub struct ObservedStream {
+    stream: TcpStream,
+    wire: Rc<WireState>,
+}
+
+impl ObservedStream {
+    /// Wraps a connected socket.
+    pub fn new(stream: TcpStream, wire: Rc<WireState>) -> ObservedStream {
+        ObservedStream { stream, wire }
+    }
+}
+
+impl AsyncRead for ObservedStream {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<std::io::Result<()>> {
+        let filled_before = buf.filled().len();
+        let result = Pin::new(&mut self.stream).poll_read(cx, buf);
+        if buf.filled().len() > filled_before {
+            self.wire.bytes_received();
+        }
+        result
+    }
+}
+
+impl AsyncWrite for ObservedStream {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<std::io::Result<usize>> {
+        if !self.wire.may_write(self.stream.as_raw_fd()) {
+            return Poll::Ready(Err(std::io::ErrorKind::ConnectionReset.into()));
+        }
+        let result = Pin::new(&mut self.stream).poll_write(cx, buf);
+        if let Poll::Ready(Ok(count)) = result {
+            self.wire.bytes_written(&buf[..count]);
+        }
+        result
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
+        Pin::new(&mut self.stream).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
+        Pin::new(&mut self.stream).poll_shutdown(cx)
+    }
+}
--- /dev/null
+++ b/src/upstream/connections.rs
@@ -0,0 +1,215 @@
+//! All connections to chunk servers: the pool, dialling, and carrying out attempts.
+
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use simd_json::json;
+use tokio::net::TcpStream;
+use tulipbridge_core::attempt::{Attempt, AttemptEvent, AttemptStep};
+use tulipbridge_core::connection_pool::{Capacity, ConnectionPool};
+use tulipbridge_core::server_connection::Execution;
+use tulipbridge_core::{CellId, Nanos, NodeId};
+
+use super::connection::PooledConnection;
+use super::payload::{Answer, Payload};
+use super::server_table::{Located, ServerTable};
+use crate::exchange::{AttemptReport, Withdrawal};
+use crate::telemetry::trace;
+
+/// The part of the servers' idle timeout after which this side closes an idle connection.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
+
+/// The servers and the connections to them.
+pub(super) struct Connections {
+    dial_timeout: Duration,
+    /// Origin of the pool's clock.
+    epoch: Instant,
+    /// Connections that are open or being dialled.
+    open: Cell<usize>,
+    servers: RefCell<ServerTable>,
+    pool: RefCell<ConnectionPool<PooledConnection>>,
+}
+
+impl Connections {
+    /// No servers and no connections; see [`super::Upstream::new`].
+    pub fn new(dial_timeout: Duration, server_idle_timeout: Duration, max_connections: usize) -> Connections {
+        let idle_timeout = server_idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION);
+        Connections {
+            dial_timeout,
+            epoch: Instant::now(),
+            open: Cell::new(0),
+            servers: RefCell::default(),
+            pool: RefCell::new(ConnectionPool::new(idle_timeout.as_nanos() as Nanos, max_connections)),
+        }
+    }
+
+    /// Sets the address and shard of a server; see [`super::Upstream::locate`].
+    pub fn locate(&self, name: &str, address: SocketAddr, cell: CellId) -> NodeId {
+        let located = self.servers.borrow_mut().locate(name, address, cell);
+        match located {
+            Located::Added(id) => {
+                self.pool.borrow_mut().add(id);
+                id
+            }
+            Located::AddressChanged(id) => {
+                // The idle connections to the old address are closed as they are dropped.
+                self.pool.borrow_mut().address_changed(id);
+                id
+            }
+            Located::Unchanged(id) => id,
+        }
+    }
+
+    /// The name of a server in discovery; empty for an unknown one.
+    pub fn server_name(&self, node: NodeId) -> String {
+        self.servers.borrow().get(node).map_or_else(String::new, |server| server.name.clone())
+    }
+
+    /// Name and address of a server for logs; empty for an unknown one.
+    pub fn display_name(&self, node: NodeId) -> String {
+        let servers = self.servers.borrow();
+        servers.get(node).map_or_else(String::new, |server| format!("{} at {}", server.name, server.address))
+    }
+
+    /// Removes a server and closes its idle connections.
+    pub fn forget(&self, node: NodeId) {
+        self.servers.borrow_mut().remove(node);
+        self.pool.borrow_mut().remove(node);
+    }
+
+    /// Closes connections that have been idle for too long.
+    pub fn close_idle(&self) {
+        let now = self.now();
+        self.pool.borrow_mut().sweep(now, PooledConnection::is_open);
+    }
+
+    /// Carries out an attempt in the steps that its state machine gives.
+    pub async fn attempt(
+        self: Rc<Self>,
+        node: NodeId,
+        payload: &Payload,
+        deadline: Instant,
+        mut withdrawal: Withdrawal,
+    ) -> AttemptReport<Answer> {
+        let mut attempt = Attempt::AcquiringConnection;
+        let mut step = AttemptStep::AcquireConnection;
+        let mut connection = None;
+        loop {
+            let event = match step {
+                AttemptStep::AcquireConnection => {
+                    connection = self.take_pooled(node);
+                    match connection {
+                        Some(_) => AttemptEvent::PooledConnectionFound,
+                        None => AttemptEvent::NoPooledConnection { may_open: self.may_open(node) },
+                    }
+                }
+                AttemptStep::Dial => tokio::select! {
+                    biased;
+                    outcome = withdrawal.withdrawn() => AttemptEvent::Withdrawn(outcome),
+                    dialled = self.dial(node) => {
+                        connection = dialled;
+                        match connection {
+                            Some(_) => AttemptEvent::Connected,
+                            None => AttemptEvent::ConnectFailed,
+                        }
+                    }
+                },
+                AttemptStep::Send => match connection.take() {
+                    Some(connection) => {
+                        match self.send(node, connection, payload, deadline, &withdrawal).await {
+                            Ok(report) => {
+                                attempt.on(AttemptEvent::Answered(report.outcome));
+                                return report;
+                            }
+                            Err(event) => event,
+                        }
+                    }
+                    None => AttemptEvent::ConnectionBroke(Execution::MayHaveRun),
+                },
+                AttemptStep::End(outcome) => return outcome.into(),
+            };
+            step = attempt.on(event);
+        }
+    }
+
+    /// Sends a request on a connection, which returns to the pool after the response.
+    ///
+    /// # Errors
+    /// How the attempt failed.
+    async fn send(
+        self: &Rc<Self>,
+        node: NodeId,
+        mut connection: PooledConnection,
+        payload: &Payload,
+        deadline: Instant,
+        withdrawal: &Withdrawal,
+    ) -> Result<AttemptReport<Answer>, AttemptEvent> {
+        let result = connection.send(payload, deadline, withdrawal).await;
+        let mut report = result.map_err(|execution| match (execution, withdrawal.outcome()) {
+            // A request whose writing has begun cannot be withdrawn any more.
+            (Execution::NotStarted, Some(outcome)) => AttemptEvent::Withdrawn(outcome),
+            _ => AttemptEvent::ConnectionBroke(execution),
+        })?;
+        // A streamed body keeps its connection until it is complete.
+        match report.answer.as_mut().and_then(|answer| answer.streamed.as_mut()) {
+            Some(streamed) => streamed.hold_connection(connection, node, Rc::clone(self)),
+            None => self.release(node, connection),
+        }
+        Ok(report)
+    }
+
+    fn now(&self) -> Nanos {
+        self.epoch.elapsed().as_nanos() as Nanos
+    }
+
+    /// Takes an idle connection to a server from the pool.
+    fn take_pooled(&self, node: NodeId) -> Option<PooledConnection> {
+        self.pool.borrow_mut().take(node, self.now(), PooledConnection::is_quiet).0
+    }
+
+    /// Returns a connection to the pool.
+    pub fn release(&self, node: NodeId, connection: PooledConnection) {
+        // Unsolicited bytes on its socket are checked for when it is taken again.
+        let is_open = connection.is_open();
+        let address_epoch = connection.address_epoch;
+        self.pool.borrow_mut().release(node, address_epoch, connection, self.now(), is_open);
+    }
+
+    /// Whether a connection to a server may be opened. At the limit this closes the connection that has been idle
+    /// longest.
+    fn may_open(&self, node: NodeId) -> bool {
+        let is_known = self.servers.borrow().get(node).is_some();
+        is_known && !matches!(self.pool.borrow_mut().capacity(self.open.get()), Capacity::Exhausted)
+    }
+
+    /// Opens a connection to a server; `None` where this fails or takes longer than the timeout.
+    async fn dial(self: &Rc<Self>, node: NodeId) -> Option<PooledConnection> {
+        let (address, cell) = self.servers.borrow().get(node).map(|server| (server.address, server.cell))?;
+        let address_epoch = self.pool.borrow().address_epoch(node)?;
+        let slot = OpenSlot::acquire(self);
+        if trace::is_enabled() {
+            let name = self.display_name(node);
+            trace::write(json!({ "e": "dial", "node": name, "open": self.open.get() }));
+        }
+        let stream = tokio::time::timeout(self.dial_timeout, TcpStream::connect(address)).await;
+        PooledConnection::handshake(stream.ok()?.ok()?, address_epoch, cell, slot).await
+    }
+}
+
+/// Counts a connection as open until it is dropped.
+pub(super) struct OpenSlot(Rc<Connections>);
+
+impl OpenSlot {
+    fn acquire(connections: &Rc<Connections>) -> OpenSlot {
+        connections.open.set(connections.open.get() + 1);
+        OpenSlot(Rc::clone(connections))
+    }
+}
+
+impl Drop for OpenSlot {
+    fn drop(&mut self) {
+        self.0.open.set(self.0.open.get() - 1);
+    }
+}
--- /dev/null
+++ b/src/upstream/payload.rs
@@ -0,0 +1,110 @@
+//! What is sent to a chunk server and what comes back.
+
+use std::rc::Rc;
+use std::sync::Arc;
+
+use bytes::Bytes;
+use hyper::body::Incoming;
+use hyper::header::{HeaderMap, HeaderValue};
+use hyper::{Method, StatusCode, Uri};
+use tulipbridge_core::server_connection::ConnectionEvent;
+use tulipbridge_core::{CellId, NodeId};
+
+use super::connection::PooledConnection;
+use super::connections::Connections;
+use crate::frontend::body::BodyReservation;
+use crate::telemetry::metrics::ClassMetrics;
+
+/// A request to a chunk server.
+pub struct Payload {
+    /// Method.
+    pub method: Method,
+    /// Path and query.
+    pub target: Uri,
+    /// Transaction id.
+    pub id: HeaderValue,
+    /// Further headers.
+    pub headers: HeaderMap,
+    /// Body.
+    pub body: Bytes,
+    /// Which responses count as answers to the client.
+    pub accepts: Accepts,
+    /// Counts an attempt once its last byte is written.
+    pub metrics: Option<ClassMetrics>,
+    /// Keeps the memory of the body reserved for as long as the payload lives.
+    pub reservation: Option<Arc<BodyReservation>>,
+}
+
+/// Which responses of a chunk server are answers to the client.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Accepts {
+    /// 200 alone; anything else is an error of the server.
+    Served,
+    /// What the object API answers: any success, and any error in the request itself.
+    Object,
+}
+
+/// A response of a chunk server.
+#[derive(Debug)]
+pub struct Answer {
+    /// The shard of the server.
+    pub cell: CellId,
+    /// Status.
+    pub status: StatusCode,
+    /// Headers.
+    pub headers: HeaderMap,
+    /// The body, empty where it is streamed.
+    pub body: Bytes,
+    /// A long body that is still arriving and is streamed to the client.
+    pub streamed: Option<StreamedBody>,
+}
+
+/// A long body that is still arriving, with its connection. It is read only as fast as the client takes it, so that
+/// memory holds a few parts of it at most. Dropping it closes the connection.
+pub struct StreamedBody {
+    /// The part of the body that has arrived already.
+    pub first: Bytes,
+    /// The rest of the body.
+    pub body: Incoming,
+    /// The length of the whole body in bytes, where the server announced it.
+    pub length: Option<u64>,
+    connection: Option<BorrowedConnection>,
+}
+
+/// A connection that is returned to its pool when the body is complete.
+struct BorrowedConnection {
+    connection: PooledConnection,
+    node: NodeId,
+    pool: Rc<Connections>,
+}
+
+impl StreamedBody {
+    /// A body that does not own its connection yet.
+    pub(super) fn new(first: Bytes, body: Incoming, length: Option<u64>) -> StreamedBody {
+        StreamedBody { first, body, length, connection: None }
+    }
+
+    /// Keeps the connection that the body arrives on until [`StreamedBody::done`].
+    pub(super) fn hold_connection(
+        &mut self,
+        connection: PooledConnection,
+        node: NodeId,
+        pool: Rc<Connections>,
+    ) {
+        self.connection = Some(BorrowedConnection { connection, node, pool });
+    }
+
+    /// The body is complete: returns its connection to the pool for another request.
+    pub fn done(mut self) {
+        if let Some(BorrowedConnection { connection, node, pool }) = self.connection.take() {
+            connection.wire.on(ConnectionEvent::ResponseComplete);
+            pool.release(node, connection);
+        }
+    }
+}
+
+impl std::fmt::Debug for StreamedBody {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.debug_struct("StreamedBody").field("length", &self.length).finish_non_exhaustive()
+    }
+}
--- a/tests/unit/main.rs
+++ b/tests/unit/main.rs
@@ -2,3 +2,4 @@
 
 mod framing;
 mod listener;
+mod upstream;
