--- /dev/null
+++ b/src/exchange/clock.rs
@@ -0,0 +1,31 @@
+//! The clock of the decision module.
+
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+use tulipbridge_core::Nanos;
+
+/// Unix time in nanoseconds, read once when the clock starts and monotonic from there: a step of the system clock
+/// reorders no events.
+#[derive(Clone, Copy)]
+pub struct Clock {
+    started: Instant,
+    unix_start: Nanos,
+}
+
+impl Clock {
+    /// A clock that starts now.
+    pub fn start() -> Clock {
+        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { started: Instant::now(), unix_start: unix.as_nanos() as Nanos }
+    }
+
+    /// The present time.
+    pub fn now(&self) -> Nanos {
+        self.unix_start + self.started.elapsed().as_nanos() as Nanos
+    }
+
+    /// Converts a time of this clock; one before the start becomes the start.
+    pub(super) fn instant(&self, time: Nanos) -> Instant {
+        self.started + Duration::from_nanos((time - self.unix_start).max(0) as u64)
+    }
+}
--- /dev/null
+++ b/src/exchange/mod.rs
@@ -0,0 +1,349 @@
+//! The exchange connects the client side and the server side, and is the only place where they meet. It knows
+//! requests, attempts and outcomes, but no wire protocol: a front submits a request with a payload, a [`Transport`]
+//! carries attempts. The [`RequestTracker`], with the decision module in it, decides; the exchange carries its effects
+//! out.
+
+mod clock;
+mod transport;
+mod withdrawal;
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use tokio::sync::{oneshot, Notify};
+use tokio::time::{sleep, timeout, timeout_at};
+use tulipbridge_core::request_tracker::{Effect, FinalAnswer, Input, RequestTracker};
+use tulipbridge_core::*;
+
+use self::withdrawal::OrderSender;
+use crate::telemetry::log::log;
+use crate::telemetry::trace;
+
+pub use self::clock::Clock;
+pub use self::transport::{AttemptReport, Transport};
+pub use self::withdrawal::Withdrawal;
+
+/// A request that the tracker leaves unanswered for this long past its deadline is answered with a failure. This
+/// guards the rule of exactly one final answer against defects, and is well within the slack that clients grant.
+const OVERDUE_AFTER: Duration = Duration::from_millis(20);
+
+/// The final answer to a request.
+#[derive(Debug)]
+pub enum FinalResponse<A> {
+    /// A server's answer.
+    Served(A),
+    /// The request was not executed, or repeating it is harmless; the client may retry after this time.
+    Rejected(Duration),
+    /// The request may or may not have been executed.
+    Failed,
+}
+
+/// What a request that the tracker knows carries.
+struct PendingRequest<T: Transport> {
+    payload: Rc<T::Payload>,
+    class: usize,
+    /// Taken by the final answer.
+    answer: Option<oneshot::Sender<FinalResponse<T::Answer>>>,
+    orders: OrderSender,
+}
+
+/// Identifies an attempt of a request.
+#[derive(Clone, Copy)]
+struct AttemptKey {
+    id: RequestId,
+    attempt: u32,
+}
+
+/// The state that the fronts of a fleet share: limits and ejections.
+pub trait FleetState {
+    /// The updates that the decision module must have before `input`: leases may have expired meanwhile.
+    fn updates_before(&self, input: &Input, settings: &Settings) -> Vec<FleetUpdate>;
+
+    /// An attempt of a request of `class` is sent. Must not call the exchange.
+    fn attempt_sent(&self, id: RequestId, attempt: u32, node: NodeId, class: usize);
+}
+
+struct Core<T: Transport> {
+    tracker: RequestTracker<Scheduler>,
+    pending: HashMap<RequestId, PendingRequest<T>>,
+}
+
+/// Connects fronts and a transport. Its methods must be called inside a tokio `LocalSet`.
+pub struct Exchange<T: Transport> {
+    core: RefCell<Core<T>>,
+    transport: T,
+    clock: Clock,
+    endpoints_wanted: Notify,
+    fleet_state: RefCell<Option<Rc<dyn FleetState>>>,
+}
+
+impl<T: Transport> Exchange<T> {
+    /// An exchange without requests.
+    ///
+    /// # Errors
+    /// When the settings are invalid.
+    pub fn new(settings: Settings, seed: u64, transport: T) -> Result<Rc<Self>, SettingsError> {
+        let clock = Clock::start();
+        let tracker = RequestTracker::new(Scheduler::new(settings, seed, clock.now())?);
+        Ok(Rc::new(Exchange {
+            core: RefCell::new(Core { tracker, pending: HashMap::new() }),
+            transport,
+            clock,
+            endpoints_wanted: Notify::new(),
+            fleet_state: RefCell::default(),
+        }))
+    }
+
+    /// What carries the attempts.
+    pub fn transport(&self) -> &T {
+        &self.transport
+    }
+
+    /// The present time of the decision module.
+    pub fn now(&self) -> Nanos {
+        self.clock.now()
+    }
+
+    /// The number of endpoints, and how many of them get no new attempts.
+    pub fn endpoint_counts(&self) -> (usize, usize) {
+        self.core.borrow().tracker.decisions().census()
+    }
+
+    /// A copy of the settings in force.
+    pub fn settings(&self) -> Settings {
+        self.core.borrow().tracker.decisions().settings().clone()
+    }
+
+    /// Applies a function to the settings in force.
+    pub fn with_settings<R>(&self, read: impl FnOnce(&Settings) -> R) -> R {
+        read(self.core.borrow().tracker.decisions().settings())
+    }
+
+    /// The longest deadline of a class.
+    pub fn longest_deadline(&self) -> Duration {
+        let longest = self.with_settings(|set| set.classes.iter().map(|class| class.deadline).max());
+        Duration::from_nanos(longest.unwrap_or(0).max(0) as u64)
+    }
+
+    /// Shares limits and ejections with other fronts from now on.
+    pub fn set_fleet_state(&self, fleet_state: Rc<dyn FleetState>) {
+        *self.fleet_state.borrow_mut() = Some(fleet_state);
+    }
+
+    /// Passes an update of the shared state to the decision module: see [`FleetState`].
+    pub fn apply_fleet_update(self: &Rc<Self>, update: FleetUpdate) {
+        self.process(Input::FleetUpdate(update), None);
+    }
+
+    /// Applies new settings to requests from now on; see [`Scheduler::retune`]. `replaced_classes` pairs an old class
+    /// with the one that replaces it.
+    ///
+    /// # Errors
+    /// When the settings are invalid; then nothing changes.
+    pub fn reload_settings(
+        &self,
+        settings: Settings,
+        replaced_classes: &[(usize, usize)],
+    ) -> Result<(), SettingsError> {
+        self.core.borrow_mut().tracker.decisions_mut().retune(settings, replaced_classes)
+    }
+
+    /// Starts the shutdown: every request, received or still to come, is answered `within` this time, even where its
+    /// client would wait longer.
+    pub fn begin_shutdown(self: &Rc<Self>, within: Duration) {
+        let deadline = self.clock.now() + within.as_nanos() as Nanos;
+        self.feed(Input::FleetUpdate(FleetUpdate::Shutdown { deadline }), None);
+    }
+
+    /// The number of requests that are not answered or have attempts out.
+    pub fn pending_requests(&self) -> usize {
+        self.core.borrow().tracker.requests().len()
+    }
+
+    /// Returns when the decision module next asks for the endpoint list.
+    pub async fn list_wanted(&self) {
+        self.endpoints_wanted.notified().await;
+    }
+
+    /// Passes an update of the endpoint list to the decision module.
+    pub fn update_endpoints(self: &Rc<Self>, scope: UpdateScope, nodes: Vec<NodeInfo>) {
+        self.feed(Input::Endpoints { scope, nodes }, None);
+    }
+
+    /// Takes a request and returns its one final answer. `request.id` is assigned here. Dropping the future means that
+    /// the client is gone.
+    pub async fn submit(
+        self: &Rc<Self>,
+        mut request: Request,
+        payload: T::Payload,
+    ) -> FinalResponse<T::Answer> {
+        let patience = Duration::from_nanos(request.patience.max(0) as u64);
+        let (sender, mut answer) = oneshot::channel();
+        request.id = self.register(request.class, payload, sender);
+        let id = request.id;
+        let waiting = WaitingClient { exchange: self, id };
+        self.feed(Input::RequestReceived(request), None);
+        if let Ok(answer) = timeout(patience + OVERDUE_AFTER, &mut answer).await {
+            drop(waiting);
+            return answer.unwrap_or(FinalResponse::Failed);
+        }
+        self.feed(Input::Overdue(id), None);
+        answer.try_recv().unwrap_or(FinalResponse::Failed)
+    }
+
+    /// Assigns an id to a request and keeps what it carries.
+    fn register(
+        &self,
+        class: usize,
+        payload: T::Payload,
+        answer: oneshot::Sender<FinalResponse<T::Answer>>,
+    ) -> RequestId {
+        let mut core = self.core.borrow_mut();
+        let id = core.tracker.allocate_id();
+        let pending = PendingRequest {
+            payload: Rc::new(payload),
+            class,
+            answer: Some(answer),
+            orders: OrderSender::new(),
+        };
+        core.pending.insert(id, pending);
+        id
+    }
+
+    /// Processes an input, with the answer that an attempt brought, if any. Updates of the shared state come first,
+    /// since this process may have been paused and leases may have expired.
+    fn feed(self: &Rc<Self>, input: Input, answer: Option<T::Answer>) {
+        let fleet_state = self.fleet_state.borrow().clone();
+        if let Some(fleet_state) = fleet_state {
+            let updates = self.with_settings(|settings| fleet_state.updates_before(&input, settings));
+            for update in updates {
+                self.apply_fleet_update(update);
+            }
+        }
+        self.process(input, answer);
+    }
+
+    /// Gives an input to the tracker and carries out its effects.
+    fn process(self: &Rc<Self>, input: Input, mut answer: Option<T::Answer>) {
+        let mut effects = Vec::new();
+        if trace::is_enabled() {
+            trace::input(&input, |node| self.transport.name(node));
+        }
+        self.core.borrow_mut().tracker.on(self.clock.now(), input, &mut effects);
+        for effect in effects {
+            if trace::is_enabled() {
+                trace::effect(&effect, |node| self.transport.name(node));
+            }
+            self.carry_out(effect, &mut answer);
+        }
+    }
+
+    /// Carries out an effect. Nothing in here feeds the tracker, so that inputs and effects keep their order.
+    fn carry_out(self: &Rc<Self>, effect: Effect, answer: &mut Option<T::Answer>) {
+        match effect {
+            Effect::Send { id, attempt, node, deadline, begin_by } => {
+                self.send(AttemptKey { id, attempt }, node, deadline, begin_by);
+            }
+            Effect::Cancel { id, attempt } => self.with_orders(id, |orders| orders.cancel(attempt)),
+            Effect::Withdraw { id, attempt, outcome } => {
+                self.with_orders(id, |orders| orders.withdraw(attempt, outcome));
+            }
+            Effect::Answer { id, answer: final_answer } => {
+                self.answer(id, final_response(final_answer, answer.take()));
+            }
+            Effect::Release(id) => {
+                self.core.borrow_mut().pending.remove(&id);
+            }
+            Effect::SetTimer { after, cookie } => self.set_timer(after, cookie),
+            Effect::Subscribe => self.endpoints_wanted.notify_one(),
+            Effect::ForgetNode(node) => self.transport.forget(node),
+            Effect::Log { text, node } => log!("{text}: {}", self.transport.name(node)),
+        }
+    }
+
+    fn with_orders(&self, id: RequestId, give: impl FnOnce(&OrderSender)) {
+        if let Some(pending) = self.core.borrow().pending.get(&id) {
+            give(&pending.orders);
+        }
+    }
+
+    fn answer(&self, id: RequestId, response: FinalResponse<T::Answer>) {
+        let mut core = self.core.borrow_mut();
+        let sender = core.pending.get_mut(&id).and_then(|pending| pending.answer.take());
+        drop(core);
+        if let Some(sender) = sender {
+            // The client may have gone at this very moment.
+            let _ = sender.send(response);
+        }
+    }
+
+    fn set_timer(self: &Rc<Self>, after: Nanos, cookie: u64) {
+        let exchange = Rc::clone(self);
+        tokio::task::spawn_local(async move {
+            sleep(Duration::from_nanos(after.max(0) as u64)).await;
+            exchange.feed(Input::Timer(cookie), None);
+        });
+    }
+
+    /// Starts an attempt. It ends by itself, at its deadline, or when it is cancelled, whichever is first.
+    fn send(self: &Rc<Self>, key: AttemptKey, node: NodeId, deadline: Nanos, begin_by: Nanos) {
+        let deadline = self.clock.instant(deadline);
+        let begin_by = (begin_by < Nanos::MAX).then(|| self.clock.instant(begin_by));
+        let core = self.core.borrow();
+        let Some(pending) = core.pending.get(&key.id) else { return };
+        if let Some(fleet_state) = &*self.fleet_state.borrow() {
+            fleet_state.attempt_sent(key.id, key.attempt, node, pending.class);
+        }
+        let withdrawal = pending.orders.withdrawal(key.attempt, begin_by);
+        let payload = Rc::clone(&pending.payload);
+        let attempt = self.transport.attempt(node, payload, deadline, withdrawal.clone());
+        let exchange = Rc::clone(self);
+        tokio::task::spawn_local(async move {
+            let (input, answer) = run_attempt(key, attempt, deadline, withdrawal).await;
+            exchange.feed(input, answer);
+        });
+    }
+}
+
+/// Runs an attempt to its end. Returns the input for the tracker and the answer, if any.
+async fn run_attempt<A>(
+    AttemptKey { id, attempt }: AttemptKey,
+    running: impl std::future::Future<Output = AttemptReport<A>>,
+    deadline: Instant,
+    mut withdrawal: Withdrawal,
+) -> (Input, Option<A>) {
+    tokio::select! {
+        biased;
+        ended = timeout_at(deadline.into(), running) => match ended {
+            Ok(AttemptReport { outcome, answer, seen_use, foreign_units }) => {
+                (Input::AttemptEnded { id, attempt, outcome, seen_use, foreign_units }, answer)
+            }
+            Err(_) => (Input::AttemptTimedOut { id, attempt }, None),
+        },
+        () = withdrawal.cancelled() => (Input::AttemptCancelled { id, attempt }, None),
+    }
+}
+
+fn final_response<A>(answer: FinalAnswer, served: Option<A>) -> FinalResponse<A> {
+    match (answer, served) {
+        (FinalAnswer::Served, Some(served)) => FinalResponse::Served(served),
+        (FinalAnswer::Rejected(retry_after), _) => {
+            FinalResponse::Rejected(Duration::from_nanos(retry_after as u64))
+        }
+        _ => FinalResponse::Failed,
+    }
+}
+
+/// A client that waits for its answer. Where it is dropped before, the tracker learns that the client is gone.
+struct WaitingClient<'a, T: Transport> {
+    exchange: &'a Rc<Exchange<T>>,
+    id: RequestId,
+}
+
+impl<T: Transport> Drop for WaitingClient<'_, T> {
+    fn drop(&mut self) {
+        self.exchange.feed(Input::ClientGone(self.id), None);
+    }
+}
