--- a/src/object/multipart.rs
+++ b/src/object/multipart.rs
@@ -1,224 +1,288 @@
-//! Multipart uploads. An upload lives on the node that opened it; its id carries that node's shard, and a token
-//! that the object keeps, by which a completion that was in doubt is known again.
+//! Multipart uploads. An upload lives on the chunk server that opened it. Its id holds that server's shard, and a token
+//! that is stored with the object: by it a front recognises an object that a completion of unknown outcome has made.
 
 use std::time::Instant;
 
 use bytes::Bytes;
-use hyper::header::{HeaderMap, HeaderName, HeaderValue, ETAG};
+use hyper::header::{HeaderName, HeaderValue, ETAG};
 use hyper::{Method, StatusCode};
-
-use super::{copy, document, empty, encoded, invalid, no_such_upload, said, xml};
-use super::{Answer, Asked, Fault, Front, Reply, Step, VERSION_ID};
 use tulipbridge_core::CellId;
 
-/// Where the object keeps the token of the upload that made it.
-const TOKEN: HeaderName = HeaderName::from_static("x-amz-meta-tulipbridge-upload");
-const MOST_PARTS: u32 = 10_000;
+use super::error::ApiError;
+use super::node_request::NodeRequest;
+use super::replies::{copy_header, document, empty};
+use super::request::ObjectRequest;
+use super::{encode, xml, Front, VERSION_ID};
+use crate::frontend::replies::Reply;
+use crate::upstream::Answer;
+
+/// Metadata header in which an object keeps the token of the upload that made it.
+const UPLOAD_TOKEN: HeaderName = HeaderName::from_static("x-amz-meta-tulipbridge-upload");
+/// The largest number of a part.
+const MAX_PART_NUMBER: u32 = 10_000;
+/// Query fields that select a page of a list of parts.
+const PAGE_FIELDS: [&str; 2] = ["max-parts", "part-number-marker"];
 
-/// An upload id, read.
+/// An upload id of this front.
 struct UploadId {
     cell: CellId,
     token: String,
+    /// The chunk server's own id.
     own: String,
 }
 
-/// What a node knows of an upload.
-enum State {
+/// What a chunk server knows of an upload.
+enum UploadState {
     Open,
-    /// The object is there, by its head.
+    /// The object exists; this is the answer to a HEAD request for it.
     Completed(Box<Answer>),
     Unknown,
 }
 
 impl UploadId {
-    fn of(asked: &Asked) -> Result<UploadId, Fault> {
-        let told = asked.query.get("uploadId").map_or("", String::as_str);
-        let mut parts = told.splitn(3, '.');
-        let cell = parts.next().and_then(|c| c.parse().ok());
-        let (token, own) = (parts.next().unwrap_or_default(), parts.next().unwrap_or_default());
+    /// Parses the upload id of a request.
+    fn of(request: &ObjectRequest) -> Result<UploadId, ApiError> {
+        let id = request.query.get("uploadId").map_or("", String::as_str);
+        let mut parts = id.splitn(3, '.');
+        let cell = parts.next().and_then(|cell| cell.parse().ok());
+        let token = parts.next().unwrap_or_default();
+        let own = parts.next().unwrap_or_default();
         match cell {
             Some(cell) if !token.is_empty() && !own.is_empty() => {
                 Ok(UploadId { cell, token: token.to_owned(), own: own.to_owned() })
             }
-            _ => Err(no_such_upload()),
+            _ => Err(ApiError::no_such_upload()),
         }
     }
 
+    /// The query that names the upload to its chunk server.
     fn query(&self) -> String {
-        format!("uploadId={}", encoded(&self.own))
+        format!("uploadId={}", encode(&self.own))
     }
 
-    fn step(&self, class: usize, method: Method, query: String, body: Bytes, units: f64) -> Step {
-        Step { class, cell: Some(self.cell), method, query, headers: HeaderMap::new(), body, units }
+    /// A request to the shard of the upload.
+    fn node_request(&self, class: usize, method: Method, query: String) -> NodeRequest {
+        NodeRequest { cell: Some(self.cell), query, ..NodeRequest::new(class, method) }
     }
 }
 
 impl Front {
-    /// CreateMultipartUpload: a new object, which any node may take.
-    pub(super) async fn create(&self, asked: Asked) -> Result<Reply, Fault> {
+    /// CreateMultipartUpload: a new object, which any shard may take.
+    pub(super) async fn create_upload(&self, request: ObjectRequest) -> Result<Reply, ApiError> {
         let token = format!("{:016x}", fastrand::u64(..));
-        let mut headers = asked.describing();
-        headers.insert(TOKEN, HeaderValue::try_from(&token).map_err(|_| Fault::Uncertain)?);
-        let step = Step {
-            class: asked.bucket.write,
-            cell: None,
-            method: Method::POST,
+        let mut headers = request.stored_headers();
+        let token_value = HeaderValue::try_from(&token).map_err(|_| ApiError::OutcomeUnknown)?;
+        headers.insert(UPLOAD_TOKEN, token_value);
+        let node = NodeRequest {
             query: "uploads".to_owned(),
             headers,
-            body: Bytes::new(),
-            units: 1.0,
+            ..NodeRequest::new(request.bucket.write_class, Method::POST)
+        };
+        let answer = self.send(&request, node).await?.into_success("NoSuchKey")?;
+        let opened: xml::InitiateMultipartUploadResult =
+            xml::read(&answer.body).ok_or(ApiError::OutcomeUnknown)?;
+        let result = xml::InitiateMultipartUploadResult {
+            bucket: request.bucket_name,
+            key: request.key,
+            upload_id: format!("{}.{token}.{}", answer.cell, opened.upload_id),
         };
-        let answer = self.step(&asked, step).await?.succeeded("NoSuchKey")?;
-        let opened: xml::InitiateMultipartUploadResult = xml::read(&answer.body).ok_or(Fault::Uncertain)?;
-        let upload_id = format!("{}.{token}.{}", answer.cell, opened.upload_id);
-        let (bucket, key) = (asked.bucket_name, asked.key);
-        let told = xml::InitiateMultipartUploadResult { bucket, key, upload_id };
-        Ok(document(StatusCode::OK, "InitiateMultipartUploadResult", &told))
+        Ok(document(StatusCode::OK, "InitiateMultipartUploadResult", &result))
     }
 
-    /// UploadPart: to the shard of the upload and no other. While its node drains the part waits for the one
-    /// that takes the shard over, and is refused, once, where none does in time.
-    pub(super) async fn part(&self, asked: Asked, body: Bytes) -> Result<Reply, Fault> {
-        let upload = UploadId::of(&asked)?;
-        let number = asked.query.get("partNumber").and_then(|n| n.parse::<u32>().ok());
-        let number = number.filter(|n| (1..=MOST_PARTS).contains(n));
-        let number = number.ok_or_else(|| invalid("A part number is from 1 to 10000."))?;
+    /// UploadPart, to the shard of the upload and no other. While its chunk server drains, the part waits for the one
+    /// that takes over the shard, and is rejected once where none does in time.
+    pub(super) async fn upload_part(&self, request: ObjectRequest, body: Bytes) -> Result<Reply, ApiError> {
+        let upload = UploadId::of(&request)?;
+        let number = request.query.get("partNumber").and_then(|number| number.parse::<u32>().ok());
+        let number = number.filter(|number| (1..=MAX_PART_NUMBER).contains(number));
+        let number = number.ok_or_else(|| ApiError::invalid_argument("A part number is from 1 to 10000."))?;
         let query = format!("partNumber={number}&{}", upload.query());
-        let units = self.units(&asked.bucket, body.len());
-        let mut step = upload.step(asked.bucket.write, Method::PUT, query, body, units);
-        if let Some(sum) = asked.headers.get("content-md5") {
-            step.headers.insert("content-md5", sum.clone());
+        let mut node = NodeRequest {
+            units: self.units(&request.bucket, body.len()),
+            body,
+            ..upload.node_request(request.bucket.write_class, Method::PUT, query)
+        };
+        if let Some(checksum) = request.headers.get("content-md5") {
+            node.headers.insert("content-md5", checksum.clone());
         }
-        let answer = self.step(&asked, step).await?.succeeded("NoSuchUpload")?;
+        let answer = self.send(&request, node).await?.into_success("NoSuchUpload")?;
         let mut reply = empty(StatusCode::OK);
-        copy(&answer.headers, &ETAG, reply.headers_mut());
+        copy_header(&answer.headers, &ETAG, reply.headers_mut());
         Ok(reply)
     }
 
     /// ListParts.
-    pub(super) async fn list(&self, asked: Asked) -> Result<Reply, Fault> {
-        let upload = UploadId::of(&asked)?;
+    pub(super) async fn list_parts(&self, request: ObjectRequest) -> Result<Reply, ApiError> {
+        let upload = UploadId::of(&request)?;
         let mut query = upload.query();
-        for name in ["max-parts", "part-number-marker"] {
-            if let Some(told) = asked.query.get(name) {
-                let number: u32 = told.parse().map_err(|_| invalid("A page is told in whole numbers."))?;
+        for name in PAGE_FIELDS {
+            if let Some(value) = request.query.get(name) {
+                let number: u32 = value
+                    .parse()
+                    .map_err(|_| ApiError::invalid_argument("A page is told in whole numbers."))?;
                 query.push_str(&format!("&{name}={number}"));
             }
         }
-        let step = upload.step(asked.bucket.read, Method::GET, query, Bytes::new(), 1.0);
-        let answer = self.step(&asked, step).await?.succeeded("NoSuchUpload")?;
-        let mut listed: xml::ListPartsResult = xml::read(&answer.body).ok_or(Fault::Uncertain)?;
-        listed.upload_id.clone_from(&asked.query["uploadId"]);
-        (listed.bucket, listed.key) = (asked.bucket_name, asked.key);
-        Ok(document(StatusCode::OK, "ListPartsResult", &listed))
+        let node = upload.node_request(request.bucket.read_class, Method::GET, query);
+        let answer = self.send(&request, node).await?.into_success("NoSuchUpload")?;
+        let mut parts: xml::ListPartsResult = xml::read(&answer.body).ok_or(ApiError::OutcomeUnknown)?;
+        parts.upload_id.clone_from(&request.query["uploadId"]);
+        parts.bucket = request.bucket_name;
+        parts.key = request.key;
+        Ok(document(StatusCode::OK, "ListPartsResult", &parts))
     }
 
-    /// AbortMultipartUpload; ending an upload twice does no more than once.
-    pub(super) async fn abort(&self, asked: Asked) -> Result<Reply, Fault> {
-        let upload = UploadId::of(&asked)?;
-        let step = upload.step(asked.bucket.read, Method::DELETE, upload.query(), Bytes::new(), 1.0);
-        self.step(&asked, step).await?.succeeded("NoSuchUpload")?;
+    /// AbortMultipartUpload. It is idempotent.
+    pub(super) async fn abort_upload(&self, request: ObjectRequest) -> Result<Reply, ApiError> {
+        let upload = UploadId::of(&request)?;
+        let node = upload.node_request(request.bucket.read_class, Method::DELETE, upload.query());
+        self.send(&request, node).await?.into_success("NoSuchUpload")?;
         Ok(empty(StatusCode::NO_CONTENT))
     }
 
-    /// CompleteMultipartUpload, at most once for each upload. The node is always asked first, since another
-    /// front may have left a completion in doubt; one that this front left in doubt bars the next until it can
-    /// no longer run.
-    pub(super) async fn complete(&self, asked: Asked, body: Bytes) -> Result<Reply, Fault> {
-        let upload = UploadId::of(&asked)?;
-        let malformed = || said(StatusCode::BAD_REQUEST, "MalformedXML", "The list of parts is malformed.");
-        let list: xml::CompleteMultipartUpload = xml::read(&body).ok_or_else(malformed)?;
-        if list.parts.is_empty() {
-            return Err(malformed());
-        }
-        if !list.parts.windows(2).all(|p| p[0].part_number < p[1].part_number) {
-            let message = "The parts are not in ascending order.";
-            return Err(said(StatusCode::BAD_REQUEST, "InvalidPartOrder", message));
-        }
-        match self.state(&asked, &upload).await {
-            Ok(State::Completed(head)) => return completed(&asked, &head),
-            Ok(State::Unknown) => return Err(no_such_upload()),
-            Ok(State::Open) => {}
-            // Asking runs nothing, so nothing is in doubt.
-            Err(Fault::Uncertain) => return Err(Fault::SlowDown(self.deadlines[asked.bucket.write])),
-            Err(fault) => return Err(fault),
+    /// CompleteMultipartUpload, at most once for each upload. The state of the upload is read first, since a
+    /// completion through another front may have an unknown outcome. One through this front whose outcome is unknown
+    /// delays the next until it can no longer be executed.
+    pub(super) async fn complete_upload(
+        &self,
+        request: ObjectRequest,
+        body: Bytes,
+    ) -> Result<Reply, ApiError> {
+        let upload = UploadId::of(&request)?;
+        check_parts(&body)?;
+        let write_class = request.bucket.write_class;
+        match self.upload_state(&request, &upload).await {
+            Ok(UploadState::Completed(head)) => return completed_reply(&request, &head),
+            Ok(UploadState::Unknown) => return Err(ApiError::no_such_upload()),
+            Ok(UploadState::Open) => {}
+            Err(error) => return Err(error.of_read(self.deadlines[write_class])),
         }
-        let name = asked.query["uploadId"].clone();
-        // A node may yet take up what came in time, so the bar outlasts the deadline by as much again.
-        self.claim(&name, asked.until + self.deadlines[asked.bucket.write])?;
-        let step = upload.step(asked.bucket.write, Method::POST, upload.query(), body, self.unit_mean);
-        let found = self.step(&asked, step).await;
-        if !matches!(found, Err(Fault::Uncertain)) {
-            self.completing.borrow_mut().remove(&name);
+        let upload_id = request.query["uploadId"].clone();
+        // A chunk server may still execute what it received in time, so the claim lasts twice the deadline.
+        self.claim_completion(&upload_id, request.deadline + self.deadlines[write_class])?;
+        let node = NodeRequest {
+            body,
+            units: self.mean_units,
+            ..upload.node_request(write_class, Method::POST, upload.query())
+        };
+        let result = self.send(&request, node).await;
+        if !matches!(result, Err(ApiError::OutcomeUnknown)) {
+            self.release_completion(&upload_id);
         }
-        match found {
-            Ok(answer) => match answer.succeeded("NoSuchUpload") {
+        self.completion_reply(&request, &upload, &upload_id, result).await
+    }
+
+    /// The response to a completion by the chunk server's answer. Where that leaves open whether the object was made,
+    /// the state of the upload is read again.
+    async fn completion_reply(
+        &self,
+        request: &ObjectRequest,
+        upload: &UploadId,
+        upload_id: &str,
+        result: Result<Answer, ApiError>,
+    ) -> Result<Reply, ApiError> {
+        let outcome_unknown = matches!(result, Err(ApiError::OutcomeUnknown));
+        let error = match result {
+            Ok(answer) => match answer.into_success("NoSuchUpload") {
                 Ok(answer) => {
-                    let told: Option<xml::CompleteMultipartUploadResult> = xml::read(&answer.body);
-                    let etag = told.map(|t| t.etag).ok_or(Fault::Uncertain)?;
-                    finished(&asked, etag, &answer)
+                    let result: Option<xml::CompleteMultipartUploadResult> = xml::read(&answer.body);
+                    let etag = result.map(|result| result.etag).ok_or(ApiError::OutcomeUnknown)?;
+                    return completion_document(request, etag, &answer);
                 }
-                // Another front may have completed it between the question and the attempt.
-                Err(fault) => match self.state(&asked, &upload).await {
-                    Ok(State::Completed(head)) => completed(&asked, &head),
-                    _ => Err(fault),
-                },
+                // Another front may have completed the upload meanwhile.
+                Err(error) => error,
             },
-            Err(Fault::Uncertain) => match self.state(&asked, &upload).await {
-                Ok(State::Completed(head)) => {
-                    self.completing.borrow_mut().remove(&name);
-                    completed(&asked, &head)
+            Err(ApiError::OutcomeUnknown) => ApiError::OutcomeUnknown,
+            Err(error) => return Err(error),
+        };
+        match self.upload_state(request, upload).await {
+            Ok(UploadState::Completed(head)) => {
+                if outcome_unknown {
+                    self.release_completion(upload_id);
                 }
-                _ => Err(Fault::Uncertain),
-            },
-            Err(fault) => Err(fault),
+                completed_reply(request, &head)
+            }
+            _ => Err(error),
         }
     }
 
-    /// Bars other completions of the upload for as long as this one may run. It stays barred where the client
-    /// leaves, since the attempt goes on.
-    fn claim(&self, name: &str, until: Instant) -> Result<(), Fault> {
-        let (now, mut completing) = (Instant::now(), self.completing.borrow_mut());
-        completing.retain(|_, until| *until > now);
-        match completing.get(name) {
-            Some(until) => Err(Fault::SlowDown(*until - now)),
-            None => {
-                completing.insert(name.to_owned(), until);
-                Ok(())
-            }
+    /// Claims the completion of an upload for as long as it may be executed. The claim remains where the client goes,
+    /// since the attempt goes on.
+    ///
+    /// # Errors
+    /// [`ApiError::SlowDown`] where another completion through this front may still be executed.
+    fn claim_completion(&self, upload_id: &str, until: Instant) -> Result<(), ApiError> {
+        let now = Instant::now();
+        let mut pending = self.pending_completions.borrow_mut();
+        pending.retain(|_, until| *until > now);
+        if let Some(until) = pending.get(upload_id) {
+            return Err(ApiError::SlowDown(*until - now));
         }
+        pending.insert(upload_id.to_owned(), until);
+        Ok(())
+    }
+
+    fn release_completion(&self, upload_id: &str) {
+        self.pending_completions.borrow_mut().remove(upload_id);
     }
 
-    /// Asks the node what became of an upload: it is open while it lists parts, and completed where the object
-    /// keeps its token.
-    async fn state(&self, asked: &Asked, upload: &UploadId) -> Result<State, Fault> {
-        let class = asked.bucket.read;
-        let step = upload.step(class, Method::GET, upload.query(), Bytes::new(), 1.0);
-        match self.step(asked, step).await?.succeeded("NoSuchUpload") {
-            Ok(_) => return Ok(State::Open),
-            Err(Fault::Said(StatusCode::NOT_FOUND, ..)) => {}
-            Err(fault) => return Err(fault),
+    /// Reads the state of an upload from its chunk server: it is open while its parts can be listed, and completed
+    /// where the object has its token.
+    async fn upload_state(
+        &self,
+        request: &ObjectRequest,
+        upload: &UploadId,
+    ) -> Result<UploadState, ApiError> {
+        let class = request.bucket.read_class;
+        let node = upload.node_request(class, Method::GET, upload.query());
+        match self.send(request, node).await?.into_success("NoSuchUpload") {
+            Ok(_) => return Ok(UploadState::Open),
+            Err(error) if error.is_not_found() => {}
+            Err(error) => return Err(error),
         }
-        let step = upload.step(class, Method::HEAD, String::new(), Bytes::new(), 1.0);
-        match self.step(asked, step).await?.succeeded("NoSuchKey") {
-            Ok(head) if head.headers.get(TOKEN).is_some_and(|t| t == upload.token.as_str()) => {
-                Ok(State::Completed(Box::new(head)))
-            }
-            Ok(_) | Err(Fault::Said(StatusCode::NOT_FOUND, ..)) => Ok(State::Unknown),
-            Err(fault) => Err(fault),
+        let node = upload.node_request(class, Method::HEAD, String::new());
+        match self.send(request, node).await?.into_success("NoSuchKey") {
+            Ok(head) if has_token(&head, &upload.token) => Ok(UploadState::Completed(Box::new(head))),
+            Ok(_) => Ok(UploadState::Unknown),
+            Err(error) if error.is_not_found() => Ok(UploadState::Unknown),
+            Err(error) => Err(error),
         }
     }
 }
 
-fn completed(asked: &Asked, head: &Answer) -> Result<Reply, Fault> {
-    let etag = head.headers.get(ETAG).and_then(|v| v.to_str().ok()).unwrap_or_default();
-    finished(asked, etag.to_owned(), head)
+/// Checks the list of parts in a request to complete an upload.
+fn check_parts(body: &[u8]) -> Result<(), ApiError> {
+    let malformed =
+        || ApiError::request(StatusCode::BAD_REQUEST, "MalformedXML", "The list of parts is malformed.");
+    let list: xml::CompleteMultipartUpload = xml::read(body).ok_or_else(malformed)?;
+    if list.parts.is_empty() {
+        return Err(malformed());
+    }
+    if !list.parts.windows(2).all(|pair| pair[0].part_number < pair[1].part_number) {
+        let message = "The parts are not in ascending order.";
+        return Err(ApiError::request(StatusCode::BAD_REQUEST, "InvalidPartOrder", message));
+    }
+    Ok(())
+}
+
+fn has_token(head: &Answer, token: &str) -> bool {
+    head.headers.get(UPLOAD_TOKEN).is_some_and(|value| value == token)
+}
+
+/// The response to a completion whose object exists already.
+fn completed_reply(request: &ObjectRequest, head: &Answer) -> Result<Reply, ApiError> {
+    let etag = head.headers.get(ETAG).and_then(|value| value.to_str().ok()).unwrap_or_default();
+    completion_document(request, etag.to_owned(), head)
 }
 
-fn finished(asked: &Asked, etag: String, answer: &Answer) -> Result<Reply, Fault> {
-    let (location, bucket, key) = (asked.path.clone(), asked.bucket_name.clone(), asked.key.clone());
-    let told = xml::CompleteMultipartUploadResult { location, bucket, key, etag };
-    let mut reply = document(StatusCode::OK, "CompleteMultipartUploadResult", &told);
-    reply.headers_mut().insert(VERSION_ID, answer.version()?);
+fn completion_document(request: &ObjectRequest, etag: String, answer: &Answer) -> Result<Reply, ApiError> {
+    let result = xml::CompleteMultipartUploadResult {
+        location: request.path.clone(),
+        bucket: request.bucket_name.clone(),
+        key: request.key.clone(),
+        etag,
+    };
+    let mut reply = document(StatusCode::OK, "CompleteMultipartUploadResult", &result);
+    reply.headers_mut().insert(VERSION_ID, answer.version_id()?);
     Ok(reply)
 }
--- a/src/object/xml.rs
+++ b/src/object/xml.rs
@@ -1,25 +1,25 @@
-//! The object API's XML shapes, as clients and nodes send and expect them.
+//! The XML documents of the object API, as exchanged with clients and chunk servers.
 
 use serde::{Deserialize, Serialize};
 
-/// Namespace of the API's answers.
+/// Namespace of the API's documents, except for errors.
 const NAMESPACE: &str = "http://s3.amazonaws.com/doc/2006-03-01/";
 
-/// A fault.
+/// An error.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Error<'a> {
-    /// Its code.
+    /// Code, such as `NoSuchKey`.
     pub code: &'a str,
-    /// What it means.
+    /// Explanation.
     pub message: &'a str,
-    /// What was asked for.
+    /// Path of the request.
     pub resource: &'a str,
-    /// The request.
+    /// Id of the request.
     pub request_id: &'a str,
 }
 
-/// An upload begun.
+/// An upload that was created.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct InitiateMultipartUploadResult {
@@ -29,15 +29,15 @@
     /// Key.
     #[serde(default)]
     pub key: String,
-    /// The upload.
+    /// Upload id.
     pub upload_id: String,
 }
 
-/// An upload completed.
+/// An upload that was completed.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct CompleteMultipartUploadResult {
-    /// Where the object is.
+    /// Path of the object.
     #[serde(default)]
     pub location: String,
     /// Bucket.
@@ -46,7 +46,7 @@
     /// Key.
     #[serde(default)]
     pub key: String,
-    /// The object's tag.
+    /// Entity tag of the object.
     #[serde(default, rename = "ETag")]
     pub etag: String,
 }
@@ -54,16 +54,16 @@
 /// A request to complete an upload.
 #[derive(Deserialize)]
 pub struct CompleteMultipartUpload {
-    /// Its parts.
+    /// Parts, in ascending order.
     #[serde(rename = "Part", default)]
     pub parts: Vec<CompletedPart>,
 }
 
-/// A part in such a request.
+/// A part in a request to complete an upload.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct CompletedPart {
-    /// Its number. The node checks its tag.
+    /// Part number. The chunk server checks the entity tag.
     pub part_number: u32,
 }
 
@@ -77,54 +77,54 @@
     /// Key.
     #[serde(default)]
     pub key: String,
-    /// The upload.
+    /// Upload id.
     #[serde(default)]
     pub upload_id: String,
-    /// Where this page begins.
+    /// The part number after which this page starts.
     #[serde(default)]
     pub part_number_marker: u32,
-    /// Where the next begins.
+    /// The part number after which the next page starts.
     #[serde(default)]
     pub next_part_number_marker: u32,
-    /// The most parts of a page.
+    /// The largest number of parts in a page.
     #[serde(default)]
     pub max_parts: u32,
-    /// Whether there is a next.
+    /// Whether there is another page.
     #[serde(default)]
     pub is_truncated: bool,
-    /// Parts.
+    /// The parts of this page.
     #[serde(rename = "Part", default)]
     pub parts: Vec<Part>,
 }
 
-/// A part that a node holds.
+/// A part that a chunk server has stored.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Part {
-    /// Its number.
+    /// Part number.
     pub part_number: u32,
-    /// When it was stored.
+    /// When the part was stored.
     #[serde(default)]
     pub last_modified: String,
-    /// Its tag.
+    /// Entity tag.
     #[serde(rename = "ETag", default)]
     pub etag: String,
-    /// Its size.
+    /// Size in bytes.
     #[serde(default)]
     pub size: u64,
 }
 
-/// A document; nothing where the value has no such form.
+/// Serializes a document with this root element; `None` where the value cannot be serialized.
 pub fn write<T: Serialize>(root: &str, value: &T) -> Option<String> {
     let body = quick_xml::se::to_string_with_root(root, value).ok()?;
-    let named = match root {
+    let document = match root {
         "Error" => body,
         _ => body.replacen(&format!("<{root}>"), &format!("<{root} xmlns=\"{NAMESPACE}\">"), 1),
     };
-    Some(format!("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n{named}"))
+    Some(format!("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n{document}"))
 }
 
-/// Reads a document.
+/// Parses a document; `None` where it is malformed.
 pub fn read<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Option<T> {
     quick_xml::de::from_str(std::str::from_utf8(bytes).ok()?).ok()
 }
--- a/tests/unit/main.rs
+++ b/tests/unit/main.rs
@@ -2,4 +2,6 @@
 
 mod framing;
 mod listener;
+mod object_config;
+mod range;
 mod upstream;
