--- a/src/frontend/platform/mod.rs
+++ b/src/frontend/platform/mod.rs
@@ -19,7 +19,7 @@
 use self::streaming::stream_response;
 use super::body::BodyReservation;
 use super::listener::{Handler, ReceivedRequest};
-use super::replies::{plain, rejected, Reply};
+use super::replies::{health_check, plain, rejected, Reply};
 use crate::exchange::{Exchange, FinalResponse};
 use crate::upstream::{Accepts, Answer, Payload, Upstream};
 
@@ -52,18 +52,13 @@
     }
 
     async fn answer(&self, request: ReceivedRequest, shutting_down: bool) -> Reply {
-        match (request.method(), request.uri().path()) {
-            (&Method::GET, "/health/ready") if shutting_down => {
-                plain(StatusCode::SERVICE_UNAVAILABLE, "leaving")
-            }
-            (&Method::GET, "/health/ready" | "/health/live") => plain(StatusCode::OK, "ok"),
-            _ => {
-                let class = single_value(request.headers(), CLASS).map(str::to_owned);
-                let reply = self.forward(request).await.unwrap_or_else(|refusal| refusal);
-                self.count_answer(class.as_deref(), reply.status());
-                reply
-            }
+        if let Some(reply) = health_check(request.method(), request.uri().path(), shutting_down) {
+            return reply;
         }
+        let class = single_value(request.headers(), CLASS).map(str::to_owned);
+        let reply = self.forward(request).await.unwrap_or_else(|refusal| refusal);
+        self.count_answer(class.as_deref(), reply.status());
+        reply
     }
 }
 
--- a/src/frontend/replies.rs
+++ b/src/frontend/replies.rs
@@ -7,7 +7,7 @@
 use http_body_util::channel::Channel;
 use http_body_util::{Either, Full};
 use hyper::header::{HeaderValue, CONNECTION, RETRY_AFTER};
-use hyper::{Response, StatusCode};
+use hyper::{Method, Response, StatusCode};
 
 /// `Retry-After` of a rejection by the listener itself.
 const REJECTION_RETRY_AFTER: Duration = Duration::from_millis(250);
@@ -22,6 +22,17 @@
     reply
 }
 
+/// The response to a health check; `None` for any other request. A front that shuts down is alive but not ready.
+pub(crate) fn health_check(method: &Method, path: &str, shutting_down: bool) -> Option<Reply> {
+    match (method, path) {
+        (&Method::GET, "/health/ready") if shutting_down => {
+            Some(plain(StatusCode::SERVICE_UNAVAILABLE, "leaving"))
+        }
+        (&Method::GET, "/health/ready" | "/health/live") => Some(plain(StatusCode::OK, "ok")),
+        _ => None,
+    }
+}
+
 /// 503 for a request that was not executed: the client may retry after `retry_after`.
 pub fn rejected(retry_after: Duration) -> Reply {
     let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
--- a/src/object/answer.rs
+++ b/src/object/answer.rs
@@ -4,7 +4,8 @@
 use hyper::StatusCode;
 
 use super::error::ApiError;
-use super::{xml, VERSION_ID};
+use super::front::VERSION_ID;
+use super::xml;
 use crate::upstream::Answer;
 
 /// The error document of a chunk server.
--- a/src/object/delete.rs
+++ b/src/object/delete.rs
@@ -5,10 +5,10 @@
 use hyper::{Method, StatusCode};
 
 use super::error::ApiError;
+use super::front::{encode, Front};
 use super::node_request::NodeRequest;
 use super::replies::empty;
 use super::request::ObjectRequest;
-use super::{encode, Front};
 use crate::frontend::replies::Reply;
 use crate::upstream::Answer;
 
@@ -24,7 +24,7 @@
                     cell: Some(version.cell),
                     query: format!("versionId={}", encode(&version.own)),
                     units: self.mean_units,
-                    ..NodeRequest::new(request.bucket.read_class, Method::DELETE)
+                    ..NodeRequest::new(request.bucket.read, Method::DELETE)
                 };
                 let answer = self.send(&request, node).await;
                 check_deleted(answer.and_then(|answer| answer.into_success("NoSuchKey")))?;
--- /dev/null
+++ b/src/object/front.rs
@@ -0,0 +1,136 @@
+//! The handler of the object API: state, dispatch by operation, and PutObject.
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use bytes::Bytes;
+use hyper::header::{HeaderName, HeaderValue, ETAG};
+use hyper::{Method, StatusCode};
+use percent_encoding::{utf8_percent_encode, NON_ALPHANUMERIC};
+
+use super::config::{Bucket, Config};
+use super::error::ApiError;
+use super::node_request::NodeRequest;
+use super::replies::{copy_header, empty};
+use super::request::{ObjectRequest, Operation};
+use crate::exchange::Exchange;
+use crate::frontend::listener::{Handler, ReceivedRequest};
+use crate::frontend::replies::{health_check, Reply};
+use crate::upstream::{Upstream, MAX_BODY};
+
+/// Header with a version id.
+pub(super) const VERSION_ID: HeaderName = HeaderName::from_static("x-amz-version-id");
+const REQUEST_ID: HeaderName = HeaderName::from_static("x-amz-request-id");
+
+/// The handler for the object API.
+pub struct ObjectFront(Rc<Front>);
+
+/// State of the handler, shared with the tasks that stream objects.
+pub(super) struct Front {
+    pub(super) exchange: Rc<Exchange<Upstream>>,
+    /// Buckets by name.
+    pub(super) buckets: HashMap<String, Bucket>,
+    /// Number of shards.
+    pub(super) shards: u32,
+    /// Deadlines by class.
+    pub(super) deadlines: Vec<Duration>,
+    /// Mean units of a request, assumed where the size is not known.
+    pub(super) mean_units: f64,
+    /// The most units of a request.
+    pub(super) max_units: f64,
+    /// Upload ids whose completion runs or may still run, and until when.
+    pub(super) pending_completions: RefCell<HashMap<String, Instant>>,
+}
+
+impl Handler for ObjectFront {
+    fn begin_shutdown(&self, within: Duration) {
+        self.0.exchange.begin_shutdown(within);
+    }
+
+    fn longest_deadline(&self) -> Duration {
+        self.0.exchange.longest_deadline()
+    }
+
+    async fn answer(&self, request: ReceivedRequest, shutting_down: bool) -> Reply {
+        let (method, path) = (request.method().clone(), request.uri().path().to_owned());
+        if let Some(reply) = health_check(&method, &path, shutting_down) {
+            return reply;
+        }
+        let request_id = format!("{:016x}", fastrand::u64(..));
+        let mut reply = match self.0.serve(request).await {
+            Ok(reply) => reply,
+            Err(error) => error.into_reply(&path, &request_id, method == Method::HEAD),
+        };
+        if let Ok(request_id) = HeaderValue::try_from(request_id) {
+            reply.headers_mut().insert(REQUEST_ID, request_id);
+        }
+        reply
+    }
+}
+
+impl ObjectFront {
+    /// A front on an exchange.
+    pub fn new(exchange: Rc<Exchange<Upstream>>, config: Config) -> ObjectFront {
+        let settings = &config.base.settings;
+        let deadlines = settings.classes.iter().map(|class| Duration::from_nanos(class.deadline as u64));
+        ObjectFront(Rc::new(Front {
+            exchange,
+            shards: config.base.shards,
+            deadlines: deadlines.collect(),
+            mean_units: settings.mean_units,
+            max_units: settings.max_units.max(1.0),
+            buckets: config.buckets,
+            pending_completions: RefCell::default(),
+        }))
+    }
+}
+
+impl Front {
+    async fn serve(self: &Rc<Self>, request: ReceivedRequest) -> Result<Reply, ApiError> {
+        let (head, body) = request.into_parts();
+        let body = body.and_then(check_length).map_err(ApiError::refused_body)?;
+        let request = self.parse(&head.method, &head.uri, head.headers)?;
+        match request.operation(&head.method)? {
+            Operation::GetObject => self.get(request).await,
+            Operation::HeadObject => self.head(request).await,
+            Operation::PutObject => self.put(request, body).await,
+            Operation::DeleteObject => self.delete(request).await,
+            Operation::CreateUpload => self.create_upload(request).await,
+            Operation::UploadPart => self.upload_part(request, body).await,
+            Operation::CompleteUpload => self.complete_upload(request, body).await,
+            Operation::AbortUpload => self.abort_upload(request).await,
+            Operation::ListParts => self.list_parts(request).await,
+        }
+    }
+
+    /// PutObject: a new object, which any shard may take.
+    async fn put(&self, request: ObjectRequest, body: Bytes) -> Result<Reply, ApiError> {
+        let node = NodeRequest {
+            headers: request.stored_headers(),
+            units: self.units(&request.bucket, body.len()),
+            body,
+            ..NodeRequest::new(request.bucket.write, Method::PUT)
+        };
+        let answer = self.send(&request, node).await?.into_success("NoSuchKey")?;
+        let mut reply = empty(StatusCode::OK);
+        copy_header(&answer.headers, &ETAG, reply.headers_mut());
+        reply.headers_mut().insert(VERSION_ID, answer.version_id()?);
+        Ok(reply)
+    }
+}
+
+/// Bodies of the object API are at most as long as one chunk; larger objects are uploaded in parts.
+fn check_length(body: Bytes) -> Result<Bytes, StatusCode> {
+    if body.len() > MAX_BODY {
+        Err(StatusCode::PAYLOAD_TOO_LARGE)
+    } else {
+        Ok(body)
+    }
+}
+
+/// Percent-encodes a value for a query.
+pub(super) fn encode(text: &str) -> String {
+    utf8_percent_encode(text, NON_ALPHANUMERIC).to_string()
+}
--- a/src/object/node_request.rs
+++ b/src/object/node_request.rs
@@ -11,9 +11,10 @@
 use tulipbridge_core as core;
 use tulipbridge_core::CellId;
 
+use super::config::Bucket;
 use super::error::ApiError;
+use super::front::Front;
 use super::request::ObjectRequest;
-use super::{Bucket, Front};
 use crate::exchange::FinalResponse;
 use crate::upstream::{Accepts, Answer, Payload};
 
@@ -66,7 +67,7 @@
             patience: patience.as_nanos() as i64,
             units: node.units.clamp(1.0, self.max_units),
             cell: node.cell,
-            front_count: request.bucket.front_count,
+            front_count: request.bucket.hosts,
         };
         let payload = Payload {
             target: target(&request.path, &node.query)?,
@@ -96,10 +97,8 @@
         for cell in 0..self.shards {
             let front = Rc::clone(self);
             let request = request.clone();
-            let node = NodeRequest {
-                cell: Some(cell),
-                ..NodeRequest::new(request.bucket.read_class, method.clone())
-            };
+            let node =
+                NodeRequest { cell: Some(cell), ..NodeRequest::new(request.bucket.read, method.clone()) };
             tasks.spawn_local(async move {
                 let answer = front.send(&request, node).await;
                 ShardResult { cell, result: answer.and_then(|answer| answer.into_success("NoSuchKey")) }
--- a/src/object/request.rs
+++ b/src/object/request.rs
@@ -11,7 +11,8 @@
 use tulipbridge_core::CellId;
 
 use super::error::ApiError;
-use super::{Bucket, Front};
+use super::front::Front;
+use super::Bucket;
 
 /// Prefix of the headers with metadata of the user.
 pub(super) const METADATA_PREFIX: &str = "x-amz-meta-";
@@ -105,7 +106,7 @@
         let query = parse_query(uri.query().unwrap_or_default())?;
         refuse_unsupported(&headers)?;
         let is_write = matches!(*method, Method::PUT | Method::POST);
-        let class = if is_write { bucket.write_class } else { bucket.read_class };
+        let class = if is_write { bucket.write } else { bucket.read };
         Ok(ObjectRequest {
             bucket: bucket.clone(),
             bucket_name,
