--- /dev/null
+++ b/src/bin/tulipbridge-adapter/instance.rs
@@ -0,0 +1,239 @@
+//! One instance of the decision module: decodes its events and encodes its actions.
+
+use std::collections::HashMap;
+use std::hash::{DefaultHasher, Hash, Hasher};
+
+use simd_json::prelude::*;
+use simd_json::{json, OwnedValue as Value};
+use tulipbridge::config::settings::{int, list, names, opt_num, settings, text};
+use tulipbridge::*;
+
+use crate::error::WireError;
+use crate::request_registry::RequestRegistry;
+use crate::vocabulary::{self, action, EventKind};
+
+/// Value of `LiesIn` for a request that any shard may serve.
+const ANY_SHARD: i64 = -1;
+
+/// A scheduler with the names that the wire uses.
+pub struct Instance {
+    index: i64,
+    scheduler: Scheduler,
+    classes: Vec<String>,
+    plans: Vec<String>,
+    zones: Vec<String>,
+    /// Names of the nodes by id. A name keeps its id, as the wire may use it again.
+    nodes: Vec<String>,
+    node_ids: HashMap<String, NodeId>,
+    requests: RequestRegistry,
+}
+
+impl Instance {
+    /// Starts an instance: `[event, instance, Nonce64, BootInfo]`.
+    pub fn start(index: i64, now: Nanos, row: &[Value]) -> Result<Instance, WireError> {
+        let seed = seed(row.get(2))?;
+        let site = row.get(3).filter(|value| value.is_object());
+        let site = site.ok_or(WireError::WrongKind { what: "'BootInfo'", expected: "an object" })?;
+        let classes = names(site, "Services")?;
+        let plans = names(site, "Grades")?;
+        let zones = list(site, "FailureDomains")?.iter();
+        let zones = zones.map(|zone| Ok(text(Some(zone), "zone")?.to_owned()));
+        let zones = zones.collect::<Result<_, WireError>>()?;
+        let scheduler = Scheduler::new(settings(site)?, seed, now).map_err(WireError::Settings)?;
+        Ok(Instance {
+            index,
+            scheduler,
+            classes,
+            plans,
+            zones,
+            nodes: Vec::new(),
+            node_ids: HashMap::new(),
+            requests: RequestRegistry::default(),
+        })
+    }
+
+    /// Gives an event to the scheduler and appends the resulting actions.
+    pub fn process_event(
+        &mut self,
+        now: Nanos,
+        kind: EventKind,
+        row: &[Value],
+        actions: &mut Vec<Value>,
+    ) -> Result<(), WireError> {
+        let Some(event) = self.decode(kind, row)? else { return Ok(()) };
+        let mut resulting = Vec::new();
+        self.scheduler.handle(now, event, &mut resulting);
+        for action in resulting {
+            actions.extend(self.encode(action));
+        }
+        Ok(())
+    }
+
+    /// Decodes an event; `None` where it concerns a request or node that is not known, or not the scheduler.
+    fn decode(&mut self, kind: EventKind, row: &[Value]) -> Result<Option<Event>, WireError> {
+        Ok(match kind {
+            EventKind::Endpoints => Some(self.decode_endpoints(row)?),
+            EventKind::Request => Some(Event::Request(self.decode_request(row)?)),
+            EventKind::ClientGone => {
+                let id = self.request_id(row)?;
+                id.map(|id| {
+                    self.requests.finish(id);
+                    Event::ClientGone(id)
+                })
+            }
+            EventKind::ResponseStarted => self.request_id(row)?.map(Event::ResponseStarted),
+            EventKind::AttemptEnded => self.decode_attempt_ended(row)?,
+            EventKind::Timer => Some(Event::Timer(int(row.get(2), "Cookie")? as u64)),
+            EventKind::Start | EventKind::Halt => None,
+        })
+    }
+
+    /// The id of the request that a row names; `None` where it is not active.
+    fn request_id(&self, row: &[Value]) -> Result<Option<RequestId>, WireError> {
+        let name = text(row.get(2), "Ref")?;
+        Ok(self.requests.id(name))
+    }
+
+    /// `[event, instance, Scope, generation, MembersList]`.
+    fn decode_endpoints(&mut self, row: &[Value]) -> Result<Event, WireError> {
+        let scope = vocabulary::update_scope(text(row.get(2), "Scope")?)?;
+        let no_entries = Vec::new();
+        let entries = match row.get(4).filter(|value| !value.is_null()) {
+            None => &no_entries,
+            Some(value) => value
+                .as_array()
+                .ok_or(WireError::WrongKind { what: "'MembersList'", expected: "an array" })?,
+        };
+        let nodes = entries.iter().map(|entry| self.decode_node(entry)).collect::<Result<_, _>>()?;
+        Ok(Event::Endpoints { scope, nodes })
+    }
+
+    /// `[Target, zone, machine type, Cell, Health, weight, CameUp]`.
+    fn decode_node(&mut self, entry: &Value) -> Result<NodeInfo, WireError> {
+        let row = entry.as_array();
+        let row =
+            row.ok_or(WireError::WrongKind { what: "an entry of 'MembersList'", expected: "an array" })?;
+        let node = self.node_id(text(row.first(), "Target")?);
+        let zone = row.get(1).and_then(Value::as_str);
+        // Every unknown zone is the one after the last known zone.
+        let zone = self.zones.iter().position(|known| Some(known.as_str()) == zone);
+        let zone = zone.unwrap_or(self.zones.len());
+        let listed = vocabulary::listed(text(row.get(4), "Health")?)?;
+        let cell = CellId::try_from(int(row.get(3), "Cell")?);
+        let cell = cell.map_err(|_| WireError::OutOfRange { key: "Cell" })?;
+        let started_at = optional_int(row.get(6), "CameUp", 0)?;
+        Ok(NodeInfo { node, zone: zone as u32, cell, listed, started_at })
+    }
+
+    /// The id of a node, which it gets when it is first named.
+    fn node_id(&mut self, name: &str) -> NodeId {
+        if let Some(&id) = self.node_ids.get(name) {
+            return id;
+        }
+        let id = self.nodes.len();
+        self.nodes.push(name.to_owned());
+        self.node_ids.insert(name.to_owned(), id);
+        id
+    }
+
+    /// `[event, instance, Ref, Grade, Contract, key, PatienceLeft, volume, Weight, LiesIn, SetSize]`.
+    fn decode_request(&mut self, row: &[Value]) -> Result<Request, WireError> {
+        let name = text(row.get(2), "Ref")?;
+        let class = index_of(&self.classes, text(row.get(3), "Grade")?, "Grade")?;
+        let plan = index_of(&self.plans, text(row.get(4), "Contract")?, "Contract")?;
+        let cell = optional_int(row.get(9), "LiesIn", ANY_SHARD)?;
+        let request = Request {
+            id: self.requests.next_id(),
+            class,
+            plan,
+            volume: row.get(7).and_then(Value::as_str).map_or(0, stable_hash),
+            key: row.get(5).and_then(Value::as_str).map(stable_hash),
+            patience: int(row.get(6), "PatienceLeft")?,
+            units: opt_num(row.get(8), "Weight")?,
+            cell: CellId::try_from(cell).ok(),
+            front_count: opt_num(row.get(10), "SetSize")? as u32,
+        };
+        self.requests.add(name);
+        Ok(request)
+    }
+
+    /// `[event, instance, Ref, SendNo, Target, Disposition, Duration, last, SeenUse, ForeignUnits]`.
+    fn decode_attempt_ended(&mut self, row: &[Value]) -> Result<Option<Event>, WireError> {
+        let request = text(row.get(2), "Ref")?;
+        let node = text(row.get(4), "Target")?;
+        let outcome = vocabulary::outcome(text(row.get(5), "Disposition")?)?;
+        let attempt = int(row.get(3), "SendNo")? as u32;
+        let took = int(row.get(6), "Duration")?;
+        let last = row.get(7).and_then(Value::as_bool).unwrap_or(false);
+        let seen_use = opt_num(row.get(8), "SeenUse")?;
+        let foreign_units = opt_num(row.get(9), "ForeignUnits")?;
+        let (Some(id), Some(&node)) = (self.requests.id(request), self.node_ids.get(node)) else {
+            return Ok(None);
+        };
+        self.requests.attempt_ended(id, last);
+        Ok(Some(Event::AttemptEnded { id, attempt, node, outcome, took, last, seen_use, foreign_units }))
+    }
+
+    /// Encodes an action; `None` for one that the wire does not have.
+    fn encode(&mut self, action: Action) -> Option<Value> {
+        let index = self.index;
+        Some(match action {
+            Action::Send { id, node, timeout } => {
+                self.requests.attempt_sent(id);
+                json!([action::SEND, index, self.requests.name(id), timeout, self.nodes.get(node)])
+            }
+            Action::Reject { id, retry_after } => {
+                let name = self.finish(id);
+                json!([action::REJECT, index, name, retry_after])
+            }
+            Action::Fail(id) => {
+                let name = self.finish(id);
+                json!([action::FAIL, index, name])
+            }
+            Action::Cancel { id, attempt } => {
+                json!([action::CANCEL, index, self.requests.name(id), attempt])
+            }
+            Action::SetTimer { after, cookie } => json!([action::SET_TIMER, index, after, cookie]),
+            Action::Subscribe => json!([action::SUBSCRIBE, index, true]),
+            Action::Log { text, node } => {
+                let target = self.nodes.get(node).map_or("", String::as_str);
+                json!([action::LOG, index, format!("{text} {target}")])
+            }
+            Action::ForgetNode(_) => return None,
+        })
+    }
+
+    /// Finishes a request. Returns its name.
+    fn finish(&mut self, id: RequestId) -> Option<String> {
+        let name = self.requests.name(id);
+        self.requests.finish(id);
+        name
+    }
+}
+
+/// A seed of 64 bits, which JSON may hold as a signed or an unsigned integer.
+fn seed(value: Option<&Value>) -> Result<u64, WireError> {
+    let value = value.ok_or(WireError::Missing { key: "Nonce64" })?;
+    let seed = value.as_u64().or_else(|| value.as_i64().map(|seed| seed as u64));
+    seed.ok_or(WireError::WrongKind { what: "'Nonce64'", expected: "an integer" })
+}
+
+/// An integer, or a default where it is absent or null.
+fn optional_int(value: Option<&Value>, key: &str, default: i64) -> Result<i64, WireError> {
+    match value.filter(|value| !value.is_null()) {
+        None => Ok(default),
+        Some(value) => Ok(int(Some(value), key)?),
+    }
+}
+
+/// A hash of a text that is the same in every process.
+fn stable_hash(text: &str) -> u64 {
+    let mut hasher = DefaultHasher::new();
+    text.hash(&mut hasher);
+    hasher.finish()
+}
+
+fn index_of(names: &[String], name: &str, key: &'static str) -> Result<usize, WireError> {
+    let index = names.iter().position(|known| known == name);
+    index.ok_or_else(|| WireError::NotInSettings { key, name: name.to_owned() })
+}
--- /dev/null
+++ b/src/bin/tulipbridge-adapter/vocabulary.rs
@@ -0,0 +1,99 @@
+//! The words of the wire and the types of the decision module that they stand for.
+
+use tulipbridge::{Listed, Outcome, UpdateScope};
+
+use crate::error::WireError;
+
+/// Kinds of events.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EventKind {
+    /// Starts an instance.
+    Start,
+    /// Ends an instance.
+    Halt,
+    /// An update of the endpoint list.
+    Endpoints,
+    /// A request.
+    Request,
+    /// The client of a request is gone.
+    ClientGone,
+    /// The first byte of a streamed response has arrived.
+    ResponseStarted,
+    /// An attempt has ended.
+    AttemptEnded,
+    /// A timer has fired.
+    Timer,
+}
+
+/// The kind of event that a word names; `None` for one that is ignored.
+pub fn event_kind(word: &str) -> Option<EventKind> {
+    match word {
+        "Start" => Some(EventKind::Start),
+        "Halt" => Some(EventKind::Halt),
+        "Fleet" => Some(EventKind::Endpoints),
+        "Knock" => Some(EventKind::Request),
+        "Dropped" => Some(EventKind::ClientGone),
+        "First" => Some(EventKind::ResponseStarted),
+        "Result" => Some(EventKind::AttemptEnded),
+        "TimeoutFired" => Some(EventKind::Timer),
+        _ => None,
+    }
+}
+
+/// Words for actions.
+pub mod action {
+    /// Send an attempt.
+    pub const SEND: &str = "Place";
+    /// Reject a request.
+    pub const REJECT: &str = "SayNo";
+    /// Fail a request.
+    pub const FAIL: &str = "Fail";
+    /// Cancel an attempt.
+    pub const CANCEL: &str = "StopAttempt";
+    /// Set a timer.
+    pub const SET_TIMER: &str = "Sleep";
+    /// Subscribe to the endpoint list.
+    pub const SUBSCRIBE: &str = "KeepInformed";
+    /// Write a log line.
+    pub const LOG: &str = "NoteDown";
+}
+
+/// The scope of an endpoint update.
+pub fn update_scope(word: &str) -> Result<UpdateScope, WireError> {
+    match word {
+        "update" => Ok(UpdateScope::Update),
+        "replace" => Ok(UpdateScope::Replace),
+        "restored" => Ok(UpdateScope::Restored),
+        "unavailable" => Ok(UpdateScope::Unavailable),
+        _ => Err(unknown("Scope", word)),
+    }
+}
+
+/// The state of an endpoint.
+pub fn listed(word: &str) -> Result<Listed, WireError> {
+    match word {
+        "up" => Ok(Listed::Up),
+        "draining" => Ok(Listed::Draining),
+        "removed" => Ok(Listed::Removed),
+        _ => Err(unknown("Health", word)),
+    }
+}
+
+/// The outcome of an attempt.
+pub fn outcome(word: &str) -> Result<Outcome, WireError> {
+    match word {
+        "done" => Ok(Outcome::Served),
+        "err" => Ok(Outcome::Error),
+        "busy" => Ok(Outcome::Rejected),
+        "etimedout" => Ok(Outcome::TimedOut),
+        "econnrefused" => Ok(Outcome::NotExecuted),
+        "econnreset" => Ok(Outcome::Reset),
+        "ecanceled" => Ok(Outcome::Cancelled),
+        "skipped" => Ok(Outcome::NotSent),
+        _ => Err(unknown("Disposition", word)),
+    }
+}
+
+fn unknown(key: &'static str, word: &str) -> WireError {
+    WireError::UnknownWord { key, word: word.to_owned() }
+}
