--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,22 +1,24 @@
-//! The lab. It shows what many fronts do together when parts of the system fail, in two ways that share their faults
-//! and their judges:
+//! The testbed: it shows what many fronts do together when parts of the system fail. It does so in two ways, which
+//! share the faults of [`schedule`]:
 //!
-//! - [`simulate`]: the machines that the fronts run, in one process, under a network and clocks of its own: thousands
-//!   of schedules of faults a minute, each drawn from a seed;
-//! - [`process`]: the built program, many processes of it, with every link between them, and from each to
-//!   each chunk server, led through a proxy that cuts, delays, loses and repeats.
+//! - [`simulation`] runs the state machines of the fronts in one process, under a simulated network and simulated
+//!   clocks: thousands of schedules a minute, each drawn from a seed;
+//! - [`testbed`] runs many processes of the built program. Every link between two fronts, and from each front to each
+//!   chunk server and to discovery, leads through a proxy that cuts, delays, loses and duplicates. The experiments in
+//!   [`limit_experiments`], [`shared_limit_experiments`] and [`outlier_experiments`] use it.
 
+pub mod chunk_server;
 pub mod cli;
+mod compatibility;
 pub mod cost;
-pub mod entries;
-pub mod network;
-pub mod others;
-pub mod process;
-pub mod register;
-pub mod runs;
+pub mod discovery_server;
+pub mod limit_experiments;
+pub mod outlier_experiments;
+pub mod parallel;
 pub mod schedule;
-pub mod server;
-pub mod sick;
-pub mod simulate;
-pub mod verdicts;
-pub mod wire;
+pub mod shared_limit_experiments;
+pub mod simulation;
+pub mod tcp_proxy;
+pub mod testbed;
+
+pub use compatibility::{others, process, wire};
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The lab's program.
+//! The program `tulipbridge-lab`.
 
 use std::process::ExitCode;
 
--- a/crates/testbed/src/schedule.rs
+++ b/crates/testbed/src/schedule.rs
@@ -1,216 +1,250 @@
-//! Faults, and when they happen: drawn from a seed, kept in a file, shrunk to what a failure needs.
+//! Schedules of faults: drawn from a seed, stored in files, and reduced to what a failure needs.
 
 use fastrand::Rng;
 use serde::{Deserialize, Serialize};
 
-use crate::wire::State;
+use crate::tcp_proxy::LinkState;
 
 /// Milliseconds from the start of a run.
 pub type Millis = u64;
 
-/// One fault.
+/// How long a drawn schedule lasts.
+const DURATION_MS: Millis = 16_000;
+/// No fault is drawn for the end of a schedule.
+const QUIET_END_MS: Millis = 3_000;
+/// Distinguishes the random choices of link faults from those of the schedule itself.
+const LINK_FAULTS_SALT: u64 = 0x31e5;
+
+/// What happens to every datagram between fronts, beside cut links.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct DatagramFaults {
+    /// Datagrams that are lost, of a hundred.
+    pub loss_percent: u8,
+    /// Datagrams that are sent twice, of a hundred.
+    pub duplication_percent: u8,
+    /// The longest delay, in milliseconds; each datagram has one at random, so that they arrive out of order.
+    pub max_delay_ms: Millis,
+}
+
+/// One fault. The serialized names are those of stored schedules.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// What one front sends another is lost from now on.
+    /// The link from one front to another is cut, one way.
     Cut {
-        /// From.
+        /// The sender.
         from: usize,
-        /// To.
+        /// The receiver.
         to: usize,
     },
-    /// No front on one side of a line hears one on the other: the fronts named here, and the rest.
+    /// The network is partitioned in two: the fronts named here, and the rest.
     Split {
-        /// One side.
+        /// The fronts of one side.
         side: Vec<usize>,
     },
-    /// Every link is whole again, also to chunk servers.
+    /// Every link is healed, also those to chunk servers and to discovery.
     Heal,
-    /// Every datagram is lost with a chance, repeated with a chance, and late by up to so much, so that they come
-    /// out of order.
+    /// Datagrams between fronts are lost, duplicated and delayed from now on.
     Weather {
-        /// Lost, of a hundred.
+        /// Datagrams that are lost, of a hundred.
         lost: u8,
-        /// Repeated, of a hundred.
+        /// Datagrams that are sent twice, of a hundred.
         repeated: u8,
-        /// Latest, in milliseconds.
+        /// The longest delay, in milliseconds.
         late: Millis,
     },
-    /// A front stands still for a while: SIGSTOP, then SIGCONT.
-    Stop {
-        /// Which.
+    /// A front is paused for a while: SIGSTOP, then SIGCONT.
+    #[serde(rename = "stop")]
+    Pause {
+        /// Which front.
         front: usize,
-        /// How long.
+        /// For how long.
         millis: Millis,
     },
-    /// A front is killed, and started again after a while with its name and nothing else.
+    /// A front is killed, and started again after a while without any state.
     Kill {
-        /// Which.
+        /// Which front.
         front: usize,
-        /// After how long; absent is never.
+        /// After how long it is started again; absent is never.
         back: Option<Millis>,
     },
-    /// A front ends in order, and is started again after a while.
-    Leave {
-        /// Which.
+    /// A front shuts down gracefully, and is started again after a while.
+    #[serde(rename = "leave")]
+    ShutDown {
+        /// Which front.
         front: usize,
-        /// After how long.
+        /// After how long it is started again.
         back: Millis,
     },
     /// A second process with a front's name runs for a while.
     Twin {
-        /// Whose name.
+        /// Which front.
         front: usize,
-        /// How long.
+        /// For how long.
         millis: Millis,
     },
-    /// From now on so many requests a second come to a front.
+    /// The load of a front changes.
     Load {
-        /// Which.
+        /// Which front.
         front: usize,
-        /// How many a second.
+        /// Requests a second.
         rate: u32,
     },
-    /// The way from a front to a chunk server does this from now on.
+    /// The link from fronts to a chunk server changes.
     Wire {
         /// Which front; absent is all.
         front: Option<usize>,
         /// Which server.
         server: usize,
-        /// What it does.
-        state: State,
+        /// The new state of the link.
+        state: LinkState,
     },
-    /// A chunk server does this from now on.
+    /// The behavior of a chunk server changes.
     Server {
-        /// Which.
+        /// Which server.
         server: usize,
-        /// Each answer takes so long.
+        /// How long it takes to answer.
         takes: Millis,
-        /// So many of a hundred fail.
+        /// Requests that fail, of a hundred.
         failing: u8,
     },
-    /// A second version of a front starts at its addresses, and the first one ends in order.
+    /// A second version of a front starts at its addresses, and the first one shuts down gracefully.
     Upgrade {
-        /// Which.
+        /// Which front.
         front: usize,
     },
-    /// The way from a front to discovery does this from now on.
-    Register {
+    /// The link from fronts to discovery changes.
+    #[serde(rename = "register")]
+    Discovery {
         /// Which front; absent is all.
         front: Option<usize>,
-        /// What it does.
-        state: State,
+        /// The new state of the link.
+        state: LinkState,
     },
-    /// A chunk server has started anew at its address, as discovery tells.
-    Replace {
-        /// Which.
+    /// Discovery announces that a chunk server has restarted at its address.
+    #[serde(rename = "replace")]
+    RestartServer {
+        /// Which server.
         server: usize,
     },
-    /// The fronts take another roster, one after another: the next revision, with another floor.
+    /// The fronts load another roster, one after another: the next revision, with another floor.
     Roster {
-        /// Between two fronts that take it.
+        /// The time between two fronts that load it.
         each: Millis,
-        /// The floor in hundredths.
+        /// The floor in hundredths of the limit.
         floor: u8,
     },
 }
 
-/// A fault and its moment.
+impl Fault {
+    /// No datagram is lost, duplicated or delayed any more.
+    pub const NO_DATAGRAM_FAULTS: Fault = Fault::Weather { lost: 0, repeated: 0, late: 0 };
+}
+
+/// A fault and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// When.
-    pub at: Millis,
-    /// What.
+    /// When it is injected.
+    #[serde(rename = "at")]
+    pub at_ms: Millis,
+    /// The fault.
     pub fault: Fault,
 }
 
-/// A run: so many fronts, so long, with these faults.
+/// A run of so many fronts with these faults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// The seed that it was drawn from, and that everything else is drawn from while it runs.
+    /// The seed that the schedule was drawn from, and from which everything else is drawn while it runs.
     pub seed: u64,
-    /// How many fronts.
+    /// How many fronts there are.
     pub fronts: usize,
-    /// How long.
-    pub millis: Millis,
-    /// By their moments.
+    /// How long the run lasts.
+    #[serde(rename = "millis")]
+    pub duration_ms: Millis,
+    /// The faults, by their times.
     pub steps: Vec<Step>,
 }
 
 impl Schedule {
-    /// A schedule from a seed: the same seed gives the same.
+    /// The schedule of a seed: the same seed always gives the same schedule.
     pub fn draw(seed: u64) -> Schedule {
-        let mut lot = Rng::with_seed(seed);
-        let fronts = [2, 3, 3, 4, 4, 4, 5, 8][lot.usize(0..8)];
-        let millis = 16_000;
+        let mut rng = Rng::with_seed(seed);
+        let fronts = [2, 3, 3, 4, 4, 4, 5, 8][rng.usize(0..8)];
         let mut steps: Vec<Step> = (0..fronts)
-            .map(|front| Step { at: 0, fault: Fault::Load { front, rate: [0, 5, 20, 80][lot.usize(0..4)] } })
+            .map(|front| {
+                let rate = [0, 5, 20, 80][rng.usize(0..4)];
+                Step { at_ms: 0, fault: Fault::Load { front, rate } }
+            })
             .collect();
-        for _ in 0..lot.usize(2..12) {
-            let at = lot.u64(0..millis - 3_000);
-            let fault = Schedule::fault(&mut lot, fronts);
-            steps.push(Step { at, fault });
-        }
-        steps.sort_by_key(|s| s.at);
-        Schedule { seed, fronts, millis, steps }
-    }
-
-    /// Faults of the ways to so many chunk servers and of the servers, drawn from a seed of their own.
-    pub fn draw_wires(&mut self, seed: u64, servers: usize) {
-        let mut lot = Rng::with_seed(seed ^ 0x31e5);
-        for _ in 0..lot.usize(0..5) {
-            let (at, server) = (lot.u64(0..self.millis), lot.usize(0..servers));
-            let front = lot.bool().then(|| lot.usize(0..self.fronts));
-            let state = match lot.u8(0..5) {
-                0 => State::Whole,
-                1 => State::NoAnswers,
-                2 => State::Reset,
-                3 => State::Late(lot.u64(1..40)),
-                _ => State::Throttled(lot.u32(2_000..50_000)),
-            };
-            let fault = match lot.u8(0..6) {
-                0 => Fault::Upgrade { front: lot.usize(0..self.fronts) },
-                1 => Fault::Register { front, state },
-                2 => Fault::Server { server, takes: lot.u64(0..100), failing: lot.u8(0..60) },
-                _ => Fault::Wire { front, server, state },
-            };
-            self.steps.push(Step { at, fault });
+        for _ in 0..rng.usize(2..12) {
+            let at_ms = rng.u64(0..DURATION_MS - QUIET_END_MS);
+            let fault = draw_fault(&mut rng, fronts);
+            steps.push(Step { at_ms, fault });
         }
-        self.steps.sort_by_key(|s| s.at);
+        steps.sort_by_key(|step| step.at_ms);
+        Schedule { seed, fronts, duration_ms: DURATION_MS, steps }
     }
 
-    fn fault(lot: &mut Rng, fronts: usize) -> Fault {
-        let front = lot.usize(0..fronts);
-        match lot.u8(0..20) {
-            0..=2 => Fault::Cut { from: front, to: (front + lot.usize(1..fronts)) % fronts },
-            3..=5 => Fault::Split { side: (0..fronts).filter(|_| lot.bool()).collect() },
-            6..=8 => Fault::Heal,
-            9..=10 => Fault::Weather {
-                lost: lot.u8(0..60),
-                repeated: lot.u8(0..40),
-                late: [1, 20, 300, 2_500][lot.usize(0..4)],
-            },
-            11..=13 => Fault::Stop { front, millis: lot.u64(100..6_000) },
-            14..=15 => Fault::Kill { front, back: lot.bool().then(|| lot.u64(1..5_000)) },
-            16 => Fault::Leave { front, back: lot.u64(1..4_000) },
-            17 => Fault::Twin { front, millis: lot.u64(500..8_000) },
-            18 => Fault::Roster { each: lot.u64(1..2_000), floor: lot.u8(2..50) },
-            _ => Fault::Load { front, rate: [0, 5, 20, 80, 300][lot.usize(0..5)] },
+    /// Adds faults of so many chunk servers, of the links to them and to discovery, and upgrades of fronts.
+    pub fn add_link_faults(&mut self, seed: u64, servers: usize) {
+        let mut rng = Rng::with_seed(seed ^ LINK_FAULTS_SALT);
+        for _ in 0..rng.usize(0..5) {
+            let at_ms = rng.u64(0..self.duration_ms);
+            let fault = draw_link_fault(&mut rng, self.fronts, servers);
+            self.steps.push(Step { at_ms, fault });
         }
+        self.steps.sort_by_key(|step| step.at_ms);
     }
 
-    /// The same without what a failure does not need: a step is left out where it still `fails` without.
+    /// The same schedule without the steps that a failure does not need: a step is left out if the schedule still
+    /// `fails` without it.
     #[must_use]
     pub fn shrunk(mut self, fails: impl Fn(&Schedule) -> bool) -> Schedule {
-        let mut at = self.steps.len();
-        while at > 0 {
-            at -= 1;
-            let mut fewer = self.clone();
-            fewer.steps.remove(at);
-            if fails(&fewer) {
-                self = fewer;
+        for step in (0..self.steps.len()).rev() {
+            let mut shorter = self.clone();
+            shorter.steps.remove(step);
+            if fails(&shorter) {
+                self = shorter;
             }
         }
         self
     }
 }
+
+fn draw_fault(rng: &mut Rng, fronts: usize) -> Fault {
+    let front = rng.usize(0..fronts);
+    match rng.u8(0..20) {
+        0..=2 => Fault::Cut { from: front, to: (front + rng.usize(1..fronts)) % fronts },
+        3..=5 => Fault::Split { side: (0..fronts).filter(|_| rng.bool()).collect() },
+        6..=8 => Fault::Heal,
+        9..=10 => Fault::Weather {
+            lost: rng.u8(0..60),
+            repeated: rng.u8(0..40),
+            late: [1, 20, 300, 2_500][rng.usize(0..4)],
+        },
+        11..=13 => Fault::Pause { front, millis: rng.u64(100..6_000) },
+        14..=15 => Fault::Kill { front, back: rng.bool().then(|| rng.u64(1..5_000)) },
+        16 => Fault::ShutDown { front, back: rng.u64(1..4_000) },
+        17 => Fault::Twin { front, millis: rng.u64(500..8_000) },
+        18 => Fault::Roster { each: rng.u64(1..2_000), floor: rng.u8(2..50) },
+        _ => Fault::Load { front, rate: [0, 5, 20, 80, 300][rng.usize(0..5)] },
+    }
+}
+
+fn draw_link_fault(rng: &mut Rng, fronts: usize, servers: usize) -> Fault {
+    let server = rng.usize(0..servers);
+    let front = rng.bool().then(|| rng.usize(0..fronts));
+    let state = match rng.u8(0..5) {
+        0 => LinkState::Healthy,
+        1 => LinkState::NoResponses,
+        2 => LinkState::Reset,
+        3 => LinkState::Delayed(rng.u64(1..40)),
+        _ => LinkState::Throttled(rng.u32(2_000..50_000)),
+    };
+    match rng.u8(0..6) {
+        0 => Fault::Upgrade { front: rng.usize(0..fronts) },
+        1 => Fault::Discovery { front, state },
+        2 => Fault::Server { server, takes: rng.u64(0..100), failing: rng.u8(0..60) },
+        _ => Fault::Wire { front, server, state },
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/simulation/limits.rs
@@ -0,0 +1,444 @@
+//! A simulation of fleet limits: the limit coordinators of many fronts under a simulated network.
+//!
+//! Each process has its own clock, which runs fast or slow within the configured drift. A paused process receives and
+//! sends nothing; the messages that arrived meanwhile are delivered when it resumes. After every event the shares of
+//! all running processes are added up and compared with the bound.
+
+mod process;
+mod report;
+
+use std::collections::BTreeMap;
+
+use fastrand::Rng;
+use tulipbridge_fleet_limits::{
+    Effect, Event as CoordinatorEvent, Heartbeat, Incarnation, Limit, LimitCoordinator, LimitsConfig, Nanos,
+    PeerId, Share, FULL_SHARE,
+};
+
+use self::process::{DriftingClock, Message, Process};
+pub use self::report::LimitsReport;
+use super::event_queue::EventQueue;
+use super::network::{Network, MILLISECOND};
+use crate::schedule::{Fault, Millis, Schedule};
+
+/// By how much clocks may differ, in millionths; large, so that time matters.
+const MAX_CLOCK_DRIFT_PPM: u32 = 40_000;
+/// By how much one clock may run fast or slow, in millionths.
+const CLOCK_DRIFT_PPM: i32 = 19_000;
+/// The volume for which there is demand.
+const VOLUME: Limit = Limit::Volume(7);
+/// Units of one request.
+const UNITS_PER_REQUEST: f64 = 2.0;
+/// By how much the interval between two heartbeats varies.
+const HEARTBEAT_JITTER: i64 = 20_000_000;
+/// All fronts start within this time, in milliseconds.
+const START_SPREAD_MS: u64 = 400;
+/// How long the fleet has to settle after all faults are healed.
+const SETTLE_TIME: Nanos = 10_000 * MILLISECOND;
+/// How often the shares in use are sampled once the fleet has settled, and at which interval. Shares follow the load
+/// from moment to moment, so their mean counts.
+const SAMPLES: i64 = 40;
+const SAMPLE_INTERVAL: Nanos = 100 * MILLISECOND;
+/// When a front that is paused or stopped tries again to load a new roster.
+const RECONFIGURE_RETRY: Nanos = 50 * MILLISECOND;
+/// For how long a front is absent during an upgrade, in milliseconds.
+const UPGRADE_GAP_MS: Millis = 20;
+/// Distinguishes the random choices here from those of other simulations of the same schedule.
+const SEED_SALT: u64 = 0x5eed;
+
+enum Event {
+    Heartbeat(usize),
+    Demand(usize),
+    Deliver(Box<Message>),
+    Fault(usize),
+    Start(usize),
+    Resume(usize),
+    Stop(usize),
+    Reconfigure(usize),
+}
+
+struct Simulation<'a> {
+    schedule: &'a Schedule,
+    rng: Rng,
+    now: Nanos,
+    events: EventQueue<Event>,
+    /// All processes by number; `None` has ended.
+    processes: Vec<Option<Process>>,
+    /// The number of the process that has the address of a front.
+    address: Vec<Option<usize>>,
+    network: Network,
+    /// Requests a second of each front.
+    demand_rates: Vec<u32>,
+    configs: Vec<LimitsConfig>,
+    /// Second processes of a name that may still run: each may add a floor and an issuer's share.
+    duplicates: u32,
+    report: LimitsReport,
+}
+
+/// Simulates a schedule.
+pub fn run(schedule: &Schedule) -> LimitsReport {
+    let mut simulation = Simulation::new(schedule);
+    let end = schedule.duration_ms as Nanos * MILLISECOND;
+    simulation.run_until(end);
+    simulation.heal();
+    let settled = end + SETTLE_TIME;
+    simulation.run_until(settled);
+    let mut samples = Vec::new();
+    for sample in 0..SAMPLES {
+        simulation.run_until(settled + sample * SAMPLE_INTERVAL);
+        samples.push(simulation.shares_in_use());
+    }
+    simulation.check_recovery(&samples);
+    simulation.report
+}
+
+impl<'a> Simulation<'a> {
+    fn new(schedule: &'a Schedule) -> Simulation<'a> {
+        let fronts = schedule.fronts;
+        let config = |front: usize| LimitsConfig {
+            max_clock_drift: MAX_CLOCK_DRIFT_PPM,
+            ..LimitsConfig::new(front as PeerId, fronts as PeerId, 1)
+        };
+        let mut simulation = Simulation {
+            schedule,
+            rng: Rng::with_seed(schedule.seed ^ SEED_SALT),
+            now: 0,
+            events: EventQueue::new(),
+            processes: Vec::new(),
+            address: vec![None; fronts],
+            network: Network::new(fronts),
+            demand_rates: vec![0; fronts],
+            configs: (0..fronts).map(config).collect(),
+            duplicates: 0,
+            report: LimitsReport::default(),
+        };
+        simulation.schedule_starts();
+        simulation
+    }
+
+    fn schedule_starts(&mut self) {
+        for front in 0..self.schedule.fronts {
+            let at = self.rng.u64(0..START_SPREAD_MS) as Nanos * MILLISECOND;
+            self.events.schedule(at, Event::Start(front));
+        }
+        for (number, step) in self.schedule.steps.iter().enumerate() {
+            self.events.schedule(step.at_ms as Nanos * MILLISECOND, Event::Fault(number));
+        }
+    }
+
+    fn schedule_in(&mut self, millis: Millis, event: Event) {
+        self.events.schedule(self.now + millis as Nanos * MILLISECOND, event);
+    }
+
+    fn run_until(&mut self, deadline: Nanos) {
+        while let Some((at, event)) = self.events.pop_due(deadline) {
+            self.now = at;
+            self.handle(event);
+            self.check_total_share();
+        }
+        self.now = deadline;
+    }
+
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Heartbeat(process) => self.heartbeat(process),
+            Event::Demand(front) => self.demand(front),
+            Event::Deliver(message) => self.deliver(*message),
+            Event::Fault(number) => {
+                let schedule = self.schedule;
+                self.inject(&schedule.steps[number].fault);
+            }
+            Event::Start(front) => {
+                if self.address[front].is_none() {
+                    self.address[front] = Some(self.start(front, false));
+                }
+            }
+            Event::Resume(process) => self.resume(process),
+            Event::Stop(process) => self.stop(process),
+            Event::Reconfigure(front) => self.reconfigure(front),
+        }
+    }
+
+    fn heartbeat(&mut self, process: usize) {
+        let Some(running) = &self.processes[process] else { return };
+        let (interval, is_paused) = (running.coordinator.config().heartbeat_interval, running.is_paused);
+        let jitter = self.rng.i64(-HEARTBEAT_JITTER..HEARTBEAT_JITTER);
+        self.events.schedule(self.now + interval + jitter, Event::Heartbeat(process));
+        if !is_paused {
+            self.feed(process, process, CoordinatorEvent::HeartbeatDue);
+        }
+    }
+
+    fn demand(&mut self, front: usize) {
+        let rate = self.demand_rates[front];
+        if rate == 0 {
+            return;
+        }
+        let wait = -(1.0 - self.rng.f64()).ln() / f64::from(rate) * 1e9;
+        self.events.schedule(self.now + wait as Nanos + 1, Event::Demand(front));
+        if let Some(process) = self.unpaused_process(front) {
+            let event = CoordinatorEvent::Demanded { limit: VOLUME, units: UNITS_PER_REQUEST };
+            self.feed(process, process, event);
+        }
+    }
+
+    /// The process at a front's address, if it runs and is not paused.
+    fn unpaused_process(&self, front: usize) -> Option<usize> {
+        let process = self.address[front]?;
+        self.processes[process].as_ref().filter(|running| !running.is_paused)?;
+        Some(process)
+    }
+
+    fn deliver(&mut self, message: Message) {
+        let Some(running) = &mut self.processes[message.to] else { return };
+        if running.is_paused {
+            running.pending.push(message);
+            return;
+        }
+        self.receive(message);
+    }
+
+    fn receive(&mut self, message: Message) {
+        let Message { to, via, from, incarnation, heartbeat } = message;
+        let heartbeat = Box::new(heartbeat);
+        let event = CoordinatorEvent::HeartbeatReceived { from, boot: incarnation, heartbeat };
+        self.feed(to, via, event);
+    }
+
+    fn resume(&mut self, process: usize) {
+        let Some(running) = &mut self.processes[process] else { return };
+        running.is_paused = false;
+        let pending = std::mem::take(&mut running.pending);
+        // A front looks at its clock before anything else; what arrived meanwhile is handled after that.
+        self.feed(process, process, CoordinatorEvent::Poll);
+        self.check_total_share();
+        for message in pending {
+            self.receive(message);
+        }
+    }
+
+    fn stop(&mut self, process: usize) {
+        if self.processes[process].as_ref().is_some_and(|running| running.is_duplicate) {
+            self.duplicates -= 1;
+        }
+        self.processes[process] = None;
+        for address in &mut self.address {
+            if *address == Some(process) {
+                *address = None;
+            }
+        }
+    }
+
+    fn reconfigure(&mut self, front: usize) {
+        if self.address[front].is_none() {
+            return;
+        }
+        match self.unpaused_process(front) {
+            Some(process) => {
+                let config = self.configs[front].clone();
+                self.feed(process, process, CoordinatorEvent::Reconfigure(config));
+            }
+            None => self.events.schedule(self.now + RECONFIGURE_RETRY, Event::Reconfigure(front)),
+        }
+    }
+
+    /// Starts a process with a front's name and a clock that may show any time; returns its number.
+    fn start(&mut self, front: usize, is_duplicate: bool) -> usize {
+        let process = self.processes.len();
+        let drift_ppm = Nanos::from(self.rng.i32(-CLOCK_DRIFT_PPM..CLOCK_DRIFT_PPM));
+        let initial_reading = Nanos::from(self.rng.u32(1..4_000_000)) * MILLISECOND;
+        let incarnation = self.rng.u64(1..u64::MAX);
+        let config = self.configs[front].clone();
+        let coordinator =
+            LimitCoordinator::new(config, incarnation, initial_reading).expect("the configuration is valid");
+        self.processes.push(Some(Process {
+            front,
+            coordinator,
+            clock: DriftingClock { started_at: self.now, initial_reading, drift_ppm },
+            is_paused: false,
+            pending: Vec::new(),
+            shares: BTreeMap::new(),
+            is_duplicate,
+        }));
+        self.events.schedule(self.now + 1, Event::Heartbeat(process));
+        process
+    }
+
+    fn inject(&mut self, fault: &Fault) {
+        match fault {
+            Fault::Cut { .. } | Fault::Split { .. } | Fault::Heal | Fault::Weather { .. } => {
+                self.network.inject(fault);
+            }
+            Fault::Pause { front, millis } => self.pause(*front, *millis),
+            Fault::Kill { front, back } => self.kill(*front, *back),
+            Fault::ShutDown { front, back } => self.shut_down(*front, *back),
+            // The second version is absent until the first has ended: a restart, as the coordinators observe it.
+            Fault::Upgrade { front } => self.shut_down(*front, UPGRADE_GAP_MS),
+            Fault::Twin { front, millis } => {
+                self.duplicates += 1;
+                let process = self.start(*front, true);
+                self.schedule_in(*millis, Event::Stop(process));
+            }
+            Fault::Load { front, rate } => self.set_demand(*front, *rate),
+            Fault::Roster { each, floor } => self.change_roster(*each, *floor),
+            // There are no chunk servers and no discovery here.
+            Fault::Wire { .. }
+            | Fault::Server { .. }
+            | Fault::Discovery { .. }
+            | Fault::RestartServer { .. } => {}
+        }
+    }
+
+    fn pause(&mut self, front: usize, millis: Millis) {
+        let Some(process) = self.unpaused_process(front) else { return };
+        if let Some(running) = &mut self.processes[process] {
+            running.is_paused = true;
+        }
+        self.schedule_in(millis, Event::Resume(process));
+    }
+
+    fn kill(&mut self, front: usize, back_after: Option<Millis>) {
+        if let Some(process) = self.address[front] {
+            self.stop(process);
+        }
+        if let Some(millis) = back_after {
+            self.schedule_in(millis, Event::Start(front));
+        }
+    }
+
+    fn shut_down(&mut self, front: usize, back_after: Millis) {
+        let Some(process) = self.unpaused_process(front) else { return };
+        self.feed(process, process, CoordinatorEvent::Shutdown);
+        self.feed(process, process, CoordinatorEvent::HeartbeatDue);
+        self.stop(process);
+        self.schedule_in(back_after, Event::Start(front));
+    }
+
+    fn set_demand(&mut self, front: usize, rate: u32) {
+        let previous = std::mem::replace(&mut self.demand_rates[front], rate);
+        if previous == 0 && rate > 0 {
+            self.events.schedule(self.now, Event::Demand(front));
+        }
+    }
+
+    /// Writes a new roster for every front. Each loads it when it is told to, or when it starts.
+    fn change_roster(&mut self, interval: Millis, floor_percent: u8) {
+        for front in 0..self.schedule.fronts {
+            let config = &mut self.configs[front];
+            config.revision += 1;
+            config.roster = config.roster.wrapping_mul(31).wrapping_add(u64::from(floor_percent));
+            config.floor = FULL_SHARE / 100 * Share::from(floor_percent);
+            self.schedule_in(interval * front as Millis, Event::Reconfigure(front));
+        }
+    }
+
+    /// Gives a process an event and carries out the effects. A reply goes to the process `via`.
+    fn feed(&mut self, process: usize, via: usize, event: CoordinatorEvent) {
+        let Some(running) = &mut self.processes[process] else { return };
+        let mut effects = Vec::new();
+        let clock = running.clock.read(self.now);
+        running.coordinator.on(clock, event, &mut effects);
+        for effect in effects {
+            self.apply(process, via, effect);
+        }
+        if let Some(running) = &self.processes[process] {
+            let used = running.shares.get(&VOLUME).copied().unwrap_or(0);
+            self.report.stale_share_used |= used > running.coordinator.share(clock, VOLUME);
+        }
+    }
+
+    fn apply(&mut self, process: usize, via: usize, effect: Effect) {
+        let Some(running) = &mut self.processes[process] else { return };
+        let (front, incarnation) = (running.front, running.coordinator.incarnation());
+        match effect {
+            Effect::ShareChanged { limit, share, .. } => {
+                running.shares.insert(limit, share);
+            }
+            Effect::Forget(limit) => {
+                running.shares.remove(&limit);
+            }
+            Effect::Send { to, heartbeat } => {
+                if let Some(to) = self.address[usize::from(to)] {
+                    self.send(process, to, front, incarnation, *heartbeat);
+                }
+            }
+            Effect::Reply { heartbeat } => self.send(process, via, front, incarnation, *heartbeat),
+            Effect::Received(_) => {}
+        }
+    }
+
+    fn send(&mut self, via: usize, to: usize, sender: usize, incarnation: Incarnation, heartbeat: Heartbeat) {
+        self.report.messages += 1;
+        let Some(receiver) = self.processes[to].as_ref().map(|running| running.front) else { return };
+        for delay in self.network.delays(&mut self.rng, sender, receiver) {
+            let (from, heartbeat) = (sender as PeerId, heartbeat.clone());
+            let message = Message { to, via, from, incarnation, heartbeat };
+            self.events.schedule(self.now + delay, Event::Deliver(Box::new(message)));
+        }
+    }
+
+    /// Adds up what all running processes may use now and compares it with the bound.
+    fn check_total_share(&mut self) {
+        let total = self.total_share();
+        // A second process of a name may add an issuer's share, if the roster is even and it has half of it, and a
+        // floor.
+        let extra = self.configs.iter().map(|config| config.floor_share() + config.issuer_share()).max();
+        let allowed = FULL_SHARE + self.duplicates * extra.unwrap_or(0);
+        let excess = |total: Share, allowed: Share| i64::from(total) - i64::from(allowed);
+        let max_excess = excess(self.report.max_total_share, self.report.allowed_share.max(1));
+        if excess(total, allowed) > max_excess {
+            self.report.max_total_share = total;
+            self.report.allowed_share = allowed;
+            self.report.max_at_ms = (self.now / MILLISECOND) as Millis;
+        }
+        self.report.bound_exceeded |= total > allowed;
+    }
+
+    fn total_share(&mut self) -> Share {
+        let mut total = 0;
+        for process in 0..self.processes.len() {
+            let Some(running) = self.processes[process].as_ref().filter(|p| !p.is_paused) else { continue };
+            if running.clock.read(self.now) >= running.coordinator.next_expiry() {
+                self.feed(process, process, CoordinatorEvent::Poll);
+            }
+            let shares = self.processes[process].as_ref().map(|running| &running.shares);
+            total += shares.and_then(|shares| shares.get(&VOLUME)).copied().unwrap_or(0);
+        }
+        total
+    }
+
+    /// Heals the network and stops every second process of a name.
+    fn heal(&mut self) {
+        self.network.heal();
+        for process in 0..self.processes.len() {
+            if self.processes[process].as_ref().is_some_and(|running| running.is_duplicate) {
+                self.stop(process);
+            }
+        }
+    }
+
+    /// The shares in use, if they tell whether the fleet has recovered: there is demand, every front has the same
+    /// settled roster, and more than half of the fronts run. Otherwise all keep to their floors.
+    fn shares_in_use(&self) -> Option<Share> {
+        let running = || self.address.iter().filter_map(|address| self.processes[(*address)?].as_ref());
+        let fronts = self.schedule.fronts;
+        let has_demand = |front: usize| self.demand_rates[front] > 0 && self.address[front].is_some();
+        let is_settled = |process: &Process| {
+            let config = process.coordinator.config();
+            process.coordinator.is_settled() && config == &self.configs[process.front]
+        };
+        let has_majority = 2 * running().count() > fronts;
+        let is_meaningful = (0..fronts).any(has_demand) && running().all(is_settled) && has_majority;
+        is_meaningful.then(|| running().filter_map(|process| process.shares.get(&VOLUME)).sum())
+    }
+
+    /// Checks that nearly the whole limit is in use once the fleet has recovered.
+    fn check_recovery(&mut self, samples: &[Option<Share>]) {
+        let Some(shares) = samples.iter().copied().collect::<Option<Vec<Share>>>() else { return };
+        let total: u64 = shares.iter().map(|share| u64::from(*share)).sum();
+        self.report.healed_share = Some((total / shares.len().max(1) as u64) as Share);
+        let missing = self.address.iter().filter(|address| address.is_none()).count() as Share;
+        let floors = self.configs[0].floor_share() * missing;
+        self.report.min_healed_share = FULL_SHARE - floors - FULL_SHARE / 10;
+    }
+}
