--- a/crates/results/src/chart.rs
+++ b/crates/results/src/chart.rs
@@ -1,96 +1,106 @@
-//! A picture of one figure: each row a point above its conditions.
+//! Charts of one metric: a point for each row, above its conditions.
 
+use std::error::Error;
+use std::ops::Range;
 use std::path::Path;
 
 use plotters::prelude::*;
 
-use crate::{Table, TableError};
+use crate::error::TableError;
+use crate::table::Table;
 
-/// Draws a figure as SVG: one column of points for each of the conditions, named below.
+/// The size of the chart in pixels, without the list of conditions below.
+const WIDTH: u32 = 900;
+const PLOT_HEIGHT: u32 = 360;
+/// The height of one line of the list of conditions, in pixels.
+const LINE_HEIGHT: u32 = 22;
+/// The space above and below the points, as a fraction of their range.
+const MARGIN: f64 = 0.05;
+/// The least space above and below the points.
+const MIN_MARGIN: f64 = 1e-6;
+
+/// The points of a chart.
+struct Points {
+    /// The conditions, by horizontal position.
+    conditions: Vec<String>,
+    /// Horizontal position and value of each row.
+    points: Vec<(f64, f64)>,
+}
+
+/// Draws a metric as SVG: one column of points for each of the conditions, which are listed below.
 ///
 /// # Errors
-/// Where there is no such figure, or the file cannot be written.
-pub fn chart(table: &Table, figure: &str, file: &Path) -> Result<(), TableError> {
-    let found = table.figures().find(|(name, _)| *name == figure);
-    let (_, values) = found.ok_or_else(|| TableError::Form(format!("there is no figure {figure}")))?;
-    let mut groups: Vec<String> = Vec::new();
-    let mut points = Vec::new();
-    for (row, value) in values.iter().enumerate() {
-        let Some(value) = value else { continue };
-        let conditions = table.conditions(row);
-        let at = groups.iter().position(|g| *g == conditions).unwrap_or_else(|| {
-            groups.push(conditions);
-            groups.len() - 1
-        });
-        points.push((at as f64, *value));
-    }
-    if points.is_empty() {
-        return Err(TableError::Form(format!("the figure {figure} has no values")));
-    }
-    let least = points.iter().map(|(_, y)| *y).fold(0.0, f64::min);
-    let most = points.iter().map(|(_, y)| *y).fold(0.0, f64::max);
-    let room = ((most - least) * 0.05).max(1e-6);
-    let height = 360 + 22 * groups.len() as u32;
-    draw(&groups, &points, (least - room, most + room), figure, (900, height), file)
-        .map_err(|why| TableError::Picture(why.to_string()))
+/// If there is no such metric, it has no values, or the file cannot be written.
+pub fn chart(table: &Table, metric: &str, file: &Path) -> Result<(), TableError> {
+    let points = Points::of(table, metric)?;
+    points.draw(metric, file).map_err(TableError::Chart)
 }
 
-fn draw(
-    groups: &[String],
-    points: &[(f64, f64)],
-    (least, most): (f64, f64),
-    figure: &str,
-    size: (u32, u32),
-    file: &Path,
-) -> Result<(), Box<dyn std::error::Error>> {
-    let area = SVGBackend::new(file, size).into_drawing_area();
-    area.fill(&WHITE)?;
-    let (picture, names) = area.split_vertically(360);
-    let mut chart = ChartBuilder::on(&picture)
-        .margin(12)
-        .caption(figure, ("sans-serif", 18))
-        .x_label_area_size(24)
-        .y_label_area_size(60)
-        .build_cartesian_2d(-0.5..groups.len() as f64 - 0.5, least..most)?;
-    let number = |x: &f64| if x.fract() == 0.0 { format!("{}", x + 1.0) } else { String::new() };
-    chart
-        .configure_mesh()
-        .disable_x_mesh()
-        .x_labels(groups.len() * 2 + 1)
-        .x_label_formatter(&number)
-        .draw()?;
-    chart.draw_series(points.iter().map(|point| Circle::new(*point, 3, BLUE.mix(0.6).filled())))?;
-    for (number, name) in groups.iter().enumerate() {
-        let text = format!("{}  {name}", number + 1);
-        names.draw(&Text::new(text, (16, 4 + 22 * number as i32), ("sans-serif", 14)))?;
+impl Points {
+    fn of(table: &Table, name: &str) -> Result<Points, TableError> {
+        let metric = table.metrics().find(|metric| metric.name == name);
+        let metric = metric.ok_or_else(|| TableError::UnknownMetric(name.to_owned()))?;
+        let mut conditions: Vec<String> = Vec::new();
+        let mut points = Vec::new();
+        for (row, value) in metric.values.iter().enumerate() {
+            let Some(value) = value else { continue };
+            let of_row = table.conditions(row);
+            let known = conditions.iter().position(|known| *known == of_row);
+            let position = known.unwrap_or_else(|| {
+                conditions.push(of_row);
+                conditions.len() - 1
+            });
+            points.push((position as f64, *value));
+        }
+        if points.is_empty() {
+            return Err(TableError::EmptyMetric(name.to_owned()));
+        }
+        Ok(Points { conditions, points })
     }
-    area.present()?;
-    Ok(())
-}
-
-#[cfg(test)]
-mod tests {
-    use serde::Serialize;
 
-    use super::*;
+    /// The range of the vertical axis, which includes zero.
+    fn value_range(&self) -> Range<f64> {
+        let values = || self.points.iter().map(|(_, value)| *value);
+        let min = values().fold(0.0, f64::min);
+        let max = values().fold(0.0, f64::max);
+        let margin = ((max - min) * MARGIN).max(MIN_MARGIN);
+        min - margin..max + margin
+    }
 
-    #[derive(Serialize)]
-    struct Row {
-        case: &'static str,
-        served: f64,
+    fn draw(&self, title: &str, file: &Path) -> Result<(), Box<dyn Error + Send + Sync>> {
+        let size = (WIDTH, PLOT_HEIGHT + LINE_HEIGHT * self.conditions.len() as u32);
+        let area = SVGBackend::new(file, size).into_drawing_area();
+        area.fill(&WHITE)?;
+        let (plot, legend) = area.split_vertically(PLOT_HEIGHT);
+        let mut chart = ChartBuilder::on(&plot)
+            .margin(12)
+            .caption(title, ("sans-serif", 18))
+            .x_label_area_size(24)
+            .y_label_area_size(60)
+            .build_cartesian_2d(-0.5..self.conditions.len() as f64 - 0.5, self.value_range())?;
+        chart
+            .configure_mesh()
+            .disable_x_mesh()
+            .x_labels(self.conditions.len() * 2 + 1)
+            .x_label_formatter(&condition_number)
+            .draw()?;
+        let circle = |point: &(f64, f64)| Circle::new(*point, 3, BLUE.mix(0.6).filled());
+        chart.draw_series(self.points.iter().map(circle))?;
+        for (position, conditions) in self.conditions.iter().enumerate() {
+            let text = format!("{}  {conditions}", position + 1);
+            let origin = (16, 4 + LINE_HEIGHT as i32 * position as i32);
+            legend.draw(&Text::new(text, origin, ("sans-serif", 14)))?;
+        }
+        area.present()?;
+        Ok(())
     }
+}
 
-    #[test]
-    fn a_picture_has_a_point_for_each_row_and_names_its_conditions() {
-        let rows = [("even", 0.5), ("even", 0.75), ("one", 1.0)].map(|(case, served)| Row { case, served });
-        let table = Table::of(&rows).expect("a table");
-        let file = std::env::temp_dir().join(format!("tulipbridge-results-{}.svg", std::process::id()));
-        chart(&table, "served", &file).expect("drawn");
-        let svg = std::fs::read_to_string(&file).expect("there");
-        assert_eq!(svg.matches("<circle").count(), 3);
-        assert!(svg.contains("case even") && svg.contains("case one"), "{svg}");
-        let missing = chart(&table, "lost", &file).expect_err("no such figure").to_string();
-        assert_eq!(missing, "there is no figure lost");
-        let _ = std::fs::remove_file(&file);
+/// The number of the conditions at a horizontal position; empty between two of them.
+fn condition_number(position: &f64) -> String {
+    if position.fract() == 0.0 {
+        format!("{}", position + 1.0)
+    } else {
+        String::new()
     }
 }
--- /dev/null
+++ b/crates/results/src/parquet_file.rs
@@ -0,0 +1,73 @@
+//! Tables as Parquet files.
+
+use std::fs::File;
+use std::path::Path;
+use std::sync::Arc;
+
+use parquet::basic::{LogicalType, Repetition, Type as PhysicalType};
+use parquet::data_type::{ByteArray, ByteArrayType, DoubleType};
+use parquet::errors::ParquetError;
+use parquet::file::metadata::KeyValue;
+use parquet::file::properties::WriterProperties;
+use parquet::file::writer::{SerializedColumnWriter, SerializedFileWriter};
+use parquet::schema::types::{Type, TypePtr};
+
+use crate::error::TableError;
+use crate::table::{Column, Table, Values};
+
+impl Table {
+    /// Writes the table to a Parquet file, with metadata on its origin as pairs of key and value.
+    ///
+    /// # Errors
+    /// If the file cannot be written.
+    pub fn write_parquet(&self, file: &Path, metadata: &[(&str, String)]) -> Result<(), TableError> {
+        let schema = self.schema()?;
+        let metadata = metadata.iter().map(|(key, value)| KeyValue::new((*key).to_owned(), value.clone()));
+        let properties = WriterProperties::builder().set_key_value_metadata(Some(metadata.collect())).build();
+        let output = File::create(file).map_err(TableError::file(file))?;
+        let mut writer = SerializedFileWriter::new(output, schema, Arc::new(properties))?;
+        let mut row_group = writer.next_row_group()?;
+        for column in &self.columns {
+            let Some(mut column_writer) = row_group.next_column()? else { break };
+            write_column(&mut column_writer, &column.values)?;
+            column_writer.close()?;
+        }
+        row_group.close()?;
+        writer.close()?;
+        Ok(())
+    }
+
+    fn schema(&self) -> Result<TypePtr, ParquetError> {
+        let fields = self.columns.iter().map(field).collect::<Result<Vec<_>, _>>()?;
+        Ok(Arc::new(Type::group_type_builder("row").with_fields(fields).build()?))
+    }
+}
+
+/// The schema of a column.
+fn field(column: &Column) -> Result<TypePtr, ParquetError> {
+    let builder = match column.values {
+        Values::Text(_) => Type::primitive_type_builder(&column.name, PhysicalType::BYTE_ARRAY)
+            .with_logical_type(Some(LogicalType::String)),
+        Values::Number(_) => Type::primitive_type_builder(&column.name, PhysicalType::DOUBLE),
+    };
+    Ok(Arc::new(builder.with_repetition(Repetition::OPTIONAL).build()?))
+}
+
+fn write_column(writer: &mut SerializedColumnWriter<'_>, values: &Values) -> Result<(), ParquetError> {
+    match values {
+        Values::Text(values) => {
+            let present: Vec<ByteArray> = values.iter().flatten().map(|text| text.as_str().into()).collect();
+            writer.typed::<ByteArrayType>().write_batch(&present, Some(&definition_levels(values)), None)?;
+        }
+        Values::Number(values) => {
+            let present: Vec<f64> = values.iter().flatten().copied().collect();
+            writer.typed::<DoubleType>().write_batch(&present, Some(&definition_levels(values)), None)?;
+        }
+    }
+    Ok(())
+}
+
+/// For each row whether it has a value: 1 or 0.
+fn definition_levels<T>(values: &[Option<T>]) -> Vec<i16> {
+    values.iter().map(|value| i16::from(value.is_some())).collect()
+}
--- a/crates/testbed/src/compatibility.rs
+++ b/crates/testbed/src/compatibility.rs
@@ -1,6 +1,7 @@
 //! Earlier names of public items, for integration tests of the program that still use them. Each item goes with its
 //! last use.
 
+use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
 
@@ -113,6 +114,16 @@
         self.outlier_status(front).await
     }
 
+    /// Earlier name of [`Testbed::ejected_servers`].
+    pub async fn held_out(&self, front: usize) -> Vec<String> {
+        self.ejected_servers(front).await
+    }
+
+    /// Earlier name of [`Testbed::console_address`].
+    pub fn console(&self, front: usize) -> Option<SocketAddr> {
+        self.console_address(front)
+    }
+
     /// Earlier name of [`Testbed::send_unauthenticated_datagrams`].
     pub async fn strangers(&self, per_second: u32, duration: Duration) {
         self.send_unauthenticated_datagrams(per_second, duration).await;
--- a/crates/testbed/src/schedule.rs
+++ b/crates/testbed/src/schedule.rs
@@ -122,8 +122,7 @@
         state: LinkState,
     },
     /// Discovery announces that a chunk server has restarted at its address.
-    #[serde(rename = "replace")]
-    RestartServer {
+    Replace {
         /// Which server.
         server: usize,
     },
--- a/crates/testbed/src/simulation/fleet.rs
+++ b/crates/testbed/src/simulation/fleet.rs
@@ -164,7 +164,7 @@
             Fault::ShutDown { front, back } => self.stop(*front, Some(*back)),
             Fault::Twin { .. } | Fault::Load { .. } | Fault::Roster { .. } => {}
             Fault::Wire { .. } | Fault::Server { .. } => {}
-            Fault::Upgrade { .. } | Fault::Discovery { .. } | Fault::RestartServer { .. } => {}
+            Fault::Upgrade { .. } | Fault::Discovery { .. } | Fault::Replace { .. } => {}
         }
     }
 
--- a/crates/testbed/src/simulation/limits.rs
+++ b/crates/testbed/src/simulation/limits.rs
@@ -282,10 +282,7 @@
             Fault::Load { front, rate } => self.set_demand(*front, *rate),
             Fault::Roster { each, floor } => self.change_roster(*each, *floor),
             // There are no chunk servers and no discovery here.
-            Fault::Wire { .. }
-            | Fault::Server { .. }
-            | Fault::Discovery { .. }
-            | Fault::RestartServer { .. } => {}
+            Fault::Wire { .. } | Fault::Server { .. } | Fault::Discovery { .. } | Fault::Replace { .. } => {}
         }
     }
 
--- a/crates/testbed/src/testbed/faults.rs
+++ b/crates/testbed/src/testbed/faults.rs
@@ -119,7 +119,7 @@
         Fault::Discovery { front, state } => {
             vec![now(Action::SetDiscoveryLink { front: *front, state: *state })]
         }
-        Fault::RestartServer { server } => vec![now(Action::RestartServer(*server))],
+        Fault::Replace { server } => vec![now(Action::RestartServer(*server))],
         Fault::Roster { each, floor } => {
             // A paused front gets the signal when it resumes; a killed one reads the file when it is started again.
             let reload = |front| after(*each, Action::Signal { front, signal: Signal::SIGHUP });
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -11,7 +11,7 @@
 use std::process::{Command, Output};
 
 use serde::{Deserialize, Serialize};
-use tulipbridge_results::{Column, Table};
+use tulipbridge_results::{Column, Table, Values};
 use tulipbridge_testbed::cost::Cost;
 use tulipbridge_testbed::limit_experiments::{
     FaultCaseResult, FaultScheduleResult, LoadCaseResult, FAULT_CASES, LOAD_CASES, WINDOWS_MS,
@@ -121,7 +121,7 @@
         Fault::Twin { front: 1, millis: 700 },
         Fault::Server { server: 1, takes: 50, failing: 30 },
         Fault::Upgrade { front: 0 },
-        Fault::RestartServer { server: 0 },
+        Fault::Replace { server: 0 },
         Fault::Roster { each: 100, floor: 25 },
         Fault::Discovery { front: Some(1), state: LinkState::Silent },
         Fault::Discovery { front: None, state: LinkState::Healthy },
@@ -164,9 +164,9 @@
 impl RowTexts {
     fn add<R: Serialize>(&mut self, written_by: &str, rows: &[R]) {
         let table = Table::of(rows).expect("the rows make a table");
-        let columns = table.columns.iter().map(|(name, column)| match column {
-            Column::Text(_) => format!("{name}: text\n"),
-            Column::Number(_) => format!("{name}: number\n"),
+        let columns = table.columns.iter().map(|Column { name, values }| match values {
+            Values::Text(_) => format!("{name}: text\n"),
+            Values::Number(_) => format!("{name}: number\n"),
         });
         let columns: String = columns.collect();
         let lines = rows
@@ -393,8 +393,8 @@
 /// The columns with the conditions of a row, and with its seed.
 #[test]
 fn columns_of_conditions_keep_their_names() {
-    assert_eq!(tulipbridge_results::SETTINGS, ["fronts", "volumes"]);
-    assert_eq!(tulipbridge_results::SEED, "seed");
+    assert_eq!(tulipbridge_results::CONDITION_COLUMNS, ["fronts", "volumes"]);
+    assert_eq!(tulipbridge_results::SEED_COLUMN, "seed");
 }
 
 /// The summary that `simulate limits --json` writes. Its type is private, so the program writes it here. The figures
