--- a/crates/testbed/src/simulation/fleet.rs
+++ b/crates/testbed/src/simulation/fleet.rs
@@ -9,12 +9,12 @@
 use super::peer::{Envelope, Peer, PeerMessage};
 use crate::schedule::{Fault, Millis, Schedule};
 
-/// A front of a simulation, whatever it runs beside membership and gossip.
-pub trait SimulatedFront {
+/// A simulated front that runs.
+pub struct SimulatedFront<S> {
     /// The membership and gossip state.
-    fn peer(&self) -> &Peer;
-    /// The same, to change it.
-    fn peer_mut(&mut self) -> &mut Peer;
+    pub peer: Peer,
+    /// What only one simulation has.
+    pub state: S,
 }
 
 /// An event of a simulation. `E` is what only one simulation has.
@@ -40,8 +40,9 @@
     LongestWins,
 }
 
-/// The fronts of a simulation, the network between them, and what happens next.
-pub struct SimulatedFleet<'a, F, E> {
+/// The fronts of a simulation, the network between them, and the events to come. `S` is the state of a front, and `E` the
+/// events, that only one simulation has.
+pub struct SimulatedFleet<'a, S, E> {
     /// The schedule whose faults are injected.
     pub schedule: &'a Schedule,
     /// The source of every random choice.
@@ -51,13 +52,13 @@
     /// Events to come.
     pub events: EventQueue<Event<E>>,
     /// The fronts by index; `None` is one that does not run.
-    pub fronts: Vec<Option<F>>,
+    pub fronts: Vec<Option<SimulatedFront<S>>>,
     /// The links between the fronts.
     pub network: Network,
     overlapping_pauses: OverlappingPauses,
 }
 
-impl<'a, F: SimulatedFront, E> SimulatedFleet<'a, F, E> {
+impl<'a, S, E> SimulatedFleet<'a, S, E> {
     /// A fleet of which every front starts at time 0.
     pub fn new(schedule: &'a Schedule, rng: Rng, overlapping_pauses: OverlappingPauses) -> Self {
         let mut fleet = SimulatedFleet {
@@ -116,8 +117,12 @@
     }
 
     /// A front, if it runs with this incarnation.
-    pub fn front_with_incarnation(&mut self, front: usize, incarnation: Incarnation) -> Option<&mut F> {
-        self.fronts[front].as_mut().filter(|running| running.peer().incarnation == incarnation)
+    pub fn front_with_incarnation(
+        &mut self,
+        front: usize,
+        incarnation: Incarnation,
+    ) -> Option<&mut SimulatedFront<S>> {
+        self.fronts[front].as_mut().filter(|running| running.peer.incarnation == incarnation)
     }
 
     /// Sends a message to each peer named.
@@ -131,7 +136,7 @@
     pub fn send(&mut self, from: usize, to: PeerId, message: PeerMessage) {
         let to = usize::from(to);
         let Some(front) = &self.fronts[from] else { return };
-        let incarnation = front.peer().incarnation;
+        let incarnation = front.peer.incarnation;
         for delay in self.network.delays(&mut self.rng, from, to) {
             let message = message.clone();
             let envelope = Envelope { to, from: from as PeerId, incarnation, message };
@@ -142,7 +147,7 @@
     /// Delivers a message: what the receiver's gossip does in answer. `None` if the receiver does not run, or is
     /// paused and gets the message when it resumes.
     pub fn deliver(&mut self, envelope: Envelope) -> Option<Vec<GossipAction>> {
-        let peer = self.fronts[envelope.to].as_mut()?.peer_mut();
+        let peer = &mut self.fronts[envelope.to].as_mut()?.peer;
         if peer.is_paused(self.now) {
             self.events.schedule(peer.paused_until, Event::Deliver(envelope));
             return None;
@@ -174,7 +179,7 @@
 
     fn pause(&mut self, front: usize, until: Nanos) {
         let Some(front) = &mut self.fronts[front] else { return };
-        let peer = front.peer_mut();
+        let peer = &mut front.peer;
         peer.paused_until = match self.overlapping_pauses {
             OverlappingPauses::LastWins => until,
             OverlappingPauses::LongestWins => peer.paused_until.max(until),
--- a/crates/testbed/src/simulation/gossip.rs
+++ b/crates/testbed/src/simulation/gossip.rs
@@ -28,28 +28,19 @@
 /// Distinguishes the random choices here from those of other simulations of the same schedule.
 const SEED_SALT: u64 = 0xe27;
 
-struct Front {
-    peer: Peer,
+/// What a front of this simulation has beside its peer.
+#[derive(Default)]
+struct FrontState {
     /// The version of this front's latest write.
     written: u64,
-    /// By origin: the incarnation and version last held here.
-    held: BTreeMap<PeerId, (Incarnation, u64)>,
+    /// By origin: the incarnation and version last known here.
+    known: BTreeMap<PeerId, (Incarnation, u64)>,
     /// Gossip of the last second: when it was sent, and its bytes.
     sent: Vec<(Nanos, u64)>,
 }
 
-impl SimulatedFront for Front {
-    fn peer(&self) -> &Peer {
-        &self.peer
-    }
-
-    fn peer_mut(&mut self) -> &mut Peer {
-        &mut self.peer
-    }
-}
-
 struct Simulation<'a> {
-    fleet: SimulatedFleet<'a, Front, Infallible>,
+    fleet: SimulatedFleet<'a, FrontState, Infallible>,
     history: WriteHistory,
     report: GossipReport,
 }
@@ -97,7 +88,7 @@
         }
         let peer = self.fleet.new_peer(front, GOSSIP_RATE);
         let incarnation = peer.incarnation;
-        let running = Front { peer, written: 0, held: BTreeMap::new(), sent: Vec::new() };
+        let running = SimulatedFront { peer, state: FrontState::default() };
         self.fleet.fronts[front] = Some(running);
         self.fleet.events.schedule(self.fleet.now, Event::Round(front, incarnation));
     }
@@ -130,7 +121,7 @@
         running.peer.put(now, key, value.clone());
         let after = version(&running.peer);
         if after > before {
-            running.written = after;
+            running.state.written = after;
             self.history.record(running.peer.incarnation, after, key, value, now);
         }
     }
@@ -162,9 +153,9 @@
     fn count_sent(&mut self, front: usize, bytes: u64) {
         let now = self.fleet.now;
         let Some(running) = &mut self.fleet.fronts[front] else { return };
-        running.sent.retain(|(at, _)| *at > now - 1_000 * MILLISECOND);
-        running.sent.push((now, bytes));
-        let sum = running.sent.iter().map(|(_, bytes)| bytes).sum();
+        running.state.sent.retain(|(at, _)| *at > now - 1_000 * MILLISECOND);
+        running.state.sent.push((now, bytes));
+        let sum = running.state.sent.iter().map(|(_, bytes)| bytes).sum();
         self.report.max_bytes_per_second = self.report.max_bytes_per_second.max(sum);
     }
 
@@ -172,17 +163,18 @@
         let to = envelope.to;
         let Some(actions) = self.fleet.deliver(envelope) else { return };
         self.apply(to, actions);
-        self.check_held_entries(to);
+        self.check_entries(to);
     }
 
     /// Checks that what a front holds was written by that incarnation under that version, and that versions only grow.
-    fn check_held_entries(&mut self, front: usize) {
+    fn check_entries(&mut self, front: usize) {
         let now = self.fleet.now;
         let Some(running) = &mut self.fleet.fronts[front] else { return };
         for origin in running.peer.membership.others() {
             let Some((incarnation, version)) = running.peer.gossip.known(origin) else { continue };
-            let previous = running.held.insert(origin, (incarnation, version));
-            let went_back = previous.is_some_and(|(old, held)| old == incarnation && version < held);
+            let previous = running.state.known.insert(origin, (incarnation, version));
+            let went_back =
+                previous.is_some_and(|(earlier, known)| earlier == incarnation && version < known);
             self.report.inconsistent |= went_back;
             for id in 0..KEYS {
                 let key = entry_key(id);
@@ -190,7 +182,7 @@
                 let writes = self.history.of_key(incarnation, version, key);
                 self.report.age_understated |= writes.understates_age(entry, now);
                 let value = entry.map(|(value, _)| value);
-                self.report.inconsistent |= version > 0 && !writes.may_hold(value);
+                self.report.inconsistent |= version > 0 && !writes.allows(value);
             }
         }
     }
@@ -202,9 +194,9 @@
             || fronts.iter().enumerate().filter_map(|(index, front)| Some((index, front.as_ref()?)));
         for (index, front) in running() {
             for (origin, writer) in
-                running().filter(|(origin, writer)| *origin != index && writer.written > 0)
+                running().filter(|(origin, writer)| *origin != index && writer.state.written > 0)
             {
-                let expected = Some((writer.peer.incarnation, writer.written));
+                let expected = Some((writer.peer.incarnation, writer.state.written));
                 let known = front.peer.gossip.known(origin as PeerId);
                 self.report.not_converged |= known != expected;
             }
--- a/crates/testbed/src/simulation/gossip/history.rs
+++ b/crates/testbed/src/simulation/gossip/history.rs
@@ -69,7 +69,7 @@
 
     /// Whether a front may hold this value: the latest received; or, where the key was written again since and that
     /// write is in transit, none or any earlier value.
-    pub fn may_hold(&self, value: Option<&[u8]>) -> bool {
+    pub fn allows(&self, value: Option<&[u8]>) -> bool {
         if value == self.latest_value() {
             return true;
         }
--- a/crates/testbed/src/simulation/limits.rs
+++ b/crates/testbed/src/simulation/limits.rs
@@ -4,6 +4,8 @@
 //! sends nothing; the messages that arrived meanwhile are delivered when it resumes. After every event the shares of
 //! all running processes are added up and compared with the bound.
 
+mod checks;
+mod faults;
 mod process;
 mod report;
 
@@ -12,14 +14,14 @@
 use fastrand::Rng;
 use tulipbridge_fleet_limits::{
     Effect, Event as CoordinatorEvent, Heartbeat, Incarnation, Limit, LimitCoordinator, LimitsConfig, Nanos,
-    PeerId, Share, FULL_SHARE,
+    PeerId,
 };
 
 use self::process::{DriftingClock, Message, Process};
 pub use self::report::LimitsReport;
 use super::event_queue::EventQueue;
 use super::network::{Network, MILLISECOND};
-use crate::schedule::{Fault, Millis, Schedule};
+use crate::schedule::{Millis, Schedule};
 
 /// By how much clocks may differ, in millionths; large, so that time matters.
 const MAX_CLOCK_DRIFT_PPM: u32 = 40_000;
@@ -41,8 +43,6 @@
 const SAMPLE_INTERVAL: Nanos = 100 * MILLISECOND;
 /// When a front that is paused or stopped tries again to load a new roster.
 const RECONFIGURE_RETRY: Nanos = 50 * MILLISECOND;
-/// For how long a front is absent during an upgrade, in milliseconds.
-const UPGRADE_GAP_MS: Millis = 20;
 /// Distinguishes the random choices here from those of other simulations of the same schedule.
 const SEED_SALT: u64 = 0x5eed;
 
@@ -264,71 +264,6 @@
         process
     }
 
-    fn inject(&mut self, fault: &Fault) {
-        match fault {
-            Fault::Cut { .. } | Fault::Split { .. } | Fault::Heal | Fault::Weather { .. } => {
-                self.network.inject(fault);
-            }
-            Fault::Pause { front, millis } => self.pause(*front, *millis),
-            Fault::Kill { front, back } => self.kill(*front, *back),
-            Fault::ShutDown { front, back } => self.shut_down(*front, *back),
-            // The second version is absent until the first has ended: a restart, as the coordinators observe it.
-            Fault::Upgrade { front } => self.shut_down(*front, UPGRADE_GAP_MS),
-            Fault::Twin { front, millis } => {
-                self.duplicates += 1;
-                let process = self.start(*front, true);
-                self.schedule_in(*millis, Event::Stop(process));
-            }
-            Fault::Load { front, rate } => self.set_demand(*front, *rate),
-            Fault::Roster { each, floor } => self.change_roster(*each, *floor),
-            // There are no chunk servers and no discovery here.
-            Fault::Wire { .. } | Fault::Server { .. } | Fault::Discovery { .. } | Fault::Replace { .. } => {}
-        }
-    }
-
-    fn pause(&mut self, front: usize, millis: Millis) {
-        let Some(process) = self.unpaused_process(front) else { return };
-        if let Some(running) = &mut self.processes[process] {
-            running.is_paused = true;
-        }
-        self.schedule_in(millis, Event::Resume(process));
-    }
-
-    fn kill(&mut self, front: usize, back_after: Option<Millis>) {
-        if let Some(process) = self.address[front] {
-            self.stop(process);
-        }
-        if let Some(millis) = back_after {
-            self.schedule_in(millis, Event::Start(front));
-        }
-    }
-
-    fn shut_down(&mut self, front: usize, back_after: Millis) {
-        let Some(process) = self.unpaused_process(front) else { return };
-        self.feed(process, process, CoordinatorEvent::Shutdown);
-        self.feed(process, process, CoordinatorEvent::HeartbeatDue);
-        self.stop(process);
-        self.schedule_in(back_after, Event::Start(front));
-    }
-
-    fn set_demand(&mut self, front: usize, rate: u32) {
-        let previous = std::mem::replace(&mut self.demand_rates[front], rate);
-        if previous == 0 && rate > 0 {
-            self.events.schedule(self.now, Event::Demand(front));
-        }
-    }
-
-    /// Writes a new roster for every front. Each loads it when it is told to, or when it starts.
-    fn change_roster(&mut self, interval: Millis, floor_percent: u8) {
-        for front in 0..self.schedule.fronts {
-            let config = &mut self.configs[front];
-            config.revision += 1;
-            config.roster = config.roster.wrapping_mul(31).wrapping_add(u64::from(floor_percent));
-            config.floor = FULL_SHARE / 100 * Share::from(floor_percent);
-            self.schedule_in(interval * front as Millis, Event::Reconfigure(front));
-        }
-    }
-
     /// Gives a process an event and carries out the effects. A reply goes to the process `via`.
     fn feed(&mut self, process: usize, via: usize, event: CoordinatorEvent) {
         let Some(running) = &mut self.processes[process] else { return };
@@ -373,69 +308,4 @@
             self.events.schedule(self.now + delay, Event::Deliver(Box::new(message)));
         }
     }
-
-    /// Adds up what all running processes may use now and compares it with the bound.
-    fn check_total_share(&mut self) {
-        let total = self.total_share();
-        // A second process of a name may add an issuer's share, if the roster is even and it has half of it, and a
-        // floor.
-        let extra = self.configs.iter().map(|config| config.floor_share() + config.issuer_share()).max();
-        let allowed = FULL_SHARE + self.duplicates * extra.unwrap_or(0);
-        let excess = |total: Share, allowed: Share| i64::from(total) - i64::from(allowed);
-        let max_excess = excess(self.report.max_total_share, self.report.allowed_share.max(1));
-        if excess(total, allowed) > max_excess {
-            self.report.max_total_share = total;
-            self.report.allowed_share = allowed;
-            self.report.max_at_ms = (self.now / MILLISECOND) as Millis;
-        }
-        self.report.bound_exceeded |= total > allowed;
-    }
-
-    fn total_share(&mut self) -> Share {
-        let mut total = 0;
-        for process in 0..self.processes.len() {
-            let Some(running) = self.processes[process].as_ref().filter(|p| !p.is_paused) else { continue };
-            if running.clock.read(self.now) >= running.coordinator.next_expiry() {
-                self.feed(process, process, CoordinatorEvent::Poll);
-            }
-            let shares = self.processes[process].as_ref().map(|running| &running.shares);
-            total += shares.and_then(|shares| shares.get(&VOLUME)).copied().unwrap_or(0);
-        }
-        total
-    }
-
-    /// Heals the network and stops every second process of a name.
-    fn heal(&mut self) {
-        self.network.heal();
-        for process in 0..self.processes.len() {
-            if self.processes[process].as_ref().is_some_and(|running| running.is_duplicate) {
-                self.stop(process);
-            }
-        }
-    }
-
-    /// The shares in use, if they tell whether the fleet has recovered: there is demand, every front has the same
-    /// settled roster, and more than half of the fronts run. Otherwise all keep to their floors.
-    fn shares_in_use(&self) -> Option<Share> {
-        let running = || self.address.iter().filter_map(|address| self.processes[(*address)?].as_ref());
-        let fronts = self.schedule.fronts;
-        let has_demand = |front: usize| self.demand_rates[front] > 0 && self.address[front].is_some();
-        let is_settled = |process: &Process| {
-            let config = process.coordinator.config();
-            process.coordinator.is_settled() && config == &self.configs[process.front]
-        };
-        let has_majority = 2 * running().count() > fronts;
-        let is_meaningful = (0..fronts).any(has_demand) && running().all(is_settled) && has_majority;
-        is_meaningful.then(|| running().filter_map(|process| process.shares.get(&VOLUME)).sum())
-    }
-
-    /// Checks that nearly the whole limit is in use once the fleet has recovered.
-    fn check_recovery(&mut self, samples: &[Option<Share>]) {
-        let Some(shares) = samples.iter().copied().collect::<Option<Vec<Share>>>() else { return };
-        let total: u64 = shares.iter().map(|share| u64::from(*share)).sum();
-        self.report.healed_share = Some((total / shares.len().max(1) as u64) as Share);
-        let missing = self.address.iter().filter(|address| address.is_none()).count() as Share;
-        let floors = self.configs[0].floor_share() * missing;
-        self.report.min_healed_share = FULL_SHARE - floors - FULL_SHARE / 10;
-    }
 }
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -7,25 +7,17 @@
 //!
 //! That never writes the stored schedule and the stored rows (`*.json`): they must stay readable as they are.
 
+#[path = "golden/rows.rs"]
+mod rows;
+
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
 use serde::{Deserialize, Serialize};
 use tulipbridge_results::{Column, Table, Values};
-use tulipbridge_testbed::cost::Cost;
-use tulipbridge_testbed::limit_experiments::{
-    FaultCaseResult, FaultScheduleResult, LoadCaseResult, FAULT_CASES, LOAD_CASES, WINDOWS_MS,
-};
-use tulipbridge_testbed::outlier_experiments::{
-    OutlierScheduleResult, ServerFault, ServerFaultResult, SERVER_FAULTS,
-};
+use tulipbridge_testbed::limit_experiments::{FaultCaseResult, FaultScheduleResult, LoadCaseResult};
 use tulipbridge_testbed::schedule::{Fault, Schedule, Step};
-use tulipbridge_testbed::shared_limit_experiments::{SharedLimitResult, SHARED_LIMITS};
-use tulipbridge_testbed::simulation::gossip::GossipReport;
-use tulipbridge_testbed::simulation::limits::LimitsReport;
-use tulipbridge_testbed::simulation::outliers::{self, OutlierReport};
 use tulipbridge_testbed::tcp_proxy::LinkState;
-use tulipbridge_testbed::testbed::WindowUsage;
 
 /// The name of the program.
 const PROGRAM: &str = "tulipbridge-lab";
@@ -177,189 +169,40 @@
     }
 }
 
-fn load_case_results() -> Vec<LoadCaseResult> {
-    let result = |case| LoadCaseResult {
-        case,
-        fronts: 4,
-        peers: true,
-        seed: 1,
-        served_fraction: 0.75,
-        max_excess: -2.5,
-    };
-    LOAD_CASES.into_iter().map(result).collect()
-}
-
-fn fault_case_results() -> Vec<FaultCaseResult> {
-    let usage = WindowUsage { max_units: 1.5, allowed_units: 2.5 };
-    let result = |case| FaultCaseResult {
-        case,
-        seed: 1,
-        served_during: 0.5,
-        served_after: 0.75,
-        max_excess: -2.5,
-        reported: true,
-        windows: vec![usage; WINDOWS_MS.len()],
-    };
-    FAULT_CASES.into_iter().map(result).collect()
-}
-
-fn fault_schedule_results() -> Vec<FaultScheduleResult> {
-    let result = |served_after| FaultScheduleResult {
-        seed: 1,
-        fronts: 4,
-        faults: 5,
-        attempts: 600,
-        max_excess: -2.5,
-        served_after,
-    };
-    vec![result(Some(0.75)), result(None)]
-}
-
-fn shared_limit_results() -> Vec<SharedLimitResult> {
-    let result = |limit| SharedLimitResult {
-        limit,
-        seed: 1,
-        used: 0.5,
-        used_after: 0.75,
-        max_usage: 9.5,
-        bound: 10.5,
-    };
-    SHARED_LIMITS.into_iter().map(result).collect()
-}
-
-fn server_fault_results() -> Vec<ServerFaultResult> {
-    let result = |fault, recovered_after_s| ServerFaultResult {
-        fault,
-        fronts: 4,
-        shared: true,
-        seed: 1,
-        affected_requests: 2.5,
-        last_affected_s: 3.5,
-        affected_fronts: 4,
-        max_ejected: 1,
-        unjustified_ejections: 0,
-        peak_attempts: 5,
-        usual_attempts: 6.5,
-        recovered_after_s,
-    };
-    let mut rows: Vec<ServerFaultResult> =
-        SERVER_FAULTS.into_iter().map(|fault| result(fault, Some(7.5))).collect();
-    rows.push(result(ServerFault::Stopped, None));
-    rows
-}
-
-fn outlier_schedule_result() -> OutlierScheduleResult {
-    OutlierScheduleResult {
-        seed: 1,
-        fronts: 4,
-        faults: 5,
-        faulty_servers: 2,
-        has_faulty_front: true,
-        max_ejected: 1,
-        unjustified_ejections: 0,
-        faulty_servers_ejected: 2,
-        fronts_with_ejections: 0,
-    }
-}
-
-fn cost() -> Cost {
-    Cost {
-        fronts: 4,
-        volumes: 300,
-        bytes_per_second: 1.5,
-        datagrams_per_second: 2.5,
-        core_fraction: 0.5,
-        memory_kb: 3.5,
-        detection_ms: 4.5,
-    }
-}
-
-/// Reports of the simulation of limits, with and without the optional field.
-fn limits_reports() -> Vec<LimitsReport> {
-    let healed = LimitsReport {
-        max_total_share: 1,
-        max_at_ms: 2,
-        allowed_share: 3,
-        bound_exceeded: true,
-        stale_share_used: false,
-        healed_share: Some(4),
-        min_healed_share: 5,
-        messages: 6,
-    };
-    vec![healed, LimitsReport::default()]
-}
-
-fn gossip_report() -> GossipReport {
-    GossipReport {
-        inconsistent: true,
-        age_understated: false,
-        not_converged: true,
-        max_bytes_per_second: 1,
-        messages: 2,
-        entries_learned: 3,
-    }
-}
-
-/// Reports of the simulation of outlier detection, with and without the optional fields.
-fn outlier_reports() -> Vec<OutlierReport> {
-    let full = OutlierReport {
-        max_ejected: 1,
-        unjustified_ejection: Some("first".to_owned()),
-        not_expired: true,
-        not_readmitted: false,
-        ejection_without_quorum: Some("second".to_owned()),
-        vote_without_evidence: Some("third".to_owned()),
-        ejection_limit: 2,
-        max_probes: 3,
-        failed_attempts: 4,
-        faulty_servers_ejected: 5,
-        outage_missed: false,
-        messages: 6,
-    };
-    vec![full, OutlierReport::default()]
-}
-
-/// Scenarios with every fault of a server and of a front.
-fn scenarios() -> Vec<outliers::Scenario> {
-    use outliers::{FaultyFront, FaultyServer, FrontFault, Scenario, ServerFault};
-    let faulty_servers = vec![
-        FaultyServer { from_ms: 2_000, server: 0, fault: ServerFault::Failing(300) },
-        FaultyServer { from_ms: 3_000, server: 1, fault: ServerFault::Zone(1) },
-        FaultyServer { from_ms: 4_000, server: 2, fault: ServerFault::Class(2) },
-    ];
-    let faulty_fronts = [
-        None,
-        Some(FaultyFront { front: 0, fault: FrontFault::ReportsAllFailed }),
-        Some(FaultyFront { front: 1, fault: FrontFault::ReportsAllHealthy }),
-        Some(FaultyFront { front: 2, fault: FrontFault::LossyNetwork(200) }),
-        Some(FaultyFront { front: 3, fault: FrontFault::UnreachableServer(4) }),
-    ];
-    let scenario = |faulty_front| Scenario {
-        faulty_servers: faulty_servers.clone(),
-        faulty_front,
-        attempts_per_second: 16,
-        without_schedule: true,
-    };
-    faulty_fronts.into_iter().map(scenario).collect()
-}
-
 /// Keys, their order, the names of enum values and the columns of each kind of row. What is in brackets is the command
 /// that writes the rows, or the public type if no command does.
 #[test]
 fn rows_keep_their_json_and_their_columns() {
-    let mut rows = RowTexts(String::new());
-    rows.add("run cases", &load_case_results());
-    rows.add("run hard", &fault_case_results());
-    rows.add("run faults", &fault_schedule_results());
-    rows.add("run others", &shared_limit_results());
-    rows.add("run sick", &server_fault_results());
-    rows.add("run verdicts", &[outlier_schedule_result()]);
-    rows.add("simulate entries", &[gossip_report()]);
-    rows.add("simulate verdicts", &outlier_reports());
-    rows.add("not written: a verdict of simulate limits", &limits_reports());
-    rows.add("not written: cost", &[cost()]);
-    rows.add("not written: a setting of simulate verdicts", &scenarios());
-    assert_golden("rows.txt", &rows.0);
+    let mut texts = RowTexts(String::new());
+    texts.add("run cases", &rows::load_case_results());
+    texts.add("run hard", &rows::fault_case_results());
+    texts.add("run faults", &rows::fault_schedule_results());
+    texts.add("run others", &rows::shared_limit_results());
+    texts.add("run sick", &rows::server_fault_results());
+    texts.add("run verdicts", &[rows::outlier_schedule_result()]);
+    texts.add("simulate entries", &[rows::gossip_report()]);
+    texts.add("simulate verdicts", &rows::outlier_reports());
+    texts.add("not written: a verdict of simulate limits", &rows::limits_reports());
+    texts.add("not written: cost", &[rows::cost()]);
+    texts.add("not written: a setting of simulate verdicts", &rows::scenarios());
+    assert_golden("rows.txt", &texts.0);
+}
+
+/// The lines in which `run`, `simulate` and `replay` print results keep their labels.
+#[test]
+fn printed_results_keep_their_labels() {
+    let lines = [
+        rows::load_case_results()[1].to_string(),
+        rows::fault_case_results()[1].to_string(),
+        rows::fault_schedule_results()[0].to_string(),
+        rows::shared_limit_results()[2].to_string(),
+        rows::server_fault_results()[4].to_string(),
+        rows::outlier_schedule_result().to_string(),
+        rows::limits_reports()[0].to_string(),
+        rows::gossip_report().to_string(),
+        rows::outlier_reports()[0].to_string(),
+    ];
+    assert_golden("lines.txt", &(lines.join("\n") + "\n"));
 }
 
 /// Rows of the types that are also read are read from the text of an earlier version, and written as that text.
@@ -377,9 +220,9 @@
 #[test]
 fn stored_rows_make_the_same_tables() {
     let stored = |name| Table::read(&golden_path(name)).expect("the rows can be read");
-    assert_eq!(stored(LOAD_CASES_FILE), Table::of(&load_case_results()).expect("a table"));
-    assert_eq!(stored(FAULT_CASES_FILE), Table::of(&fault_case_results()).expect("a table"));
-    assert_eq!(stored(FAULT_SCHEDULES_FILE), Table::of(&fault_schedule_results()).expect("a table"));
+    assert_eq!(stored(LOAD_CASES_FILE), Table::of(&rows::load_case_results()).expect("a table"));
+    assert_eq!(stored(FAULT_CASES_FILE), Table::of(&rows::fault_case_results()).expect("a table"));
+    assert_eq!(stored(FAULT_SCHEDULES_FILE), Table::of(&rows::fault_schedule_results()).expect("a table"));
 }
 
 /// The program compares stored rows: the names of conditions and figures are in its table.
