--- a/crates/model-checker/src/cli/explore.rs
+++ b/crates/model-checker/src/cli/explore.rs
@@ -5,7 +5,7 @@
 use clap::Args;
 
 use super::error::CommandError;
-use super::output::{print_line, write_json, write_text};
+use super::output::{print_line, write_json, write_or_print};
 use super::search::{find_config, search, SearchArgs};
 use super::Status;
 use crate::configs::{self, Config};
@@ -42,9 +42,9 @@
     for config in configs {
         let report = search(config, limits);
         print_report(&report);
-        if report.violation.is_some() {
+        if let Some(history) = &report.violation {
             status = Status::Violated;
-            save_history(args, &report)?;
+            write_or_print(args.trace.as_deref(), history)?;
         } else if !report.exhausted && status == Status::Holds {
             status = Status::NotExhausted;
         }
@@ -101,13 +101,3 @@
         states_per_second
     );
 }
-
-/// Writes the history of a violation to the file that was asked for, or prints it.
-fn save_history(args: &ExploreArgs, report: &Report) -> Result<(), CommandError> {
-    let Some(history) = &report.violation else { return Ok(()) };
-    match &args.trace {
-        Some(path) => write_text(path, &history.to_string())?,
-        None => print_line!("{history}"),
-    }
-    Ok(())
-}
--- a/crates/model-checker/src/cli/output.rs
+++ b/crates/model-checker/src/cli/output.rs
@@ -7,6 +7,7 @@
 use serde::Serialize;
 
 use super::error::CommandError;
+use crate::history::History;
 
 /// Prints a line on standard output. A closed pipe is not an error: the exit code still holds the result.
 pub(super) fn print(text: fmt::Arguments<'_>) {
@@ -29,6 +30,15 @@
     std::fs::write(path, text).map_err(|source| CommandError::Write { path: path.to_owned(), source })
 }
 
+/// Writes a history to a file, or prints it where no file is given.
+pub(super) fn write_or_print(path: Option<&Path>, history: &History) -> Result<(), CommandError> {
+    match path {
+        Some(path) => write_text(path, &history.to_string())?,
+        None => print_line!("{history}"),
+    }
+    Ok(())
+}
+
 /// Writes a value as JSON.
 pub(super) fn write_json<T: Serialize>(path: &Path, value: &T) -> Result<(), CommandError> {
     let text = simd_json::to_string_pretty(value)
--- a/crates/model-checker/src/cli/search.rs
+++ b/crates/model-checker/src/cli/search.rs
@@ -8,7 +8,7 @@
 
 use super::error::CommandError;
 use crate::configs::{self, Config};
-use crate::explore::{explore, Report, SearchLimits};
+use crate::explore::{explore, Progress, Report, SearchLimits};
 use crate::with_config;
 
 /// Number of search threads at most, unless the command line says otherwise.
@@ -50,12 +50,12 @@
     let is_terminal = std::io::stderr().is_terminal();
     let name = config.summary().name;
     // Progress is of use only while it can be shown.
-    let progress = |states: usize, depth: usize| {
+    let show_progress = |Progress { states, depth }: Progress| {
         if is_terminal {
             let _ = write!(std::io::stderr(), "\r{name}: {states} states, depth {depth}   ");
         }
     };
-    let report = with_config!(config, model => explore(model, limits, progress));
+    let report = with_config!(config, model => explore(model, limits, show_progress));
     if is_terminal {
         let _ = write!(std::io::stderr(), "\r\x1b[K");
     }
--- a/crates/model-checker/src/cli/walk.rs
+++ b/crates/model-checker/src/cli/walk.rs
@@ -5,7 +5,7 @@
 use clap::Args;
 
 use super::error::CommandError;
-use super::output::{print_line, write_text};
+use super::output::{print_line, write_or_print};
 use super::search::find_config;
 use super::Status;
 use crate::explore::random_walk;
@@ -54,7 +54,7 @@
     Ok(Status::Holds)
 }
 
-/// Minimizes a history that violates properties, and writes it to the file that was asked for or prints it.
+/// Minimizes a history that violates properties, and writes it to a file or prints it.
 fn report_violation<M: Model>(
     model: &M,
     args: &WalkArgs,
@@ -70,9 +70,5 @@
         steps.len(),
         minimized.steps.len()
     );
-    match &args.trace {
-        Some(path) => write_text(path, &minimized.to_string())?,
-        None => print_line!("{minimized}"),
-    }
-    Ok(())
+    write_or_print(args.trace.as_deref(), &minimized)
 }
--- a/crates/model-checker/src/client_connection_model/state.rs
+++ b/crates/model-checker/src/client_connection_model/state.rs
@@ -55,7 +55,7 @@
     Nothing,
     HalfHead,
     Head,
-    Whole,
+    Complete,
 }
 
 /// A client.
@@ -67,7 +67,7 @@
     /// Accepted, with the connection of this number.
     Connected(ConnectionId),
     /// Its connection is closed.
-    Gone,
+    Disconnected,
 }
 
 /// The front's process.
@@ -82,9 +82,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Shutdown {
     pub machine: GracefulShutdown,
-    /// What the machine has asked for.
+    /// The step that the machine has requested.
     pub step: ShutdownStep,
-    /// When it asked for it.
+    /// When it requested that step.
     pub since: Nanos,
 }
 
--- a/crates/model-checker/src/client_connection_model/step_generation.rs
+++ b/crates/model-checker/src/client_connection_model/step_generation.rs
@@ -68,7 +68,7 @@
             let ClientState::Connected(id) = client_state else { continue };
             let Some(socket) = state.sockets.get(id) else { continue };
             let may_send = socket.answered < self.max_requests && !socket.closing;
-            if may_send && socket.sent < RequestProgress::Whole {
+            if may_send && socket.sent < RequestProgress::Complete {
                 steps.push(Step::ClientSendsPart(client));
                 if socket.sent < RequestProgress::Head {
                     steps.push(Step::ClientSendsRest(client));
--- a/crates/model-checker/src/client_connection_model/transitions.rs
+++ b/crates/model-checker/src/client_connection_model/transitions.rs
@@ -19,7 +19,7 @@
             Step::ClientSendsRest(client) => self.client_sends(client, true),
             Step::ClientCloses(client) => self.client_closes(client),
             Step::FrontAccepts => {
-                self.make_room();
+                self.ensure_capacity();
                 self.admit();
                 self.advance_shutdown(ShutdownEvent::Accepted);
             }
@@ -55,14 +55,14 @@
 
     /// Whether the front would accept a connection now without waiting; tried on a copy.
     pub(super) fn can_accept(&self) -> bool {
-        self.clone().make_room()
+        self.clone().ensure_capacity()
     }
 
     /// Evicts connections until one more may be accepted, as the listener does. Returns whether it may be.
-    fn make_room(&mut self) -> bool {
-        let mut last_try = None;
+    fn ensure_capacity(&mut self) -> bool {
+        let mut last_attempt = None;
         loop {
-            let next = self.limiter.accept(self.connections.len(), last_try);
+            let next = self.limiter.accept(self.connections.len(), last_attempt);
             let idle_only = match next {
                 Accept::Now => return true,
                 Accept::Wait => return false,
@@ -73,14 +73,14 @@
             if let Some(id) = candidate {
                 self.close(id);
             }
-            last_try = Some((next, candidate.is_some()));
+            last_attempt = Some((next, candidate.is_some()));
         }
     }
 
     fn eviction_candidate(&self, idle_only: bool) -> Option<ConnectionId> {
         let connections = self.connections.iter().map(|(id, connection)| (*id, *connection));
-        let must_be_kept = |id| self.is_idle_with_unread_bytes(id);
-        self.limiter.eviction_candidate(self.now, idle_only, connections, must_be_kept)
+        let has_unread_request = |id| self.is_idle_with_unread_bytes(id);
+        self.limiter.eviction_candidate(self.now, idle_only, connections, has_unread_request)
     }
 
     /// Accepts the first client in the queue.
@@ -101,7 +101,7 @@
         self.violations.open_request_closed |= phase == Phase::Responding;
         self.violations.closed_across_request |= phase == Phase::Idle && socket.has_unread_bytes();
         for client in self.clients.iter_mut().filter(|client| **client == ClientState::Connected(id)) {
-            *client = ClientState::Gone;
+            *client = ClientState::Disconnected;
         }
     }
 
@@ -124,10 +124,10 @@
             self.connections.remove(&id);
             self.sockets.remove(&id);
         }
-        self.clients[client] = ClientState::Gone;
+        self.clients[client] = ClientState::Disconnected;
     }
 
-    /// A client sends the next part of its request, or with `all` the whole rest.
+    /// A client sends the next part of its request, or with `all` all the rest.
     fn client_sends(&mut self, client: usize, all: bool) {
         let ClientState::Connected(id) = self.clients[client] else { return };
         let Some(socket) = self.sockets.get_mut(&id) else { return };
@@ -135,10 +135,10 @@
             socket.since = self.now;
         }
         socket.sent = match socket.sent {
-            _ if all => RequestProgress::Whole,
+            _ if all => RequestProgress::Complete,
             RequestProgress::Nothing => RequestProgress::HalfHead,
             RequestProgress::HalfHead => RequestProgress::Head,
-            RequestProgress::Head | RequestProgress::Whole => RequestProgress::Whole,
+            RequestProgress::Head | RequestProgress::Complete => RequestProgress::Complete,
         };
     }
 
@@ -150,7 +150,7 @@
             RequestProgress::Nothing => return,
             RequestProgress::HalfHead => ClientEvent::HeadStarted,
             RequestProgress::Head => ClientEvent::BodyStarted,
-            RequestProgress::Whole => ClientEvent::RequestReceived,
+            RequestProgress::Complete => ClientEvent::RequestReceived,
         };
         // The events of a request come in their order, also where it arrives in one piece.
         let phase = self.phase(id);
@@ -186,7 +186,7 @@
         let step = machine.on(self.now, event);
         self.front = FrontState::ShuttingDown(Shutdown { machine, step, since: self.now });
         if step == ShutdownStep::StopAccepting {
-            while self.clients.contains(&ClientState::Queued) && self.make_room() {
+            while self.clients.contains(&ClientState::Queued) && self.ensure_capacity() {
                 self.admit();
             }
             self.poll_shutdown();
@@ -227,7 +227,7 @@
         for socket in self.sockets.values().filter(|socket| !socket.closing) {
             let is_first = socket.answered == 0;
             let is_idle = !is_first && socket.sent == RequestProgress::Nothing;
-            let is_complete = socket.sent == RequestProgress::Whole || is_idle;
+            let is_complete = socket.sent == RequestProgress::Complete || is_idle;
             let timeout = if is_first { FIRST_REQUEST_TIMEOUT } else { REQUEST_TIMEOUT };
             let has_timed_out = self.now >= socket.since + timeout;
             self.violations.request_timeout_missed |= !is_complete && has_timed_out;
--- a/crates/model-checker/src/configs/requests.rs
+++ b/crates/model-checker/src/configs/requests.rs
@@ -10,7 +10,7 @@
 
 /// Every fault.
 const ALL_FAULTS: &[Fault] = &[
-    Fault::ClientLeaves,
+    Fault::ClientDisconnects,
     Fault::ConnectionRefused,
     Fault::ConnectionBreaks,
     Fault::ServerError,
@@ -21,11 +21,15 @@
     Fault::FrontStalls,
 ];
 /// Faults of a connection that is kept for reuse.
-const REUSE_FAULTS: &[Fault] =
-    &[Fault::IdleConnectionClosed, Fault::UnsolicitedBytes, Fault::ConnectionBreaks, Fault::ClientLeaves];
+const REUSE_FAULTS: &[Fault] = &[
+    Fault::IdleConnectionClosed,
+    Fault::UnsolicitedBytes,
+    Fault::ConnectionBreaks,
+    Fault::ClientDisconnects,
+];
 /// Faults of an attempt on its way to a server.
 const ATTEMPT_FAULTS: &[Fault] = &[
-    Fault::ClientLeaves,
+    Fault::ClientDisconnects,
     Fault::ConnectionRefused,
     Fault::ConnectionBreaks,
     Fault::ServerRejects,
--- a/crates/model-checker/src/explore.rs
+++ b/crates/model-checker/src/explore.rs
@@ -22,7 +22,7 @@
 
 /// A state as the search stores it. States are equal when their hashes are: whatever a model leaves out of the hash
 /// does not distinguish states.
-#[derive(Clone, Debug, Hash)]
+#[derive(Clone, Debug)]
 struct SearchState<S>(S);
 
 impl<S: Hash> SearchState<S> {
@@ -33,6 +33,12 @@
     }
 }
 
+impl<S: Hash> Hash for SearchState<S> {
+    fn hash<H: Hasher>(&self, hasher: &mut H) {
+        self.0.hash(hasher);
+    }
+}
+
 impl<S: Hash> PartialEq for SearchState<S> {
     fn eq(&self, other: &Self) -> bool {
         self.fingerprint() == other.fingerprint()
@@ -77,6 +83,15 @@
     pub time: Duration,
 }
 
+/// How far a running search has got.
+#[derive(Clone, Copy, Debug)]
+pub struct Progress {
+    /// Number of distinct states so far.
+    pub states: usize,
+    /// Length of the longest of the shortest histories so far.
+    pub depth: usize,
+}
+
 /// The result of a search. The names of its serialized fields are part of the report format.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
@@ -101,8 +116,8 @@
 
 /// Searches every reachable state of a model, until a property is violated or a limit is reached.
 ///
-/// `progress` is called regularly with the number of distinct states and the depth reached so far.
-pub fn explore<M: Model>(model: M, limits: SearchLimits, mut progress: impl FnMut(usize, usize)) -> Report {
+/// `on_progress` is called every few milliseconds.
+pub fn explore<M: Model>(model: M, limits: SearchLimits, mut on_progress: impl FnMut(Progress)) -> Report {
     let config = model.summary().name;
     let started_at = Instant::now();
     let replay_model = model.clone();
@@ -114,7 +129,7 @@
     let mut out_of_memory = false;
     while !search.is_done() {
         std::thread::sleep(PROGRESS_INTERVAL);
-        progress(search.unique_state_count(), search.max_depth());
+        on_progress(Progress { states: search.unique_state_count(), depth: search.max_depth() });
         if resident_memory_mb() > limits.memory_mb {
             out_of_memory = true;
             break;
--- a/crates/model-checker/src/fleet_limits_model/mod.rs
+++ b/crates/model-checker/src/fleet_limits_model/mod.rs
@@ -9,6 +9,8 @@
 
 mod state;
 mod step;
+mod step_generation;
+mod transitions;
 
 use tulipbridge_fleet_limits::PeerId;
 
@@ -53,23 +55,7 @@
     }
 
     fn generate_steps(&self, state: &State, steps: &mut Vec<Step>) {
-        if state.round >= WARM_UP_ROUNDS + self.rounds {
-            return;
-        }
-        steps.push(Step::Round);
-        for front in state.fronts() {
-            if !state.is_started(front) {
-                steps.push(Step::Start(front));
-            } else if !state.is_running(front) {
-                steps.push(Step::Continue(front));
-            }
-        }
-        if state.has_cut_links() {
-            steps.push(Step::Heal);
-        }
-        if state.faults_left > 0 {
-            state.generate_faults(steps);
-        }
+        self.generate(state, steps);
     }
 
     fn apply(&self, state: &State, step: &Step) -> State {
--- a/crates/model-checker/src/fleet_limits_model/state.rs
+++ b/crates/model-checker/src/fleet_limits_model/state.rs
@@ -1,52 +1,41 @@
-//! The state of the fleet limits model and its transitions.
+//! The state of the fleet limits model.
 
 use std::hash::{Hash, Hasher};
 use std::ops::Range;
 
-use tulipbridge_fleet_limits::{
-    Effect, Event, Heartbeat, Incarnation, Limit, LimitCoordinator, LimitsConfig, Nanos, PeerId, Share,
-    FULL_SHARE,
-};
+use tulipbridge_fleet_limits::{Heartbeat, Incarnation, LimitCoordinator, Nanos, PeerId, Share};
 
-use super::{Step, DELAY_ROUNDS};
 use crate::properties::Violations;
+use crate::time::MS;
 
 /// Interval between two heartbeats of a front, which is the length of a round.
-const HEARTBEAT_INTERVAL: Nanos = 500_000_000;
-/// How long a lease is valid.
-const LEASE_DURATION: Nanos = 4 * HEARTBEAT_INTERVAL;
-/// The limit that the fronts share.
-const LIMIT: Limit = Limit::Volume(7);
-/// Demand at the first front in each round.
-const HIGH_DEMAND: f64 = 8.0;
-/// Demand at the last front in each round.
-const LOW_DEMAND: f64 = 1.0;
+pub(super) const HEARTBEAT_INTERVAL: Nanos = 500 * MS;
 
 /// A process of a front.
 #[derive(Clone, Debug)]
-struct Process {
-    coordinator: LimitCoordinator,
-    stopped: bool,
+pub(super) struct Process {
+    pub coordinator: LimitCoordinator,
+    pub stopped: bool,
     /// The share of the limit that it may use now.
-    share: Share,
+    pub share: Share,
 }
 
 /// A directed link between two fronts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Link {
-    from: PeerId,
-    to: PeerId,
+pub(super) struct Link {
+    pub from: PeerId,
+    pub to: PeerId,
 }
 
 /// A heartbeat that has been sent and has not arrived.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Message {
-    link: Link,
+pub(super) struct Message {
+    pub link: Link,
     /// Incarnation of the sender.
-    incarnation: Incarnation,
-    heartbeat: Heartbeat,
+    pub incarnation: Incarnation,
+    pub heartbeat: Heartbeat,
     /// Number of rounds until it may arrive.
-    rounds_left: u8,
+    pub rounds_left: u8,
 }
 
 /// A state of the model.
@@ -55,14 +44,14 @@
     pub(super) round: u8,
     pub(super) faults_left: u8,
     /// The incarnation of the process that started last.
-    last_incarnation: Incarnation,
+    pub(super) last_incarnation: Incarnation,
     /// The process of each front, unless it was killed.
-    processes: Vec<Option<Process>>,
-    messages: Vec<Message>,
+    pub(super) processes: Vec<Option<Process>>,
+    pub(super) messages: Vec<Message>,
     /// Links on which heartbeats are lost.
-    cut_links: Vec<Link>,
+    pub(super) cut_links: Vec<Link>,
     /// Links on which the next heartbeat is delayed.
-    delayed_links: Vec<Link>,
+    pub(super) delayed_links: Vec<Link>,
     pub(super) violations: Violations,
 }
 
@@ -104,11 +93,11 @@
         0..self.processes.len() as PeerId
     }
 
-    fn process(&self, front: PeerId) -> Option<&Process> {
+    pub(super) fn process(&self, front: PeerId) -> Option<&Process> {
         self.processes[usize::from(front)].as_ref()
     }
 
-    fn running_process(&self, front: PeerId) -> Option<&Process> {
+    pub(super) fn running_process(&self, front: PeerId) -> Option<&Process> {
         self.process(front).filter(|process| !process.stopped)
     }
 
@@ -119,202 +108,10 @@
     pub(super) fn is_running(&self, front: PeerId) -> bool {
         self.running_process(front).is_some()
     }
-
-    pub(super) fn has_cut_links(&self) -> bool {
-        !self.cut_links.is_empty()
-    }
-
-    /// Appends every fault that may occur now.
-    pub(super) fn generate_faults(&self, steps: &mut Vec<Step>) {
-        for from in self.fronts() {
-            if self.is_running(from) {
-                steps.push(Step::Stop(from));
-                steps.push(Step::Kill(from));
-                steps.push(Step::Isolate(from));
-            }
-            for to in self.fronts().filter(|to| *to != from) {
-                let link = Link { from, to };
-                if self.cut_links.contains(&link) {
-                    continue;
-                }
-                steps.push(Step::CutLink(from, to));
-                if !self.delayed_links.contains(&link) {
-                    steps.push(Step::DelayHeartbeat(from, to));
-                }
-            }
-        }
-    }
-
-    /// Takes a step.
-    pub(super) fn take(&mut self, step: &Step) {
-        self.faults_left -= u8::from(step.is_fault());
-        match *step {
-            Step::Round => self.run_round(),
-            Step::Heal => self.cut_links.clear(),
-            Step::Continue(front) => self.continue_process(front),
-            Step::Start(front) => self.start(front),
-            Step::CutLink(from, to) => self.cut(&[Link { from, to }]),
-            Step::Isolate(front) => self.isolate(front),
-            Step::DelayHeartbeat(from, to) => {
-                self.delayed_links.push(Link { from, to });
-                self.delayed_links.sort_unstable();
-            }
-            Step::Stop(front) => self.set_stopped(front, true),
-            Step::Kill(front) => {
-                self.processes[usize::from(front)] = None;
-                self.messages.retain(|message| message.link.to != front);
-            }
-        }
-    }
-
-    fn start(&mut self, front: PeerId) {
-        self.last_incarnation += 1;
-        let config = LimitsConfig {
-            lease_duration: LEASE_DURATION,
-            heartbeat_interval: HEARTBEAT_INTERVAL,
-            max_clock_drift: 0,
-            ..LimitsConfig::new(front, self.processes.len() as PeerId, 1)
-        };
-        let coordinator = LimitCoordinator::new(config, self.last_incarnation, self.now());
-        let coordinator = coordinator.expect("the configuration is valid");
-        self.processes[usize::from(front)] = Some(Process { coordinator, stopped: false, share: 0 });
-    }
-
-    fn set_stopped(&mut self, front: PeerId, stopped: bool) {
-        if let Some(process) = &mut self.processes[usize::from(front)] {
-            process.stopped = stopped;
-        }
-    }
-
-    fn continue_process(&mut self, front: PeerId) {
-        self.set_stopped(front, false);
-        self.feed(front, Event::Poll);
-        self.check();
-        self.deliver();
-    }
-
-    /// Cuts links and drops what is being sent on them. A delayed message has left its link already.
-    fn cut(&mut self, links: &[Link]) {
-        self.messages.retain(|message| !links.contains(&message.link) || message.rounds_left > 0);
-        self.cut_links.extend(links);
-        self.cut_links.sort_unstable();
-        self.cut_links.dedup();
-    }
-
-    fn isolate(&mut self, front: PeerId) {
-        let others = self.fronts().filter(|other| *other != front);
-        let links: Vec<Link> = others
-            .flat_map(|other| [Link { from: front, to: other }, Link { from: other, to: front }])
-            .collect();
-        self.cut(&links);
-    }
-
-    /// Lets a heartbeat interval pass.
-    pub(super) fn run_round(&mut self) {
-        self.round += 1;
-        for message in &mut self.messages {
-            message.rounds_left = message.rounds_left.saturating_sub(1);
-        }
-        self.check();
-        self.deliver();
-        for front in self.fronts() {
-            if !self.is_running(front) {
-                continue;
-            }
-            if let Some(units) = self.demand(front) {
-                self.feed(front, Event::Demanded { limit: LIMIT, units });
-            }
-            self.feed(front, Event::HeartbeatDue);
-            self.check();
-            self.deliver();
-        }
-    }
-
-    /// Units demanded at a front in each round: nearly everything at the first, a little at the last.
-    fn demand(&self, front: PeerId) -> Option<f64> {
-        if front == 0 {
-            Some(HIGH_DEMAND)
-        } else if front + 1 == self.fronts().end {
-            Some(LOW_DEMAND)
-        } else {
-            None
-        }
-    }
-
-    /// Delivers the messages that are not delayed. Those to a stopped process wait until it continues.
-    fn deliver(&mut self) {
-        let mut index = 0;
-        while index < self.messages.len() {
-            let Message { link, rounds_left, .. } = self.messages[index];
-            if rounds_left > 0 || self.process(link.to).is_some_and(|process| process.stopped) {
-                index += 1;
-                continue;
-            }
-            let Message { incarnation, heartbeat, .. } = self.messages.remove(index);
-            let received = Event::HeartbeatReceived {
-                from: link.from,
-                boot: incarnation,
-                heartbeat: Box::new(heartbeat),
-            };
-            self.feed(link.to, received);
-            self.check();
-        }
-    }
-
-    /// Passes an event to the coordinator of a front and carries out the effects.
-    fn feed(&mut self, front: PeerId, event: Event) {
-        let now = self.now();
-        let Some(process) = &mut self.processes[usize::from(front)] else { return };
-        let mut effects = Vec::new();
-        process.coordinator.on(now, event, &mut effects);
-        let incarnation = process.coordinator.incarnation();
-        for effect in effects {
-            match effect {
-                Effect::ShareChanged { share, .. } => self.set_share(front, share),
-                Effect::Forget(_) => self.set_share(front, 0),
-                Effect::Send { to, heartbeat } => {
-                    self.send(Link { from: front, to }, incarnation, *heartbeat);
-                }
-                // No front runs two processes at a time, so nothing has to be replied to.
-                Effect::Reply { .. } | Effect::Received(_) => {}
-            }
-        }
-    }
-
-    fn set_share(&mut self, front: PeerId, share: Share) {
-        if let Some(process) = &mut self.processes[usize::from(front)] {
-            process.share = share;
-        }
-    }
-
-    fn send(&mut self, link: Link, incarnation: Incarnation, heartbeat: Heartbeat) {
-        if self.cut_links.contains(&link) {
-            return;
-        }
-        let delayed = self.delayed_links.iter().position(|delayed| *delayed == link);
-        if let Some(index) = delayed {
-            self.delayed_links.remove(index);
-        }
-        let rounds_left = if delayed.is_some() { DELAY_ROUNDS } else { 0 };
-        self.messages.push(Message { link, incarnation, heartbeat, rounds_left });
-    }
-
-    /// Lets every running front drop what has expired, and checks the sum of the shares in use.
-    pub(super) fn check(&mut self) {
-        let now = self.now();
-        let mut sum = 0;
-        for front in self.fronts() {
-            let running = self.running_process(front);
-            if running.is_some_and(|process| now >= process.coordinator.next_expiry()) {
-                self.feed(front, Event::Poll);
-            }
-            sum += self.running_process(front).map_or(0, |process| process.share);
-        }
-        self.violations.shared_limit_exceeded |= sum > FULL_SHARE;
-    }
 }
 
 impl Hash for State {
+    /// Hashes the round itself: nothing repeats, because the number of rounds is limited.
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         (self.round, self.faults_left, self.last_incarnation, &self.messages).hash(hasher);
         (&self.cut_links, &self.delayed_links, self.violations).hash(hasher);
--- a/crates/model-checker/src/history.rs
+++ b/crates/model-checker/src/history.rs
@@ -159,21 +159,21 @@
 /// Removes parts of the history, halving their length down to single steps, as long as what remains still reaches such
 /// a state.
 pub fn minimize<M: Model>(model: &M, steps: &[M::Step], is_goal: impl Fn(&M::State) -> bool) -> Vec<M::Step> {
-    let mut kept = steps_to_goal(model, steps, &is_goal).unwrap_or_else(|| steps.to_vec());
-    let mut part_len = kept.len().max(1) / 2;
+    let mut remaining = steps_to_goal(model, steps, &is_goal).unwrap_or_else(|| steps.to_vec());
+    let mut part_len = remaining.len().max(1) / 2;
     while part_len > 0 {
         let mut start = 0;
-        while start < kept.len() {
-            let rest = &kept[(start + part_len).min(kept.len())..];
-            let without_part: Vec<M::Step> = kept[..start].iter().chain(rest).cloned().collect();
+        while start < remaining.len() {
+            let rest = &remaining[(start + part_len).min(remaining.len())..];
+            let without_part: Vec<M::Step> = remaining[..start].iter().chain(rest).cloned().collect();
             match steps_to_goal(model, &without_part, &is_goal) {
-                Some(shorter) => kept = shorter,
+                Some(shorter) => remaining = shorter,
                 None => start += part_len,
             }
         }
         part_len /= 2;
     }
-    kept
+    remaining
 }
 
 /// Takes those of the steps that are enabled when their turn comes, and returns them once they reach a goal state.
--- a/crates/model-checker/src/request_model/attempts.rs
+++ b/crates/model-checker/src/request_model/attempts.rs
@@ -45,7 +45,7 @@
         }
         let event = match found {
             Some(_) => AttemptEvent::PooledConnectionFound,
-            None => AttemptEvent::NoPooledConnection { may_open: self.make_room(node) },
+            None => AttemptEvent::NoPooledConnection { may_open: self.ensure_capacity(node) },
         };
         let attempt = self.attempts.get_mut(&key)?;
         attempt.connection = found;
@@ -53,7 +53,7 @@
     }
 
     /// Whether a connection to a node may be opened, after closing an idle one if need be.
-    fn make_room(&mut self, node: NodeId) -> bool {
+    fn ensure_capacity(&mut self, node: NodeId) -> bool {
         if self.pool.address_epoch(node).is_none() {
             return false;
         }
--- a/crates/model-checker/src/request_model/connections.rs
+++ b/crates/model-checker/src/request_model/connections.rs
@@ -48,8 +48,8 @@
     fn checked_execution(&mut self, id: ConnectionId) -> Option<Execution> {
         let connection = self.connections.get(&id)?;
         let execution = connection.machine.execution();
-        let written_whole = connection.written == Written::All;
-        self.violations.wrong_execution_state |= (execution == Execution::MayHaveRun) != written_whole;
+        let fully_written = connection.written == Written::All;
+        self.violations.wrong_execution_state |= (execution == Execution::MayHaveRun) != fully_written;
         Some(execution)
     }
 
@@ -101,7 +101,7 @@
         }
     }
 
-    /// A server has received a request whole.
+    /// A server has received a complete request.
     fn server_receives(&mut self, key: AttemptKey, connection: ConnectionId) {
         if let Some(client) = self.client_of(key.request) {
             let attempt = key.attempt;
@@ -111,7 +111,7 @@
         }
     }
 
-    /// A whole response arrives, with which the attempt ends in `outcome`.
+    /// A complete response arrives, with which the attempt ends in `outcome`.
     pub(super) fn response_arrives(&mut self, model: &RequestModel, index: usize, outcome: Outcome) {
         let work = self.server_work.remove(index);
         let Some(connection) = self.connections.get_mut(&work.connection) else { return };
--- a/crates/model-checker/src/request_model/effects.rs
+++ b/crates/model-checker/src/request_model/effects.rs
@@ -20,7 +20,12 @@
 
 impl State {
     /// Carries out effects in their order.
-    pub(super) fn carry_out(&mut self, model: &RequestModel, effects: Vec<Effect>, origin: ResponseOrigin) {
+    pub(super) fn apply_effects(
+        &mut self,
+        model: &RequestModel,
+        effects: Vec<Effect>,
+        origin: ResponseOrigin,
+    ) {
         for effect in effects {
             match effect {
                 Effect::Send { id, attempt, node, deadline, .. } => {
--- a/crates/model-checker/src/request_model/mod.rs
+++ b/crates/model-checker/src/request_model/mod.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Fault {
     /// A client leaves before it has its answer.
-    ClientLeaves,
+    ClientDisconnects,
     /// A server refuses a connection.
     ConnectionRefused,
     /// A connection breaks while a request is on it.
--- a/crates/model-checker/src/request_model/state.rs
+++ b/crates/model-checker/src/request_model/state.rs
@@ -82,7 +82,7 @@
     }
 }
 
-/// A request that a server has received whole. Steps refer to it by its position in sorted order.
+/// A request that a server has received completely. Steps refer to it by its position in sorted order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct ServerWork {
     pub client: usize,
@@ -249,7 +249,7 @@
         for client in &self.clients {
             match client {
                 ClientState::Waiting { id, deadline } => (1, id, self.age(*deadline)).hash(hasher),
-                // How long a client is told to wait changes nothing afterwards.
+                // The retry-after time of a rejection has no effect on what follows.
                 ClientState::Answered(FinalAnswer::Rejected(_)) => 2.hash(hasher),
                 other => other.hash(hasher),
             }
--- a/crates/model-checker/src/request_model/step.rs
+++ b/crates/model-checker/src/request_model/step.rs
@@ -10,7 +10,7 @@
     /// The next client sends its request.
     ClientSends(usize),
     /// A client leaves.
-    ClientLeaves(usize),
+    ClientDisconnects(usize),
     /// A connection is established.
     ConnectionEstablished(u32),
     /// A server refuses a connection.
@@ -86,7 +86,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Step::ClientSends(client) => write!(f, "client {client} asks"),
-            Step::ClientLeaves(client) => write!(f, "client {client} leaves"),
+            Step::ClientDisconnects(client) => write!(f, "client {client} leaves"),
             Step::ConnectionEstablished(id) => write!(f, "connection {id} is up"),
             Step::ConnectionRefused(id) => write!(f, "connection {id} is refused"),
             Step::PartWritten(id) => write!(f, "connection {id} takes a part of the request"),
--- a/crates/model-checker/src/request_model/step_generation.rs
+++ b/crates/model-checker/src/request_model/step_generation.rs
@@ -11,7 +11,7 @@
 use crate::policy::{KnownRequest, PolicyKind, PolicyUnderTest};
 use crate::time::MS;
 
-/// The wait that a rejected client is told in histories of an unrestricted policy.
+/// The retry-after time with which an unrestricted policy rejects requests.
 const RETRY_AFTER: Nanos = 50 * MS;
 
 impl Step {
@@ -67,8 +67,8 @@
     fn generate_client_steps(&self, state: &State, steps: &mut Vec<Step>) {
         for (client, client_state) in state.clients.iter().enumerate() {
             let ClientState::Waiting { deadline, .. } = client_state else { continue };
-            if self.may_fail(state, Fault::ClientLeaves) {
-                steps.push(Step::ClientLeaves(client));
+            if self.may_fail(state, Fault::ClientDisconnects) {
+                steps.push(Step::ClientDisconnects(client));
             }
             if state.now >= deadline + OVERDUE_GRACE {
                 steps.push(Step::RequestOverdue(client));
--- a/crates/model-checker/src/request_model/transitions.rs
+++ b/crates/model-checker/src/request_model/transitions.rs
@@ -18,7 +18,7 @@
     pub(super) fn feed_from(&mut self, model: &RequestModel, input: Input, origin: ResponseOrigin) {
         let mut effects = Vec::new();
         self.tracker.on(self.now, input, &mut effects);
-        self.carry_out(model, effects, origin);
+        self.apply_effects(model, effects, origin);
     }
 
     /// Takes a step.
@@ -26,7 +26,7 @@
         self.faults += u8::from(self.is_fault(step));
         match *step {
             Step::ClientSends(client) => self.client_sends(model, client),
-            Step::ClientLeaves(client) => self.client_leaves(model, client),
+            Step::ClientDisconnects(client) => self.client_disconnects(model, client),
             Step::RequestOverdue(client) => self.request_overdue(model, client),
             Step::ConnectionEstablished(id) => self.connection_established(model, id),
             Step::ConnectionRefused(id) | Step::DialTimesOut(id) => {
@@ -71,7 +71,7 @@
             Step::Decision(ref action) => {
                 let mut effects = Vec::new();
                 self.tracker.apply_decision(self.now, action.clone(), &mut effects);
-                self.carry_out(model, effects, ResponseOrigin::NoResponse);
+                self.apply_effects(model, effects, ResponseOrigin::NoResponse);
             }
         }
     }
@@ -83,7 +83,7 @@
             Step::ConnectionBreaks(id) => {
                 self.connections.get(id).is_some_and(|connection| !connection.closed_by_server)
             }
-            Step::ClientLeaves(_)
+            Step::ClientDisconnects(_)
             | Step::ConnectionRefused(_)
             | Step::ServerCloses(_)
             | Step::UnsolicitedBytes(_)
@@ -102,7 +102,7 @@
         self.feed(model, Input::RequestReceived(model.request(client, id)));
     }
 
-    fn client_leaves(&mut self, model: &RequestModel, client: usize) {
+    fn client_disconnects(&mut self, model: &RequestModel, client: usize) {
         if let Some(id) = self.waiting_request(client) {
             self.clients[client] = ClientState::Left { id };
             self.feed(model, Input::ClientGone(id));
--- a/crates/model-checker/tests/checker.rs
+++ b/crates/model-checker/tests/checker.rs
@@ -25,7 +25,7 @@
 
 fn search(config: &str, limits: SearchLimits) -> Report {
     let config = configs::named(config).expect("the configuration exists");
-    with_config!(config, model => explore(model, limits, |_, _| {}))
+    with_config!(config, model => explore(model, limits, |_| {}))
 }
 
 fn write_temporary(name: &str, text: &[u8]) -> PathBuf {
--- a/crates/model-checker/tests/golden.rs
+++ b/crates/model-checker/tests/golden.rs
@@ -102,7 +102,7 @@
     use request_model::Step;
     let mut steps = vec![
         Step::ClientSends(1),
-        Step::ClientLeaves(1),
+        Step::ClientDisconnects(1),
         Step::ConnectionEstablished(1),
         Step::ConnectionRefused(1),
         Step::PartWritten(1),
