--- /dev/null
+++ b/src/cli/agent.rs
@@ -0,0 +1,101 @@
+//! The commands that call an agent: `status`, `drain`, `resume` and `restart`.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use hyper::Method;
+use simd_json::prelude::*;
+use simd_json::OwnedValue as Value;
+use tokio::time::{sleep, Instant};
+
+use crate::cli::client::{fetch, parse};
+use crate::cli::error::{CliError, Service};
+use crate::config::json::{array, string};
+
+/// The longest time for a front to reach the state that a command asks for.
+const STATE_TIMEOUT: Duration = Duration::from_secs(60);
+/// The pause between two requests for the status of the fronts.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Shows the status of all fronts of an agent.
+pub async fn show_status(agent: SocketAddr) -> Result<(), CliError> {
+    println!("{:<24} {:<9} {:>8} {:>7} {:>8}", "NAME", "STATE", "PID", "STARTS", "CRASHES");
+    for front in fetch_fronts(agent).await? {
+        let name = string(front.get("name"), "name")?;
+        let state = string(front.get("state"), "state")?;
+        let (pid, starts, crashes) =
+            (format_count(&front, "pid"), format_count(&front, "starts"), format_count(&front, "crashes"));
+        println!("{name:<24} {state:<9} {pid:>8} {starts:>7} {crashes:>8}");
+    }
+    Ok(())
+}
+
+/// Stops a front and waits until it has ended.
+pub async fn drain(agent: SocketAddr, name: String) -> Result<(), CliError> {
+    change_state(agent, &name, "drain", "drained").await
+}
+
+/// Starts a drained front and waits until it is ready.
+pub async fn resume(agent: SocketAddr, name: String) -> Result<(), CliError> {
+    change_state(agent, &name, "resume", "ready").await
+}
+
+/// Restarts fronts one after another, each once the one before is ready. Without names these are all fronts that are
+/// not drained.
+pub async fn restart(agent: SocketAddr, mut names: Vec<String>) -> Result<(), CliError> {
+    if names.is_empty() {
+        for front in fetch_fronts(agent).await? {
+            if string(front.get("state"), "state")? != "drained" {
+                names.push(string(front.get("name"), "name")?.to_owned());
+            }
+        }
+    }
+    for name in names {
+        change_state(agent, &name, "restart", "ready").await?;
+    }
+    Ok(())
+}
+
+/// Has the agent change the desired state of a front, and waits until the front is in `state`.
+async fn change_state(
+    agent: SocketAddr,
+    name: &str,
+    verb: &str,
+    state: &'static str,
+) -> Result<(), CliError> {
+    let before = find(fetch_fronts(agent).await?, name);
+    let before = before.ok_or_else(|| CliError::NoSuchFront(name.to_owned()))?;
+    fetch(Service::Agent, agent, Method::POST, &format!("/fronts/{name}/{verb}")).await?;
+    let started = Instant::now();
+    while started.elapsed() < STATE_TIMEOUT {
+        let front = find(fetch_fronts(agent).await?, name);
+        let front = front.ok_or_else(|| CliError::NoLongerDeclared(name.to_owned()))?;
+        // A front that is to restart is ready at first too.
+        let has_restarted = verb != "restart" || starts(&front) != starts(&before);
+        if has_restarted && front.get("state").and_then(Value::as_str) == Some(state) {
+            println!("{name} is {state}");
+            return Ok(());
+        }
+        sleep(POLL_INTERVAL).await;
+    }
+    Err(CliError::NotInState { name: name.to_owned(), state, seconds: STATE_TIMEOUT.as_secs() })
+}
+
+async fn fetch_fronts(agent: SocketAddr) -> Result<Vec<Value>, CliError> {
+    let body = fetch(Service::Agent, agent, Method::GET, "/fronts").await?;
+    let value = parse(Service::Agent, body)?;
+    Ok(array(&value, "fronts")?.clone())
+}
+
+fn find(fronts: Vec<Value>, name: &str) -> Option<Value> {
+    fronts.into_iter().find(|front| front.get("name").and_then(Value::as_str) == Some(name))
+}
+
+fn starts(front: &Value) -> Option<u64> {
+    front.get("starts").and_then(Value::as_u64)
+}
+
+/// The count under `key` as text; a dash where there is none.
+fn format_count(front: &Value, key: &str) -> String {
+    front.get(key).and_then(Value::as_u64).map_or("-".to_owned(), |count| count.to_string())
+}
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,10 @@
-//! What a front is told at its start: environment and JSON.
+//! The configuration of a front: one JSON file, and environment variables that override some of its keys.
 
+pub mod error;
+pub mod json;
 pub mod reload;
 pub mod settings;
+pub mod untyped;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,174 +14,249 @@
 use tulipbridge_core::Settings;
 
 use crate::cluster::peers;
-use crate::config::settings::{names, num, settings, text, Res};
+use crate::config::error::ConfigError;
+use crate::config::json::{
+    array, names, number, object, parse_address, parse_hex, positive_number_or, string,
+};
+use crate::config::json::{JsonError, Kind};
+use crate::telemetry::trace;
 
-/// The largest configuration file that is read; a larger one is turned down.
-const MOST_FILE: u64 = 8 << 20;
+/// The largest configuration file that is read, in bytes.
+const MAX_FILE_BYTES: u64 = 8 << 20;
+/// The environment variable with the path of the configuration file.
+const FILE_VARIABLE: &str = "BALANCER_CONFIG";
+/// The environment variable with the address of discovery.
+const DISCOVERY_VARIABLE: &str = "BALANCER_DISCOVERY";
+/// The name of a front without one in file and environment.
+const DEFAULT_NAME: &str = "front";
+/// File descriptors that a process may hold, where the file does not say.
+const DEFAULT_DESCRIPTORS: f64 = 1024.0;
+/// Memory that a process may use, in MiB, where the file does not say.
+const DEFAULT_MEMORY_MIB: f64 = 192.0;
+const BYTES_PER_MIB: usize = 1 << 20;
+/// Timeouts in nanoseconds, where the settings do not say.
+const DEFAULT_DIAL_TIMEOUT_NANOS: f64 = 250e6;
+const DEFAULT_IDLE_CLOSE_NANOS: f64 = 30e9;
 
-/// A front's configuration.
+/// The configuration of a front.
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// The front's name, the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which the front accepts clients.
     pub listen: SocketAddr,
-    /// The operators' console, where there is one.
+    /// The address of the operators' console, where there is one.
     pub console: Option<SocketAddr>,
-    /// Where discovery is; without it the list as last held is all there is.
+    /// The address of discovery; without it the front keeps to the last known endpoint list.
     pub discovery: Option<SocketAddr>,
-    /// The front's peers, where the operators name any.
+    /// The front's peers, where the file names any.
     pub peers: Option<peers::Config>,
-    /// For random numbers.
+    /// The seed of the front's random numbers.
     pub seed: u64,
-    /// Descriptors that the process may hold.
-    pub sockets: usize,
-    /// Bytes of memory that it may use.
-    pub memory: usize,
-    /// The node list as last held, in discovery's form.
-    pub known: Value,
-    /// The settings, for the module.
+    /// File descriptors that the process may hold.
+    pub max_descriptors: usize,
+    /// Memory that the process may use, in bytes.
+    pub memory_bytes: usize,
+    /// The last known endpoint list, in discovery's format.
+    pub known_endpoints: Value,
+    /// The scheduler's settings.
     pub settings: Settings,
-    /// The settings as they came, to hold a later file against.
+    /// The settings as they stand in the file, to compare those of a later file with.
     pub raw_settings: Value,
-    /// Names of the classes, in the settings' order.
+    /// The names of the classes, in the order of the settings.
     pub classes: Vec<String>,
     /// Whether each class writes, where the settings say.
     pub writes: Vec<Option<bool>>,
-    /// Names of the plans.
+    /// The names of the plans, in the order of the settings.
     pub plans: Vec<String>,
-    /// Names of the zones.
+    /// The names of the zones, in the order of the settings.
     pub zones: Vec<String>,
-    /// How many shards there are, counted from 0.
+    /// The number of shards; they count from 0.
     pub shards: u32,
-    /// Longest time for a connection to come up.
+    /// The longest time for a connection to a chunk server to open.
     pub dial_timeout: Duration,
-    /// When servers close an idle connection.
+    /// The time after which chunk servers close an idle connection.
     pub idle_close: Duration,
 }
 
 impl Config {
-    /// Reads the file that `BALANCER_CONFIG` names; other variables overrule what it says.
+    /// Reads the file that `BALANCER_CONFIG` names. Other variables override keys of the file.
     ///
     /// # Errors
-    /// A plain sentence on what is missing or wrong.
-    pub fn from_env() -> Res<Config> {
-        let (path, mut bytes) = file()?;
-        Config::read(&mut bytes, |name| std::env::var(name).ok()).map_err(|why| format!("{path}: {why}"))
+    /// The file cannot be read, or a value in it is missing or invalid.
+    pub fn from_env() -> Result<Config, ConfigError> {
+        let file = ConfigFile::from_env()?;
+        Config::read(&file.content, environment_variable).map_err(|error| error.in_file(file.path))
     }
 
-    /// The file anew, as it stands after a SIGHUP. Here the file is newer than the environment as to where
-    /// discovery is; the environment stays as it was.
+    /// Reads the file again after a SIGHUP. The environment is as old as the process, so for the address of discovery
+    /// the file now takes precedence over it.
     ///
     /// # Errors
-    /// A plain sentence on what is missing or wrong.
-    pub fn reread_from_env() -> Res<Config> {
-        let (path, mut bytes) = file()?;
-        let newer = |name: &str| (name != "BALANCER_DISCOVERY").then(|| std::env::var(name).ok()).flatten();
-        let mut config = Config::read(&mut bytes.clone(), newer).map_err(|why| format!("{path}: {why}"))?;
-        let value = simd_json::to_owned_value(&mut bytes).map_err(|e| format!("{path}: not JSON: {e}"))?;
-        if value.get("discovery").is_none() {
-            config.discovery = match std::env::var("BALANCER_DISCOVERY") {
-                Ok(told) => Some(told.parse().map_err(|_| format!("'discovery' {told} is no address"))?),
-                Err(_) => None,
-            };
+    /// The file cannot be read, or a value in it is missing or invalid.
+    pub fn reread_from_env() -> Result<Config, ConfigError> {
+        let file = ConfigFile::from_env()?;
+        let variable =
+            |name: &str| (name != DISCOVERY_VARIABLE).then(|| environment_variable(name)).flatten();
+        let read = Config::read(&file.content, variable);
+        let mut config = read.map_err(|error| error.in_file(&file.path))?;
+        let document = json::parse(&file.content).map_err(ConfigError::from);
+        let document = document.map_err(|error| error.in_file(&file.path))?;
+        if document.get("discovery").is_none() {
+            let address = environment_variable(DISCOVERY_VARIABLE);
+            config.discovery = address.map(|address| parse_address("discovery", &address)).transpose()?;
         }
         Ok(config)
     }
 
-    /// Reads a configuration. `variable` gives the environment.
+    /// Reads a configuration from its JSON text. `variable` looks up environment variables.
     ///
     /// # Errors
-    /// A plain sentence on what is missing or wrong.
-    pub fn read(json: &mut [u8], variable: impl Fn(&str) -> Option<String>) -> Res<Config> {
-        let told = json.to_vec();
-        let value = simd_json::to_owned_value(json).map_err(|e| format!("not JSON: {e}"))?;
-        let address = |name: &str, key: &str| {
-            let told = match variable(name) {
-                Some(told) => told,
-                None => text(value.get(key), key)?.to_owned(),
-            };
-            told.parse().map_err(|_| format!("'{key}' {told} is no address"))
-        };
-        if crate::telemetry::trace::is_enabled() {
-            let settings = value.get("settings").cloned();
-            crate::telemetry::trace::write(simd_json::json!({ "e": "start", "settings": settings }));
-        }
-        let boot = value.get("settings").filter(|s| s.is_object()).ok_or("'settings' must be an object")?;
-        let family = boot.get("FamilyInfo").ok_or("'FamilyInfo' must be an object")?;
-        let limits = boot.get("Limits").ok_or("'Limits' must be an object")?;
-        let time = |key: &str, usual: f64| {
-            let told = num(limits, key)?;
-            Ok::<_, String>(Duration::from_nanos(if told > 0.0 { told } else { usual } as u64))
-        };
-        let seed = text(value.get("seed"), "seed")?;
-        let limit = |key: &str, usual: f64| {
-            let told = value.get("limits").map_or(Ok(0.0), |l| num(l, key))?;
-            Ok::<_, String>(if told > 0.0 { told } else { usual } as usize)
-        };
-        let name = variable("BALANCER_NAME")
-            .or_else(|| value.get("name").and_then(|n| n.as_str()).map(str::to_owned));
-        let name = name.unwrap_or_else(|| "front".to_owned());
-        let peers = value.get("peers").map(|peers| peers::Config::read(peers, &name));
+    /// The first value that is missing or invalid.
+    pub fn read(json: &[u8], variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+        let document = json::parse(json)?;
+        trace_start(&document);
+        let raw_settings = object(&document, "settings")?;
+        let family = required_part(raw_settings, "FamilyInfo")?;
+        let limits = required_part(raw_settings, "Limits")?;
+        let seed = string(document.get("seed"), "seed")?;
+        let name = front_name(&document, &variable);
+        let peers = read_peers(json, &document, &name)?;
+        let addresses = Addresses { document: &document, variable };
         Ok(Config {
-            peers: peers.transpose().map_err(|why| at_line(&told, why))?,
+            peers,
             name,
-            listen: address("BALANCER_LISTEN", "listen")?,
-            console: match (variable("BALANCER_CONSOLE"), value.get("console")) {
-                (None, None) => None,
-                _ => Some(address("BALANCER_CONSOLE", "console")?),
-            },
-            discovery: match (variable("BALANCER_DISCOVERY"), value.get("discovery")) {
-                (None, None) => None,
-                _ => Some(address("BALANCER_DISCOVERY", "discovery")?),
-            },
-            seed: u64::from_str_radix(seed, 16).map_err(|_| format!("'seed' {seed} is not in hex digits"))?,
-            sockets: limit("sockets", 1024.0)?,
-            memory: limit("memory_mb", 192.0)?.saturating_mul(1 << 20),
-            known: value.get("known").cloned().ok_or("'known' is missing")?,
-            settings: settings(boot)?,
-            raw_settings: boot.clone(),
-            classes: names(boot, "Services")?,
-            writes: {
-                let told = family.get("ChangesData").and_then(Value::as_array);
-                let count = crate::config::settings::list(boot, "Services")?.len();
-                (0..count).map(|i| told.and_then(|w| w.get(i)).and_then(Value::as_bool)).collect()
-            },
-            plans: names(boot, "Grades")?,
-            zones: crate::config::settings::list(boot, "FailureDomains")?
-                .iter()
-                .map(|z| text(Some(z), "FailureDomains").map(str::to_owned))
-                .collect::<Res<_>>()?,
-            shards: num(family, "Shards")? as u32,
-            dial_timeout: time("DialTimeout", 250e6)?,
-            idle_close: time("IdleClose", 30e9)?,
+            listen: addresses.required("BALANCER_LISTEN", "listen")?,
+            console: addresses.optional("BALANCER_CONSOLE", "console")?,
+            discovery: addresses.optional(DISCOVERY_VARIABLE, "discovery")?,
+            seed: parse_hex("seed", seed)?,
+            max_descriptors: process_limit(&document, "sockets", DEFAULT_DESCRIPTORS)?,
+            memory_bytes: process_limit(&document, "memory_mb", DEFAULT_MEMORY_MIB)?
+                .saturating_mul(BYTES_PER_MIB),
+            known_endpoints: document.get("known").cloned().ok_or_else(|| JsonError::missing("known"))?,
+            settings: settings::read(raw_settings)?,
+            raw_settings: raw_settings.clone(),
+            classes: names(raw_settings, "Services")?,
+            writes: read_writes(raw_settings, family)?,
+            plans: names(raw_settings, "Grades")?,
+            zones: read_zones(raw_settings)?,
+            shards: number(family, "Shards")? as u32,
+            dial_timeout: read_timeout(limits, "DialTimeout", DEFAULT_DIAL_TIMEOUT_NANOS)?,
+            idle_close: read_timeout(limits, "IdleClose", DEFAULT_IDLE_CLOSE_NANOS)?,
         })
     }
 }
 
-/// What is wrong, with the line that its path leads to: the path stands first, in quotes.
-fn at_line(json: &[u8], why: String) -> String {
+fn environment_variable(name: &str) -> Option<String> {
+    std::env::var(name).ok()
+}
+
+/// Addresses from the environment or, where it does not set them, from the file.
+struct Addresses<'a, F> {
+    document: &'a Value,
+    variable: F,
+}
+
+impl<F: Fn(&str) -> Option<String>> Addresses<'_, F> {
+    fn required(&self, variable: &str, key: &str) -> Result<SocketAddr, JsonError> {
+        match (self.variable)(variable) {
+            Some(address) => parse_address(key, &address),
+            None => parse_address(key, string(self.document.get(key), key)?),
+        }
+    }
+
+    fn optional(&self, variable: &str, key: &str) -> Result<Option<SocketAddr>, JsonError> {
+        match ((self.variable)(variable), self.document.get(key)) {
+            (None, None) => Ok(None),
+            _ => self.required(variable, key).map(Some),
+        }
+    }
+}
+
+/// Writes the settings to the decision trace, where that is on.
+fn trace_start(document: &Value) {
+    if trace::is_enabled() {
+        let settings = document.get("settings").cloned();
+        trace::write(simd_json::json!({ "e": "start", "settings": settings }));
+    }
+}
+
+/// A part of the settings that must be there. [`settings::read`] checks later that it is an object.
+fn required_part<'a>(settings: &'a Value, key: &str) -> Result<&'a Value, JsonError> {
+    settings.get(key).ok_or_else(|| JsonError::wrong_kind(key, Kind::Object))
+}
+
+fn front_name(document: &Value, variable: impl Fn(&str) -> Option<String>) -> String {
+    let in_file = || document.get("name").and_then(|name| name.as_str()).map(str::to_owned);
+    variable("BALANCER_NAME").or_else(in_file).unwrap_or_else(|| DEFAULT_NAME.to_owned())
+}
+
+/// The section on the front's peers, where the file has one.
+fn read_peers(json: &[u8], document: &Value, name: &str) -> Result<Option<peers::Config>, ConfigError> {
+    let Some(section) = document.get("peers") else { return Ok(None) };
+    peers::Config::read(section, name).map(Some).map_err(|reason| {
+        let path = reason.split('\'').nth(1).unwrap_or_default();
+        ConfigError::Peers { line: line_of(json, path), reason }
+    })
+}
+
+/// The line, counted from 1, to which a path such as `peers.roster[1].name` leads; the last part found where a part
+/// is missing.
+fn line_of(json: &[u8], path: &str) -> usize {
     let text = String::from_utf8_lossy(json);
-    let path = why.split('\'').nth(1).unwrap_or_default();
-    let mut at = 0;
+    let mut position = 0;
     for part in path.split('.') {
-        let (key, entry) = part.trim_end_matches(']').split_once('[').unwrap_or((part, ""));
-        let Some(found) = text[at..].find(&format!("\"{key}\"")) else { break };
-        at += found;
+        let (key, index) = part.trim_end_matches(']').split_once('[').unwrap_or((part, ""));
+        let Some(found) = text[position..].find(&format!("\"{key}\"")) else { break };
+        position += found;
         // Entries of a list are objects, each of which opens with a brace.
-        for _ in 0..entry.parse::<usize>().map_or(0, |n| n + 1) {
-            at += text[at..].find('{').map_or(0, |brace| brace + 1);
+        for _ in 0..index.parse::<usize>().map_or(0, |index| index + 1) {
+            position += text[position..].find('{').map_or(0, |brace| brace + 1);
         }
     }
-    format!("line {}: {why}", text[..at].matches('\n').count() + 1)
+    text[..position].matches('\n').count() + 1
+}
+
+/// A limit of the process, under `limits` in the file.
+fn process_limit(document: &Value, key: &str, default: f64) -> Result<usize, JsonError> {
+    match document.get("limits") {
+        Some(limits) => Ok(positive_number_or(limits, key, default)? as usize),
+        None => Ok(default as usize),
+    }
+}
+
+fn read_writes(settings: &Value, family: &Value) -> Result<Vec<Option<bool>>, JsonError> {
+    let writes = family.get("ChangesData").and_then(Value::as_array);
+    let classes = array(settings, "Services")?.len();
+    let of_class = |index| writes.and_then(|writes| writes.get(index)).and_then(Value::as_bool);
+    Ok((0..classes).map(of_class).collect())
+}
+
+fn read_zones(settings: &Value) -> Result<Vec<String>, JsonError> {
+    let zones = array(settings, "FailureDomains")?.iter();
+    zones.map(|zone| string(Some(zone), "FailureDomains").map(str::to_owned)).collect()
+}
+
+fn read_timeout(limits: &Value, key: &str, default_nanos: f64) -> Result<Duration, JsonError> {
+    let nanos = positive_number_or(limits, key, default_nanos)?;
+    Ok(Duration::from_nanos(nanos as u64))
+}
+
+/// A configuration file as read.
+struct ConfigFile {
+    path: String,
+    content: Vec<u8>,
 }
 
-/// The file that `BALANCER_CONFIG` names, with its name; one larger than any configuration is turned down unread.
-fn file() -> Res<(String, Vec<u8>)> {
-    let path = std::env::var("BALANCER_CONFIG").map_err(|_| "BALANCER_CONFIG is not set")?;
-    let size = std::fs::metadata(&path).map_err(|e| format!("cannot read {path}: {e}"))?.len();
-    if size > MOST_FILE {
-        return Err(format!("{path} holds {size} bytes, more than any configuration ({MOST_FILE})"));
+impl ConfigFile {
+    /// Reads the file that `BALANCER_CONFIG` names, unless it is larger than any valid configuration.
+    fn from_env() -> Result<ConfigFile, ConfigError> {
+        let path = environment_variable(FILE_VARIABLE).ok_or(ConfigError::FileNotNamed)?;
+        let unreadable = |source| ConfigError::Unreadable { path: path.clone(), source };
+        let size = std::fs::metadata(&path).map_err(unreadable)?.len();
+        if size > MAX_FILE_BYTES {
+            return Err(ConfigError::TooLarge { path, size, limit: MAX_FILE_BYTES });
+        }
+        let content = std::fs::read(&path).map_err(unreadable)?;
+        Ok(ConfigFile { path, content })
     }
-    let bytes = std::fs::read(&path).map_err(|e| format!("cannot read {path}: {e}"))?;
-    Ok((path, bytes))
 }
--- /dev/null
+++ b/src/control/agent/api.rs
@@ -0,0 +1,63 @@
+//! The agent's HTTP API, for the command line.
+//!
+//! - `GET /fronts`: the status of all fronts, as JSON.
+//! - `POST /fronts/NAME/drain`, `/resume` and `/restart`: changes the desired state of a front.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use http_body_util::{Either, Full};
+use hyper::{Method, Response, StatusCode};
+use simd_json::prelude::*;
+
+use crate::control::agent::fleet::Fleet;
+use crate::control::agent::supervisor::{DesiredState, STOP_TIMEOUT};
+use crate::frontend::listener::{plain, Handler, ReceivedRequest, Reply};
+
+/// Serves the API on the fronts of an agent.
+pub struct AgentApi {
+    fleet: Rc<Fleet>,
+}
+
+impl AgentApi {
+    /// An API on these fronts.
+    pub fn new(fleet: Rc<Fleet>) -> AgentApi {
+        AgentApi { fleet }
+    }
+
+    fn change_front(&self, name: &str, verb: &str) -> Reply {
+        if !self.fleet.contains(name) {
+            return plain(StatusCode::NOT_FOUND, "no such front");
+        }
+        let change: fn(&mut DesiredState) = match verb {
+            "drain" => |desired| desired.drained = true,
+            "resume" => |desired| desired.drained = false,
+            "restart" => |desired| desired.restarts += 1,
+            _ => return plain(StatusCode::NOT_FOUND, "no such command"),
+        };
+        self.fleet.change(name, change);
+        plain(StatusCode::ACCEPTED, "ok")
+    }
+}
+
+impl Handler for AgentApi {
+    fn longest_deadline(&self) -> Duration {
+        STOP_TIMEOUT
+    }
+
+    async fn answer(&self, request: ReceivedRequest, _leaving: bool) -> Reply {
+        if let Err(status) = *request.body() {
+            return plain(status, "the request is not taken");
+        }
+        let path = request.uri().path().to_owned();
+        let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
+        match (request.method(), segments.as_slice()) {
+            (&Method::GET, ["fronts"]) => {
+                let status = self.fleet.status().encode().into_bytes();
+                Response::new(Either::Left(Full::from(status)))
+            }
+            (&Method::POST, ["fronts", name, verb]) => self.change_front(name, verb),
+            _ => plain(StatusCode::NOT_FOUND, "no such thing"),
+        }
+    }
+}
--- /dev/null
+++ b/src/control/agent/declaration.rs
@@ -0,0 +1,93 @@
+//! The declaration of a front, and starting the process that it describes.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use hyper::{Method, StatusCode};
+use simd_json::prelude::*;
+use tokio::process::{Child, Command};
+use tokio::time::sleep;
+
+use crate::config::json::{self, string, JsonError};
+use crate::control::http_client::{call, CallTimeouts};
+
+/// The pause between two readiness probes of a starting front.
+const PROBE_INTERVAL: Duration = Duration::from_millis(50);
+/// The timeouts of a readiness probe.
+const PROBE_TIMEOUTS: CallTimeouts =
+    CallTimeouts { connect: Duration::from_millis(500), response: Duration::from_millis(500) };
+/// The agent's own variables, which its fronts must not inherit: each has its own configuration.
+const VARIABLES_NOT_INHERITED: [&str; 4] =
+    ["BALANCER_NAME", "BALANCER_LISTEN", "BALANCER_DISCOVERY", "BALANCER_CONFIG"];
+
+/// All declarations, as JSON by the names of their fronts.
+pub type Declarations = BTreeMap<String, Vec<u8>>;
+
+/// Which kind of front to run.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub enum FrontKind {
+    /// A front of the platform.
+    Platform,
+    /// A front of the object API.
+    Object,
+}
+
+/// The declaration of one front.
+#[derive(Clone, PartialEq, Eq)]
+pub struct FrontDeclaration {
+    kind: FrontKind,
+    /// The path of its configuration file.
+    config: String,
+}
+
+impl FrontDeclaration {
+    /// Reads a declaration from its JSON text.
+    ///
+    /// # Errors
+    /// The text is not JSON, or a value is missing or invalid.
+    pub fn read(json: &[u8]) -> Result<FrontDeclaration, JsonError> {
+        let value = json::parse(json)?;
+        let kind = match string(value.get("kind"), "kind")? {
+            "platform" => FrontKind::Platform,
+            "object" => FrontKind::Object,
+            other => return Err(JsonError::unknown_value("kind", other)),
+        };
+        let config = string(value.get("config"), "config")?.to_owned();
+        Ok(FrontDeclaration { kind, config })
+    }
+
+    /// Starts a process of this program that runs the front.
+    ///
+    /// # Errors
+    /// The system's, where the process cannot be started.
+    pub fn start(&self) -> std::io::Result<Child> {
+        let mut command = Command::new(std::env::current_exe()?);
+        for name in VARIABLES_NOT_INHERITED {
+            command.env_remove(name);
+        }
+        match self.kind {
+            FrontKind::Object => command.arg("object").arg(&self.config),
+            FrontKind::Platform => command.env("BALANCER_CONFIG", &self.config),
+        };
+        command.kill_on_drop(true).spawn()
+    }
+
+    /// Waits until the front is ready for clients. One whose configuration gives no address never is.
+    pub async fn wait_until_ready(&self) {
+        let Some(address) = self.listen_address() else { return std::future::pending().await };
+        loop {
+            let probe = call(address, Method::GET, "/health/ready", String::new(), PROBE_TIMEOUTS).await;
+            if probe.is_ok_and(|response| response.status == StatusCode::OK) {
+                return;
+            }
+            sleep(PROBE_INTERVAL).await;
+        }
+    }
+
+    fn listen_address(&self) -> Option<SocketAddr> {
+        let content = std::fs::read(&self.config).ok()?;
+        let value = json::parse(&content).ok()?;
+        string(value.get("listen"), "listen").ok()?.parse().ok()
+    }
+}
--- /dev/null
+++ b/src/control/agent/mod.rs
@@ -0,0 +1,81 @@
+//! The agent: runs the fronts that a file or etcd declares.
+//!
+//! It starts fronts that are missing, restarts those that crashed with growing pauses, stops fronts with SIGTERM and
+//! then SIGKILL, and serves an HTTP API for the command line.
+
+pub mod api;
+pub mod declaration;
+pub mod etcd;
+pub mod file;
+pub mod fleet;
+pub mod supervisor;
+
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+
+use crate::control::agent::api::AgentApi;
+use crate::control::agent::etcd::EtcdPrefix;
+use crate::control::agent::fleet::Fleet;
+use crate::frontend::listener::{listen, Listener, ListenerState};
+use crate::runtime::{on_one_thread, shutdown_signal, RuntimeError};
+
+/// The most connections to the agent; the command line needs one at a time.
+const MAX_CONNECTIONS: usize = 32;
+/// Sets of declarations that may wait to be applied.
+const DECLARATION_QUEUE: usize = 8;
+
+/// Why the agent cannot start.
+#[derive(Debug, thiserror::Error)]
+pub enum AgentError {
+    /// The runtime cannot start, or a signal cannot be handled.
+    #[error(transparent)]
+    Runtime(#[from] RuntimeError),
+    /// The address of the API cannot be used.
+    #[error("{0}")]
+    Listen(String),
+}
+
+/// Where fronts are declared.
+pub enum Source {
+    /// In a file such as `{"fronts": {"NAME": {"kind": "platform", "config": "PATH"}}}`.
+    File(PathBuf),
+    /// In etcd, with one such object for each key.
+    Etcd(EtcdPrefix),
+}
+
+/// Runs the agent until SIGTERM or SIGINT, and then stops all its fronts. The API is served at `control`.
+///
+/// # Errors
+/// [`AgentError`], where the agent cannot start.
+pub fn run(source: Source, control: SocketAddr) -> Result<(), AgentError> {
+    on_one_thread(serve(source, control))
+}
+
+async fn serve(source: Source, control: SocketAddr) -> Result<(), AgentError> {
+    let listener = listen(control).await.map_err(AgentError::Listen)?;
+    let shutdown = shutdown_signal()?;
+    let fleet = Rc::new(Fleet::default());
+    let (sender, mut declared) = mpsc::channel(DECLARATION_QUEUE);
+    let following = spawn_local(async move {
+        match source {
+            Source::File(path) => file::follow(path, sender).await,
+            Source::Etcd(prefix) => prefix.follow(sender).await,
+        }
+    });
+    let applied_to = Rc::clone(&fleet);
+    let applying = spawn_local(async move {
+        while let Some(declarations) = declared.recv().await {
+            applied_to.apply(declarations);
+        }
+    });
+    let api = AgentApi::new(Rc::clone(&fleet));
+    Listener::new(api, MAX_CONNECTIONS, ListenerState::default()).serve(listener, shutdown).await;
+    following.abort();
+    applying.abort();
+    fleet.stop_all().await;
+    Ok(())
+}
--- a/src/control/console.rs
+++ b/src/control/console.rs
@@ -1,15 +1,17 @@
-//! The operators' console: a listener of its own, one call on each connection, every answer within a second.
+//! The operators' console: an HTTP listener of its own, with one call for each connection and every answer within a
+//! second.
 //!
-//! - `GET /status`: 200 while the front takes clients, 503 before and once it leaves.
-//! - `GET /status/metrics`: the figures, in the Prometheus text format.
-//! - `GET /status/peers`: what the front believes of its peers, as JSON, where it has any.
-//! - `GET /status/verdicts`, `GET /status/verdicts/ID`: what there is to say of verdicts that the front shares with its
-//!   peers, and of chunk server ID, as JSON.
-//! - `PUT /maintenance/enter/ID`, `PUT /maintenance/exit/ID`: holds chunk server ID out by hand, or lets it in.
+//! - `GET /status`: 200 while the front accepts clients, 503 before that and while it shuts down.
+//! - `GET /status/metrics`: the metrics, in the Prometheus text format.
+//! - `GET /status/peers`: the front's view of its peers as JSON, where it has any.
+//! - `GET /status/verdicts`, `GET /status/verdicts/ID`: the ejections that the front shares with its peers, and those
+//!   of chunk server ID, as JSON.
+//! - `PUT /maintenance/enter/ID`, `PUT /maintenance/exit/ID`: begins and ends the maintenance of chunk server ID.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::convert::Infallible;
+use std::fmt::Display;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -29,59 +31,78 @@
 use tokio::time::timeout;
 
 use crate::cluster::peers::Peers;
-use crate::config::settings::Res;
 use crate::control::maintenance::Maintenance;
 use crate::exchange::Exchange;
 use crate::telemetry::log::log;
 use crate::telemetry::metrics::{GaugeReadings, Metrics};
 use crate::upstream::Upstream;
 
-/// A whole call, from connecting to the last byte of its answer, within this, or the connection is closed.
+/// The longest time for a whole call, from the connection to the last byte of the response. The connection is closed
+/// after it.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
-/// Connections held at once; one more closes the oldest.
+/// The most open connections; one more closes the oldest.
 pub const MAX_CONNECTIONS: usize = 8;
-/// Bytes of a call's body that are read; the console's calls have none that matters.
-const MAX_BODY: usize = 4096;
+/// Bytes of a request's body that are read. No call needs a body.
+const MAX_BODY_BYTES: usize = 4096;
+/// The pause after a connection could not be accepted.
+const ACCEPT_RETRY: Duration = Duration::from_millis(10);
 
-/// What the console answers from.
-pub struct Console {
-    /// Whether the front takes clients.
+const METRICS_CONTENT_TYPE: HeaderValue =
+    HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
+const JSON_CONTENT_TYPE: HeaderValue = HeaderValue::from_static("application/json");
+
+type ConsoleResponse = Response<Full<Bytes>>;
+
+/// Why the console cannot be opened.
+#[derive(Debug, thiserror::Error)]
+pub enum ConsoleError {
+    /// Its address cannot be used.
+    #[error("cannot open the console on {address}: {source}")]
+    Open {
+        /// The configured address.
+        address: SocketAddr,
+        /// The system's reason.
+        source: std::io::Error,
+    },
+    /// The system does not tell the address of the socket.
+    #[error(transparent)]
+    LocalAddress(std::io::Error),
+}
+
+/// The parts of a front that the console reads and changes.
+pub struct ConsoleParts {
+    /// Whether the front accepts clients.
     pub accepting: Rc<Cell<bool>>,
-    /// Requests taken and not yet ended.
+    /// The number of requests in progress.
     pub active_requests: Rc<Cell<usize>>,
-    /// The figures.
+    /// The front's metrics.
     pub metrics: Rc<Metrics>,
-    /// Where the module is.
+    /// Owns the scheduler.
     pub exchange: Rc<Exchange<Upstream>>,
-    /// Chunk servers out by hand.
+    /// The chunk servers in maintenance.
     pub maintenance: Rc<Maintenance>,
     /// The front's peers, where it has any.
     pub peers: Option<Rc<Peers>>,
-    open_calls: RefCell<VecDeque<(u64, Rc<Notify>)>>,
+}
+
+/// The console of a front.
+pub struct Console {
+    parts: ConsoleParts,
+    open_calls: RefCell<VecDeque<OpenCall>>,
     next_call: Cell<u64>,
 }
 
+/// A connection to the console.
+struct OpenCall {
+    number: u64,
+    /// Closes the connection.
+    close: Rc<Notify>,
+}
+
 impl Console {
-    /// A console on the front's parts.
-    pub fn new(
-        taking: Rc<Cell<bool>>,
-        current: Rc<Cell<usize>>,
-        figures: Rc<Metrics>,
-        exchange: Rc<Exchange<Upstream>>,
-        maintenance: Rc<Maintenance>,
-        peers: Option<Rc<Peers>>,
-    ) -> Rc<Console> {
-        let (held, next) = (RefCell::default(), Cell::new(0));
-        Rc::new(Console {
-            accepting: taking,
-            active_requests: current,
-            metrics: figures,
-            exchange,
-            maintenance,
-            peers,
-            open_calls: held,
-            next_call: next,
-        })
+    /// A console on the parts of a front.
+    pub fn new(parts: ConsoleParts) -> Rc<Console> {
+        Rc::new(Console { parts, open_calls: RefCell::default(), next_call: Cell::new(0) })
     }
 
     /// Serves for as long as the program runs.
@@ -89,9 +110,9 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => self.accept(stream),
-                Err(why) => {
-                    log!("console: cannot accept: {why}");
-                    tokio::time::sleep(Duration::from_millis(10)).await;
+                Err(error) => {
+                    log!("console: cannot accept: {error}");
+                    tokio::time::sleep(ACCEPT_RETRY).await;
                 }
             }
         }
@@ -100,18 +121,10 @@
     fn accept(self: &Rc<Self>, stream: TcpStream) {
         let number = self.next_call.get();
         self.next_call.set(number + 1);
-        let gone = Rc::new(Notify::new());
-        {
-            let mut held = self.open_calls.borrow_mut();
-            if held.len() >= MAX_CONNECTIONS {
-                if let Some((_, oldest)) = held.pop_front() {
-                    oldest.notify_one();
-                }
-            }
-            held.push_back((number, Rc::clone(&gone)));
-        }
+        let close = self.register_call(number);
         let console = Rc::clone(self);
         tokio::task::spawn_local(async move {
+            // Without it the response is slower, not wrong.
             let _ = stream.set_nodelay(true);
             let service = service_fn(|request| {
                 let console = Rc::clone(&console);
@@ -121,109 +134,138 @@
                 http1::Builder::new().keep_alive(false).serve_connection(TokioIo::new(stream), service);
             tokio::select! {
                 _ = timeout(CALL_TIMEOUT, connection) => {}
-                () = gone.notified() => {}
+                () = close.notified() => {}
             }
-            console.open_calls.borrow_mut().retain(|(n, _)| *n != number);
+            console.open_calls.borrow_mut().retain(|call| call.number != number);
         });
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
+    /// Counts a connection as open, and closes the oldest where there are too many.
+    fn register_call(&self, number: u64) -> Rc<Notify> {
+        let mut open_calls = self.open_calls.borrow_mut();
+        if open_calls.len() >= MAX_CONNECTIONS {
+            if let Some(oldest) = open_calls.pop_front() {
+                oldest.close.notify_one();
+            }
+        }
+        let close = Rc::new(Notify::new());
+        open_calls.push_back(OpenCall { number, close: Rc::clone(&close) });
+        close
+    }
+
+    async fn answer(&self, request: Request<Incoming>) -> ConsoleResponse {
         let (head, body) = request.into_parts();
-        // A body is read, so that the answer does not cross it; none is needed.
-        let _ = Limited::new(body, MAX_BODY).collect().await;
+        // Read so that the response does not cross the body on the wire; its content does not matter.
+        let _ = Limited::new(body, MAX_BODY_BYTES).collect().await;
         let path = head.uri.path();
         match (&head.method, path.strip_prefix("/maintenance/")) {
-            (&Method::GET, None) if path == "/status" => match self.accepting.get() {
-                true => plain(StatusCode::OK, "taking clients\n".into()),
-                false => plain(StatusCode::SERVICE_UNAVAILABLE, "not taking clients\n".into()),
-            },
-            (&Method::GET, None) if path == "/status/metrics" => {
-                let (cluster_size, cluster_unhealthy) = self.exchange.endpoint_counts();
-                let reading =
-                    GaugeReadings { current: self.active_requests.get(), cluster_size, cluster_unhealthy };
-                let mut reply = plain(StatusCode::OK, self.metrics.render(&reading).into());
-                reply.headers_mut().insert(
-                    CONTENT_TYPE,
-                    HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8"),
-                );
-                reply
-            }
-            (&Method::GET, None) if path == "/status/peers" => self.peer_status(|peers| Ok(peers.status())),
-            (&Method::GET, None) if path == "/status/verdicts" => {
-                self.peer_status(|peers| peers.ejection_status(None))
-            }
-            (&Method::GET, None) if path.starts_with("/status/verdicts/") => {
-                let id = path.trim_start_matches("/status/verdicts/");
-                let id = percent_encoding::percent_decode_str(id).decode_utf8_lossy();
-                self.peer_status(|peers| peers.ejection_status(Some(&id)))
-            }
-            (&Method::PUT, Some(rest)) => self.maintenance_call(rest),
-            (_, Some(_)) => plain(StatusCode::METHOD_NOT_ALLOWED, "maintenance is called with PUT\n".into()),
+            (&Method::GET, None) => self.answer_get(path),
+            (&Method::PUT, Some(rest)) => self.answer_maintenance(rest),
+            (_, Some(_)) => plain(StatusCode::METHOD_NOT_ALLOWED, "maintenance is called with PUT\n"),
             (_, None) if path == "/status" || path == "/status/metrics" => {
-                plain(StatusCode::METHOD_NOT_ALLOWED, "status is called with GET\n".into())
+                plain(StatusCode::METHOD_NOT_ALLOWED, "status is called with GET\n")
+            }
+            _ => no_such_call(),
+        }
+    }
+
+    fn answer_get(&self, path: &str) -> ConsoleResponse {
+        match path {
+            "/status" => self.answer_status(),
+            "/status/metrics" => self.answer_metrics(),
+            "/status/peers" => self.answer_peers(|peers| Ok::<_, Infallible>(peers.status())),
+            "/status/verdicts" => self.answer_peers(|peers| peers.ejection_status(None)),
+            _ if path.starts_with("/status/verdicts/") => {
+                let server = decode_id(path.trim_start_matches("/status/verdicts/"));
+                self.answer_peers(|peers| peers.ejection_status(Some(&server)))
             }
-            _ => plain(
-                StatusCode::NOT_FOUND,
-                "no such call: GET /status, GET /status/metrics, PUT /maintenance/enter/ID or exit/ID\n"
-                    .into(),
-            ),
+            _ => no_such_call(),
         }
     }
 
-    /// What the front's peers have to say, where it has any.
-    fn peer_status(&self, say: impl FnOnce(&Peers) -> Res<Value>) -> Response<Full<Bytes>> {
-        let told = self.peers.as_ref().map_or_else(|| Err("this front has no peers".to_owned()), |p| say(p));
-        match told {
+    fn answer_status(&self) -> ConsoleResponse {
+        match self.parts.accepting.get() {
+            true => plain(StatusCode::OK, "taking clients\n"),
+            false => plain(StatusCode::SERVICE_UNAVAILABLE, "not taking clients\n"),
+        }
+    }
+
+    fn answer_metrics(&self) -> ConsoleResponse {
+        let (cluster_size, cluster_unhealthy) = self.parts.exchange.endpoint_counts();
+        let current = self.parts.active_requests.get();
+        let readings = GaugeReadings { current, cluster_size, cluster_unhealthy };
+        let mut response = plain(StatusCode::OK, self.parts.metrics.render(&readings));
+        response.headers_mut().insert(CONTENT_TYPE, METRICS_CONTENT_TYPE);
+        response
+    }
+
+    /// What `status` says of the front's peers, where it has any.
+    fn answer_peers<E: Display>(&self, status: impl FnOnce(&Peers) -> Result<Value, E>) -> ConsoleResponse {
+        let Some(peers) = &self.parts.peers else {
+            return plain(StatusCode::NOT_FOUND, "this front has no peers\n");
+        };
+        match status(peers) {
             Ok(value) => {
-                let mut reply = plain(StatusCode::OK, value.encode().into());
-                let json = HeaderValue::from_static("application/json");
-                reply.headers_mut().insert(CONTENT_TYPE, json);
-                reply
+                let mut response = plain(StatusCode::OK, value.encode());
+                response.headers_mut().insert(CONTENT_TYPE, JSON_CONTENT_TYPE);
+                response
             }
-            Err(why) => plain(StatusCode::NOT_FOUND, format!("{why}\n").into()),
+            Err(error) => plain(StatusCode::NOT_FOUND, format!("{error}\n")),
         }
     }
 
-    fn maintenance_call(&self, rest: &str) -> Response<Full<Bytes>> {
-        let (verb, id) = match rest.split_once('/') {
-            Some((verb @ ("enter" | "exit"), id)) if !id.is_empty() && !id.contains('/') => (verb, id),
+    fn answer_maintenance(&self, path: &str) -> ConsoleResponse {
+        let (verb, server) = match path.split_once('/') {
+            Some((verb @ ("enter" | "exit"), id)) if !id.is_empty() && !id.contains('/') => {
+                (verb, decode_id(id))
+            }
             _ => {
-                return plain(
-                    StatusCode::NOT_FOUND,
-                    "maintenance is /maintenance/enter/ID or /maintenance/exit/ID\n".into(),
-                )
+                let usage = "maintenance is /maintenance/enter/ID or /maintenance/exit/ID\n";
+                return plain(StatusCode::NOT_FOUND, usage);
             }
         };
-        let id = percent_encoding::percent_decode_str(id).decode_utf8_lossy();
-        let done = if verb == "enter" { self.maintenance.enter(&id) } else { self.maintenance.exit(&id) };
-        match done {
+        let maintenance = &self.parts.maintenance;
+        let changed = if verb == "enter" { maintenance.enter(&server) } else { maintenance.exit(&server) };
+        match changed {
             Ok(()) => {
-                log!(
-                    "console: chunk server {id} {}",
-                    if verb == "enter" { "held out by hand" } else { "let back in" }
-                );
-                plain(StatusCode::OK, format!("{verb} {id}\n").into())
+                log!("console: chunk server {server}: maintenance {verb}");
+                plain(StatusCode::OK, format!("{verb} {server}\n"))
             }
-            Err(why) => plain(StatusCode::NOT_FOUND, format!("{why}: {id}\n").into()),
+            Err(error) => plain(StatusCode::NOT_FOUND, format!("{error}: {server}\n")),
         }
     }
 }
 
-fn plain(status: StatusCode, body: Bytes) -> Response<Full<Bytes>> {
-    let mut reply = Response::new(Full::new(body));
-    *reply.status_mut() = status;
-    reply
+fn decode_id(id: &str) -> String {
+    percent_encoding::percent_decode_str(id).decode_utf8_lossy().into_owned()
+}
+
+fn no_such_call() -> ConsoleResponse {
+    plain(
+        StatusCode::NOT_FOUND,
+        "no such call: GET /status, GET /status/metrics, PUT /maintenance/enter/ID or exit/ID\n",
+    )
 }
 
-/// Opens the console's socket, and says where it is.
+fn plain(status: StatusCode, body: impl Into<Bytes>) -> ConsoleResponse {
+    let mut response = Response::new(Full::new(body.into()));
+    *response.status_mut() = status;
+    response
+}
+
+/// Opens the console's socket and logs its address.
 ///
 /// # Errors
-/// A plain sentence, where the address cannot be had.
-pub fn listen(address: SocketAddr) -> Result<TcpListener, String> {
-    let bound = std::net::TcpListener::bind(address).and_then(|l| l.set_nonblocking(true).map(|()| l));
-    let listener = bound.and_then(TcpListener::from_std);
-    let listener = listener.map_err(|e| format!("cannot open the console on {address}: {e}"))?;
-    let address = listener.local_addr().map_err(|e| e.to_string())?;
+/// The address cannot be used.
+pub fn listen(address: SocketAddr) -> Result<TcpListener, ConsoleError> {
+    let listener = bind(address).map_err(|source| ConsoleError::Open { address, source })?;
+    let address = listener.local_addr().map_err(ConsoleError::LocalAddress)?;
     log!("console on {address}");
     Ok(listener)
 }
+
+fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
+    let listener = std::net::TcpListener::bind(address)?;
+    listener.set_nonblocking(true)?;
+    TcpListener::from_std(listener)
+}
--- a/src/control/discovery.rs
+++ b/src/control/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery: the node list, the watch on its changes, and calling anew as [`Watch`] says.
+//! Follows discovery: calls it when [`DiscoveryWatch`] says so, reads its messages, and passes the endpoint list on to
+//! the scheduler.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -15,208 +16,297 @@
 use tulipbridge_core::discovery_watch::{DiscoveryWatch, WatchEvent, WatchStep, CALL_TIMEOUT};
 use tulipbridge_core::{CellId, Listed, Nanos, NodeInfo, UpdateScope};
 
-use crate::config::settings::{flag, int, list, text, Res};
-use crate::control::http_client::{call, CallResponse};
+use crate::config::json::{array, boolean, integer, parse_address, string, JsonError};
+use crate::control::http_client::{call, CallResponse, CallTimeouts, HttpError};
 use crate::control::json_stream::Message;
 use crate::control::maintenance::Maintenance;
 use crate::exchange::Exchange;
 use crate::telemetry::log::log;
 use crate::upstream::Upstream;
 
-/// Longest time for a connection to discovery to come up; the whole call is bounded by [`watch::CALL`].
-const DIAL: Duration = Duration::from_secs(1);
+/// The longest time for a connection to discovery to open. The whole call is bounded by [`CALL_TIMEOUT`].
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const NANOS_PER_MILLISECOND: i64 = 1_000_000;
 
-/// A watch that is being opened.
-type Opening = Pin<Box<dyn Future<Output = Res<Standing>>>>;
-
-/// A watch that stands, and where.
-struct Standing {
-    at: SocketAddr,
-    answer: CallResponse,
+/// Why a watch cannot be opened or read.
+#[derive(Debug, thiserror::Error)]
+pub enum DiscoveryError {
+    /// The call failed.
+    #[error(transparent)]
+    Http(#[from] HttpError),
+    /// Discovery answered the call with an error.
+    #[error("it answered {0}")]
+    Status(StatusCode),
+    /// A message is not JSON.
+    #[error(transparent)]
+    Syntax(simd_json::Error),
+    /// A value is missing or invalid.
+    #[error(transparent)]
+    Json(#[from] JsonError),
+    /// The number of a cell is too large.
+    #[error("'cell' is out of range")]
+    CellOutOfRange,
 }
 
-/// How far this front has followed discovery.
+/// How far a front has followed discovery.
 pub struct Discovery {
-    /// The first call goes out within this time.
+    /// The longest time until the first call, in nanoseconds.
     pub first_call: Nanos,
-    /// Where in what calls are spread over those of this front lie, from 0 to 1.
+    /// This front's place, from 0 to 1, in the interval over which the fleet's calls are spread.
     pub phase: f64,
-    /// Names of the zones, in the order of the settings.
+    /// The names of the zones, in the order of the settings.
     pub zones: Vec<String>,
-    /// The version of the list held.
+    /// The version of the endpoint list in use.
     pub generation: i64,
-    /// Who counts versions so; at first whoever is asked first.
+    /// The address whose versions [`Discovery::generation`] counts; until the first call none.
     pub list_source: Option<SocketAddr>,
-    /// Chunk servers held out by hand, between the list and the module.
+    /// The chunk servers in maintenance, which the scheduler sees as draining.
     pub maintenance: Rc<Maintenance>,
 }
 
+/// A message of discovery.
+struct EndpointUpdate {
+    scope: UpdateScope,
+    nodes: Vec<NodeInfo>,
+}
+
+/// An entry of the endpoint list under its name.
+struct NamedEndpoint {
+    name: String,
+    info: NodeInfo,
+}
+
 impl Discovery {
-    /// Passes on the list that this front held last, which may be old.
+    /// Passes on the last known endpoint list, which may be old.
     ///
     /// # Errors
-    /// A plain sentence, where it is not in discovery's form.
-    pub fn restore(&mut self, known: &Value, exchange: &Rc<Exchange<Upstream>>) -> Res<()> {
-        let (_, nodes) = self.read(known, exchange.transport())?;
-        exchange.update_endpoints(UpdateScope::Restored, nodes);
+    /// The list is not in discovery's format.
+    pub fn restore(
+        &mut self,
+        known: &Value,
+        exchange: &Rc<Exchange<Upstream>>,
+    ) -> Result<(), DiscoveryError> {
+        let update = self.read(known, exchange.transport())?;
+        exchange.update_endpoints(UpdateScope::Restored, update.nodes);
         Ok(())
     }
 
-    /// Follows discovery for as long as the program runs, to wherever the configuration moves it. When to call is
-    /// said by [`Watch`]; who decides may want the list earlier.
+    /// Follows discovery for as long as the program runs, wherever the configuration moves it.
     pub async fn follow(
-        mut self,
-        mut address: watch::Receiver<Option<SocketAddr>>,
+        self,
+        address: watch::Receiver<Option<SocketAddr>>,
         exchange: Rc<Exchange<Upstream>>,
     ) {
-        let began = Instant::now();
-        let now = || began.elapsed().as_nanos() as Nanos;
-        let mut machine = DiscoveryWatch::new(0, self.first_call, self.phase);
-        let (mut standing, mut opening): (Option<Standing>, Option<Opening>) = (None, None);
-        loop {
-            // Without discovery the list as last held is all there is, until a configuration names one.
-            let Some(at) = *address.borrow() else {
-                if address.changed().await.is_err() {
-                    return;
-                }
-                continue;
-            };
-            let mut opened = None;
-            let due = machine.due().map(|t| began + Duration::from_nanos(t.max(0) as u64));
-            let event = tokio::select! {
-                biased;
-                message = message(&mut standing) => match message {
-                    Ok((from, message)) => {
-                        self.take(message, from, &exchange);
-                        WatchEvent::MessageReceived
-                    }
-                    Err(why) => {
-                        log!("discovery: {why}");
-                        standing = None;
-                        WatchEvent::Ended
-                    }
-                },
-                answer = ready(&mut opening) => {
-                    opening = None;
-                    match answer {
-                        Ok(watch) => {
-                            opened = Some(watch);
-                            WatchEvent::Opened
-                        }
-                        Err(why) => {
-                            log!("discovery: {why}");
-                            WatchEvent::Failed
-                        }
-                    }
-                }
-                Ok(()) = address.changed() => WatchEvent::Moved,
-                () = exchange.list_wanted() => WatchEvent::ListWanted,
-                () = comes(due) => WatchEvent::TimerDue,
-            };
-            for step in machine.on(now(), event) {
-                match step {
-                    WatchStep::Call => {
-                        // A configuration that names none leaves the watch where it is.
-                        let at = address.borrow().unwrap_or(at);
-                        // Another discovery may count versions in a way of its own: from 0 it tells all.
-                        let after =
-                            if *self.list_source.get_or_insert(at) == at { self.generation } else { 0 };
-                        opening = Some(Box::pin(open(at, after)));
-                    }
-                    WatchStep::CancelCall => {
-                        log!("discovery: no answer in time");
-                        opening = None;
-                    }
-                    WatchStep::Adopt => standing = opened.take(),
-                    WatchStep::CloseWatch => {
-                        log!("discovery: it is silent");
-                        standing = None;
-                    }
-                    WatchStep::ReportLost => exchange.update_endpoints(UpdateScope::Unavailable, Vec::new()),
-                }
-            }
-        }
+        let machine = DiscoveryWatch::new(0, self.first_call, self.phase);
+        let started = Instant::now();
+        let follower =
+            Follower { discovery: self, address, exchange, machine, started, watch: None, opening: None };
+        follower.run().await;
     }
 
-    /// One message of the watch at an address. One that cannot be read is passed over, and said in the log.
-    fn take(&mut self, message: Message, from: SocketAddr, exchange: &Rc<Exchange<Upstream>>) {
+    /// Handles one message of the watch on `source`. One that cannot be read is logged and otherwise ignored.
+    fn receive(&mut self, message: Message, source: SocketAddr, exchange: &Rc<Exchange<Upstream>>) {
         let Message::Json(mut json) = message else { return };
-        let value = simd_json::to_owned_value(&mut json).map_err(|e| e.to_string());
-        match value.and_then(|v| self.read(&v, exchange.transport())) {
-            Ok((scope, nodes)) => {
-                self.list_source = Some(from);
-                exchange.update_endpoints(scope, nodes);
+        let value = simd_json::to_owned_value(&mut json).map_err(DiscoveryError::Syntax);
+        match value.and_then(|value| self.read(&value, exchange.transport())) {
+            Ok(update) => {
+                self.list_source = Some(source);
+                exchange.update_endpoints(update.scope, update.nodes);
             }
-            Err(why) => log!("discovery: a message that cannot be read: {why}"),
+            Err(error) => log!("discovery: a message that cannot be read: {error}"),
         }
     }
 
-    fn read(&mut self, value: &Value, upstream: &Upstream) -> Res<(UpdateScope, Vec<NodeInfo>)> {
-        let generation = int(value.get("generation"), "generation")?;
-        let scope = if flag(value, "reset")? { UpdateScope::Replace } else { UpdateScope::Update };
-        let entries = list(value, "instances")?;
-        let named = entries.iter().map(|e| self.entry(e, upstream)).collect::<Res<Vec<_>>>()?;
+    fn read(&mut self, value: &Value, upstream: &Upstream) -> Result<EndpointUpdate, DiscoveryError> {
+        let generation = integer(value.get("generation"), "generation")?;
+        let scope = if boolean(value, "reset")? { UpdateScope::Replace } else { UpdateScope::Update };
+        let entries = array(value, "instances")?.iter();
+        let endpoints: Vec<NamedEndpoint> =
+            entries.map(|entry| self.read_endpoint(entry, upstream)).collect::<Result<_, _>>()?;
         if scope == UpdateScope::Replace {
-            self.maintenance.replaced(&named.iter().map(|(name, _)| name.clone()).collect());
+            self.maintenance.replaced(&endpoints.iter().map(|endpoint| endpoint.name.clone()).collect());
         }
-        let nodes = named.into_iter().map(|(name, info)| self.maintenance.listed(&name, info)).collect();
+        let listed = |endpoint: NamedEndpoint| self.maintenance.listed(&endpoint.name, endpoint.info);
+        let nodes = endpoints.into_iter().map(listed).collect();
         self.generation = generation;
-        Ok((scope, nodes))
+        Ok(EndpointUpdate { scope, nodes })
     }
 
-    fn entry(&self, entry: &Value, upstream: &Upstream) -> Res<(String, NodeInfo)> {
-        let name = text(entry.get("instanceId"), "instanceId")?;
-        let address = text(entry.get("hostPort"), "hostPort")?;
-        let address = address.parse().map_err(|_| format!("'hostPort' {address} is no address"))?;
-        let zone = entry.get("zone").and_then(Value::as_str);
-        let zone = self.zones.iter().position(|z| Some(z.as_str()) == zone).unwrap_or(self.zones.len());
-        let listed = match text(entry.get("lifecycle"), "lifecycle")? {
+    fn read_endpoint(&self, entry: &Value, upstream: &Upstream) -> Result<NamedEndpoint, DiscoveryError> {
+        let name = string(entry.get("instanceId"), "instanceId")?;
+        let address = parse_address("hostPort", string(entry.get("hostPort"), "hostPort")?)?;
+        let zone = self.zone_index(entry.get("zone").and_then(Value::as_str));
+        let listed = match string(entry.get("lifecycle"), "lifecycle")? {
             "Ready" => Listed::Up,
             "Gone" => Listed::Removed,
-            // Whatever else a server may be, it is not to be sent new work.
+            // In any other state, known or not, a server must not get new work.
             _ => Listed::Draining,
         };
-        let cell = int(entry.get("cell"), "cell")?;
-        let cell = CellId::try_from(cell).map_err(|_| "'cell' is out of range")?;
-        let came_up = entry.get("startedAtMs").and_then(Value::as_i64).unwrap_or(0).saturating_mul(1_000_000);
+        let cell = integer(entry.get("cell"), "cell")?;
+        let cell = CellId::try_from(cell).map_err(|_| DiscoveryError::CellOutOfRange)?;
+        let started_at_ms = entry.get("startedAtMs").and_then(Value::as_i64).unwrap_or(0);
+        let started_at = started_at_ms.saturating_mul(NANOS_PER_MILLISECOND);
         let node = upstream.locate(name, address, cell);
-        Ok((name.to_owned(), NodeInfo { node, zone: zone as u32, cell, listed, started_at: came_up }))
+        let info = NodeInfo { node, zone, cell, listed, started_at };
+        Ok(NamedEndpoint { name: name.to_owned(), info })
+    }
+
+    /// The number of a zone; all zones that the settings do not name share the first number past theirs.
+    fn zone_index(&self, name: Option<&str>) -> u32 {
+        let position = self.zones.iter().position(|zone| Some(zone.as_str()) == name);
+        position.unwrap_or(self.zones.len()) as u32
+    }
+}
+
+/// A watch that discovery has accepted.
+struct OpenWatch {
+    source: SocketAddr,
+    response: CallResponse,
+}
+
+/// A call that opens a watch.
+type OpeningWatch = Pin<Box<dyn Future<Output = Result<OpenWatch, DiscoveryError>>>>;
+
+/// What a [`Follower`] waits for.
+enum Activity {
+    Message(Result<(SocketAddr, Message), DiscoveryError>),
+    CallEnded(Result<OpenWatch, DiscoveryError>),
+    Event(WatchEvent),
+}
+
+/// The task that carries out what [`DiscoveryWatch`] decides.
+struct Follower {
+    discovery: Discovery,
+    address: watch::Receiver<Option<SocketAddr>>,
+    exchange: Rc<Exchange<Upstream>>,
+    machine: DiscoveryWatch,
+    started: Instant,
+    watch: Option<OpenWatch>,
+    opening: Option<OpeningWatch>,
+}
+
+impl Follower {
+    async fn run(mut self) {
+        loop {
+            // Without discovery there is only the last known list, until a configuration names an address.
+            let Some(address) = *self.address.borrow() else {
+                if self.address.changed().await.is_err() {
+                    return;
+                }
+                continue;
+            };
+            let activity = self.next_activity().await;
+            let mut opened = None;
+            let event = self.handle(activity, &mut opened);
+            let now = self.started.elapsed().as_nanos() as Nanos;
+            for step in self.machine.on(now, event) {
+                self.perform(step, address, &mut opened);
+            }
+        }
+    }
+
+    async fn next_activity(&mut self) -> Activity {
+        let due = self.machine.due().map(|due| self.started + Duration::from_nanos(due.max(0) as u64));
+        tokio::select! {
+            biased;
+            message = next_message(&mut self.watch) => Activity::Message(message),
+            watch = call_end(&mut self.opening) => Activity::CallEnded(watch),
+            Ok(()) = self.address.changed() => Activity::Event(WatchEvent::Moved),
+            () = self.exchange.list_wanted() => Activity::Event(WatchEvent::ListWanted),
+            () = reach(due) => Activity::Event(WatchEvent::TimerDue),
+        }
+    }
+
+    /// Takes note of an activity: the event that it is for the state machine. A watch that has just opened goes to
+    /// `opened`, until the machine adopts it.
+    fn handle(&mut self, activity: Activity, opened: &mut Option<OpenWatch>) -> WatchEvent {
+        match activity {
+            Activity::Message(Ok((source, message))) => {
+                self.discovery.receive(message, source, &self.exchange);
+                WatchEvent::MessageReceived
+            }
+            Activity::Message(Err(error)) => {
+                log!("discovery: watch ended: {error}");
+                self.watch = None;
+                WatchEvent::Ended
+            }
+            Activity::CallEnded(ended) => {
+                self.opening = None;
+                match ended {
+                    Ok(watch) => {
+                        *opened = Some(watch);
+                        WatchEvent::Opened
+                    }
+                    Err(error) => {
+                        log!("discovery: call failed: {error}");
+                        WatchEvent::Failed
+                    }
+                }
+            }
+            Activity::Event(event) => event,
+        }
+    }
+
+    fn perform(&mut self, step: WatchStep, address: SocketAddr, opened: &mut Option<OpenWatch>) {
+        match step {
+            WatchStep::Call => self.call(address),
+            WatchStep::CancelCall => {
+                log!("discovery: call cancelled: no response in time");
+                self.opening = None;
+            }
+            WatchStep::Adopt => self.watch = opened.take(),
+            WatchStep::CloseWatch => {
+                log!("discovery: watch closed: no message in time");
+                self.watch = None;
+            }
+            WatchStep::ReportLost => self.exchange.update_endpoints(UpdateScope::Unavailable, Vec::new()),
+        }
+    }
+
+    fn call(&mut self, last_address: SocketAddr) {
+        // A configuration without an address leaves discovery where it was.
+        let address = self.address.borrow().unwrap_or(last_address);
+        let list_source = *self.discovery.list_source.get_or_insert(address);
+        // Another instance of discovery may count versions differently: from 0 on it sends everything.
+        let generation = if list_source == address { self.discovery.generation } else { 0 };
+        self.opening = Some(Box::pin(open_watch(address, generation)));
     }
 }
 
-/// Opens a watch on what changed after a version.
-async fn open(at: SocketAddr, after: i64) -> Res<Standing> {
-    let path = format!("/registry/instances?watch=1&after={after}");
-    let wait = Duration::from_nanos(CALL_TIMEOUT as u64);
-    let answer = call(at, Method::GET, &path, String::new(), DIAL, wait).await?;
-    match answer.status {
-        StatusCode::OK => Ok(Standing { at, answer }),
-        status => Err(format!("it answered {status}")),
+/// Opens a watch on the changes after a version of the list.
+async fn open_watch(address: SocketAddr, generation: i64) -> Result<OpenWatch, DiscoveryError> {
+    let path = format!("/registry/instances?watch=1&after={generation}");
+    let timeouts =
+        CallTimeouts { connect: CONNECT_TIMEOUT, response: Duration::from_nanos(CALL_TIMEOUT as u64) };
+    let response = call(address, Method::GET, &path, String::new(), timeouts).await?;
+    match response.status {
+        StatusCode::OK => Ok(OpenWatch { source: address, response }),
+        status => Err(DiscoveryError::Status(status)),
     }
 }
 
-/// The next message of the watch that stands; never, where there is none.
-async fn message(standing: &mut Option<Standing>) -> Res<(SocketAddr, Message)> {
-    match standing {
-        Some(standing) => standing.answer.next_message().await.map(|message| (standing.at, message)),
+/// The next message of the open watch; pending while none is open.
+async fn next_message(watch: &mut Option<OpenWatch>) -> Result<(SocketAddr, Message), DiscoveryError> {
+    match watch {
+        Some(watch) => Ok((watch.source, watch.response.next_message().await?)),
         None => std::future::pending().await,
     }
 }
 
-/// The end of the opening; never, where there is none.
-async fn ready(opening: &mut Option<Opening>) -> Res<Standing> {
+/// The outcome of the call under way; pending while there is none.
+async fn call_end(opening: &mut Option<OpeningWatch>) -> Result<OpenWatch, DiscoveryError> {
     match opening {
         Some(opening) => opening.await,
         None => std::future::pending().await,
     }
 }
 
-/// Returns at a moment; never, where there is none.
-async fn comes(due: Option<Instant>) {
+/// Completes at a moment; pending where there is none.
+async fn reach(due: Option<Instant>) {
     match due {
         Some(due) => sleep_until(due).await,
         None => std::future::pending().await,
     }
-    // If it was this process that stood still, what has come meanwhile is read first.
+    // Where the process itself was suspended, messages that arrived meanwhile are read first.
     yield_now().await;
 }
--- a/src/control/http_client.rs
+++ b/src/control/http_client.rs
@@ -1,5 +1,5 @@
-//! The program as a client of its helpers (discovery, etcd, an agent): one call on a connection of its own, and
-//! answers that come as messages.
+//! An HTTP client for control traffic: discovery, etcd, and the API of an agent. Each call opens a connection of its
+//! own. Responses may be read whole or as a stream of JSON messages.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
-use hyper::client::conn::http1::handshake;
+use hyper::client::conn::http1::{handshake, SendRequest};
 use hyper::header::{CONTENT_TYPE, HOST};
 use hyper::{Method, Request, StatusCode};
 use hyper_util::rt::TokioIo;
@@ -15,22 +15,62 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-use crate::config::settings::Res;
 use crate::control::json_stream::{Message, MessageReader};
 
-/// The longest message or whole answer that is taken in.
-const MAX_MESSAGE: usize = 8 << 20;
+/// The longest message of a stream, and the longest whole body, in bytes.
+const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
-/// An answer that is coming. Dropping it closes the connection.
+/// Why a call failed.
+#[derive(Debug, thiserror::Error)]
+pub enum HttpError {
+    /// The connection did not open in time.
+    #[error("no connection in time")]
+    ConnectTimeout,
+    /// The connection cannot be opened.
+    #[error(transparent)]
+    Connect(std::io::Error),
+    /// The request is not valid HTTP.
+    #[error(transparent)]
+    InvalidRequest(hyper::http::Error),
+    /// The connection failed while the request or the response was under way.
+    #[error(transparent)]
+    Connection(#[from] hyper::Error),
+    /// The response did not begin in time.
+    #[error("no answer in time")]
+    ResponseTimeout,
+    /// A message of the stream exceeds the limit on its length.
+    #[error("a message without end")]
+    MessageTooLong,
+    /// The stream of messages has ended.
+    #[error("it has ended")]
+    StreamEnded,
+    /// The body did not arrive in time.
+    #[error("it is silent")]
+    BodyTimeout,
+    /// The body broke off, or exceeds the limit on its length.
+    #[error(transparent)]
+    Body(Box<dyn std::error::Error + Send + Sync>),
+}
+
+/// How long the steps of a call may take.
+#[derive(Clone, Copy, Debug)]
+pub struct CallTimeouts {
+    /// Until the connection is open.
+    pub connect: Duration,
+    /// From then until the response begins.
+    pub response: Duration,
+}
+
+/// A response whose body is yet to arrive. Dropping it closes the connection.
 pub struct CallResponse {
-    /// Its status.
+    /// The status of the response.
     pub status: StatusCode,
     body: Incoming,
     messages: MessageReader,
     _task: ConnectionTask,
 }
 
-/// The task that drives a connection, for as long as it is of use.
+/// The task that drives a connection. Dropping it stops the task.
 struct ConnectionTask(JoinHandle<()>);
 
 impl Drop for ConnectionTask {
@@ -39,60 +79,72 @@
     }
 }
 
-/// Makes a call. `dial` bounds the connection's coming up, `wait` the time until the answer begins.
+/// Makes a call. A body that is not empty is sent as JSON.
 ///
 /// # Errors
-/// A plain sentence on what went wrong.
+/// [`HttpError`], where no response begins.
 pub async fn call(
     address: SocketAddr,
     method: Method,
     path: &str,
     body: String,
-    dial: Duration,
-    wait: Duration,
-) -> Res<CallResponse> {
-    let dialled = timeout(dial, TcpStream::connect(address)).await;
-    let stream = dialled.map_err(|_| "no connection in time")?.map_err(|e| e.to_string())?;
-    let (mut sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())?;
-    let task = ConnectionTask(tokio::task::spawn_local(async move {
-        // How it ends shows in the answer.
-        let _ = connection.await;
-    }));
+    timeouts: CallTimeouts,
+) -> Result<CallResponse, HttpError> {
+    let (mut sender, task) = connect(address, timeouts.connect).await?;
     let mut request = Request::builder().method(method).uri(path).header(HOST, address.to_string());
     if !body.is_empty() {
         request = request.header(CONTENT_TYPE, "application/json");
     }
-    let request = request.body(Full::new(Bytes::from(body)));
-    let sent = sender.send_request(request.map_err(|e| e.to_string())?);
-    let answer = timeout(wait, sent).await.map_err(|_| "no answer in time")?.map_err(|e| e.to_string())?;
-    let (status, body) = (answer.status(), answer.into_body());
-    Ok(CallResponse { status, body, messages: MessageReader::default(), _task: task })
+    let request = request.body(Full::new(Bytes::from(body))).map_err(HttpError::InvalidRequest)?;
+    let response = timeout(timeouts.response, sender.send_request(request)).await;
+    let response = response.map_err(|_| HttpError::ResponseTimeout)??;
+    Ok(CallResponse {
+        status: response.status(),
+        body: response.into_body(),
+        messages: MessageReader::default(),
+        _task: task,
+    })
+}
+
+async fn connect(
+    address: SocketAddr,
+    within: Duration,
+) -> Result<(SendRequest<Full<Bytes>>, ConnectionTask), HttpError> {
+    let connected = timeout(within, TcpStream::connect(address)).await;
+    let stream = connected.map_err(|_| HttpError::ConnectTimeout)?.map_err(HttpError::Connect)?;
+    let (sender, connection) = handshake(TokioIo::new(stream)).await?;
+    let task = tokio::task::spawn_local(async move {
+        // Its error also reaches whoever sends the request or reads the body.
+        let _ = connection.await;
+    });
+    Ok((sender, ConnectionTask(task)))
 }
 
 impl CallResponse {
-    /// The next message, however long it takes. Dropping the future loses nothing of it.
+    /// The next message of the stream, however long it takes. The future may be dropped without losing a message.
     ///
     /// # Errors
-    /// Where it is broken or without end, and where the answer has ended.
-    pub async fn next_message(&mut self) -> Res<Message> {
+    /// The stream has ended or broken off, or the message is too long.
+    pub async fn next_message(&mut self) -> Result<Message, HttpError> {
         loop {
             if let Some(message) = self.messages.pop() {
                 return Ok(message);
             }
-            if self.messages.buffered() > MAX_MESSAGE {
-                return Err("a message without end".to_owned());
+            if self.messages.buffered() > MAX_MESSAGE_BYTES {
+                return Err(HttpError::MessageTooLong);
             }
-            let frame = self.body.frame().await.ok_or("it has ended")?.map_err(|e| e.to_string())?;
-            self.messages.push(frame.data_ref().map_or(&[][..], |d| d));
+            let frame = self.body.frame().await.ok_or(HttpError::StreamEnded)??;
+            self.messages.push(frame.data_ref().map_or(&[][..], |data| data));
         }
     }
 
-    /// All of it.
+    /// The whole body.
     ///
     /// # Errors
-    /// Where it does not come whole, in time and within bounds.
-    pub async fn read_all(mut self, wait: Duration) -> Res<Vec<u8>> {
-        let whole = timeout(wait, Limited::new(&mut self.body, MAX_MESSAGE).collect()).await;
-        Ok(whole.map_err(|_| "it is silent")?.map_err(|e| e.to_string())?.to_bytes().to_vec())
+    /// The body does not arrive in time, breaks off, or is too long.
+    pub async fn read_all(mut self, within: Duration) -> Result<Vec<u8>, HttpError> {
+        let body = timeout(within, Limited::new(&mut self.body, MAX_MESSAGE_BYTES).collect()).await;
+        let body = body.map_err(|_| HttpError::BodyTimeout)?.map_err(HttpError::Body)?;
+        Ok(body.to_bytes().to_vec())
     }
 }
--- a/src/control/maintenance.rs
+++ b/src/control/maintenance.rs
@@ -1,160 +1,129 @@
-//! Chunk servers out by hand: the calls of the console onto [`Hand`], and the set written down in `$TMPDIR`, where a
-//! process started beside this one (a new version) finds it.
+//! Chunk servers in maintenance: changed by calls at the console, kept in a [`MaintenanceFile`] in `$TMPDIR`, and
+//! passed on to the scheduler as draining.
 //!
-//! The file is replaced whole by a rename, so that a reader never meets half of it. It is read at the start and
-//! every 250 ms; a change to it is held here too. A call takes a lock on a file beside it for its read, change and
-//! write, so that two processes called at once lose neither call.
+//! Versions of a front that run at the same time share the file. Each reads it at its start and then periodically,
+//! and takes over what another has changed.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
-use std::fs::{File, OpenOptions};
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 
-use nix::fcntl::{Flock, FlockArg};
-use simd_json::prelude::*;
 use tulipbridge_core::maintenance::{MaintenanceError, MaintenanceSet};
-use tulipbridge_core::{NodeInfo, UpdateScope};
+use tulipbridge_core::{Nanos, NodeInfo, UpdateScope};
 
+use crate::control::maintenance_file::{decode, encode, MaintenanceFile};
 use crate::exchange::Exchange;
 use crate::telemetry::log::log;
 use crate::upstream::Upstream;
 
-/// How often the file is read for what another process has changed.
-const LOOK: Duration = Duration::from_millis(250);
+/// How often the file is read for changes by other processes.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The servers held out, and where they are written down.
+/// The chunk servers in maintenance.
 pub struct Maintenance {
-    hand: RefCell<MaintenanceSet<String>>,
-    /// The file, where there is a place for it.
-    file: Option<PathBuf>,
-    /// What the file held when it was last read or written here.
-    seen: RefCell<Vec<u8>>,
+    set: RefCell<MaintenanceSet<String>>,
+    /// The file, where there is a folder for it.
+    file: Option<MaintenanceFile>,
+    /// The content of the file when it was last read or written here.
+    last_content: RefCell<Vec<u8>>,
     exchange: Rc<Exchange<Upstream>>,
 }
 
 impl Maintenance {
-    /// Holds out what the file for the front `name` in `folder` says, if anything.
+    /// Starts with the set in the file of the front `name` in `folder`, or an empty one where there is no file.
     pub fn new(folder: Option<PathBuf>, name: &str, exchange: Rc<Exchange<Upstream>>) -> Rc<Maintenance> {
-        let file = folder.map(|f| f.join(format!("tulipbridge-{name}-held.json")));
-        let maintenance = Maintenance { hand: RefCell::default(), file, seen: RefCell::default(), exchange };
-        let maintenance = Rc::new(maintenance);
+        let maintenance = Rc::new(Maintenance {
+            set: RefCell::default(),
+            file: folder.map(|folder| MaintenanceFile::new(&folder, name)),
+            last_content: RefCell::default(),
+            exchange,
+        });
         maintenance.sync();
         maintenance
     }
 
-    /// An entry of the list, as it came: gives what the module is to be told.
+    /// Records an entry of the endpoint list. Returns what the scheduler is to see of it.
     pub fn listed(&self, name: &str, info: NodeInfo) -> NodeInfo {
-        self.hand.borrow_mut().endpoint_listed(&name.to_owned(), info)
+        self.set.borrow_mut().endpoint_listed(&name.to_owned(), info)
     }
 
-    /// A whole list came with these names.
+    /// Records that a whole endpoint list with these names has arrived.
     pub fn replaced(&self, names: &BTreeSet<String>) {
-        self.hand.borrow_mut().list_replaced(names);
+        self.set.borrow_mut().list_replaced(names);
     }
 
-    /// Holds a server out; once this returns, nothing new goes to it.
+    /// Puts a server in maintenance: once this returns, it gets no new requests.
     ///
     /// # Errors
-    /// Where the list has never named it.
+    /// The endpoint list has never named it.
     pub fn enter(&self, name: &str) -> Result<(), MaintenanceError> {
-        self.change(|hand, _| hand.enter(&name.to_owned()))
+        self.change(|set, _| set.enter(&name.to_owned()))
     }
 
-    /// Lets a server back in, cold.
+    /// Ends a server's maintenance. It gets requests again after a slow start.
     ///
     /// # Errors
-    /// Where the list has never named it.
+    /// The endpoint list has never named it.
     pub fn exit(&self, name: &str) -> Result<(), MaintenanceError> {
-        self.change(|hand, now| hand.exit(&name.to_owned(), now))
+        self.change(|set, now| set.exit(&name.to_owned(), now))
     }
 
-    /// Reads the file every 250 ms for as long as the program runs.
+    /// Takes over changes by other processes, for as long as the program runs.
     pub async fn follow(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             self.sync();
         }
     }
 
     fn change(
         &self,
-        change: impl FnOnce(&mut MaintenanceSet<String>, i64) -> Result<Option<NodeInfo>, MaintenanceError>,
+        change: impl FnOnce(&mut MaintenanceSet<String>, Nanos) -> Result<Option<NodeInfo>, MaintenanceError>,
     ) -> Result<(), MaintenanceError> {
-        let lock = self.lock();
+        let lock = self.file.as_ref().and_then(MaintenanceFile::lock);
         self.sync();
         let now = self.exchange.now();
-        let told = change(&mut self.hand.borrow_mut(), now)?;
-        self.tell(told.into_iter().collect());
+        let changed = change(&mut self.set.borrow_mut(), now)?;
+        self.update_scheduler(changed.into_iter().collect());
         self.write();
         drop(lock);
         Ok(())
     }
 
-    /// Takes what the file says, where it has changed since it was last seen here.
+    /// Takes over the content of the file, where it differs from the last that was seen.
     fn sync(&self) {
         let Some(file) = &self.file else { return };
-        let Ok(mut bytes) = std::fs::read(file) else { return };
-        if *self.seen.borrow() == bytes {
+        let Some(content) = file.read() else { return };
+        if *self.last_content.borrow() == content {
             return;
         }
-        *self.seen.borrow_mut() = bytes.clone();
-        let Some(names) = read(&mut bytes) else {
-            log!("maintenance: {} cannot be read, and is passed over", file.display());
+        let names = decode(&content);
+        *self.last_content.borrow_mut() = content;
+        let Some(names) = names else {
+            log!("maintenance: {} cannot be read, and is passed over", file.path().display());
             return;
         };
-        let told = self.hand.borrow_mut().replace_set(&names, self.exchange.now());
-        self.tell(told);
+        let changed = self.set.borrow_mut().replace_set(&names, self.exchange.now());
+        self.update_scheduler(changed);
     }
 
-    fn tell(&self, told: Vec<NodeInfo>) {
-        if !told.is_empty() {
-            self.exchange.update_endpoints(UpdateScope::Update, told);
+    fn update_scheduler(&self, changed: Vec<NodeInfo>) {
+        if !changed.is_empty() {
+            self.exchange.update_endpoints(UpdateScope::Update, changed);
         }
     }
 
     fn write(&self) {
         let Some(file) = &self.file else { return };
-        let held: Vec<String> = self.hand.borrow().in_maintenance().cloned().collect();
-        let bytes = simd_json::json!({ "held": held }).encode().into_bytes();
-        let next = file.with_extension("json.next");
-        let written = std::fs::write(&next, &bytes).and_then(|()| std::fs::rename(&next, file));
-        match written {
-            Ok(()) => *self.seen.borrow_mut() = bytes,
-            Err(why) => {
-                log!("maintenance: cannot write {}: {why}; a new version would not know", file.display())
+        let content = encode(self.set.borrow().in_maintenance());
+        match file.replace(&content) {
+            Ok(()) => *self.last_content.borrow_mut() = content,
+            Err(error) => {
+                let path = file.path().display();
+                log!("maintenance: cannot write {path}: {error}; a new version would not know");
             }
         }
     }
-
-    /// A lock on the file beside the set, for as long as it lives; none where there is no file.
-    fn lock(&self) -> Option<Flock<File>> {
-        let file = self.file.as_ref()?.with_extension("lock");
-        let opened = OpenOptions::new().create(true).truncate(false).write(true).open(file).ok()?;
-        Flock::lock(opened, FlockArg::LockExclusive).ok()
-    }
-}
-
-/// The names in a file of servers held out; `None` where it is not one.
-fn read(bytes: &mut [u8]) -> Option<BTreeSet<String>> {
-    let value = simd_json::to_owned_value(bytes).ok()?;
-    let held = value.get("held")?.as_array()?;
-    held.iter().map(|name| name.as_str().map(str::to_owned)).collect()
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_file_is_read_whole_or_not_at_all() {
-        assert_eq!(
-            read(&mut br#"{"held":["s-1","s-2"]}"#.to_vec()),
-            Some(BTreeSet::from(["s-1".into(), "s-2".into()]))
-        );
-        assert_eq!(read(&mut br#"{"held":["s-1","#.to_vec()), None);
-        assert_eq!(read(&mut br#"{"held":["s-1",3]}"#.to_vec()), None);
-        assert_eq!(read(&mut Vec::new()), None);
-    }
 }
--- /dev/null
+++ b/src/control/maintenance_file.rs
@@ -0,0 +1,64 @@
+//! The file that tells other versions of a front on the same machine which chunk servers are in maintenance.
+//!
+//! It is replaced as a whole by a rename, so that no reader sees a part of it. Who changes the set holds a lock on a
+//! second file while it reads, changes and writes, so that concurrent changes are not lost.
+
+use std::collections::BTreeSet;
+use std::fs::{File, OpenOptions};
+use std::io;
+use std::path::{Path, PathBuf};
+
+use nix::fcntl::{Flock, FlockArg};
+use simd_json::prelude::*;
+
+/// The file of one front.
+pub struct MaintenanceFile {
+    path: PathBuf,
+}
+
+impl MaintenanceFile {
+    /// The file of the front with this name in a folder. It need not exist.
+    pub fn new(folder: &Path, front: &str) -> MaintenanceFile {
+        MaintenanceFile { path: folder.join(format!("tulipbridge-{front}-held.json")) }
+    }
+
+    /// Where the file is.
+    pub fn path(&self) -> &Path {
+        &self.path
+    }
+
+    /// The content of the file; `None` where there is none that can be read.
+    pub fn read(&self) -> Option<Vec<u8>> {
+        std::fs::read(&self.path).ok()
+    }
+
+    /// Replaces the file.
+    ///
+    /// # Errors
+    /// The system's, where the file cannot be written.
+    pub fn replace(&self, content: &[u8]) -> io::Result<()> {
+        let next = self.path.with_extension("json.next");
+        std::fs::write(&next, content)?;
+        std::fs::rename(&next, &self.path)
+    }
+
+    /// Waits for the lock on the set and holds it for as long as the result lives; `None` where there can be no lock.
+    pub fn lock(&self) -> Option<Flock<File>> {
+        let path = self.path.with_extension("lock");
+        let file = OpenOptions::new().create(true).truncate(false).write(true).open(path).ok()?;
+        Flock::lock(file, FlockArg::LockExclusive).ok()
+    }
+}
+
+/// The content of the file for a set of server names.
+pub fn encode<'a>(names: impl Iterator<Item = &'a String>) -> Vec<u8> {
+    let names: Vec<&String> = names.collect();
+    simd_json::json!({ "held": names }).encode().into_bytes()
+}
+
+/// The server names in the content of a file; `None` where it is not a valid one.
+pub fn decode(content: &[u8]) -> Option<BTreeSet<String>> {
+    let value = simd_json::to_owned_value(&mut content.to_vec()).ok()?;
+    let names = value.get("held")?.as_array()?;
+    names.iter().map(|name| name.as_str().map(str::to_owned)).collect()
+}
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,9 +1,9 @@
-//! The control side: the agent that runs many fronts, the operators' console, maintenance and discovery.
+//! The control plane: discovery, the operators' console, maintenance, and the agent that runs many fronts.
 
 pub mod agent;
 pub mod console;
 pub mod discovery;
-pub mod etcd;
 pub mod http_client;
 pub mod json_stream;
 pub mod maintenance;
+pub mod maintenance_file;
--- /dev/null
+++ b/src/front/assembly.rs
@@ -0,0 +1,167 @@
+//! Assembles the parts behind a front and starts their background tasks.
+
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::sync::watch;
+use tokio::task::spawn_local;
+use tulipbridge_core::{Nanos, Settings};
+
+use crate::cluster::peers::Peers;
+use crate::config::Config;
+use crate::control::console::{self, Console, ConsoleParts};
+use crate::control::discovery::Discovery;
+use crate::control::maintenance::Maintenance;
+use crate::exchange::Exchange;
+use crate::front::error::FrontError;
+use crate::frontend::listener::{BodyBudget, ListenerState};
+use crate::telemetry::metrics::Metrics;
+use crate::upstream::{Upstream, MAX_BODY};
+
+/// File descriptors that are not connections with clients or chunk servers: those of the runtime, the log, the
+/// listeners, discovery, one file, and the console's connections, of which there are at most
+/// [`console::MAX_CONNECTIONS`].
+const RESERVED_DESCRIPTORS: usize = 24;
+const _: () = assert!(console::MAX_CONNECTIONS <= RESERVED_DESCRIPTORS / 2);
+/// The smallest number of connections, whatever the limits of the process.
+const MIN_CONNECTIONS: usize = 32;
+/// Request bodies may take the memory of the process divided by this.
+const BODY_MEMORY_DIVISOR: usize = 4;
+/// How often expired connections to chunk servers are closed.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The parts behind a front.
+pub struct FrontParts {
+    /// Schedules requests and sends their attempts.
+    pub exchange: Rc<Exchange<Upstream>>,
+    /// The chunk servers in maintenance.
+    pub maintenance: Rc<Maintenance>,
+    /// The front's metrics.
+    pub metrics: Rc<Metrics>,
+    /// The state that the listener shares with the console.
+    pub listener_state: ListenerState,
+    /// The front's peers, where it has any.
+    pub peers: Option<Rc<Peers>>,
+    /// The most connections with clients.
+    pub max_clients: usize,
+}
+
+/// Assembles the parts behind a front, with discovery at the address that `discovery_address` publishes.
+///
+/// # Errors
+/// The configuration is invalid, or a socket cannot be opened.
+pub fn assemble(
+    config: &Config,
+    discovery_address: watch::Receiver<Option<SocketAddr>>,
+) -> Result<FrontParts, FrontError> {
+    let limits = ConnectionLimits::new(config);
+    let upstream = Upstream::new(config.dial_timeout, config.idle_close, limits.servers);
+    let exchange = Exchange::new(config.settings.clone(), config.seed, upstream)?;
+    let metrics = Rc::new(Metrics::new());
+    // Before the first endpoint list, since the peers follow every list.
+    let peers = join_peers(config, &exchange, &metrics)?;
+    let state_folder = std::env::var_os("TMPDIR").map(PathBuf::from);
+    let maintenance = Maintenance::new(state_folder, &config.name, Rc::clone(&exchange));
+    start_discovery(config, discovery_address, &exchange, &maintenance)?;
+    spawn_local(Rc::clone(&maintenance).follow());
+    spawn_local(sweep(Rc::clone(&exchange)));
+    let parts = FrontParts {
+        exchange,
+        maintenance,
+        metrics,
+        listener_state: ListenerState {
+            body_budget: Some(BodyBudget::new(config.memory_bytes / BODY_MEMORY_DIVISOR)),
+            ..ListenerState::default()
+        },
+        peers,
+        max_clients: limits.clients,
+    };
+    if let Some(address) = config.console {
+        start_console(address, &parts)?;
+    }
+    Ok(parts)
+}
+
+/// How many connections a front may hold on each side.
+struct ConnectionLimits {
+    clients: usize,
+    servers: usize,
+}
+
+impl ConnectionLimits {
+    /// Divides the descriptors of the process. Memory bounds them too, at one body in each direction. Connections to
+    /// chunk servers are pooled, so that side gets the smaller part.
+    fn new(config: &Config) -> ConnectionLimits {
+        let by_descriptors = config.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS);
+        let by_memory = config.memory_bytes / (2 * MAX_BODY);
+        let connections = by_descriptors.min(by_memory).max(MIN_CONNECTIONS);
+        let servers = connections * 2 / 5;
+        ConnectionLimits { clients: connections - servers, servers }
+    }
+}
+
+fn join_peers(
+    config: &Config,
+    exchange: &Rc<Exchange<Upstream>>,
+    metrics: &Metrics,
+) -> Result<Option<Rc<Peers>>, FrontError> {
+    let Some(peers) = config.peers.clone() else { return Ok(None) };
+    let joined = Peers::join(peers, config.classes.clone(), exchange, metrics);
+    joined.map(Some).map_err(FrontError::Peers)
+}
+
+/// Restores the last known endpoint list and follows discovery from there.
+fn start_discovery(
+    config: &Config,
+    address: watch::Receiver<Option<SocketAddr>>,
+    exchange: &Rc<Exchange<Upstream>>,
+    maintenance: &Rc<Maintenance>,
+) -> Result<(), FrontError> {
+    let mut discovery = Discovery {
+        first_call: max_first_call_delay(&config.settings),
+        phase: fastrand::Rng::with_seed(config.seed).f64(),
+        zones: config.zones.clone(),
+        generation: 0,
+        list_source: None,
+        maintenance: Rc::clone(maintenance),
+    };
+    discovery.restore(&config.known_endpoints, exchange).map_err(FrontError::KnownEndpoints)?;
+    spawn_local(discovery.follow(address, Rc::clone(exchange)));
+    Ok(())
+}
+
+/// How long a starting front may wait before it calls discovery. Where lists are pushed, a front is expected to know
+/// from the first moment what discovery has. Where lists are polled, it is expected to know a list only after a poll
+/// interval without a call; the scheduler asks for its first list within half of that, at a time that differs from
+/// front to front.
+fn max_first_call_delay(settings: &Settings) -> Nanos {
+    if settings.polls_discovery {
+        settings.poll_interval / 2
+    } else {
+        0
+    }
+}
+
+/// Closes expired connections to chunk servers, for as long as the program runs.
+async fn sweep(exchange: Rc<Exchange<Upstream>>) {
+    loop {
+        tokio::time::sleep(SWEEP_INTERVAL).await;
+        exchange.transport().sweep();
+    }
+}
+
+fn start_console(address: SocketAddr, parts: &FrontParts) -> Result<(), FrontError> {
+    let listener = console::listen(address)?;
+    let console = Console::new(ConsoleParts {
+        accepting: Rc::clone(&parts.listener_state.accepting),
+        active_requests: Rc::clone(&parts.listener_state.active_requests),
+        metrics: Rc::clone(&parts.metrics),
+        exchange: Rc::clone(&parts.exchange),
+        maintenance: Rc::clone(&parts.maintenance),
+        peers: parts.peers.clone(),
+    });
+    spawn_local(console.serve(listener));
+    Ok(())
+}
--- /dev/null
+++ b/src/front/error.rs
@@ -0,0 +1,30 @@
+//! Why a front cannot start.
+
+use tulipbridge_core::SettingsError;
+
+use crate::control::console::ConsoleError;
+use crate::control::discovery::DiscoveryError;
+use crate::runtime::RuntimeError;
+
+/// Why a front cannot start.
+#[derive(Debug, thiserror::Error)]
+pub enum FrontError {
+    /// The runtime cannot start, or a signal cannot be handled.
+    #[error(transparent)]
+    Runtime(#[from] RuntimeError),
+    /// The scheduler rejects the settings.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// The address for clients cannot be used.
+    #[error("{0}")]
+    Listen(String),
+    /// The front cannot join its peers.
+    #[error("{0}")]
+    Peers(String),
+    /// The last known endpoint list is invalid.
+    #[error("'known': {0}")]
+    KnownEndpoints(#[source] DiscoveryError),
+    /// The operators' console cannot be opened.
+    #[error(transparent)]
+    Console(#[from] ConsoleError),
+}
--- /dev/null
+++ b/src/front/mod.rs
@@ -0,0 +1,54 @@
+//! A front of the platform: assembled from its parts, and run until a signal ends it.
+
+pub mod assembly;
+pub mod discovery_address;
+pub mod error;
+
+use std::cell::RefCell;
+use std::rc::Rc;
+
+use tokio::sync::watch;
+use tokio::task::spawn_local;
+
+use crate::config::reload::SettingsReload;
+use crate::config::Config;
+use crate::front::assembly::assemble;
+use crate::front::error::FrontError;
+use crate::frontend::listener::{listen, Listener};
+use crate::frontend::platform::{PlatformFront, RequestTables};
+use crate::runtime::{hangup_signal, on_one_thread, shutdown_signal};
+
+/// Runs a front on one thread, until SIGTERM or SIGINT.
+///
+/// # Errors
+/// The configuration is invalid, or the system does not give what the front needs.
+pub fn run(config: Config) -> Result<(), FrontError> {
+    on_one_thread(serve(config))
+}
+
+async fn serve(config: Config) -> Result<(), FrontError> {
+    // Before anything else, so that no signal arrives unhandled.
+    let shutdown = shutdown_signal()?;
+    let hangup = hangup_signal()?;
+    // Before the listener opens, so that no client connects to a front that cannot run.
+    config.settings.check()?;
+    let listener = listen(config.listen).await.map_err(FrontError::Listen)?;
+    let (discovery, discovery_address) = watch::channel(config.discovery);
+    let parts = assemble(&config, discovery_address)?;
+    let tables = Rc::new(RefCell::new(RequestTables::new(&config, &parts.metrics)));
+    let reload = SettingsReload {
+        exchange: Rc::clone(&parts.exchange),
+        tables: Rc::clone(&tables),
+        metrics: Rc::clone(&parts.metrics),
+        discovery,
+        current: config.raw_settings,
+        peers: parts.peers.clone(),
+    };
+    spawn_local(reload.follow(hangup, Config::reread_from_env));
+    let handler = PlatformFront::new(Rc::clone(&parts.exchange), tables);
+    Listener::new(handler, parts.max_clients, parts.listener_state).serve(listener, shutdown).await;
+    if let Some(peers) = &parts.peers {
+        peers.shut_down();
+    }
+    Ok(())
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
-//! tulipbridge is a storage front: it stands between clients and chunk servers, and decides when, where and
-//! whether each request goes out. The decisions are in [`tulipbridge_core`], which does no I/O; here are the
-//! sockets round them, the configuration and the commands.
+//! tulipbridge is a storage front: it accepts requests from clients and decides when, where and whether each goes to a
+//! chunk server. The decisions are made in [`tulipbridge_core`], which does no I/O. This crate adds the sockets, the
+//! configuration and the commands.
 
 pub mod cli;
 pub mod cluster;
@@ -10,6 +10,7 @@
 pub mod front;
 pub mod frontend;
 pub mod object;
+pub mod runtime;
 pub mod telemetry;
 pub mod upstream;
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program; all of it is in the library.
+//! The `tulipbridge` program. All of its code is in the library.
 
 fn main() -> std::process::ExitCode {
     tulipbridge::cli::main()
--- a/src/object/config.rs
+++ b/src/object/config.rs
@@ -1,138 +1,162 @@
-//! The object front's file: a front's configuration and the buckets it serves.
+//! The configuration of an object front: that of any front, and the buckets it serves.
 
 use std::collections::HashMap;
 use std::path::Path;
 
 use simd_json::prelude::*;
+use simd_json::OwnedValue as Value;
 use tulipbridge_core::Semantics;
 
 use crate::config;
-use crate::config::settings::{num, text, Res};
+use crate::config::json::{self, parse_hex, positive_number_or, string, JsonError, Kind};
 
-/// Bytes of a unit where a bucket does not say.
-const UNIT_BYTES: f64 = 16.0 * 1024.0;
+/// The size of a unit of work, in bytes, where a bucket does not say.
+const DEFAULT_UNIT_BYTES: f64 = 16.0 * 1024.0;
+/// The number of fronts through which a bucket's requests come, where it does not say.
+const DEFAULT_FRONTS: f64 = 1.0;
 
-/// What an object front is told.
+/// Why the configuration of an object front cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// The file cannot be read.
+    #[error("cannot read {path}: {source}")]
+    Unreadable {
+        /// The path of the file.
+        path: String,
+        /// The system's reason.
+        source: std::io::Error,
+    },
+    /// The content of the file is invalid.
+    #[error("{path}: {source}")]
+    InFile {
+        /// The path of the file.
+        path: String,
+        /// What is wrong with the content.
+        source: Box<ConfigError>,
+    },
+    /// The part that any front has is invalid.
+    #[error(transparent)]
+    Base(#[from] config::error::ConfigError),
+    /// A value is missing or invalid.
+    #[error(transparent)]
+    Json(#[from] JsonError),
+    /// A bucket is invalid.
+    #[error("bucket {name}: {source}")]
+    Bucket {
+        /// The name of the bucket.
+        name: String,
+        /// What is wrong with it.
+        source: BucketError,
+    },
+}
+
+/// Why a bucket cannot be served.
+#[derive(Debug, thiserror::Error)]
+pub enum BucketError {
+    /// A value is missing or invalid.
+    #[error(transparent)]
+    Json(#[from] JsonError),
+    /// The class or plan is not among those of the settings.
+    #[error("'{key}' {name} is not in the settings")]
+    NotInSettings {
+        /// The key of the bucket that names it.
+        key: String,
+        /// Its name.
+        name: String,
+    },
+    /// The class for writes allows them to be repeated, which could store an object twice.
+    #[error("the class in 'write' may be repeated, and writes must not be")]
+    RepeatableWrites,
+    /// The class for reads does not allow them to be repeated.
+    #[error("the class in 'read' must be one that may be repeated")]
+    UnrepeatableReads,
+}
+
+/// The configuration of an object front.
 pub struct Config {
-    /// What any front is told; `listen` is this front's own.
+    /// What any front has; `listen` is the address of this front's object API.
     pub base: config::Config,
-    /// The buckets by name.
+    /// The buckets by their names.
     pub buckets: HashMap<String, Bucket>,
 }
 
-/// How a bucket's requests stand towards the module.
+/// How requests to a bucket are scheduled.
 #[derive(Clone, Debug)]
 pub struct Bucket {
-    /// Its volume.
+    /// The volume that the bucket's requests count towards.
     pub volume: u64,
-    /// Its plan.
+    /// The number of its plan.
     pub plan: usize,
-    /// Class of what may be repeated: reads, and deletions, which do no more the second time.
+    /// The number of the class for requests that may be repeated: reads, and deletions, which are idempotent.
     pub read: usize,
-    /// Class of what must not run twice.
+    /// The number of the class for requests that must not run twice.
     pub write: usize,
-    /// Bytes that count as one unit.
+    /// The size of a unit of work, in bytes.
     pub unit_bytes: f64,
-    /// Through how many fronts it works.
+    /// The number of fronts through which its requests come.
     pub hosts: u32,
 }
 
 impl Config {
-    /// Reads the file.
+    /// Reads a configuration file.
     ///
     /// # Errors
-    /// A plain sentence on what is missing or wrong.
-    pub fn from_file(file: &Path) -> Res<Config> {
-        let bytes = std::fs::read(file).map_err(|e| format!("cannot read {}: {e}", file.display()))?;
-        Config::read(&bytes).map_err(|why| format!("{}: {why}", file.display()))
+    /// The file cannot be read, or a value in it is missing or invalid.
+    pub fn from_file(file: &Path) -> Result<Config, ConfigError> {
+        let path = file.display().to_string();
+        let content = match std::fs::read(file) {
+            Ok(content) => content,
+            Err(source) => return Err(ConfigError::Unreadable { path, source }),
+        };
+        Config::read(&content).map_err(|error| ConfigError::InFile { path, source: Box::new(error) })
     }
 
-    /// Reads a configuration.
+    /// Reads a configuration from its JSON text.
     ///
     /// # Errors
-    /// A plain sentence on what is missing or wrong.
-    pub fn read(json: &[u8]) -> Res<Config> {
-        let base = config::Config::read(&mut json.to_vec(), |_| None)?;
-        let value = simd_json::to_owned_value(&mut json.to_vec()).map_err(|e| format!("not JSON: {e}"))?;
-        let told = value.get("buckets").and_then(|b| b.as_object()).ok_or("'buckets' must be an object")?;
+    /// The first value that is missing or invalid.
+    pub fn read(json: &[u8]) -> Result<Config, ConfigError> {
+        // The environment is for the platform's front only.
+        let base = config::Config::read(json, |_| None)?;
+        let document = json::parse(json)?;
+        let entries = document.get("buckets").and_then(|buckets| buckets.as_object());
+        let entries = entries.ok_or_else(|| JsonError::wrong_kind("buckets", Kind::Object))?;
         let mut buckets = HashMap::new();
-        for (name, bucket) in told.iter() {
-            let read = Bucket::read(bucket, &base).map_err(|why| format!("bucket {name}: {why}"))?;
-            buckets.insert(name.clone(), read);
+        for (name, entry) in entries {
+            let bucket = Bucket::read(entry, &base);
+            let in_bucket = |source| ConfigError::Bucket { name: name.clone(), source };
+            buckets.insert(name.clone(), bucket.map_err(in_bucket)?);
         }
         Ok(Config { base, buckets })
     }
 }
 
 impl Bucket {
-    fn read(value: &simd_json::OwnedValue, base: &config::Config) -> Res<Bucket> {
-        let place = |names: &[String], key: &str| {
-            let name = text(value.get(key), key)?;
-            let found = names.iter().position(|n| n == name);
-            found.ok_or_else(|| format!("'{key}' {name} is not in the settings"))
-        };
-        let volume = text(value.get("volume"), "volume")?;
-        let (read, write) = (place(&base.classes, "read")?, place(&base.classes, "write")?);
-        // A write that is repeated on a doubt could store twice; the settings must not allow it.
+    fn read(entry: &Value, base: &config::Config) -> Result<Bucket, BucketError> {
+        let volume = string(entry.get("volume"), "volume")?;
+        let read = index_of(entry, "read", &base.classes)?;
+        let write = index_of(entry, "write", &base.classes)?;
+        // A write repeated after an uncertain outcome could store twice; the settings must not allow it.
         if base.settings.classes[write].semantics == Semantics::Idempotent {
-            return Err("the class in 'write' may be repeated, and writes must not be".to_owned());
+            return Err(BucketError::RepeatableWrites);
         }
         if base.settings.classes[read].semantics != Semantics::Idempotent {
-            return Err("the class in 'read' must be one that may be repeated".to_owned());
+            return Err(BucketError::UnrepeatableReads);
         }
-        let or = |told: f64, usual: f64| if told > 0.0 { told } else { usual };
         Ok(Bucket {
-            volume: u64::from_str_radix(volume, 16)
-                .map_err(|_| format!("'volume' {volume} is not in hex digits"))?,
-            plan: place(&base.plans, "plan")?,
+            volume: parse_hex("volume", volume)?,
+            plan: index_of(entry, "plan", &base.plans)?,
             read,
             write,
-            unit_bytes: or(num(value, "unit_bytes")?, UNIT_BYTES),
-            hosts: or(num(value, "hosts")?, 1.0) as u32,
+            unit_bytes: positive_number_or(entry, "unit_bytes", DEFAULT_UNIT_BYTES)?,
+            hosts: positive_number_or(entry, "hosts", DEFAULT_FRONTS)? as u32,
         })
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const FILE: &str = include_str!("../../deploy/object.json");
-
-    #[test]
-    fn the_file_under_deploy_holds() {
-        let config = Config::read(FILE.as_bytes()).expect("it holds");
-        assert_eq!(config.buckets["formularios"].volume, 0x0003_b4d6_0021);
-        assert_eq!(config.base.discovery, None);
-    }
-
-    #[test]
-    fn the_file_with_peers_holds_and_what_is_wrong_in_it_is_named_by_line_and_path() {
-        let file = include_str!("../../deploy/object-peers.json");
-        let config = Config::read(file.as_bytes()).expect("it holds");
-        assert_eq!(config.base.peers.map(|p| (p.limits_config.me, p.limits_config.fronts)), Some((0, 3)));
-        for (from, to, said) in [
-            ("127.0.0.1:7402", "nowhere", "line 11: 'peers.roster[1].address' nowhere is no address"),
-            (
-                "\"object-1\", \"address\"",
-                "\"object-9\", \"address\"",
-                "line 9: 'peers.roster' does not name this front, object-1",
-            ),
-            ("\"floor\"", "\"flor\"", "line 8: 'peers.flor' is not known"),
-        ] {
-            let told = Config::read(file.replacen(from, to, 1).as_bytes()).err().unwrap_or_default();
-            assert!(told.starts_with(said), "{told}");
-        }
-    }
-
-    #[test]
-    fn a_write_that_may_be_repeated_is_refused() {
-        for (from, to) in [
-            ("\"write\": \"form-submit\"", "\"write\": \"form-read\""),
-            ("\"plan\": \"normal\"", "\"plan\": 3"),
-        ] {
-            let told = Config::read(FILE.replacen(from, to, 1).as_bytes());
-            assert!(told.err().is_some_and(|why| why.starts_with("bucket formularios: ")), "{to}");
-        }
-    }
+/// The position in `names` of the name under `key`.
+fn index_of(entry: &Value, key: &str, names: &[String]) -> Result<usize, BucketError> {
+    let name = string(entry.get(key), key)?;
+    let position = names.iter().position(|other| other == name);
+    position.ok_or_else(|| BucketError::NotInSettings { key: key.to_owned(), name: name.to_owned() })
 }
--- a/src/object/mod.rs
+++ b/src/object/mod.rs
@@ -13,7 +13,8 @@
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
-use std::path::Path;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -26,13 +27,15 @@
 use tulipbridge_core::CellId;
 
 use crate::cluster::peers::Peers;
-use crate::config::settings::Res;
 use crate::exchange::{Exchange, FinalResponse};
-use crate::front::{assemble, on_one_thread, shutdown_signal, watch_discovery_address};
+use crate::front::assembly::assemble;
+use crate::front::discovery_address::watch_discovery_address;
+use crate::front::error::FrontError;
 use crate::frontend::listener::{listen, plain, Handler, Listener, ReceivedRequest, Reply};
+use crate::runtime::{on_one_thread, shutdown_signal, RuntimeError};
 use crate::upstream::{Accepts, Answer, Payload, Upstream, MAX_BODY};
 
-pub use config::{Bucket, Config};
+pub use config::{Bucket, BucketError, Config, ConfigError};
 
 const VERSION_ID: HeaderName = HeaderName::from_static("x-amz-version-id");
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-amz-request-id");
@@ -48,34 +51,62 @@
     "if-none-match",
 ];
 
-/// Runs an object front as its file says, on one thread, until SIGTERM or SIGINT.
+/// Why an object front cannot start, or cannot change to a new configuration.
+#[derive(Debug, thiserror::Error)]
+pub enum ObjectFrontError {
+    /// The configuration cannot be used.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// A part of the front cannot start.
+    #[error(transparent)]
+    Front(#[from] FrontError),
+    /// The runtime cannot start, or a signal cannot be handled.
+    #[error(transparent)]
+    Runtime(#[from] RuntimeError),
+    /// The section on peers changes what only a restart can change.
+    #[error("{0}")]
+    Peers(String),
+}
+
+/// The front's peers: none before they have joined, and where the configuration names none.
+type SharedPeers = Rc<RefCell<Option<Rc<Peers>>>>;
+
+/// Runs an object front on one thread, until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// A plain sentence on a configuration that cannot hold.
-pub fn run(file: &Path) -> Res<()> {
+/// The configuration is invalid, or the system does not give what the front needs.
+pub fn run(file: &Path) -> Result<(), ObjectFrontError> {
     let config = Config::from_file(file)?;
-    on_one_thread(async move {
-        let shutdown = shutdown_signal()?;
-        let file = file.to_owned();
-        let peers: Rc<RefCell<Option<Rc<Peers>>>> = Rc::default();
-        let joined = Rc::clone(&peers);
-        let moved = watch_discovery_address(config.base.discovery, move || {
-            let base = Config::from_file(&file)?.base;
-            if let Some(joined) = &*joined.borrow() {
-                joined.check(base.peers.as_ref())?;
-                base.peers.into_iter().for_each(|told| joined.reload(told));
-            }
-            Ok(base.discovery)
-        })?;
-        config.base.settings.check().map_err(|e| e.to_string())?;
-        let listener = listen(config.base.listen).await?;
-        let parts = assemble(&config.base, moved)?;
-        peers.borrow_mut().clone_from(&parts.peers);
-        let front = ObjectFront::new(parts.exchange, config);
-        Listener::new(front, parts.max_clients, parts.listener_state).serve(listener, shutdown).await;
-        parts.peers.iter().for_each(|peers| peers.shut_down());
-        Ok(())
-    })
+    on_one_thread(serve(config, file.to_owned()))
+}
+
+async fn serve(config: Config, file: PathBuf) -> Result<(), ObjectFrontError> {
+    let shutdown = shutdown_signal()?;
+    let peers = SharedPeers::default();
+    let joined = Rc::clone(&peers);
+    let discovery_address = watch_discovery_address(config.base.discovery, move || reload(&file, &joined))?;
+    config.base.settings.check().map_err(FrontError::from)?;
+    let listener = listen(config.base.listen).await.map_err(FrontError::Listen)?;
+    let parts = assemble(&config.base, discovery_address)?;
+    peers.borrow_mut().clone_from(&parts.peers);
+    let front = ObjectFront::new(parts.exchange, config);
+    Listener::new(front, parts.max_clients, parts.listener_state).serve(listener, shutdown).await;
+    if let Some(peers) = &parts.peers {
+        peers.shut_down();
+    }
+    Ok(())
+}
+
+/// Reads the configuration again. The peers take over their section of it, and the caller the address of discovery.
+fn reload(file: &Path, peers: &SharedPeers) -> Result<Option<SocketAddr>, ObjectFrontError> {
+    let base = Config::from_file(file)?.base;
+    if let Some(peers) = &*peers.borrow() {
+        peers.check(base.peers.as_ref()).map_err(ObjectFrontError::Peers)?;
+        if let Some(config) = base.peers {
+            peers.reload(config);
+        }
+    }
+    Ok(base.discovery)
 }
 
 /// The object API's front.
