--- a/src/telemetry/log.rs
+++ b/src/telemetry/log.rs
@@ -1,13 +1,15 @@
-//! Lines for the operators, on standard error.
+//! Log lines for operators, on standard error.
 
+use std::fmt::Arguments;
 use std::io::Write;
 
-/// Writes a line. A log that nobody reads any more must not bring a front down, as `eprintln` would.
-pub fn line(text: std::fmt::Arguments<'_>) {
+/// Writes a log line.
+pub fn line(text: Arguments<'_>) {
+    // Unlike `eprintln`, ignores errors: a front must survive a log that nobody reads any more.
     let _ = writeln!(std::io::stderr(), "{text}");
 }
 
-/// Writes a line for the operators, formatted as by `format`.
+/// Writes a log line, formatted as by `format`.
 macro_rules! log {
     ($($text:tt)*) => { $crate::telemetry::log::line(format_args!($($text)*)) };
 }
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -1,24 +1,29 @@
-//! The figures that operators scrape, in the Prometheus text format. Each is counted where its event happens;
-//! what is read from state (`app_cluster_size`, `app_cluster_unhealthy`) is read from the module itself at the
-//! scrape.
+//! The metrics of a front, in the Prometheus text format. Counters are incremented where their events happen. Gauges
+//! are read from the front's state at each scrape.
 
+use prometheus::core::Collector;
 use prometheus::{Encoder, IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder};
 
-/// The figures of one class.
+const VALID_NAME: &str = "the name is valid";
+const UNIQUE_NAME: &str = "the name is registered once";
+
+/// The metrics of one class of requests.
 #[derive(Clone)]
 pub struct ClassMetrics {
-    /// Requests served.
+    /// Requests that were served.
     pub answered: IntCounter,
-    /// Requests refused: 429 or 503.
+    /// Requests that were rejected, with status 429 or 503.
     pub deferred: IntCounter,
-    /// Requests failed: any other answer.
+    /// Requests that failed, with any other status.
     pub errored: IntCounter,
-    /// Attempts written whole to chunk servers, of this class and of all.
-    sends: [IntCounter; 2],
+    /// Attempts that were sent in full to chunk servers.
+    sends: IntCounter,
+    /// The same over all classes.
+    total_sends: IntCounter,
 }
 
 impl ClassMetrics {
-    /// Counts a final answer by its status.
+    /// Counts the final answer to a request by its HTTP status.
     pub fn count_answer(&self, status: u16) {
         match status {
             200..=299 => self.answered.inc(),
@@ -27,33 +32,34 @@
         }
     }
 
-    /// Counts an attempt whose last byte is written.
+    /// Counts an attempt whose last byte has been sent.
     pub fn count_send(&self) {
-        self.sends.iter().for_each(IntCounter::inc);
+        self.sends.inc();
+        self.total_sends.inc();
     }
 }
 
-/// All figures of a front.
+/// All metrics of a front.
 pub struct Metrics {
     registry: Registry,
     transactions: IntCounterVec,
     sends: IntCounter,
-    current: IntGauge,
+    active_requests: IntGauge,
     cluster_size: IntGauge,
     cluster_unhealthy: IntGauge,
-    /// Files taken at SIGHUP.
+    /// Configuration files that were loaded at SIGHUP.
     pub conf_loaded: IntCounter,
-    /// Files turned down at SIGHUP.
+    /// Configuration files that were rejected at SIGHUP.
     pub conf_invalid: IntCounter,
 }
 
-/// What is read at the scrape.
+/// The values of the gauges at a scrape.
 pub struct GaugeReadings {
-    /// Requests taken and not yet ended.
+    /// Requests in progress.
     pub current: usize,
-    /// Chunk servers in the list.
+    /// Chunk servers in the endpoint list.
     pub cluster_size: usize,
-    /// Of them, those that the front now avoids.
+    /// Those of them that the front avoids.
     pub cluster_unhealthy: usize,
 }
 
@@ -64,67 +70,76 @@
 }
 
 impl Metrics {
-    /// All at 0.
+    /// All counters and gauges at 0.
+    ///
+    /// # Panics
+    /// Never: the names are valid and differ.
     pub fn new() -> Metrics {
         let registry = Registry::new();
-        let transactions = IntCounterVec::new(
-            Opts::new("app_transactions", "Requests by class and how they ended; attempts written whole"),
-            &["group", "state"],
-        )
-        .expect("the names are valid");
-        let counter = |name: &str, help: &str| IntCounter::new(name, help).expect("the names are valid");
-        let gauge = |name: &str, help: &str| IntGauge::new(name, help).expect("the names are valid");
-        let figures = Metrics {
-            transactions,
-            sends: counter("app_sends", "Attempts written whole to chunk servers"),
-            current: gauge("app_current", "Requests taken and not yet ended"),
-            cluster_size: gauge("app_cluster_size", "Chunk servers in the list"),
-            cluster_unhealthy: gauge("app_cluster_unhealthy", "Chunk servers in the list that are avoided"),
-            conf_loaded: counter("app_conf_loaded", "Configuration files taken at SIGHUP"),
-            conf_invalid: counter("app_conf_invalid", "Configuration files turned down at SIGHUP"),
+        let transactions =
+            Opts::new("app_transactions", "Requests by class and how they ended; attempts written whole");
+        let transactions = IntCounterVec::new(transactions, &["group", "state"]).expect(VALID_NAME);
+        Metrics {
+            transactions: registered(&registry, transactions),
+            sends: counter(&registry, "app_sends", "Attempts written whole to chunk servers"),
+            active_requests: gauge(&registry, "app_current", "Requests taken and not yet ended"),
+            cluster_size: gauge(&registry, "app_cluster_size", "Chunk servers in the list"),
+            cluster_unhealthy: gauge(
+                &registry,
+                "app_cluster_unhealthy",
+                "Chunk servers in the list that are avoided",
+            ),
+            conf_loaded: counter(&registry, "app_conf_loaded", "Configuration files taken at SIGHUP"),
+            conf_invalid: counter(&registry, "app_conf_invalid", "Configuration files turned down at SIGHUP"),
             registry,
-        };
-        let registry = &figures.registry;
-        let all: [Box<dyn prometheus::core::Collector>; 7] = [
-            Box::new(figures.transactions.clone()),
-            Box::new(figures.sends.clone()),
-            Box::new(figures.current.clone()),
-            Box::new(figures.cluster_size.clone()),
-            Box::new(figures.cluster_unhealthy.clone()),
-            Box::new(figures.conf_loaded.clone()),
-            Box::new(figures.conf_invalid.clone()),
-        ];
-        for collector in all {
-            registry.register(collector).expect("each name once");
         }
-        figures
     }
 
-    /// Further figures, of a part that not every front has.
-    pub fn register(&self, collector: impl prometheus::core::Collector + 'static) {
-        self.registry.register(Box::new(collector)).expect("each name once");
+    /// Registers a metric of a part that not every front has.
+    ///
+    /// # Panics
+    /// Where a metric of its name is registered already.
+    pub fn register(&self, collector: impl Collector + 'static) {
+        self.registry.register(Box::new(collector)).expect(UNIQUE_NAME);
     }
 
-    /// The figures of a class, at 0 where it is new: a scrape shows every class from the start.
+    /// The metrics of a class. They are part of every scrape from now on, at 0 until something is counted.
     pub fn class(&self, name: &str) -> ClassMetrics {
         let counter = |state: &str| self.transactions.with_label_values(&[name, state]);
         ClassMetrics {
             answered: counter("answered"),
             deferred: counter("deferred"),
             errored: counter("errored"),
-            sends: [counter("sends"), self.sends.clone()],
+            sends: counter("sends"),
+            total_sends: self.sends.clone(),
         }
     }
 
-    /// The text that a scrape gets.
-    pub fn render(&self, reading: &GaugeReadings) -> Vec<u8> {
-        let gauge = |g: &IntGauge, v: usize| g.set(i64::try_from(v).unwrap_or(i64::MAX));
-        gauge(&self.current, reading.current);
-        gauge(&self.cluster_size, reading.cluster_size);
-        gauge(&self.cluster_unhealthy, reading.cluster_unhealthy);
+    /// All metrics in the Prometheus text format.
+    pub fn render(&self, readings: &GaugeReadings) -> Vec<u8> {
+        set(&self.active_requests, readings.current);
+        set(&self.cluster_size, readings.cluster_size);
+        set(&self.cluster_unhealthy, readings.cluster_unhealthy);
         let mut text = Vec::new();
-        // Writing into memory fails only where a figure is malformed, and none is.
+        // Writing to memory fails only for malformed metrics, and those registered here are well-formed.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         text
     }
 }
+
+fn counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
+    registered(registry, IntCounter::new(name, help).expect(VALID_NAME))
+}
+
+fn gauge(registry: &Registry, name: &str, help: &str) -> IntGauge {
+    registered(registry, IntGauge::new(name, help).expect(VALID_NAME))
+}
+
+fn registered<C: Collector + Clone + 'static>(registry: &Registry, collector: C) -> C {
+    registry.register(Box::new(collector.clone())).expect(UNIQUE_NAME);
+    collector
+}
+
+fn set(gauge: &IntGauge, value: usize) {
+    gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
+}
--- a/src/telemetry/trace.rs
+++ b/src/telemetry/trace.rs
@@ -1,7 +1,8 @@
-//! What a front takes in and does, one JSON object a line on standard error, for those who count across a fleet.
-//! Off, and then worth one look at a flag, unless the environment variable [`VARIABLE`] is 1.
+//! The decision trace: the scheduler's inputs and effects as JSON, one object a line on standard error, for analysis
+//! across a fleet. It is off unless the environment variable [`VARIABLE`] is 1, and then costs one look at a flag.
 //!
-//! Each line has `t` (Unix time in seconds), `e` (what it is about) and what that brings.
+//! Each line has `t` (Unix time in seconds), `e` (the kind of event) and the fields of that kind. Keys and values are
+//! a stable format: they do not follow the names in the code.
 
 use std::sync::OnceLock;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -9,40 +10,35 @@
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue as Value};
 use tulipbridge_core::request_tracker::{Effect, FinalAnswer, Input};
-use tulipbridge_core::{FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, SharedLimit, UpdateScope};
+use tulipbridge_core::{
+    FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, SharedLimit, UpdateScope,
+};
 
-/// The environment variable that switches the trace on.
+/// The environment variable that enables the trace.
 pub const VARIABLE: &str = "TULIPBRIDGE_TRACE";
 
-/// Whether lines are written.
+/// Whether the trace is on.
 pub fn is_enabled() -> bool {
-    static ON: OnceLock<bool> = OnceLock::new();
-    *ON.get_or_init(|| std::env::var_os(VARIABLE).is_some_and(|v| v == "1"))
+    static ENABLED: OnceLock<bool> = OnceLock::new();
+    *ENABLED.get_or_init(|| std::env::var_os(VARIABLE).is_some_and(|value| value == "1"))
 }
 
-/// Writes one line, whose fields are in `object`.
+/// Writes one line with the fields of `object` and the time.
 pub fn write(mut object: Value) {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    // Fails only where the value is not an object, and all callers pass one.
     let _ = object.insert("t", now.as_secs_f64());
     crate::telemetry::log::line(format_args!("{}", object.encode()));
 }
 
-fn ms(nanos: Nanos) -> f64 {
-    (nanos as f64 / 1e3).round() / 1e3
-}
-
-/// An input of the desk, before it is handled.
+/// Traces an input before the scheduler handles it. `name` gives the names of chunk servers.
 pub fn input(input: &Input, name: impl Fn(NodeId) -> String) {
-    let line = match input {
-        Input::RequestReceived(r) => json!({
-            "e": "asked", "id": r.id, "class": r.class, "plan": r.plan, "volume": format!("{:x}", r.volume),
-            "units": r.units, "cell": r.cell.map_or(-1, i64::from), "patience_ms": ms(r.patience),
-            "hosts": r.front_count,
-        }),
+    let event = match input {
+        Input::RequestReceived(request) => request_received(request),
         Input::ClientGone(id) => json!({ "e": "left", "id": id }),
         Input::Overdue(id) => json!({ "e": "overdue", "id": id }),
         Input::AttemptEnded { id, attempt, outcome, seen_use, .. } => json!({
-            "e": "ended", "id": id, "attempt": attempt, "outcome": word(*outcome), "use": seen_use,
+            "e": "ended", "id": id, "attempt": attempt, "outcome": outcome_name(*outcome), "use": seen_use,
         }),
         Input::AttemptTimedOut { id, attempt } => {
             json!({ "e": "ended", "id": id, "attempt": attempt, "outcome": "time_up" })
@@ -51,55 +47,75 @@
             json!({ "e": "ended", "id": id, "attempt": attempt, "outcome": "stopped" })
         }
         Input::Endpoints { scope, nodes } => json!({
-            "e": "fleet", "scope": scope_word(*scope), "entries": nodes.len(),
-            "nodes": nodes.iter().map(|n| entry(n, &name)).collect::<Vec<Value>>(),
-        }),
-        Input::FleetUpdate(FleetUpdate::SharedLimit { limit: of, rate, burst, .. }) => json!({
-            "e": "limit", "of": limit_name(*of), "rate": *rate, "burst": *burst,
+            "e": "fleet", "scope": scope_name(*scope), "entries": nodes.len(),
+            "nodes": nodes.iter().map(|node| endpoint(node, &name)).collect::<Vec<Value>>(),
         }),
-        Input::FleetUpdate(FleetUpdate::Ejection { node, classes: out }) => {
-            json!({ "e": "standing", "node": name(*node), "out": format!("Classes({})", out.bits()) })
-        }
-        Input::FleetUpdate(FleetUpdate::Probe { node, .. }) => json!({ "e": "trial", "node": name(*node) }),
-        Input::FleetUpdate(FleetUpdate::Shutdown { .. }) => json!({ "e": "leaving" }),
+        Input::FleetUpdate(update) => fleet_update(update, &name),
         Input::Timer(_) => return,
     };
-    write(line);
+    write(event);
 }
 
-/// An effect of the desk, before it is carried out.
+/// Traces an effect before it is carried out. `name` gives the names of chunk servers.
 pub fn effect(effect: &Effect, name: impl Fn(NodeId) -> String) {
-    let line = match effect {
+    let event = match effect {
         Effect::Send { id, attempt, node, .. } => {
             json!({ "e": "send", "id": id, "attempt": attempt, "node": name(*node) })
         }
         Effect::Withdraw { id, attempt, .. } => json!({ "e": "withdraw", "id": id, "attempt": attempt }),
         Effect::Cancel { id, attempt } => json!({ "e": "stop", "id": id, "attempt": attempt }),
-        Effect::Answer { id, answer: verdict } => match verdict {
-            FinalAnswer::Served => json!({ "e": "answer", "id": id, "verdict": "served" }),
-            FinalAnswer::Rejected(wait) => {
-                json!({ "e": "answer", "id": id, "verdict": "refused", "wait_ms": ms(*wait) })
-            }
-            FinalAnswer::Failed => json!({ "e": "answer", "id": id, "verdict": "failed" }),
-        },
+        Effect::Answer { id, answer } => final_answer(*id, answer),
         Effect::Subscribe => json!({ "e": "subscribe" }),
         Effect::ForgetNode(node) => json!({ "e": "forget", "node": name(*node) }),
         Effect::Log { text, node } => json!({ "e": "note", "text": *text, "node": name(*node) }),
         Effect::Release(_) | Effect::SetTimer { .. } => return,
     };
-    write(line);
+    write(event);
+}
+
+fn request_received(request: &Request) -> Value {
+    json!({
+        "e": "asked", "id": request.id, "class": request.class, "plan": request.plan,
+        "volume": format!("{:x}", request.volume), "units": request.units,
+        "cell": request.cell.map_or(-1, i64::from), "patience_ms": milliseconds(request.patience),
+        "hosts": request.front_count,
+    })
+}
+
+fn fleet_update(update: &FleetUpdate, name: impl Fn(NodeId) -> String) -> Value {
+    match update {
+        FleetUpdate::SharedLimit { limit, rate, burst, .. } => {
+            json!({ "e": "limit", "of": limit_name(*limit), "rate": *rate, "burst": *burst })
+        }
+        FleetUpdate::Ejection { node, classes } => {
+            json!({ "e": "standing", "node": name(*node), "out": format!("Classes({})", classes.bits()) })
+        }
+        FleetUpdate::Probe { node, .. } => json!({ "e": "trial", "node": name(*node) }),
+        FleetUpdate::Shutdown { .. } => json!({ "e": "leaving" }),
+    }
+}
+
+fn final_answer(id: RequestId, answer: &FinalAnswer) -> Value {
+    match answer {
+        FinalAnswer::Served => json!({ "e": "answer", "id": id, "verdict": "served" }),
+        FinalAnswer::Rejected(wait) => {
+            json!({ "e": "answer", "id": id, "verdict": "refused", "wait_ms": milliseconds(*wait) })
+        }
+        FinalAnswer::Failed => json!({ "e": "answer", "id": id, "verdict": "failed" }),
+    }
 }
 
-fn entry(n: &NodeInfo, name: impl Fn(NodeId) -> String) -> Value {
-    let listed = match n.listed {
+fn endpoint(info: &NodeInfo, name: impl Fn(NodeId) -> String) -> Value {
+    let listed = match info.listed {
         Listed::Up => "up",
         Listed::Draining => "draining",
         Listed::Removed => "removed",
     };
-    json!({ "node": name(n.node), "cell": n.cell, "listed": listed, "came_up": n.started_at as f64 / 1e9 })
+    json!({
+        "node": name(info.node), "cell": info.cell, "listed": listed, "came_up": info.started_at as f64 / 1e9,
+    })
 }
 
-/// The name of a limit in the trace, whatever it is called in the code.
 fn limit_name(limit: SharedLimit) -> String {
     match limit {
         SharedLimit::Volume(volume) => format!("Volume({volume})"),
@@ -109,7 +125,7 @@
     }
 }
 
-fn scope_word(scope: UpdateScope) -> &'static str {
+fn scope_name(scope: UpdateScope) -> &'static str {
     match scope {
         UpdateScope::Update => "update",
         UpdateScope::Replace => "replace",
@@ -118,7 +134,7 @@
     }
 }
 
-fn word(outcome: Outcome) -> &'static str {
+fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "done",
         Outcome::Error => "error",
@@ -130,3 +146,8 @@
         Outcome::NotSent => "skipped",
     }
 }
+
+/// Milliseconds with three digits after the point.
+fn milliseconds(nanos: Nanos) -> f64 {
+    (nanos as f64 / 1e3).round() / 1e3
+}
