--- a/src/cli/agent.rs
+++ b/src/cli/agent.rs
@@ -11,8 +11,10 @@
 use crate::cli::client::{fetch, parse};
 use crate::cli::error::{CliError, Service};
 use crate::config::json::{array, string};
+use crate::control::agent::command::FrontCommand;
+use crate::control::agent::supervisor::Phase;
 
-/// The longest time for a front to reach the state that a command asks for.
+/// The longest time for a front to reach the phase that a command asks for.
 const STATE_TIMEOUT: Duration = Duration::from_secs(60);
 /// The pause between two requests for the status of the fronts.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -32,12 +34,12 @@
 
 /// Stops a front and waits until it has ended.
 pub async fn drain(agent: SocketAddr, name: String) -> Result<(), CliError> {
-    change_state(agent, &name, "drain", "drained").await
+    run_command(agent, &name, FrontCommand::Drain).await
 }
 
 /// Starts a drained front and waits until it is ready.
 pub async fn resume(agent: SocketAddr, name: String) -> Result<(), CliError> {
-    change_state(agent, &name, "resume", "ready").await
+    run_command(agent, &name, FrontCommand::Resume).await
 }
 
 /// Restarts fronts one after another, each once the one before is ready. Without names these are all fronts that are
@@ -45,40 +47,36 @@
 pub async fn restart(agent: SocketAddr, mut names: Vec<String>) -> Result<(), CliError> {
     if names.is_empty() {
         for front in fetch_fronts(agent).await? {
-            if string(front.get("state"), "state")? != "drained" {
+            if string(front.get("state"), "state")? != Phase::Drained.name() {
                 names.push(string(front.get("name"), "name")?.to_owned());
             }
         }
     }
     for name in names {
-        change_state(agent, &name, "restart", "ready").await?;
+        run_command(agent, &name, FrontCommand::Restart).await?;
     }
     Ok(())
 }
 
-/// Has the agent change the desired state of a front, and waits until the front is in `state`.
-async fn change_state(
-    agent: SocketAddr,
-    name: &str,
-    verb: &str,
-    state: &'static str,
-) -> Result<(), CliError> {
+/// Has the agent change the desired state of a front, and waits until the front is in the phase that results.
+async fn run_command(agent: SocketAddr, name: &str, command: FrontCommand) -> Result<(), CliError> {
+    let phase = command.resulting_phase().name();
     let before = find(fetch_fronts(agent).await?, name);
     let before = before.ok_or_else(|| CliError::NoSuchFront(name.to_owned()))?;
-    fetch(Service::Agent, agent, Method::POST, &format!("/fronts/{name}/{verb}")).await?;
+    fetch(Service::Agent, agent, Method::POST, &format!("/fronts/{name}/{}", command.name())).await?;
     let started = Instant::now();
     while started.elapsed() < STATE_TIMEOUT {
         let front = find(fetch_fronts(agent).await?, name);
         let front = front.ok_or_else(|| CliError::NoLongerDeclared(name.to_owned()))?;
         // A front that is to restart is ready at first too.
-        let has_restarted = verb != "restart" || starts(&front) != starts(&before);
-        if has_restarted && front.get("state").and_then(Value::as_str) == Some(state) {
-            println!("{name} is {state}");
+        let has_restarted = command != FrontCommand::Restart || starts(&front) != starts(&before);
+        if has_restarted && front.get("state").and_then(Value::as_str) == Some(phase) {
+            println!("{name} is {phase}");
             return Ok(());
         }
         sleep(POLL_INTERVAL).await;
     }
-    Err(CliError::NotInState { name: name.to_owned(), state, seconds: STATE_TIMEOUT.as_secs() })
+    Err(CliError::NotInPhase { name: name.to_owned(), phase, seconds: STATE_TIMEOUT.as_secs() })
 }
 
 async fn fetch_fronts(agent: SocketAddr) -> Result<Vec<Value>, CliError> {
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -90,13 +90,13 @@
     /// The agent's declarations no longer name the front.
     #[error("{0} is no longer declared")]
     NoLongerDeclared(String),
-    /// The front has not reached the desired state in time.
-    #[error("{name} is not {state} after {seconds} s")]
-    NotInState {
+    /// The front has not reached the phase that the command asks for in time.
+    #[error("{name} is not {phase} after {seconds} s")]
+    NotInPhase {
         /// The name of the front.
         name: String,
-        /// The desired state.
-        state: &'static str,
+        /// The name of the phase.
+        phase: &'static str,
         /// How long the command waited.
         seconds: u64,
     },
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -7,7 +7,15 @@
 
 use crate::config::json::{array, boolean, number, object, optional_number, string, JsonError};
 
-pub use crate::config::untyped::{int, list, names, num, opt_num, settings, text, Res};
+pub use crate::config::untyped::{int, list, names, num, opt_num, text, Res};
+
+/// [`read`], with its error as text, for callers without an error type of their own.
+///
+/// # Errors
+/// The message of its error.
+pub fn settings(value: &Value) -> Res<Settings> {
+    read(value).map_err(|error| error.to_string())
+}
 
 /// Reads the scheduler's settings. Times are in nanoseconds.
 ///
--- a/src/config/untyped.rs
+++ b/src/config/untyped.rs
@@ -1,7 +1,6 @@
 //! The readers of [`crate::config::json`] with their errors as text, for callers without an error type of their own.
 
 use simd_json::OwnedValue as Value;
-use tulipbridge_core::Settings;
 
 use crate::config::json::{self, JsonError};
 
@@ -12,14 +11,6 @@
     result.map_err(|error| error.to_string())
 }
 
-/// [`crate::config::settings::read`].
-///
-/// # Errors
-/// The message of its error.
-pub fn settings(value: &Value) -> Res<Settings> {
-    untyped(crate::config::settings::read(value))
-}
-
 /// [`json::array`].
 ///
 /// # Errors
--- a/src/control/agent/api.rs
+++ b/src/control/agent/api.rs
@@ -10,8 +10,9 @@
 use hyper::{Method, Response, StatusCode};
 use simd_json::prelude::*;
 
+use crate::control::agent::command::FrontCommand;
 use crate::control::agent::fleet::Fleet;
-use crate::control::agent::supervisor::{DesiredState, STOP_TIMEOUT};
+use crate::control::agent::supervisor::STOP_TIMEOUT;
 use crate::frontend::listener::{plain, Handler, ReceivedRequest, Reply};
 
 /// Serves the API on the fronts of an agent.
@@ -25,17 +26,14 @@
         AgentApi { fleet }
     }
 
-    fn change_front(&self, name: &str, verb: &str) -> Reply {
+    fn command_front(&self, name: &str, command: &str) -> Reply {
         if !self.fleet.contains(name) {
             return plain(StatusCode::NOT_FOUND, "no such front");
         }
-        let change: fn(&mut DesiredState) = match verb {
-            "drain" => |desired| desired.drained = true,
-            "resume" => |desired| desired.drained = false,
-            "restart" => |desired| desired.restarts += 1,
-            _ => return plain(StatusCode::NOT_FOUND, "no such command"),
+        let Some(command) = FrontCommand::from_name(command) else {
+            return plain(StatusCode::NOT_FOUND, "no such command");
         };
-        self.fleet.change(name, change);
+        self.fleet.change(name, |desired| command.apply(desired));
         plain(StatusCode::ACCEPTED, "ok")
     }
 }
@@ -56,7 +54,7 @@
                 let status = self.fleet.status().encode().into_bytes();
                 Response::new(Either::Left(Full::from(status)))
             }
-            (&Method::POST, ["fronts", name, verb]) => self.change_front(name, verb),
+            (&Method::POST, ["fronts", name, command]) => self.command_front(name, command),
             _ => plain(StatusCode::NOT_FOUND, "no such thing"),
         }
     }
--- a/src/control/agent/file.rs
+++ b/src/control/agent/file.rs
@@ -27,12 +27,12 @@
                             return;
                         }
                     }
-                    Err(error) => log!("{}: {error}", path.display()),
+                    Err(error) => log!("declarations: {}: {error}", path.display()),
                 }
                 last_content = Some(content);
             }
             Ok(_) => {}
-            Err(error) => log!("cannot read {}: {error}", path.display()),
+            Err(error) => log!("declarations: cannot read {}: {error}", path.display()),
         }
         sleep(POLL_INTERVAL).await;
     }
--- a/src/control/agent/fleet.rs
+++ b/src/control/agent/fleet.rs
@@ -71,12 +71,11 @@
         }
     }
 
-    /// Changes the desired state of a front. `false` where there is no front of this name.
-    pub fn change(&self, name: &str, change: impl FnOnce(&mut DesiredState)) -> bool {
-        let fronts = self.fronts.borrow();
-        let Some(front) = fronts.get(name) else { return false };
-        front.desired.send_modify(change);
-        true
+    /// Changes the desired state of a front; nothing where there is no front of this name.
+    pub fn change(&self, name: &str, change: impl FnOnce(&mut DesiredState)) {
+        if let Some(front) = self.fronts.borrow().get(name) {
+            front.desired.send_modify(change);
+        }
     }
 
     /// Whether a front of this name is declared.
--- a/src/control/agent/mod.rs
+++ b/src/control/agent/mod.rs
@@ -4,6 +4,7 @@
 //! then SIGKILL, and serves an HTTP API for the command line.
 
 pub mod api;
+pub mod command;
 pub mod declaration;
 pub mod etcd;
 pub mod file;
--- a/src/control/agent/supervisor.rs
+++ b/src/control/agent/supervisor.rs
@@ -141,7 +141,7 @@
             if started.elapsed() >= STABLE_AFTER {
                 pause = MIN_RESTART_PAUSE;
             }
-            log!("front {} ended ({reason}); again in {pause:?}", self.name);
+            log!("front {}: process ended ({reason}), restarting in {pause:?}", self.name);
             self.status.borrow_mut().crashed();
             // A change of the desired state takes effect at once.
             if let Ok(Err(_)) = timeout(pause, self.desired.changed()).await {
@@ -190,7 +190,7 @@
             let _ = kill(Pid::from_raw(pid), Signal::SIGTERM);
         }
         if timeout(STOP_TIMEOUT, child.wait()).await.is_err() {
-            log!("front {} does not end; it is killed", self.name);
+            log!("front {}: process still runs {STOP_TIMEOUT:?} after SIGTERM, killing it", self.name);
             // Fails only where the process has ended meanwhile.
             let _ = child.kill().await;
         }
--- a/src/control/console.rs
+++ b/src/control/console.rs
@@ -11,7 +11,7 @@
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::convert::Infallible;
-use std::fmt::Display;
+use std::fmt::{self, Display};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -215,27 +215,66 @@
     }
 
     fn answer_maintenance(&self, path: &str) -> ConsoleResponse {
-        let (verb, server) = match path.split_once('/') {
-            Some((verb @ ("enter" | "exit"), id)) if !id.is_empty() && !id.contains('/') => {
-                (verb, decode_id(id))
-            }
-            _ => {
-                let usage = "maintenance is /maintenance/enter/ID or /maintenance/exit/ID\n";
-                return plain(StatusCode::NOT_FOUND, usage);
-            }
+        let Some(call) = MaintenanceCall::parse(path) else {
+            let usage = "maintenance is /maintenance/enter/ID or /maintenance/exit/ID\n";
+            return plain(StatusCode::NOT_FOUND, usage);
+        };
+        let MaintenanceCall { action, server } = call;
+        let changed = match action {
+            MaintenanceAction::Enter => self.parts.maintenance.enter(&server),
+            MaintenanceAction::Exit => self.parts.maintenance.exit(&server),
         };
-        let maintenance = &self.parts.maintenance;
-        let changed = if verb == "enter" { maintenance.enter(&server) } else { maintenance.exit(&server) };
         match changed {
             Ok(()) => {
-                log!("console: chunk server {server}: maintenance {verb}");
-                plain(StatusCode::OK, format!("{verb} {server}\n"))
+                // Operators are told to look for these words.
+                let change = match action {
+                    MaintenanceAction::Enter => "held out by hand",
+                    MaintenanceAction::Exit => "let back in",
+                };
+                log!("console: chunk server {server} {change}");
+                plain(StatusCode::OK, format!("{action} {server}\n"))
             }
             Err(error) => plain(StatusCode::NOT_FOUND, format!("{error}: {server}\n")),
         }
     }
 }
 
+/// A call that changes which servers are in maintenance.
+struct MaintenanceCall {
+    action: MaintenanceAction,
+    server: String,
+}
+
+/// What happens to the server.
+#[derive(Clone, Copy)]
+enum MaintenanceAction {
+    Enter,
+    Exit,
+}
+
+impl MaintenanceCall {
+    /// Parses the path of a call after `/maintenance/`.
+    fn parse(path: &str) -> Option<MaintenanceCall> {
+        let (action, id) = path.split_once('/')?;
+        let action = match action {
+            "enter" => MaintenanceAction::Enter,
+            "exit" => MaintenanceAction::Exit,
+            _ => return None,
+        };
+        let is_id = !id.is_empty() && !id.contains('/');
+        is_id.then(|| MaintenanceCall { action, server: decode_id(id) })
+    }
+}
+
+impl Display for MaintenanceAction {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            MaintenanceAction::Enter => "enter",
+            MaintenanceAction::Exit => "exit",
+        })
+    }
+}
+
 fn decode_id(id: &str) -> String {
     percent_encoding::percent_decode_str(id).decode_utf8_lossy().into_owned()
 }
--- a/src/control/discovery.rs
+++ b/src/control/discovery.rs
@@ -113,7 +113,7 @@
                 self.list_source = Some(source);
                 exchange.update_endpoints(update.scope, update.nodes);
             }
-            Err(error) => log!("discovery: a message that cannot be read: {error}"),
+            Err(error) => log!("discovery: message rejected: {error}"),
         }
     }
 
@@ -167,9 +167,15 @@
 /// A call that opens a watch.
 type OpeningWatch = Pin<Box<dyn Future<Output = Result<OpenWatch, DiscoveryError>>>>;
 
+/// A message of an open watch.
+struct WatchMessage {
+    source: SocketAddr,
+    message: Message,
+}
+
 /// What a [`Follower`] waits for.
 enum Activity {
-    Message(Result<(SocketAddr, Message), DiscoveryError>),
+    Message(Result<WatchMessage, DiscoveryError>),
     CallEnded(Result<OpenWatch, DiscoveryError>),
     Event(WatchEvent),
 }
@@ -221,12 +227,12 @@
     /// `opened`, until the machine adopts it.
     fn handle(&mut self, activity: Activity, opened: &mut Option<OpenWatch>) -> WatchEvent {
         match activity {
-            Activity::Message(Ok((source, message))) => {
-                self.discovery.receive(message, source, &self.exchange);
+            Activity::Message(Ok(received)) => {
+                self.discovery.receive(received.message, received.source, &self.exchange);
                 WatchEvent::MessageReceived
             }
             Activity::Message(Err(error)) => {
-                log!("discovery: watch ended: {error}");
+                log!("discovery: {error}");
                 self.watch = None;
                 WatchEvent::Ended
             }
@@ -238,7 +244,7 @@
                         WatchEvent::Opened
                     }
                     Err(error) => {
-                        log!("discovery: call failed: {error}");
+                        log!("discovery: {error}");
                         WatchEvent::Failed
                     }
                 }
@@ -286,9 +292,12 @@
 }
 
 /// The next message of the open watch; pending while none is open.
-async fn next_message(watch: &mut Option<OpenWatch>) -> Result<(SocketAddr, Message), DiscoveryError> {
+async fn next_message(watch: &mut Option<OpenWatch>) -> Result<WatchMessage, DiscoveryError> {
     match watch {
-        Some(watch) => Ok((watch.source, watch.response.next_message().await?)),
+        Some(watch) => {
+            let message = watch.response.next_message().await?;
+            Ok(WatchMessage { source: watch.source, message })
+        }
         None => std::future::pending().await,
     }
 }
--- a/src/control/http_client.rs
+++ b/src/control/http_client.rs
@@ -90,34 +90,39 @@
     body: String,
     timeouts: CallTimeouts,
 ) -> Result<CallResponse, HttpError> {
-    let (mut sender, task) = connect(address, timeouts.connect).await?;
+    let mut connection = Connection::open(address, timeouts.connect).await?;
     let mut request = Request::builder().method(method).uri(path).header(HOST, address.to_string());
     if !body.is_empty() {
         request = request.header(CONTENT_TYPE, "application/json");
     }
     let request = request.body(Full::new(Bytes::from(body))).map_err(HttpError::InvalidRequest)?;
-    let response = timeout(timeouts.response, sender.send_request(request)).await;
+    let response = timeout(timeouts.response, connection.sender.send_request(request)).await;
     let response = response.map_err(|_| HttpError::ResponseTimeout)??;
     Ok(CallResponse {
         status: response.status(),
         body: response.into_body(),
         messages: MessageReader::default(),
-        _task: task,
+        _task: connection.task,
     })
 }
 
-async fn connect(
-    address: SocketAddr,
-    within: Duration,
-) -> Result<(SendRequest<Full<Bytes>>, ConnectionTask), HttpError> {
-    let connected = timeout(within, TcpStream::connect(address)).await;
-    let stream = connected.map_err(|_| HttpError::ConnectTimeout)?.map_err(HttpError::Connect)?;
-    let (sender, connection) = handshake(TokioIo::new(stream)).await?;
-    let task = tokio::task::spawn_local(async move {
-        // Its error also reaches whoever sends the request or reads the body.
-        let _ = connection.await;
-    });
-    Ok((sender, ConnectionTask(task)))
+/// A connection that is ready for one request.
+struct Connection {
+    sender: SendRequest<Full<Bytes>>,
+    task: ConnectionTask,
+}
+
+impl Connection {
+    async fn open(address: SocketAddr, within: Duration) -> Result<Connection, HttpError> {
+        let connected = timeout(within, TcpStream::connect(address)).await;
+        let stream = connected.map_err(|_| HttpError::ConnectTimeout)?.map_err(HttpError::Connect)?;
+        let (sender, connection) = handshake(TokioIo::new(stream)).await?;
+        let task = tokio::task::spawn_local(async move {
+            // Its error also reaches whoever sends the request or reads the body.
+            let _ = connection.await;
+        });
+        Ok(Connection { sender, task: ConnectionTask(task) })
+    }
 }
 
 impl CallResponse {
--- a/src/control/maintenance.rs
+++ b/src/control/maintenance.rs
@@ -122,7 +122,7 @@
             Ok(()) => *self.last_content.borrow_mut() = content,
             Err(error) => {
                 let path = file.path().display();
-                log!("maintenance: cannot write {path}: {error}; a new version would not know");
+                log!("maintenance: cannot write {path}: {error}; other processes keep the old set");
             }
         }
     }
