--- a/src/control/console.rs
+++ b/src/control/console.rs
@@ -11,7 +11,7 @@
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::convert::Infallible;
-use std::fmt::{self, Display};
+use std::fmt::Display;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -32,6 +32,7 @@
 
 use crate::cluster::peers::Peers;
 use crate::control::maintenance::Maintenance;
+use crate::control::maintenance_call::{decode_id, MaintenanceAction, MaintenanceCall};
 use crate::exchange::Exchange;
 use crate::telemetry::log::log;
 use crate::telemetry::metrics::{GaugeReadings, Metrics};
@@ -239,46 +240,6 @@
     }
 }
 
-/// A call that changes which servers are in maintenance.
-struct MaintenanceCall {
-    action: MaintenanceAction,
-    server: String,
-}
-
-/// What happens to the server.
-#[derive(Clone, Copy)]
-enum MaintenanceAction {
-    Enter,
-    Exit,
-}
-
-impl MaintenanceCall {
-    /// Parses the path of a call after `/maintenance/`.
-    fn parse(path: &str) -> Option<MaintenanceCall> {
-        let (action, id) = path.split_once('/')?;
-        let action = match action {
-            "enter" => MaintenanceAction::Enter,
-            "exit" => MaintenanceAction::Exit,
-            _ => return None,
-        };
-        let is_id = !id.is_empty() && !id.contains('/');
-        is_id.then(|| MaintenanceCall { action, server: decode_id(id) })
-    }
-}
-
-impl Display for MaintenanceAction {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str(match self {
-            MaintenanceAction::Enter => "enter",
-            MaintenanceAction::Exit => "exit",
-        })
-    }
-}
-
-fn decode_id(id: &str) -> String {
-    percent_encoding::percent_decode_str(id).decode_utf8_lossy().into_owned()
-}
-
 fn no_such_call() -> ConsoleResponse {
     plain(
         StatusCode::NOT_FOUND,
--- a/src/control/discovery.rs
+++ b/src/control/discovery.rs
@@ -1,5 +1,5 @@
-//! Follows discovery: calls it when [`DiscoveryWatch`] says so, reads its messages, and passes the endpoint list on to
-//! the scheduler.
+//! Follows discovery: calls it when [`DiscoveryWatch`] says so, and passes the endpoint lists of its messages on to the
+//! scheduler.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -8,25 +8,22 @@
 use std::time::Duration;
 
 use hyper::{Method, StatusCode};
-use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
 use tokio::sync::watch;
 use tokio::task::yield_now;
 use tokio::time::{sleep_until, Instant};
 use tulipbridge_core::discovery_watch::{DiscoveryWatch, WatchEvent, WatchStep, CALL_TIMEOUT};
-use tulipbridge_core::{CellId, Listed, Nanos, NodeInfo, UpdateScope};
+use tulipbridge_core::{Nanos, UpdateScope};
 
-use crate::config::json::{array, boolean, integer, parse_address, string, JsonError};
+use crate::control::endpoint_list::{EndpointListError, EndpointListReader};
 use crate::control::http_client::{call, CallResponse, CallTimeouts, HttpError};
 use crate::control::json_stream::Message;
-use crate::control::maintenance::Maintenance;
 use crate::exchange::Exchange;
 use crate::telemetry::log::log;
 use crate::upstream::Upstream;
 
 /// The longest time for a connection to discovery to open. The whole call is bounded by [`CALL_TIMEOUT`].
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-const NANOS_PER_MILLISECOND: i64 = 1_000_000;
 
 /// Why a watch cannot be opened or read.
 #[derive(Debug, thiserror::Error)]
@@ -40,43 +37,31 @@
     /// A message is not JSON.
     #[error(transparent)]
     Syntax(simd_json::Error),
-    /// A value is missing or invalid.
+    /// A message is not an endpoint list.
     #[error(transparent)]
-    Json(#[from] JsonError),
-    /// The number of a cell is too large.
-    #[error("'cell' is out of range")]
-    CellOutOfRange,
+    EndpointList(#[from] EndpointListError),
 }
 
 /// How far a front has followed discovery.
 pub struct Discovery {
     /// The longest time until the first call, in nanoseconds.
-    pub first_call: Nanos,
+    first_call: Nanos,
     /// This front's place, from 0 to 1, in the interval over which the fleet's calls are spread.
-    pub phase: f64,
-    /// The names of the zones, in the order of the settings.
-    pub zones: Vec<String>,
+    phase: f64,
+    reader: EndpointListReader,
     /// The version of the endpoint list in use.
-    pub generation: i64,
+    generation: i64,
     /// The address whose versions [`Discovery::generation`] counts; until the first call none.
-    pub list_source: Option<SocketAddr>,
-    /// The chunk servers in maintenance, which the scheduler sees as draining.
-    pub maintenance: Rc<Maintenance>,
-}
-
-/// A message of discovery.
-struct EndpointUpdate {
-    scope: UpdateScope,
-    nodes: Vec<NodeInfo>,
-}
-
-/// An entry of the endpoint list under its name.
-struct NamedEndpoint {
-    name: String,
-    info: NodeInfo,
+    list_source: Option<SocketAddr>,
 }
 
 impl Discovery {
+    /// Nothing is followed yet. The first call goes out within `first_call` nanoseconds. `phase`, from 0 to 1, is this
+    /// front's place in the interval over which the fleet's calls are spread.
+    pub fn new(first_call: Nanos, phase: f64, reader: EndpointListReader) -> Discovery {
+        Discovery { first_call, phase, reader, generation: 0, list_source: None }
+    }
+
     /// Passes on the last known endpoint list, which may be old.
     ///
     /// # Errors
@@ -85,8 +70,9 @@
         &mut self,
         known: &Value,
         exchange: &Rc<Exchange<Upstream>>,
-    ) -> Result<(), DiscoveryError> {
-        let update = self.read(known, exchange.transport())?;
+    ) -> Result<(), EndpointListError> {
+        let update = self.reader.read(known, exchange.transport())?;
+        self.generation = update.generation;
         exchange.update_endpoints(UpdateScope::Restored, update.nodes);
         Ok(())
     }
@@ -108,54 +94,16 @@
     fn receive(&mut self, message: Message, source: SocketAddr, exchange: &Rc<Exchange<Upstream>>) {
         let Message::Json(mut json) = message else { return };
         let value = simd_json::to_owned_value(&mut json).map_err(DiscoveryError::Syntax);
-        match value.and_then(|value| self.read(&value, exchange.transport())) {
+        let update = value.and_then(|value| Ok(self.reader.read(&value, exchange.transport())?));
+        match update {
             Ok(update) => {
+                self.generation = update.generation;
                 self.list_source = Some(source);
                 exchange.update_endpoints(update.scope, update.nodes);
             }
             Err(error) => log!("discovery: message rejected: {error}"),
         }
     }
-
-    fn read(&mut self, value: &Value, upstream: &Upstream) -> Result<EndpointUpdate, DiscoveryError> {
-        let generation = integer(value.get("generation"), "generation")?;
-        let scope = if boolean(value, "reset")? { UpdateScope::Replace } else { UpdateScope::Update };
-        let entries = array(value, "instances")?.iter();
-        let endpoints: Vec<NamedEndpoint> =
-            entries.map(|entry| self.read_endpoint(entry, upstream)).collect::<Result<_, _>>()?;
-        if scope == UpdateScope::Replace {
-            self.maintenance.replaced(&endpoints.iter().map(|endpoint| endpoint.name.clone()).collect());
-        }
-        let listed = |endpoint: NamedEndpoint| self.maintenance.listed(&endpoint.name, endpoint.info);
-        let nodes = endpoints.into_iter().map(listed).collect();
-        self.generation = generation;
-        Ok(EndpointUpdate { scope, nodes })
-    }
-
-    fn read_endpoint(&self, entry: &Value, upstream: &Upstream) -> Result<NamedEndpoint, DiscoveryError> {
-        let name = string(entry.get("instanceId"), "instanceId")?;
-        let address = parse_address("hostPort", string(entry.get("hostPort"), "hostPort")?)?;
-        let zone = self.zone_index(entry.get("zone").and_then(Value::as_str));
-        let listed = match string(entry.get("lifecycle"), "lifecycle")? {
-            "Ready" => Listed::Up,
-            "Gone" => Listed::Removed,
-            // In any other state, known or not, a server must not get new work.
-            _ => Listed::Draining,
-        };
-        let cell = integer(entry.get("cell"), "cell")?;
-        let cell = CellId::try_from(cell).map_err(|_| DiscoveryError::CellOutOfRange)?;
-        let started_at_ms = entry.get("startedAtMs").and_then(Value::as_i64).unwrap_or(0);
-        let started_at = started_at_ms.saturating_mul(NANOS_PER_MILLISECOND);
-        let node = upstream.locate(name, address, cell);
-        let info = NodeInfo { node, zone, cell, listed, started_at };
-        Ok(NamedEndpoint { name: name.to_owned(), info })
-    }
-
-    /// The number of a zone; all zones that the settings do not name share the first number past theirs.
-    fn zone_index(&self, name: Option<&str>) -> u32 {
-        let position = self.zones.iter().position(|zone| Some(zone.as_str()) == name);
-        position.unwrap_or(self.zones.len()) as u32
-    }
 }
 
 /// A watch that discovery has accepted.
--- /dev/null
+++ b/src/control/endpoint_list.rs
@@ -0,0 +1,93 @@
+//! Reads endpoint lists: the messages of discovery, and the last known list in a front's configuration.
+
+use std::rc::Rc;
+
+use simd_json::prelude::*;
+use simd_json::OwnedValue as Value;
+use tulipbridge_core::{CellId, Listed, NodeInfo, UpdateScope};
+
+use crate::config::json::{array, boolean, integer, parse_address, string, JsonError};
+use crate::control::maintenance::Maintenance;
+use crate::upstream::Upstream;
+
+const NANOS_PER_MILLISECOND: i64 = 1_000_000;
+
+/// Why an endpoint list cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum EndpointListError {
+    /// A value is missing or invalid.
+    #[error(transparent)]
+    Json(#[from] JsonError),
+    /// The number of a cell is too large.
+    #[error("'cell' is out of range")]
+    CellOutOfRange,
+}
+
+/// An endpoint list, or changes to one.
+pub struct EndpointUpdate {
+    /// The version of the list after the update.
+    pub generation: i64,
+    /// Whether the entries replace the list or change some of it.
+    pub scope: UpdateScope,
+    /// The entries, as the scheduler is to see them.
+    pub nodes: Vec<NodeInfo>,
+}
+
+/// An entry under its name.
+struct NamedEndpoint {
+    name: String,
+    info: NodeInfo,
+}
+
+/// Reads endpoint lists for one front.
+pub struct EndpointListReader {
+    /// The names of the zones, in the order of the settings.
+    pub zones: Vec<String>,
+    /// The chunk servers in maintenance, which the scheduler sees as draining.
+    pub maintenance: Rc<Maintenance>,
+}
+
+impl EndpointListReader {
+    /// Reads an update. Chunk servers that are new get their number from `upstream`.
+    ///
+    /// # Errors
+    /// The first value that is missing or invalid.
+    pub fn read(&self, value: &Value, upstream: &Upstream) -> Result<EndpointUpdate, EndpointListError> {
+        let generation = integer(value.get("generation"), "generation")?;
+        let scope = if boolean(value, "reset")? { UpdateScope::Replace } else { UpdateScope::Update };
+        let entries = array(value, "instances")?.iter();
+        let endpoints: Vec<NamedEndpoint> =
+            entries.map(|entry| self.read_endpoint(entry, upstream)).collect::<Result<_, _>>()?;
+        if scope == UpdateScope::Replace {
+            self.maintenance.replaced(&endpoints.iter().map(|endpoint| endpoint.name.clone()).collect());
+        }
+        let listed = |endpoint: NamedEndpoint| self.maintenance.listed(&endpoint.name, endpoint.info);
+        let nodes = endpoints.into_iter().map(listed).collect();
+        Ok(EndpointUpdate { generation, scope, nodes })
+    }
+
+    fn read_endpoint(&self, entry: &Value, upstream: &Upstream) -> Result<NamedEndpoint, EndpointListError> {
+        let name = string(entry.get("instanceId"), "instanceId")?;
+        let address = parse_address("hostPort", string(entry.get("hostPort"), "hostPort")?)?;
+        let zone = self.zone_index(entry.get("zone").and_then(Value::as_str));
+        let listed = match string(entry.get("lifecycle"), "lifecycle")? {
+            "Ready" => Listed::Up,
+            "Gone" => Listed::Removed,
+            // In any other state, known or not, a server must not get new work.
+            _ => Listed::Draining,
+        };
+        let cell = integer(entry.get("cell"), "cell")?;
+        let cell = CellId::try_from(cell).map_err(|_| EndpointListError::CellOutOfRange)?;
+        let started_at_ms = entry.get("startedAtMs").and_then(Value::as_i64).unwrap_or(0);
+        let started_at = started_at_ms.saturating_mul(NANOS_PER_MILLISECOND);
+        let node = upstream.locate(name, address, cell);
+        let info = NodeInfo { node, zone, cell, listed, started_at };
+        Ok(NamedEndpoint { name: name.to_owned(), info })
+    }
+
+    /// The number of a zone; all zones that the settings do not name share the first number past theirs.
+    fn zone_index(&self, name: Option<&str>) -> u32 {
+        let position = self.zones.iter().position(|zone| Some(zone.as_str()) == name);
+        position.unwrap_or(self.zones.len()) as u32
+    }
+}
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -3,7 +3,9 @@
 pub mod agent;
 pub mod console;
 pub mod discovery;
+pub mod endpoint_list;
 pub mod http_client;
 pub mod json_stream;
 pub mod maintenance;
+pub mod maintenance_call;
 pub mod maintenance_file;
--- a/src/front/assembly.rs
+++ b/src/front/assembly.rs
@@ -13,6 +13,7 @@
 use crate::config::Config;
 use crate::control::console::{self, Console, ConsoleParts};
 use crate::control::discovery::Discovery;
+use crate::control::endpoint_list::EndpointListReader;
 use crate::control::maintenance::Maintenance;
 use crate::exchange::Exchange;
 use crate::front::error::FrontError;
@@ -119,14 +120,9 @@
     exchange: &Rc<Exchange<Upstream>>,
     maintenance: &Rc<Maintenance>,
 ) -> Result<(), FrontError> {
-    let mut discovery = Discovery {
-        first_call: max_first_call_delay(&config.settings),
-        phase: fastrand::Rng::with_seed(config.seed).f64(),
-        zones: config.zones.clone(),
-        generation: 0,
-        list_source: None,
-        maintenance: Rc::clone(maintenance),
-    };
+    let reader = EndpointListReader { zones: config.zones.clone(), maintenance: Rc::clone(maintenance) };
+    let phase = fastrand::Rng::with_seed(config.seed).f64();
+    let mut discovery = Discovery::new(max_first_call_delay(&config.settings), phase, reader);
     discovery.restore(&config.known_endpoints, exchange).map_err(FrontError::KnownEndpoints)?;
     spawn_local(discovery.follow(address, Rc::clone(exchange)));
     Ok(())
--- a/src/front/error.rs
+++ b/src/front/error.rs
@@ -3,7 +3,7 @@
 use tulipbridge_core::SettingsError;
 
 use crate::control::console::ConsoleError;
-use crate::control::discovery::DiscoveryError;
+use crate::control::endpoint_list::EndpointListError;
 use crate::runtime::RuntimeError;
 
 /// Why a front cannot start.
@@ -23,7 +23,7 @@
     Peers(String),
     /// The last known endpoint list is invalid.
     #[error("'known': {0}")]
-    KnownEndpoints(#[source] DiscoveryError),
+    KnownEndpoints(#[source] EndpointListError),
     /// The operators' console cannot be opened.
     #[error(transparent)]
     Console(#[from] ConsoleError),
