--- a/src/cli/agent.rs
+++ b/src/cli/agent.rs
@@ -15,7 +15,7 @@
 use crate::control::agent::supervisor::Phase;
 
 /// The longest time for a front to reach the phase that a command asks for.
-const STATE_TIMEOUT: Duration = Duration::from_secs(60);
+const PHASE_TIMEOUT: Duration = Duration::from_secs(60);
 /// The pause between two requests for the status of the fronts.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -65,7 +65,7 @@
     let before = before.ok_or_else(|| CliError::NoSuchFront(name.to_owned()))?;
     fetch(Service::Agent, agent, Method::POST, &format!("/fronts/{name}/{}", command.name())).await?;
     let started = Instant::now();
-    while started.elapsed() < STATE_TIMEOUT {
+    while started.elapsed() < PHASE_TIMEOUT {
         let front = find(fetch_fronts(agent).await?, name);
         let front = front.ok_or_else(|| CliError::NoLongerDeclared(name.to_owned()))?;
         // A front that is to restart is ready at first too.
@@ -76,7 +76,7 @@
         }
         sleep(POLL_INTERVAL).await;
     }
-    Err(CliError::NotInPhase { name: name.to_owned(), phase, seconds: STATE_TIMEOUT.as_secs() })
+    Err(CliError::NotInPhase { name: name.to_owned(), phase, seconds: PHASE_TIMEOUT.as_secs() })
 }
 
 async fn fetch_fronts(agent: SocketAddr) -> Result<Vec<Value>, CliError> {
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -9,14 +9,6 @@
 
 pub use crate::config::untyped::{int, list, names, num, opt_num, text, Res};
 
-/// [`read`], with its error as text, for callers without an error type of their own.
-///
-/// # Errors
-/// The message of its error.
-pub fn settings(value: &Value) -> Res<Settings> {
-    read(value).map_err(|error| error.to_string())
-}
-
 /// Reads the scheduler's settings. Times are in nanoseconds.
 ///
 /// # Errors
@@ -114,3 +106,11 @@
         price: number(entry, "Pays")?,
     })
 }
+
+/// [`read`], with its error as text, for callers without an error type of their own.
+///
+/// # Errors
+/// The message of its error.
+pub fn settings(value: &Value) -> Res<Settings> {
+    read(value).map_err(|error| error.to_string())
+}
