--- a/src/bin/tulipbridge-adapter/instance.rs
+++ b/src/bin/tulipbridge-adapter/instance.rs
@@ -5,7 +5,8 @@
 
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue as Value};
-use tulipbridge::config::settings::{int, list, names, opt_num, settings, text};
+use tulipbridge::config::json::{array, integer, names, optional_number, string};
+use tulipbridge::config::settings;
 use tulipbridge::*;
 
 use crate::error::WireError;
@@ -36,10 +37,10 @@
         let site = site.ok_or(WireError::WrongKind { what: "'BootInfo'", expected: "an object" })?;
         let classes = names(site, "Services")?;
         let plans = names(site, "Grades")?;
-        let zones = list(site, "FailureDomains")?.iter();
-        let zones = zones.map(|zone| Ok(text(Some(zone), "zone")?.to_owned()));
+        let zones = array(site, "FailureDomains")?.iter();
+        let zones = zones.map(|zone| Ok(string(Some(zone), "zone")?.to_owned()));
         let zones = zones.collect::<Result<_, WireError>>()?;
-        let scheduler = Scheduler::new(settings(site)?, seed, now).map_err(WireError::Settings)?;
+        let scheduler = Scheduler::new(settings::read(site)?, seed, now).map_err(WireError::Settings)?;
         Ok(Instance {
             index,
             scheduler,
@@ -83,20 +84,20 @@
             }
             EventKind::ResponseStarted => self.request_id(row)?.map(Event::ResponseStarted),
             EventKind::AttemptEnded => self.decode_attempt_ended(row)?,
-            EventKind::Timer => Some(Event::Timer(int(row.get(2), "Cookie")? as u64)),
+            EventKind::Timer => Some(Event::Timer(integer(row.get(2), "Cookie")? as u64)),
             EventKind::Start | EventKind::Halt => None,
         })
     }
 
     /// The id of the request that a row names; `None` where it is not active.
     fn request_id(&self, row: &[Value]) -> Result<Option<RequestId>, WireError> {
-        let name = text(row.get(2), "Ref")?;
+        let name = string(row.get(2), "Ref")?;
         Ok(self.requests.id(name))
     }
 
     /// `[event, instance, Scope, generation, MembersList]`.
     fn decode_endpoints(&mut self, row: &[Value]) -> Result<Event, WireError> {
-        let scope = vocabulary::update_scope(text(row.get(2), "Scope")?)?;
+        let scope = vocabulary::update_scope(string(row.get(2), "Scope")?)?;
         let no_entries = Vec::new();
         let entries = match row.get(4).filter(|value| !value.is_null()) {
             None => &no_entries,
@@ -113,13 +114,13 @@
         let row = entry.as_array();
         let row =
             row.ok_or(WireError::WrongKind { what: "an entry of 'MembersList'", expected: "an array" })?;
-        let node = self.node_id(text(row.first(), "Target")?);
+        let node = self.node_id(string(row.first(), "Target")?);
         let zone = row.get(1).and_then(Value::as_str);
         // Every unknown zone is the one after the last known zone.
         let zone = self.zones.iter().position(|known| Some(known.as_str()) == zone);
         let zone = zone.unwrap_or(self.zones.len());
-        let listed = vocabulary::listed(text(row.get(4), "Health")?)?;
-        let cell = CellId::try_from(int(row.get(3), "Cell")?);
+        let listed = vocabulary::listed(string(row.get(4), "Health")?)?;
+        let cell = CellId::try_from(integer(row.get(3), "Cell")?);
         let cell = cell.map_err(|_| WireError::OutOfRange { key: "Cell" })?;
         let started_at = optional_int(row.get(6), "CameUp", 0)?;
         Ok(NodeInfo { node, zone: zone as u32, cell, listed, started_at })
@@ -138,9 +139,9 @@
 
     /// `[event, instance, Ref, Grade, Contract, key, PatienceLeft, volume, Weight, LiesIn, SetSize]`.
     fn decode_request(&mut self, row: &[Value]) -> Result<Request, WireError> {
-        let name = text(row.get(2), "Ref")?;
-        let class = index_of(&self.classes, text(row.get(3), "Grade")?, "Grade")?;
-        let plan = index_of(&self.plans, text(row.get(4), "Contract")?, "Contract")?;
+        let name = string(row.get(2), "Ref")?;
+        let class = index_of(&self.classes, string(row.get(3), "Grade")?, "Grade")?;
+        let plan = index_of(&self.plans, string(row.get(4), "Contract")?, "Contract")?;
         let cell = optional_int(row.get(9), "LiesIn", ANY_SHARD)?;
         let request = Request {
             id: self.requests.next_id(),
@@ -148,10 +149,10 @@
             plan,
             volume: row.get(7).and_then(Value::as_str).map_or(0, stable_hash),
             key: row.get(5).and_then(Value::as_str).map(stable_hash),
-            patience: int(row.get(6), "PatienceLeft")?,
-            units: opt_num(row.get(8), "Weight")?,
+            patience: integer(row.get(6), "PatienceLeft")?,
+            units: optional_number(row.get(8), "Weight")?,
             cell: CellId::try_from(cell).ok(),
-            front_count: opt_num(row.get(10), "SetSize")? as u32,
+            front_count: optional_number(row.get(10), "SetSize")? as u32,
         };
         self.requests.add(name);
         Ok(request)
@@ -159,14 +160,14 @@
 
     /// `[event, instance, Ref, SendNo, Target, Disposition, Duration, last, SeenUse, ForeignUnits]`.
     fn decode_attempt_ended(&mut self, row: &[Value]) -> Result<Option<Event>, WireError> {
-        let request = text(row.get(2), "Ref")?;
-        let node = text(row.get(4), "Target")?;
-        let outcome = vocabulary::outcome(text(row.get(5), "Disposition")?)?;
-        let attempt = int(row.get(3), "SendNo")? as u32;
-        let took = int(row.get(6), "Duration")?;
+        let request = string(row.get(2), "Ref")?;
+        let node = string(row.get(4), "Target")?;
+        let outcome = vocabulary::outcome(string(row.get(5), "Disposition")?)?;
+        let attempt = integer(row.get(3), "SendNo")? as u32;
+        let took = integer(row.get(6), "Duration")?;
         let last = row.get(7).and_then(Value::as_bool).unwrap_or(false);
-        let seen_use = opt_num(row.get(8), "SeenUse")?;
-        let foreign_units = opt_num(row.get(9), "ForeignUnits")?;
+        let seen_use = optional_number(row.get(8), "SeenUse")?;
+        let foreign_units = optional_number(row.get(9), "ForeignUnits")?;
         let (Some(id), Some(&node)) = (self.requests.id(request), self.node_ids.get(node)) else {
             return Ok(None);
         };
@@ -222,7 +223,7 @@
 fn optional_int(value: Option<&Value>, key: &str, default: i64) -> Result<i64, WireError> {
     match value.filter(|value| !value.is_null()) {
         None => Ok(default),
-        Some(value) => Ok(int(Some(value), key)?),
+        Some(value) => Ok(integer(Some(value), key)?),
     }
 }
 
--- a/src/bin/tulipbridge-adapter/session.rs
+++ b/src/bin/tulipbridge-adapter/session.rs
@@ -4,7 +4,7 @@
 
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue as Value};
-use tulipbridge::config::settings::{int, text};
+use tulipbridge::config::json::{integer, string};
 use tulipbridge::Nanos;
 
 use crate::error::WireError;
@@ -23,14 +23,14 @@
         let value: Value = simd_json::to_owned_value(line).map_err(WireError::Syntax)?;
         let batch = value.as_object();
         let batch = batch.ok_or(WireError::WrongKind { what: "a batch", expected: "an object" })?;
-        let now = int(batch.get("Moment"), "Moment")?;
+        let now = integer(batch.get("Moment"), "Moment")?;
         let events = batch.get("events").and_then(Value::as_array);
         let events = events.ok_or(WireError::WrongKind { what: "'events'", expected: "an array" })?;
         let mut actions = Vec::new();
         for event in events {
             let row = event.as_array();
             let row = row.ok_or(WireError::WrongKind { what: "an event", expected: "an array" })?;
-            let name = text(row.first(), "event name")?;
+            let name = string(row.first(), "event name")?;
             let processed = self.process_event(now, name, row, &mut actions);
             processed
                 .map_err(|source| WireError::Event { name: name.to_owned(), source: Box::new(source) })?;
@@ -46,7 +46,7 @@
         row: &[Value],
         actions: &mut Vec<Value>,
     ) -> Result<(), WireError> {
-        let index = int(row.get(1), "instance")?;
+        let index = integer(row.get(1), "instance")?;
         let kind = event_kind(name);
         if kind == Some(EventKind::Start) {
             self.instances.insert(index, Instance::start(index, now, row)?);
--- a/src/cluster/fields.rs
+++ b/src/cluster/fields.rs
@@ -8,7 +8,7 @@
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
 
-use crate::config::settings::num;
+use crate::config::json::number as read_number;
 
 /// Why a value under `peers` cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -87,7 +87,7 @@
 
 /// The number under a key of `object`, 0 where it is missing or null; `None` where the value is of another type.
 pub(super) fn number(object: &Value, key: &str) -> Option<f64> {
-    num(object, key).ok()
+    read_number(object, key).ok()
 }
 
 /// The number under a key of `object`, which must be greater than 0.
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -25,7 +25,6 @@
 
 pub use super::body::BodyBudget;
 pub use super::replies::{plain, Reply};
-pub use super::socket::listen;
 
 /// Connections above the limit that are accepted at a time to be answered with a rejection; others wait in the
 /// kernel's queue.
--- a/src/frontend/socket.rs
+++ b/src/frontend/socket.rs
@@ -9,12 +9,28 @@
 /// Connections that the kernel queues for the front before it accepts them.
 const BACKLOG: u32 = 1024;
 
+/// Why an address cannot be used for clients.
+#[derive(Debug, thiserror::Error)]
+pub enum ListenError {
+    /// The socket cannot be opened or bound.
+    #[error("cannot listen on {address}: {source}")]
+    Bind {
+        /// The address.
+        address: SocketAddr,
+        /// The system's reason.
+        source: std::io::Error,
+    },
+    /// The bound address cannot be read.
+    #[error(transparent)]
+    LocalAddress(#[from] std::io::Error),
+}
+
 /// Opens a listening socket and logs its address; port 0 chooses a free port. `SO_REUSEPORT` lets a new version of
 /// the process listen at the same address while the old one still serves.
 ///
 /// # Errors
-/// A sentence that names the address, where the socket cannot be opened or bound.
-pub async fn listen(address: SocketAddr) -> Result<TcpListener, String> {
+/// The socket cannot be opened or bound.
+pub async fn listen(address: SocketAddr) -> Result<TcpListener, ListenError> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
     let bound = socket.and_then(|socket| {
         socket.set_reuseaddr(true)?;
@@ -22,8 +38,8 @@
         socket.bind(address)?;
         socket.listen(BACKLOG)
     });
-    let listener = bound.map_err(|e| format!("cannot listen on {address}: {e}"))?;
-    let address = listener.local_addr().map_err(|e| e.to_string())?;
+    let listener = bound.map_err(|source| ListenError::Bind { address, source })?;
+    let address = listener.local_addr()?;
     log!("listening on {address}");
     Ok(listener)
 }
--- a/tests/cluster/limits.rs
+++ b/tests/cluster/limits.rs
@@ -12,7 +12,7 @@
 
 fn settings() -> Settings {
     let value = json(include_str!("../../crates/testbed/src/settings.json"));
-    tulipbridge::config::settings::settings(&value).expect("the settings are valid")
+    tulipbridge::config::settings::read(&value).expect("the settings are valid")
 }
 
 fn read(text: &str) -> Result<ConfiguredLimits, FieldError> {
