--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -18,7 +18,7 @@
 use crate::gossip::{probe_key, ProbeEntry};
 use crate::{
     Class, DetectorConfig, DetectorConfigError, Effect, EjectionTarget, Event, Evidence, GossipStore, Nanos,
-    PeerId, SampleQuality, Server, Zone,
+    PeerId, SampleQuality, Server,
 };
 
 use evidence_sharing::SharedEvidence;
@@ -29,7 +29,6 @@
 #[derive(Clone, Debug)]
 struct View {
     front: PeerId,
-    zone: Zone,
     evidence: Evidence,
     /// Upper bound of the time since the evidence was published.
     age: Nanos,
--- a/crates/outlier-detection/src/detector/evidence_sharing.rs
+++ b/crates/outlier-detection/src/detector/evidence_sharing.rs
@@ -26,12 +26,12 @@
                 continue;
             }
             if let Some(evidence) = decode::<Evidence>(value) {
-                let view = View { front, zone: evidence.zone, evidence, age };
+                let view = View { front, evidence, age };
                 views.entry(server).or_default().push(view);
             }
         }
         for (server, evidence) in self.own_evidence(now) {
-            let view = View { front: self.config.me, zone: self.config.zone, evidence, age: 0 };
+            let view = View { front: self.config.me, evidence, age: 0 };
             views.entry(server).or_default().push(view);
         }
         views
--- a/crates/outlier-detection/src/detector/outliers.rs
+++ b/crates/outlier-detection/src/detector/outliers.rs
@@ -68,7 +68,7 @@
             return scopes.filter(|scope| self.is_proven(views, *scope, threshold)).collect();
         }
         let threshold = self.config.ejection_threshold;
-        let zones: BTreeSet<Zone> = views.iter().map(|view| view.zone).collect();
+        let zones: BTreeSet<Zone> = views.iter().map(|view| view.evidence.zone).collect();
         let has_half =
             |zone: &&Zone| self.total_log_likelihood_ratio(views, Scope::Zone(**zone)) >= threshold / 2.0;
         let is_fleet_wide =
@@ -95,7 +95,7 @@
 
     /// A front's evidence for a scope.
     fn summary(&self, view: &View, scope: Scope) -> EvidenceSummary {
-        if !scope.includes_zone(view.zone) {
+        if !scope.includes_zone(view.evidence.zone) {
             return EvidenceSummary::default();
         }
         EvidenceSummary::of(&view.evidence, scope.class(), &self.config)
