--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -18,7 +18,7 @@
 scenarios! {
     // The end of a front.
 
-    half_a_head_at_the_end_is_read_on_and_answered: Platform, 1, "
+    shutdown_completes_and_answers_a_partial_request_head: Platform, 1, "
         send c1 raw GET /api HTTP/1.1\\r\\nHost: t\\r\\nX-Txn: 00000000000000a1\\r\\nX-Lane: form-read\\r\\n
         close front
         wait shut
@@ -28,7 +28,7 @@
         expect c1
         wait front";
 
-    half_a_body_at_the_end_is_read_on_and_answered: Platform, 1, "
+    shutdown_completes_and_answers_a_partial_request_body: Platform, 1, "
         send c1 raw PUT /api HTTP/1.1\\r\\nHost: t\\r\\nX-Txn: 00000000000000a1\\r\\nX-Lane: form-submit\\r\\nX-Plan: basico\\r\\nX-Remaining: 2000m\\r\\nX-IO: volume=00000003b4d60021,units=2,shard=0,hosts=1\\r\\nContent-Length: 8\\r\\n\\r\\nhalf
         close front
         wait shut
@@ -38,7 +38,7 @@
         expect c1
         wait front";
 
-    a_request_in_the_moment_of_the_close_is_answered: Platform, 1, "
+    shutdown_answers_a_request_that_arrives_as_the_socket_closes: Platform, 1, "
         send c1 GET /api
         expect s0
         send s0 200 | first
@@ -55,7 +55,7 @@
         expect c1
         wait front";
 
-    half_a_request_in_the_moment_of_the_close_is_read_on: Platform, 1, "
+    shutdown_completes_a_partial_request_that_arrives_as_the_socket_closes: Platform, 1, "
         send c1 GET /api
         expect s0
         send s0 200 | first
@@ -73,7 +73,7 @@
         expect c1
         wait front";
 
-    an_answer_that_its_client_takes_slowly_is_written_whole_before_the_end: Platform, 1, "
+    shutdown_waits_until_a_slow_client_has_read_its_response: Platform, 1, "
         slow c1
         send c1 GET /api
         expect s0
@@ -84,7 +84,7 @@
         expect c1
         wait front";
 
-    a_server_that_hangs_does_not_keep_a_front_from_its_end: Platform, 1, "
+    shutdown_is_not_delayed_by_a_hanging_server: Platform, 1, "
         send c1 PUT /api X-Lane:form-submit X-Remaining:9000m | form
         expect s0
         send c2 GET /api X-Remaining:9000m
@@ -94,14 +94,14 @@
         expect c1
         expect c2";
 
-    connections_that_rest_are_ended_and_cost_no_time: Platform, 1, "
+    shutdown_closes_idle_connections_without_delay: Platform, 1, "
         crowd 20 GET /health/ready HTTP/1.1\\r\\nHost: t\\r\\n\\r\\n
         close front
         expect crowd
         close crowd
         within 1500 wait front";
 
-    being_told_twice_to_end_right_after_a_new_configuration_is_being_told_once: Platform, 1, "
+    repeated_sigterm_after_a_reload_shuts_down_once: Platform, 1, "
         expect d
         send c1 GET /api
         expect s0
@@ -116,7 +116,7 @@
 
     // Clients that go.
 
-    a_write_whose_client_left_while_its_connection_came_up_is_never_sent: Platform, 2, "
+    write_is_not_sent_when_its_client_disconnects_during_the_dial: Platform, 2, "
         settings \"DialTimeout\": 250000000 => \"DialTimeout\": 3000000000
         full s0
         send c1 PUT /api X-Lane:form-submit | never
@@ -134,7 +134,7 @@
         send s0 200 | stored
         expect c2";
 
-    a_server_that_drains_gets_nothing_that_was_dialling: Platform, 2, "
+    draining_server_gets_no_request_that_was_still_dialling: Platform, 2, "
         settings \"DialTimeout\": 250000000 => \"DialTimeout\": 3000000000
         expect d
         full s0
@@ -151,7 +151,7 @@
         close front
         wait front";
 
-    a_client_that_leaves_while_a_further_attempt_dials_gets_none: Platform, 1, "
+    retry_is_not_sent_when_its_client_disconnects_during_the_dial: Platform, 1, "
         settings \"DialTimeout\": 250000000 => \"DialTimeout\": 3000000000
         send c1 GET /api
         expect s0
@@ -171,7 +171,7 @@
         send s0 200 | wanted too
         expect c2";
 
-    a_burst_of_leavers_leaves_nothing_behind: Platform, 1, "
+    burst_of_disconnecting_clients_leaves_no_request_behind: Platform, 1, "
         settings \"DialTimeout\": 250000000 => \"DialTimeout\": 3000000000
         full s0
         send c1 PUT /api X-Lane:form-submit | never
@@ -195,7 +195,7 @@
         send s0 200 | stored
         expect c5";
 
-    six_hundred_idle_clients_cost_discovery_a_server_and_a_newcomer_nothing: Platform, 1, "
+    six_hundred_idle_clients_do_not_block_discovery_servers_or_new_clients: Platform, 1, "
         expect d
         down d
         crowd 600
@@ -205,7 +205,7 @@
         send s0 200 | served
         expect c1";
 
-    who_sends_much_at_once_and_goes_has_gone: Platform, 1, "
+    client_that_pipelines_requests_and_closes_is_treated_as_gone: Platform, 1, "
         send c1 GET /api X-Remaining:9000m
         expect s0
         send c1 raw GET /api HTTP/1.1\\r\\nHost: t\\r\\n\\r\\nGET /api HTTP/1.1\\r\\nHost: t\\r\\n\\r\\n
@@ -213,7 +213,7 @@
         close c1
         within 1000 expect s0 left";
 
-    who_ends_its_sending_has_gone: Platform, 1, "
+    client_that_half_closes_or_resets_is_treated_as_gone: Platform, 1, "
         send c1 GET /api X-Remaining:9000m
         expect s0
         half-close c1
@@ -225,7 +225,7 @@
 
     // Chunk servers.
 
-    what_a_server_has_begun_is_waited_for_while_it_drains: Platform, 1, "
+    request_in_flight_at_a_draining_server_is_awaited: Platform, 1, "
         expect d
         send c1 PUT /api X-Lane:form-submit | form
         expect s0
@@ -235,7 +235,7 @@
         send s0 200 | done while it drained
         expect c1";
 
-    a_reset_long_after_a_write_began_is_a_failure_and_no_other_attempt: Platform, 1, "
+    reset_during_a_write_fails_it_without_a_retry: Platform, 1, "
         send c1 PUT /api X-Lane:form-submit | form
         expect s0
         wait 600
@@ -245,7 +245,7 @@
         send s0 200 | well again
         expect c2";
 
-    an_answer_without_a_length_ends_with_its_connection_and_a_reset_is_no_end: Platform, 1, "
+    response_without_a_length_ends_at_close_and_not_at_a_reset: Platform, 1, "
         send c1 PUT /api X-Lane:form-submit | form
         expect s0
         send s0 raw HTTP/1.1 200 OK\\r\\n\\r\\nthe whole of it
@@ -267,7 +267,7 @@
 
     // Another customer's settings.
 
-    what_a_server_tells_a_repeat_by_goes_on_and_a_repeat_keeps_to_its_window: Platform, 1, "
+    deduplication_headers_are_forwarded_and_retries_stay_within_the_window: Platform, 1, "
         settings \"Semantics\": \"at_most_once\", \"Stream\": false, \"Window\": 5000000000 => \"Semantics\": \"deduplicated\", \"Stream\": false, \"Window\": 300000000
         send c1 PUT /api X-Lane:form-submit Idempotency-Key:k-1 Range:bytes=0-1 | form
         expect s0 cookie
@@ -283,33 +283,33 @@
 
     // The watch on discovery.
 
-    a_front_among_thousands_calls_before_its_list_counts_as_told: Platform, 1, "
+    front_in_a_large_fleet_subscribes_before_its_list_expires: Platform, 1, "
         settings \"Balancers\": 3 => \"Balancers\": 3000
         within 5500 expect d";
 
-    where_lists_are_pushed_the_first_call_goes_out_at_once: Platform, 1, "
+    pushed_discovery_is_subscribed_to_at_once: Platform, 1, "
         settings \"Discovery\": \"on_request\" => \"Discovery\": \"pushed\"
         within 1000 expect d";
 
-    a_watch_that_says_nothing_after_its_head_is_opened_anew_in_time: Platform, 1, "
+    watch_without_any_event_is_reopened_in_time: Platform, 1, "
         expect d
         within 5700 expect d";
 
-    a_watch_that_falls_silent_after_a_change_is_opened_anew_in_time: Platform, 1, "
+    watch_that_falls_silent_after_an_event_is_reopened_in_time: Platform, 1, "
         expect d
         send d Ready 0
         within 5700 expect d";
 
-    a_watch_that_drips_is_no_watch: Platform, 1, "
+    watch_that_never_completes_an_event_is_reopened: Platform, 1, "
         expect d
         within 5700 drip d";
 
-    a_watch_that_is_reset_is_opened_anew_at_once: Platform, 1, "
+    watch_that_is_reset_is_reopened_at_once: Platform, 1, "
         expect d
         reset d
         within 3700 expect d";
 
-    a_call_that_hangs_is_made_again_in_time: Platform, 1, "
+    hanging_subscription_is_repeated_in_time: Platform, 1, "
         call d
         within 5700 expect d
         send d Terminating 0
@@ -317,7 +317,7 @@
         send c1 GET /api
         expect c1";
 
-    a_call_that_is_answered_late_is_waited_for: Platform, 1, "
+    subscription_that_is_answered_late_is_awaited: Platform, 1, "
         call d
         wait 1700
         answer d
@@ -326,7 +326,7 @@
         send c1 GET /api
         expect c1";
 
-    discovery_that_comes_back_is_called_in_time: Platform, 1, "
+    discovery_that_restarts_is_subscribed_to_in_time: Platform, 1, "
         down d
         wait 4000
         up d
@@ -336,7 +336,7 @@
         send c1 GET /api
         expect c1";
 
-    a_call_that_hangs_while_discovery_moves_is_left_for_the_new_one: Platform, 1, "
+    hanging_subscription_is_abandoned_when_discovery_moves: Platform, 1, "
         call d
         reload
         within 1000 expect d
@@ -345,7 +345,7 @@
         send c1 GET /api
         expect c1";
 
-    a_new_discovery_that_hangs_at_first_is_called_again_in_time: Platform, 1, "
+    new_discovery_that_hangs_at_first_is_subscribed_to_again_in_time: Platform, 1, "
         expect d
         reload
         call d
@@ -355,7 +355,7 @@
         send c1 GET /api
         expect c1";
 
-    a_list_may_be_indented: Platform, 2, "
+    watch_event_may_be_indented: Platform, 2, "
         expect d
         send d indented Terminating 0
         await app_cluster_unhealthy 1
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -15,7 +15,7 @@
 }
 
 scenarios! {
-    a_long_body_is_taken_and_a_slow_one_while_it_goes_on: Platform, 1, "
+    long_body_and_slow_body_are_accepted: Platform, 1, "
         send c1 PUT /api X-Lane:form-submit | *200000
         expect s0
         send s0 200 | stored
@@ -31,7 +31,7 @@
         send s0 200 | stored slowly
         expect c2";
 
-    a_long_answer_is_passed_on_as_it_comes: Platform, 1, "
+    long_response_is_streamed: Platform, 1, "
         send c1 GET /api
         expect s0
         send s0 200 | *3000000
@@ -45,7 +45,7 @@
         send s0 raw HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n5\\r\\nhello\\r\\n0\\r\\n\\r\\n
         expect c2";
 
-    the_console_says_how_the_front_stands_and_counts_what_it_answers: Platform, 1, "
+    console_shows_status_and_request_counts: Platform, 1, "
         send console GET /status
         send c1 GET /api
         expect s0
@@ -59,7 +59,7 @@
         send console GET /maintenance/enter/s-0
         send console PUT /maintenance/leave/s-0";
 
-    a_server_held_out_by_hand_gets_nothing_new_until_it_is_let_back: Platform, 1, "
+    server_in_maintenance_gets_no_new_requests: Platform, 1, "
         expect d
         send console PUT /maintenance/enter/s-0
         send console PUT /maintenance/enter/s-0
@@ -78,7 +78,7 @@
         send s0 200 | back
         expect c1";
 
-    a_class_that_comes_at_sighup_is_served_and_a_broken_file_changes_nothing: Platform, 1, "
+    reload_adds_a_class_and_ignores_an_invalid_file: Platform, 1, "
         retune \"Window\": 5000000000}] => \"Window\": 5000000000}, {\"Aim\": 200000000, \"Deadline\": 1200000000, \"Group\": \"all\", \"LateWorth\": 0.1, \"Name\": \"form-note\", \"Points\": 2.0, \"Semantics\": \"at_most_once\", \"Stream\": false, \"Window\": 5000000000}]
         send c1 PUT /api X-Lane:form-note | note
         expect s0
@@ -99,7 +99,7 @@
         expect c1
         send console GET /status/metrics form-note";
 
-    a_request_passes_unchanged_and_its_answer_comes_back: Platform, 1, "
+    request_and_response_are_forwarded_unchanged: Platform, 1, "
         send c1 GET /health/ready
         expect c1
         send c1 PUT /api?a=%20b X-Lane:form-submit | form
@@ -111,7 +111,7 @@
         send s0 200 | *65536
         expect c1";
 
-    a_read_is_tried_again_after_a_reset_and_a_submit_never: Platform, 1, "
+    read_is_retried_after_a_reset_and_a_submit_is_not: Platform, 1, "
         send c1 GET /api
         expect s0
         close s0
@@ -135,7 +135,7 @@
         send s0 200 | well
         expect c2";
 
-    what_was_turned_away_never_ran_and_goes_out_again: Platform, 1, "
+    request_rejected_by_a_server_is_retried: Platform, 1, "
         send c1 PUT /api X-Lane:form-submit | form
         expect s0
         send s0 503 X-Turned-Away:1
@@ -143,7 +143,7 @@
         send s0 200 | stored
         expect c1";
 
-    a_connection_closed_while_idle_loses_nothing: Platform, 1, "
+    idle_connection_closed_by_a_server_loses_no_request: Platform, 1, "
         send c1 GET /api
         expect s0
         send s0 200 Connection:close | first
@@ -153,7 +153,7 @@
         send s0 200 | second
         expect c1";
 
-    silence_ends_at_the_deadline_with_one_answer: Platform, 1, "
+    silent_server_leads_to_one_response_at_the_deadline: Platform, 1, "
         send c1 PUT /api X-Lane:form-submit X-Remaining:300m | form
         expect s0
         expect c1
@@ -161,7 +161,7 @@
         expect s0
         expect c2";
 
-    a_front_that_ends_answers_those_who_would_wait_for_longer: Platform, 1, "
+    shutdown_answers_clients_with_longer_deadlines: Platform, 1, "
         retune \"Deadline\": 1200000000 => \"Deadline\": 9000000000
         retune \"Deadline\": 2500000000 => \"Deadline\": 9000000000
         send c1 GET /api X-Lane:batch-export X-Remaining:8000m
@@ -173,7 +173,7 @@
         expect c2
         wait front";
 
-    bad_input_is_refused_and_harms_nobody: Platform, 1, "
+    invalid_requests_are_refused_without_affecting_others: Platform, 1, "
         send c1 GET /api X-Lane:unknown
         expect c1
         send c1 GET /api X-Plan:unknown
@@ -219,7 +219,7 @@
         send s0 200 | well
         expect c5";
 
-    the_id_of_an_open_request_is_refused: Platform, 1, "
+    transaction_id_of_an_open_request_is_refused: Platform, 1, "
         send c1 GET /api X-Txn:00000000000000aa
         expect s0
         send c2 GET /api X-Txn:00000000000000aa
@@ -231,25 +231,25 @@
         send s0 200 | for the second
         expect c2";
 
-    connections_that_say_nothing_cost_nobody_a_place: Platform, 1, "
+    silent_connections_do_not_exclude_new_clients: Platform, 1, "
         crowd 300
         send c1 until s0 GET /api
         send s0 200 | well
         expect c1
         expect crowd";
 
-    clients_that_ask_once_and_stay_cost_nobody_a_place: Platform, 1, "
+    idle_connections_do_not_exclude_new_clients: Platform, 1, "
         crowd 200 GET /health/ready HTTP/1.1\\r\\n\\r\\n
         send c1 GET /api
         expect s0
         send s0 200 | well
         expect c1";
 
-    clients_that_ask_once_and_stay_get_their_connections_back: Platform, 1, "
+    idle_connections_are_closed_when_connections_are_scarce: Platform, 1, "
         crowd 80 GET /health/ready HTTP/1.1\\r\\n\\r\\n
         expect crowd 18";
 
-    requests_framed_in_doubt_are_refused_and_nothing_behind_them_passes: Platform, 1, "
+    ambiguously_framed_requests_are_refused_and_nothing_is_smuggled: Platform, 1, "
         send c1 raw PUT /api HTTP/1.1\\r\\nContent-Length: 4\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n0\\r\\n\\r\\nGET /hidden HTTP/1.1\\r\\n\\r\\n
         expect c1
         expect c1
@@ -268,17 +268,17 @@
         send s0 200 | well
         expect c6";
 
-    an_error_reaches_a_client_that_still_writes: Platform, 1, "
+    error_response_reaches_a_client_that_is_still_sending: Platform, 1, "
         send c1 PUT /api X-Lane:form-submit | *60000000
         expect c1";
 
-    half_a_request_is_ended_in_time: Platform, 1, "
+    partial_request_times_out: Platform, 1, "
         send c1 raw GET /api HTTP/1.1\\r\\nX-Lane: form
         send c2 raw PUT /api HTTP/1.1\\r\\nContent-Length: 12\\r\\n\\r\\nhalf
         expect c1
         expect c2";
 
-    a_spoilt_answer_is_a_failed_attempt_and_a_good_one_is_served: Platform, 1, "
+    malformed_response_is_a_failed_attempt: Platform, 1, "
         send c1 GET /api
         expect s0
         send s0 raw HTTP/1.1 200 OK\\r\\n\\r\\nended only by closing
@@ -292,7 +292,7 @@
         send s0 raw ICY 200 OK\\r\\nContent-Length: 4\\r\\n\\r\\nwell
         expect c1";
 
-    an_answer_that_does_not_end_leaves_time_for_another_attempt: Platform, 1, "
+    stalled_response_leaves_time_for_a_retry: Platform, 1, "
         send c1 GET /api
         expect s0
         send s0 raw HTTP/1.1 200 OK\\r\\nContent-Length: 12\\r\\n\\r\\nhalf of
@@ -306,7 +306,7 @@
         send s0 200 | the second
         expect c1";
 
-    what_comes_ahead_of_an_answer_or_behind_it_is_none_of_it: Platform, 1, "
+    informational_responses_and_trailing_bytes_are_ignored: Platform, 1, "
         send c1 GET /api
         expect s0
         send s0 raw HTTP/1.1 101 Switching\\r\\nUpgrade: x\\r\\n\\r\\n
@@ -318,7 +318,7 @@
         send s0 200 | its own
         expect c1";
 
-    what_comes_unasked_is_not_the_next_answer: Platform, 1, "
+    unsolicited_response_is_not_taken_for_the_next_one: Platform, 1, "
         send c1 GET /api
         expect s0
         send s0 200 | first
@@ -329,7 +329,7 @@
         send s0 200 | second
         expect c1";
 
-    a_draining_server_gets_nothing_new: Platform, 2, "
+    draining_server_gets_no_new_requests: Platform, 2, "
         expect d
         send c1 GET /api shard:0
         expect s0
@@ -350,7 +350,7 @@
         send s0 200 | back
         expect c1";
 
-    a_watch_that_ends_is_asked_for_again: Platform, 1, "
+    ended_watch_is_reopened: Platform, 1, "
         expect d
         send d Ready 0
         wait 300
@@ -363,7 +363,7 @@
         send s0 200 | well
         expect c1";
 
-    a_new_configuration_moves_the_watch_and_a_bad_one_changes_nothing: Platform, 2, "
+    reload_moves_the_watch_and_ignores_an_invalid_file: Platform, 2, "
         expect d
         reload {half a file
         wait 300
@@ -385,7 +385,7 @@
         send s1 200 | told by the new one
         expect c2";
 
-    a_log_that_nobody_reads_brings_nothing_down: Platform, 1, "
+    closed_log_does_not_stop_the_front: Platform, 1, "
         expect d
         close log
         close d
@@ -395,7 +395,7 @@
         send s0 200 | well
         expect c1";
 
-    a_client_that_leaves_takes_nobody_with_it: Platform, 1, "
+    disconnecting_client_does_not_affect_others: Platform, 1, "
         send c1 GET /api
         expect s0
         close c1
@@ -409,7 +409,7 @@
         close c3
         expect s0 left";
 
-    a_restart_answers_all_that_was_taken: Platform, 1, "
+    shutdown_answers_all_received_requests: Platform, 1, "
         send c1 GET /api
         expect s0
         close front
@@ -422,7 +422,7 @@
         expect c2
         wait front";
 
-    objects_are_stored_read_in_ranges_and_removed: Object, 1, "
+    objects_are_stored_read_in_ranges_and_deleted: Object, 1, "
         send c1 PUT /photos/meter%201.jpg Content-Type:image/jpeg | 0123456789
         expect s0
         send s0 200 ETag:'e1' x-amz-version-id:v1
@@ -448,7 +448,7 @@
         send s0 204
         expect c1";
 
-    a_node_that_knows_no_ranges_is_read_in_ranges_all_the_same: Object, 1, "
+    ranges_are_cut_from_the_answer_of_a_server_without_range_support: Object, 1, "
         send c1 GET /photos/a?versionId=0. Range:bytes=-3
         expect s0
         send s0 200 | 0123456789
@@ -468,7 +468,7 @@
         send s0 416 Content-Range:bytes~*/0
         expect c1";
 
-    a_large_object_comes_in_pieces_and_breaks_off_where_one_is_missing: Object, 1, "
+    large_object_is_streamed_in_pieces_and_truncated_where_one_fails: Object, 1, "
         send c1 GET /photos/a?versionId=0.
         expect s0
         send s0 206 ETag:'e' Content-Range:bytes~0-65535/65540 | *65536
@@ -482,7 +482,7 @@
         send s0 412
         expect c1";
 
-    without_a_version_the_latest_of_all_shards_is_read: Object, 2, "
+    object_without_a_version_is_read_from_the_shard_with_the_latest: Object, 2, "
         send c1 GET /photos/a
         expect s0
         expect s1
@@ -504,7 +504,7 @@
         send s1 404
         expect c1";
 
-    an_upload_is_opened_filled_listed_and_completed: Object, 1, "
+    multipart_upload_is_created_listed_and_completed: Object, 1, "
         send c1 POST /photos/a?uploads
         expect s0
         send s0 200 | <InitiateMultipartUploadResult><UploadId>own/1</UploadId></InitiateMultipartUploadResult>
@@ -524,7 +524,7 @@
         send s0 200 x-amz-version-id:v9 | <CompleteMultipartUploadResult><ETag>'whole'</ETag></CompleteMultipartUploadResult>
         expect c1";
 
-    a_completion_that_broke_off_is_asked_after_and_never_run_again: Object, 1, "
+    completion_with_unknown_outcome_is_looked_up_and_not_repeated: Object, 1, "
         send c1 POST /photos/a?uploads
         expect s0
         send s0 200 | <InitiateMultipartUploadResult><UploadId>own</UploadId></InitiateMultipartUploadResult>
@@ -548,7 +548,7 @@
         send s0 200 ETag:'whole' x-amz-version-id:v9 x-amz-meta-tulipbridge-upload:$token
         expect c1";
 
-    a_part_for_a_draining_node_gets_one_refusal_that_says_when_to_come_back: Object, 2, "
+    part_for_a_draining_server_is_rejected_once_with_retry_after: Object, 2, "
         expect d
         send d Terminating 1
         wait 300
@@ -571,7 +571,7 @@
         send s0 200 ETag:'p2'
         expect c2";
 
-    what_the_object_api_does_not_serve_is_said_in_its_terms: Object, 1, "
+    unsupported_requests_get_errors_of_the_object_api: Object, 1, "
         send c1 GET /unknown/a
         expect c1
         send c1 GET /photos/
--- a/tests/uploads.rs
+++ b/tests/uploads.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn each_request_is_answered_once_and_each_upload_stored_once() {
+fn every_request_is_answered_once_and_every_upload_is_stored_once() {
     let folder = std::env::current_exe().expect("a path");
     let toy = folder.parent().and_then(|d| d.parent()).expect("a folder").join("examples/toy_server");
     let mut config = include_str!("../deploy/object.json").replace("127.0.0.1:9000", "127.0.0.1:0");
