--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,22 +1,13 @@
-//! Rare moments, forced: something ends on one side in the very moment in which something is still owed on it. The
-//! program runs, and the other parties hold a byte, an answer or the program itself back until it is at the point.
+//! Races, forced: one side ends something at the very moment at which it is still owed something on that connection.
+//! The program runs, and the other parties delay a byte, a response or the program itself until it is at that point.
 
+#[macro_use]
 mod scenario;
 
 use scenario::{run, Front};
 
-/// A scenario and the snapshot of its transcript.
-macro_rules! scenarios {
-    ($($name:ident: $kind:ident, $servers:literal, $script:literal;)*) => {
-        $(#[test]
-        fn $name() {
-            insta::assert_snapshot!(run(Front::$kind, $servers, $script));
-        })*
-    };
-}
-
 scenarios! {
-    // The end of a front.
+    // Shutdown.
 
     shutdown_completes_and_answers_a_partial_request_head: Platform, 1, "
         send c1 raw GET /api HTTP/1.1\\r\\nHost: t\\r\\nX-Txn: 00000000000000a1\\r\\nX-Lane: form-read\\r\\n
@@ -114,7 +105,7 @@
         expect c1
         wait front";
 
-    // Clients that go.
+    // Clients that disconnect.
 
     write_is_not_sent_when_its_client_disconnects_during_the_dial: Platform, 2, "
         settings \"DialTimeout\": 250000000 => \"DialTimeout\": 3000000000
@@ -265,7 +256,7 @@
         end s0
         expect c2";
 
-    // Another customer's settings.
+    // Settings of other deployments.
 
     deduplication_headers_are_forwarded_and_retries_stay_within_the_window: Platform, 1, "
         settings \"Semantics\": \"at_most_once\", \"Stream\": false, \"Window\": 5000000000 => \"Semantics\": \"deduplicated\", \"Stream\": false, \"Window\": 300000000
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -1,19 +1,10 @@
-//! Both fronts as their users meet them: the program, started, and spoken to over sockets.
+//! Both fronts as their users see them: the program runs, and the tests speak to it over sockets.
 
+#[macro_use]
 mod scenario;
 
 use scenario::{run, Front};
 
-/// A scenario and the snapshot of its transcript.
-macro_rules! scenarios {
-    ($($name:ident: $kind:ident, $servers:literal, $script:literal;)*) => {
-        $(#[test]
-        fn $name() {
-            insta::assert_snapshot!(run(Front::$kind, $servers, $script));
-        })*
-    };
-}
-
 scenarios! {
     long_body_and_slow_body_are_accepted: Platform, 1, "
         send c1 PUT /api X-Lane:form-submit | *200000
--- /dev/null
+++ b/tests/scenario/connection.rs
@@ -0,0 +1,162 @@
+//! Connections of the parties that a scenario plays, and the HTTP messages on them.
+
+use std::collections::HashMap;
+use std::io::{ErrorKind, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::os::fd::AsRawFd;
+use std::time::Instant;
+
+use nix::sys::socket::{connect, setsockopt, socket, sockopt, AddressFamily, SockFlag, SockType, SockaddrIn};
+
+use super::{pause, POLL, STEP_TIMEOUT};
+
+const HEAD_END: &[u8] = b"\r\n\r\n";
+/// Receive buffer of a client that reads slowly, in bytes.
+const SMALL_RECEIVE_BUFFER: usize = 4096;
+const READ_BUFFER_BYTES: usize = 16384;
+
+/// An HTTP message.
+pub struct Message {
+    /// The start line without the version of a request.
+    pub start_line: String,
+    /// Headers by lower-case name; of a repeated header the last.
+    pub headers: HashMap<String, String>,
+    pub body: Vec<u8>,
+}
+
+/// A connection with the bytes that have been read from it.
+pub struct Connection {
+    pub stream: TcpStream,
+    buffer: Vec<u8>,
+}
+
+impl Connection {
+    pub fn new(stream: TcpStream) -> Connection {
+        stream.set_read_timeout(Some(STEP_TIMEOUT)).expect("settable");
+        Connection { stream, buffer: Vec::new() }
+    }
+
+    pub fn open(address: SocketAddr) -> Connection {
+        Connection::new(TcpStream::connect(address).expect("it accepts connections"))
+    }
+
+    /// A connection whose receive buffer is small.
+    pub fn open_slow(address: SocketAddr) -> Connection {
+        let socket =
+            socket(AddressFamily::Inet, SockType::Stream, SockFlag::empty(), None).expect("a socket");
+        setsockopt(&socket, sockopt::RcvBuf, &SMALL_RECEIVE_BUFFER).expect("settable");
+        let SocketAddr::V4(address) = address else { panic!("{address} is of IPv4") };
+        connect(socket.as_raw_fd(), &SockaddrIn::from(address)).expect("it accepts connections");
+        Connection::new(TcpStream::from(socket))
+    }
+
+    /// Writes bytes. An error is ignored: a peer that is gone shows at the next `expect`.
+    pub fn write(&mut self, bytes: &[u8]) {
+        let _ = self.stream.write_all(bytes);
+    }
+
+    /// Whether unread bytes or the end of the stream wait.
+    pub fn is_readable(&mut self) -> bool {
+        self.stream.set_nonblocking(true).expect("settable");
+        let peeked = self.stream.peek(&mut [0]);
+        self.stream.set_nonblocking(false).expect("settable");
+        !matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock)
+    }
+
+    /// Reads a complete message.
+    pub fn read_message(&mut self) -> std::io::Result<Message> {
+        self.read_message_with(BodyLength::ContentLength)
+    }
+
+    /// Reads the response to a HEAD request, which has no body.
+    pub fn read_head_response(&mut self) -> std::io::Result<Message> {
+        self.read_message_with(BodyLength::Zero)
+    }
+
+    fn read_message_with(&mut self, body_length: BodyLength) -> std::io::Result<Message> {
+        let head_length = self.read_head()?;
+        let head = String::from_utf8_lossy(&self.buffer[..head_length]).into_owned();
+        let mut lines = head.lines();
+        let start_line = lines.next().unwrap_or_default().replace(" HTTP/1.1", "");
+        let fields = lines.filter_map(|line| line.split_once(':'));
+        let headers: HashMap<_, _> =
+            fields.map(|(name, value)| (name.to_lowercase(), value.trim().to_owned())).collect();
+        let length = match body_length {
+            BodyLength::Zero => 0,
+            BodyLength::ContentLength => {
+                headers.get("content-length").and_then(|length| length.parse().ok()).unwrap_or(0)
+            }
+        };
+        while self.buffer.len() < head_length + length {
+            self.fill()?;
+        }
+        let body = self.buffer[head_length..head_length + length].to_vec();
+        self.buffer.drain(..head_length + length);
+        Ok(Message { start_line, headers, body })
+    }
+
+    /// Reads until the buffer has a complete head. Returns its length.
+    fn read_head(&mut self) -> std::io::Result<usize> {
+        loop {
+            if let Some(end) = self.buffer.windows(HEAD_END.len()).position(|window| window == HEAD_END) {
+                return Ok(end + HEAD_END.len());
+            }
+            self.fill()?;
+        }
+    }
+
+    fn fill(&mut self) -> std::io::Result<()> {
+        let mut bytes = [0; READ_BUFFER_BYTES];
+        let count = self.stream.read(&mut bytes)?;
+        if count == 0 {
+            return Err(ErrorKind::UnexpectedEof.into());
+        }
+        self.buffer.extend_from_slice(&bytes[..count]);
+        Ok(())
+    }
+
+    /// Closes the connection with a reset.
+    pub fn reset(self) {
+        let linger = nix::libc::linger { l_onoff: 1, l_linger: 0 };
+        setsockopt(&self.stream, sockopt::Linger, &linger).expect("settable");
+    }
+}
+
+/// How the length of a body is found.
+enum BodyLength {
+    Zero,
+    ContentLength,
+}
+
+/// A connection that waits to be accepted, if any.
+pub fn try_accept(listener: &TcpListener) -> Option<Connection> {
+    listener.set_nonblocking(true).expect("settable");
+    let (stream, _) = listener.accept().ok()?;
+    stream.set_nonblocking(false).expect("settable");
+    Some(Connection::new(stream))
+}
+
+/// Accepts the next connection; the scenario fails where none comes.
+pub fn accept(listener: &TcpListener) -> Connection {
+    let deadline = Instant::now() + STEP_TIMEOUT;
+    loop {
+        if let Some(connection) = try_accept(listener) {
+            return connection;
+        }
+        assert!(Instant::now() < deadline, "no connection came");
+        pause(POLL);
+    }
+}
+
+/// The bytes that a script spells with `\r` and `\n`.
+pub fn unescape(text: &str) -> Vec<u8> {
+    text.replace("\\r", "\r").replace("\\n", "\n").into_bytes()
+}
+
+/// The body that a script spells: `*N` is N bytes of `x`.
+pub fn spelled_body(body: &str) -> Vec<u8> {
+    match body.strip_prefix('*').and_then(|count| count.parse().ok()) {
+        Some(count) => vec![b'x'; count],
+        None => body.as_bytes().to_vec(),
+    }
+}
--- /dev/null
+++ b/tests/scenario/front_process.rs
@@ -0,0 +1,151 @@
+//! The front under test: a process with its configuration file, log and console.
+
+use std::io::{BufRead, BufReader};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::process::{Child, ChildStderr, Command, Stdio};
+
+use super::connection::{Connection, Message};
+use super::discovery::Discovery;
+use super::server::Server;
+use super::Front;
+
+const SETTINGS: &str = include_str!("settings.json");
+const CONFIG_FILE: &str = "config.json";
+
+pub struct FrontProcess {
+    process: Child,
+    /// Standard error; `None` once it is closed.
+    log: Option<BufReader<ChildStderr>>,
+    pub address: SocketAddr,
+    console: SocketAddr,
+    folder: PathBuf,
+    config: String,
+}
+
+impl FrontProcess {
+    /// Starts a front. In its configuration the first text of each of the `edits` is replaced by the second.
+    pub fn start(
+        front: Front,
+        servers: &[Server],
+        discovery: &Discovery,
+        edits: &[(&str, &str)],
+    ) -> FrontProcess {
+        let folder = format!("tulipbridge-{}-{}", std::process::id(), discovery.address().port());
+        let folder = std::env::temp_dir().join(folder);
+        std::fs::create_dir_all(&folder).expect("a folder");
+        let config =
+            edits.iter().fold(config(servers, discovery), |config, (from, to)| edit(&config, from, to));
+        let file = folder.join(CONFIG_FILE);
+        std::fs::write(&file, &config).expect("written");
+        let mut command = Command::new(env!("CARGO_BIN_EXE_tulipbridge"));
+        match front {
+            Front::Platform => command
+                .env("BALANCER_CONFIG", &file)
+                .env("BALANCER_DISCOVERY", discovery.address().to_string()),
+            Front::Object => command.arg("object").arg(&file),
+        };
+        let mut process = command.stderr(Stdio::piped()).spawn().expect("the program starts");
+        let mut log = BufReader::new(process.stderr.take().expect("a pipe"));
+        let address = read_address(&mut log, "listening on ");
+        let console = read_address(&mut log, "console on ");
+        FrontProcess { process, log: Some(log), address, console, folder, config }
+    }
+
+    /// Sends a signal, such as `HUP`.
+    pub fn signal(&self, name: &str) {
+        let process_id = self.process.id().to_string();
+        let status = Command::new("kill").args([format!("-{name}"), process_id]).status();
+        assert!(status.expect("kill").success());
+    }
+
+    /// Waits for the end of the process. Returns its exit code.
+    pub fn wait(&mut self) -> Option<i32> {
+        self.process.wait().expect("it ends").code()
+    }
+
+    /// Closes the reading end of the log.
+    pub fn close_log(&mut self) {
+        self.log = None;
+    }
+
+    /// Reloads the configuration with discovery at another address.
+    pub fn reload_with_discovery(&mut self, old: SocketAddr, new: SocketAddr) -> Option<String> {
+        self.config = self.config.replace(&old.to_string(), &new.to_string());
+        let config = self.config.clone();
+        self.reload(&config)
+    }
+
+    /// Reloads the configuration with the first `from` replaced by `to`. An edit that the front refuses is not the
+    /// base of the next.
+    pub fn reload_with_edit(&mut self, from: &str, to: &str) -> Option<String> {
+        let config = edit(&self.config, from, to);
+        let result = self.reload(&config);
+        if result.as_deref().is_some_and(|line| line.contains("is taken")) {
+            self.config = config;
+        }
+        result
+    }
+
+    /// Writes the file, sends SIGHUP and waits for the front to log the result. Returns that line without the name of
+    /// the file; `None` where the log is closed.
+    pub fn reload(&mut self, config: &str) -> Option<String> {
+        std::fs::write(self.folder.join(CONFIG_FILE), config).expect("written");
+        self.signal("HUP");
+        let log = self.log.as_mut()?;
+        let mut line = String::new();
+        while !line.contains("configuration") {
+            line.clear();
+            if log.read_line(&mut line).expect("the log is readable") == 0 {
+                return None;
+            }
+        }
+        let message = line.trim().split_once("] ").map_or(line.trim(), |(_, message)| message);
+        // The path of the file, which differs from run to run, follows the colon.
+        Some(message.split(": /").next().unwrap_or(message).to_owned())
+    }
+
+    /// Calls the console on a connection of its own.
+    pub fn call_console(&self, method: &str, path: &str) -> Message {
+        let mut connection = Connection::open(self.console);
+        let request = format!("{method} {path} HTTP/1.1\r\nHost: t\r\nContent-Length: 0\r\n\r\n");
+        connection.write(request.as_bytes());
+        connection.read_message().expect("an answer")
+    }
+}
+
+impl Drop for FrontProcess {
+    fn drop(&mut self) {
+        // The process may have ended already.
+        let _ = self.process.kill();
+        let _ = self.process.wait();
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
+
+fn config(servers: &[Server], discovery: &Discovery) -> String {
+    let entries: Vec<String> =
+        servers.iter().enumerate().map(|(index, server)| server.entry(index, "Ready")).collect();
+    let config = format!(
+        r#"{{"name":"t","listen":"127.0.0.1:0","console":"127.0.0.1:0","discovery":"{}","seed":"8c1f30d27a5be964",
+        "limits":{{"cores":1.0,"memory_mb":192,"sockets":256}},
+        "known":{{"generation":1,"reset":true,"instances":[{}]}},"settings":{SETTINGS},
+        "buckets":{{"photos":{{"volume":"3b4d60021","plan":"basico","read":"form-read","write":"form-submit"}}}}}}"#,
+        discovery.address(),
+        entries.join(","),
+    );
+    config.replace("\"Shards\": 10", &format!("\"Shards\": {}", servers.len()))
+}
+
+fn edit(config: &str, from: &str, to: &str) -> String {
+    assert!(config.contains(from), "no {from} in the file");
+    config.replacen(from, to, 1)
+}
+
+/// The address at the end of the next line of the log.
+fn read_address(log: &mut impl BufRead, prefix: &str) -> SocketAddr {
+    let mut line = String::new();
+    log.read_line(&mut line).expect("the log is readable");
+    let address = line.trim().rsplit_once(prefix).and_then(|(_, address)| address.parse().ok());
+    address.unwrap_or_else(|| panic!("no address after '{prefix}': {line}"))
+}
--- /dev/null
+++ b/tests/scenario/server.rs
@@ -0,0 +1,123 @@
+//! A chunk server that a scenario plays.
+
+use std::collections::VecDeque;
+use std::fmt::Write as _;
+use std::net::{TcpListener, TcpStream};
+
+use nix::sys::socket::{listen, Backlog};
+
+use super::connection::{spelled_body, try_accept, unescape, Connection, Message};
+use super::listen_anywhere;
+
+/// Length of the queue of a socket that accepts connections.
+const BACKLOG: i32 = 128;
+
+pub struct Server {
+    listener: TcpListener,
+    /// Connections on which no request is unanswered.
+    idle: Vec<Connection>,
+    /// Connections with an unanswered request, the oldest first.
+    unanswered: VecDeque<Connection>,
+    /// Connections that were answered with raw bytes; kept open and not read any more.
+    raw_answered: Vec<Connection>,
+    /// Connections that fill the queue of the socket.
+    fillers: Vec<TcpStream>,
+}
+
+impl Server {
+    pub fn new() -> Server {
+        Server {
+            listener: listen_anywhere(),
+            idle: Vec::new(),
+            unanswered: VecDeque::new(),
+            raw_answered: Vec::new(),
+            fillers: Vec::new(),
+        }
+    }
+
+    /// The entry of the server with this index in a list of discovery.
+    pub fn entry(&self, index: usize, state: &str) -> String {
+        let address = self.listener.local_addr().expect("bound");
+        format!(
+            r#"{{"instanceId":"s-{index}","hostPort":"{address}","zone":"edificio-a","machineType":"standard-1c","cell":{index},"lifecycle":"{state}","weight":1.0,"startedAtMs":0}}"#
+        )
+    }
+
+    /// The next complete request on any connection, if one has come.
+    pub fn try_receive(&mut self) -> Option<Message> {
+        self.idle.extend(try_accept(&self.listener));
+        let index = (0..self.idle.len()).find(|index| self.idle[*index].is_readable())?;
+        let mut connection = self.idle.remove(index);
+        let message = connection.read_message().ok()?;
+        self.unanswered.push_back(connection);
+        Some(message)
+    }
+
+    /// Takes the connection with the oldest unanswered request.
+    pub fn take_oldest(&mut self) -> Connection {
+        self.unanswered.pop_front().expect("a request")
+    }
+
+    /// Takes the connection with the oldest raw answer.
+    pub fn take_raw_answered(&mut self) -> Connection {
+        self.raw_answered.remove(0)
+    }
+
+    /// Answers the oldest request as the script says.
+    pub fn answer(&mut self, script: &str) {
+        if let Some(raw) = script.strip_prefix("raw ") {
+            let mut connection = self.take_oldest();
+            connection.write(&unescape(raw));
+            self.raw_answered.push(connection);
+        } else if let Some(raw) = script.strip_prefix("unasked ") {
+            self.idle.iter_mut().for_each(|connection| connection.write(&unescape(raw)));
+        } else {
+            self.answer_with_status(script);
+        }
+    }
+
+    /// `STATUS [part] NAME:VALUE .. | BODY`.
+    fn answer_with_status(&mut self, script: &str) {
+        let (line, body) = script.split_once(" | ").unwrap_or((script, ""));
+        let body = spelled_body(body);
+        let mut words = line.split(' ').peekable();
+        let status = words.next().expect("a status");
+        let is_complete = words.next_if_eq(&"part").is_none();
+        let mut head = format!("HTTP/1.1 {status} Told\r\n");
+        let mut length = body.len();
+        for (name, value) in words.filter_map(|word| word.split_once(':')) {
+            if name == "Content-Length" {
+                length = value.parse().expect("a length");
+            } else {
+                write!(head, "{name}: {}\r\n", value.replace('~', " ")).expect("strings take all");
+            }
+        }
+        let announced = if is_complete { length } else { length + 1 };
+        write!(head, "Content-Length: {announced}\r\n\r\n").expect("strings take all");
+        let mut connection = self.take_oldest();
+        connection.write(&[head.as_bytes(), &body].concat());
+        if is_complete {
+            self.idle.push(connection);
+        }
+    }
+
+    /// Keeps further connections from being established: the queue of the socket holds one, and that place is taken.
+    pub fn fill_backlog(&mut self) {
+        listen(&self.listener, Backlog::new(0).expect("a length")).expect("settable");
+        let address = self.listener.local_addr().expect("bound");
+        self.fillers.push(TcpStream::connect(address).expect("the place is free"));
+    }
+
+    /// Lets connections be established again, those that wait included.
+    pub fn free_backlog(&mut self) {
+        listen(&self.listener, Backlog::new(BACKLOG).expect("a length")).expect("settable");
+        let fillers: Vec<_> = self.fillers.iter().filter_map(|filler| filler.local_addr().ok()).collect();
+        while let Some(connection) = try_accept(&self.listener) {
+            let peer = connection.stream.peer_addr();
+            if !peer.is_ok_and(|peer| fillers.contains(&peer)) {
+                self.idle.push(connection);
+            }
+        }
+        self.fillers.clear();
+    }
+}
