--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,18 +1,21 @@
-//! A toy chunk server that keeps everything in memory: the platform's requests (any path without a bucket it
-//! knows is stored and read the same way) and the object API's, so that a newcomer can try both fronts.
+//! A toy chunk server that keeps everything in memory. It serves the requests of the platform's front (any path is
+//! stored and read the same way) and of the object API's, so that a newcomer can try both fronts.
 //!
 //!     cargo run --example toy_server 127.0.0.1:7101
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::convert::Infallible;
+use std::ops::Range;
 use std::rc::Rc;
 use std::time::SystemTime;
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
-use hyper::header::{HeaderMap, HeaderValue, CONTENT_LENGTH, CONTENT_RANGE, ETAG, LAST_MODIFIED, RANGE};
+use hyper::header::{
+    HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, CONTENT_RANGE, ETAG, LAST_MODIFIED, RANGE,
+};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
@@ -20,165 +23,199 @@
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, LocalSet};
 
+const DEFAULT_ADDRESS: &str = "127.0.0.1:7101";
+/// Entity tag of every part.
+const PART_TAG: &str = "\"part\"";
+
+/// A stored object with the headers that describe it.
 struct Object {
     bytes: Bytes,
     headers: HeaderMap,
 }
 
+/// A multipart upload that is open.
 struct Upload {
     path: String,
     headers: HeaderMap,
+    /// Parts by number.
     parts: BTreeMap<u32, Bytes>,
 }
 
 #[derive(Default)]
 struct Store {
+    /// Objects by path.
     objects: BTreeMap<String, Object>,
+    /// Uploads by id.
     uploads: BTreeMap<String, Upload>,
-    opened: u64,
+    uploads_created: u64,
 }
 
 type Reply = Response<Full<Bytes>>;
 
 fn main() {
-    let address = std::env::args().nth(1).unwrap_or_else(|| "127.0.0.1:7101".to_owned());
+    let address = std::env::args().nth(1).unwrap_or_else(|| DEFAULT_ADDRESS.to_owned());
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    LocalSet::new().block_on(&runtime, async move {
-        let listener = TcpListener::bind(&address).await.expect("the address is free");
-        println!("toy chunk server on {}", listener.local_addr().expect("bound"));
-        let store = Rc::new(RefCell::new(Store::default()));
-        loop {
-            let Ok((stream, _)) = listener.accept().await else { continue };
-            let store = Rc::clone(&store);
-            spawn_local(async move {
-                let service = service_fn(move |request| answer(Rc::clone(&store), request));
-                let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
-            });
-        }
-    });
+    LocalSet::new().block_on(&runtime, serve(&address));
+}
+
+async fn serve(address: &str) {
+    let listener = TcpListener::bind(address).await.expect("the address is free");
+    println!("toy chunk server on {}", listener.local_addr().expect("bound"));
+    let store = Rc::new(RefCell::new(Store::default()));
+    loop {
+        let Ok((stream, _)) = listener.accept().await else { continue };
+        let store = Rc::clone(&store);
+        spawn_local(async move {
+            let service = service_fn(move |request| answer(Rc::clone(&store), request));
+            // An error of one connection concerns its client alone.
+            let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+        });
+    }
 }
 
 async fn answer(store: Rc<RefCell<Store>>, request: Request<Incoming>) -> Result<Reply, Infallible> {
     let (head, body) = request.into_parts();
-    let Ok(body) = body.collect().await else { return Ok(plain(StatusCode::BAD_REQUEST, "")) };
+    let Ok(body) = body.collect().await else { return Ok(empty(StatusCode::BAD_REQUEST)) };
     println!("{} {}", head.method, head.uri);
     let query = head.uri.query().unwrap_or_default();
-    let field = |name: &str| {
-        let fields = query.split('&').map(|f| f.split_once('=').unwrap_or((f, "")));
-        fields.filter(|(n, _)| *n == name).map(|(_, v)| v.to_owned()).next()
-    };
-    let (path, body) = (head.uri.path().to_owned(), body.to_bytes());
+    let path = head.uri.path().to_owned();
+    let body = body.to_bytes();
     let mut store = store.borrow_mut();
-    Ok(match (field("uploadId"), &head.method) {
-        (Some(id), method) => store.upload(&id, method, field("partNumber"), body),
-        (None, &Method::POST) => store.open(path, head.headers),
+    Ok(match (query_field(query, "uploadId"), &head.method) {
+        (Some(id), method) => store.answer_upload(id, method, query_field(query, "partNumber"), body),
+        (None, &Method::POST) => store.create_upload(path, head.headers),
         (None, &Method::PUT) => store.put(path, head.headers, body),
         (None, &Method::DELETE) => {
             store.objects.remove(&path);
-            plain(StatusCode::NO_CONTENT, "")
+            empty(StatusCode::NO_CONTENT)
         }
-        (None, method) => store.get(&path, method == Method::HEAD, &head.headers),
+        (None, &Method::HEAD) => store.head(&path),
+        (None, _) => store.get(&path, &head.headers),
     })
 }
 
+fn query_field<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+    let mut fields = query.split('&').map(|field| field.split_once('=').unwrap_or((field, "")));
+    fields.find(|(field, _)| *field == name).map(|(_, value)| value)
+}
+
 impl Store {
-    fn put(&mut self, path: String, mut headers: HeaderMap, bytes: Bytes) -> Reply {
-        headers = headers.into_iter().filter_map(|(n, v)| Some((n?, v))).filter(described).collect();
-        let tag = format!(
-            "\"{:x}-{}\"",
-            bytes.iter().fold(7u64, |h, b| h.wrapping_mul(31) + u64::from(*b)),
-            bytes.len()
-        );
+    fn put(&mut self, path: String, headers: HeaderMap, bytes: Bytes) -> Reply {
+        let mut headers: HeaderMap =
+            headers.into_iter().filter_map(|(name, value)| Some((name?, value))).filter(is_stored).collect();
+        let tag = entity_tag(&bytes);
         insert(&mut headers, ETAG, &tag);
         insert(&mut headers, LAST_MODIFIED, &httpdate::fmt_http_date(SystemTime::now()));
         println!("stored {path}");
         self.objects.insert(path, Object { bytes, headers });
-        let mut reply = plain(StatusCode::OK, "");
+        let mut reply = empty(StatusCode::OK);
         insert(reply.headers_mut(), ETAG, &tag);
         reply
     }
 
-    fn get(&self, path: &str, head: bool, asked: &HeaderMap) -> Reply {
-        let Some(object) = self.objects.get(path) else { return plain(StatusCode::NOT_FOUND, "") };
+    fn head(&self, path: &str) -> Reply {
+        let Some(object) = self.objects.get(path) else { return empty(StatusCode::NOT_FOUND) };
+        let mut reply = empty(StatusCode::OK);
+        reply.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(object.bytes.len()));
+        reply.headers_mut().extend(object.headers.clone());
+        reply
+    }
+
+    fn get(&self, path: &str, request_headers: &HeaderMap) -> Reply {
+        let Some(object) = self.objects.get(path) else { return empty(StatusCode::NOT_FOUND) };
         let size = object.bytes.len();
-        let range = asked.get(RANGE).and_then(|v| v.to_str().ok()).and_then(|r| r.strip_prefix("bytes="));
-        let range = range.and_then(|r| r.split_once('-')).map(|(first, last)| match first.parse::<usize>() {
-            Ok(first) => (first, last.parse().map_or(size, |l: usize| l.saturating_add(1).min(size))),
-            Err(_) => (size.saturating_sub(last.parse().unwrap_or(0)), size),
-        });
-        let mut reply = plain(StatusCode::OK, "");
-        if let Some((first, end)) = range.filter(|_| !head) {
-            if first >= end {
+        let mut reply = empty(StatusCode::OK);
+        match requested_range(request_headers, size) {
+            None => *reply.body_mut() = Full::new(object.bytes.clone()),
+            Some(range) if range.is_empty() => {
                 *reply.status_mut() = StatusCode::RANGE_NOT_SATISFIABLE;
                 insert(reply.headers_mut(), CONTENT_RANGE, &format!("bytes */{size}"));
                 return reply;
             }
-            *reply.status_mut() = StatusCode::PARTIAL_CONTENT;
-            *reply.body_mut() = Full::new(object.bytes.slice(first..end));
-            insert(reply.headers_mut(), CONTENT_RANGE, &format!("bytes {first}-{}/{size}", end - 1));
-        } else if head {
-            reply.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(size));
-        } else {
-            *reply.body_mut() = Full::new(object.bytes.clone());
+            Some(range) => {
+                *reply.status_mut() = StatusCode::PARTIAL_CONTENT;
+                let content_range = format!("bytes {}-{}/{size}", range.start, range.end - 1);
+                insert(reply.headers_mut(), CONTENT_RANGE, &content_range);
+                *reply.body_mut() = Full::new(object.bytes.slice(range));
+            }
         }
         reply.headers_mut().extend(object.headers.clone());
         reply
     }
 
-    fn open(&mut self, path: String, headers: HeaderMap) -> Reply {
-        self.opened += 1;
-        let id = self.opened.to_string();
+    fn create_upload(&mut self, path: String, headers: HeaderMap) -> Reply {
+        self.uploads_created += 1;
+        let id = self.uploads_created.to_string();
         self.uploads.insert(id.clone(), Upload { path, headers, parts: BTreeMap::new() });
-        xml("InitiateMultipartUploadResult", &format!("<UploadId>{id}</UploadId>"))
+        document("InitiateMultipartUploadResult", &format!("<UploadId>{id}</UploadId>"))
     }
 
-    fn upload(&mut self, id: &str, method: &Method, number: Option<String>, body: Bytes) -> Reply {
-        let Some(upload) = self.uploads.get_mut(id) else { return plain(StatusCode::NOT_FOUND, "") };
+    fn answer_upload(&mut self, id: &str, method: &Method, part: Option<&str>, body: Bytes) -> Reply {
+        let Some(upload) = self.uploads.get_mut(id) else { return empty(StatusCode::NOT_FOUND) };
         match *method {
             Method::PUT => {
-                upload.parts.insert(number.and_then(|n| n.parse().ok()).unwrap_or(1), body);
-                let mut reply = plain(StatusCode::OK, "");
-                insert(reply.headers_mut(), ETAG, "\"part\"");
+                upload.parts.insert(part.and_then(|number| number.parse().ok()).unwrap_or(1), body);
+                let mut reply = empty(StatusCode::OK);
+                insert(reply.headers_mut(), ETAG, PART_TAG);
                 reply
             }
-            Method::GET => {
-                let part = |(n, b): (&u32, &Bytes)| {
-                    format!(
-                        "<Part><PartNumber>{n}</PartNumber><ETag>\"part\"</ETag><Size>{}</Size></Part>",
-                        b.len()
-                    )
-                };
-                xml("ListPartsResult", &upload.parts.iter().map(part).collect::<String>())
-            }
+            Method::GET => document("ListPartsResult", &list_parts(upload)),
             Method::DELETE => {
                 self.uploads.remove(id);
-                plain(StatusCode::NO_CONTENT, "")
-            }
-            _ => {
-                let Some(upload) = self.uploads.remove(id) else { return plain(StatusCode::NOT_FOUND, "") };
-                let whole: Vec<u8> = upload.parts.values().flat_map(|b| b.to_vec()).collect();
-                let stored = self.put(upload.path, upload.headers, whole.into());
-                let tag = stored.headers().get(ETAG).and_then(|v| v.to_str().ok()).unwrap_or_default();
-                xml("CompleteMultipartUploadResult", &format!("<ETag>{tag}</ETag>"))
+                empty(StatusCode::NO_CONTENT)
             }
+            _ => self.complete_upload(id),
         }
     }
+
+    fn complete_upload(&mut self, id: &str) -> Reply {
+        let Some(upload) = self.uploads.remove(id) else { return empty(StatusCode::NOT_FOUND) };
+        let bytes: Vec<u8> = upload.parts.values().flat_map(|part| part.to_vec()).collect();
+        let stored = self.put(upload.path, upload.headers, bytes.into());
+        let tag = stored.headers().get(ETAG).and_then(|value| value.to_str().ok()).unwrap_or_default();
+        document("CompleteMultipartUploadResult", &format!("<ETag>{tag}</ETag>"))
+    }
+}
+
+/// The bytes that a `Range` header selects, empty where they lie past the end; `None` without a header.
+fn requested_range(headers: &HeaderMap, size: usize) -> Option<Range<usize>> {
+    let header = headers.get(RANGE)?.to_str().ok()?;
+    let (first, last) = header.strip_prefix("bytes=")?.split_once('-')?;
+    let range = match first.parse::<usize>() {
+        Ok(first) => first..last.parse().map_or(size, |last: usize| last.saturating_add(1).min(size)),
+        Err(_) => size.saturating_sub(last.parse().unwrap_or(0))..size,
+    };
+    Some(range)
+}
+
+fn entity_tag(bytes: &[u8]) -> String {
+    let hash = bytes.iter().fold(7u64, |hash, byte| hash.wrapping_mul(31) + u64::from(*byte));
+    format!("\"{hash:x}-{}\"", bytes.len())
+}
+
+fn list_parts(upload: &Upload) -> String {
+    let part = |(number, bytes): (&u32, &Bytes)| {
+        let size = bytes.len();
+        format!("<Part><PartNumber>{number}</PartNumber><ETag>{PART_TAG}</ETag><Size>{size}</Size></Part>")
+    };
+    upload.parts.iter().map(part).collect()
 }
 
-fn described((name, _): &(hyper::header::HeaderName, HeaderValue)) -> bool {
+/// Whether a header is stored with an object.
+fn is_stored((name, _): &(HeaderName, HeaderValue)) -> bool {
     name == "content-type" || name.as_str().starts_with("x-amz-meta-")
 }
 
-fn insert(headers: &mut HeaderMap, name: hyper::header::HeaderName, value: &str) {
-    headers.insert(name, HeaderValue::try_from(value).expect("plain text"));
+fn insert(headers: &mut HeaderMap, name: HeaderName, value: &str) {
+    headers.insert(name, HeaderValue::try_from(value).expect("a valid header"));
 }
 
-fn xml(root: &str, inner: &str) -> Reply {
-    plain(StatusCode::OK, &format!("<{root}>{inner}</{root}>"))
+fn document(root: &str, content: &str) -> Reply {
+    Response::new(Full::from(format!("<{root}>{content}</{root}>")))
 }
 
-fn plain(status: StatusCode, text: &str) -> Reply {
-    let mut reply = Response::new(Full::from(text.to_owned()));
+fn empty(status: StatusCode) -> Reply {
+    let mut reply = Response::new(Full::default());
     *reply.status_mut() = status;
     reply
 }
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -75,7 +75,7 @@
     core: RefCell<Core<T>>,
     transport: T,
     clock: Clock,
-    endpoints_wanted: Notify,
+    endpoints_requested: Notify,
     fleet_state: RefCell<Option<Rc<dyn FleetState>>>,
 }
 
@@ -91,7 +91,7 @@
             core: RefCell::new(Core { tracker, pending: HashMap::new() }),
             transport,
             clock,
-            endpoints_wanted: Notify::new(),
+            endpoints_requested: Notify::new(),
             fleet_state: RefCell::default(),
         }))
     }
@@ -164,7 +164,7 @@
 
     /// Returns when the decision module next asks for the endpoint list.
     pub async fn list_wanted(&self) {
-        self.endpoints_wanted.notified().await;
+        self.endpoints_requested.notified().await;
     }
 
     /// Passes an update of the endpoint list to the decision module.
@@ -257,7 +257,7 @@
                 self.core.borrow_mut().pending.remove(&id);
             }
             Effect::SetTimer { after, cookie } => self.set_timer(after, cookie),
-            Effect::Subscribe => self.endpoints_wanted.notify_one(),
+            Effect::Subscribe => self.endpoints_requested.notify_one(),
             Effect::ForgetNode(node) => self.transport.forget(node),
             Effect::Log { text, node } => log!("{text}: {}", self.transport.name(node)),
         }
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -185,7 +185,7 @@
     }
 
     async fn accept_one(self: &Rc<Self>, listener: &TcpListener) {
-        self.make_room().await;
+        self.ensure_capacity().await;
         match listener.accept().await {
             Ok((stream, _)) => self.spawn_connection(stream),
             // Out of file descriptors, or the client left the queue. Waiting lets other connections close.
@@ -197,17 +197,17 @@
     }
 
     /// Returns once the limiter admits another connection, evicting one where it says so.
-    async fn make_room(&self) {
-        let mut tried = None;
+    async fn ensure_capacity(&self) {
+        let mut eviction = None;
         loop {
-            let next = self.limiter.accept(self.connection_count(), tried);
+            let next = self.limiter.accept(self.connection_count(), eviction);
             match next {
                 Accept::Now => return,
-                Accept::EvictIdle => tried = Some((next, self.evict(true))),
-                Accept::EvictAny => tried = Some((next, self.evict(false))),
+                Accept::EvictIdle => eviction = Some((next, self.evict(true))),
+                Accept::EvictAny => eviction = Some((next, self.evict(false))),
                 Accept::Wait => {
                     sleep(ACCEPT_RETRY_DELAY).await;
-                    tried = None;
+                    eviction = None;
                 }
             }
         }
--- a/src/object/get.rs
+++ b/src/object/get.rs
@@ -73,28 +73,28 @@
             request.headers.get(RANGE).and_then(|value| value.to_str().ok()).and_then(ByteRange::parse);
         let piece = self.first_piece(&request, &source, range).await?;
         let size = piece.range.size;
-        let wanted = match range {
+        let selected = match range {
             Some(range) => range.within(size).ok_or(ApiError::InvalidRange(Some(size)))?,
             None => 0..size,
         };
         // A chunk server that returned another range than the one requested cannot be used.
         let received = piece.range.bytes.clone();
-        if received.start != wanted.start || received.end > wanted.end {
+        if received.start != selected.start || received.end > selected.end {
             return Err(ApiError::OutcomeUnknown);
         }
         let mut reply = empty(if range.is_some() { StatusCode::PARTIAL_CONTENT } else { StatusCode::OK });
         let headers = reply.headers_mut();
         describe(&piece.answer, source.version_id.clone(), headers)?;
-        headers.insert(CONTENT_LENGTH, HeaderValue::from(wanted.end - wanted.start));
+        headers.insert(CONTENT_LENGTH, HeaderValue::from(selected.end - selected.start));
         if range.is_some() {
-            let value = format!("bytes {}-{}/{size}", wanted.start, wanted.end - 1);
+            let value = format!("bytes {}-{}/{size}", selected.start, selected.end - 1);
             headers
                 .insert(CONTENT_RANGE, HeaderValue::try_from(value).map_err(|_| ApiError::OutcomeUnknown)?);
         }
-        *reply.body_mut() = if received.end == wanted.end {
+        *reply.body_mut() = if received.end == selected.end {
             Either::Left(Full::new(piece.answer.body))
         } else {
-            Either::Right(self.stream(request, source, piece, wanted.end))
+            Either::Right(self.stream(request, source, piece, selected.end))
         };
         Ok(reply)
     }
@@ -174,7 +174,7 @@
         if answer.status == StatusCode::PARTIAL_CONTENT {
             partial_piece(answer)
         } else {
-            piece_of_whole(answer, &range)
+            piece_of_complete_object(answer, &range)
         }
     }
 
@@ -265,8 +265,8 @@
     Ok(Piece { answer, range })
 }
 
-/// The piece with the requested range of an answer that has the whole object.
-fn piece_of_whole(mut answer: Answer, requested: &str) -> Result<Piece, ApiError> {
+/// The requested range of an answer that has the complete object.
+fn piece_of_complete_object(mut answer: Answer, requested: &str) -> Result<Piece, ApiError> {
     let size = answer.body.len() as u64;
     if size == 0 {
         return Err(ApiError::InvalidRange(Some(0)));
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,32 +1,34 @@
-//! The adapter as its users run it: replies only on standard output, plain messages on what is malformed.
+//! The adapter as its users run it: standard output has replies only, and a malformed line ends it with one message.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
+/// A batch without events, and the reply to it.
+const EMPTY_BATCH: &str = "{\"Moment\":1,\"events\":[]}\n";
+const EMPTY_REPLY: &str = "{\"do\":[]}\n";
+
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_tulipbridge-adapter"))
+    let mut adapter = Command::new(env!("CARGO_BIN_EXE_tulipbridge-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    child.stdin.take().expect("a pipe").write_all(input.as_bytes()).expect("it reads");
-    child.wait_with_output().expect("it ends")
+    adapter.stdin.take().expect("a pipe").write_all(input.as_bytes()).expect("it reads");
+    adapter.wait_with_output().expect("it ends")
 }
 
-const EMPTY: &str = "{\"Moment\":1,\"events\":[]}\n";
-
 #[test]
-fn an_empty_batch_and_the_end_of_input() {
-    let out = run(EMPTY);
-    assert!(out.status.success());
-    assert_eq!(String::from_utf8_lossy(&out.stdout), "{\"do\":[]}\n");
-    assert!(out.stderr.is_empty());
+fn empty_batch_gets_an_empty_reply() {
+    let output = run(EMPTY_BATCH);
+    assert!(output.status.success());
+    assert_eq!(String::from_utf8_lossy(&output.stdout), EMPTY_REPLY);
+    assert!(output.stderr.is_empty());
 }
 
 #[test]
-fn malformed_lines_give_one_plain_line_with_their_number() {
-    let bad = [
+fn malformed_line_ends_the_adapter_with_one_message_that_has_its_number() {
+    let lines = [
         "{\"Moment\":2,\"events\":[",
         "[]",
         "{\"events\":[]}",
@@ -38,13 +40,13 @@
         "{\"Moment\":2,\"events\":[[\"Start\",1,5,{\"Services\":[]}]]}",
         "{\"Moment\":2,\"events\":[[\"Start\",1,5,{\"Services\":[],\"Grades\":[],\"FailureDomains\":[]}]]}",
     ];
-    for line in bad {
-        let out = run(&format!("{EMPTY}{line}\n"));
-        let said = String::from_utf8_lossy(&out.stderr);
-        assert_eq!(out.status.code(), Some(2), "{line}");
-        assert_eq!(said.lines().count(), 1, "{line}: {said}");
-        assert!(said.contains("line 2"), "{line}: {said}");
-        assert!(!said.contains("panicked"), "{line}: {said}");
-        assert_eq!(String::from_utf8_lossy(&out.stdout), "{\"do\":[]}\n", "{line}: only whole replies");
+    for line in lines {
+        let output = run(&format!("{EMPTY_BATCH}{line}\n"));
+        let message = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{line}");
+        assert_eq!(message.lines().count(), 1, "{line}: {message}");
+        assert!(message.contains("line 2"), "{line}: {message}");
+        assert!(!message.contains("panicked"), "{line}: {message}");
+        assert_eq!(String::from_utf8_lossy(&output.stdout), EMPTY_REPLY, "{line}: only complete replies");
     }
 }
