--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -137,8 +137,8 @@
         self.process(Input::FleetUpdate(update), None);
     }
 
-    /// Applies new settings to requests from now on; see [`Scheduler::retune`]. `replaced_classes` pairs an old class
-    /// with the one that replaces it.
+    /// Applies new settings to requests from now on; see [`Scheduler::retune`]. `replaced_classes` pairs a new class
+    /// with the old one that it replaces.
     ///
     /// # Errors
     /// When the settings are invalid; then nothing changes.
--- a/src/frontend/platform/mod.rs
+++ b/src/frontend/platform/mod.rs
@@ -23,7 +23,7 @@
 use crate::exchange::{Exchange, FinalResponse};
 use crate::upstream::{Accepts, Answer, Payload, Upstream};
 
-pub use self::request_tables::RequestTables;
+pub use self::request_tables::{RequestClass, RequestTables};
 
 /// Header with the transaction id of a request.
 const TRANSACTION_ID: &str = "x-txn";
--- a/src/frontend/platform/request_parser.rs
+++ b/src/frontend/platform/request_parser.rs
@@ -121,7 +121,7 @@
 
     /// Whether a class writes. Where the configuration does not say, the method decides.
     fn writes(&self, class: usize, method: &Method) -> bool {
-        let configured = self.classes.get(class).and_then(|(_, writes)| *writes);
+        let configured = self.classes.get(class).and_then(|entry| entry.writes);
         configured.unwrap_or(*method == Method::PUT)
     }
 
--- a/src/frontend/platform/request_tables.rs
+++ b/src/frontend/platform/request_tables.rs
@@ -6,12 +6,21 @@
 use crate::config::Config;
 use crate::telemetry::metrics::{ClassMetrics, Metrics};
 
+/// A class as requests name it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RequestClass {
+    /// The class for the decision module.
+    pub class: Class,
+    /// Whether its requests write; `None` where the configuration does not say and the method decides.
+    pub writes: Option<bool>,
+}
+
 /// What the parser of requests looks up. A request that no chunk server could execute is refused by these tables, and
 /// costs no server anything.
 #[derive(Clone)]
 pub struct RequestTables {
-    /// Classes, and whether each writes where the configuration says so.
-    pub classes: VersionedTable<(Class, Option<bool>)>,
+    /// Classes.
+    pub classes: VersionedTable<RequestClass>,
     /// Plans.
     pub plans: VersionedTable<Plan>,
     /// Metrics of each class, in the order of `classes`.
@@ -39,8 +48,8 @@
         tables
     }
 
-    /// Applies a new configuration. Returns the settings for the decision module, and pairs of an old class and the
-    /// new one that replaces it.
+    /// Applies a new configuration. Returns the settings for the decision module, and pairs of a new class and the
+    /// old one that it replaces.
     pub fn reload(&mut self, config: Config, metrics: &Metrics) -> (Settings, Vec<(usize, usize)>) {
         let replaced_classes = self.classes.reload(class_entries(&config));
         self.plans.reload(plan_entries(&config));
@@ -48,7 +57,7 @@
         self.fronts = config.settings.initiators;
         self.max_units = config.settings.max_units;
         self.add_class_metrics(metrics);
-        let classes = self.classes.values().into_iter().map(|(class, _)| class).collect();
+        let classes = self.classes.values().into_iter().map(|entry| entry.class).collect();
         let settings = Settings { classes, plans: self.plans.values(), ..config.settings };
         (settings, replaced_classes)
     }
@@ -61,8 +70,9 @@
     }
 }
 
-fn class_entries(config: &Config) -> Vec<(String, (Class, Option<bool>))> {
+fn class_entries(config: &Config) -> Vec<(String, RequestClass)> {
     let classes = config.settings.classes.iter().cloned().zip(config.writes.iter().copied());
+    let classes = classes.map(|(class, writes)| RequestClass { class, writes });
     config.classes.iter().cloned().zip(classes).collect()
 }
 
