--- a/crates/testbed/src/cli/run/limits.rs
+++ b/crates/testbed/src/cli/run/limits.rs
@@ -8,7 +8,7 @@
 use crate::cli::Outcome;
 use crate::limit_experiments::{
     load_case_table, process_schedule, run_fault_case, run_fault_schedule, run_load_case, FaultCase,
-    FaultCaseResult, FaultScheduleResult, FAULT_CASES, LOAD_CASES, WINDOWS_MS,
+    FaultCaseResult, FaultScheduleResult, LoadCaseSetup, FAULT_CASES, LOAD_CASES, WINDOWS_MS,
 };
 use crate::schedule::Schedule;
 
@@ -23,13 +23,11 @@
     for seed in arguments.seeds.clone() {
         for case in LOAD_CASES {
             for fronts in LOAD_CASE_FRONTS {
-                jobs.extend([false, true].map(|peers| (case, fronts, peers, seed)));
+                jobs.extend([false, true].map(|peers| LoadCaseSetup { case, fronts, peers, seed }));
             }
         }
     }
-    let program = &arguments.program;
-    let run =
-        async |(case, fronts, peers, seed): &_| run_load_case(program, *case, *fronts, *peers, *seed).await;
+    let run = async |setup: &LoadCaseSetup| run_load_case(&arguments.program, *setup).await;
     let results = arguments.run_jobs(&jobs, run)?;
     println!("{}", load_case_table(&results));
     arguments.results.store(&results, &arguments.seeds)?;
--- a/crates/testbed/src/cli/run/outliers.rs
+++ b/crates/testbed/src/cli/run/outliers.rs
@@ -4,22 +4,23 @@
 use crate::cli::error::CliError;
 use crate::cli::Outcome;
 use crate::outlier_experiments::{
-    run_outlier_schedule, run_server_fault, server_fault_table, OutlierScheduleResult, SERVER_FAULTS,
+    run_outlier_schedule, run_server_fault, server_fault_table, OutlierScheduleResult, ServerFaultSetup,
+    SERVER_FAULTS,
 };
 use crate::schedule::Schedule;
 
 /// Runs every fault of a server with each number of fronts, without and with shared outlier detection.
 pub fn run_server_faults(arguments: &RunArguments) -> Result<Outcome, CliError> {
-    let mut kinds = Vec::new();
+    let mut jobs = Vec::new();
     for fault in SERVER_FAULTS {
-        for fronts in &arguments.fronts {
-            kinds.extend([false, true].map(|shared| (fault, *fronts, shared)));
+        for fronts in arguments.fronts.iter().copied() {
+            for shared in [false, true] {
+                let seeds = arguments.seeds.clone();
+                jobs.extend(seeds.map(|seed| ServerFaultSetup { fault, fronts, shared, seed }));
+            }
         }
     }
-    let jobs = arguments.with_seeds(kinds);
-    let run = async |((fault, fronts, shared), seed): &_| {
-        run_server_fault(&arguments.program, *fault, *fronts, *shared, *seed).await
-    };
+    let run = async |setup: &ServerFaultSetup| run_server_fault(&arguments.program, *setup).await;
     let results = arguments.run_jobs(&jobs, run)?;
     println!("{}", server_fault_table(&results));
     arguments.results.store(&results, &arguments.seeds)?;
--- a/crates/testbed/src/limit_experiments.rs
+++ b/crates/testbed/src/limit_experiments.rs
@@ -8,7 +8,9 @@
 
 pub use self::fault_cases::{run_fault_case, FaultCase, FaultCaseResult, FAULT_CASES, WINDOWS_MS};
 pub use self::fault_schedules::{process_schedule, run_fault_schedule, FaultScheduleResult};
-pub use self::load_cases::{load_case_table, run_load_case, LoadCase, LoadCaseResult, LOAD_CASES};
+pub use self::load_cases::{
+    load_case_table, run_load_case, LoadCase, LoadCaseResult, LoadCaseSetup, LOAD_CASES,
+};
 
 /// How long a read may take from its front until the chunk server records it.
 pub const RECORDING_SLACK: Duration = Duration::from_millis(50);
--- a/crates/testbed/src/limit_experiments/fault_schedules.rs
+++ b/crates/testbed/src/limit_experiments/fault_schedules.rs
@@ -14,8 +14,8 @@
 const SERVERS: usize = 2;
 /// How long a schedule lasts.
 const DURATION_MS: Millis = 10_000;
-/// The times of a drawn schedule, which lasts 16 s, are scaled by this ratio.
-const TIME_SCALE: (Millis, Millis) = (10, 16);
+/// How long a drawn schedule lasts; its times are scaled to [`DURATION_MS`].
+const DRAWN_DURATION_MS: Millis = 16_000;
 
 /// What one run observed. The serialized names are those of stored results.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -66,9 +66,8 @@
     let mut schedule = Schedule::draw(seed);
     schedule.steps.retain(|step| !matches!(step.fault, Fault::Twin { .. }));
     schedule.duration_ms = DURATION_MS;
-    let (numerator, denominator) = TIME_SCALE;
     for step in &mut schedule.steps {
-        step.at_ms = step.at_ms * numerator / denominator;
+        step.at_ms = step.at_ms * DURATION_MS / DRAWN_DURATION_MS;
     }
     schedule.add_link_faults(seed, SERVERS);
     schedule
--- a/crates/testbed/src/limit_experiments/load_cases.rs
+++ b/crates/testbed/src/limit_experiments/load_cases.rs
@@ -68,6 +68,19 @@
     }
 }
 
+/// What one run consists of.
+#[derive(Clone, Copy, Debug)]
+pub struct LoadCaseSetup {
+    /// The case.
+    pub case: LoadCase,
+    /// How many fronts there are.
+    pub fronts: usize,
+    /// Whether they share limits by leases between peers; otherwise each takes an even part.
+    pub peers: bool,
+    /// The seed.
+    pub seed: u64,
+}
+
 /// What one run observed. The serialized names are those of stored results.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LoadCaseResult {
@@ -106,13 +119,8 @@
 ///
 /// # Errors
 /// If the testbed fails.
-pub async fn run_load_case(
-    program: &Path,
-    case: LoadCase,
-    fronts: usize,
-    peers: bool,
-    seed: u64,
-) -> Result<LoadCaseResult, TestbedError> {
+pub async fn run_load_case(program: &Path, setup: LoadCaseSetup) -> Result<LoadCaseResult, TestbedError> {
+    let LoadCaseSetup { case, fronts, peers, seed } = setup;
     let sharing = if peers { Sharing::Peers } else { Sharing::Even(configured_fronts(case, fronts)) };
     let testbed = Testbed::start_all(program, TestbedConfig::new(fronts, sharing, seed)).await?;
     if peers {
--- a/crates/testbed/src/outlier_experiments.rs
+++ b/crates/testbed/src/outlier_experiments.rs
@@ -13,7 +13,9 @@
 use crate::testbed::{Testbed, TestbedError};
 
 pub use self::schedules::{run_outlier_schedule, OutlierScheduleResult};
-pub use self::single_fault::{run_server_fault, server_fault_table, ServerFaultResult, TOTAL_LOAD};
+pub use self::single_fault::{
+    run_server_fault, server_fault_table, ServerFaultResult, ServerFaultSetup, TOTAL_LOAD,
+};
 
 /// How long a healthy server takes to answer.
 const LATENCY: Duration = Duration::from_millis(5);
--- a/crates/testbed/src/outlier_experiments/schedules.rs
+++ b/crates/testbed/src/outlier_experiments/schedules.rs
@@ -89,20 +89,27 @@
     loss_percent: u8,
 }
 
+/// A server that is faulty during the whole schedule.
+struct FaultyServer {
+    server: usize,
+    fault: ServerFault,
+}
+
 /// Which servers and fronts are faulty, drawn from the seed of the schedule.
 struct Scenario {
-    faulty_servers: Vec<(usize, ServerFault)>,
+    faulty_servers: Vec<FaultyServer>,
     lossy_front: Option<LossyFront>,
 }
 
 impl Scenario {
     fn draw(seed: u64, fronts: usize) -> Scenario {
         let mut rng = Rng::with_seed(seed ^ SEED_SALT);
-        let mut faulty_servers: Vec<(usize, ServerFault)> = Vec::new();
+        let mut faulty_servers: Vec<FaultyServer> = Vec::new();
         for _ in 0..rng.usize(0..3) {
             let server = rng.usize(0..SERVERS);
-            if faulty_servers.iter().all(|(faulty, _)| *faulty != server) {
-                faulty_servers.push((server, SERVER_FAULTS[rng.usize(0..SERVER_FAULTS.len())]));
+            if faulty_servers.iter().all(|faulty| faulty.server != server) {
+                let fault = SERVER_FAULTS[rng.usize(0..SERVER_FAULTS.len())];
+                faulty_servers.push(FaultyServer { server, fault });
             }
         }
         let front = (rng.u8(0..3) == 0).then(|| rng.usize(0..fronts));
@@ -112,17 +119,17 @@
     }
 
     fn is_faulty(&self, server: usize) -> bool {
-        self.faulty_servers.iter().any(|(faulty, _)| *faulty == server)
+        self.faulty_servers.iter().any(|faulty| faulty.server == server)
     }
 
     /// Whether a front has a reason to eject a server.
     fn justifies(&self, server: usize, front: usize) -> bool {
         let zone = front % ZONES;
-        self.faulty_servers.iter().any(|(faulty, fault)| *faulty == server && fault.concerns_zone(zone))
+        self.faulty_servers.iter().any(|faulty| faulty.server == server && faulty.fault.concerns_zone(zone))
     }
 
     async fn inject(&self, testbed: &mut Testbed, fronts: usize) -> Result<(), TestbedError> {
-        for (server, fault) in &self.faulty_servers {
+        for FaultyServer { server, fault } in &self.faulty_servers {
             fault.inject(testbed, *server, fronts).await?;
         }
         let Some(LossyFront { front, loss_percent }) = self.lossy_front else { return Ok(()) };
--- a/crates/testbed/src/outlier_experiments/single_fault.rs
+++ b/crates/testbed/src/outlier_experiments/single_fault.rs
@@ -35,6 +35,19 @@
 /// The head of the table.
 const TABLE_HEAD: &str = "| illness | fronts | verdicts | paid: median (worst) | fronts that paid | last, s | out at most | innocent | peak after, of usual | back after, s |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
 
+/// What one run consists of.
+#[derive(Clone, Copy, Debug)]
+pub struct ServerFaultSetup {
+    /// What becomes wrong with the server.
+    pub fault: ServerFault,
+    /// How many fronts there are.
+    pub fronts: usize,
+    /// Whether they share outlier detection.
+    pub shared: bool,
+    /// The seed.
+    pub seed: u64,
+}
+
 /// What one run observed. The serialized names are those of stored results.
 #[derive(Clone, Debug, Serialize)]
 pub struct ServerFaultResult {
@@ -136,11 +149,9 @@
 /// If the testbed fails.
 pub async fn run_server_fault(
     program: &Path,
-    fault: ServerFault,
-    fronts: usize,
-    shared: bool,
-    seed: u64,
+    setup: ServerFaultSetup,
 ) -> Result<ServerFaultResult, TestbedError> {
+    let ServerFaultSetup { fault, fronts, shared, seed } = setup;
     let config = TestbedConfig::with_outlier_detection(fronts, SERVERS, LATENCY, seed);
     let config = TestbedConfig { write_percent: WRITE_PERCENT, outlier_detection: shared, ..config };
     let mut testbed = Testbed::start_all(program, config).await?;
--- a/crates/testbed/src/simulation/outliers.rs
+++ b/crates/testbed/src/simulation/outliers.rs
@@ -48,12 +48,18 @@
     evaluation_scheduled: bool,
 }
 
+/// A probe of a server by any front.
+struct Probe {
+    at: Nanos,
+    server: Server,
+}
+
 struct Simulation<'a> {
     fleet: SimulatedFleet<'a, FrontState, FrontEvent>,
     scenario: Scenario,
     audit: VoteAudit,
-    /// When which server was probed.
-    probes: Vec<(Nanos, Server)>,
+    /// All probes in the order of their times.
+    probes: Vec<Probe>,
     /// Servers that any front ever ejected.
     ejected: BTreeSet<Server>,
     report: OutlierReport,
@@ -264,7 +270,7 @@
     }
 
     fn probe(&mut self, front: usize, server: Server) {
-        self.probes.push((self.fleet.now, server));
+        self.probes.push(Probe { at: self.fleet.now, server });
         let class = self.fleet.rng.u8(0..CLASSES);
         let quality = self.attempt_quality(front, server, class);
         self.feed(front, DetectorEvent::Probed { server, class, quality });
--- a/crates/testbed/src/simulation/outliers/checks.rs
+++ b/crates/testbed/src/simulation/outliers/checks.rs
@@ -5,7 +5,7 @@
 use tulipbridge_membership::Nanos;
 use tulipbridge_outlier_detection::{EjectionTarget, Server};
 
-use super::{FaultyServer, FrontState, ServerFault, Simulation};
+use super::{FaultyServer, FrontState, Probe, ServerFault, Simulation};
 use crate::simulation::fleet::SimulatedFront;
 use crate::simulation::network::MILLISECOND;
 use crate::simulation::peer::ROUND_INTERVAL;
@@ -91,9 +91,10 @@
     }
 
     fn max_probes_within(&self, window: Nanos) -> usize {
-        let count = |(from, server): &(Nanos, Server)| {
-            let in_window = |at: Nanos| at >= *from && at < from + window;
-            self.probes.iter().filter(|(at, of)| of == server && in_window(*at)).count()
+        let count = |first: &Probe| {
+            let times = first.at..first.at + window;
+            let is_counted = |probe: &&Probe| probe.server == first.server && times.contains(&probe.at);
+            self.probes.iter().filter(is_counted).count()
         };
         self.probes.iter().map(count).max().unwrap_or(0)
     }
