--- a/crates/core/tests/invariants.rs
+++ b/crates/core/tests/invariants.rs
@@ -32,8 +32,9 @@
 
 impl TrackedRequest {
     fn possibly_executed(&self) -> impl Iterator<Item = &Attempt> {
-        self.attempts.iter().filter(|t| {
-            !t.ended || !matches!(t.outcome, Outcome::Rejected | Outcome::NotExecuted | Outcome::NotSent)
+        self.attempts.iter().filter(|attempt| {
+            !attempt.ended
+                || !matches!(attempt.outcome, Outcome::Rejected | Outcome::NotExecuted | Outcome::NotSent)
         })
     }
 }
@@ -84,6 +85,8 @@
 }
 
 const NODES: usize = 4;
+/// The index of the class that keeps the order of a key.
+const ORDERED_CLASS: usize = 3;
 
 impl Simulation {
     fn new(seed: u64) -> Simulation {
@@ -125,13 +128,18 @@
         let due: Vec<(RequestId, usize)> = self
             .requests
             .iter()
-            .flat_map(|(id, a)| {
-                let ripe = |t: &Attempt| !t.ended && t.ends_at <= now;
-                a.attempts.iter().enumerate().filter(move |(_, t)| ripe(t)).map(|(i, _)| (*id, i))
+            .flat_map(|(id, tracked)| {
+                let is_due = |attempt: &Attempt| !attempt.ended && attempt.ends_at <= now;
+                tracked
+                    .attempts
+                    .iter()
+                    .enumerate()
+                    .filter(move |(_, attempt)| is_due(attempt))
+                    .map(|(index, _)| (*id, index))
             })
             .collect();
-        for (id, i) in due {
-            self.finish_attempt(id, i);
+        for (id, index) in due {
+            self.finish_attempt(id, index);
         }
         match self.random.u32(0..100) {
             0..=29 => self.random_request(),
@@ -148,21 +156,21 @@
     }
 
     fn random_request(&mut self) {
-        let r = &mut self.random;
-        let mut request = request(self.next_id, r.usize(0..5), Some(r.u32(0..NODES as u32 + 1)));
-        if r.u32(0..4) == 0 {
+        let random = &mut self.random;
+        let mut request = request(self.next_id, random.usize(0..5), Some(random.u32(0..NODES as u32 + 1)));
+        if random.u32(0..4) == 0 {
             request.cell = None;
         }
-        request.plan = r.usize(0..2);
-        request.volume = request.plan as u64 * 10 + r.u64(0..2);
+        request.plan = random.usize(0..2);
+        request.volume = request.plan as u64 * 10 + random.u64(0..2);
         request.front_count = 1;
-        request.key = if r.u32(0..8) == 0 { None } else { Some(r.u64(0..12)) };
-        request.units = f64::from(r.u32(1..8));
-        request.patience = if r.u32(0..5) == 0 { r.i64(0..40) * MS } else { S };
+        request.key = if random.u32(0..8) == 0 { None } else { Some(random.u64(0..12)) };
+        request.units = f64::from(random.u32(1..8));
+        request.patience = if random.u32(0..5) == 0 { random.i64(0..40) * MS } else { S };
         let (id, at) = (self.next_id, self.front.now);
         self.next_id += 1;
         self.requests_received.push(at);
-        let asked = TrackedRequest {
+        let tracked = TrackedRequest {
             request: request.clone(),
             at,
             number: id as usize,
@@ -170,7 +178,7 @@
             answered: false,
             answers: 0,
         };
-        self.requests.insert(id, asked);
+        self.requests.insert(id, tracked);
         let actions = self.front.submit(request);
         self.apply(actions);
     }
@@ -187,9 +195,9 @@
         self.listed_at[n] = now;
         let scope =
             [UpdateScope::Update, UpdateScope::Replace, UpdateScope::Unavailable][self.random.usize(0..3)];
-        let full = (0..NODES).filter(|i| self.listed[*i].listed != Listed::Removed);
+        let remaining = (0..NODES).filter(|index| self.listed[*index].listed != Listed::Removed);
         let nodes = match scope {
-            UpdateScope::Replace => full.map(|i| self.node_info(i)).collect(),
+            UpdateScope::Replace => remaining.map(|index| self.node_info(index)).collect(),
             _ => vec![self.node_info(n)],
         };
         let nodes = if scope == UpdateScope::Unavailable {
@@ -210,14 +218,14 @@
 
     fn random_client_leaves(&mut self) {
         let open: Vec<RequestId> =
-            self.requests.iter().filter(|(_, a)| !a.answered).map(|(id, _)| *id).collect();
+            self.requests.iter().filter(|(_, tracked)| !tracked.answered).map(|(id, _)| *id).collect();
         if open.is_empty() {
             return;
         }
         let id = open[self.random.usize(0..open.len())];
-        if let Some(asked) = self.requests.get_mut(&id) {
-            asked.answered = true;
-            asked.answers = 1;
+        if let Some(tracked) = self.requests.get_mut(&id) {
+            tracked.answered = true;
+            tracked.answers = 1;
         }
         let actions = self.front.event(Event::ClientGone(id));
         self.apply(actions);
@@ -226,38 +234,38 @@
     fn restart(&mut self) {
         let seed = self.random.u64(..);
         let now = self.front.now;
-        self.front.scheduler = Scheduler::new(self.settings.clone(), seed, now).expect("settings hold");
+        self.front.scheduler = Scheduler::new(self.settings.clone(), seed, now).expect("valid settings");
         self.requests.clear();
         self.settles_at.clear();
         self.retries_sent.clear();
         self.requests_received.clear();
-        let nodes = (0..NODES).map(|i| self.node_info(i)).collect();
+        let nodes = (0..NODES).map(|index| self.node_info(index)).collect();
         let actions = self.front.event(Event::Endpoints { scope: UpdateScope::Restored, nodes });
         self.apply(actions);
     }
 
-    fn finish_attempt(&mut self, id: RequestId, i: usize) {
+    fn finish_attempt(&mut self, id: RequestId, index: usize) {
         let now = self.front.now;
-        let Some(asked) = self.requests.get_mut(&id) else { return };
-        let t = &mut asked.attempts[i];
-        t.ended = true;
-        let (at, outcome, took) = (t.node, t.outcome, now - t.sent_at);
-        if outcome == Outcome::Served && !asked.answered {
-            asked.answered = true;
-            asked.answers += 1;
+        let Some(tracked) = self.requests.get_mut(&id) else { return };
+        let attempt = &mut tracked.attempts[index];
+        attempt.ended = true;
+        let (at, outcome, took) = (attempt.node, attempt.outcome, now - attempt.sent_at);
+        if outcome == Outcome::Served && !tracked.answered {
+            tracked.answered = true;
+            tracked.answers += 1;
         }
-        let last = asked.answered;
+        let last = tracked.answered;
         if outcome == Outcome::Served {
             let served = &mut self.served[at];
-            served.last_second.push_back(TimedUnits { at: now, units: asked.request.units });
+            served.last_second.push_back(TimedUnits { at: now, units: tracked.request.units });
             served.last_second.retain(|earlier| earlier.at > now - S);
             served.peak = served.peak.max(served.last_second.iter().map(|earlier| earlier.units).sum());
         }
         let settles = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
-        if let (true, 3, Some(key)) = (settles, asked.request.class, asked.request.key) {
+        if let (true, ORDERED_CLASS, Some(key)) = (settles, tracked.request.class, tracked.request.key) {
             self.settles_at.insert(key, now + self.settings.order_settle_time);
         }
-        let actions = self.front.event(ended(id, i as u32, at, outcome, took, last));
+        let actions = self.front.event(ended(id, index as u32, at, outcome, took, last));
         self.apply(actions);
     }
 
@@ -274,40 +282,41 @@
 
     fn record_answer(&mut self, id: RequestId, rejected: bool) {
         let class = &self.settings.classes;
-        let Some(asked) = self.requests.get_mut(&id) else {
+        let Some(tracked) = self.requests.get_mut(&id) else {
             panic!("rule 1: an answer for an unknown request")
         };
-        assert!(!asked.answered, "rule 1: request {id} answered twice");
-        asked.answered = true;
-        asked.answers += 1;
-        let class = &class[asked.request.class];
-        let may_have_executed = asked.possibly_executed().count() > 0;
+        assert!(!tracked.answered, "rule 1: request {id} answered twice");
+        tracked.answered = true;
+        tracked.answers += 1;
+        let class = &class[tracked.request.class];
+        let may_have_executed = tracked.possibly_executed().count() > 0;
         if rejected && may_have_executed {
-            let fine = match class.semantics {
+            let is_repeatable = match class.semantics {
                 Semantics::Idempotent => true,
                 Semantics::Deduplicated => class.group == Group::All,
                 Semantics::AtMostOnce => false,
             };
-            assert!(fine, "rule 2: request {id} rejected though it may have been executed");
+            assert!(is_repeatable, "rule 2: request {id} rejected though it may have been executed");
         }
     }
 
     fn check_answers(&mut self) {
         let now = self.front.now;
-        for (id, a) in &self.requests {
+        for (id, tracked) in &self.requests {
             assert!(
-                a.answered || now <= a.at + a.request.patience + ANSWER_SLACK,
+                tracked.answered || now <= tracked.at + tracked.request.patience + ANSWER_SLACK,
                 "rule 1: request {id} got no answer"
             );
-            assert!(a.answers <= 1, "rule 1: request {id} got {} answers", a.answers);
+            assert!(tracked.answers <= 1, "rule 1: request {id} got {} answers", tracked.answers);
         }
-        self.requests.retain(|_, a| !a.answered || a.attempts.iter().any(|t| !t.ended));
+        self.requests
+            .retain(|_, tracked| !tracked.answered || tracked.attempts.iter().any(|attempt| !attempt.ended));
     }
 
     fn record_send(&mut self, id: RequestId, at: NodeId) {
         let now = self.front.now;
-        let Some(asked) = self.requests.get(&id) else { panic!("rule 1: sent for an unknown request") };
-        assert!(!asked.answered, "rule 1: request {id} sent after its end");
+        let Some(tracked) = self.requests.get(&id) else { panic!("rule 1: sent for an unknown request") };
+        assert!(!tracked.answered, "rule 1: request {id} sent after its end");
         self.check_semantics(id, at);
         assert!(self.listed[at].listed == Listed::Up, "rule 3: sent to a server that is not up");
         self.check_slow_start(at, self.requests[&id].request.units);
@@ -316,8 +325,8 @@
         self.check_retry_budget(id);
         let silent = self.silent[at];
         let (outcome, took) = self.random_outcome(id, silent);
-        if let Some(asked) = self.requests.get_mut(&id) {
-            asked.attempts.push(Attempt {
+        if let Some(tracked) = self.requests.get_mut(&id) {
+            tracked.attempts.push(Attempt {
                 node: at,
                 sent_at: now,
                 ends_at: now + took,
@@ -328,8 +337,8 @@
     }
 
     fn random_outcome(&mut self, id: RequestId, silent: bool) -> (Outcome, Nanos) {
-        let a = &self.requests[&id];
-        let time_left = (a.at + a.request.patience - self.front.now).max(0);
+        let tracked = &self.requests[&id];
+        let time_left = (tracked.at + tracked.request.patience - self.front.now).max(0);
         let latency = self.random.i64(1..60) * MS;
         let outcome = match self.random.u32(0..20) {
             _ if silent && self.random.bool() => Outcome::TimedOut,
@@ -350,31 +359,34 @@
     }
 
     fn check_semantics(&self, id: RequestId, at: NodeId) {
-        let a = &self.requests[&id];
-        let class = &self.settings.classes[a.request.class];
+        let tracked = &self.requests[&id];
+        let class = &self.settings.classes[tracked.request.class];
         if !self.settings.hedging {
-            assert!(a.attempts.iter().all(|t| t.ended), "rule 2: request {id} has two attempts in flight");
+            assert!(
+                tracked.attempts.iter().all(|attempt| attempt.ended),
+                "rule 2: request {id} has two attempts in flight"
+            );
         }
         if class.semantics == Semantics::AtMostOnce {
-            assert!(a.possibly_executed().count() == 0, "rule 2: request {id} may have been executed");
+            assert!(tracked.possibly_executed().count() == 0, "rule 2: request {id} may have been executed");
         }
         if class.semantics == Semantics::Deduplicated {
-            for t in a.possibly_executed() {
-                let same = match class.group {
+            for attempt in tracked.possibly_executed() {
+                let is_in_group = match class.group {
                     Group::All => true,
-                    Group::Zone => t.node % 2 == at % 2,
-                    Group::Cell => t.node == at,
+                    Group::Zone => attempt.node % 2 == at % 2,
+                    Group::Cell => attempt.node == at,
                 };
                 assert!(
-                    same && self.front.now <= t.sent_at + class.window,
+                    is_in_group && self.front.now <= attempt.sent_at + class.window,
                     "rule 2: {id} outside group or window"
                 );
             }
         }
-        if let Some(cell) = a.request.cell {
+        if let Some(cell) = tracked.request.cell {
             assert_eq!(cell as usize, at, "sent to a server that does not hold its data");
         }
-        assert!(a.attempts.len() < self.settings.max_attempts as usize, "more attempts than allowed");
+        assert!(tracked.attempts.len() < self.settings.max_attempts as usize, "more attempts than allowed");
     }
 
     fn check_slow_start(&mut self, at: NodeId, units: f64) {
@@ -397,32 +409,34 @@
     }
 
     fn check_limit(&mut self, id: RequestId) {
-        let a = &self.requests[&id];
-        let plan = &self.settings.plans[a.request.plan];
-        if plan.limit_rate <= 0.0 || !a.attempts.is_empty() {
+        let tracked = &self.requests[&id];
+        let plan = &self.settings.plans[tracked.request.plan];
+        if plan.limit_rate <= 0.0 || !tracked.attempts.is_empty() {
             return;
         }
         let now = self.front.now;
         let full = Bucket { level: plan.limit_burst, updated_at: 100 * S };
-        let bucket = self.limit_buckets.entry(a.request.volume).or_insert(full);
+        let bucket = self.limit_buckets.entry(tracked.request.volume).or_insert(full);
         let accrued = (now - bucket.updated_at) as f64 / 1e9 * plan.limit_rate;
-        bucket.level = (bucket.level + accrued).min(plan.limit_burst) - a.request.units;
+        bucket.level = (bucket.level + accrued).min(plan.limit_burst) - tracked.request.units;
         bucket.updated_at = now;
-        let (volume, level) = (a.request.volume, bucket.level);
+        let (volume, level) = (tracked.request.volume, bucket.level);
         assert!(level >= -1e-6, "rule 5: the bucket of volume {volume} is at {level}");
     }
 
     fn check_order(&self, id: RequestId) {
-        let a = &self.requests[&id];
-        let (3, Some(key)) = (a.request.class, a.request.key) else { return };
-        for (other, b) in &self.requests {
-            let before = b.number < a.number && b.request.class == 3 && b.request.key == Some(key);
-            let open = !b.answered || b.attempts.iter().any(|t| !t.ended);
+        let tracked = &self.requests[&id];
+        let (ORDERED_CLASS, Some(key)) = (tracked.request.class, tracked.request.key) else { return };
+        for (other, earlier) in &self.requests {
+            let before = earlier.number < tracked.number
+                && earlier.request.class == ORDERED_CLASS
+                && earlier.request.key == Some(key);
+            let open = !earlier.answered || earlier.attempts.iter().any(|attempt| !attempt.ended);
             assert!(!(before && open), "rule 6: {id} sent before {other} is settled");
         }
         let rest = self.settles_at.get(&key).copied().unwrap_or(0);
         assert!(
-            self.front.now >= rest || !a.attempts.is_empty(),
+            self.front.now >= rest || !tracked.attempts.is_empty(),
             "rule 6: key {key} sent before it has settled"
         );
     }
@@ -435,8 +449,8 @@
         let now = self.front.now;
         self.retries_sent.push(now);
         let since = now - budget.window;
-        let retries_sent = self.retries_sent.iter().filter(|t| **t >= since).count() as f64;
-        let requests_received = self.requests_received.iter().filter(|t| **t > since).count() as f64;
+        let retries_sent = self.retries_sent.iter().filter(|at| **at >= since).count() as f64;
+        let requests_received = self.requests_received.iter().filter(|at| **at > since).count() as f64;
         assert!(
             retries_sent <= budget.base_allowance + budget.ratio * requests_received,
             "rule 7: {retries_sent} retries of {requests_received} requests"
