--- a/crates/model-checker/tests/checker.rs
+++ b/crates/model-checker/tests/checker.rs
@@ -121,7 +121,7 @@
 
 #[test]
 fn documented_properties_are_those_of_the_code() {
-    let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/operators/checking.md");
+    let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/operators/model-checking.md");
     let page = std::fs::read_to_string(page).expect("the page exists");
     let rows: Vec<&str> = page.lines().filter(|line| line.starts_with("| `")).collect();
     for property in properties::ALL {
