--- a/crates/core/src/discovery_watch.rs
+++ b/crates/core/src/discovery_watch.rs
@@ -37,9 +37,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum WatchEvent {
     /// The decision module requests the endpoint list.
-    ListWanted,
+    ListRequested,
     /// Discovery's address has changed.
-    Moved,
+    AddressChanged,
     /// The call succeeded and opened a new watch.
     Opened,
     /// The call failed.
@@ -120,13 +120,13 @@
     pub fn on(&mut self, now: Nanos, event: WatchEvent) -> Vec<WatchStep> {
         let mut steps = Vec::new();
         match event {
-            WatchEvent::ListWanted => {
+            WatchEvent::ListRequested => {
                 if self.last_message_at.is_none() && self.call_started_at.is_none() {
                     self.call(now, &mut steps);
                 }
             }
             // The open watch is kept until the new one is open, so that no update is missed in between.
-            WatchEvent::Moved => {
+            WatchEvent::AddressChanged => {
                 self.address_changed_at = Some(now);
                 self.call(now, &mut steps);
             }
--- a/crates/core/src/interface/events.rs
+++ b/crates/core/src/interface/events.rs
@@ -66,7 +66,7 @@
         /// Whether the client has its answer.
         last: bool,
         /// 1 plus the percentage of its nominal rate that the volume used lately; 0 is unknown.
-        seen_use: f64,
+        observed_use: f64,
         /// Units served for the volume through other fronts since the last answer.
         foreign_units: f64,
     },
--- a/crates/core/src/mutations.rs
+++ b/crates/core/src/mutations.rs
@@ -94,19 +94,19 @@
     /// The idle connections of a removed node are kept.
     RemovedNodeKeepsConnections,
     /// A draining node still gets queued requests.
-    DrainMissesQueued,
+    DrainIgnoresQueue,
     /// A request that must not run twice is retried after a reset.
-    RepeatsSubmit,
+    RetriesUnsafeWrite,
     /// A request that must not run twice is rejected as harmless to repeat although it may have run.
-    RefusesSubmitInDoubt,
+    RejectsUnsafeWrite,
     /// The cap on attempts is ignored.
-    TriesUnbounded,
+    UnlimitedRetry,
     /// A finished request stays in its node's queue.
-    QueueKeepsFinished,
+    FinishedStaysQueued,
     /// A request whose client is gone is still scheduled.
-    GoneNotFinished,
+    IgnoresClientGone,
     /// A node keeps an ended attempt in its count of attempts in flight.
-    OutKeepsEnded,
+    EndedStaysInFlight,
     /// A request's timeout restarts when its body begins.
     BodyRestartsTimeout,
     /// A client connection is closed although a request has arrived on it.
@@ -135,57 +135,57 @@
 
 /// The group of machines that a mutation is in. Each group has its own world in the model checker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum MachineGroup {
     /// Client connections, their limit and graceful shutdown.
-    Door,
+    ClientConnections,
     /// Requests, attempts, connections to chunk servers, and the decision module.
-    Front,
+    Requests,
     /// The discovery watch.
-    Watch,
+    DiscoveryWatch,
 }
 
 /// All mutations, each with its name on the command line and its group of machines.
-pub const ALL: &[(Mutation, &str, Part)] = &[
-    (Mutation::LastByteCountedAtAssignment, "last-byte-at-hand-over", Part::Front),
-    (Mutation::LastByteNotRecorded, "last-byte-not-seen", Part::Front),
-    (Mutation::EarlyBytesTakenAsResponse, "early-answer-taken", Part::Front),
-    (Mutation::PartiallyWrittenRequestResent, "partly-sent-goes-round", Part::Front),
-    (Mutation::WrittenRequestResent, "resent-silently", Part::Front),
-    (Mutation::ResetCountsAsNotExecuted, "reset-taken-for-refusal", Part::Front),
-    (Mutation::WritesOverUnreadBytes, "writes-over-waiting-bytes", Part::Front),
-    (Mutation::IdleTimeoutIgnored, "idle-for-too-long", Part::Front),
-    (Mutation::ReusedAfterAddressChange, "kept-for-another-address", Part::Front),
-    (Mutation::ServerConnectionCapIgnored, "no-cap-on-connections", Part::Front),
-    (Mutation::CancelCountsAsNotExecuted, "cancel-proves-nothing-ran", Part::Front),
-    (Mutation::AnswerAfterClientGone, "answer-to-client-that-left", Part::Front),
-    (Mutation::NoReleaseAfterClientGone, "left-charged-for-ever", Part::Front),
-    (Mutation::SecondFinalAnswer, "second-final-answer", Part::Front),
-    (Mutation::AttemptAfterAnswer, "placed-after-answer", Part::Front),
-    (Mutation::EndedAttemptRetained, "attempt-left-in-table", Part::Front),
-    (Mutation::ReleasedWithAttemptInFlight, "released-while-out", Part::Front),
-    (Mutation::TimeoutCountsAsNotExecuted, "time-up-proves-nothing-ran", Part::Front),
-    (Mutation::TimeoutPastClientDeadline, "until-past-client", Part::Front),
-    (Mutation::DialFailureMayHaveRun, "dial-failure-in-doubt", Part::Front),
-    (Mutation::RemovedNodeKeepsConnections, "forgotten-node-keeps-connections", Part::Front),
-    (Mutation::DrainMissesQueued, "drain-misses-queued", Part::Front),
-    (Mutation::RepeatsSubmit, "repeats-submit", Part::Front),
-    (Mutation::RefusesSubmitInDoubt, "refuses-submit-in-doubt", Part::Front),
-    (Mutation::TriesUnbounded, "tries-unbounded", Part::Front),
-    (Mutation::QueueKeepsFinished, "queue-keeps-finished", Part::Front),
-    (Mutation::GoneNotFinished, "gone-not-finished", Part::Front),
-    (Mutation::OutKeepsEnded, "out-keeps-ended", Part::Front),
-    (Mutation::BodyRestartsTimeout, "body-restarts-time", Part::Door),
-    (Mutation::ClosesOverArrivedRequest, "closes-across-request", Part::Door),
-    (Mutation::RespondingConnectionEvicted, "open-gives-way", Part::Door),
-    (Mutation::ClientConnectionCapIgnored, "no-cap-at-door", Part::Door),
-    (Mutation::ExitsWithOpenRequests, "leaves-open-requests", Part::Door),
-    (Mutation::WithdrawalOmitted, "left-attempt-goes-out", Part::Front),
-    (Mutation::DrainIgnoresDialing, "drain-misses-dialling", Part::Front),
-    (Mutation::WithdrawnRequestWritten, "withdrawn-is-written", Part::Front),
-    (Mutation::SilentWatchCountsAsOpen, "silent-watch-stands", Part::Watch),
-    (Mutation::CallTimeoutIgnored, "call-hangs", Part::Watch),
-    (Mutation::ShutdownClosesArrivingRequest, "shuts-across-arriving", Part::Door),
-    (Mutation::CallsOnlyOnRequest, "asks-when-wanted-alone", Part::Watch),
+pub const ALL: &[(Mutation, &str, MachineGroup)] = &[
+    (Mutation::LastByteCountedAtAssignment, "last-byte-at-hand-over", MachineGroup::Requests),
+    (Mutation::LastByteNotRecorded, "last-byte-not-seen", MachineGroup::Requests),
+    (Mutation::EarlyBytesTakenAsResponse, "early-answer-taken", MachineGroup::Requests),
+    (Mutation::PartiallyWrittenRequestResent, "partly-sent-goes-round", MachineGroup::Requests),
+    (Mutation::WrittenRequestResent, "resent-silently", MachineGroup::Requests),
+    (Mutation::ResetCountsAsNotExecuted, "reset-taken-for-refusal", MachineGroup::Requests),
+    (Mutation::WritesOverUnreadBytes, "writes-over-waiting-bytes", MachineGroup::Requests),
+    (Mutation::IdleTimeoutIgnored, "idle-for-too-long", MachineGroup::Requests),
+    (Mutation::ReusedAfterAddressChange, "kept-for-another-address", MachineGroup::Requests),
+    (Mutation::ServerConnectionCapIgnored, "no-cap-on-connections", MachineGroup::Requests),
+    (Mutation::CancelCountsAsNotExecuted, "cancel-proves-nothing-ran", MachineGroup::Requests),
+    (Mutation::AnswerAfterClientGone, "answer-to-client-that-left", MachineGroup::Requests),
+    (Mutation::NoReleaseAfterClientGone, "left-charged-for-ever", MachineGroup::Requests),
+    (Mutation::SecondFinalAnswer, "second-final-answer", MachineGroup::Requests),
+    (Mutation::AttemptAfterAnswer, "placed-after-answer", MachineGroup::Requests),
+    (Mutation::EndedAttemptRetained, "attempt-left-in-table", MachineGroup::Requests),
+    (Mutation::ReleasedWithAttemptInFlight, "released-while-out", MachineGroup::Requests),
+    (Mutation::TimeoutCountsAsNotExecuted, "time-up-proves-nothing-ran", MachineGroup::Requests),
+    (Mutation::TimeoutPastClientDeadline, "until-past-client", MachineGroup::Requests),
+    (Mutation::DialFailureMayHaveRun, "dial-failure-in-doubt", MachineGroup::Requests),
+    (Mutation::RemovedNodeKeepsConnections, "forgotten-node-keeps-connections", MachineGroup::Requests),
+    (Mutation::DrainIgnoresQueue, "drain-misses-queued", MachineGroup::Requests),
+    (Mutation::RetriesUnsafeWrite, "repeats-submit", MachineGroup::Requests),
+    (Mutation::RejectsUnsafeWrite, "refuses-submit-in-doubt", MachineGroup::Requests),
+    (Mutation::UnlimitedRetry, "tries-unbounded", MachineGroup::Requests),
+    (Mutation::FinishedStaysQueued, "queue-keeps-finished", MachineGroup::Requests),
+    (Mutation::IgnoresClientGone, "gone-not-finished", MachineGroup::Requests),
+    (Mutation::EndedStaysInFlight, "out-keeps-ended", MachineGroup::Requests),
+    (Mutation::BodyRestartsTimeout, "body-restarts-time", MachineGroup::ClientConnections),
+    (Mutation::ClosesOverArrivedRequest, "closes-across-request", MachineGroup::ClientConnections),
+    (Mutation::RespondingConnectionEvicted, "open-gives-way", MachineGroup::ClientConnections),
+    (Mutation::ClientConnectionCapIgnored, "no-cap-at-door", MachineGroup::ClientConnections),
+    (Mutation::ExitsWithOpenRequests, "leaves-open-requests", MachineGroup::ClientConnections),
+    (Mutation::WithdrawalOmitted, "left-attempt-goes-out", MachineGroup::Requests),
+    (Mutation::DrainIgnoresDialing, "drain-misses-dialling", MachineGroup::Requests),
+    (Mutation::WithdrawnRequestWritten, "withdrawn-is-written", MachineGroup::Requests),
+    (Mutation::SilentWatchCountsAsOpen, "silent-watch-stands", MachineGroup::DiscoveryWatch),
+    (Mutation::CallTimeoutIgnored, "call-hangs", MachineGroup::DiscoveryWatch),
+    (Mutation::ShutdownClosesArrivingRequest, "shuts-across-arriving", MachineGroup::ClientConnections),
+    (Mutation::CallsOnlyOnRequest, "asks-when-wanted-alone", MachineGroup::DiscoveryWatch),
 ];
 
 mutation_switch!();
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -46,7 +46,7 @@
             Event::ClientGone(id) => {
                 self.record_client_left(id);
                 self.cancel_abandoned(id, actions);
-                if !mutated(Mutation::GoneNotFinished) {
+                if !mutated(Mutation::IgnoresClientGone) {
                     self.finish(id);
                 }
             }
--- a/crates/core/src/policy/retry.rs
+++ b/crates/core/src/policy/retry.rs
@@ -41,7 +41,7 @@
     /// Whether another attempt is allowed, at a given server or at any.
     pub(super) fn may_retry(&self, live: &LiveRequest, at: Option<NodeId>) -> bool {
         let max_attempts = live.max_attempts.min(self.settings.max_attempts);
-        let is_exhausted = live.attempts >= max_attempts && !mutated(Mutation::TriesUnbounded);
+        let is_exhausted = live.attempts >= max_attempts && !mutated(Mutation::UnlimitedRetry);
         if is_exhausted || live.in_flight > 0 || self.is_expired(live) || self.fleet_retries_exhausted() {
             return false;
         }
@@ -61,7 +61,7 @@
         };
         match class.semantics {
             Semantics::Idempotent => true,
-            Semantics::AtMostOnce => mutated(Mutation::RepeatsSubmit),
+            Semantics::AtMostOnce => mutated(Mutation::RetriesUnsafeWrite),
             Semantics::Deduplicated => self.now < first.sent_at + class.window && at.is_none_or(is_in_group),
         }
     }
@@ -88,7 +88,7 @@
         let is_repeatable = match class.semantics {
             Semantics::Idempotent => true,
             Semantics::Deduplicated => !live.may_have_executed() || class.group == Group::All,
-            Semantics::AtMostOnce => !live.may_have_executed() || mutated(Mutation::RefusesSubmitInDoubt),
+            Semantics::AtMostOnce => !live.may_have_executed() || mutated(Mutation::RejectsUnsafeWrite),
         };
         let rejection = Action::Reject { id, retry_after: self.retry_after(live, draw) };
         actions.push(if is_repeatable { rejection } else { Action::Fail(id) });
--- a/crates/core/src/request_tracker.rs
+++ b/crates/core/src/request_tracker.rs
@@ -28,14 +28,14 @@
     id: RequestId,
     attempt: u32,
     outcome: Outcome,
-    seen_use: f64,
+    observed_use: f64,
     foreign_units: f64,
 }
 
 impl AttemptEnd {
     /// An end without a response, and so without a report of the volume's use.
     fn without_response(id: RequestId, attempt: u32, outcome: Outcome) -> AttemptEnd {
-        AttemptEnd { id, attempt, outcome, seen_use: 0.0, foreign_units: 0.0 }
+        AttemptEnd { id, attempt, outcome, observed_use: 0.0, foreign_units: 0.0 }
     }
 }
 
@@ -82,8 +82,8 @@
             Input::RequestReceived(request) => self.request_received(now, request, effects),
             Input::ClientGone(id) => self.client_gone(now, id, effects),
             Input::Overdue(id) => self.overdue(now, id, effects),
-            Input::AttemptEnded { id, attempt, outcome, seen_use, foreign_units } => {
-                let end = AttemptEnd { id, attempt, outcome, seen_use, foreign_units };
+            Input::AttemptEnded { id, attempt, outcome, observed_use: seen_use, foreign_units } => {
+                let end = AttemptEnd { id, attempt, outcome, observed_use: seen_use, foreign_units };
                 self.attempt_ended(now, end, effects);
             }
             Input::AttemptTimedOut { id, attempt } => {
@@ -140,7 +140,7 @@
     }
 
     fn attempt_ended(&mut self, now: Nanos, end: AttemptEnd, effects: &mut Vec<Effect>) {
-        let AttemptEnd { id, attempt, outcome, seen_use, foreign_units } = end;
+        let AttemptEnd { id, attempt, outcome, observed_use: seen_use, foreign_units } = end;
         let Some(request) = self.requests.get_mut(&id) else { return };
         // An attempt ends once; a second report of its end was already on its way.
         let position = request.in_flight.iter().position(|in_flight| in_flight.attempt == attempt);
@@ -158,7 +158,16 @@
         let last = request.answered;
         self.release_if_finished(id, effects);
         let took = now - sent_at;
-        let event = Event::AttemptEnded { id, attempt, node, outcome, took, last, seen_use, foreign_units };
+        let event = Event::AttemptEnded {
+            id,
+            attempt,
+            node,
+            outcome,
+            took,
+            last,
+            observed_use: seen_use,
+            foreign_units,
+        };
         self.decide(now, event, effects);
     }
 
@@ -220,7 +229,7 @@
                 outcome: Outcome::NotSent,
                 took: 0,
                 last: true,
-                seen_use: 0.0,
+                observed_use: 0.0,
                 foreign_units: 0.0,
             });
         }
@@ -230,7 +239,7 @@
             0 => request.deadline,
             timeout => request.deadline.min(now + timeout.max(0)),
         };
-        let begin_by = self.decisions.begins_by(id);
+        let begin_by = self.decisions.begin_deadline(id);
         effects.push(Effect::Send { id, attempt, node, deadline, begin_by });
         None
     }
--- a/crates/core/src/request_tracker/decisions.rs
+++ b/crates/core/src/request_tracker/decisions.rs
@@ -10,7 +10,7 @@
 
     /// Until when the first byte of an attempt placed now may be written; later the request may no longer be
     /// repeated.
-    fn begins_by(&self, _id: RequestId) -> Nanos {
+    fn begin_deadline(&self, _id: RequestId) -> Nanos {
         Nanos::MAX
     }
 }
@@ -20,7 +20,7 @@
         Scheduler::handle(self, now, event, actions);
     }
 
-    fn begins_by(&self, id: RequestId) -> Nanos {
-        Scheduler::begins_by(self, id)
+    fn begin_deadline(&self, id: RequestId) -> Nanos {
+        Scheduler::begin_deadline(self, id)
     }
 }
--- a/crates/core/src/request_tracker/messages.rs
+++ b/crates/core/src/request_tracker/messages.rs
@@ -22,7 +22,7 @@
         /// How it ended. Only [`Outcome::Served`] carries the response for the client.
         outcome: Outcome,
         /// 1 + the volume's use in percent of its plan's rate; 0 means unknown.
-        seen_use: f64,
+        observed_use: f64,
         /// Units that the chunk server served to the volume through other fronts.
         foreign_units: f64,
     },
--- a/crates/core/src/state/bookkeeping.rs
+++ b/crates/core/src/state/bookkeeping.rs
@@ -33,7 +33,7 @@
         if live.queued {
             live.queued = false;
             let queue = live.cell.and_then(|cell| self.queues.get_mut(&cell));
-            if let Some(queue) = queue.filter(|_| !mutated(Mutation::QueueKeepsFinished)) {
+            if let Some(queue) = queue.filter(|_| !mutated(Mutation::FinishedStaysQueued)) {
                 queue.retain(|queued| *queued != id);
             }
         }
@@ -148,7 +148,7 @@
     ) -> Option<(SentAttempt, Request)> {
         let live = self.live.get_mut(&id)?;
         let in_flight = &mut self.nodes.get_mut(&at)?.in_flight;
-        let sent = if mutated(Mutation::OutKeepsEnded) {
+        let sent = if mutated(Mutation::EndedStaysInFlight) {
             in_flight.get(&(id, attempt)).cloned()
         } else {
             in_flight.remove(&(id, attempt))
@@ -195,7 +195,7 @@
 
     /// Until when an attempt of a request may begin: one that may have been executed may be repeated only within its
     /// deduplication window, and a connection may take time to open.
-    pub(crate) fn begins_by(&self, id: RequestId) -> Nanos {
+    pub(crate) fn begin_deadline(&self, id: RequestId) -> Nanos {
         let Some(live) = self.live.get(&id) else { return Nanos::MAX };
         let class = &self.settings.classes[live.request.class];
         match live.possible_execution {
--- a/crates/core/src/state/node_table.rs
+++ b/crates/core/src/state/node_table.rs
@@ -9,7 +9,7 @@
     pub(crate) fn up_nodes(&self, cell: CellId) -> impl Iterator<Item = (NodeId, &Node)> {
         let members = self.cells.get(&cell).into_iter().flatten().map(|id| (*id, &self.nodes[id]));
         let drain_missed =
-            |node: &Node| mutated(Mutation::DrainMissesQueued) && node.listed == Listed::Draining;
+            |node: &Node| mutated(Mutation::DrainIgnoresQueue) && node.listed == Listed::Draining;
         members.filter(move |(_, node)| node.listed == Listed::Up || drain_missed(node))
     }
 
--- a/crates/core/src/state/scheduler.rs
+++ b/crates/core/src/state/scheduler.rs
@@ -100,7 +100,11 @@
     ///
     /// # Errors
     /// [`SettingsError`] for settings that are not valid or have fewer classes or plans; then nothing changes.
-    pub fn retune(&mut self, settings: Settings, carried: &[(usize, usize)]) -> Result<(), SettingsError> {
+    pub fn apply_settings(
+        &mut self,
+        settings: Settings,
+        carried: &[(usize, usize)],
+    ) -> Result<(), SettingsError> {
         settings.check()?;
         let keeps_classes = settings.classes.len() >= self.settings.classes.len();
         let keeps_plans = settings.plans.len() >= self.settings.plans.len();
@@ -126,7 +130,7 @@
     }
 
     /// The number of listed chunk servers, and of those that get no regular requests: draining, suspect or ejected.
-    pub fn census(&self) -> (usize, usize) {
+    pub fn node_counts(&self) -> (usize, usize) {
         let listed = || self.nodes.values().filter(|node| node.listed != Listed::Removed);
         let is_avoided = |node: &&Node| {
             node.listed == Listed::Draining || !node.is_healthy() || node.ejection.is_fully_ejected()
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -142,7 +142,7 @@
 
 /// The end of an attempt, without figures on the use by other fronts.
 pub fn ended(id: RequestId, attempt: u32, node: NodeId, outcome: Outcome, took: Nanos, last: bool) -> Event {
-    Event::AttemptEnded { id, attempt, node, outcome, took, last, seen_use: 0.0, foreign_units: 0.0 }
+    Event::AttemptEnded { id, attempt, node, outcome, took, last, observed_use: 0.0, foreign_units: 0.0 }
 }
 
 /// The attempts sent, as request and server.
--- a/crates/core/tests/discovery_watch.rs
+++ b/crates/core/tests/discovery_watch.rs
@@ -103,17 +103,17 @@
 fn requested_list_is_called_for_early_and_only_once() {
     let mut watch = open_watch(0.9);
     watch.on(MS, WatchEvent::Ended);
-    assert_eq!(watch.on(200 * MS, WatchEvent::ListWanted), [WatchStep::Call]);
-    assert_eq!(watch.on(201 * MS, WatchEvent::ListWanted), []);
+    assert_eq!(watch.on(200 * MS, WatchEvent::ListRequested), [WatchStep::Call]);
+    assert_eq!(watch.on(201 * MS, WatchEvent::ListRequested), []);
     assert_eq!(watch.on(300 * MS, WatchEvent::Opened), [WatchStep::Adopt]);
-    assert_eq!(watch.on(301 * MS, WatchEvent::ListWanted), []);
+    assert_eq!(watch.on(301 * MS, WatchEvent::ListRequested), []);
     assert_eq!(watch.due(), Some(300 * MS + SILENCE_TIMEOUT));
 }
 
 #[test]
 fn old_watch_is_kept_until_the_new_one_is_open() {
     let mut watch = open_watch(0.5);
-    assert_eq!(watch.on(MS, WatchEvent::Moved), [WatchStep::Call]);
+    assert_eq!(watch.on(MS, WatchEvent::AddressChanged), [WatchStep::Call]);
     // The old watch ends meanwhile; that is not reported, since a call is in flight.
     assert_eq!(watch.on(2 * MS, WatchEvent::Ended), []);
     assert_eq!(watch.on(3 * MS, WatchEvent::Failed), []);
@@ -127,7 +127,7 @@
 #[test]
 fn unreachable_new_address_is_called_at_the_usual_pace() {
     let mut watch = open_watch(0.5);
-    watch.on(0, WatchEvent::Moved);
+    watch.on(0, WatchEvent::AddressChanged);
     let mut now = 0;
     let mut calls = 0;
     while now < 60_000 * MS {
--- a/crates/fleet-limits/src/coordinator.rs
+++ b/crates/fleet-limits/src/coordinator.rs
@@ -91,7 +91,7 @@
     pub fn on(&mut self, now: Nanos, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::HeartbeatDue => self.on_heartbeat_due(now, effects),
-            Event::HeartbeatReceived { from, boot, heartbeat } => {
+            Event::HeartbeatReceived { from, incarnation: boot, heartbeat } => {
                 let sender = Holder { peer: from, incarnation: boot };
                 self.on_heartbeat_received(now, sender, *heartbeat, effects);
             }
--- a/crates/fleet-limits/src/coordinator/granting.rs
+++ b/crates/fleet-limits/src/coordinator/granting.rs
@@ -30,7 +30,8 @@
 impl LimitCoordinator {
     /// Collects what a round of heartbeats may grant, and the demand and the grants so far.
     pub(super) fn grant_round(&self, now: Nanos) -> GrantRound {
-        let is_reachable = |peer| self.members.is_alive(now, peer) && self.members.hears_me(now, peer);
+        let is_reachable =
+            |peer| self.members.is_alive(now, peer) && self.members.receives_from_me(now, peer);
         let reachable: Vec<bool> = (0..self.config.fronts).map(is_reachable).collect();
         let mut totals: BTreeMap<Limit, LimitTotals> = BTreeMap::new();
         for (limit, demand) in self.demand.rates(now) {
--- a/crates/fleet-limits/src/coordinator/receiving.rs
+++ b/crates/fleet-limits/src/coordinator/receiving.rs
@@ -146,7 +146,7 @@
     /// Votes for the sender's claims as far as this front is free to, and keeps the result for its next heartbeat.
     fn answer_claims(&mut self, now: Nanos, sender: Holder, heartbeat: &Heartbeat) {
         // A front that shuts down does not revoke its leases: its issuers are free once the votes have expired.
-        let is_leaving = heartbeat.state.leaving && !mutated(Mutation::LeavesAtOnce);
+        let is_leaving = heartbeat.state.shutting_down && !mutated(Mutation::LeavesAtOnce);
         if !is_leaving {
             self.votes.release_unclaimed(sender, &heartbeat.claims);
         }
--- a/crates/fleet-limits/src/event.rs
+++ b/crates/fleet-limits/src/event.rs
@@ -12,7 +12,7 @@
         /// The sender.
         from: PeerId,
         /// The sender's incarnation.
-        boot: Incarnation,
+        incarnation: Incarnation,
         /// The message.
         heartbeat: Box<Heartbeat>,
     },
--- a/crates/fleet-limits/tests/coordinator.rs
+++ b/crates/fleet-limits/tests/coordinator.rs
@@ -19,7 +19,7 @@
 
 /// The event by which a heartbeat of a front arrives.
 fn received(sender: &LimitCoordinator, heartbeat: Box<Heartbeat>) -> Event {
-    Event::HeartbeatReceived { from: sender.config().me, boot: sender.incarnation(), heartbeat }
+    Event::HeartbeatReceived { from: sender.config().me, incarnation: sender.incarnation(), heartbeat }
 }
 
 /// The heartbeat to a peer, or to any peer where `to` is `None`.
@@ -207,13 +207,13 @@
     wild.claims = vec![0, 1, 9, u16::MAX];
     wild.votes = vec![0, 1, 9, u16::MAX];
     wild.settled = vec![7, u16::MAX];
-    wild.state.hears = vec![9, u16::MAX];
+    wild.state.reachable = vec![9, u16::MAX];
     wild.grant.number = u64::MAX;
     wild.grant.duration = Nanos::MAX;
     wild.demands.iter_mut().for_each(|demand| demand.milli_units_per_second = u64::MAX);
     let boot = fronts[1].incarnation();
     for from in [0, 1, 2, u16::MAX] {
-        let event = Event::HeartbeatReceived { from, boot, heartbeat: wild.clone() };
+        let event = Event::HeartbeatReceived { from, incarnation: boot, heartbeat: wild.clone() };
         fronts[0].on(4_001 * MS, event, &mut Vec::new());
         fronts[0].on(4_200 * MS, Event::HeartbeatDue, &mut Vec::new());
     }
--- a/crates/fleet-limits/tests/golden.rs
+++ b/crates/fleet-limits/tests/golden.rs
@@ -99,8 +99,8 @@
         sent_at: 3_000,
         echo: Some((301, -64)),
         conflicting: None,
-        leaving: true,
-        hears: vec![9],
+        shutting_down: true,
+        reachable: vec![9],
     };
     let heartbeat = Heartbeat {
         roster: 0x8877_6655_4433_2211,
@@ -147,7 +147,13 @@
     let heartbeat = Heartbeat {
         roster: 1,
         revision: 2,
-        state: PeerState { sent_at: 3, echo: None, conflicting: None, leaving: false, hears: Vec::new() },
+        state: PeerState {
+            sent_at: 3,
+            echo: None,
+            conflicting: None,
+            shutting_down: false,
+            reachable: Vec::new(),
+        },
         established: true,
         is_reply: false,
         claims: Vec::new(),
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -29,7 +29,7 @@
 /// Length of the HMAC in bytes.
 const MAC_BYTES: usize = 32;
 /// Cap on the length of an envelope in bytes: it must fit into one UDP datagram.
-pub const MAX_MESSAGE: usize = 60_000;
+pub const MAX_MESSAGE_BYTES: usize = 60_000;
 /// Shortest key in bytes.
 const MIN_KEY_BYTES: usize = 16;
 /// Initial capacity of an envelope under construction, in bytes.
@@ -53,7 +53,7 @@
     #[error("what it says is not in the form of its version")]
     Malformed,
     /// The envelope would exceed [`MAX_MESSAGE`].
-    #[error("it would be longer than {MAX_MESSAGE} bytes")]
+    #[error("it would be longer than {MAX_MESSAGE_BYTES} bytes")]
     TooLong,
     /// The key is too short to be safe.
     #[error("a key needs {MIN_KEY_BYTES} bytes or more")]
@@ -110,7 +110,7 @@
         let mut mac = self.key.clone();
         mac.update(&bytes);
         bytes.extend(mac.finalize().into_bytes());
-        if bytes.len() > MAX_MESSAGE {
+        if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(EnvelopeError::TooLong);
         }
         Ok(bytes)
@@ -121,7 +121,7 @@
     /// # Errors
     /// Why the bytes are rejected; never [`EnvelopeError::TooLong`] or [`EnvelopeError::KeyTooShort`].
     pub fn open<T: DeserializeOwned>(&self, bytes: &[u8]) -> Result<Envelope<T>, EnvelopeError> {
-        let length_is_valid = (MESSAGE_AT + MAC_BYTES..=MAX_MESSAGE).contains(&bytes.len());
+        let length_is_valid = (MESSAGE_AT + MAC_BYTES..=MAX_MESSAGE_BYTES).contains(&bytes.len());
         if !length_is_valid || !bytes.starts_with(&MAGIC) {
             return Err(EnvelopeError::NotAMessage);
         }
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -13,7 +13,9 @@
 mod store;
 
 pub use self::errors::{EntryError, GossipError};
-pub use self::messages::{Delta, GossipAction, GossipEntry, GossipInput, GossipMessage, Key, KnownVersion};
+pub use self::messages::{
+    Delta, EntryKey, GossipAction, GossipEntry, GossipInput, GossipMessage, KnownVersion,
+};
 pub use self::store::GossipStore;
 
 /// Cap on the entries of one front, including deleted ones.
--- a/crates/membership/src/gossip/messages.rs
+++ b/crates/membership/src/gossip/messages.rs
@@ -10,7 +10,7 @@
 
 /// The key of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Key {
+pub struct EntryKey {
     /// The namespace, one for each subsystem that uses gossip.
     pub kind: u8,
     /// The id within the namespace.
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GossipEntry {
     /// The key.
-    pub key: Key,
+    pub key: EntryKey,
     /// The version, counted by the origin's incarnation over all its entries.
     pub version: u64,
     /// Upper bound of its age when the message was sent, in milliseconds.
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug)]
 pub enum GossipInput {
     /// Write an entry of this front, or delete it if there is no value.
-    Put(Key, Option<Vec<u8>>),
+    Put(EntryKey, Option<Vec<u8>>),
     /// A round of messages is due.
     Round,
     /// An authenticated message was received.
@@ -90,7 +90,7 @@
         message: GossipMessage,
     },
     /// An entry of a peer was written or deleted.
-    Changed(PeerId, Key),
+    Changed(PeerId, EntryKey),
     /// All entries of a peer's earlier incarnation were discarded.
     Dropped(PeerId),
     /// A delta, or a whole message, was rejected.
--- a/crates/membership/src/gossip/origin.rs
+++ b/crates/membership/src/gossip/origin.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Delta, EntryError, GossipEntry, GossipError, Key, MAX_ENTRIES, MAX_VALUE_BYTES};
+use super::{Delta, EntryError, EntryKey, GossipEntry, GossipError, MAX_ENTRIES, MAX_VALUE_BYTES};
 use crate::{Incarnation, Nanos, PeerId};
 
 /// Upper bound of the encoded length of an entry without its value.
@@ -27,7 +27,7 @@
         (ENTRY_OVERHEAD_BYTES + value_bytes) as i64
     }
 
-    fn to_message(&self, now: Nanos, key: Key) -> GossipEntry {
+    fn to_message(&self, now: Nanos, key: EntryKey) -> GossipEntry {
         let age = (now - self.put_at).max(0) as u64;
         let age_ms = age.div_ceil(NANOS_PER_MILLISECOND as u64).min(u64::from(u32::MAX)) as u32;
         GossipEntry { key, version: self.version, age_ms, value: self.value.clone() }
@@ -45,7 +45,7 @@
 pub(super) struct Origin {
     pub(super) incarnation: Incarnation,
     pub(super) version: u64,
-    pub(super) entries: BTreeMap<Key, StoredEntry>,
+    pub(super) entries: BTreeMap<EntryKey, StoredEntry>,
 }
 
 impl Origin {
@@ -73,7 +73,12 @@
     ///
     /// # Errors
     /// If the value is too long or there are too many entries; nothing changes then.
-    pub(super) fn put(&mut self, now: Nanos, key: Key, value: Option<Vec<u8>>) -> Result<(), EntryError> {
+    pub(super) fn put(
+        &mut self,
+        now: Nanos,
+        key: EntryKey,
+        value: Option<Vec<u8>>,
+    ) -> Result<(), EntryError> {
         if value.as_ref().is_some_and(|value| value.len() > MAX_VALUE_BYTES) {
             return Err(EntryError::TooLong);
         }
@@ -96,7 +101,7 @@
             return None;
         }
         let changed = self.entries.iter().filter(|(_, entry)| entry.version > after);
-        let mut changed: Vec<(&Key, &StoredEntry)> = changed.collect();
+        let mut changed: Vec<(&EntryKey, &StoredEntry)> = changed.collect();
         changed.sort_unstable_by_key(|(_, entry)| entry.version);
         let mut bytes = DELTA_OVERHEAD_BYTES as i64;
         let mut to = after;
@@ -130,7 +135,7 @@
         }
         let same_incarnation = self.incarnation == delta.incarnation;
         let present = if same_incarnation { self.entries.len() } else { 0 };
-        let is_new = |key: &Key| !same_incarnation || !self.entries.contains_key(key);
+        let is_new = |key: &EntryKey| !same_incarnation || !self.entries.contains_key(key);
         let added = delta.entries.iter().filter(|entry| is_new(&entry.key)).count();
         if added + present > MAX_ENTRIES {
             return Err(GossipError::OutOfBounds);
@@ -139,7 +144,7 @@
     }
 
     /// Applies a delta of the present incarnation that was sent at `sent_at` or later. Returns the changed keys.
-    pub(super) fn apply(&mut self, delta: Delta, sent_at: Nanos) -> Vec<Key> {
+    pub(super) fn apply(&mut self, delta: Delta, sent_at: Nanos) -> Vec<EntryKey> {
         let mut changed = Vec::new();
         for entry in delta.entries {
             let GossipEntry { key, version, age_ms, value } = entry;
--- a/crates/membership/src/gossip/store.rs
+++ b/crates/membership/src/gossip/store.rs
@@ -3,7 +3,9 @@
 use super::acknowledgement::Acknowledgement;
 use super::byte_budget::ByteBudget;
 use super::origin::Origin;
-use super::{Delta, EntryError, GossipAction, GossipError, GossipInput, GossipMessage, Key, KnownVersion};
+use super::{
+    Delta, EntryError, EntryKey, GossipAction, GossipError, GossipInput, GossipMessage, KnownVersion,
+};
 use crate::{Incarnation, MembershipTable, Nanos, PeerId};
 
 /// Cap on the encoded length of a delta, well below that of a datagram.
@@ -91,7 +93,7 @@
     }
 
     /// The value of a front's entry, and an upper bound of its age.
-    pub fn get(&self, now: Nanos, origin: PeerId, key: Key) -> Option<(&[u8], Nanos)> {
+    pub fn get(&self, now: Nanos, origin: PeerId, key: EntryKey) -> Option<(&[u8], Nanos)> {
         let entry = self.origins.get(usize::from(origin))?.entries.get(&key)?;
         entry.value.as_deref().map(|value| (value, now - entry.put_at))
     }
@@ -103,7 +105,7 @@
         now: Nanos,
         kind: u8,
     ) -> impl Iterator<Item = (PeerId, Incarnation, u64, &[u8], Nanos)> + '_ {
-        let keys = Key { kind, id: 0 }..=Key { kind, id: u64::MAX };
+        let keys = EntryKey { kind, id: 0 }..=EntryKey { kind, id: u64::MAX };
         self.origins.iter().enumerate().flat_map(move |(position, origin)| {
             origin.entries.range(keys.clone()).filter_map(move |(key, entry)| {
                 let value = entry.value.as_deref()?;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -14,10 +14,10 @@
 mod membership_table;
 mod peer_state;
 
-pub use envelope::{Envelope, EnvelopeCodec, EnvelopeError, MAX_MESSAGE};
+pub use envelope::{Envelope, EnvelopeCodec, EnvelopeError, MAX_MESSAGE_BYTES};
 pub use gossip::{
-    Delta, EntryError, GossipAction, GossipEntry, GossipError, GossipInput, GossipMessage, GossipStore, Key,
-    KnownVersion, MAX_ENTRIES, MAX_VALUE_BYTES,
+    Delta, EntryError, EntryKey, GossipAction, GossipEntry, GossipError, GossipInput, GossipMessage,
+    GossipStore, KnownVersion, MAX_ENTRIES, MAX_VALUE_BYTES,
 };
 pub use membership_table::MembershipTable;
 pub use peer_state::{Echo, MessageStatus, PeerState, PeerStatus};
--- a/crates/membership/src/membership_table.rs
+++ b/crates/membership/src/membership_table.rs
@@ -91,8 +91,8 @@
             // An unconfirmed incarnation needs an echo, too, or it could never be confirmed.
             echo: self.echo(to).or(member.unconfirmed),
             conflicting: member.conflicting_within(now, self.failure_timeout),
-            leaving: self.shutting_down,
-            hears: self.reachable.clone(),
+            shutting_down: self.shutting_down,
+            reachable: self.reachable.clone(),
         }
     }
 
@@ -163,7 +163,7 @@
 
     /// Whether a peer has echoed a message of this front that is younger than three quarters of the failure timeout,
     /// so that a message sent to it now is expected to arrive.
-    pub fn hears_me(&self, now: Nanos, peer: PeerId) -> bool {
+    pub fn receives_from_me(&self, now: Nanos, peer: PeerId) -> bool {
         let member = self.member(peer);
         let recent = self.failure_timeout - self.failure_timeout / 4;
         member.incarnation.is_some() && now < member.last_echo_at.saturating_add(recent)
--- a/crates/membership/src/membership_table/member.rs
+++ b/crates/membership/src/membership_table/member.rs
@@ -82,8 +82,8 @@
     pub(super) fn record(&mut self, now: Nanos, state: &PeerState, receiver: Incarnation) {
         self.last_message_at = now;
         self.last_sent_at = state.sent_at;
-        self.left = state.leaving;
-        self.hears.clone_from(&state.hears);
+        self.left = state.shutting_down;
+        self.hears.clone_from(&state.reachable);
         if state.conflicting == Some(receiver) {
             self.rejected_us_at = Some(now);
         } else if let Some(echoed_at) = echoed_at(state, receiver) {
--- a/crates/membership/src/peer_state.rs
+++ b/crates/membership/src/peer_state.rs
@@ -19,9 +19,9 @@
     /// An incarnation of the receiver that the sender rejects, because another one is alive.
     pub conflicting: Option<Incarnation>,
     /// Whether the sender is shutting down.
-    pub leaving: bool,
+    pub shutting_down: bool,
     /// Peers that the sender has received messages from lately.
-    pub hears: Vec<PeerId>,
+    pub reachable: Vec<PeerId>,
 }
 
 /// How a received message was judged.
--- a/crates/membership/tests/envelope.rs
+++ b/crates/membership/tests/envelope.rs
@@ -1,6 +1,6 @@
 //! Envelopes: a message survives the round trip, and anything else is rejected with its cause.
 
-use tulipbridge_membership::{Envelope, EnvelopeCodec, EnvelopeError, MAX_MESSAGE};
+use tulipbridge_membership::{Envelope, EnvelopeCodec, EnvelopeError, MAX_MESSAGE_BYTES};
 
 type Message = (u32, Vec<String>);
 
@@ -23,5 +23,5 @@
     assert_eq!(codec.open::<Message>(&newer), Err(EnvelopeError::Version(3)));
     assert_eq!(codec.open::<(u32, Vec<String>, u8)>(&bytes), Err(EnvelopeError::Malformed));
     assert_eq!(EnvelopeCodec::new(b"short").err(), Some(EnvelopeError::KeyTooShort));
-    assert_eq!(codec.seal(0, 0, &vec![0u64; MAX_MESSAGE]).err(), Some(EnvelopeError::TooLong));
+    assert_eq!(codec.seal(0, 0, &vec![0u64; MAX_MESSAGE_BYTES]).err(), Some(EnvelopeError::TooLong));
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -9,7 +9,9 @@
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use tulipbridge_membership::{Delta, Envelope, EnvelopeCodec, GossipEntry, GossipMessage, Key, PeerState};
+use tulipbridge_membership::{
+    Delta, EntryKey, Envelope, EnvelopeCodec, GossipEntry, GossipMessage, PeerState,
+};
 
 /// Two lower-case digits for each byte.
 fn hex(bytes: &[u8]) -> String {
@@ -27,7 +29,7 @@
 
 fn entry_with_value() -> GossipEntry {
     GossipEntry {
-        key: Key { kind: 200, id: 500 },
+        key: EntryKey { kind: 200, id: 500 },
         version: 131,
         age_ms: 60_000,
         value: Some(vec![0x00, 0xff, 0x7f]),
@@ -35,7 +37,7 @@
 }
 
 fn deleted_entry() -> GossipEntry {
-    GossipEntry { key: Key { kind: 2, id: 7 }, version: 132, age_ms: 1, value: None }
+    GossipEntry { key: EntryKey { kind: 2, id: 7 }, version: 132, age_ms: 1, value: None }
 }
 
 #[test]
@@ -44,8 +46,8 @@
         sent_at: -1_000,
         echo: Some((0x1122_3344_5566_7788, 70_000)),
         conflicting: Some(300),
-        leaving: true,
-        hears: vec![5, 640],
+        shutting_down: true,
+        reachable: vec![5, 640],
     };
     assert_golden(
         &state,
@@ -61,8 +63,13 @@
 
 #[test]
 fn peer_state_without_optional_fields() {
-    let state =
-        PeerState { sent_at: 1_000, echo: None, conflicting: None, leaving: false, hears: Vec::new() };
+    let state = PeerState {
+        sent_at: 1_000,
+        echo: None,
+        conflicting: None,
+        shutting_down: false,
+        reachable: Vec::new(),
+    };
     assert_golden(
         &state,
         concat!(
@@ -78,7 +85,7 @@
 #[test]
 fn entry_key() {
     assert_golden(
-        &Key { kind: 200, id: 500 },
+        &EntryKey { kind: 200, id: 500 },
         concat!(
             "c8",   // kind, in one byte
             "f403", // id
--- a/crates/membership/tests/gossip.rs
+++ b/crates/membership/tests/gossip.rs
@@ -7,7 +7,7 @@
 const ROUND_INTERVAL: Nanos = 200 * MS;
 const FRONT_COUNT: PeerId = 3;
 const BYTES_PER_SECOND: u64 = 20_000;
-const KEY: Key = Key { kind: 1, id: 7 };
+const KEY: EntryKey = EntryKey { kind: 1, id: 7 };
 
 struct Front {
     incarnation: Incarnation,
@@ -31,7 +31,7 @@
         actions
     }
 
-    fn put(&mut self, now: Nanos, key: Key, value: Option<&[u8]>) -> Result<(), EntryError> {
+    fn put(&mut self, now: Nanos, key: EntryKey, value: Option<&[u8]>) -> Result<(), EntryError> {
         let input = GossipInput::Put(key, value.map(<[u8]>::to_vec));
         self.store.on(now, &self.members, input, &mut Vec::new())
     }
@@ -172,7 +172,7 @@
     let too_long = vec![0; MAX_VALUE_BYTES + 1];
     assert_eq!(front.put(0, KEY, Some(&too_long)), Err(EntryError::TooLong));
     for id in 0..MAX_ENTRIES as u64 {
-        front.put(0, Key { kind: 2, id }, Some(b"x")).expect("it fits");
+        front.put(0, EntryKey { kind: 2, id }, Some(b"x")).expect("it fits");
     }
     assert_eq!(front.put(0, KEY, Some(b"x")), Err(EntryError::TooMany));
     assert_eq!(front.put(0, KEY, None), Ok(()), "deleting an unknown key takes no place");
@@ -191,7 +191,7 @@
     let mut fronts = three_fronts();
     rounds(&mut fronts, 0..3, &[]);
     for id in 0..MAX_ENTRIES as u64 {
-        fronts[0].put(0, Key { kind: 2, id }, Some(b"x")).expect("it fits");
+        fronts[0].put(0, EntryKey { kind: 2, id }, Some(b"x")).expect("it fits");
     }
     let too_long = vec![0; MAX_VALUE_BYTES + 1];
     for (delta, cause) in [
@@ -227,7 +227,7 @@
     let mut fronts = three_fronts();
     rounds(&mut fronts, 0..3, &[]);
     for id in 0..600 {
-        fronts[0].put(600 * MS, Key { kind: 1, id }, Some(&[7; 100])).expect("it fits");
+        fronts[0].put(600 * MS, EntryKey { kind: 1, id }, Some(&[7; 100])).expect("it fits");
     }
     // 600 entries of 100 bytes to two fronts, at 20,000 bytes per second in total.
     let sent = rounds(&mut fronts, 3..13, &[]).entries;
@@ -262,7 +262,7 @@
     rounds(&mut fronts, 0..3, &[]);
     fronts[0].store.set_rate(1_000);
     for id in 0..100 {
-        fronts[0].put(600 * MS, Key { kind: 1, id }, Some(&[7; 100])).expect("it fits");
+        fronts[0].put(600 * MS, EntryKey { kind: 1, id }, Some(&[7; 100])).expect("it fits");
     }
     // For 2 s, 1,000 bytes per second and as many in the budget at the start; an entry takes up to 124 bytes.
     let sent = rounds(&mut fronts, 3..13, &[]).entries;
--- a/crates/membership/tests/membership_table.rs
+++ b/crates/membership/tests/membership_table.rs
@@ -23,7 +23,7 @@
     let (a, b) = connected_pair();
     assert_eq!([a.status(10, 1), b.status(10, 0)], [PeerStatus::Alive; 2]);
     assert_eq!(a.status(10, 2), PeerStatus::Unknown);
-    assert!(a.hears_me(10, 1));
+    assert!(a.receives_from_me(10, 1));
 }
 
 #[test]
@@ -71,8 +71,8 @@
         sent_at,
         echo: Some((7, 10)),
         conflicting: None,
-        leaving,
-        hears: hears.to_vec(),
+        shutting_down: leaving,
+        reachable: hears.to_vec(),
     };
     assert_eq!(a.receive(50, 2, 30, &state(50, &[1], false)), MessageStatus::Accepted { first: true });
     assert_eq!(a.status(120, 1), PeerStatus::Suspect, "the third front hears it");
--- a/crates/model-checker/src/cli/seeded/front.rs
+++ b/crates/model-checker/src/cli/seeded/front.rs
@@ -3,7 +3,7 @@
 use std::num::NonZeroUsize;
 
 use serde::Serialize;
-use tulipbridge_core::mutations::{activate, Mutation, Part, ALL};
+use tulipbridge_core::mutations::{activate, MachineGroup, Mutation, ALL};
 
 use super::SeededArgs;
 use crate::cli::error::CommandError;
@@ -80,7 +80,7 @@
 fn test_mutation(
     mutation: Mutation,
     name: &'static str,
-    part: Part,
+    part: MachineGroup,
     args: &SeededArgs,
 ) -> Result<MutationReport, CommandError> {
     activate(Some(mutation));
@@ -114,7 +114,7 @@
 }
 
 /// Searches the quick configurations one after another, until one detects the mutation.
-fn search_until_detected(part: Part, limits: SearchLimits) -> SearchResult {
+fn search_until_detected(part: MachineGroup, limits: SearchLimits) -> SearchResult {
     // With a single thread, the first history that is found is a shortest one.
     let limits = SearchLimits { threads: NonZeroUsize::MIN, ..limits };
     let mut result = SearchResult::default();
@@ -131,13 +131,13 @@
 }
 
 /// The quick configurations of a single front, first those of the mutated part.
-fn configs_for(part: Part) -> Vec<Config> {
+fn configs_for(part: MachineGroup) -> Vec<Config> {
     let is_candidate = |config: &Config| config.summary().quick && !matches!(config, Config::FleetLimits(_));
     let mut configs: Vec<Config> = configs::all().into_iter().filter(is_candidate).collect();
     configs.sort_by_key(|config| match config {
-        Config::ClientConnection(_) => part != Part::Door,
-        Config::Discovery(_) => part != Part::Watch,
-        Config::Request(_) | Config::FleetLimits(_) => part != Part::Front,
+        Config::ClientConnection(_) => part != MachineGroup::ClientConnections,
+        Config::Discovery(_) => part != MachineGroup::DiscoveryWatch,
+        Config::Request(_) | Config::FleetLimits(_) => part != MachineGroup::Requests,
     });
     configs
 }
--- a/crates/model-checker/src/discovery_model.rs
+++ b/crates/model-checker/src/discovery_model.rs
@@ -194,7 +194,7 @@
         match step {
             Step::ClockAdvances => self.advance_clock(),
             Step::TimerDue => self.feed(WatchEvent::TimerDue),
-            Step::ListWanted => self.feed(WatchEvent::ListWanted),
+            Step::ListWanted => self.feed(WatchEvent::ListRequested),
             Step::CallSucceeds => self.feed(WatchEvent::Opened),
             Step::CallRefused => {
                 self.call = None;
@@ -211,7 +211,7 @@
             Step::DiscoveryMoved => {
                 self.faults += 1;
                 self.missing_since = self.up.then_some(self.now);
-                self.feed(WatchEvent::Moved);
+                self.feed(WatchEvent::AddressChanged);
             }
         }
         // Nothing is missed while a watch works, unless it is a watch on the previous discovery.
--- a/crates/model-checker/src/fleet_limits_model/transitions.rs
+++ b/crates/model-checker/src/fleet_limits_model/transitions.rs
@@ -125,11 +125,8 @@
                 continue;
             }
             let Message { incarnation, heartbeat, .. } = self.messages.remove(index);
-            let received = Event::HeartbeatReceived {
-                from: link.from,
-                boot: incarnation,
-                heartbeat: Box::new(heartbeat),
-            };
+            let received =
+                Event::HeartbeatReceived { from: link.from, incarnation, heartbeat: Box::new(heartbeat) };
             self.feed(link.to, received);
             self.check();
         }
--- a/crates/model-checker/src/recovery.rs
+++ b/crates/model-checker/src/recovery.rs
@@ -84,7 +84,7 @@
         outcome: Outcome::Served,
         took: now - attempt.sent_at,
         last: true,
-        seen_use: 0.0,
+        observed_use: 0.0,
         foreign_units: 0.0,
     }
 }
--- a/crates/model-checker/src/request_model/attempts.rs
+++ b/crates/model-checker/src/request_model/attempts.rs
@@ -129,5 +129,11 @@
 
 /// The input for the request tracker when an attempt has ended.
 pub(super) fn attempt_ended(key: AttemptKey, outcome: Outcome) -> Input {
-    Input::AttemptEnded { id: key.request, attempt: key.attempt, outcome, seen_use: 0.0, foreign_units: 0.0 }
+    Input::AttemptEnded {
+        id: key.request,
+        attempt: key.attempt,
+        outcome,
+        observed_use: 0.0,
+        foreign_units: 0.0,
+    }
 }
--- a/crates/outlier-detection/src/event.rs
+++ b/crates/outlier-detection/src/event.rs
@@ -1,6 +1,6 @@
 //! Inputs and outputs of an [`OutlierDetector`](crate::OutlierDetector).
 
-use crate::{Class, EjectionTarget, Key, SampleQuality, Server};
+use crate::{Class, EjectionTarget, EntryKey, SampleQuality, Server};
 
 /// An input of the detector.
 #[derive(Clone, Debug)]
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Publish a gossip entry of this front, or withdraw it where there is no value.
-    Put(Key, Option<Vec<u8>>),
+    Put(EntryKey, Option<Vec<u8>>),
     /// Eject a server.
     Ejected(EjectionTarget),
     /// End an ejection.
--- a/crates/outlier-detection/src/gossip.rs
+++ b/crates/outlier-detection/src/gossip.rs
@@ -4,7 +4,7 @@
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use tulipbridge_membership::Key;
+use tulipbridge_membership::EntryKey;
 
 use crate::{EjectionTarget, Server, Zone};
 
@@ -16,18 +16,18 @@
 pub const PROBE: u8 = 4;
 
 /// Key of the evidence on a server.
-pub(crate) fn evidence_key(server: Server) -> Key {
-    Key { kind: EVIDENCE, id: server }
+pub(crate) fn evidence_key(server: Server) -> EntryKey {
+    EntryKey { kind: EVIDENCE, id: server }
 }
 
 /// Key of a vote for an ejection.
-pub(crate) fn vote_key(target: EjectionTarget) -> Key {
-    Key { kind: VOTE, id: target.id() }
+pub(crate) fn vote_key(target: EjectionTarget) -> EntryKey {
+    EntryKey { kind: VOTE, id: target.id() }
 }
 
 /// Key of the probe results of a server.
-pub(crate) fn probe_key(server: Server) -> Key {
-    Key { kind: PROBE, id: server }
+pub(crate) fn probe_key(server: Server) -> EntryKey {
+    EntryKey { kind: PROBE, id: server }
 }
 
 /// Value of a vote.
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -23,7 +23,7 @@
 pub use gossip::{EVIDENCE, PROBE, VOTE};
 pub use report::{EjectionReport, Observation, Vote};
 pub use target::{EjectionTarget, Scope};
-pub use tulipbridge_membership::{GossipStore, Incarnation, Key, Nanos, PeerId};
+pub use tulipbridge_membership::{EntryKey, GossipStore, Incarnation, Nanos, PeerId};
 
 /// One run of a chunk server: a digest of its name and of its start time, so that a restarted server is a new one.
 pub type Server = u64;
--- a/crates/outlier-detection/tests/golden.rs
+++ b/crates/outlier-detection/tests/golden.rs
@@ -128,7 +128,7 @@
 /// The entries of the front, which has received this evidence from the peer.
 fn entries_with(now: Nanos, evidence: &Evidence) -> GossipStore {
     let value = postcard::to_stdvec(evidence).expect("the evidence can be encoded");
-    let key = Key { kind: EVIDENCE, id: SERVER };
+    let key = EntryKey { kind: EVIDENCE, id: SERVER };
     let entry = GossipEntry { key, version: 1, age_ms: 0, value: Some(value) };
     let delta = Delta { origin: PEER, incarnation: PEER_INCARNATION, after: 0, to: 1, entries: vec![entry] };
     let message = GossipMessage {
@@ -164,7 +164,7 @@
 }
 
 /// What the front publishes of a server that is an outlier by its own attempts and by the peer's evidence.
-fn entries_on_an_outlier() -> Vec<(Key, Option<String>)> {
+fn entries_on_an_outlier() -> Vec<(EntryKey, Option<String>)> {
     let now = 1_000 * MS;
     let classes = vec![ClassEvidence { class: CLASS, attempts: 200, failures: 180 }];
     let entries = entries_with(now, &Evidence { zone: PEER_ZONE, baseline: 50, classes });
@@ -181,7 +181,7 @@
 }
 
 /// The entries that effects publish, with their values in hexadecimal.
-fn published(effects: Vec<Effect>) -> Vec<(Key, Option<String>)> {
+fn published(effects: Vec<Effect>) -> Vec<(EntryKey, Option<String>)> {
     let put = |effect| match effect {
         Effect::Put(key, value) => Some((key, value.as_deref().map(hex))),
         _ => None,
@@ -197,7 +197,7 @@
         "01",         // classes: length
         "c9c801b401", // classes: class in one byte, attempts, failures
     );
-    let expected = (Key { kind: 2, id: SERVER }, Some(value.to_owned()));
+    let expected = (EntryKey { kind: 2, id: SERVER }, Some(value.to_owned()));
     assert_eq!(entries_on_an_outlier().first(), Some(&expected));
 }
 
@@ -208,7 +208,7 @@
         "00",                 // target: scope All
         "c8",                 // zone, in one byte
     );
-    let expected = (Key { kind: 3, id: 0x7709_291b_83f6_32e2 }, Some(value.to_owned()));
+    let expected = (EntryKey { kind: 3, id: 0x7709_291b_83f6_32e2 }, Some(value.to_owned()));
     assert_eq!(entries_on_an_outlier().last(), Some(&expected));
 }
 
@@ -222,6 +222,6 @@
         detector.on(0, &entries, Event::Probed { server: SERVER, class: CLASS, quality }, &mut effects);
     }
     // The number of successes in a row, in one byte.
-    let put = |value: &str| (Key { kind: 4, id: SERVER }, Some(value.to_owned()));
+    let put = |value: &str| (EntryKey { kind: 4, id: SERVER }, Some(value.to_owned()));
     assert_eq!(published(effects), [put("01"), put("02"), put("00")]);
 }
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -119,7 +119,7 @@
         if is_alive(to) {
             let opened = self.codec.open::<Heartbeat>(&sealed)?;
             let heartbeat = Box::new(opened.message);
-            let event = Event::HeartbeatReceived { from: opened.from, boot: incarnation, heartbeat };
+            let event = Event::HeartbeatReceived { from: opened.from, incarnation, heartbeat };
             self.coordinators[to].on(self.now, event, &mut Vec::new());
         }
         Ok(())
--- a/crates/testbed/src/simulation/gossip.rs
+++ b/crates/testbed/src/simulation/gossip.rs
@@ -10,7 +10,7 @@
 use std::convert::Infallible;
 
 use fastrand::Rng;
-use tulipbridge_membership::{Delta, GossipAction, Incarnation, Key, Nanos, PeerId};
+use tulipbridge_membership::{Delta, EntryKey, GossipAction, Incarnation, Nanos, PeerId};
 
 use self::history::WriteHistory;
 pub use self::report::GossipReport;
@@ -204,8 +204,8 @@
     }
 }
 
-fn entry_key(id: u64) -> Key {
-    Key { kind: 1, id }
+fn entry_key(id: u64) -> EntryKey {
+    EntryKey { kind: 1, id }
 }
 
 /// How many bytes a delta takes in a message.
--- a/crates/testbed/src/simulation/gossip/history.rs
+++ b/crates/testbed/src/simulation/gossip/history.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use tulipbridge_membership::{Incarnation, Key, Nanos};
+use tulipbridge_membership::{EntryKey, Incarnation, Nanos};
 
 /// One write of an entry; no value is a removal.
 struct Write {
-    key: Key,
+    key: EntryKey,
     value: Option<Vec<u8>>,
     at: Nanos,
 }
@@ -22,7 +22,7 @@
     history: &'a WriteHistory,
     incarnation: Incarnation,
     version: u64,
-    key: Key,
+    key: EntryKey,
 }
 
 impl WriteHistory {
@@ -31,7 +31,7 @@
         &mut self,
         incarnation: Incarnation,
         version: u64,
-        key: Key,
+        key: EntryKey,
         value: Option<Vec<u8>>,
         at: Nanos,
     ) {
@@ -39,7 +39,7 @@
     }
 
     /// The writes of a key, as a front sees them that has received an incarnation's writes up to a version.
-    pub fn of_key(&self, incarnation: Incarnation, version: u64, key: Key) -> KeyHistory<'_> {
+    pub fn of_key(&self, incarnation: Incarnation, version: u64, key: EntryKey) -> KeyHistory<'_> {
         KeyHistory { history: self, incarnation, version, key }
     }
 }
--- a/crates/testbed/src/simulation/limits.rs
+++ b/crates/testbed/src/simulation/limits.rs
@@ -201,7 +201,7 @@
     fn receive(&mut self, message: Message) {
         let Message { to, via, from, incarnation, heartbeat } = message;
         let heartbeat = Box::new(heartbeat);
-        let event = CoordinatorEvent::HeartbeatReceived { from, boot: incarnation, heartbeat };
+        let event = CoordinatorEvent::HeartbeatReceived { from, incarnation, heartbeat };
         self.feed(to, via, event);
     }
 
--- a/crates/testbed/src/simulation/outliers.rs
+++ b/crates/testbed/src/simulation/outliers.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 
 use fastrand::Rng;
-use tulipbridge_membership::{GossipAction, Incarnation, Key, Nanos, PeerId};
+use tulipbridge_membership::{EntryKey, GossipAction, Incarnation, Nanos, PeerId};
 use tulipbridge_outlier_detection::{
     Class, DetectorConfig, Effect, EjectionTarget, Event as DetectorEvent, OutlierDetector, Server, Zone,
 };
@@ -251,7 +251,7 @@
         has_updates
     }
 
-    fn publish(&mut self, front: usize, key: Key, value: Option<Vec<u8>>) {
+    fn publish(&mut self, front: usize, key: EntryKey, value: Option<Vec<u8>>) {
         let now = self.fleet.now;
         if let Err(VoteWithoutEvidence(target)) = self.audit.record(now, front, key, value.as_deref()) {
             let violation = format!("{target:?} by {front} at {} ms", now / MILLISECOND);
--- a/crates/testbed/src/simulation/outliers/audit.rs
+++ b/crates/testbed/src/simulation/outliers/audit.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use tulipbridge_membership::{Key, Nanos};
+use tulipbridge_membership::{EntryKey, Nanos};
 use tulipbridge_outlier_detection::{DetectorConfig, EjectionTarget, Scope, Server, Zone, EVIDENCE, VOTE};
 
 use crate::simulation::peer::ROUND_INTERVAL;
@@ -33,7 +33,7 @@
         &mut self,
         now: Nanos,
         front: usize,
-        key: Key,
+        key: EntryKey,
         value: Option<&[u8]>,
     ) -> Result<(), VoteWithoutEvidence> {
         match (key.kind, value) {
--- a/crates/testbed/src/simulation/peer.rs
+++ b/crates/testbed/src/simulation/peer.rs
@@ -1,8 +1,8 @@
 //! The membership and gossip state of one simulated front, and the messages between fronts.
 
 use tulipbridge_membership::{
-    GossipAction, GossipInput, GossipMessage, GossipStore, Incarnation, Key, MembershipTable, Nanos, PeerId,
-    PeerState,
+    EntryKey, GossipAction, GossipInput, GossipMessage, GossipStore, Incarnation, MembershipTable, Nanos,
+    PeerId, PeerState,
 };
 
 use super::network::MILLISECOND;
@@ -76,7 +76,7 @@
     }
 
     /// Writes an entry of this front, or removes it if there is no value.
-    pub fn put(&mut self, now: Nanos, key: Key, value: Option<Vec<u8>>) {
+    pub fn put(&mut self, now: Nanos, key: EntryKey, value: Option<Vec<u8>>) {
         // A local write has no actions for the network: the next round sends it.
         self.feed_gossip(now, GossipInput::Put(key, value));
     }
--- a/src/bin/tulipbridge-adapter/instance.rs
+++ b/src/bin/tulipbridge-adapter/instance.rs
@@ -172,7 +172,16 @@
             return Ok(None);
         };
         self.requests.attempt_ended(id, last);
-        Ok(Some(Event::AttemptEnded { id, attempt, node, outcome, took, last, seen_use, foreign_units }))
+        Ok(Some(Event::AttemptEnded {
+            id,
+            attempt,
+            node,
+            outcome,
+            took,
+            last,
+            observed_use: seen_use,
+            foreign_units,
+        }))
     }
 
     /// Encodes an action; `None` for one that the wire does not have.
--- a/src/cluster/ejections/mod.rs
+++ b/src/cluster/ejections/mod.rs
@@ -14,7 +14,7 @@
 use tulipbridge_core::{
     ClassSet, FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, RequestId, UpdateScope,
 };
-use tulipbridge_membership::{EnvelopeCodec, GossipStore, Key};
+use tulipbridge_membership::{EntryKey, EnvelopeCodec, GossipStore};
 use tulipbridge_outlier_detection::{
     AttemptObserver, AttemptResult, Class, DetectorConfig, DetectorConfigError, Effect, EjectionTarget,
     Event, OutlierDetector, SampleQuality, Scope, Server,
@@ -37,7 +37,7 @@
 #[derive(Default)]
 pub struct EjectionChanges {
     /// Gossip entries of this front to be put; one without a value is to be removed.
-    pub entries: Vec<(Key, Option<Vec<u8>>)>,
+    pub entries: Vec<(EntryKey, Option<Vec<u8>>)>,
     /// Updates for the decision module.
     pub updates: Vec<FleetUpdate>,
 }
--- a/src/cluster/peers/effects.rs
+++ b/src/cluster/peers/effects.rs
@@ -4,7 +4,7 @@
 
 use tulipbridge_core::{FleetUpdate, Nanos, Settings};
 use tulipbridge_fleet_limits::{Effect, Event};
-use tulipbridge_membership::{GossipAction, GossipInput, Key, PeerId};
+use tulipbridge_membership::{EntryKey, GossipAction, GossipInput, PeerId};
 
 use super::Peers;
 use crate::cluster::clock;
@@ -85,7 +85,7 @@
     }
 
     /// Puts a gossip entry of this front, or removes it where there is no value.
-    pub(super) fn publish(&self, key: Key, value: Option<Vec<u8>>) {
+    pub(super) fn publish(&self, key: EntryKey, value: Option<Vec<u8>>) {
         self.update_gossip(GossipInput::Put(key, value));
     }
 
--- a/src/cluster/peers/fleet_state.rs
+++ b/src/cluster/peers/fleet_state.rs
@@ -44,7 +44,7 @@
             self.evaluation_due.notify_one();
         }
         if let Input::Endpoints { scope, nodes } = input {
-            ejections.update_endpoints(*scope, nodes, |node| self.exchange.transport().id(node));
+            ejections.update_endpoints(*scope, nodes, |node| self.exchange.transport().server_name(node));
         }
     }
 
--- a/src/cluster/peers/mod.rs
+++ b/src/cluster/peers/mod.rs
@@ -19,7 +19,7 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 use tulipbridge_fleet_limits::{Event, LimitCoordinator};
-use tulipbridge_membership::{GossipStore, Incarnation, Key, PeerStatus};
+use tulipbridge_membership::{EntryKey, GossipStore, Incarnation, PeerStatus};
 
 use crate::cluster::clock;
 use crate::cluster::config::ClusterConfig;
@@ -36,7 +36,7 @@
 pub use crate::cluster::config::ClusterConfig as Config;
 
 /// The gossip entry with a front's program version.
-const VERSION_KEY: Key = Key { kind: 0, id: 0 };
+const VERSION_KEY: EntryKey = EntryKey { kind: 0, id: 0 };
 
 /// This front among its peers.
 pub struct Peers {
--- a/src/cluster/peers/tasks.rs
+++ b/src/cluster/peers/tasks.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use tulipbridge_fleet_limits::Event;
-use tulipbridge_membership::{GossipInput, MAX_MESSAGE};
+use tulipbridge_membership::{GossipInput, MAX_MESSAGE_BYTES};
 
 use super::Peers;
 use crate::cluster::clock;
@@ -70,7 +70,7 @@
 
     /// Receives the messages of the peers, once the address can be bound.
     pub(super) async fn receive_loop(self: Rc<Self>) {
-        let mut buffer = vec![0; MAX_MESSAGE + 1];
+        let mut buffer = vec![0; MAX_MESSAGE_BYTES + 1];
         loop {
             match self.socket.receive(&mut buffer).await {
                 Some(Ok((length, source))) => self.receive(&buffer[..length], source),
@@ -99,7 +99,7 @@
         let (from, incarnation) = (envelope.from, envelope.incarnation);
         match envelope.message {
             IncomingMessage::Heartbeat(heartbeat) => {
-                let event = Event::HeartbeatReceived { from, boot: incarnation, heartbeat };
+                let event = Event::HeartbeatReceived { from, incarnation, heartbeat };
                 self.update_limits(event, Some(source));
             }
             IncomingMessage::Gossip(message) => {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -64,7 +64,7 @@
     /// The names of the classes, in the order of the settings.
     pub classes: Vec<String>,
     /// Whether each class writes, where the settings say.
-    pub writes: Vec<Option<bool>>,
+    pub class_writes: Vec<Option<bool>>,
     /// The names of the plans, in the order of the settings.
     pub plans: Vec<String>,
     /// The names of the zones, in the order of the settings.
@@ -135,7 +135,7 @@
             settings: settings::read(raw_settings)?,
             raw_settings: raw_settings.clone(),
             classes: names(raw_settings, "Services")?,
-            writes: read_writes(raw_settings, family)?,
+            class_writes: read_writes(raw_settings, family)?,
             plans: names(raw_settings, "Grades")?,
             zones: read_zones(raw_settings)?,
             shards: number(family, "Shards")? as u32,
--- a/src/control/discovery.rs
+++ b/src/control/discovery.rs
@@ -165,8 +165,8 @@
             biased;
             message = next_message(&mut self.watch) => Activity::Message(message),
             watch = call_end(&mut self.opening) => Activity::CallEnded(watch),
-            Ok(()) = self.address.changed() => Activity::Event(WatchEvent::Moved),
-            () = self.exchange.list_wanted() => Activity::Event(WatchEvent::ListWanted),
+            Ok(()) = self.address.changed() => Activity::Event(WatchEvent::AddressChanged),
+            () = self.exchange.endpoints_requested() => Activity::Event(WatchEvent::ListRequested),
             () = reach(due) => Activity::Event(WatchEvent::TimerDue),
         }
     }
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -108,7 +108,7 @@
 
     /// The number of endpoints, and how many of them get no new attempts.
     pub fn endpoint_counts(&self) -> (usize, usize) {
-        self.core.borrow().tracker.decisions().census()
+        self.core.borrow().tracker.decisions().node_counts()
     }
 
     /// A copy of the settings in force.
@@ -147,7 +147,7 @@
         settings: Settings,
         replaced_classes: &[(usize, usize)],
     ) -> Result<(), SettingsError> {
-        self.core.borrow_mut().tracker.decisions_mut().retune(settings, replaced_classes)
+        self.core.borrow_mut().tracker.decisions_mut().apply_settings(settings, replaced_classes)
     }
 
     /// Starts the shutdown: every request, received or still to come, is answered `within` this time, even where its
@@ -163,7 +163,7 @@
     }
 
     /// Returns when the decision module next asks for the endpoint list.
-    pub async fn list_wanted(&self) {
+    pub async fn endpoints_requested(&self) {
         self.endpoints_requested.notified().await;
     }
 
@@ -317,8 +317,8 @@
     tokio::select! {
         biased;
         ended = timeout_at(deadline.into(), running) => match ended {
-            Ok(AttemptReport { outcome, answer, seen_use, foreign_units }) => {
-                (Input::AttemptEnded { id, attempt, outcome, seen_use, foreign_units }, answer)
+            Ok(AttemptReport { outcome, answer, observed_use, foreign_units }) => {
+                (Input::AttemptEnded { id, attempt, outcome, observed_use, foreign_units }, answer)
             }
             Err(_) => (Input::AttemptTimedOut { id, attempt }, None),
         },
--- a/src/exchange/transport.rs
+++ b/src/exchange/transport.rs
@@ -15,14 +15,14 @@
     /// The answer for the client; `Some` only where the outcome is [`Outcome::Served`].
     pub answer: Option<A>,
     /// 1 plus the volume's use in percent of its plan's rate; 0 where it is unknown.
-    pub seen_use: f64,
+    pub observed_use: f64,
     /// Units that the server has served the volume through other fronts.
     pub foreign_units: f64,
 }
 
 impl<A> From<Outcome> for AttemptReport<A> {
     fn from(outcome: Outcome) -> AttemptReport<A> {
-        AttemptReport { outcome, answer: None, seen_use: 0.0, foreign_units: 0.0 }
+        AttemptReport { outcome, answer: None, observed_use: 0.0, foreign_units: 0.0 }
     }
 }
 
--- a/src/frontend/platform/request_tables.rs
+++ b/src/frontend/platform/request_tables.rs
@@ -71,7 +71,7 @@
 }
 
 fn class_entries(config: &Config) -> Vec<(String, RequestClass)> {
-    let classes = config.settings.classes.iter().cloned().zip(config.writes.iter().copied());
+    let classes = config.settings.classes.iter().cloned().zip(config.class_writes.iter().copied());
     let classes = classes.map(|(class, writes)| RequestClass { class, writes });
     config.classes.iter().cloned().zip(classes).collect()
 }
--- a/src/object/config.rs
+++ b/src/object/config.rs
@@ -88,13 +88,13 @@
     /// The number of its plan.
     pub plan: usize,
     /// The number of the class for requests that may be repeated: reads, and deletions, which are idempotent.
-    pub read: usize,
+    pub read_class: usize,
     /// The number of the class for requests that must not run twice.
-    pub write: usize,
+    pub write_class: usize,
     /// The size of a unit of work, in bytes.
     pub unit_bytes: f64,
     /// The number of fronts through which its requests come.
-    pub hosts: u32,
+    pub front_count: u32,
 }
 
 impl Config {
@@ -146,10 +146,10 @@
         Ok(Bucket {
             volume: parse_hex("volume", volume)?,
             plan: index_of(entry, "plan", &base.plans)?,
-            read,
-            write,
+            read_class: read,
+            write_class: write,
             unit_bytes: positive_number_or(entry, "unit_bytes", DEFAULT_UNIT_BYTES)?,
-            hosts: positive_number_or(entry, "hosts", DEFAULT_FRONTS)? as u32,
+            front_count: positive_number_or(entry, "hosts", DEFAULT_FRONTS)? as u32,
         })
     }
 }
--- a/src/object/delete.rs
+++ b/src/object/delete.rs
@@ -24,7 +24,7 @@
                     cell: Some(version.cell),
                     query: format!("versionId={}", encode(&version.own)),
                     units: self.mean_units,
-                    ..NodeRequest::new(request.bucket.read, Method::DELETE)
+                    ..NodeRequest::new(request.bucket.read_class, Method::DELETE)
                 };
                 let answer = self.send(&request, node).await;
                 check_deleted(answer.and_then(|answer| answer.into_success("NoSuchKey")))?;
--- a/src/object/front.rs
+++ b/src/object/front.rs
@@ -111,7 +111,7 @@
             headers: request.stored_headers(),
             units: self.units(&request.bucket, body.len()),
             body,
-            ..NodeRequest::new(request.bucket.write, Method::PUT)
+            ..NodeRequest::new(request.bucket.write_class, Method::PUT)
         };
         let answer = self.send(&request, node).await?.into_success("NoSuchKey")?;
         let mut reply = empty(StatusCode::OK);
--- a/src/object/get.rs
+++ b/src/object/get.rs
@@ -123,7 +123,7 @@
             query: source.query.clone(),
             headers,
             units: self.mean_units,
-            ..NodeRequest::new(request.bucket.read, method)
+            ..NodeRequest::new(request.bucket.read_class, method)
         }
     }
 
@@ -211,7 +211,7 @@
         let mut bytes = first.answer.body;
         // An error here means that the client is gone.
         while sender.send_data(bytes).await.is_ok() && position < end {
-            request.deadline = Instant::now() + self.deadlines[request.bucket.read];
+            request.deadline = Instant::now() + self.deadlines[request.bucket.read_class];
             let range = piece_range(position, Some(end - 1));
             match self.read_piece(&request, &source, range, headers.clone()).await {
                 Ok(next) if next.range.bytes.start == position && next.range.size == size => {
@@ -240,7 +240,7 @@
         match (latest, failure) {
             (Some((_, cell)), _) => Ok(cell),
             // The object may be at a shard that did not answer.
-            (None, Some(error)) => Err(error.of_read(self.deadlines[request.bucket.read])),
+            (None, Some(error)) => Err(error.of_read(self.deadlines[request.bucket.read_class])),
             (None, None) => {
                 Err(ApiError::request(StatusCode::NOT_FOUND, "NoSuchKey", "No shard holds the key."))
             }
--- a/src/object/multipart.rs
+++ b/src/object/multipart.rs
@@ -77,7 +77,7 @@
         let node = NodeRequest {
             query: "uploads".to_owned(),
             headers,
-            ..NodeRequest::new(request.bucket.write, Method::POST)
+            ..NodeRequest::new(request.bucket.write_class, Method::POST)
         };
         let answer = self.send(&request, node).await?.into_success("NoSuchKey")?;
         let opened: xml::InitiateMultipartUploadResult =
@@ -101,7 +101,7 @@
         let mut node = NodeRequest {
             units: self.units(&request.bucket, body.len()),
             body,
-            ..upload.node_request(request.bucket.write, Method::PUT, query)
+            ..upload.node_request(request.bucket.write_class, Method::PUT, query)
         };
         if let Some(checksum) = request.headers.get("content-md5") {
             node.headers.insert("content-md5", checksum.clone());
@@ -124,7 +124,7 @@
                 query.push_str(&format!("&{name}={number}"));
             }
         }
-        let node = upload.node_request(request.bucket.read, Method::GET, query);
+        let node = upload.node_request(request.bucket.read_class, Method::GET, query);
         let answer = self.send(&request, node).await?.into_success("NoSuchUpload")?;
         let mut parts: xml::ListPartsResult = xml::read(&answer.body).ok_or(ApiError::OutcomeUnknown)?;
         parts.upload_id.clone_from(&request.query["uploadId"]);
@@ -136,7 +136,7 @@
     /// AbortMultipartUpload. It is idempotent.
     pub(super) async fn abort_upload(&self, request: ObjectRequest) -> Result<Reply, ApiError> {
         let upload = UploadId::of(&request)?;
-        let node = upload.node_request(request.bucket.read, Method::DELETE, upload.query());
+        let node = upload.node_request(request.bucket.read_class, Method::DELETE, upload.query());
         self.send(&request, node).await?.into_success("NoSuchUpload")?;
         Ok(empty(StatusCode::NO_CONTENT))
     }
@@ -151,7 +151,7 @@
     ) -> Result<Reply, ApiError> {
         let upload = UploadId::of(&request)?;
         check_parts(&body)?;
-        let write_class = request.bucket.write;
+        let write_class = request.bucket.write_class;
         match self.upload_state(&request, &upload).await {
             Ok(UploadState::Completed(head)) => return completed_reply(&request, &head),
             Ok(UploadState::Unknown) => return Err(ApiError::no_such_upload()),
@@ -234,7 +234,7 @@
         request: &ObjectRequest,
         upload: &UploadId,
     ) -> Result<UploadState, ApiError> {
-        let class = request.bucket.read;
+        let class = request.bucket.read_class;
         let node = upload.node_request(class, Method::GET, upload.query());
         match self.send(request, node).await?.into_success("NoSuchUpload") {
             Ok(_) => return Ok(UploadState::Open),
--- a/src/object/node_request.rs
+++ b/src/object/node_request.rs
@@ -67,7 +67,7 @@
             patience: patience.as_nanos() as i64,
             units: node.units.clamp(1.0, self.max_units),
             cell: node.cell,
-            front_count: request.bucket.hosts,
+            front_count: request.bucket.front_count,
         };
         let payload = Payload {
             target: target(&request.path, &node.query)?,
@@ -97,8 +97,10 @@
         for cell in 0..self.shards {
             let front = Rc::clone(self);
             let request = request.clone();
-            let node =
-                NodeRequest { cell: Some(cell), ..NodeRequest::new(request.bucket.read, method.clone()) };
+            let node = NodeRequest {
+                cell: Some(cell),
+                ..NodeRequest::new(request.bucket.read_class, method.clone())
+            };
             tasks.spawn_local(async move {
                 let answer = front.send(&request, node).await;
                 ShardResult { cell, result: answer.and_then(|answer| answer.into_success("NoSuchKey")) }
--- a/src/object/request.rs
+++ b/src/object/request.rs
@@ -106,7 +106,7 @@
         let query = parse_query(uri.query().unwrap_or_default())?;
         refuse_unsupported(&headers)?;
         let is_write = matches!(*method, Method::PUT | Method::POST);
-        let class = if is_write { bucket.write } else { bucket.read };
+        let class = if is_write { bucket.write_class } else { bucket.read_class };
         Ok(ObjectRequest {
             bucket: bucket.clone(),
             bucket_name,
--- a/src/telemetry/trace.rs
+++ b/src/telemetry/trace.rs
@@ -37,7 +37,7 @@
         Input::RequestReceived(request) => request_received(request),
         Input::ClientGone(id) => json!({ "e": "left", "id": id }),
         Input::Overdue(id) => json!({ "e": "overdue", "id": id }),
-        Input::AttemptEnded { id, attempt, outcome, seen_use, .. } => json!({
+        Input::AttemptEnded { id, attempt, outcome, observed_use: seen_use, .. } => json!({
             "e": "ended", "id": id, "attempt": attempt, "outcome": outcome_name(*outcome), "use": seen_use,
         }),
         Input::AttemptTimedOut { id, attempt } => {
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -43,7 +43,7 @@
     }
 
     /// The name of a chunk server in discovery, the same at every front; empty for an unknown one.
-    pub fn id(&self, node: NodeId) -> String {
+    pub fn server_name(&self, node: NodeId) -> String {
         self.connections.server_name(node)
     }
 
--- a/src/upstream/response.rs
+++ b/src/upstream/response.rs
@@ -90,7 +90,7 @@
     AttemptReport {
         outcome: outcome_of(response.status(), headers, accepts),
         answer: None,
-        seen_use: volume_use.map_or(0.0, |percent| percent + 1.0),
+        observed_use: volume_use.map_or(0.0, |percent| percent + 1.0),
         foreign_units: first_number(headers, &FOREIGN_UNITS).unwrap_or(0.0),
     }
 }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -239,7 +239,10 @@
         Outcome::Cancelled,
         Outcome::NotSent,
     ] {
-        trace::input(&Input::AttemptEnded { id, attempt, outcome, seen_use: 1.5, foreign_units: 0.0 }, name);
+        trace::input(
+            &Input::AttemptEnded { id, attempt, outcome, observed_use: 1.5, foreign_units: 0.0 },
+            name,
+        );
     }
     for scope in [UpdateScope::Update, UpdateScope::Replace, UpdateScope::Restored, UpdateScope::Unavailable]
     {
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -19,7 +19,7 @@
 use tulipbridge::{Listed, NodeInfo, Outcome, UpdateScope};
 use tulipbridge_fleet_limits::{Demand, Heartbeat, Lease, LeaseGrant, Limit};
 use tulipbridge_membership::{
-    Delta, Envelope, EnvelopeCodec, GossipEntry, GossipMessage, GossipStore, Key, PeerState,
+    Delta, EntryKey, Envelope, EnvelopeCodec, GossipEntry, GossipMessage, GossipStore, PeerState,
 };
 
 /// What a datagram says, as the program has it privately: the order of the variants is part of the format.
@@ -64,8 +64,8 @@
         sent_at: 3_000,
         echo: Some((301, -64)),
         conflicting: Some(305),
-        leaving: true,
-        hears: vec![9],
+        shutting_down: true,
+        reachable: vec![9],
     };
     let volume = Lease { limit: Limit::Volume(131), share: 132 };
     let beat = Heartbeat {
@@ -111,7 +111,7 @@
 
 #[test]
 fn datagram_of_entries() {
-    let key = Key { kind: 200, id: 500 };
+    let key = EntryKey { kind: 200, id: 500 };
     let item = GossipEntry { key, version: 131, age_ms: 60_000, value: Some(vec![0x00, 0xff]) };
     let delta = Delta { origin: 4, incarnation: 303, after: 5, to: 8, entries: vec![item] };
     let exchange = GossipMessage {
@@ -183,12 +183,12 @@
         bench.attempt_sent(0, (id, 0), node, 0, true);
         bench.observe_input(
             1_000,
-            &Input::AttemptEnded { id, attempt: 0, outcome, seen_use: 0.0, foreign_units: 0.0 },
+            &Input::AttemptEnded { id, attempt: 0, outcome, observed_use: 0.0, foreign_units: 0.0 },
         );
     }
     let done = bench.evaluate(2_000, 0, &GossipStore::new(0, 3, 1, 100_000, 0));
-    let keys: Vec<Key> = done.entries.iter().map(|(key, _)| *key).collect();
-    assert_eq!(keys, [Key { kind: 2, id: 0x6a76_f700_4058_78ab }]);
+    let keys: Vec<EntryKey> = done.entries.iter().map(|(key, _)| *key).collect();
+    assert_eq!(keys, [EntryKey { kind: 2, id: 0x6a76_f700_4058_78ab }]);
 }
 
 /// How long the program may take for anything here.
@@ -286,7 +286,7 @@
 
 /// Entries of the peer's, with one that says its version.
 fn version_of_peer(beat: &Heartbeat, boot: u64) -> Message {
-    let about = Key { kind: 0, id: 0 };
+    let about = EntryKey { kind: 0, id: 0 };
     let item = GossipEntry { key: about, version: 1, age_ms: 0, value: Some(b"golden".to_vec()) };
     let delta = Delta { origin: 1, incarnation: PEER_BOOT, after: 0, to: 1, entries: vec![item] };
     let echo = Some((boot, beat.state.sent_at));
@@ -324,6 +324,6 @@
     let (boot, delta) = entries.expect("entries came");
     let [item] = &delta.entries[..] else { panic!("one item: {delta:?}") };
     assert_eq!((delta.incarnation, delta.after, delta.to), (boot, 0, 1));
-    assert_eq!((item.key, item.version), (Key { kind: 0, id: 0 }, 1));
+    assert_eq!((item.key, item.version), (EntryKey { kind: 0, id: 0 }, 1));
     assert_eq!(item.value.as_deref(), Some(env!("CARGO_PKG_VERSION").as_bytes()));
 }
