--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -52,7 +52,7 @@
     /// The HMAC matches, but the message cannot be decoded as its type, or encoded.
     #[error("what it says is not in the form of its version")]
     Malformed,
-    /// The envelope would exceed [`MAX_MESSAGE`].
+    /// The envelope would exceed [`MAX_MESSAGE_BYTES`].
     #[error("it would be longer than {MAX_MESSAGE_BYTES} bytes")]
     TooLong,
     /// The key is too short to be safe.
