--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -137,7 +137,7 @@
         self.process(Input::FleetUpdate(update), None);
     }
 
-    /// Applies new settings to requests from now on; see [`Scheduler::retune`]. `replaced_classes` pairs a new class
+    /// Applies new settings to requests from now on; see [`Scheduler::apply_settings`]. `replaced_classes` pairs a new class
     /// with the old one that it replaces.
     ///
     /// # Errors
