--- a/crates/testbed/src/cli/run/limits.rs
+++ b/crates/testbed/src/cli/run/limits.rs
@@ -86,10 +86,10 @@
 fn print_fault_schedules(results: &[FaultScheduleResult]) {
     let worst = max(results.iter().map(|result| result.max_excess));
     let healed: Vec<f64> = results.iter().filter_map(|result| result.served_after).collect();
-    let least = min(healed.iter().copied());
+    let min_served = min(healed.iter().copied());
     println!(
         "{} schedules, {} faults, {} reads sent: at most {worst:.1} units beyond the bound; {} healed, served \
-         then {least:.2} of the limit or more",
+         then {min_served:.2} of the limit or more",
         results.len(),
         results.iter().map(|result| result.faults).sum::<usize>(),
         results.iter().map(|result| result.attempts).sum::<usize>(),
--- a/crates/testbed/src/simulation/limits.rs
+++ b/crates/testbed/src/simulation/limits.rs
@@ -46,6 +46,7 @@
 /// Distinguishes the random choices here from those of other simulations of the same schedule.
 const SEED_SALT: u64 = 0x5eed;
 
+/// What happens at a moment. The numbers are those of processes, of fronts, and of the steps of the schedule.
 enum Event {
     Heartbeat(usize),
     Demand(usize),
