--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -9,7 +9,6 @@
 
 pub mod chunk_server;
 pub mod cli;
-mod compatibility;
 pub mod cost;
 pub mod discovery_server;
 pub mod limit_experiments;
@@ -20,5 +19,3 @@
 pub mod simulation;
 pub mod tcp_proxy;
 pub mod testbed;
-
-pub use compatibility::{others, process, wire};
--- a/crates/testbed/src/limit_experiments/fault_cases.rs
+++ b/crates/testbed/src/limit_experiments/fault_cases.rs
@@ -171,22 +171,28 @@
     fn faults(self) -> Vec<Step> {
         match self {
             FaultCase::OneWayCut => vec![step(1_000, Fault::Cut { from: 0, to: 1 })],
-            FaultCase::PartitionInHalf => vec![step(1_000, Fault::Split { side: vec![0, 1] })],
-            FaultCase::PartitionOfOne => vec![step(1_000, Fault::Split { side: vec![3] })],
+            FaultCase::PartitionInHalf => vec![step(1_000, Fault::Partition { side: vec![0, 1] })],
+            FaultCase::PartitionOfOne => vec![step(1_000, Fault::Partition { side: vec![3] })],
             FaultCase::LeaseholderPaused => vec![step(2_500, Fault::Pause { front: 0, millis: 4_500 })],
             FaultCase::RollingKills => {
                 let kill = |front| {
                     let at_ms = 1_000 + 1_500 * front as Millis;
-                    step(at_ms, Fault::Kill { front, back: Some(1) })
+                    step(at_ms, Fault::Kill { front, restart_after_ms: Some(1) })
                 };
                 (0..FRONTS).map(kill).collect()
             }
             FaultCase::DatagramFaultsAndRestarts => {
-                let faults = step(500, Fault::Weather { lost: 20, repeated: 40, late: 400 });
-                let kill = |front| step(2_000 * front as Millis, Fault::Kill { front, back: Some(50) });
+                let faults = step(
+                    500,
+                    Fault::DatagramFaults { loss_percent: 20, duplication_percent: 40, max_delay_ms: 400 },
+                );
+                let kill =
+                    |front| step(2_000 * front as Millis, Fault::Kill { front, restart_after_ms: Some(50) });
                 std::iter::once(faults).chain([1, 2].map(kill)).collect()
             }
-            FaultCase::DuplicateProcess => vec![step(1_000, Fault::Twin { front: 1, millis: 6_000 })],
+            FaultCase::DuplicateProcess => {
+                vec![step(1_000, Fault::DuplicateProcess { front: 1, millis: 6_000 })]
+            }
             FaultCase::RollingUpgrades => {
                 let upgrade = |front| step(1_000 + 2_000 * front as Millis, Fault::Upgrade { front });
                 (0..FRONTS).map(upgrade).collect()
--- a/crates/testbed/src/limit_experiments/fault_schedules.rs
+++ b/crates/testbed/src/limit_experiments/fault_schedules.rs
@@ -64,7 +64,7 @@
 /// them. The simulation and [`FaultCase::DuplicateProcess`](super::FaultCase::DuplicateProcess) cover these.
 pub fn process_schedule(seed: u64) -> Schedule {
     let mut schedule = Schedule::draw(seed);
-    schedule.steps.retain(|step| !matches!(step.fault, Fault::Twin { .. }));
+    schedule.steps.retain(|step| !matches!(step.fault, Fault::DuplicateProcess { .. }));
     schedule.duration_ms = DURATION_MS;
     for step in &mut schedule.steps {
         step.at_ms = step.at_ms * DURATION_MS / DRAWN_DURATION_MS;
@@ -111,7 +111,7 @@
 async fn heal(testbed: &mut Testbed, fronts: usize) -> Result<(), TestbedError> {
     testbed.inject(&Fault::Heal).await?;
     for server in 0..SERVERS {
-        testbed.inject(&Fault::Server { server, takes: 0, failing: 0 }).await?;
+        testbed.inject(&Fault::Server { server, latency_ms: 0, failure_percent: 0 }).await?;
     }
     testbed.inject(&Fault::NO_DATAGRAM_FAULTS).await?;
     (0..fronts).for_each(|front| testbed.signal(front, Signal::SIGCONT));
--- a/crates/testbed/src/outlier_experiments.rs
+++ b/crates/testbed/src/outlier_experiments.rs
@@ -56,16 +56,18 @@
 
     /// Makes a server of a testbed faulty.
     async fn inject(self, testbed: &mut Testbed, server: usize, fronts: usize) -> Result<(), TestbedError> {
-        let silence = |front| Fault::Wire { front, server, state: LinkState::Silent };
+        let silence = |front| Fault::ServerLink { front, server, state: LinkState::Silent };
         match self {
             ServerFault::Stopped => testbed.inject(&silence(None)).await,
             ServerFault::Slow => {
                 let takes = LATENCY.as_millis() as u64 * SLOW_FACTOR;
-                testbed.inject(&Fault::Server { server, takes, failing: 0 }).await
+                testbed.inject(&Fault::Server { server, latency_ms: takes, failure_percent: 0 }).await
             }
             ServerFault::Failing => {
                 let takes = LATENCY.as_millis() as u64;
-                testbed.inject(&Fault::Server { server, takes, failing: FAILURE_PERCENT }).await
+                testbed
+                    .inject(&Fault::Server { server, latency_ms: takes, failure_percent: FAILURE_PERCENT })
+                    .await
             }
             ServerFault::OneZone => {
                 let in_zone = (FAULTY_ZONE..fronts).step_by(ZONES);
@@ -78,7 +80,7 @@
 
 /// A server behaves as it did at first.
 fn healthy_server(server: usize) -> Fault {
-    Fault::Server { server, takes: LATENCY.as_millis() as u64, failing: 0 }
+    Fault::Server { server, latency_ms: LATENCY.as_millis() as u64, failure_percent: 0 }
 }
 
 /// The name of a server in the fronts' status.
--- a/crates/testbed/src/outlier_experiments/schedules.rs
+++ b/crates/testbed/src/outlier_experiments/schedules.rs
@@ -135,7 +135,7 @@
         let Some(LossyFront { front, loss_percent }) = self.lossy_front else { return Ok(()) };
         for server in (0..SERVERS).filter(|server| !self.is_faulty(*server)) {
             let state = LinkState::Lossy(loss_percent);
-            testbed.inject(&Fault::Wire { front: Some(front), server, state }).await?;
+            testbed.inject(&Fault::ServerLink { front: Some(front), server, state }).await?;
         }
         Ok(())
     }
@@ -207,7 +207,7 @@
 fn is_included(fault: &Fault) -> bool {
     let is_excluded = matches!(
         fault,
-        Fault::Load { .. } | Fault::Twin { .. } | Fault::Roster { .. } | Fault::Upgrade { .. }
+        Fault::Load { .. } | Fault::DuplicateProcess { .. } | Fault::Roster { .. } | Fault::Upgrade { .. }
     );
     !is_excluded
 }
@@ -230,7 +230,7 @@
             let Some(step) = steps.next_if(is_due) else { break };
             match &step.fault {
                 // Only the links between fronts are healed: the servers stay faulty.
-                Fault::Heal => testbed.inject(&Fault::Split { side: Vec::new() }).await?,
+                Fault::Heal => testbed.inject(&Fault::Partition { side: Vec::new() }).await?,
                 fault => testbed.inject(fault).await?,
             }
         }
--- a/crates/testbed/src/schedule.rs
+++ b/crates/testbed/src/schedule.rs
@@ -38,20 +38,25 @@
         to: usize,
     },
     /// The network is partitioned in two: the fronts named here, and the rest.
-    Split {
+    #[serde(rename = "split")]
+    Partition {
         /// The fronts of one side.
         side: Vec<usize>,
     },
     /// Every link is healed, also those to chunk servers and to discovery.
     Heal,
     /// Datagrams between fronts are lost, duplicated and delayed from now on.
-    Weather {
+    #[serde(rename = "weather")]
+    DatagramFaults {
         /// Datagrams that are lost, of a hundred.
-        lost: u8,
+        #[serde(rename = "lost")]
+        loss_percent: u8,
         /// Datagrams that are sent twice, of a hundred.
-        repeated: u8,
+        #[serde(rename = "repeated")]
+        duplication_percent: u8,
         /// The longest delay, in milliseconds.
-        late: Millis,
+        #[serde(rename = "late")]
+        max_delay_ms: Millis,
     },
     /// A front is paused for a while: SIGSTOP, then SIGCONT.
     #[serde(rename = "stop")]
@@ -66,7 +71,8 @@
         /// Which front.
         front: usize,
         /// After how long it is started again; absent is never.
-        back: Option<Millis>,
+        #[serde(rename = "back")]
+        restart_after_ms: Option<Millis>,
     },
     /// A front shuts down gracefully, and is started again after a while.
     #[serde(rename = "leave")]
@@ -74,10 +80,12 @@
         /// Which front.
         front: usize,
         /// After how long it is started again.
-        back: Millis,
+        #[serde(rename = "back")]
+        restart_after_ms: Millis,
     },
     /// A second process with a front's name runs for a while.
-    Twin {
+    #[serde(rename = "twin")]
+    DuplicateProcess {
         /// Which front.
         front: usize,
         /// For how long.
@@ -91,7 +99,8 @@
         rate: u32,
     },
     /// The link from fronts to a chunk server changes.
-    Wire {
+    #[serde(rename = "wire")]
+    ServerLink {
         /// Which front; absent is all.
         front: Option<usize>,
         /// Which server.
@@ -104,9 +113,11 @@
         /// Which server.
         server: usize,
         /// How long it takes to answer.
-        takes: Millis,
+        #[serde(rename = "takes")]
+        latency_ms: Millis,
         /// Requests that fail, of a hundred.
-        failing: u8,
+        #[serde(rename = "failing")]
+        failure_percent: u8,
     },
     /// A second version of a front starts at its addresses, and the first one shuts down gracefully.
     Upgrade {
@@ -122,7 +133,8 @@
         state: LinkState,
     },
     /// Discovery announces that a chunk server has restarted at its address.
-    Replace {
+    #[serde(rename = "replace")]
+    RestartServer {
         /// Which server.
         server: usize,
     },
@@ -137,7 +149,8 @@
 
 impl Fault {
     /// No datagram is lost, duplicated or delayed any more.
-    pub const NO_DATAGRAM_FAULTS: Fault = Fault::Weather { lost: 0, repeated: 0, late: 0 };
+    pub const NO_DATAGRAM_FAULTS: Fault =
+        Fault::DatagramFaults { loss_percent: 0, duplication_percent: 0, max_delay_ms: 0 };
 }
 
 /// A fault and its time.
@@ -214,17 +227,17 @@
     let front = rng.usize(0..fronts);
     match rng.u8(0..20) {
         0..=2 => Fault::Cut { from: front, to: (front + rng.usize(1..fronts)) % fronts },
-        3..=5 => Fault::Split { side: (0..fronts).filter(|_| rng.bool()).collect() },
+        3..=5 => Fault::Partition { side: (0..fronts).filter(|_| rng.bool()).collect() },
         6..=8 => Fault::Heal,
-        9..=10 => Fault::Weather {
-            lost: rng.u8(0..60),
-            repeated: rng.u8(0..40),
-            late: [1, 20, 300, 2_500][rng.usize(0..4)],
+        9..=10 => Fault::DatagramFaults {
+            loss_percent: rng.u8(0..60),
+            duplication_percent: rng.u8(0..40),
+            max_delay_ms: [1, 20, 300, 2_500][rng.usize(0..4)],
         },
         11..=13 => Fault::Pause { front, millis: rng.u64(100..6_000) },
-        14..=15 => Fault::Kill { front, back: rng.bool().then(|| rng.u64(1..5_000)) },
-        16 => Fault::ShutDown { front, back: rng.u64(1..4_000) },
-        17 => Fault::Twin { front, millis: rng.u64(500..8_000) },
+        14..=15 => Fault::Kill { front, restart_after_ms: rng.bool().then(|| rng.u64(1..5_000)) },
+        16 => Fault::ShutDown { front, restart_after_ms: rng.u64(1..4_000) },
+        17 => Fault::DuplicateProcess { front, millis: rng.u64(500..8_000) },
         18 => Fault::Roster { each: rng.u64(1..2_000), floor: rng.u8(2..50) },
         _ => Fault::Load { front, rate: [0, 5, 20, 80, 300][rng.usize(0..5)] },
     }
@@ -243,7 +256,7 @@
     match rng.u8(0..6) {
         0 => Fault::Upgrade { front: rng.usize(0..fronts) },
         1 => Fault::Discovery { front, state },
-        2 => Fault::Server { server, takes: rng.u64(0..100), failing: rng.u8(0..60) },
-        _ => Fault::Wire { front, server, state },
+        2 => Fault::Server { server, latency_ms: rng.u64(0..100), failure_percent: rng.u8(0..60) },
+        _ => Fault::ServerLink { front, server, state },
     }
 }
--- a/crates/testbed/src/shared_limit_experiments.rs
+++ b/crates/testbed/src/shared_limit_experiments.rs
@@ -215,9 +215,9 @@
     let steps = vec![
         step(0, Fault::Load { front: loaded, rate: 0 }),
         step(0, Fault::Load { front: next, rate: TOTAL_LOAD }),
-        step(800, Fault::Split { side: vec![0, 1] }),
+        step(800, Fault::Partition { side: vec![0, 1] }),
         step(1_000, Fault::Load { front: killed, rate: KILLED_LOAD }),
-        step(2_500, Fault::Kill { front: killed, back: Some(20) }),
+        step(2_500, Fault::Kill { front: killed, restart_after_ms: Some(20) }),
         step(3_500, Fault::Heal),
     ];
     Schedule { seed, fronts: FRONTS, duration_ms: 3_600, steps }
--- a/crates/testbed/src/simulation/fleet.rs
+++ b/crates/testbed/src/simulation/fleet.rs
@@ -161,15 +161,18 @@
     pub fn inject_step(&mut self, number: usize) {
         let schedule = self.schedule;
         match &schedule.steps[number].fault {
-            fault @ (Fault::Cut { .. } | Fault::Split { .. } | Fault::Heal | Fault::Weather { .. }) => {
+            fault @ (Fault::Cut { .. }
+            | Fault::Partition { .. }
+            | Fault::Heal
+            | Fault::DatagramFaults { .. }) => {
                 self.network.inject(fault);
             }
             Fault::Pause { front, millis } => self.pause(*front, self.after(*millis)),
-            Fault::Kill { front, back } => self.stop(*front, *back),
-            Fault::ShutDown { front, back } => self.stop(*front, Some(*back)),
-            Fault::Twin { .. } | Fault::Load { .. } | Fault::Roster { .. } => {}
-            Fault::Wire { .. } | Fault::Server { .. } => {}
-            Fault::Upgrade { .. } | Fault::Discovery { .. } | Fault::Replace { .. } => {}
+            Fault::Kill { front, restart_after_ms: back } => self.stop(*front, *back),
+            Fault::ShutDown { front, restart_after_ms: back } => self.stop(*front, Some(*back)),
+            Fault::DuplicateProcess { .. } | Fault::Load { .. } | Fault::Roster { .. } => {}
+            Fault::ServerLink { .. } | Fault::Server { .. } => {}
+            Fault::Upgrade { .. } | Fault::Discovery { .. } | Fault::RestartServer { .. } => {}
         }
     }
 
--- a/crates/testbed/src/simulation/limits/faults.rs
+++ b/crates/testbed/src/simulation/limits/faults.rs
@@ -12,15 +12,15 @@
     /// Injects a fault.
     pub(super) fn inject(&mut self, fault: &Fault) {
         match fault {
-            Fault::Cut { .. } | Fault::Split { .. } | Fault::Heal | Fault::Weather { .. } => {
+            Fault::Cut { .. } | Fault::Partition { .. } | Fault::Heal | Fault::DatagramFaults { .. } => {
                 self.network.inject(fault);
             }
             Fault::Pause { front, millis } => self.pause(*front, *millis),
-            Fault::Kill { front, back } => self.kill(*front, *back),
-            Fault::ShutDown { front, back } => self.shut_down(*front, *back),
+            Fault::Kill { front, restart_after_ms: back } => self.kill(*front, *back),
+            Fault::ShutDown { front, restart_after_ms: back } => self.shut_down(*front, *back),
             // The second version is absent until the first has ended: a restart, as the coordinators observe it.
             Fault::Upgrade { front } => self.shut_down(*front, UPGRADE_GAP_MS),
-            Fault::Twin { front, millis } => {
+            Fault::DuplicateProcess { front, millis } => {
                 self.duplicates += 1;
                 let process = self.start(*front, true);
                 self.schedule_in(*millis, Event::Stop(process));
@@ -28,7 +28,10 @@
             Fault::Load { front, rate } => self.set_demand(*front, *rate),
             Fault::Roster { each, floor } => self.change_roster(*each, *floor),
             // There are no chunk servers and no discovery here.
-            Fault::Wire { .. } | Fault::Server { .. } | Fault::Discovery { .. } | Fault::Replace { .. } => {}
+            Fault::ServerLink { .. }
+            | Fault::Server { .. }
+            | Fault::Discovery { .. }
+            | Fault::RestartServer { .. } => {}
         }
     }
 
--- a/crates/testbed/src/simulation/network.rs
+++ b/crates/testbed/src/simulation/network.rs
@@ -32,9 +32,13 @@
     pub fn inject(&mut self, fault: &Fault) {
         match fault {
             Fault::Cut { from, to } => self.cut[*from][*to] = true,
-            Fault::Split { side } => self.partition(side),
+            Fault::Partition { side } => self.partition(side),
             Fault::Heal => self.cut.iter_mut().for_each(|row| row.fill(false)),
-            Fault::Weather { lost, repeated, late } => {
+            Fault::DatagramFaults {
+                loss_percent: lost,
+                duplication_percent: repeated,
+                max_delay_ms: late,
+            } => {
                 self.faults = DatagramFaults {
                     loss_percent: *lost,
                     duplication_percent: *repeated,
--- a/crates/testbed/src/testbed/faults.rs
+++ b/crates/testbed/src/testbed/faults.rs
@@ -84,18 +84,18 @@
     let after = TimedAction::after;
     match fault {
         Fault::Cut { from, to } => vec![now(Action::Cut { from: *from, to: *to })],
-        Fault::Split { side } => vec![now(Action::Partition(side.clone()))],
+        Fault::Partition { side } => vec![now(Action::Partition(side.clone()))],
         Fault::Heal => vec![now(Action::Partition(Vec::new())), now(Action::HealTcpLinks)],
-        Fault::Weather { lost, repeated, late } => {
+        Fault::DatagramFaults { loss_percent: lost, duplication_percent: repeated, max_delay_ms: late } => {
             let faults =
                 DatagramFaults { loss_percent: *lost, duplication_percent: *repeated, max_delay_ms: *late };
             vec![now(Action::SetDatagramFaults(faults))]
         }
         Fault::Load { front, rate } => vec![now(Action::SetLoad { front: *front, rate: *rate })],
-        Fault::Wire { front, server, state } => {
+        Fault::ServerLink { front, server, state } => {
             vec![now(Action::SetServerLink { front: *front, server: *server, state: *state })]
         }
-        Fault::Server { server, takes, failing } => {
+        Fault::Server { server, latency_ms: takes, failure_percent: failing } => {
             let latency = Duration::from_millis(*takes);
             vec![now(Action::SetServer { server: *server, latency, failure_percent: *failing })]
         }
@@ -103,23 +103,23 @@
             let signal = |signal| Action::Signal { front: *front, signal };
             vec![now(signal(Signal::SIGSTOP)), after(*millis, signal(Signal::SIGCONT))]
         }
-        Fault::Kill { front, back } => {
+        Fault::Kill { front, restart_after_ms: back } => {
             let kill = now(Action::End { front: *front, signal: Signal::SIGKILL });
             let start = back.map(|millis| after(millis, Action::Start(*front)));
             [Some(kill), start].into_iter().flatten().collect()
         }
-        Fault::ShutDown { front, back } => {
+        Fault::ShutDown { front, restart_after_ms: back } => {
             let end = now(Action::End { front: *front, signal: Signal::SIGTERM });
             vec![end, after(*back, Action::Start(*front))]
         }
-        Fault::Twin { front, millis } => {
+        Fault::DuplicateProcess { front, millis } => {
             vec![now(Action::StartDuplicate(*front)), after(*millis, Action::EndDuplicate)]
         }
         Fault::Upgrade { front } => vec![now(Action::Upgrade(*front))],
         Fault::Discovery { front, state } => {
             vec![now(Action::SetDiscoveryLink { front: *front, state: *state })]
         }
-        Fault::Replace { server } => vec![now(Action::RestartServer(*server))],
+        Fault::RestartServer { server } => vec![now(Action::RestartServer(*server))],
         Fault::Roster { each, floor } => {
             // A paused front gets the signal when it resumes; a killed one reads the file when it is started again.
             let reload = |front| after(*each, Action::Signal { front, signal: Signal::SIGHUP });
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -103,23 +103,23 @@
     let mut faults = vec![
         Fault::Load { front: 0, rate: 80 },
         Fault::Cut { from: 0, to: 1 },
-        Fault::Split { side: vec![0, 2] },
-        Fault::Weather { lost: 10, repeated: 20, late: 300 },
+        Fault::Partition { side: vec![0, 2] },
+        Fault::DatagramFaults { loss_percent: 10, duplication_percent: 20, max_delay_ms: 300 },
         Fault::Heal,
         Fault::Pause { front: 1, millis: 500 },
-        Fault::Kill { front: 2, back: Some(400) },
-        Fault::Kill { front: 3, back: None },
-        Fault::ShutDown { front: 0, back: 600 },
-        Fault::Twin { front: 1, millis: 700 },
-        Fault::Server { server: 1, takes: 50, failing: 30 },
+        Fault::Kill { front: 2, restart_after_ms: Some(400) },
+        Fault::Kill { front: 3, restart_after_ms: None },
+        Fault::ShutDown { front: 0, restart_after_ms: 600 },
+        Fault::DuplicateProcess { front: 1, millis: 700 },
+        Fault::Server { server: 1, latency_ms: 50, failure_percent: 30 },
         Fault::Upgrade { front: 0 },
-        Fault::Replace { server: 0 },
+        Fault::RestartServer { server: 0 },
         Fault::Roster { each: 100, floor: 25 },
         Fault::Discovery { front: Some(1), state: LinkState::Silent },
         Fault::Discovery { front: None, state: LinkState::Healthy },
-        Fault::Wire { front: Some(0), server: 1, state: LinkState::Healthy },
+        Fault::ServerLink { front: Some(0), server: 1, state: LinkState::Healthy },
     ];
-    let links = every_link_state().map(|state| Fault::Wire { front: None, server: 0, state });
+    let links = every_link_state().map(|state| Fault::ServerLink { front: None, server: 0, state });
     faults.extend(links);
     faults
 }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -421,19 +421,22 @@
 
 /// What is said of a server that is held out, but for who said it and when.
 async fn said_of_a_server_held_out() -> String {
-    let lab = fleet_with_a_silent_server().await;
-    let console = lab.console(0).expect("it has a console").to_string();
+    let testbed = fleet_with_a_silent_server().await;
+    let console = testbed.console_address(0).expect("it has a console").to_string();
     let (verdicts, peers) = (RefCell::default(), RefCell::default());
     let is_whole = |told: &str| {
         *verdicts.borrow_mut() = read_json(told);
         whole_verdict(&verdicts.borrow()).is_some()
     };
-    assert!(lab.until_verdicts(0, is_whole).await, "a server is held out, and somebody tries it");
+    assert!(
+        testbed.wait_for_outlier_status(0, is_whole).await,
+        "a server is held out, and somebody tries it"
+    );
     let all_hear = |told: &str| {
         *peers.borrow_mut() = read_json(told);
         told.matches("\"heard_by\":[\"").count() == 2 && !told.contains("\"told_ms\":null")
     };
-    assert!(lab.until_peers(0, all_hear).await, "all hear each other");
+    assert!(testbed.wait_for_peers(0, all_hear).await, "all hear each other");
     let (verdicts, peers) = (verdicts.into_inner(), peers.into_inner());
     let verdict = whole_verdict(&verdicts).expect("there is one");
     let mut seen = format!("verdict: {}\n", shape(&verdict));
--- a/tests/golden/fleet.rs
+++ b/tests/golden/fleet.rs
@@ -5,26 +5,26 @@
 
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
-use tulipbridge_testbed::process::{Lab, Make};
 use tulipbridge_testbed::schedule::Fault;
-use tulipbridge_testbed::wire::State;
+use tulipbridge_testbed::tcp_proxy::LinkState;
+use tulipbridge_testbed::testbed::{Testbed, TestbedConfig};
 
 /// Three fronts that share verdicts on four chunk servers, of which `s-1` has just gone silent.
-pub async fn fleet_with_a_silent_server() -> Lab {
+pub async fn fleet_with_a_silent_server() -> Testbed {
     const FRONTS: usize = 3;
     const SERVERS: usize = 4;
-    let make = Make::judging(FRONTS, SERVERS, Duration::from_millis(25), 3);
+    let make = TestbedConfig::with_outlier_detection(FRONTS, SERVERS, Duration::from_millis(25), 3);
     let program = Path::new(env!("CARGO_BIN_EXE_tulipbridge"));
-    let mut lab = Lab::new(program, make).await.expect("the lab starts");
-    assert!(lab.until_joined().await, "they join");
-    (0..FRONTS).for_each(|front| lab.load(front, 30));
+    let mut testbed = Testbed::start_all(program, make).await.expect("the testbed starts");
+    assert!(testbed.wait_until_joined().await, "they join");
+    (0..FRONTS).for_each(|front| testbed.set_load(front, 30));
     for front in 0..FRONTS {
         let knows = |told: &str| told.matches("median_us").count() == 2;
-        assert!(lab.until_verdicts(front, knows).await, "{front} knows what is usual");
+        assert!(testbed.wait_for_outlier_status(front, knows).await, "{front} knows what is usual");
     }
-    let fault = Fault::Wire { front: None, server: 1, state: State::Silent };
-    lab.strike(&fault).await.expect("silent");
-    lab
+    let fault = Fault::ServerLink { front: None, server: 1, state: LinkState::Silent };
+    testbed.inject(&fault).await.expect("silent");
+    testbed
 }
 
 /// Reads JSON.
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -8,9 +8,9 @@
 use nix::sys::signal::Signal;
 use simd_json::prelude::*;
 use support::{program, run_local};
-use tulipbridge_testbed::others::{self, Other};
-use tulipbridge_testbed::process::{Lab, Make, Sharing};
 use tulipbridge_testbed::schedule::Fault;
+use tulipbridge_testbed::shared_limit_experiments::{self, SharedLimit};
+use tulipbridge_testbed::testbed::{Sharing, Testbed, TestbedConfig};
 
 /// Fronts of a fleet.
 const FRONTS: usize = 4;
@@ -26,29 +26,29 @@
 const LONGER_THAN_START: Duration = Duration::from_secs(4);
 
 /// A fleet whose fronts hear each other and hold one lease issuer each.
-async fn joined_fleet() -> Lab {
-    let lab = fleet(Sharing::Peers).await;
-    assert!(lab.until_joined().await, "not all fronts have joined");
-    lab
+async fn joined_fleet() -> Testbed {
+    let testbed = fleet(Sharing::Peers).await;
+    assert!(testbed.wait_until_joined().await, "not all fronts have joined");
+    testbed
 }
 
-async fn fleet(sharing: Sharing) -> Lab {
-    Lab::new(program(), Make::new(FRONTS, sharing, SEED)).await.expect("the fleet starts")
+async fn fleet(sharing: Sharing) -> Testbed {
+    Testbed::start_all(program(), TestbedConfig::new(FRONTS, sharing, SEED)).await.expect("the fleet starts")
 }
 
 /// The part of the limit that is served from now on over a span.
-async fn served_part(lab: &Lab) -> f64 {
-    let from = lab.now();
+async fn served_part(testbed: &Testbed) -> f64 {
+    let from = testbed.elapsed();
     tokio::time::sleep(MEASURED_SPAN).await;
-    lab.served(from, lab.now())
+    testbed.served_fraction(from, testbed.elapsed())
 }
 
 /// Waits until at least this part of the limit is served.
-async fn wait_until_served(lab: &Lab, min_part: f64) {
-    let deadline = lab.now() + TIMEOUT;
+async fn wait_until_served(testbed: &Testbed, min_part: f64) {
+    let deadline = testbed.elapsed() + TIMEOUT;
     let mut part = 0.0;
-    while lab.now() < deadline {
-        part = served_part(lab).await;
+    while testbed.elapsed() < deadline {
+        part = served_part(testbed).await;
         if part >= min_part {
             return;
         }
@@ -57,196 +57,210 @@
 }
 
 /// Waits until the peer status of a front contains a text.
-async fn wait_for_status(lab: &Lab, front: usize, text: &str) {
-    let is_shown = lab.until_peers(front, |status| status.contains(text)).await;
+async fn wait_for_status(testbed: &Testbed, front: usize, text: &str) {
+    let is_shown = testbed.wait_for_peers(front, |status| status.contains(text)).await;
     assert!(is_shown, "the status of front {front} does not show {text}");
 }
 
 /// Checks that the limit was never exceeded since the fleet started.
-fn assert_limit_held(lab: &Lab) {
-    let excess = lab.beyond(ARRIVAL_SLACK);
+fn assert_limit_held(testbed: &Testbed) {
+    let excess = testbed.max_excess(ARRIVAL_SLACK);
     assert!(excess <= 0.0, "{excess:.1} units beyond the limit");
 }
 
 #[test]
 fn front_with_all_traffic_gets_the_whole_limit() {
     run_local(async {
-        let lab = joined_fleet().await;
-        lab.load(2, 160);
-        wait_until_served(&lab, 0.9).await;
+        let testbed = joined_fleet().await;
+        testbed.set_load(2, 160);
+        wait_until_served(&testbed, 0.9).await;
         // A front that shuts down in order says so; its peers need not wait for its leases to expire.
-        assert_eq!(lab.end(3, Signal::SIGTERM).await, Some(0));
-        wait_for_status(&lab, 0, r#""belief":"left""#).await;
-        assert_limit_held(&lab);
+        assert_eq!(testbed.terminate(3, Signal::SIGTERM).await, Some(0));
+        wait_for_status(&testbed, 0, r#""belief":"left""#).await;
+        assert_limit_held(&testbed);
     });
 }
 
 #[test]
 fn lease_issuer_of_an_isolated_front_is_taken_over() {
     run_local(async {
-        let mut lab = joined_fleet().await;
-        lab.load(0, 160);
-        lab.strike(&Fault::Split { side: vec![3] }).await.expect("the network is cut");
-        wait_for_status(&lab, 3, r#""banks":[]"#).await;
+        let mut testbed = joined_fleet().await;
+        testbed.set_load(0, 160);
+        testbed.inject(&Fault::Partition { side: vec![3] }).await.expect("the network is cut");
+        wait_for_status(&testbed, 3, r#""banks":[]"#).await;
         let holds_both = |status: &str| status.contains(r#""banks":["object-0","object-3"]"#);
-        assert!(lab.until_peers(0, holds_both).await, "nobody has taken over the lease issuer");
-        wait_for_status(&lab, 1, r#""belief":"dead""#).await;
-        wait_until_served(&lab, 0.85).await;
-        lab.strike(&Fault::Heal).await.expect("the network is healed");
-        assert!(lab.until_joined().await, "the front has not joined again");
-        assert_limit_held(&lab);
+        assert!(testbed.wait_for_peers(0, holds_both).await, "nobody has taken over the lease issuer");
+        wait_for_status(&testbed, 1, r#""belief":"dead""#).await;
+        wait_until_served(&testbed, 0.85).await;
+        testbed.inject(&Fault::Heal).await.expect("the network is healed");
+        assert!(testbed.wait_until_joined().await, "the front has not joined again");
+        assert_limit_held(&testbed);
     });
 }
 
 #[test]
 fn each_half_of_a_split_fleet_keeps_half_the_limit() {
     run_local(async {
-        let mut lab = joined_fleet().await;
-        lab.strike(&Fault::Split { side: vec![0, 1] }).await.expect("the network is cut");
+        let mut testbed = joined_fleet().await;
+        testbed.inject(&Fault::Partition { side: vec![0, 1] }).await.expect("the network is cut");
         assert!(
-            lab.until_peers(0, |status| status.matches(r#""belief":"dead""#).count() == 2).await,
+            testbed.wait_for_peers(0, |status| status.matches(r#""belief":"dead""#).count() == 2).await,
             "not split"
         );
-        (0..FRONTS).for_each(|front| lab.load(front, 40));
-        wait_until_served(&lab, 0.85).await;
+        (0..FRONTS).for_each(|front| testbed.set_load(front, 40));
+        wait_until_served(&testbed, 0.85).await;
         for front in 0..FRONTS {
             let own = format!(r#""banks":["object-{front}"]"#);
-            wait_for_status(&lab, front, &own).await;
+            wait_for_status(&testbed, front, &own).await;
         }
-        assert_limit_held(&lab);
+        assert_limit_held(&testbed);
     });
 }
 
 #[test]
 fn front_stopped_while_it_held_leases_resumes_without_them() {
     run_local(async {
-        let lab = joined_fleet().await;
-        lab.load(0, 160);
-        wait_until_served(&lab, 0.9).await;
-        lab.signal(0, Signal::SIGSTOP);
-        (1..FRONTS).for_each(|front| lab.load(front, 60));
-        wait_for_status(&lab, 1, r#""banks":["object-0","object-1"]"#).await;
-        wait_until_served(&lab, 0.85).await;
-        lab.signal(0, Signal::SIGCONT);
-        assert!(lab.until_joined().await, "the front has not joined again");
-        wait_until_served(&lab, 0.9).await;
-        assert_limit_held(&lab);
+        let testbed = joined_fleet().await;
+        testbed.set_load(0, 160);
+        wait_until_served(&testbed, 0.9).await;
+        testbed.signal(0, Signal::SIGSTOP);
+        (1..FRONTS).for_each(|front| testbed.set_load(front, 60));
+        wait_for_status(&testbed, 1, r#""banks":["object-0","object-1"]"#).await;
+        wait_until_served(&testbed, 0.85).await;
+        testbed.signal(0, Signal::SIGCONT);
+        assert!(testbed.wait_until_joined().await, "the front has not joined again");
+        wait_until_served(&testbed, 0.9).await;
+        assert_limit_held(&testbed);
     });
 }
 
 #[test]
 fn second_process_of_a_name_uses_no_shared_limit() {
     run_local(async {
-        let mut lab = joined_fleet().await;
-        (0..FRONTS).for_each(|front| lab.load(front, 40));
-        lab.strike(&Fault::Twin { front: 1, millis: 4_000 })
+        let mut testbed = joined_fleet().await;
+        (0..FRONTS).for_each(|front| testbed.set_load(front, 40));
+        testbed
+            .inject(&Fault::DuplicateProcess { front: 1, millis: 4_000 })
             .await
             .expect("the second process runs for a while");
-        let log = lab.said_by_twins();
+        let log = testbed.duplicate_log();
         assert!(log.contains("another process has the name object-1"), "{log}");
-        wait_until_served(&lab, 0.85).await;
-        assert_limit_held(&lab);
+        wait_until_served(&testbed, 0.85).await;
+        assert_limit_held(&testbed);
     });
 }
 
 #[test]
 fn upgraded_front_takes_over_from_its_predecessor() {
     run_local(async {
-        let mut lab = joined_fleet().await;
-        (0..FRONTS).for_each(|front| lab.load(front, 40));
-        wait_until_served(&lab, 0.9).await;
-        let status_before = lab.peers(1).await.expect("the console answers");
-        lab.strike(&Fault::Upgrade { front: 1 }).await.expect("the second version hears its peers");
-        assert!(lab.until_joined().await, "the second version has not joined");
-        let status_after = lab.peers(1).await.expect("the console answers");
+        let mut testbed = joined_fleet().await;
+        (0..FRONTS).for_each(|front| testbed.set_load(front, 40));
+        wait_until_served(&testbed, 0.9).await;
+        let status_before = testbed.peer_status(1).await.expect("the console answers");
+        testbed.inject(&Fault::Upgrade { front: 1 }).await.expect("the second version hears its peers");
+        assert!(testbed.wait_until_joined().await, "the second version has not joined");
+        let status_after = testbed.peer_status(1).await.expect("the console answers");
         assert_ne!(status_after, status_before, "it must have another incarnation");
-        wait_until_served(&lab, 0.9).await;
-        assert_limit_held(&lab);
+        wait_until_served(&testbed, 0.9).await;
+        assert_limit_held(&testbed);
     });
 }
 
 #[test]
 fn upgraded_front_uses_no_shared_limit_until_its_predecessor_ends() {
     run_local(async {
-        let lab = joined_fleet().await;
+        let testbed = joined_fleet().await;
         // The first version is stopped and so does not end; the second one alone answers clients.
-        let predecessor = lab.beside(1).await.expect("the second version takes clients");
-        lab.load(1, 160);
+        let predecessor = testbed.start_successor(1).await.expect("the second version takes clients");
+        testbed.set_load(1, 160);
         let stands_by =
             |status: &str| status.contains(r#""standing_back":true"#) && status.contains(r#""banks":[]"#);
-        assert!(lab.until_peers(1, stands_by).await, "it does not stand by");
+        assert!(testbed.wait_for_peers(1, stands_by).await, "it does not stand by");
         tokio::time::sleep(LONGER_THAN_START).await;
-        wait_for_status(&lab, 1, r#""just_started":true"#).await;
-        assert_eq!(lab.sent().len(), 0, "it must use nothing of the limit");
-        lab.finish(1, predecessor).await.expect("the second version hears its peers");
-        wait_until_served(&lab, 0.9).await;
-        assert_limit_held(&lab);
+        wait_for_status(&testbed, 1, r#""just_started":true"#).await;
+        assert_eq!(testbed.attempts().len(), 0, "it must use nothing of the limit");
+        testbed.finish_upgrade(1, predecessor).await.expect("the second version hears its peers");
+        wait_until_served(&testbed, 0.9).await;
+        assert_limit_held(&testbed);
     });
 }
 
 #[test]
 fn fronts_of_one_of_two_conflicting_rosters_yield() {
     run_local(async {
-        let lab = fleet(Sharing::HalfUnknown).await;
+        let testbed = fleet(Sharing::HalfUnknown).await;
         // The first two fronts have a roster of themselves alone. Its revision is that of the others' roster, so the
         // fronts of one of the two rosters must yield.
-        (0..FRONTS).for_each(|front| lab.load(front, 60));
+        (0..FRONTS).for_each(|front| testbed.set_load(front, 60));
         let mut yielding = 0;
         for front in 0..FRONTS {
             let has_decided =
                 |status: &str| status.contains(r#""other_roster":true"#) || !status.contains(r#""banks":[]"#);
             assert!(
-                lab.until_peers(front, has_decided).await,
+                testbed.wait_for_peers(front, has_decided).await,
                 "{front} neither yields nor holds a lease issuer"
             );
-            let status = lab.peers(front).await;
+            let status = testbed.peer_status(front).await;
             yielding += usize::from(status.is_some_and(|status| status.contains(r#""other_roster":true"#)));
         }
         assert_eq!(yielding, 2);
-        wait_until_served(&lab, 0.45).await;
-        assert_limit_held(&lab);
+        wait_until_served(&testbed, 0.45).await;
+        assert_limit_held(&testbed);
     });
 }
 
 #[test]
 fn limit_holds_through_restarts_and_message_loss() {
     run_local(async {
-        let mut lab = joined_fleet().await;
-        (0..FRONTS).for_each(|front| lab.load(front, 40));
-        lab.strike(&Fault::Weather { lost: 20, repeated: 40, late: 300 })
+        let mut testbed = joined_fleet().await;
+        (0..FRONTS).for_each(|front| testbed.set_load(front, 40));
+        testbed
+            .inject(&Fault::DatagramFaults { loss_percent: 20, duplication_percent: 40, max_delay_ms: 300 })
             .await
             .expect("messages are lost, repeated and late");
         for front in 0..FRONTS {
-            lab.strike(&Fault::Kill { front, back: Some(20) }).await.expect("the front starts again");
+            testbed
+                .inject(&Fault::Kill { front, restart_after_ms: Some(20) })
+                .await
+                .expect("the front starts again");
         }
-        lab.strangers(200, Duration::from_secs(2)).await;
-        lab.strike(&Fault::Weather { lost: 0, repeated: 0, late: 0 }).await.expect("messages arrive again");
-        assert!(lab.until_joined().await, "not all fronts have joined again");
-        wait_until_served(&lab, 0.9).await;
-        let metrics = lab.metrics(0).await.expect("the console answers");
+        testbed.send_unauthenticated_datagrams(200, Duration::from_secs(2)).await;
+        testbed
+            .inject(&Fault::DatagramFaults { loss_percent: 0, duplication_percent: 0, max_delay_ms: 0 })
+            .await
+            .expect("messages arrive again");
+        assert!(testbed.wait_until_joined().await, "not all fronts have joined again");
+        wait_until_served(&testbed, 0.9).await;
+        let metrics = testbed.metrics(0).await.expect("the console answers");
         assert!(metrics.contains(r#"worth="wrong_digest""#), "{metrics}");
         assert!(metrics.contains(r#"worth="no_message""#), "{metrics}");
-        assert_limit_held(&lab);
+        assert_limit_held(&testbed);
     });
 }
 
 #[test]
 fn gossip_of_a_restarted_front_is_relayed_round_a_bad_link() {
     run_local(async {
-        let mut lab = joined_fleet().await;
+        let mut testbed = joined_fleet().await;
         let knows_versions = |status: &str| status.matches(r#""version":""#).count() == FRONTS - 1;
         for front in 0..FRONTS {
             assert!(
-                lab.until_peers(front, knows_versions).await,
+                testbed.wait_for_peers(front, knows_versions).await,
                 "{front} does not know the others' versions"
             );
         }
         // Front 2 starts again while front 0 cannot receive from it: the others must relay its gossip.
-        lab.strike(&Fault::Cut { from: 2, to: 0 }).await.expect("the network is cut");
-        wait_for_status(&lab, 0, r#""suspect""#).await;
-        lab.strike(&Fault::Kill { front: 2, back: Some(1) }).await.expect("the front starts again");
-        assert!(lab.until_peers(0, has_fresh_gossip_of_2).await, "front 0 has no gossip since the cut");
-        assert_limit_held(&lab);
+        testbed.inject(&Fault::Cut { from: 2, to: 0 }).await.expect("the network is cut");
+        wait_for_status(&testbed, 0, r#""suspect""#).await;
+        testbed
+            .inject(&Fault::Kill { front: 2, restart_after_ms: Some(1) })
+            .await
+            .expect("the front starts again");
+        assert!(
+            testbed.wait_for_peers(0, has_fresh_gossip_of_2).await,
+            "front 0 has no gossip since the cut"
+        );
+        assert_limit_held(&testbed);
     });
 }
 
@@ -263,30 +277,31 @@
 
 #[test]
 fn retries_of_all_fronts_keep_to_one_limit() {
-    run_local(check_limit_held(Other::Further));
+    run_local(check_limit_held(SharedLimit::Retries));
 }
 
 #[test]
 fn load_of_all_fronts_on_a_warming_up_server_keeps_to_one_limit() {
-    run_local(check_limit_held(Other::Starting));
+    run_local(check_limit_held(SharedLimit::SlowStart));
 }
 
 /// Checks a limit that is not a volume's while the load moves from one front to another, the fleet is split and a front
 /// is killed and starts again.
-async fn check_limit_held(limit: Other) {
-    let result = others::play(program(), limit, 1, ARRIVAL_SLACK).await.expect("the fleet runs");
-    assert!(result.holds() && result.used > 0.5, "{result:?}");
+async fn check_limit_held(limit: SharedLimit) {
+    let result =
+        shared_limit_experiments::run(program(), limit, 1, ARRIVAL_SLACK).await.expect("the fleet runs");
+    assert!(result.is_valid() && result.used > 0.5, "{result:?}");
 }
 
 #[test]
 fn front_without_peers_has_no_peer_metrics_and_no_peer_status() {
     run_local(async {
-        let lab = fleet(Sharing::Even(4)).await;
-        let metrics = lab.metrics(0).await.expect("the console answers");
+        let testbed = fleet(Sharing::Even(4)).await;
+        let metrics = testbed.metrics(0).await.expect("the console answers");
         assert!(!metrics.contains("app_peer"), "{metrics}");
-        assert_eq!(lab.peers(0).await.as_deref(), Some("this front has no peers\n"));
-        lab.load(0, 160);
-        wait_until_served(&lab, 0.2).await;
-        assert!(served_part(&lab).await < 0.4, "it must serve no more than an even part of the limit");
+        assert_eq!(testbed.peer_status(0).await.as_deref(), Some("this front has no peers\n"));
+        testbed.set_load(0, 160);
+        wait_until_served(&testbed, 0.2).await;
+        assert!(served_part(&testbed).await < 0.4, "it must serve no more than an even part of the limit");
     });
 }
--- a/tests/verdicts.rs
+++ b/tests/verdicts.rs
@@ -9,9 +9,9 @@
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
 use support::{program, run_local};
-use tulipbridge_testbed::process::{held_out, Lab, Make, Sharing};
 use tulipbridge_testbed::schedule::Fault;
-use tulipbridge_testbed::wire::State;
+use tulipbridge_testbed::tcp_proxy::LinkState;
+use tulipbridge_testbed::testbed::{ejected_servers, Sharing, Testbed, TestbedConfig};
 
 const FRONTS: usize = 4;
 const SERVERS: usize = 6;
@@ -23,17 +23,18 @@
 const MAX_VOTE_TTL_MS: i64 = 4_000;
 
 /// A fleet that shares ejections, under load of both classes, once each front knows the usual response times.
-async fn fleet() -> Lab {
+async fn fleet() -> Testbed {
     let limits = r#"{"starting_server": {"rate": 40, "burst": 20}}"#;
-    let make = Make { limits, ..Make::judging(FRONTS, SERVERS, RESPONSE_TIME, 3) };
-    let lab = Lab::new(program(), make).await.expect("the fleet starts");
-    assert!(lab.until_joined().await, "not all fronts have joined");
-    (0..FRONTS).for_each(|front| lab.load(front, 30));
+    let make =
+        TestbedConfig { limits, ..TestbedConfig::with_outlier_detection(FRONTS, SERVERS, RESPONSE_TIME, 3) };
+    let testbed = Testbed::start_all(program(), make).await.expect("the fleet starts");
+    assert!(testbed.wait_until_joined().await, "not all fronts have joined");
+    (0..FRONTS).for_each(|front| testbed.set_load(front, 30));
     for front in 0..FRONTS {
         let has_medians = |status: &str| status.matches("median_us").count() == CLASSES;
-        assert!(lab.until_verdicts(front, has_medians).await, "{front} has no medians");
+        assert!(testbed.wait_for_outlier_status(front, has_medians).await, "{front} has no medians");
     }
-    lab
+    testbed
 }
 
 /// The reports on a server in the ejection status of a front.
@@ -60,44 +61,46 @@
     reports_on(&status, server).iter().map(votes).max()
 }
 
-async fn wait_until_only_ejected(lab: &Lab, front: usize, server: &str) {
-    let is_ejected = lab.until_verdicts(front, |status| held_out(status) == [server]).await;
+async fn wait_until_only_ejected(testbed: &Testbed, front: usize, server: &str) {
+    let is_ejected =
+        testbed.wait_for_outlier_status(front, |status| ejected_servers(status) == [server]).await;
     assert!(is_ejected, "{front} does not eject {server} alone");
 }
 
-async fn wait_until_none_ejected(lab: &Lab, front: usize) {
-    let none_ejected = lab.until_verdicts(front, |status| held_out(status).is_empty()).await;
+async fn wait_until_none_ejected(testbed: &Testbed, front: usize) {
+    let none_ejected =
+        testbed.wait_for_outlier_status(front, |status| ejected_servers(status).is_empty()).await;
     assert!(none_ejected, "{front} still ejects a server");
 }
 
 /// Makes a server silent, for one front or for all.
-async fn silence(lab: &mut Lab, front: Option<usize>, server: usize) {
-    let fault = Fault::Wire { front, server, state: State::Silent };
-    lab.strike(&fault).await.expect("the server is silent");
+async fn silence(testbed: &mut Testbed, front: Option<usize>, server: usize) {
+    let fault = Fault::ServerLink { front, server, state: LinkState::Silent };
+    testbed.inject(&fault).await.expect("the server is silent");
 }
 
 #[test]
 fn silent_server_is_ejected_by_all_probed_by_one_and_readmitted() {
     run_local(async {
-        let mut lab = fleet().await;
-        silence(&mut lab, None, 1).await;
+        let mut testbed = fleet().await;
+        silence(&mut testbed, None, 1).await;
         for front in 0..FRONTS {
-            wait_until_only_ejected(&lab, front, "s-1").await;
+            wait_until_only_ejected(&testbed, front, "s-1").await;
         }
-        let status = parse(&lab.verdicts(0).await.expect("the console answers"));
+        let status = parse(&testbed.outlier_status(0).await.expect("the console answers"));
         let report = reports_on(&status, "s-1")[0];
         assert!(report["assents"].as_array().expect("a list").len() > FRONTS / 2, "{status:?}");
         assert!(report["lapses_ms"].as_i64().is_some_and(|ms| ms <= MAX_VOTE_TTL_MS), "{status:?}");
-        let metrics = lab.metrics(0).await.expect("the console answers");
+        let metrics = testbed.metrics(0).await.expect("the console answers");
         assert!(metrics.contains("app_verdicts_out 1"), "{metrics}");
         assert!(metrics.contains("app_cluster_unhealthy 1"), "{metrics}");
         // The front that probes the server is killed: another one must probe it, once the server is healthy again.
-        let status = lab.verdicts(0).await.expect("the console answers");
+        let status = testbed.outlier_status(0).await.expect("the console answers");
         let prober = prober_of(&status, "s-1").expect("a front probes the server");
-        lab.end(prober, Signal::SIGKILL).await;
-        lab.strike(&Fault::Heal).await.expect("the server answers");
+        testbed.terminate(prober, Signal::SIGKILL).await;
+        testbed.inject(&Fault::Heal).await.expect("the server answers");
         for front in (0..FRONTS).filter(|front| *front != prober) {
-            wait_until_none_ejected(&lab, front).await;
+            wait_until_none_ejected(&testbed, front).await;
         }
     });
 }
@@ -105,18 +108,20 @@
 #[test]
 fn front_with_bad_links_of_its_own_ejects_no_server_and_reports_itself_suspect() {
     run_local(async {
-        let mut lab = fleet().await;
+        let mut testbed = fleet().await;
         for server in [0, 1] {
-            silence(&mut lab, Some(2), server).await;
+            silence(&mut testbed, Some(2), server).await;
         }
-        let is_suspect = lab.until_verdicts(2, |status| status.contains(r#""suspect":true"#)).await;
+        let is_suspect =
+            testbed.wait_for_outlier_status(2, |status| status.contains(r#""suspect":true"#)).await;
         assert!(is_suspect, "the front does not suspect itself");
         for front in 0..FRONTS {
-            let status = lab.verdicts(front).await.expect("the console answers");
-            assert_eq!(held_out(&status), Vec::<String>::new(), "{front}: {status}");
+            let status = testbed.outlier_status(front).await.expect("the console answers");
+            assert_eq!(ejected_servers(&status), Vec::<String>::new(), "{front}: {status}");
         }
-        lab.strike(&Fault::Heal).await.expect("the links work");
-        let is_trusted = lab.until_verdicts(2, |status| status.contains(r#""suspect":false"#)).await;
+        testbed.inject(&Fault::Heal).await.expect("the links work");
+        let is_trusted =
+            testbed.wait_for_outlier_status(2, |status| status.contains(r#""suspect":false"#)).await;
         assert!(is_trusted, "the front still suspects itself");
     });
 }
@@ -124,35 +129,39 @@
 #[test]
 fn split_fleet_has_no_quorum_to_eject_until_it_is_healed() {
     run_local(async {
-        let mut lab = fleet().await;
-        lab.strike(&Fault::Split { side: vec![0, 1] }).await.expect("the network is split");
-        let is_split =
-            lab.until_peers(0, |status| status.matches(r#""belief":"dead""#).count() == FRONTS / 2).await;
+        let mut testbed = fleet().await;
+        testbed.inject(&Fault::Partition { side: vec![0, 1] }).await.expect("the network is split");
+        let is_split = testbed
+            .wait_for_peers(0, |status| status.matches(r#""belief":"dead""#).count() == FRONTS / 2)
+            .await;
         assert!(is_split, "the fronts of one half still hear the other");
-        silence(&mut lab, None, 4).await;
+        silence(&mut testbed, None, 4).await;
         for front in 0..FRONTS {
             let has_votes_of_half = |status: &str| max_votes_on(status, "s-4") == Some(FRONTS / 2);
-            assert!(lab.until_verdicts(front, has_votes_of_half).await, "{front} has no votes of its half");
-            assert_eq!(lab.held_out(front).await, Vec::<String>::new());
+            assert!(
+                testbed.wait_for_outlier_status(front, has_votes_of_half).await,
+                "{front} has no votes of its half"
+            );
+            assert_eq!(testbed.ejected_servers(front).await, Vec::<String>::new());
         }
-        lab.strike(&Fault::Split { side: Vec::new() }).await.expect("the network is healed");
-        wait_until_only_ejected(&lab, 3, "s-4").await;
+        testbed.inject(&Fault::Partition { side: Vec::new() }).await.expect("the network is healed");
+        wait_until_only_ejected(&testbed, 3, "s-4").await;
     });
 }
 
 #[test]
 fn restarted_server_is_not_judged_by_evidence_from_before() {
     run_local(async {
-        let mut lab = fleet().await;
-        silence(&mut lab, None, 5).await;
-        wait_until_only_ejected(&lab, 0, "s-5").await;
+        let mut testbed = fleet().await;
+        silence(&mut testbed, None, 5).await;
+        wait_until_only_ejected(&testbed, 0, "s-5").await;
         // The new process is healthy, and there is no evidence on it yet.
-        lab.strike(&Fault::Heal).await.expect("the server answers");
-        lab.strike(&Fault::Replace { server: 5 }).await.expect("the server is restarted");
+        testbed.inject(&Fault::Heal).await.expect("the server answers");
+        testbed.inject(&Fault::RestartServer { server: 5 }).await.expect("the server is restarted");
         let has_no_report = |status: &str| reports_on(&parse(status), "s-5").is_empty();
         for front in 0..FRONTS {
             assert!(
-                lab.until_verdicts(front, has_no_report).await,
+                testbed.wait_for_outlier_status(front, has_no_report).await,
                 "{front} still has evidence on the server"
             );
         }
@@ -162,9 +171,11 @@
 #[test]
 fn front_without_shared_ejections_has_no_ejection_metrics_and_no_status() {
     run_local(async {
-        let lab = Lab::new(program(), Make::new(2, Sharing::Peers, 3)).await.expect("the fleet starts");
-        assert_eq!(lab.verdicts(0).await.as_deref(), Some("this front shares no verdicts\n"));
-        let metrics = lab.metrics(0).await.expect("the console answers");
+        let testbed = Testbed::start_all(program(), TestbedConfig::new(2, Sharing::Peers, 3))
+            .await
+            .expect("the fleet starts");
+        assert_eq!(testbed.outlier_status(0).await.as_deref(), Some("this front shares no verdicts\n"));
+        let metrics = testbed.metrics(0).await.expect("the console answers");
         assert!(!metrics.contains("app_verdict"), "{metrics}");
     });
 }
