--- a/crates/fleet-limits/src/claims.rs
+++ b/crates/fleet-limits/src/claims.rs
@@ -39,7 +39,7 @@
     /// Until when the issuer may be used: when the vote expires that completes the quorum. [`Nanos::MIN`] where it
     /// may not be used at all.
     pub fn expires_at(&self, quorum: usize) -> Nanos {
-        if self.returns_at.is_some() && !mutated(Mutation::BankBackAtOnce) {
+        if self.returns_at.is_some() && !mutated(Mutation::IssuerReturnedEarly) {
             return Nanos::MIN;
         }
         let mut needed = quorum;
--- a/crates/fleet-limits/src/coordinator/claiming.rs
+++ b/crates/fleet-limits/src/coordinator/claiming.rs
@@ -76,7 +76,7 @@
         }
         if !is_home_silent {
             // Leases from the issuer must expire before its home may use it again.
-            let delay = if is_held && !mutated(Mutation::BankBackAtOnce) { lease_span } else { 0 };
+            let delay = if is_held && !mutated(Mutation::IssuerReturnedEarly) { lease_span } else { 0 };
             claim.returns_at = Some(now + delay);
         } else if !is_successor && !is_held {
             // Another front claims it, too: two that compete may keep each other from a quorum.
--- a/crates/fleet-limits/src/coordinator/granting.rs
+++ b/crates/fleet-limits/src/coordinator/granting.rs
@@ -76,7 +76,7 @@
     /// How long leases may last that must have expired by `expires_at`, also by a peer's slower clock. Not positive
     /// where there is no time left.
     fn grant_duration(&self, now: Nanos, expires_at: Nanos) -> Nanos {
-        if mutated(Mutation::LoanOutlivesBank) {
+        if mutated(Mutation::LeaseOutlivesIssuer) {
             return self.config.lease_duration;
         }
         let remaining = i128::from(expires_at - now);
--- a/crates/fleet-limits/src/coordinator/receiving.rs
+++ b/crates/fleet-limits/src/coordinator/receiving.rs
@@ -119,7 +119,7 @@
         requested_at: Nanos,
         grant: &LeaseGrant,
     ) -> BTreeSet<Limit> {
-        let starts_at = if mutated(Mutation::LoanFromReceipt) { now } else { requested_at };
+        let starts_at = if mutated(Mutation::LeaseFromReceipt) { now } else { requested_at };
         let peer = &mut self.peers[usize::from(sender)];
         if grant.number <= peer.held.number {
             return BTreeSet::new();
@@ -133,7 +133,7 @@
 
     /// Counts the sender's votes for this front's claims, except for claims that are younger than the votes.
     fn count_votes(&mut self, now: Nanos, sender: PeerId, requested_at: Nanos, votes: &[PeerId]) {
-        let starts_at = if mutated(Mutation::BankFromReceipt) { now } else { requested_at };
+        let starts_at = if mutated(Mutation::VoteFromReceipt) { now } else { requested_at };
         let expires_at = starts_at + self.config.lease_duration;
         for issuer in votes {
             let Some(claim) = self.claims.get_mut(issuer) else { continue };
@@ -146,11 +146,11 @@
     /// Votes for the sender's claims as far as this front is free to, and keeps the result for its next heartbeat.
     fn answer_claims(&mut self, now: Nanos, sender: Holder, heartbeat: &Heartbeat) {
         // A front that shuts down does not revoke its leases: its issuers are free once the votes have expired.
-        let is_leaving = heartbeat.state.shutting_down && !mutated(Mutation::LeavesAtOnce);
+        let is_leaving = heartbeat.state.shutting_down && !mutated(Mutation::VotesReleasedOnShutdown);
         if !is_leaving {
             self.votes.release_unclaimed(sender, &heartbeat.claims);
         }
-        let is_quiet = self.is_starting(now) && !mutated(Mutation::NoQuietTime);
+        let is_quiet = self.is_starting(now) && !mutated(Mutation::VotesWhileStarting);
         let claims: &[PeerId] = if is_quiet || is_leaving { &[] } else { &heartbeat.claims };
         let expires_at = now + self.lease_span();
         let votes = &mut self.votes;
--- a/crates/fleet-limits/src/coordinator/reporting.rs
+++ b/crates/fleet-limits/src/coordinator/reporting.rs
@@ -23,7 +23,7 @@
         if self.is_standby(now) || self.members.is_shutting_down() {
             return 0;
         }
-        let granted = if mutated(Mutation::OwnPartIsWhole) { 0 } else { self.total_granted(now, limit) };
+        let granted = if mutated(Mutation::GrantsNotDeducted) { 0 } else { self.total_granted(now, limit) };
         let leased_shares = self.peers.iter().map(|peer| peer.held_share(now, limit));
         let leased = leased_shares.fold(0, Share::saturating_add);
         (own_share.saturating_sub(granted) + leased).min(FULL_SHARE)
@@ -36,7 +36,7 @@
 
     /// Reports what has expired since the last look.
     pub(super) fn expire(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
-        if now < self.next_expiry || mutated(Mutation::NoLookAfterStop) {
+        if now < self.next_expiry || mutated(Mutation::NoExpiryAfterPause) {
             return;
         }
         let expired_at = self.next_expiry;
--- a/crates/fleet-limits/src/leases.rs
+++ b/crates/fleet-limits/src/leases.rs
@@ -56,7 +56,7 @@
     ///
     /// The peer uses one grant at a time, and it is unknown which, so that the largest one counts.
     pub fn granted_share(&self, now: Nanos, limit: Limit) -> Share {
-        let considered = if mutated(Mutation::LoanFreedAtOnce) { 1 } else { usize::MAX };
+        let considered = if mutated(Mutation::GrantFreedEarly) { 1 } else { usize::MAX };
         let active = self.granted.iter().filter(|grant| grant.is_active(now));
         let latest = active.rev().take(considered);
         latest.filter_map(|grant| grant.shares.get(&limit)).max().copied().unwrap_or(0)
@@ -94,7 +94,7 @@
         let granted = std::mem::take(&mut self.granted);
         let held = std::mem::take(&mut self.held);
         *self = Peer { granted, ..Peer::default() };
-        if mutated(Mutation::LoanForPredecessor) {
+        if mutated(Mutation::LeaseFromPredecessorKept) {
             self.held = held;
         }
     }
@@ -111,7 +111,7 @@
     pub fn replace_held(&mut self, next: LeaseSet) -> BTreeSet<Limit> {
         let mut changed = self.held.limits_changed_by(&next);
         // The same share for a shorter time is a reduction, too.
-        if next.expires_at < self.held.expires_at && !mutated(Mutation::ShorterLoanMissed) {
+        if next.expires_at < self.held.expires_at && !mutated(Mutation::ShorterLeaseMissed) {
             changed.extend(next.shares.keys());
         }
         self.held = next;
--- a/crates/fleet-limits/src/votes.rs
+++ b/crates/fleet-limits/src/votes.rs
@@ -40,7 +40,7 @@
     pub fn vote_for(&mut self, now: Nanos, issuer: PeerId, holder: Holder, expires_at: Nanos) -> bool {
         let Some(vote) = self.votes.get_mut(usize::from(issuer)) else { return false };
         let is_free = vote.is_none_or(|vote| vote.expires_at <= now || vote.holder == holder);
-        if !is_free && !mutated(Mutation::AgreesTwice) {
+        if !is_free && !mutated(Mutation::VotesTwice) {
             return false;
         }
         *vote = Some(Vote { holder, expires_at });
--- a/crates/model-checker/src/cli/seeded/fleet_limits.rs
+++ b/crates/model-checker/src/cli/seeded/fleet_limits.rs
@@ -25,7 +25,7 @@
 fn is_detected_by_child(mutation: Mutation, limits: SearchLimits) -> Result<bool, CommandError> {
     let program = std::env::current_exe().map_err(CommandError::Restart)?;
     let status = Command::new(program)
-        .args(["seeded", "--rights", "--name", &format!("{mutation:?}")])
+        .args(["seeded", "--rights", "--name", &format!("{mutation}")])
         .args(["--threads", &limits.threads.to_string()])
         .args(["--memory-mb", &limits.memory_mb.to_string()])
         .args(["--seconds", &limits.time.as_secs().to_string()])
@@ -38,7 +38,7 @@
 pub(super) fn run_one(name: &str, limits: SearchLimits) -> Result<Status, CommandError> {
     let mutation = ALL
         .into_iter()
-        .find(|mutation| format!("{mutation:?}") == name)
+        .find(|mutation| format!("{mutation}") == name)
         .ok_or_else(|| CommandError::UnknownMutation(name.to_owned()))?;
     activate(Some(mutation));
     let reports = configs::all()
@@ -47,10 +47,10 @@
         .map(|config| search(config, limits));
     for report in reports {
         if let Some(history) = report.violation {
-            print_line!("{mutation:?}: found in {}, {} steps", report.config, history.steps.len());
+            print_line!("{mutation}: found in {}, {} steps", report.config, history.steps.len());
             return Ok(Status::Violated);
         }
     }
-    print_line!("{mutation:?}: not found");
+    print_line!("{mutation}: not found");
     Ok(Status::Holds)
 }
--- a/crates/model-checker/tests/golden.rs
+++ b/crates/model-checker/tests/golden.rs
@@ -317,7 +317,7 @@
 #[test]
 fn fleet_limits_mutation_names_are_stable() {
     let names: Vec<String> =
-        tulipbridge_fleet_limits::mutations::ALL.iter().map(|mutation| format!("{mutation:?}")).collect();
+        tulipbridge_fleet_limits::mutations::ALL.iter().map(|mutation| mutation.to_string()).collect();
     assert_golden("seeded-rights-bugs.txt", &lines(&names));
 }
 
--- a/crates/outlier-detection/src/detector/evidence_sharing.rs
+++ b/crates/outlier-detection/src/detector/evidence_sharing.rs
@@ -21,7 +21,7 @@
     pub(super) fn views(&self, now: Nanos, entries: &GossipStore) -> Views {
         let mut views = Views::new();
         for (front, _, server, value, age) in entries.all(now, EVIDENCE) {
-            let is_fresh = age <= self.config.evidence_ttl || mutated(Mutation::OldEvidence);
+            let is_fresh = age <= self.config.evidence_ttl || mutated(Mutation::ExpiredEvidenceCounts);
             if front == self.config.me || !is_fresh || !self.servers.contains_key(&server) {
                 continue;
             }
@@ -113,7 +113,7 @@
                 continue;
             }
             self.cleared.insert(*server, recovered_at);
-            if mutated(Mutation::OldSins) {
+            if mutated(Mutation::EvidenceBeforeRecoveryCounts) {
                 continue;
             }
             self.counts.retain_servers(|counted| counted != *server);
--- a/crates/outlier-detection/src/detector/outliers.rs
+++ b/crates/outlier-detection/src/detector/outliers.rs
@@ -104,8 +104,11 @@
     /// The evidence of all fronts together. Each contributes half of the ejection threshold at most, so that a front
     /// that cannot reach a server and a chance failure at another do not suffice.
     fn total_log_likelihood_ratio(&self, views: &[&View], scope: Scope) -> f64 {
-        let max_ratio =
-            if mutated(Mutation::OneMakesAll) { f64::INFINITY } else { self.config.ejection_threshold / 2.0 };
+        let max_ratio = if mutated(Mutation::OneFrontSuffices) {
+            f64::INFINITY
+        } else {
+            self.config.ejection_threshold / 2.0
+        };
         views.iter().map(|view| self.summary(view, scope).log_likelihood_ratio.min(max_ratio)).sum()
     }
 }
--- a/crates/outlier-detection/src/detector/probes.rs
+++ b/crates/outlier-detection/src/detector/probes.rs
@@ -58,7 +58,7 @@
             // Nobody probes in the first turn: by the second one, all fronts know the voters.
             let is_our_turn = turn > 0 && prober == Some(self.config.me);
             let probe = self.probes.entry(server).or_default();
-            if (is_our_turn || mutated(Mutation::AllTry)) && probe.turn != Some(turn) {
+            if (is_our_turn || mutated(Mutation::AllProbe)) && probe.turn != Some(turn) {
                 probe.turn = Some(turn);
                 effects.push(Effect::Probe(server));
             }
--- a/crates/outlier-detection/src/detector/voting.rs
+++ b/crates/outlier-detection/src/detector/voting.rs
@@ -47,7 +47,7 @@
         if let Some(vote) = self.votes.get(&target).filter(|vote| vote.active) {
             return now - vote.put_at >= self.config.vote_ttl / REFRESHES_PER_TTL;
         }
-        let delay = if mutated(Mutation::NoWait) { 0 } else { self.config.vote_delay };
+        let delay = if mutated(Mutation::NoVoteDelay) { 0 } else { self.config.vote_delay };
         now - self.outliers[&target] >= delay && self.may_vote(now, target.server)
     }
 
@@ -63,7 +63,7 @@
     fn withdraw_votes(&mut self, outliers: &Outliers, effects: &mut Vec<Effect>) {
         for (target, vote) in &mut self.votes {
             let is_known = self.servers.contains_key(&target.server);
-            let is_cleared = !outliers.contains_key(target) && !mutated(Mutation::NeverLapses);
+            let is_cleared = !outliers.contains_key(target) && !mutated(Mutation::VotesNeverWithdrawn);
             if vote.active && (is_cleared || !is_known) {
                 vote.active = false;
                 effects.push(Effect::Put(vote_key(*target), None));
@@ -74,7 +74,7 @@
     /// Drops withdrawn votes that count nowhere any more.
     fn drop_expired_votes(&mut self, now: Nanos) {
         let span = self.config.vote_span();
-        let is_forgotten = mutated(Mutation::AssentForgotten);
+        let is_forgotten = mutated(Mutation::WithdrawnVoteForgotten);
         self.votes.retain(|_, vote| vote.active || (now < vote.put_at + span && !is_forgotten));
     }
 
@@ -96,7 +96,7 @@
     fn peer_votes(&self, now: Nanos, entries: &GossipStore) -> Votes {
         let mut votes = Votes::new();
         for (front, _, id, value, age) in entries.all(now, VOTE) {
-            let is_fresh = age <= self.config.vote_ttl || mutated(Mutation::OldAssents);
+            let is_fresh = age <= self.config.vote_ttl || mutated(Mutation::ExpiredVotesCount);
             if front == self.config.me || !is_fresh {
                 continue;
             }
--- a/crates/outlier-detection/src/evidence.rs
+++ b/crates/outlier-detection/src/evidence.rs
@@ -69,7 +69,8 @@
 impl FailureRates {
     /// Both rates rise with the failure rate of the front's median server.
     fn new(baseline: f64, config: &DetectorConfig) -> FailureRates {
-        let scaled_baseline = if mutated(Mutation::NoBase) { 0.0 } else { config.baseline_factor * baseline };
+        let scaled_baseline =
+            if mutated(Mutation::NoBaseline) { 0.0 } else { config.baseline_factor * baseline };
         let healthy = config.healthy_failure_rate.max(scaled_baseline);
         let outlier = config.outlier_failure_rate.max(MIN_RATE_RATIO * healthy).min(MAX_FAILURE_RATE);
         FailureRates { healthy, outlier }
@@ -93,7 +94,7 @@
             failures += f64::from(counted.failures.min(counted.attempts)) / TENTHS;
         }
         let baseline = f64::from(evidence.baseline) / THOUSANDTHS;
-        let is_inconclusive = baseline > MAX_BASELINE && !mutated(Mutation::NoBase);
+        let is_inconclusive = baseline > MAX_BASELINE && !mutated(Mutation::NoBaseline);
         if attempts <= 0.0 || is_inconclusive {
             return EvidenceSummary { attempts, failures, log_likelihood_ratio: 0.0 };
         }
--- a/crates/outlier-detection/src/mutations.rs
+++ b/crates/outlier-detection/src/mutations.rs
@@ -1,7 +1,7 @@
 //! Mutations of the detector for mutation testing: each one breaks a rule of the protocol, and the simulation must
 //! notice it. Without the feature `mutations`, [`mutated`] is the constant `false`, so that none of them is compiled in.
 
-/// A deliberate fault in the detector. The variants' names are printed by the tools that run them.
+/// A deliberate fault in the detector. Tools print its [`Mutation::name`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mutation {
     /// One witness suffices.
@@ -11,27 +11,55 @@
     /// Half of the fronts suffice to eject a server.
     HalfIsEnough,
     /// A withdrawn vote no longer counts for the bound on votes, though it may still count at peers.
-    AssentForgotten,
+    WithdrawnVoteForgotten,
     /// Evidence counts whatever its age.
-    OldEvidence,
+    ExpiredEvidenceCounts,
     /// Votes count whatever their age.
-    OldAssents,
+    ExpiredVotesCount,
     /// The failure rate of the median server is ignored.
-    NoBase,
+    NoBaseline,
     /// The weight of a front grows with its attempts without bound.
     SamplesUncapped,
     /// A front votes without waiting for its peers' evidence.
-    NoWait,
+    NoVoteDelay,
     /// A server that one zone alone cannot reach is ejected for all fronts.
     ZoneIsAll,
     /// A vote is never withdrawn.
-    NeverLapses,
+    VotesNeverWithdrawn,
     /// All fronts probe an ejected server at the same time.
-    AllTry,
+    AllProbe,
     /// Evidence from before a server recovered still counts.
-    OldSins,
+    EvidenceBeforeRecoveryCounts,
     /// One front's evidence may reach the ejection threshold by itself.
-    OneMakesAll,
+    OneFrontSuffices,
+}
+
+impl Mutation {
+    /// The name that the tools print and accept. It does not change with the variant's name.
+    pub fn name(self) -> &'static str {
+        match self {
+            Mutation::OneWitness => "OneWitness",
+            Mutation::SuspectCounts => "SuspectCounts",
+            Mutation::HalfIsEnough => "HalfIsEnough",
+            Mutation::WithdrawnVoteForgotten => "AssentForgotten",
+            Mutation::ExpiredEvidenceCounts => "OldEvidence",
+            Mutation::ExpiredVotesCount => "OldAssents",
+            Mutation::NoBaseline => "NoBase",
+            Mutation::SamplesUncapped => "SamplesUncapped",
+            Mutation::NoVoteDelay => "NoWait",
+            Mutation::ZoneIsAll => "ZoneIsAll",
+            Mutation::VotesNeverWithdrawn => "NeverLapses",
+            Mutation::AllProbe => "AllTry",
+            Mutation::EvidenceBeforeRecoveryCounts => "OldSins",
+            Mutation::OneFrontSuffices => "OneMakesAll",
+        }
+    }
+}
+
+impl std::fmt::Display for Mutation {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str(self.name())
+    }
 }
 
 /// All mutations.
@@ -39,17 +67,17 @@
     Mutation::OneWitness,
     Mutation::SuspectCounts,
     Mutation::HalfIsEnough,
-    Mutation::AssentForgotten,
-    Mutation::OldEvidence,
-    Mutation::OldAssents,
-    Mutation::NoBase,
+    Mutation::WithdrawnVoteForgotten,
+    Mutation::ExpiredEvidenceCounts,
+    Mutation::ExpiredVotesCount,
+    Mutation::NoBaseline,
     Mutation::SamplesUncapped,
-    Mutation::NoWait,
+    Mutation::NoVoteDelay,
     Mutation::ZoneIsAll,
-    Mutation::NeverLapses,
-    Mutation::AllTry,
-    Mutation::OldSins,
-    Mutation::OneMakesAll,
+    Mutation::VotesNeverWithdrawn,
+    Mutation::AllProbe,
+    Mutation::EvidenceBeforeRecoveryCounts,
+    Mutation::OneFrontSuffices,
 ];
 
 tulipbridge_core::mutation_switch!();
--- a/crates/testbed/src/cli/mutations.rs
+++ b/crates/testbed/src/cli/mutations.rs
@@ -30,7 +30,7 @@
 /// The search for schedules that detect mutations.
 #[cfg(feature = "mutations")]
 mod search {
-    use std::fmt::Debug;
+    use std::fmt::Display;
     use std::sync::atomic::{AtomicU64, Ordering};
 
     use crate::cli::sweep::{for_each_schedule, Simulation};
@@ -40,7 +40,7 @@
     const BATCH: u64 = 500;
 
     /// Activates each mutation in turn and prints by which seed it is detected. Valid if all are.
-    pub fn find_all<M: Copy + Debug, R>(
+    pub fn find_all<M: Copy + Display, R>(
         mutations: &[M],
         activate: impl Fn(Option<M>),
         max_schedules: u64,
@@ -54,8 +54,8 @@
         }
         for (mutation, seed) in mutations.iter().zip(&seeds) {
             match seed {
-                Some(seed) => println!("{mutation:?}: found by seed {seed}"),
-                None => println!("{mutation:?}: NOT FOUND in {max_schedules} schedules"),
+                Some(seed) => println!("{mutation}: found by seed {seed}"),
+                None => println!("{mutation}: NOT FOUND in {max_schedules} schedules"),
             }
         }
         let found = seeds.iter().flatten().count();
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -286,9 +286,9 @@
 /// The names that `bugs` prints, of fleet limits and of outlier detection.
 #[test]
 fn mutations_keep_their_names() {
-    let limits = tulipbridge_fleet_limits::mutations::ALL.iter().map(|mutation| format!("{mutation:?}\n"));
+    let limits = tulipbridge_fleet_limits::mutations::ALL.iter().map(|mutation| format!("{mutation}\n"));
     let outliers =
-        tulipbridge_outlier_detection::mutations::ALL.iter().map(|mutation| format!("{mutation:?}\n"));
+        tulipbridge_outlier_detection::mutations::ALL.iter().map(|mutation| format!("{mutation}\n"));
     let (limits, outliers): (String, String) = (limits.collect(), outliers.collect());
     assert_golden("seeded-bugs.txt", &format!("[limits]\n{limits}\n[verdicts]\n{outliers}"));
 }
