--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -12,22 +12,22 @@
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
+use tulipbridge::cluster::config::ClusterConfig;
 use tulipbridge::cluster::ejections::{EjectionMetrics, Ejections};
-use tulipbridge::cluster::peers::Config;
 use tulipbridge::request_tracker::Input;
 use tulipbridge::telemetry::metrics::Metrics;
 use tulipbridge::{Listed, NodeInfo, Outcome, UpdateScope};
 use tulipbridge_fleet_limits::{Demand, Heartbeat, Lease, LeaseGrant, Limit};
 use tulipbridge_membership::{
-    Delta, Envelope, EnvelopeCodec, GossipEntry, GossipMessage, GossipStore, Key, PeerState,
+    Delta, EntryKey, Envelope, EnvelopeCodec, GossipEntry, GossipMessage, GossipStore, PeerState,
 };
 
 /// What a datagram says, as the program has it privately: the order of the variants is part of the format.
 /// `program_speaks_and_hears_the_golden_format` holds this copy against the running program.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Message {
-    Beat(Box<Heartbeat>),
-    Entries(GossipMessage),
+    Heartbeat(Box<Heartbeat>),
+    Gossip(GossipMessage),
 }
 
 const KEY: &[u8] = b"golden key of the fronts";
@@ -64,8 +64,8 @@
         sent_at: 3_000,
         echo: Some((301, -64)),
         conflicting: Some(305),
-        leaving: true,
-        hears: vec![9],
+        shutting_down: true,
+        reachable: vec![9],
     };
     let volume = Lease { limit: Limit::Volume(131), share: 132 };
     let beat = Heartbeat {
@@ -82,7 +82,7 @@
         grant: LeaseGrant { number: 400, duration: -2_500, leases: vec![volume] },
     };
     assert_golden(
-        &Message::Beat(Box::new(beat)),
+        &Message::Heartbeat(Box::new(beat)),
         concat!(
             "54425002",                                                         // the letters TBP, version
             "0302",                 // the sender's place, low byte first
@@ -111,7 +111,7 @@
 
 #[test]
 fn datagram_of_entries() {
-    let key = Key { kind: 200, id: 500 };
+    let key = EntryKey { kind: 200, id: 500 };
     let item = GossipEntry { key, version: 131, age_ms: 60_000, value: Some(vec![0x00, 0xff]) };
     let delta = Delta { origin: 4, incarnation: 303, after: 5, to: 8, entries: vec![item] };
     let exchange = GossipMessage {
@@ -121,7 +121,7 @@
         deltas: vec![delta],
     };
     assert_golden(
-        &Message::Entries(exchange),
+        &Message::Gossip(exchange),
         concat!(
             "54425002",                                                         // the letters TBP, version
             "0302",                       // the sender's place, low byte first
@@ -145,7 +145,7 @@
         {{"name": "a", "address": "127.0.0.1:3", "zone": "west"}}]}}"#
     );
     let value = simd_json::to_owned_value(&mut peers.into_bytes()).expect("it is JSON");
-    Config::read(&value, "a").expect("the peers can be read").limits_config.roster
+    ClusterConfig::read(&value, "a").expect("the peers can be read").limits_config.roster
 }
 
 #[test]
@@ -183,12 +183,12 @@
         bench.attempt_sent(0, (id, 0), node, 0, true);
         bench.observe_input(
             1_000,
-            &Input::AttemptEnded { id, attempt: 0, outcome, seen_use: 0.0, foreign_units: 0.0 },
+            &Input::AttemptEnded { id, attempt: 0, outcome, observed_use: 0.0, foreign_units: 0.0 },
         );
     }
     let done = bench.evaluate(2_000, 0, &GossipStore::new(0, 3, 1, 100_000, 0));
-    let keys: Vec<Key> = done.entries.iter().map(|(key, _)| *key).collect();
-    assert_eq!(keys, [Key { kind: 2, id: 0x6a76_f700_4058_78ab }]);
+    let keys: Vec<EntryKey> = done.entries.iter().map(|(key, _)| *key).collect();
+    assert_eq!(keys, [EntryKey { kind: 2, id: 0x6a76_f700_4058_78ab }]);
 }
 
 /// How long the program may take for anything here.
@@ -269,7 +269,7 @@
     let length = socket.recv(&mut bytes).expect("the program sends");
     let datagram = &bytes[..length];
     let opened = seal().open::<Message>(datagram).expect("the datagram can be opened");
-    let variant = if matches!(opened.message, Message::Beat(_)) { BEAT } else { ENTRIES };
+    let variant = if matches!(opened.message, Message::Heartbeat(_)) { BEAT } else { ENTRIES };
     assert_eq!(datagram[CONTENT], variant);
     assert_eq!(opened.from, 0);
     let again = seal().seal(opened.from, opened.incarnation, &opened.message).expect("it is short");
@@ -281,16 +281,16 @@
 fn answer_to(beat: &Heartbeat, boot: u64, sent: i64) -> Message {
     let hello = PeerState { sent_at: sent, echo: Some((boot, beat.state.sent_at)), ..PeerState::default() };
     let (roster, revision) = (beat.roster, beat.revision);
-    Message::Beat(Box::new(Heartbeat { roster, revision, state: hello, ..Heartbeat::default() }))
+    Message::Heartbeat(Box::new(Heartbeat { roster, revision, state: hello, ..Heartbeat::default() }))
 }
 
 /// Entries of the peer's, with one that says its version.
 fn version_of_peer(beat: &Heartbeat, boot: u64) -> Message {
-    let about = Key { kind: 0, id: 0 };
+    let about = EntryKey { kind: 0, id: 0 };
     let item = GossipEntry { key: about, version: 1, age_ms: 0, value: Some(b"golden".to_vec()) };
     let delta = Delta { origin: 1, incarnation: PEER_BOOT, after: 0, to: 1, entries: vec![item] };
     let echo = Some((boot, beat.state.sent_at));
-    Message::Entries(GossipMessage { echo, knows: Vec::new(), requests_missing: false, deltas: vec![delta] })
+    Message::Gossip(GossipMessage { echo, knows: Vec::new(), requests_missing: false, deltas: vec![delta] })
 }
 
 #[test]
@@ -309,12 +309,12 @@
         assert!(Instant::now() < until, "entries: {entries:?}, status: {}", program.status());
         let Envelope { incarnation: boot, message: said, .. } = next_datagram(&socket);
         match said {
-            Message::Beat(beat) => {
+            Message::Heartbeat(beat) => {
                 sent += 1;
                 send(&answer_to(&beat, boot, sent));
                 send(&version_of_peer(&beat, boot));
             }
-            Message::Entries(exchange) => {
+            Message::Gossip(exchange) => {
                 let told = exchange.deltas.into_iter().find(|delta| delta.origin == 0);
                 entries = entries.or(told.map(|delta| (boot, delta)));
             }
@@ -324,6 +324,6 @@
     let (boot, delta) = entries.expect("entries came");
     let [item] = &delta.entries[..] else { panic!("one item: {delta:?}") };
     assert_eq!((delta.incarnation, delta.after, delta.to), (boot, 0, 1));
-    assert_eq!((item.key, item.version), (Key { kind: 0, id: 0 }, 1));
+    assert_eq!((item.key, item.version), (EntryKey { kind: 0, id: 0 }, 1));
     assert_eq!(item.value.as_deref(), Some(env!("CARGO_PKG_VERSION").as_bytes()));
 }
--- /dev/null
+++ b/tests/unit/main.rs
@@ -0,0 +1,6 @@
+//! Tests of single modules of the front through their public items.
+
+mod framing;
+mod listener;
+mod range;
+mod upstream;
