--- a/crates/core/src/policy/congestion.rs
+++ b/crates/core/src/policy/congestion.rs
@@ -95,14 +95,12 @@
         if now - self.period_started_at < length {
             return;
         }
-        self.period_started_at = now;
         self.weight = if self.period_congested {
             (self.weight * WEIGHT_CUT).max(self.base_weight * WEIGHT_MIN_FRACTION)
         } else {
             (self.weight + self.base_weight * WEIGHT_STEP).min(self.base_weight)
         };
-        self.period_congested = false;
-        self.window_reduced = false;
+        self.start_period(now);
     }
 }
 
@@ -123,9 +121,7 @@
         self.rebalancing_paused = !self.rebalancing_paused && highest >= last;
         let has_weight = self.nodes[&from].base_weight - WEIGHT_STEP >= BASE_WEIGHT_MIN;
         if !self.rebalancing_paused && from != to && has_weight {
-            for (id, amount) in [(from, -WEIGHT_STEP), (to, WEIGHT_STEP)] {
-                self.nodes.entry(id).and_modify(|node| node.shift_base_weight(amount));
-            }
+            self.move_base_weight(from, to, WEIGHT_STEP);
         }
     }
 }
--- a/crates/core/src/policy/discovery.rs
+++ b/crates/core/src/policy/discovery.rs
@@ -20,10 +20,6 @@
     }
 
     pub(super) fn on_endpoints(&mut self, scope: UpdateScope, nodes: Vec<NodeInfo>, actions: &mut Actions) {
-        if scope == UpdateScope::Unavailable {
-            self.back_off_subscription();
-            return;
-        }
         self.subscribe_backoff = BACKOFF_MIN.max(self.call_time_of_fleet() / 2);
         if scope != UpdateScope::Update {
             self.mark_unlisted_removed(&nodes);
@@ -39,7 +35,7 @@
     }
 
     /// Backs off with jitter, as all fronts lose discovery at the same time.
-    fn back_off_subscription(&mut self) {
+    pub(super) fn back_off_subscription(&mut self) {
         let wait = (self.subscribe_backoff as f64 * (0.5 + self.random.f64())) as Nanos;
         let interval = self.settings.poll_interval;
         let max_wait = if interval > 0 { interval } else { Nanos::MAX } as f64 * POLL_INTERVAL_FRACTION;
--- a/crates/core/src/policy/health.rs
+++ b/crates/core/src/policy/health.rs
@@ -2,7 +2,7 @@
 
 use super::{congestion::WINDOW_CUT_MAX, Actions, MILLISECOND, SECOND};
 use crate::interface::{Action, Nanos, NodeId, Outcome};
-use crate::state::{Health, Node, Scheduler, SentAttempt};
+use crate::state::{Health, Node, Scheduler};
 
 const SILENCE_RATIO: f64 = 4.0;
 pub(super) const SILENCE_MIN: Nanos = 150 * MILLISECOND;
@@ -59,12 +59,7 @@
 
     /// Updates health after an attempt and returns a log line if the server has recovered. A failure, however
     /// quick, marks the period as congested.
-    pub(super) fn update_health(
-        &mut self,
-        at: NodeId,
-        outcome: Outcome,
-        sent: &SentAttempt,
-    ) -> Option<Action> {
+    pub(super) fn update_health(&mut self, at: NodeId, outcome: Outcome, sent_at: Nanos) -> Option<Action> {
         let now = self.now;
         let node = self.nodes.get_mut(&at)?;
         if matches!(outcome, Outcome::Rejected | Outcome::TimedOut) {
@@ -78,7 +73,7 @@
         let was_healthy = node.is_healthy();
         match outcome {
             Outcome::Served | Outcome::Error => {
-                node.record_answer(now, sent.sent_at);
+                node.record_answer(now, sent_at);
                 node.health = Health::Healthy;
             }
             // A lost answer says little: the work was done, and a dead server shows with the next attempt.
@@ -90,9 +85,7 @@
             }
             Outcome::Cancelled | Outcome::NotSent => {}
         }
-        if !matches!(outcome, Outcome::Served | Outcome::NotSent | Outcome::Cancelled) {
-            node.period_congested = true;
-        }
+        node.period_congested |= !matches!(outcome, Outcome::Served | Outcome::NotSent | Outcome::Cancelled);
         node.end_period(now);
         let has_recovered = !was_healthy && node.is_healthy();
         has_recovered.then_some(Action::Log { text: "node answers again", node: at })
@@ -101,9 +94,8 @@
     /// Schedules the next probe of a suspect after one was sent, with jitter.
     pub(super) fn schedule_probe(&mut self, at: NodeId, jitter: f64) {
         let fleet_interval = i64::from(self.settings.initiators) * SECOND / FLEET_PROBES_PER_SECOND;
-        if let Some(node) = self.nodes.get_mut(&at).filter(|node| !node.is_healthy()) {
-            node.probe_at = self.now + (node.probe_interval as f64 * jitter) as Nanos;
-            node.probe_interval = (node.probe_interval * 2).min(PROBE_INTERVAL_MAX.max(fleet_interval));
-        }
+        let Some(node) = self.nodes.get_mut(&at).filter(|node| !node.is_healthy()) else { return };
+        node.probe_at = self.now + (node.probe_interval as f64 * jitter) as Nanos;
+        node.probe_interval = (node.probe_interval * 2).min(PROBE_INTERVAL_MAX.max(fleet_interval));
     }
 }
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -10,7 +10,7 @@
 mod slow_start;
 mod value;
 
-use crate::interface::{Action, Event, Nanos, Outcome, Request};
+use crate::interface::{Action, Event, Nanos, Outcome, Request, UpdateScope};
 use crate::mutations::{mutated, Mutation};
 use crate::state::{LiveRequest, Scheduler};
 
@@ -41,6 +41,7 @@
             self.tick(actions);
         }
         match event {
+            Event::Endpoints { scope: UpdateScope::Unavailable, .. } => self.back_off_subscription(),
             Event::Endpoints { scope, nodes } => self.on_endpoints(scope, nodes, actions),
             Event::Request(request) => self.on_request(request, actions),
             Event::ClientGone(id) => {
@@ -50,9 +51,7 @@
                     self.finish(id);
                 }
             }
-            Event::ResponseStarted(id) => {
-                self.live.entry(id).and_modify(|live| live.streaming = true);
-            }
+            Event::ResponseStarted(id) => self.record_response_started(id),
             Event::AttemptEnded { .. } => self.on_attempt_ended(&event, actions),
             Event::Timer(TICK_COOKIE) => self.tick(actions),
             Event::FleetUpdate(update) => self.apply_fleet_update(update),
@@ -97,7 +96,7 @@
             self.learn_from_answer(&request, at, took);
         }
         self.count_outcome(at, outcome, took, &sent);
-        actions.extend(self.update_health(at, outcome, &sent));
+        actions.extend(self.update_health(at, outcome, sent.sent_at));
         if self.live[&id].finished {
             self.finish(id);
         } else {
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -21,15 +21,10 @@
         let draw = self.random.f64();
         let Some(live) = self.live.get(&id) else { return };
         let cell = live.cell.or_else(|| self.choose_cell(draw, &live.request));
-        if let Some(live) = self.live.get_mut(&id) {
-            live.cell = cell;
-            live.queued = true;
-        }
+        let queue_length = self.join_queue(id, cell);
         // Without any listed server a new object waits for one outside of the queues.
         let Some(cell) = cell else { return };
-        let queue = self.queues.entry(cell).or_default();
-        queue.push(id);
-        if queue.len() > QUEUE_MAX_REQUESTS {
+        if queue_length > QUEUE_MAX_REQUESTS {
             self.give_up(id, actions);
         }
         self.dispatch(cell, actions);
--- a/crates/core/src/policy/value.rs
+++ b/crates/core/src/policy/value.rs
@@ -103,10 +103,9 @@
         let objectives = classes.map(|(i, class)| class.latency_objective.min(self.typical_wait(i)));
         let tightest = objectives.min().unwrap_or(0) as f64;
         let (now, min_window) = (self.now, self.min_window());
-        if let Some(node) = self.nodes.get_mut(&at) {
-            node.min_window = min_window;
-            node.record_served(now, request.units, SERVED_RATE_MEMORY_NS);
-            node.record_latency(now, latency, tightest);
-        }
+        let Some(node) = self.nodes.get_mut(&at) else { return };
+        node.min_window = min_window;
+        node.record_served(now, request.units, SERVED_RATE_MEMORY_NS);
+        node.record_latency(now, latency, tightest);
     }
 }
--- a/crates/core/src/state/bookkeeping.rs
+++ b/crates/core/src/state/bookkeeping.rs
@@ -26,6 +26,13 @@
         self.live.values().filter(|live| condition(live)).map(|live| live.request.id).collect()
     }
 
+    /// Records that a streamed answer has begun.
+    pub(crate) fn record_response_started(&mut self, id: RequestId) {
+        if let Some(live) = self.live.get_mut(&id) {
+            live.streaming = true;
+        }
+    }
+
     /// Marks a request as finished. It stays known while attempts are in flight, as they still hold its key.
     pub(crate) fn finish(&mut self, id: RequestId) {
         let Some(live) = self.live.get_mut(&id) else { return };
@@ -90,6 +97,18 @@
         self.live.get(queue.requests.front()?)?.cell
     }
 
+    /// Lets a request wait in a shard's queue, or outside of the queues for a shard. Returns the queue's length.
+    pub(crate) fn join_queue(&mut self, id: RequestId, cell: Option<CellId>) -> usize {
+        if let Some(live) = self.live.get_mut(&id) {
+            live.cell = cell;
+            live.queued = true;
+        }
+        let Some(cell) = cell else { return 0 };
+        let queue = self.queues.entry(cell).or_default();
+        queue.push(id);
+        queue.len()
+    }
+
     /// Moves a waiting request to another shard's queue; false if it waits there already.
     pub(crate) fn move_to_cell(&mut self, id: RequestId, cell: CellId) -> bool {
         let Some(live) = self.live.get_mut(&id) else { return false };
--- a/crates/core/src/state/node.rs
+++ b/crates/core/src/state/node.rs
@@ -240,6 +240,13 @@
         }
     }
 
+    /// Starts a control period, in which no congestion was seen yet.
+    pub fn start_period(&mut self, now: Nanos) {
+        self.period_started_at = now;
+        self.period_congested = false;
+        self.window_reduced = false;
+    }
+
     /// Shifts the base weight; the weight keeps its ratio to it.
     pub fn shift_base_weight(&mut self, amount: f64) {
         let ratio = self.weight / self.base_weight;
--- a/crates/core/src/state/node_table.rs
+++ b/crates/core/src/state/node_table.rs
@@ -41,6 +41,13 @@
         }
     }
 
+    /// Moves base weight from one chunk server to another.
+    pub(crate) fn move_base_weight(&mut self, from: NodeId, to: NodeId, amount: f64) {
+        for (id, change) in [(from, -amount), (to, amount)] {
+            self.nodes.entry(id).and_modify(|node| node.shift_base_weight(change));
+        }
+    }
+
     /// Keeps the index by shard; a chunk server may move to another shard.
     fn assign_cell(&mut self, id: NodeId, cell: CellId) {
         self.queues.entry(cell).or_default();
