--- a/crates/core/src/policy/admission.rs
+++ b/crates/core/src/policy/admission.rs
@@ -97,8 +97,7 @@
         let alpha = FAILURE_RATIO_ALPHA.min(SECOND as f64 / FAILURE_RATIO_MEMORY_NS / result_rate);
         admission.failure_ratio += alpha * (f64::from(u8::from(failed)) - admission.failure_ratio);
         if !failed {
-            admission.rate_limit =
-                admission.rate_limit.map(|limit| limit * (1.0 + alpha * RATE_LIMIT_GROWTH));
+            admission.scale_rate_limit(1.0 + alpha * RATE_LIMIT_GROWTH);
         } else if admission.failure_ratio > TOLERATED_FAILURE_RATIO {
             let sent = admission.uncredited_sends.now(now, RATE_MEMORY_NS);
             let limit = admission.rate_limit.unwrap_or(sent).min(sent);
--- a/crates/core/src/policy/discovery.rs
+++ b/crates/core/src/policy/discovery.rs
@@ -2,7 +2,7 @@
 
 use super::{congestion, Actions, MILLISECOND, SECOND};
 use crate::interface::{Nanos, NodeInfo, UpdateScope};
-use crate::state::Scheduler;
+use crate::state::{Scheduler, WarmupSend};
 
 const BACKOFF_MIN: Nanos = 300 * MILLISECOND;
 const BACKOFF_MAX: Nanos = 3 * SECOND;
@@ -29,7 +29,9 @@
         }
         if scope == UpdateScope::Restored {
             // What this front had sent to starting servers before it was restarted is unknown, and counts.
-            self.record_unknown_warmup_sends();
+            for node in self.nodes.values_mut().filter(|node| node.warmup_since.is_some()) {
+                node.warmup_sends.push_back(WarmupSend { sent_at: self.now, units: f64::INFINITY });
+            }
         }
         self.dispatch_all(actions);
     }
@@ -52,13 +54,16 @@
     fn update_node(&mut self, info: NodeInfo) {
         let (now, warmup, mean_units) = (self.now, self.settings.warmup_duration, self.settings.mean_units);
         let jitter = 2.0 * self.random.f64() - 1.0;
+        // A new server is taken to serve what its shard's other servers serve.
+        let members = self.cells.get(&info.cell).into_iter().flatten();
+        let warm_rate = members.map(|id| self.nodes[id].warm_rate).fold(0.0, f64::max);
         let node = self.upsert_node(&info, congestion::INITIAL_WINDOW);
-        if info.started_at > node.started_at {
-            node.started_at = info.started_at;
-            if now - info.started_at < warmup {
-                node.start_warmup(info.started_at, info.started_at + warmup);
-                node.warmup_budget = jitter * mean_units;
-            }
+        node.warm_rate = node.warm_rate.max(warm_rate);
+        let has_started = info.started_at > node.started_at;
+        node.started_at = node.started_at.max(info.started_at);
+        if has_started && now - info.started_at < warmup {
+            node.start_warmup(info.started_at, info.started_at + warmup);
+            node.warmup_budget = jitter * mean_units;
         }
     }
 }
--- a/crates/core/src/policy/health.rs
+++ b/crates/core/src/policy/health.rs
@@ -25,9 +25,10 @@
 
     /// Whether nothing was answered for longer than the longest request in flight should take.
     fn is_silent(&self, now: Nanos) -> bool {
-        let Some(silence) = self.silence(now) else { return false };
+        let Some(oldest) = self.in_flight.values().map(|sent| sent.sent_at).min() else { return false };
         let expected = self.in_flight.values().map(|sent| sent.expected_latency);
         let expected = expected.fold(self.slow_latency, f64::max);
+        let silence = now - oldest.max(self.last_answer_at);
         silence > ((expected * SILENCE_RATIO) as Nanos).max(SILENCE_MIN)
     }
 }
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -89,6 +89,9 @@
             self.record_client_stayed(id);
         }
         let Some((sent, request)) = self.record_end(id, attempt, at, outcome, last) else { return };
+        if outcome.may_still_execute() {
+            self.settle_key(request.key, self.now + self.settings.order_settle_time);
+        }
         if outcome == Outcome::NotSent && attempt == 0 {
             self.refund(request.volume, request.units);
         }
@@ -117,12 +120,14 @@
         self.count_overdue();
         self.accrue_warmup_budgets();
         self.detect_silence(actions);
-        self.give_up_hopeless(actions);
+        for id in self.live_ids(|live| self.is_hopeless(live)) {
+            self.give_up(id, actions);
+        }
         self.move_waiting_objects(actions);
         if self.now - self.last_second_at >= SECOND {
             self.last_second_at = self.now;
             self.rebalance_base_weights();
-            self.update_warm_rates(slow_start::SERVED_RATE_MEMORY_NS);
+            self.update_warm_rates();
             self.expire_idle(VOLUME_IDLE_MAX, self.retry_budget().window);
             actions.extend(self.forget_removed_nodes().into_iter().map(Action::ForgetNode));
         }
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -78,14 +78,20 @@
         is_allowed && fits && self.is_next_for_key(live)
     }
 
+    /// Whether the order of its key allows a request: it is the first, and earlier attempts have settled.
+    fn is_next_for_key(&self, live: &LiveRequest) -> bool {
+        let queue = live.request.key.and_then(|key| self.key_queues.get(&key));
+        let Some(queue) = queue.filter(|_| self.class(&live.request).keep_order) else { return true };
+        let is_first = queue.requests.front() == Some(&live.request.id);
+        is_first && (self.now >= queue.settles_at || live.attempts > 0)
+    }
+
     /// Low value keeps to a part of the window and to the pace, so as not to delay better work.
     fn may_use_window(&self, live: &LiveRequest, node: &Node) -> bool {
-        if !node.is_healthy() {
-            return true;
-        }
         // Servers answer in order: work with a wide objective must not fill the queue ahead of a tight one.
         let is_slow = node.fast_latency.is_some_and(|fast| fast > node.tightest_objective);
-        if !is_slow && self.value_fraction(live, node) >= LOW_VALUE_FRACTION {
+        let is_valuable = self.value_fraction(live, node) >= LOW_VALUE_FRACTION;
+        if !node.is_healthy() || (is_valuable && !is_slow) {
             return true;
         }
         let reduced_window = (node.window * LOW_VALUE_WINDOW_FRACTION).max(1.0);
@@ -142,7 +148,7 @@
 
     fn choose_among(&self, draw: f64, is_eligible: impl Fn(&Node) -> bool) -> Option<CellId> {
         let nodes = || self.nodes.values().filter(|node| node.is_up() && is_eligible(node));
-        let mean_latency = mean(nodes().filter_map(|node| node.fast_latency));
+        let mean_latency = mean(nodes().filter_map(|node| node.fast_latency)).unwrap_or(0.0);
         let weight = |node: &Node| node.weight * speed_factor(node, mean_latency, self.now);
         weighted_choice(draw, &nodes().map(|node| (node.cell, weight(node))).collect::<Vec<_>>())
     }
--- a/crates/core/src/policy/retry.rs
+++ b/crates/core/src/policy/retry.rs
@@ -105,12 +105,6 @@
         (scaled.min(self.settings.max_retry_after as f64) * (0.5 + 0.5 * draw)) as Nanos
     }
 
-    pub(super) fn give_up_hopeless(&mut self, actions: &mut Actions) {
-        for id in self.live_ids(|live| self.is_hopeless(live)) {
-            self.give_up(id, actions);
-        }
-    }
-
     /// Whether a request cannot be answered in time, so that its client learns it early.
     pub(super) fn is_hopeless(&self, live: &LiveRequest) -> bool {
         let is_expired = self.is_expired(live);
--- a/crates/core/src/policy/slow_start.rs
+++ b/crates/core/src/policy/slow_start.rs
@@ -2,7 +2,7 @@
 
 use super::SECOND;
 use crate::interface::{Nanos, Settings};
-use crate::state::{Node, Scheduler};
+use crate::state::{mean, Node, Scheduler};
 
 /// The factor on the rate to starting servers: its bounds and its steps for a timely and a failed attempt.
 const FACTOR_MIN: f64 = 0.4;
@@ -46,6 +46,15 @@
         self.warmup_factor = (self.warmup_factor * step).clamp(FACTOR_MIN, FACTOR_MAX);
     }
 
+    /// Notes the rate that each warm server serves and their mean, for servers that start anew.
+    pub(super) fn update_warm_rates(&mut self) {
+        for node in self.nodes.values_mut().filter(|node| node.is_warm()) {
+            node.warm_rate = node.served_rate.now(self.now, SERVED_RATE_MEMORY_NS);
+        }
+        let warm_rates = self.nodes.values().filter(|node| node.is_warm()).map(|node| node.warm_rate);
+        self.mean_warm_rate = mean(warm_rates).unwrap_or(self.mean_warm_rate);
+    }
+
     pub(super) fn accrue_warmup_budgets(&mut self) {
         let elapsed_seconds = (self.now - self.last_tick_at) as f64 / SECOND as f64;
         self.last_tick_at = self.now;
--- a/crates/core/src/policy/value.rs
+++ b/crates/core/src/policy/value.rs
@@ -2,7 +2,7 @@
 
 use super::slow_start::SERVED_RATE_MEMORY_NS;
 use crate::interface::{Nanos, NodeId, Request};
-use crate::state::{mean, moving_average, LiveRequest, Node, Scheduler, Volume};
+use crate::state::{mean, moving_average, LiveRequest, Node, RateLimit, Scheduler, TokenBucket, Volume};
 
 /// A volume's rate beyond its reserve is fair up to this multiple of the smallest rate by weight.
 const FAIR_SHARE_RATIO: f64 = 2.0;
@@ -16,7 +16,8 @@
 const PLAN_WEIGHT_MIN: f64 = 0.01;
 
 impl Scheduler {
-    /// Creates a volume at its first request.
+    /// Creates a volume at its first request. Its limit starts empty, as a restarted front forgets its use,
+    /// and its reserve always holds the largest request.
     pub(super) fn ensure_volume(&mut self, request: &Request) {
         let (now, settings) = (self.now, &self.settings);
         let plan = &settings.plans[request.plan];
@@ -25,8 +26,12 @@
             let rates = settings.plans.iter().map(|plan| plan.nominal / plan.weight.max(PLAN_WEIGHT_MIN));
             let min_rate = rates.filter(|rate| *rate > 0.0).fold(f64::INFINITY, f64::min);
             let fair_share = min_rate * FAIR_SHARE_RATIO * plan.weight.max(PLAN_WEIGHT_MIN) / fronts;
-            let assigned = self.assigned_limits.get(&request.volume).copied();
-            Volume::new(plan, fronts, assigned, settings.max_units, fair_share, now)
+            let even_part = RateLimit { rate: plan.limit_rate / fronts, burst: plan.limit_burst / fronts };
+            let limit = self.assigned_limits.get(&request.volume).copied().unwrap_or(even_part);
+            let limit = (plan.limit_rate > 0.0).then(|| limit.empty_bucket(now));
+            let (rate, max_units) = (plan.reserve_rate / fronts, settings.max_units);
+            let reserve = TokenBucket::new(rate, rate + max_units, rate.min(max_units), now);
+            Volume::new(limit, reserve, fair_share, now)
         });
     }
 
@@ -78,7 +83,7 @@
     /// A request's latency over that of the mean request; costly requests must not look like congestion.
     pub(super) fn relative_latency(&self, request: &Request, node: &Node) -> f64 {
         let known_costs = self.unit_cost.iter().copied().filter(|cost| *cost > 0.0);
-        let mean_work = mean(known_costs) * self.settings.mean_units.max(1.0);
+        let mean_work = mean(known_costs).unwrap_or(0.0) * self.settings.mean_units.max(1.0);
         let work = self.work(request);
         if mean_work <= 0.0 || work <= 0.0 {
             return 1.0;
--- a/crates/core/src/state/admission.rs
+++ b/crates/core/src/state/admission.rs
@@ -46,6 +46,11 @@
 }
 
 impl Admission {
+    /// Multiplies the rate limit by a factor, where there is a limit.
+    pub fn scale_rate_limit(&mut self, factor: f64) {
+        self.rate_limit = self.rate_limit.map(|limit| limit * factor);
+    }
+
     /// The fraction of the latest requests with a higher value than this one, which becomes the latest of at most
     /// `capacity`. Of those with the same value, the fraction `draw` counts as higher.
     pub fn rank(&mut self, value: f64, draw: f64, capacity: usize) -> f64 {
--- a/crates/core/src/state/bookkeeping.rs
+++ b/crates/core/src/state/bookkeeping.rs
@@ -66,15 +66,6 @@
         &self.settings.classes[request.class]
     }
 
-    /// Whether a request may be sent by the order of its key: it is the first, and the key has settled.
-    pub(crate) fn is_next_for_key(&self, live: &LiveRequest) -> bool {
-        let keeps_order = self.class(&live.request).keep_order;
-        let Some(key) = live.request.key.filter(|_| keeps_order) else { return true };
-        let Some(queue) = self.key_queues.get(&key) else { return true };
-        let is_first = queue.requests.front() == Some(&live.request.id);
-        is_first && (self.now >= queue.settles_at || live.attempts > 0)
-    }
-
     /// Appends a request to its key's queue, where its class keeps order.
     pub(crate) fn join_key_queue(&mut self, request: &Request) {
         if self.settings.classes[request.class].keep_order {
@@ -84,10 +75,10 @@
         }
     }
 
-    /// Lets a key rest after an attempt that may still be executed.
-    fn settle_key(&mut self, key: Option<KeyId>) {
+    /// Lets a key rest until a time.
+    pub(crate) fn settle_key(&mut self, key: Option<KeyId>, until: Nanos) {
         if let Some(queue) = key.and_then(|key| self.key_queues.get_mut(&key)) {
-            queue.settles_at = self.now + self.settings.order_settle_time;
+            queue.settles_at = until;
         }
     }
 
@@ -149,13 +140,6 @@
         live.queued = false;
     }
 
-    /// Counts unknown sends against the warm-ups under way, so that their budgets are used up.
-    pub(crate) fn record_unknown_warmup_sends(&mut self) {
-        for node in self.nodes.values_mut().filter(|node| node.warmup_since.is_some()) {
-            node.warmup_sends.push_back(WarmupSend { sent_at: self.now, units: f64::INFINITY });
-        }
-    }
-
     /// Records the end of an attempt. Returns the attempt and its request, or nothing for an unknown attempt.
     pub(crate) fn record_end(
         &mut self,
@@ -177,11 +161,7 @@
         if outcome.may_have_executed() && live.possible_execution.is_none() {
             live.possible_execution = Some(PossibleExecution { sent_at: sent.sent_at, node: at });
         }
-        let request = live.request.clone();
-        if outcome.may_still_execute() {
-            self.settle_key(request.key);
-        }
-        Some((sent, request))
+        Some((sent, live.request.clone()))
     }
 
     /// Records a request received and forgets those before the window.
--- a/crates/core/src/state/node.rs
+++ b/crates/core/src/state/node.rs
@@ -189,12 +189,6 @@
         self.in_flight.values().filter(|sent| sent.sent_at >= self.newest_answered_send).count()
     }
 
-    /// The time since the last answer or the oldest send in flight, whichever is later; absent if idle.
-    pub fn silence(&self, now: Nanos) -> Option<Nanos> {
-        let oldest = self.in_flight.values().map(|sent| sent.sent_at).min()?;
-        Some(now - oldest.max(self.last_answer_at))
-    }
-
     /// Units sent after a time, as far as sends are kept.
     pub fn units_sent_after(&self, time: Nanos) -> f64 {
         let recent = self.warmup_sends.iter().filter(|send| send.sent_at > time);
--- a/crates/core/src/state/node_table.rs
+++ b/crates/core/src/state/node_table.rs
@@ -13,34 +13,17 @@
         members.filter(move |(_, node)| node.listed == Listed::Up || drain_missed(node))
     }
 
-    /// Applies an entry of the endpoint list. A new chunk server starts with the given window, and with the rate that
-    /// its shard's other servers serve.
+    /// Applies the shard, zone and state of an entry of the endpoint list. A new chunk server gets the given window.
     pub(crate) fn upsert_node(&mut self, info: &NodeInfo, window: f64) -> &mut Node {
-        let members = self.cells.get(&info.cell).into_iter().flatten();
-        let warm_rate = members.map(|id| self.nodes[id].warm_rate).fold(0.0, f64::max);
         self.assign_cell(info.node, info.cell);
         let (now, limits) = (self.now, &self.fleet_limits);
         let new_node = || Node::new(info, now, window, limits.node_limits(now));
         let node = self.nodes.entry(info.node).or_insert_with(new_node);
-        node.warm_rate = node.warm_rate.max(warm_rate);
         node.zone = info.zone;
         node.listed = info.listed;
         node
     }
 
-    /// Notes the rate that each warm server serves and their mean, for servers that start anew.
-    pub(crate) fn update_warm_rates(&mut self, memory: f64) {
-        let (mut sum, mut count) = (0.0, 0.0);
-        for node in self.nodes.values_mut().filter(|node| node.is_warm()) {
-            node.warm_rate = node.served_rate.now(self.now, memory);
-            sum += node.warm_rate;
-            count += 1.0;
-        }
-        if count > 0.0 {
-            self.mean_warm_rate = sum / count;
-        }
-    }
-
     /// Moves base weight from one chunk server to another.
     pub(crate) fn move_base_weight(&mut self, from: NodeId, to: NodeId, amount: f64) {
         for (id, change) in [(from, -amount), (to, amount)] {
--- a/crates/core/src/state/statistics.rs
+++ b/crates/core/src/state/statistics.rs
@@ -90,10 +90,10 @@
     alpha.max(1.0 - (-(elapsed.max(0) as f64) / time_constant as f64).exp())
 }
 
-/// The arithmetic mean; 0 without items.
-pub fn mean(items: impl Iterator<Item = f64>) -> f64 {
+/// The arithmetic mean; absent without items.
+pub fn mean(items: impl Iterator<Item = f64>) -> Option<f64> {
     let (sum, count) = items.fold((0.0, 0u32), |(sum, count), item| (sum + item, count + 1));
-    sum / f64::from(count.max(1))
+    (count > 0).then(|| sum / f64::from(count))
 }
 
 /// Chooses an item with a probability proportional to its weight; `draw` is uniform in 0..1.
--- a/crates/core/src/state/volume.rs
+++ b/crates/core/src/state/volume.rs
@@ -1,8 +1,8 @@
 //! What the front knows of a volume.
 
-use crate::interface::{Nanos, Plan};
+use crate::interface::Nanos;
 use crate::state::statistics::Rate;
-use crate::state::token_bucket::{RateLimit, TokenBucket};
+use crate::state::token_bucket::TokenBucket;
 
 /// The limits and the use of a volume, each as the part of this front.
 #[derive(Clone, Debug)]
@@ -18,21 +18,8 @@
 }
 
 impl Volume {
-    /// A volume of a plan that works through `fronts` fronts. Its limit is the one that the fleet assigned, or an even
-    /// part; it starts empty, as a restarted front forgets what it used. The reserve always holds the largest request.
-    pub fn new(
-        plan: &Plan,
-        fronts: f64,
-        assigned: Option<RateLimit>,
-        max_units: f64,
-        fair_share: f64,
-        now: Nanos,
-    ) -> Volume {
-        let even_part = RateLimit { rate: plan.limit_rate / fronts, burst: plan.limit_burst / fronts };
-        let limit = assigned.unwrap_or(even_part);
-        let limit = (plan.limit_rate > 0.0).then(|| limit.empty_bucket(now));
-        let rate = plan.reserve_rate / fronts;
-        let reserve = TokenBucket::new(rate, rate + max_units, rate.min(max_units), now);
+    /// A volume that has sent nothing yet.
+    pub fn new(limit: Option<TokenBucket>, reserve: TokenBucket, fair_share: f64, now: Nanos) -> Volume {
         Volume { limit, reserve, excess_rate: Rate::new(now), fair_share }
     }
 
