--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -127,34 +127,24 @@
 }
 
 /// Why settings are not valid.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// There is no class or no plan.
+    #[error("settings cannot hold: there must be a class and a plan")]
     MissingClassOrPlan,
     /// A class has no objective or deadline, or a weight that is negative or not finite.
+    #[error("settings cannot hold: a class needs an aim, a deadline and a worth")]
     InvalidClass,
     /// A plan has a figure that is negative or not finite.
+    #[error("settings cannot hold: a plan's rates must be numbers of 0 or more")]
     InvalidPlan,
     /// There is no front, no attempt is allowed, or the quantum is negative.
+    #[error("settings cannot hold: initiators and tries must be 1 or more")]
     InvalidCount,
     /// Units or values are negative or not finite, or the mean units are 0.
+    #[error("settings cannot hold: units and worths must be numbers of 0 or more")]
     InvalidUnits,
     /// Reloaded settings have fewer classes or plans than before.
+    #[error("settings cannot hold: classes and plans keep their numbers")]
     FewerClassesOrPlans,
 }
-
-impl std::fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let reason = match self {
-            SettingsError::MissingClassOrPlan => "there must be a class and a plan",
-            SettingsError::InvalidClass => "a class needs an aim, a deadline and a worth",
-            SettingsError::InvalidPlan => "a plan's rates must be numbers of 0 or more",
-            SettingsError::InvalidCount => "initiators and tries must be 1 or more",
-            SettingsError::InvalidUnits => "units and worths must be numbers of 0 or more",
-            SettingsError::FewerClassesOrPlans => "classes and plans keep their numbers",
-        };
-        write!(f, "settings cannot hold: {reason}")
-    }
-}
-
-impl std::error::Error for SettingsError {}
--- a/crates/core/src/maintenance.rs
+++ b/crates/core/src/maintenance.rs
@@ -13,22 +13,13 @@
 use crate::interface::{Listed, Nanos, NodeInfo};
 
 /// Why a server cannot enter or leave maintenance.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MaintenanceError {
     /// No endpoint list has named it.
+    #[error("no chunk server of that id has been listed")]
     NeverListed,
 }
 
-impl std::fmt::Display for MaintenanceError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            MaintenanceError::NeverListed => write!(f, "no chunk server of that id has been listed"),
-        }
-    }
-}
-
-impl std::error::Error for MaintenanceError {}
-
 /// The servers in maintenance, and the listed state of each server.
 #[derive(Clone, Debug)]
 pub struct MaintenanceSet<K> {
