--- a/crates/core/src/policy/congestion.rs
+++ b/crates/core/src/policy/congestion.rs
@@ -40,12 +40,14 @@
     /// Whether a window allows one more request. Below 1 it paces, as one of each front may be too many.
     pub(super) fn has_capacity(&self, window: f64, now: Nanos) -> bool {
         let window = if self.is_full() { 0.0 } else { window.min(self.limits.max_in_flight()) };
+        // Servers answer in order: one sent before another that was answered is lost and frees its place.
+        let pending = self.in_flight.values().filter(|s| s.sent_at >= self.newest_answered_send).count();
         if window < 1.0 {
             let best = self.best_latency.minimum().clamp(1.0, SECOND as f64);
             let pause = best * (1.0 / window - 1.0);
-            return self.pending() == 0 && now - self.last_answer_at >= pause as Nanos;
+            return pending == 0 && now - self.last_answer_at >= pause as Nanos;
         }
-        (self.pending() as f64) < window.floor()
+        (pending as f64) < window.floor()
     }
 
     /// Reduces the window once a period, from the part in use, as shrinking the unused part has no effect.
--- a/crates/core/src/policy/health.rs
+++ b/crates/core/src/policy/health.rs
@@ -61,7 +61,6 @@
     /// Updates health after an attempt and returns a log line if the server has recovered. A failure, however
     /// quick, marks the period as congested.
     pub(super) fn update_health(&mut self, at: NodeId, outcome: Outcome, sent_at: Nanos) -> Option<Action> {
-        let now = self.now;
         let node = self.nodes.get_mut(&at)?;
         if matches!(outcome, Outcome::Rejected | Outcome::TimedOut) {
             node.reduce_window(WINDOW_CUT_MAX);
@@ -74,22 +73,21 @@
         let was_healthy = node.is_healthy();
         match outcome {
             Outcome::Served | Outcome::Error => {
-                node.record_answer(now, sent_at);
+                node.record_answer(self.now, sent_at);
                 node.health = Health::Healthy;
             }
             // A lost answer says little: the work was done, and a dead server shows with the next attempt.
             Outcome::NotExecuted | Outcome::Reset | Outcome::TimedOut | Outcome::Rejected => {
                 node.consecutive_losses += 1;
                 if outcome == Outcome::NotExecuted || node.consecutive_losses >= SUSPECT_AFTER_LOSSES {
-                    node.mark_suspect(now);
+                    node.mark_suspect(self.now);
                 }
             }
             Outcome::Cancelled | Outcome::NotSent => {}
         }
         node.period_congested |= !matches!(outcome, Outcome::Served | Outcome::NotSent | Outcome::Cancelled);
-        node.end_period(now);
-        let has_recovered = !was_healthy && node.is_healthy();
-        has_recovered.then_some(Action::Log { text: "node answers again", node: at })
+        node.end_period(self.now);
+        (!was_healthy && node.is_healthy()).then_some(Action::Log { text: "node answers again", node: at })
     }
 
     /// Schedules the next probe of a suspect after one was sent, with jitter.
--- a/crates/core/src/state/node.rs
+++ b/crates/core/src/state/node.rs
@@ -183,12 +183,6 @@
         (self.ejection.is_probe_due(now) || now >= self.probe_at) && !self.is_full()
     }
 
-    /// Attempts that may still be answered. Servers answer in order: one sent before another that was answered is
-    /// lost and frees its place.
-    pub fn pending(&self) -> usize {
-        self.in_flight.values().filter(|sent| sent.sent_at >= self.newest_answered_send).count()
-    }
-
     /// Units sent after a time, as far as sends are kept.
     pub fn units_sent_after(&self, time: Nanos) -> f64 {
         let recent = self.warmup_sends.iter().filter(|send| send.sent_at > time);
