--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -10,7 +10,7 @@
 mod slow_start;
 mod value;
 
-use crate::interface::{Action, Event, Nanos, Outcome, Request};
+use crate::interface::{Action, Event, Nanos, Outcome, Request, UpdateScope};
 use crate::mutations::{mutated, Mutation};
 use crate::state::{LiveRequest, Scheduler};
 
@@ -41,6 +41,7 @@
             self.tick(actions);
         }
         match event {
+            Event::Endpoints { scope: UpdateScope::Unavailable, .. } => self.back_off_subscription(),
             Event::Endpoints { scope, nodes } => self.on_endpoints(scope, nodes, actions),
             Event::Request(request) => self.on_request(request, actions),
             Event::ClientGone(id) => {
@@ -50,9 +51,7 @@
                     self.finish(id);
                 }
             }
-            Event::ResponseStarted(id) => {
-                self.live.entry(id).and_modify(|live| live.streaming = true);
-            }
+            Event::ResponseStarted(id) => self.record_response_started(id),
             Event::AttemptEnded { .. } => self.on_attempt_ended(&event, actions),
             Event::Timer(TICK_COOKIE) => self.tick(actions),
             Event::FleetUpdate(update) => self.apply_fleet_update(update),
@@ -90,6 +89,9 @@
             self.record_client_stayed(id);
         }
         let Some((sent, request)) = self.record_end(id, attempt, at, outcome, last) else { return };
+        if outcome.may_still_execute() {
+            self.settle_key(request.key, self.now + self.settings.order_settle_time);
+        }
         if outcome == Outcome::NotSent && attempt == 0 {
             self.refund(request.volume, request.units);
         }
@@ -97,7 +99,7 @@
             self.learn_from_answer(&request, at, took);
         }
         self.count_outcome(at, outcome, took, &sent);
-        actions.extend(self.update_health(at, outcome, &sent));
+        actions.extend(self.update_health(at, outcome, sent.sent_at));
         if self.live[&id].finished {
             self.finish(id);
         } else {
@@ -118,12 +120,14 @@
         self.count_overdue();
         self.accrue_warmup_budgets();
         self.detect_silence(actions);
-        self.give_up_hopeless(actions);
+        for id in self.live_ids(|live| self.is_hopeless(live)) {
+            self.give_up(id, actions);
+        }
         self.move_waiting_objects(actions);
         if self.now - self.last_second_at >= SECOND {
             self.last_second_at = self.now;
             self.rebalance_base_weights();
-            self.update_warm_rates(slow_start::SERVED_RATE_MEMORY_NS);
+            self.update_warm_rates();
             self.expire_idle(VOLUME_IDLE_MAX, self.retry_budget().window);
             actions.extend(self.forget_removed_nodes().into_iter().map(Action::ForgetNode));
         }
--- a/crates/core/src/state/node.rs
+++ b/crates/core/src/state/node.rs
@@ -183,18 +183,6 @@
         (self.ejection.is_probe_due(now) || now >= self.probe_at) && !self.is_full()
     }
 
-    /// Attempts that may still be answered. Servers answer in order: one sent before another that was answered is
-    /// lost and frees its place.
-    pub fn pending(&self) -> usize {
-        self.in_flight.values().filter(|sent| sent.sent_at >= self.newest_answered_send).count()
-    }
-
-    /// The time since the last answer or the oldest send in flight, whichever is later; absent if idle.
-    pub fn silence(&self, now: Nanos) -> Option<Nanos> {
-        let oldest = self.in_flight.values().map(|sent| sent.sent_at).min()?;
-        Some(now - oldest.max(self.last_answer_at))
-    }
-
     /// Units sent after a time, as far as sends are kept.
     pub fn units_sent_after(&self, time: Nanos) -> f64 {
         let recent = self.warmup_sends.iter().filter(|send| send.sent_at > time);
@@ -240,6 +228,13 @@
         }
     }
 
+    /// Starts a control period, in which no congestion was seen yet.
+    pub fn start_period(&mut self, now: Nanos) {
+        self.period_started_at = now;
+        self.period_congested = false;
+        self.window_reduced = false;
+    }
+
     /// Shifts the base weight; the weight keeps its ratio to it.
     pub fn shift_base_weight(&mut self, amount: f64) {
         let ratio = self.weight / self.base_weight;
