--- /dev/null
+++ b/src/body_budget.rs
@@ -0,0 +1,62 @@
+//! The memory that the request bodies of a front may take together.
+
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::Arc;
+
+/// Limits the total bytes of request bodies that a front holds in memory.
+pub struct BodyBudget {
+    max_bytes: usize,
+    reserved_bytes: AtomicUsize,
+}
+
+impl BodyBudget {
+    /// A budget of `max_bytes` bytes.
+    pub fn new(max_bytes: usize) -> Arc<BodyBudget> {
+        Arc::new(BodyBudget { max_bytes, reserved_bytes: AtomicUsize::new(0) })
+    }
+}
+
+/// The memory for request bodies is in use.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the memory for request bodies is in use")]
+pub struct BodyBudgetExhausted;
+
+/// The bytes of one body, reserved in a [`BodyBudget`] until this is dropped. A front keeps it with the payload that
+/// it sends.
+pub struct BodyReservation {
+    budget: Arc<BodyBudget>,
+    bytes: usize,
+}
+
+impl BodyReservation {
+    /// Reserves `bytes` bytes.
+    ///
+    /// # Errors
+    /// [`BodyBudgetExhausted`] where the other bodies leave too little.
+    pub fn acquire(budget: &Arc<BodyBudget>, bytes: usize) -> Result<BodyReservation, BodyBudgetExhausted> {
+        let mut reservation = BodyReservation { budget: Arc::clone(budget), bytes: 0 };
+        reservation.grow(bytes)?;
+        Ok(reservation)
+    }
+
+    /// Extends the reservation to `bytes` bytes in total.
+    ///
+    /// # Errors
+    /// [`BodyBudgetExhausted`] where the other bodies leave too little.
+    pub fn grow(&mut self, bytes: usize) -> Result<(), BodyBudgetExhausted> {
+        let additional = bytes.saturating_sub(self.bytes);
+        let reserved = self.budget.reserved_bytes.fetch_add(additional, Ordering::Relaxed) + additional;
+        self.bytes += additional;
+        // A body alone always fits, so that no long request is refused for ever.
+        if reserved > self.budget.max_bytes && reserved > self.bytes {
+            return Err(BodyBudgetExhausted);
+        }
+        Ok(())
+    }
+}
+
+impl Drop for BodyReservation {
+    fn drop(&mut self) {
+        self.budget.reserved_bytes.fetch_sub(self.bytes, Ordering::Relaxed);
+    }
+}
--- a/src/cluster/config.rs
+++ b/src/cluster/config.rs
@@ -15,9 +15,8 @@
 use crate::cluster::fields::{self, FieldError};
 use crate::cluster::limits::ConfiguredLimits;
 use crate::cluster::roster::Roster;
+use crate::limits::MAX_FRONTS;
 
-/// Most fronts of a roster.
-pub(super) const MAX_FRONTS: PeerId = 1_000;
 /// Bytes a second of gossip, where the file does not say.
 const DEFAULT_GOSSIP_BYTES_PER_SECOND: f64 = 20_000.0;
 const NANOS_PER_MILLISECOND: f64 = 1e6;
--- a/src/cluster/errors.rs
+++ b/src/cluster/errors.rs
@@ -8,9 +8,8 @@
 use tulipbridge_membership::EnvelopeError;
 use tulipbridge_outlier_detection::DetectorConfigError;
 
-use crate::cluster::config::MAX_FRONTS;
 use crate::cluster::fields::FieldError;
-use crate::cluster::roster::MAX_ZONES;
+use crate::limits::{MAX_FRONTS, MAX_ZONES};
 
 /// Why `peers` of a front's file cannot be used.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
--- a/src/cluster/peers/mod.rs
+++ b/src/cluster/peers/mod.rs
@@ -32,9 +32,6 @@
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::Upstream;
 
-/// The configuration by the name that the reader of the whole file has for it.
-pub use crate::cluster::config::ClusterConfig as Config;
-
 /// The gossip entry with a front's program version.
 const VERSION_KEY: EntryKey = EntryKey { kind: 0, id: 0 };
 
--- a/src/cluster/roster.rs
+++ b/src/cluster/roster.rs
@@ -9,9 +9,7 @@
 
 use crate::cluster::errors::ClusterConfigError;
 use crate::cluster::fields;
-
-/// Most zones of a roster: a zone's number must fit into one byte.
-pub(super) const MAX_ZONES: usize = u8::MAX as usize;
+use crate::limits::MAX_ZONES;
 
 /// One front of the roster.
 #[derive(Clone, Debug, PartialEq)]
--- a/src/control/agent/api.rs
+++ b/src/control/agent/api.rs
@@ -13,7 +13,8 @@
 use crate::control::agent::command::FrontCommand;
 use crate::control::agent::fleet::Fleet;
 use crate::control::agent::supervisor::STOP_TIMEOUT;
-use crate::frontend::listener::{plain, Handler, ReceivedRequest, Reply};
+use crate::frontend::listener::{Handler, ReceivedRequest};
+use crate::frontend::replies::{plain, Reply};
 
 /// Serves the API on the fronts of an agent.
 pub struct AgentApi {
--- a/src/front/assembly.rs
+++ b/src/front/assembly.rs
@@ -9,6 +9,7 @@
 use tokio::task::spawn_local;
 use tulipbridge_core::{Nanos, Settings};
 
+use crate::body_budget::BodyBudget;
 use crate::cluster::peers::Peers;
 use crate::config::Config;
 use crate::control::console::{self, Console, ConsoleParts};
@@ -17,9 +18,10 @@
 use crate::control::maintenance::Maintenance;
 use crate::exchange::Exchange;
 use crate::front::error::FrontError;
-use crate::frontend::listener::{BodyBudget, ListenerState};
+use crate::frontend::listener::ListenerState;
+use crate::limits::MAX_BODY;
 use crate::telemetry::metrics::Metrics;
-use crate::upstream::{Upstream, MAX_BODY};
+use crate::upstream::Upstream;
 
 /// File descriptors that are not connections with clients or chunk servers: those of the runtime, the log, the
 /// listeners, discovery, one file, and the console's connections, of which there are at most
--- a/src/frontend/body.rs
+++ b/src/frontend/body.rs
@@ -1,6 +1,5 @@
 //! Reading request bodies within limits of size, time and total memory.
 
-use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -10,7 +9,8 @@
 use hyper::StatusCode;
 use tokio::time::{timeout_at, Instant};
 
-use crate::upstream::MAX_BODY;
+use crate::body_budget::{BodyBudget, BodyBudgetExhausted, BodyReservation};
+use crate::limits::MAX_BODY;
 
 /// The most bytes of a request body.
 pub(super) const MAX_REQUEST_BODY: usize = 32 << 20;
@@ -37,7 +37,8 @@
     if announced > MAX_REQUEST_BODY as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
-    let mut reservation = BodyReservation::acquire(budget, usize::try_from(announced).unwrap_or(usize::MAX))?;
+    let announced_bytes = usize::try_from(announced).unwrap_or(usize::MAX);
+    let mut reservation = BodyReservation::acquire(budget, announced_bytes).map_err(status_of)?;
     let mut bytes = BytesMut::with_capacity(usize::try_from(announced).unwrap_or(0).min(MAX_BODY));
     let mut frame_deadline = start_by;
     loop {
@@ -49,7 +50,7 @@
             if length > MAX_REQUEST_BODY {
                 return Err(StatusCode::PAYLOAD_TOO_LARGE);
             }
-            reservation.grow(length)?;
+            reservation.grow(length).map_err(status_of)?;
             bytes.extend_from_slice(&data);
         }
         frame_deadline = Instant::now() + BODY_IDLE_TIMEOUT;
@@ -57,55 +58,6 @@
     Ok(ReceivedBody { bytes: bytes.freeze(), reservation: Arc::new(reservation) })
 }
 
-/// Limits the total bytes of request bodies that a front holds in memory.
-pub struct BodyBudget {
-    max_bytes: usize,
-    reserved_bytes: AtomicUsize,
-}
-
-impl BodyBudget {
-    /// A budget of `max_bytes` bytes.
-    pub fn new(max_bytes: usize) -> Arc<BodyBudget> {
-        Arc::new(BodyBudget { max_bytes, reserved_bytes: AtomicUsize::new(0) })
-    }
-}
-
-/// The bytes of one body, reserved in a [`BodyBudget`] until this is dropped. A front keeps it with the payload that
-/// it sends.
-pub struct BodyReservation {
-    budget: Arc<BodyBudget>,
-    bytes: usize,
-}
-
-impl BodyReservation {
-    /// Reserves `bytes` bytes.
-    ///
-    /// # Errors
-    /// 503 where the budget is exhausted.
-    fn acquire(budget: &Arc<BodyBudget>, bytes: usize) -> Result<BodyReservation, StatusCode> {
-        let mut reservation = BodyReservation { budget: Arc::clone(budget), bytes: 0 };
-        reservation.grow(bytes)?;
-        Ok(reservation)
-    }
-
-    /// Extends the reservation to `bytes` bytes in total.
-    ///
-    /// # Errors
-    /// 503 where the budget is exhausted.
-    fn grow(&mut self, bytes: usize) -> Result<(), StatusCode> {
-        let additional = bytes.saturating_sub(self.bytes);
-        let reserved = self.budget.reserved_bytes.fetch_add(additional, Ordering::Relaxed) + additional;
-        self.bytes += additional;
-        // A body alone always fits, so that no long request is refused for ever.
-        if reserved > self.budget.max_bytes && reserved > self.bytes {
-            return Err(StatusCode::SERVICE_UNAVAILABLE);
-        }
-        Ok(())
-    }
-}
-
-impl Drop for BodyReservation {
-    fn drop(&mut self) {
-        self.budget.reserved_bytes.fetch_sub(self.bytes, Ordering::Relaxed);
-    }
+fn status_of(BodyBudgetExhausted: BodyBudgetExhausted) -> StatusCode {
+    StatusCode::SERVICE_UNAVAILABLE
 }
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -21,11 +21,10 @@
 
 use super::body::MAX_REQUEST_BODY;
 use super::client_state::ClientState;
+use super::replies::Reply;
+use crate::body_budget::BodyBudget;
 use crate::telemetry::log::log;
 
-pub use super::body::BodyBudget;
-pub use super::replies::{plain, Reply};
-
 /// Connections above the limit that are accepted at a time to be answered with a rejection; others wait in the
 /// kernel's queue.
 const REJECTION_SLOTS: usize = 16;
--- a/src/frontend/platform/mod.rs
+++ b/src/frontend/platform/mod.rs
@@ -17,9 +17,9 @@
 
 use self::request_parser::single_value;
 use self::streaming::stream_response;
-use super::body::BodyReservation;
 use super::listener::{Handler, ReceivedRequest};
 use super::replies::{health_check, plain, rejected, Reply};
+use crate::body_budget::BodyReservation;
 use crate::exchange::{Exchange, FinalResponse};
 use crate::upstream::{Accepts, Answer, Payload, Upstream};
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,6 +2,7 @@
 //! chunk server. The decisions are made in [`tulipbridge_core`], which does no I/O. This crate adds the sockets, the
 //! configuration and the commands.
 
+pub mod body_budget;
 pub mod cli;
 pub mod cluster;
 pub mod config;
@@ -9,6 +10,7 @@
 pub mod exchange;
 pub mod front;
 pub mod frontend;
+mod limits;
 pub mod object;
 pub mod runtime;
 pub mod telemetry;
--- a/src/object/answer.rs
+++ b/src/object/answer.rs
@@ -4,7 +4,7 @@
 use hyper::StatusCode;
 
 use super::error::ApiError;
-use super::front::VERSION_ID;
+use super::replies::VERSION_ID;
 use super::xml;
 use crate::upstream::Answer;
 
--- a/src/object/delete.rs
+++ b/src/object/delete.rs
@@ -5,14 +5,14 @@
 use hyper::{Method, StatusCode};
 
 use super::error::ApiError;
-use super::front::{encode, Front};
-use super::node_request::NodeRequest;
+use super::front_state::FrontState;
+use super::node_request::{encode_query_value, NodeRequest};
 use super::replies::empty;
 use super::request::ObjectRequest;
 use crate::frontend::replies::Reply;
 use crate::upstream::Answer;
 
-impl Front {
+impl FrontState {
     /// DeleteObject: one version, or all copies of the object. Deleting what does not exist is a success.
     pub(super) async fn delete(self: &Rc<Self>, request: ObjectRequest) -> Result<Reply, ApiError> {
         match request.version()? {
@@ -22,7 +22,7 @@
             Some(version) => {
                 let node = NodeRequest {
                     cell: Some(version.cell),
-                    query: format!("versionId={}", encode(&version.own)),
+                    query: format!("versionId={}", encode_query_value(&version.own)),
                     units: self.mean_units,
                     ..NodeRequest::new(request.bucket.read_class, Method::DELETE)
                 };
--- a/src/object/front.rs
+++ b/src/object/front.rs
@@ -1,48 +1,29 @@
-//! The handler of the object API: state, dispatch by operation, and PutObject.
+//! The handler of the object API: dispatch by operation, and PutObject.
 
 use std::cell::RefCell;
-use std::collections::HashMap;
 use std::rc::Rc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 use bytes::Bytes;
 use hyper::header::{HeaderName, HeaderValue, ETAG};
 use hyper::{Method, StatusCode};
-use percent_encoding::{utf8_percent_encode, NON_ALPHANUMERIC};
 
-use super::config::{Bucket, Config};
+use super::config::Config;
 use super::error::ApiError;
+use super::front_state::FrontState;
 use super::node_request::NodeRequest;
-use super::replies::{copy_header, empty};
+use super::replies::{copy_header, empty, VERSION_ID};
 use super::request::{ObjectRequest, Operation};
 use crate::exchange::Exchange;
 use crate::frontend::listener::{Handler, ReceivedRequest};
 use crate::frontend::replies::{health_check, Reply};
-use crate::upstream::{Upstream, MAX_BODY};
+use crate::limits::MAX_BODY;
+use crate::upstream::Upstream;
 
-/// Header with a version id.
-pub(super) const VERSION_ID: HeaderName = HeaderName::from_static("x-amz-version-id");
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-amz-request-id");
 
 /// The handler for the object API.
-pub struct ObjectFront(Rc<Front>);
-
-/// State of the handler, shared with the tasks that stream objects.
-pub(super) struct Front {
-    pub(super) exchange: Rc<Exchange<Upstream>>,
-    /// Buckets by name.
-    pub(super) buckets: HashMap<String, Bucket>,
-    /// Number of shards.
-    pub(super) shards: u32,
-    /// Deadlines by class.
-    pub(super) deadlines: Vec<Duration>,
-    /// Mean units of a request, assumed where the size is not known.
-    pub(super) mean_units: f64,
-    /// The most units of a request.
-    pub(super) max_units: f64,
-    /// Upload ids whose completion runs or may still run, and until when.
-    pub(super) pending_completions: RefCell<HashMap<String, Instant>>,
-}
+pub struct ObjectFront(Rc<FrontState>);
 
 impl Handler for ObjectFront {
     fn begin_shutdown(&self, within: Duration) {
@@ -75,7 +56,7 @@
     pub fn new(exchange: Rc<Exchange<Upstream>>, config: Config) -> ObjectFront {
         let settings = &config.base.settings;
         let deadlines = settings.classes.iter().map(|class| Duration::from_nanos(class.deadline as u64));
-        ObjectFront(Rc::new(Front {
+        ObjectFront(Rc::new(FrontState {
             exchange,
             shards: config.base.shards,
             deadlines: deadlines.collect(),
@@ -87,7 +68,7 @@
     }
 }
 
-impl Front {
+impl FrontState {
     async fn serve(self: &Rc<Self>, request: ReceivedRequest) -> Result<Reply, ApiError> {
         let (head, body) = request.into_parts();
         let body = body.and_then(check_length).map_err(ApiError::refused_body)?;
@@ -129,8 +110,3 @@
         Ok(body)
     }
 }
-
-/// Percent-encodes a value for a query.
-pub(super) fn encode(text: &str) -> String {
-    utf8_percent_encode(text, NON_ALPHANUMERIC).to_string()
-}
--- a/src/object/get.rs
+++ b/src/object/get.rs
@@ -15,13 +15,14 @@
 use tulipbridge_core::CellId;
 
 use super::error::ApiError;
-use super::front::{encode, Front, VERSION_ID};
-use super::node_request::NodeRequest;
+use super::front_state::FrontState;
+use super::node_request::{encode_query_value, NodeRequest};
 use super::range::{ByteRange, ContentRange};
-use super::replies::{copy_header, empty};
+use super::replies::{copy_header, empty, VERSION_ID};
 use super::request::{select_headers, ObjectRequest, VersionId};
 use crate::frontend::replies::Reply;
-use crate::upstream::{Answer, MAX_BODY};
+use crate::limits::MAX_BODY;
+use crate::upstream::Answer;
 
 /// Headers of a chunk server's answer that describe an object, besides those with metadata of the user.
 const DESCRIBING_HEADERS: [&str; 8] = [
@@ -54,7 +55,7 @@
     range: ContentRange,
 }
 
-impl Front {
+impl FrontState {
     /// HeadObject.
     pub(super) async fn head(self: &Rc<Self>, request: ObjectRequest) -> Result<Reply, ApiError> {
         let source = self.read_source(&request).await?;
@@ -105,7 +106,7 @@
             Some(version) => version,
             None => VersionId { cell: self.find_shard(request).await?, own: String::new() },
         };
-        let query = if own.is_empty() { own } else { format!("versionId={}", encode(&own)) };
+        let query = if own.is_empty() { own } else { format!("versionId={}", encode_query_value(&own)) };
         let version_id = request.query.get("versionId").and_then(|id| HeaderValue::try_from(id).ok());
         Ok(ReadSource { cell, query, version_id })
     }
--- a/src/object/mod.rs
+++ b/src/object/mod.rs
@@ -9,6 +9,7 @@
 mod delete;
 mod error;
 mod front;
+mod front_state;
 mod get;
 mod multipart;
 mod node_request;
--- a/src/object/multipart.rs
+++ b/src/object/multipart.rs
@@ -9,9 +9,9 @@
 use tulipbridge_core::CellId;
 
 use super::error::ApiError;
-use super::front::{encode, Front, VERSION_ID};
-use super::node_request::NodeRequest;
-use super::replies::{copy_header, document, empty};
+use super::front_state::FrontState;
+use super::node_request::{encode_query_value, NodeRequest};
+use super::replies::{copy_header, document, empty, VERSION_ID};
 use super::request::ObjectRequest;
 use super::xml;
 use crate::frontend::replies::Reply;
@@ -58,7 +58,7 @@
 
     /// The query that names the upload to its chunk server.
     fn query(&self) -> String {
-        format!("uploadId={}", encode(&self.own))
+        format!("uploadId={}", encode_query_value(&self.own))
     }
 
     /// A request to the shard of the upload.
@@ -67,7 +67,7 @@
     }
 }
 
-impl Front {
+impl FrontState {
     /// CreateMultipartUpload: a new object, which any shard may take.
     pub(super) async fn create_upload(&self, request: ObjectRequest) -> Result<Reply, ApiError> {
         let token = format!("{:016x}", fastrand::u64(..));
--- a/src/object/node_request.rs
+++ b/src/object/node_request.rs
@@ -7,13 +7,14 @@
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, Uri};
+use percent_encoding::{utf8_percent_encode, NON_ALPHANUMERIC};
 use tokio::task::JoinSet;
 use tulipbridge_core as core;
 use tulipbridge_core::CellId;
 
 use super::config::Bucket;
 use super::error::ApiError;
-use super::front::Front;
+use super::front_state::FrontState;
 use super::request::ObjectRequest;
 use crate::exchange::FinalResponse;
 use crate::upstream::{Accepts, Answer, Payload};
@@ -53,7 +54,7 @@
     pub result: Result<Answer, ApiError>,
 }
 
-impl Front {
+impl FrontState {
     /// Sends a request to a chunk server through the exchange.
     pub(super) async fn send(&self, request: &ObjectRequest, node: NodeRequest) -> Result<Answer, ApiError> {
         let remaining = request.deadline.saturating_duration_since(Instant::now());
@@ -135,3 +136,8 @@
     let id = format!("{:016x}", fastrand::u64(..));
     HeaderValue::try_from(id).map_err(|_| ApiError::OutcomeUnknown)
 }
+
+/// Percent-encodes a value for a query.
+pub(super) fn encode_query_value(text: &str) -> String {
+    utf8_percent_encode(text, NON_ALPHANUMERIC).to_string()
+}
--- a/src/object/replies.rs
+++ b/src/object/replies.rs
@@ -7,6 +7,9 @@
 use super::xml;
 use crate::frontend::replies::Reply;
 
+/// Header with a version id.
+pub(super) const VERSION_ID: HeaderName = HeaderName::from_static("x-amz-version-id");
+
 /// A response without a body.
 pub(super) fn empty(status: StatusCode) -> Reply {
     let mut reply = Response::new(Either::Left(Full::default()));
--- a/src/object/request.rs
+++ b/src/object/request.rs
@@ -11,7 +11,7 @@
 use tulipbridge_core::CellId;
 
 use super::error::ApiError;
-use super::front::Front;
+use super::front_state::FrontState;
 use super::Bucket;
 
 /// Prefix of the headers with metadata of the user.
@@ -81,7 +81,7 @@
     pub own: String,
 }
 
-impl Front {
+impl FrontState {
     /// Parses a request head.
     pub(super) fn parse(
         &self,
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -22,7 +22,7 @@
 use tulipbridge_core::server_connection::{ConnectionEvent, Execution, ServerConnection};
 use tulipbridge_core::CellId;
 
-use super::connections::OpenSlot;
+use super::open_connections::OpenSlot;
 use super::payload::{Answer, Payload};
 use super::response::read_response;
 use super::wire_state::WireState;
--- a/src/upstream/connections.rs
+++ b/src/upstream/connections.rs
@@ -1,6 +1,6 @@
 //! All connections to chunk servers: the pool, dialling, and carrying out attempts.
 
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -9,10 +9,11 @@
 use tokio::net::TcpStream;
 use tulipbridge_core::attempt::{Attempt, AttemptEvent, AttemptStep};
 use tulipbridge_core::connection_pool::{Capacity, ConnectionPool};
-use tulipbridge_core::server_connection::Execution;
+use tulipbridge_core::server_connection::{ConnectionEvent, Execution};
 use tulipbridge_core::{CellId, Nanos, NodeId};
 
 use super::connection::PooledConnection;
+use super::open_connections::OpenConnections;
 use super::payload::{Answer, Payload};
 use super::server_table::{Located, ServerTable};
 use crate::exchange::{AttemptReport, Withdrawal};
@@ -27,7 +28,7 @@
     /// Origin of the pool's clock.
     epoch: Instant,
     /// Connections that are open or being dialled.
-    open: Cell<usize>,
+    open: OpenConnections,
     servers: RefCell<ServerTable>,
     pool: RefCell<ConnectionPool<PooledConnection>>,
 }
@@ -39,7 +40,7 @@
         Connections {
             dial_timeout,
             epoch: Instant::now(),
-            open: Cell::new(0),
+            open: OpenConnections::default(),
             servers: RefCell::default(),
             pool: RefCell::new(ConnectionPool::new(idle_timeout.as_nanos() as Nanos, max_connections)),
         }
@@ -154,7 +155,13 @@
         })?;
         // A streamed body keeps its connection until it is complete.
         match report.answer.as_mut().and_then(|answer| answer.streamed.as_mut()) {
-            Some(streamed) => streamed.hold_connection(connection, node, Rc::clone(self)),
+            Some(streamed) => {
+                let pool = Rc::clone(self);
+                streamed.keep_connection(move || {
+                    connection.wire.on(ConnectionEvent::ResponseComplete);
+                    pool.release(node, connection);
+                });
+            }
             None => self.release(node, connection),
         }
         Ok(report)
@@ -181,35 +188,19 @@
     /// longest.
     fn may_open(&self, node: NodeId) -> bool {
         let is_known = self.servers.borrow().get(node).is_some();
-        is_known && !matches!(self.pool.borrow_mut().capacity(self.open.get()), Capacity::Exhausted)
+        is_known && !matches!(self.pool.borrow_mut().capacity(self.open.count()), Capacity::Exhausted)
     }
 
     /// Opens a connection to a server; `None` where this fails or takes longer than the timeout.
     async fn dial(self: &Rc<Self>, node: NodeId) -> Option<PooledConnection> {
         let (address, cell) = self.servers.borrow().get(node).map(|server| (server.address, server.cell))?;
         let address_epoch = self.pool.borrow().address_epoch(node)?;
-        let slot = OpenSlot::acquire(self);
+        let slot = self.open.acquire();
         if trace::is_enabled() {
             let name = self.display_name(node);
-            trace::write(json!({ "e": "dial", "node": name, "open": self.open.get() }));
+            trace::write(json!({ "e": "dial", "node": name, "open": self.open.count() }));
         }
         let stream = tokio::time::timeout(self.dial_timeout, TcpStream::connect(address)).await;
         PooledConnection::handshake(stream.ok()?.ok()?, address_epoch, cell, slot).await
     }
 }
-
-/// Counts a connection as open until it is dropped.
-pub(super) struct OpenSlot(Rc<Connections>);
-
-impl OpenSlot {
-    fn acquire(connections: &Rc<Connections>) -> OpenSlot {
-        connections.open.set(connections.open.get() + 1);
-        OpenSlot(Rc::clone(connections))
-    }
-}
-
-impl Drop for OpenSlot {
-    fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
-    }
-}
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -3,6 +3,7 @@
 
 pub mod connection;
 mod connections;
+mod open_connections;
 pub mod payload;
 mod response;
 mod server_table;
@@ -20,9 +21,6 @@
 
 pub use self::payload::{Accepts, Answer, Payload, StreamedBody};
 
-/// The most bytes of a body, in either direction, that is buffered completely.
-pub const MAX_BODY: usize = 64 * 1024;
-
 /// The chunk servers' addresses and the connections to them.
 pub struct Upstream {
     connections: Rc<Connections>,
--- a/src/upstream/payload.rs
+++ b/src/upstream/payload.rs
@@ -1,18 +1,14 @@
 //! What is sent to a chunk server and what comes back.
 
-use std::rc::Rc;
 use std::sync::Arc;
 
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, StatusCode, Uri};
-use tulipbridge_core::server_connection::ConnectionEvent;
-use tulipbridge_core::{CellId, NodeId};
+use tulipbridge_core::CellId;
 
-use super::connection::PooledConnection;
-use super::connections::Connections;
-use crate::frontend::body::BodyReservation;
+use crate::body_budget::BodyReservation;
 use crate::telemetry::metrics::ClassMetrics;
 
 /// A request to a chunk server.
@@ -68,37 +64,25 @@
     pub body: Incoming,
     /// The length of the whole body in bytes, where the server announced it.
     pub length: Option<u64>,
-    connection: Option<BorrowedConnection>,
-}
-
-/// A connection that is returned to its pool when the body is complete.
-struct BorrowedConnection {
-    connection: PooledConnection,
-    node: NodeId,
-    pool: Rc<Connections>,
+    /// Returns the connection to its pool; dropping this closes the connection.
+    release_connection: Option<Box<dyn FnOnce()>>,
 }
 
 impl StreamedBody {
     /// A body that does not own its connection yet.
     pub(super) fn new(first: Bytes, body: Incoming, length: Option<u64>) -> StreamedBody {
-        StreamedBody { first, body, length, connection: None }
+        StreamedBody { first, body, length, release_connection: None }
     }
 
-    /// Keeps the connection that the body arrives on until [`StreamedBody::done`].
-    pub(super) fn hold_connection(
-        &mut self,
-        connection: PooledConnection,
-        node: NodeId,
-        pool: Rc<Connections>,
-    ) {
-        self.connection = Some(BorrowedConnection { connection, node, pool });
+    /// Keeps the connection that the body arrives on, as the closure that returns it to its pool.
+    pub(super) fn keep_connection(&mut self, release: impl FnOnce() + 'static) {
+        self.release_connection = Some(Box::new(release));
     }
 
     /// The body is complete: returns its connection to the pool for another request.
     pub fn done(mut self) {
-        if let Some(BorrowedConnection { connection, node, pool }) = self.connection.take() {
-            connection.wire.on(ConnectionEvent::ResponseComplete);
-            pool.release(node, connection);
+        if let Some(release) = self.release_connection.take() {
+            release();
         }
     }
 }
--- a/src/upstream/response.rs
+++ b/src/upstream/response.rs
@@ -10,8 +10,8 @@
 use tulipbridge_core::{CellId, Outcome};
 
 use super::payload::{Accepts, Answer, StreamedBody};
-use super::MAX_BODY;
 use crate::exchange::AttemptReport;
+use crate::limits::MAX_BODY;
 
 /// The most bytes of a body that is streamed; a longer one is taken for a malformed response.
 const MAX_STREAMED_BODY: u64 = 1 << 30;
