--- a/src/bin/tulipbridge-adapter/instance.rs
+++ b/src/bin/tulipbridge-adapter/instance.rs
@@ -53,7 +53,7 @@
         })
     }
 
-    /// Gives an event to the scheduler and appends the resulting actions.
+    /// Passes an event to the scheduler and appends the resulting actions.
     pub fn process_event(
         &mut self,
         now: Nanos,
--- a/src/bin/tulipbridge-adapter/request_registry.rs
+++ b/src/bin/tulipbridge-adapter/request_registry.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// An attempt of a request has ended; `finished` tells that the request has, too.
+    /// An attempt of a request has ended; `finished` is set where the request has, too.
     pub fn attempt_ended(&mut self, id: RequestId, finished: bool) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
--- a/src/cli/peers.rs
+++ b/src/cli/peers.rs
@@ -27,14 +27,14 @@
 
 fn print_peer(peer: &Value) -> Result<(), JsonError> {
     let name = string(peer.get("name"), "name")?;
-    let belief = string(peer.get("belief"), "belief")?;
+    let peer_status = string(peer.get("belief"), "belief")?;
     let silent = peer.get("silent_ms").and_then(Value::as_i64);
     let silent = silent.map_or("-".to_owned(), |milliseconds| format!("{milliseconds} ms"));
     let evidence = evidence(peer)?;
-    let (lent, borrowed) = (fraction(peer, "lent"), fraction(peer, "borrowed"));
+    let (granted, borrowed) = (fraction(peer, "lent"), fraction(peer, "borrowed"));
     let version = peer.get("version").and_then(Value::as_str).unwrap_or("-");
     println!(
-        "{name:<20} {version:<8} {belief:<8} {silent:>10} {lent:>7.3} {borrowed:>9.3}  {}",
+        "{name:<20} {version:<8} {peer_status:<8} {silent:>10} {granted:>7.3} {borrowed:>9.3}  {}",
         evidence.join("; ")
     );
     Ok(())
--- a/src/cluster/ejections/mod.rs
+++ b/src/cluster/ejections/mod.rs
@@ -11,9 +11,7 @@
 use std::collections::BTreeMap;
 
 use tulipbridge_core::request_tracker::Input;
-use tulipbridge_core::{
-    ClassSet, FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, RequestId, UpdateScope,
-};
+use tulipbridge_core::{ClassSet, FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, UpdateScope};
 use tulipbridge_membership::{EntryKey, EnvelopeCodec, GossipStore};
 use tulipbridge_outlier_detection::{
     AttemptObserver, AttemptResult, Class, DetectorConfig, DetectorConfigError, Effect, EjectionTarget,
@@ -23,6 +21,7 @@
 pub use self::config::EjectionConfig;
 pub use self::metrics::EjectionMetrics;
 pub use self::status::DisplayNames;
+use crate::exchange::AttemptKey;
 use crate::telemetry::log::log;
 
 /// A node of the decision module, as the endpoint list has it.
@@ -33,11 +32,19 @@
     is_up: bool,
 }
 
+/// A change of a gossip entry of this front.
+pub struct EntryChange {
+    /// Identifies the entry.
+    pub key: EntryKey,
+    /// The new value; `None` removes the entry.
+    pub value: Option<Vec<u8>>,
+}
+
 /// What is to be done after an evaluation.
 #[derive(Default)]
 pub struct EjectionChanges {
-    /// Gossip entries of this front to be put; one without a value is to be removed.
-    pub entries: Vec<(EntryKey, Option<Vec<u8>>)>,
+    /// Changes of this front's gossip entries.
+    pub entries: Vec<EntryChange>,
     /// Updates for the decision module.
     pub updates: Vec<FleetUpdate>,
 }
@@ -47,7 +54,7 @@
     detector: OutlierDetector,
     observer: AttemptObserver,
     nodes: BTreeMap<NodeId, ListedServer>,
-    /// The classes for which the decision module was last told that a node is ejected.
+    /// The classes for which the decision module was last informed that a node is ejected.
     reported: BTreeMap<NodeId, ClassSet>,
     /// Observations since the last evaluation.
     pending_events: Vec<Event>,
@@ -87,7 +94,7 @@
         self.detector.config()
     }
 
-    /// Observes an input before the request tracker processes it. Gives whether an evaluation should follow soon: an
+    /// Observes an input before the request tracker processes it. Returns whether an evaluation should follow soon: an
     /// attempt has failed, a probe has ended or, at a timer, which fires often, an attempt is overdue.
     pub fn observe_input(&mut self, now: Nanos, input: &Input) -> bool {
         self.observer.step(now);
@@ -109,7 +116,7 @@
         self.detector.is_waiting(now)
     }
 
-    /// Applies an update of the endpoint list. `name_of` gives the name of a node.
+    /// Applies an update of the endpoint list. `name_of` returns the name of a node.
     pub fn update_endpoints(
         &mut self,
         scope: UpdateScope,
@@ -134,21 +141,21 @@
         self.list_changed = true;
     }
 
-    /// Notes that an attempt was sent. `attempt` is the request with the attempt's number.
+    /// Records that an attempt was sent.
     pub fn attempt_sent(
         &mut self,
         now: Nanos,
-        attempt: (RequestId, u32),
+        key: AttemptKey,
         node: NodeId,
         class: usize,
         idempotent: bool,
     ) {
         if let (Some(listed), Ok(class)) = (self.nodes.get(&node), Class::try_from(class)) {
-            self.observer.attempt_sent(now, attempt, listed.server, class, idempotent);
+            self.observer.attempt_sent(now, (key.request, key.attempt), listed.server, class, idempotent);
         }
     }
 
-    /// What an input says about an attempt's server.
+    /// The observation of an attempt's server in an input, if any.
     fn attempt_event(&mut self, now: Nanos, input: &Input) -> Option<Event> {
         let (attempt, result) = match input {
             Input::AttemptEnded { id, attempt, outcome, .. } => ((*id, *attempt), attempt_result(*outcome)),
@@ -190,7 +197,7 @@
 
     fn apply_effect(&mut self, now: Nanos, module_now: Nanos, effect: Effect, changes: &mut EjectionChanges) {
         match effect {
-            Effect::Put(key, value) => changes.entries.push((key, value)),
+            Effect::Put(key, value) => changes.entries.push(EntryChange { key, value }),
             Effect::Ejected(target) => log!("verdicts: {} is held out", self.name(target.server)),
             Effect::Readmitted { target, healthy } => {
                 self.observer.readmitted(target.server);
--- a/src/cluster/limits/config.rs
+++ b/src/cluster/limits/config.rs
@@ -45,10 +45,10 @@
 
     /// Whether each limit configured here is configured in `other` too, with whatever value.
     pub fn is_within(&self, other: &ConfiguredLimits) -> bool {
-        let kept = |here: bool, there: bool| !here || there;
-        kept(self.retries.is_some(), other.retries.is_some())
-            && kept(self.warming_up.is_some(), other.warming_up.is_some())
-            && kept(self.in_flight.is_some(), other.in_flight.is_some())
+        let stays_configured = |before: bool, after: bool| !before || after;
+        stays_configured(self.retries.is_some(), other.retries.is_some())
+            && stays_configured(self.warming_up.is_some(), other.warming_up.is_some())
+            && stays_configured(self.in_flight.is_some(), other.in_flight.is_some())
     }
 
     /// The configured limits, each with its label in metrics and on the console.
--- a/src/cluster/limits/mod.rs
+++ b/src/cluster/limits/mod.rs
@@ -77,7 +77,7 @@
 }
 
 impl FleetLimits {
-    /// Applies a new configuration. Gives what this front may use of each configured limit now: nothing, until it has a
+    /// Applies a new configuration. Returns what this front may use of each configured limit now: nothing, until it has a
     /// share of it.
     pub fn configure(&mut self, configured: ConfiguredLimits, settings: &Settings) -> Vec<LimitUpdate> {
         self.configured = configured;
@@ -97,7 +97,7 @@
         self.shares.get(&limit).copied().unwrap_or(0)
     }
 
-    /// Notes the plan of a volume's request. Gives an update of the volume's limit where the plan has changed, as it may
+    /// Records the plan of a volume's request. Returns an update of the volume's limit where the plan has changed, as it may
     /// after a reload.
     pub fn volume_requested(
         &mut self,
--- a/src/cluster/metrics.rs
+++ b/src/cluster/metrics.rs
@@ -85,7 +85,7 @@
         self.shares.with_label_values(&[limit]).set(fraction(share));
     }
 
-    fn count(&self, worth: &str) {
-        self.messages.with_label_values(&[worth]).inc();
+    fn count(&self, result: &str) {
+        self.messages.with_label_values(&[result]).inc();
     }
 }
--- a/src/cluster/peers/effects.rs
+++ b/src/cluster/peers/effects.rs
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Carries out the effects of the coordinator. Gives the updates for the decision module.
+    /// Carries out the effects of the coordinator. Returns the updates for the decision module.
     pub(super) fn apply_effects(
         &self,
         effects: Vec<Effect>,
--- a/src/cluster/peers/fleet_state.rs
+++ b/src/cluster/peers/fleet_state.rs
@@ -1,21 +1,21 @@
 //! The fleet's state as the exchange consults it: before each input of the request tracker and at each attempt.
 
 use tulipbridge_core::request_tracker::Input;
-use tulipbridge_core::{FleetUpdate, Nanos, NodeId, Request, RequestId, Semantics, Settings};
+use tulipbridge_core::{FleetUpdate, Nanos, NodeId, Request, Semantics, Settings};
 use tulipbridge_fleet_limits::{Effect, Event, Limit};
 
 use super::Peers;
 use crate::cluster::clock;
 use crate::cluster::limits::LimitDemand;
-use crate::exchange::FleetState;
+use crate::exchange::{AttemptKey, FleetState};
 
 impl FleetState for Peers {
-    fn attempt_sent(&self, id: RequestId, attempt: u32, node: NodeId, class: usize) {
+    fn attempt_sent(&self, key: AttemptKey, node: NodeId, class: usize) {
         if let Some(ejections) = self.ejections.borrow_mut().as_mut() {
             let semantics =
                 self.exchange.with_settings(|settings| settings.classes.get(class).map(|c| c.semantics));
             let idempotent = semantics == Some(Semantics::Idempotent);
-            ejections.attempt_sent(clock::now(), (id, attempt), node, class, idempotent);
+            ejections.attempt_sent(clock::now(), key, node, class, idempotent);
         }
     }
 
@@ -54,7 +54,7 @@
         update.map(|update| self.fleet_update(update, now))
     }
 
-    /// Tells the coordinator of demands; without any, lets it expire leases that are due.
+    /// Passes demands to the coordinator; without any, has it expire leases that are due.
     fn count_demands(&self, now: Nanos, demands: Vec<LimitDemand>) -> Vec<Effect> {
         let mut effects = Vec::new();
         let mut coordinator = self.coordinator.borrow_mut();
--- a/src/cluster/peers/mod.rs
+++ b/src/cluster/peers/mod.rs
@@ -56,7 +56,7 @@
 }
 
 impl Peers {
-    /// Joins the peers: from now on the decision module is told what it may use of fleet-wide limits.
+    /// Joins the peers: from now on the decision module gets its share of fleet-wide limits.
     ///
     /// # Errors
     /// The socket cannot be bound, the key cannot be read, or the configuration contradicts itself.
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Tells the peers that this front shuts down, so that they need not wait for its leases to expire.
+    /// Announces to the peers that this front shuts down, so that they need not wait for its leases to expire.
     pub fn shut_down(&self) {
         self.update_limits(Event::Shutdown, None);
         self.update_limits(Event::HeartbeatDue, None);
--- a/src/cluster/peers/reload.rs
+++ b/src/cluster/peers/reload.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Tells the decision module what it may use of the configured limits: nothing, where this front has no share.
+    /// Passes the decision module its share of the configured limits: nothing, where this front has no share.
     pub(super) fn apply_fleet_limits(&self) {
         let configured = self.config.borrow().fleet_limits;
         let updates =
--- a/src/cluster/peers/status.rs
+++ b/src/cluster/peers/status.rs
@@ -97,7 +97,7 @@
         let roster = &config.roster;
         let peers: Vec<Value> =
             coordinator.members().others().map(|peer| self.peer_json(&coordinator, peer, now)).collect();
-        let banks: Vec<&str> =
+        let issuers: Vec<&str> =
             coordinator.issuers_held(now).into_iter().map(|issuer| roster.name(issuer)).collect();
         let limits: Vec<Value> = self
             .configured_shares()
@@ -112,7 +112,7 @@
             "just_started": coordinator.is_starting(now),
             "standing_back": self.is_standby(&coordinator, now),
             "other_roster": coordinator.yields_to_roster(now),
-            "banks": banks,
+            "banks": issuers,
             "limits": limits,
             "peers": peers,
         })
--- a/src/cluster/peers/tasks.rs
+++ b/src/cluster/peers/tasks.rs
@@ -9,7 +9,7 @@
 
 use super::Peers;
 use crate::cluster::clock;
-use crate::cluster::ejections::EjectionChanges;
+use crate::cluster::ejections::{EjectionChanges, EntryChange};
 use crate::cluster::messages::IncomingMessage;
 
 /// Pause before the next try to receive, after the system has reported an error.
@@ -43,11 +43,11 @@
         }
     }
 
-    /// Evaluates the observations of all fronts. Gives whether there are new gossip entries of this front.
+    /// Evaluates the observations of all fronts. Returns whether there are new gossip entries of this front.
     pub(super) fn evaluate_ejections(&self) -> bool {
         let Some(EjectionChanges { entries, updates }) = self.ejection_changes() else { return false };
         let has_entries = !entries.is_empty();
-        for (key, value) in entries {
+        for EntryChange { key, value } in entries {
             self.publish(key, value);
         }
         for update in updates {
--- a/src/cluster/socket.rs
+++ b/src/cluster/socket.rs
@@ -56,7 +56,7 @@
         Ok(())
     }
 
-    /// Waits for the next datagram; `None` while the address is not bound. Gives its length and its source.
+    /// Waits for the next datagram; `None` while the address is not bound. Returns its length and its source.
     pub(super) async fn receive(&self, buffer: &mut [u8]) -> Option<io::Result<(usize, SocketAddr)>> {
         match self.socket.get() {
             None => None,
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -2,7 +2,7 @@
 //!
 //! The whole file is read again. One that cannot be used changes nothing, is counted in `app_conf_invalid` and logged.
 //! One that can is counted in `app_conf_loaded`: the watch on discovery moves to the new address, and the scheduler
-//! takes the new settings, in which known classes keep their numbers (see [`RequestTables::reload`]).
+//! adopts the new settings, in which known classes keep their numbers (see [`RequestTables::reload`]).
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -44,7 +44,7 @@
     })
 }
 
-/// The classes. Whether each writes stands in a list of its own, in the same order.
+/// The classes. A separate list, in the same order, has whether each writes.
 fn read_classes(value: &Value, family: &Value) -> Result<Vec<Class>, JsonError> {
     let writes = family.get("ChangesData").and_then(Value::as_array);
     let mut classes = Vec::new();
--- a/src/control/agent/api.rs
+++ b/src/control/agent/api.rs
@@ -44,7 +44,7 @@
         STOP_TIMEOUT
     }
 
-    async fn answer(&self, request: ReceivedRequest, _leaving: bool) -> Reply {
+    async fn answer(&self, request: ReceivedRequest, _shutting_down: bool) -> Reply {
         if let Err(status) = *request.body() {
             return plain(status, "the request is not taken");
         }
--- a/src/control/agent/declaration.rs
+++ b/src/control/agent/declaration.rs
@@ -73,7 +73,7 @@
         command.kill_on_drop(true).spawn()
     }
 
-    /// Waits until the front is ready for clients. One whose configuration gives no address never is.
+    /// Waits until the front is ready for clients. One whose configuration has no address never is.
     pub async fn wait_until_ready(&self) {
         let Some(address) = self.listen_address() else { return std::future::pending().await };
         loop {
--- a/src/control/agent/etcd.rs
+++ b/src/control/agent/etcd.rs
@@ -60,7 +60,7 @@
     /// Etcd rejected the request for the watch.
     #[error("the watch was answered {0}")]
     WatchStatus(StatusCode),
-    /// The list does not say at which revision it holds.
+    /// The list has no revision.
     #[error("the list has no revision")]
     NoRevision,
     /// The watch reports an error.
--- a/src/control/agent/fleet.rs
+++ b/src/control/agent/fleet.rs
@@ -83,7 +83,7 @@
         self.fronts.borrow().contains_key(name)
     }
 
-    /// The status of all fronts, as the API gives it.
+    /// The status of all fronts, as the API returns it.
     pub fn status(&self) -> Value {
         let fronts = self.fronts.borrow();
         let rows = fronts.iter().map(|(name, front)| {
--- a/src/control/console.rs
+++ b/src/control/console.rs
@@ -1,4 +1,4 @@
-//! The operators' console: an HTTP listener of its own, with one call for each connection and every answer within a
+//! The operators' console: a separate HTTP listener, with one call for each connection and every answer within a
 //! second.
 //!
 //! - `GET /status`: 200 while the front accepts clients, 503 before that and while it shuts down.
@@ -65,7 +65,7 @@
         /// The system's reason.
         source: std::io::Error,
     },
-    /// The system does not tell the address of the socket.
+    /// The address of the socket cannot be read.
     #[error(transparent)]
     LocalAddress(std::io::Error),
 }
@@ -192,9 +192,12 @@
     }
 
     fn answer_metrics(&self) -> ConsoleResponse {
-        let (cluster_size, cluster_unhealthy) = self.parts.exchange.endpoint_counts();
-        let current = self.parts.active_requests.get();
-        let readings = GaugeReadings { current, cluster_size, cluster_unhealthy };
+        let endpoints = self.parts.exchange.endpoint_counts();
+        let readings = GaugeReadings {
+            current: self.parts.active_requests.get(),
+            cluster_size: endpoints.listed,
+            cluster_unhealthy: endpoints.avoided,
+        };
         let mut response = plain(StatusCode::OK, self.parts.metrics.render(&readings));
         response.headers_mut().insert(CONTENT_TYPE, METRICS_CONTENT_TYPE);
         response
@@ -227,7 +230,7 @@
         };
         match changed {
             Ok(()) => {
-                // Operators are told to look for these words.
+                // Operators search the log for these words.
                 let change = match action {
                     MaintenanceAction::Enter => "held out by hand",
                     MaintenanceAction::Exit => "let back in",
--- a/src/control/discovery.rs
+++ b/src/control/discovery.rs
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Takes note of an activity: the event that it is for the state machine. A watch that has just opened goes to
+    /// Records an activity as the event that it is for the state machine. A watch that has just opened goes to
     /// `opened`, until the machine adopts it.
     fn handle(&mut self, activity: Activity, opened: &mut Option<OpenWatch>) -> WatchEvent {
         match activity {
--- a/src/control/maintenance.rs
+++ b/src/control/maintenance.rs
@@ -70,7 +70,7 @@
         self.change(|set, now| set.exit(&name.to_owned(), now))
     }
 
-    /// Takes over changes by other processes, for as long as the program runs.
+    /// Applies changes by other processes, for as long as the program runs.
     pub async fn follow(self: Rc<Self>) {
         loop {
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -92,7 +92,7 @@
         Ok(())
     }
 
-    /// Takes over the content of the file, where it differs from the last that was seen.
+    /// Applies the content of the file, where it differs from the last that was seen.
     fn sync(&self) {
         let Some(file) = &self.file else { return };
         let Some(content) = file.read() else { return };
--- a/src/control/maintenance_file.rs
+++ b/src/control/maintenance_file.rs
@@ -1,6 +1,6 @@
 //! The file that tells other versions of a front on the same machine which chunk servers are in maintenance.
 //!
-//! It is replaced as a whole by a rename, so that no reader sees a part of it. Who changes the set holds a lock on a
+//! It is replaced as a whole by a rename, so that no reader sees a part of it. A process that changes the set locks a
 //! second file while it reads, changes and writes, so that concurrent changes are not lost.
 
 use std::collections::BTreeSet;
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -50,10 +50,21 @@
 }
 
 /// Identifies an attempt of a request.
-#[derive(Clone, Copy)]
-struct AttemptKey {
-    id: RequestId,
-    attempt: u32,
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptKey {
+    /// The request.
+    pub request: RequestId,
+    /// The attempt's number within the request.
+    pub attempt: u32,
+}
+
+/// How many chunk servers the decision module has.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EndpointCounts {
+    /// Those in the endpoint list.
+    pub listed: usize,
+    /// Those in the list that get no regular requests.
+    pub avoided: usize,
 }
 
 /// The state that the fronts of a fleet share: limits and ejections.
@@ -62,7 +73,7 @@
     fn updates_before(&self, input: &Input, settings: &Settings) -> Vec<FleetUpdate>;
 
     /// An attempt of a request of `class` is sent. Must not call the exchange.
-    fn attempt_sent(&self, id: RequestId, attempt: u32, node: NodeId, class: usize);
+    fn attempt_sent(&self, key: AttemptKey, node: NodeId, class: usize);
 }
 
 struct Core<T: Transport> {
@@ -96,7 +107,7 @@
         }))
     }
 
-    /// What carries the attempts.
+    /// The transport of the attempts.
     pub fn transport(&self) -> &T {
         &self.transport
     }
@@ -106,9 +117,10 @@
         self.clock.now()
     }
 
-    /// The number of endpoints, and how many of them get no new attempts.
-    pub fn endpoint_counts(&self) -> (usize, usize) {
-        self.core.borrow().tracker.decisions().node_counts()
+    /// The number of chunk servers, and how many of them are avoided.
+    pub fn endpoint_counts(&self) -> EndpointCounts {
+        let (listed, avoided) = self.core.borrow().tracker.decisions().node_counts();
+        EndpointCounts { listed, avoided }
     }
 
     /// A copy of the settings in force.
@@ -137,7 +149,7 @@
         self.process(Input::FleetUpdate(update), None);
     }
 
-    /// Applies new settings to requests from now on; see [`Scheduler::retune`]. `replaced_classes` pairs a new class
+    /// Applies new settings to requests from now on; see [`Scheduler::apply_settings`]. `replaced_classes` pairs a new class
     /// with the old one that it replaces.
     ///
     /// # Errors
@@ -172,7 +184,7 @@
         self.feed(Input::Endpoints { scope, nodes }, None);
     }
 
-    /// Takes a request and returns its one final answer. `request.id` is assigned here. Dropping the future means that
+    /// Submits a request and returns its one final answer. `request.id` is assigned here. Dropping the future means that
     /// the client is gone.
     pub async fn submit(
         self: &Rc<Self>,
@@ -193,7 +205,7 @@
         answer.try_recv().unwrap_or(FinalResponse::Failed)
     }
 
-    /// Assigns an id to a request and keeps what it carries.
+    /// Assigns an id to a request and stores what it carries.
     fn register(
         &self,
         class: usize,
@@ -225,7 +237,7 @@
         self.process(input, answer);
     }
 
-    /// Gives an input to the tracker and carries out its effects.
+    /// Passes an input to the tracker and carries out its effects.
     fn process(self: &Rc<Self>, input: Input, mut answer: Option<T::Answer>) {
         let mut effects = Vec::new();
         if trace::is_enabled() {
@@ -244,7 +256,7 @@
     fn carry_out(self: &Rc<Self>, effect: Effect, answer: &mut Option<T::Answer>) {
         match effect {
             Effect::Send { id, attempt, node, deadline, begin_by } => {
-                self.send(AttemptKey { id, attempt }, node, deadline, begin_by);
+                self.send(AttemptKey { request: id, attempt }, node, deadline, begin_by);
             }
             Effect::Cancel { id, attempt } => self.with_orders(id, |orders| orders.cancel(attempt)),
             Effect::Withdraw { id, attempt, outcome } => {
@@ -292,9 +304,9 @@
         let deadline = self.clock.instant(deadline);
         let begin_by = (begin_by < Nanos::MAX).then(|| self.clock.instant(begin_by));
         let core = self.core.borrow();
-        let Some(pending) = core.pending.get(&key.id) else { return };
+        let Some(pending) = core.pending.get(&key.request) else { return };
         if let Some(fleet_state) = &*self.fleet_state.borrow() {
-            fleet_state.attempt_sent(key.id, key.attempt, node, pending.class);
+            fleet_state.attempt_sent(key, node, pending.class);
         }
         let withdrawal = pending.orders.withdrawal(key.attempt, begin_by);
         let payload = Rc::clone(&pending.payload);
@@ -309,7 +321,7 @@
 
 /// Runs an attempt to its end. Returns the input for the tracker and the answer, if any.
 async fn run_attempt<A>(
-    AttemptKey { id, attempt }: AttemptKey,
+    AttemptKey { request: id, attempt }: AttemptKey,
     running: impl std::future::Future<Output = AttemptReport<A>>,
     deadline: Instant,
     mut withdrawal: Withdrawal,
--- a/src/exchange/withdrawal.rs
+++ b/src/exchange/withdrawal.rs
@@ -1,4 +1,4 @@
-//! Telling an attempt that is out that it is no longer wanted.
+//! Withdrawal and cancellation of attempts in flight.
 
 use std::future::pending;
 use std::time::Instant;
@@ -16,7 +16,11 @@
 }
 
 /// An order with the number of the attempt that it is for.
-type NumberedOrder = (u32, AttemptOrder);
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct NumberedOrder {
+    attempt: u32,
+    order: AttemptOrder,
+}
 
 /// Sends orders to the attempts of one request. Only the latest order is kept.
 pub(super) struct OrderSender(watch::Sender<Option<NumberedOrder>>);
@@ -29,12 +33,16 @@
 
     /// Drops an attempt.
     pub fn cancel(&self, attempt: u32) {
-        self.0.send_replace(Some((attempt, AttemptOrder::Cancel)));
+        self.give(attempt, AttemptOrder::Cancel);
     }
 
     /// Ends an attempt with `outcome` unless it has started to write.
     pub fn withdraw(&self, attempt: u32, outcome: Outcome) {
-        self.0.send_replace(Some((attempt, AttemptOrder::Withdraw(outcome))));
+        self.give(attempt, AttemptOrder::Withdraw(outcome));
+    }
+
+    fn give(&self, attempt: u32, order: AttemptOrder) {
+        self.0.send_replace(Some(NumberedOrder { attempt, order }));
     }
 
     /// The receiving end for an attempt, which must start to write before `begin_by`, if any.
@@ -43,11 +51,11 @@
     }
 }
 
-/// Tells whether an attempt is still wanted.
+/// The receiving end of the orders to one attempt.
 #[derive(Clone, Debug)]
 pub struct Withdrawal {
     attempt: u32,
-    /// An attempt that has not started to write by then is no longer wanted.
+    /// An attempt that has not started to write by then is withdrawn.
     begin_by: Option<Instant>,
     orders: watch::Receiver<Option<NumberedOrder>>,
 }
@@ -60,11 +68,12 @@
 
     /// The outcome that the attempt ends with, where it has been withdrawn.
     pub fn outcome(&self) -> Option<Outcome> {
-        match *self.orders.borrow() {
-            Some((attempt, AttemptOrder::Withdraw(outcome))) if attempt == self.attempt => Some(outcome),
+        let latest = *self.orders.borrow();
+        match latest.filter(|latest| latest.attempt == self.attempt).map(|latest| latest.order) {
+            Some(AttemptOrder::Withdraw(outcome)) => Some(outcome),
             // An attempt that is about to be dropped must not start to write.
-            Some((attempt, AttemptOrder::Cancel)) if attempt == self.attempt => Some(Outcome::Cancelled),
-            _ => self.begin_by.filter(|begin_by| Instant::now() >= *begin_by).map(|_| Outcome::NotSent),
+            Some(AttemptOrder::Cancel) => Some(Outcome::Cancelled),
+            None => self.begin_by.filter(|begin_by| Instant::now() >= *begin_by).map(|_| Outcome::NotSent),
         }
     }
 
@@ -87,7 +96,7 @@
 
     /// Returns when the attempt is to be dropped.
     pub(super) async fn cancelled(&mut self) {
-        let cancel = Some((self.attempt, AttemptOrder::Cancel));
+        let cancel = Some(NumberedOrder { attempt: self.attempt, order: AttemptOrder::Cancel });
         if self.orders.wait_for(|order| *order == cancel).await.is_err() {
             pending::<()>().await;
         }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -22,7 +22,7 @@
 /// Runs a front on one thread, until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// The configuration is invalid, or the system does not give what the front needs.
+/// The configuration is invalid, or the system lacks a resource that the front needs.
 pub fn run(config: Config) -> Result<(), FrontError> {
     on_one_thread(serve(config))
 }
--- a/src/frontend/connection.rs
+++ b/src/frontend/connection.rs
@@ -105,16 +105,16 @@
         let (head, body) = request.into_parts();
         let received = self.receive_body(body, client).await;
         if let Err(status) = &received {
-            trace_refused_body(*status, &head.headers);
+            trace_rejected_body(*status, &head.headers);
         }
         client.on(ClientEvent::RequestReceived);
         let shutting_down = *self.shutting_down.borrow();
-        let refused = received.as_ref().err().copied();
-        if refused == Some(StatusCode::SERVICE_UNAVAILABLE) {
+        let rejection = received.as_ref().err().copied();
+        if rejection == Some(StatusCode::SERVICE_UNAVAILABLE) {
             return listener_overloaded();
         }
         let reply = self.handler.answer(with_body(head, received), shutting_down).await;
-        if refused.is_some() || client.is_last_request() {
+        if rejection.is_some() || client.is_last_request() {
             closing(reply)
         } else {
             reply
@@ -143,7 +143,7 @@
     Request::from_parts(head, body)
 }
 
-fn trace_refused_body(status: StatusCode, headers: &HeaderMap) {
+fn trace_rejected_body(status: StatusCode, headers: &HeaderMap) {
     if !trace::is_enabled() {
         return;
     }
--- a/src/frontend/framed_socket.rs
+++ b/src/frontend/framed_socket.rs
@@ -42,7 +42,7 @@
     read: Rc<RefCell<OwnedReadHalf>>,
     write: OwnedWriteHalf,
     client: Rc<ClientState>,
-    /// Bytes read from the socket and not yet taken by hyper.
+    /// Bytes read from the socket and not yet read by hyper.
     buffer: BytesMut,
     /// How many bytes at the start of `buffer` hyper may take.
     released: usize,
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -55,7 +55,7 @@
 
 /// Answers the requests that a listener receives.
 pub trait Handler: 'static {
-    /// The response to a request. `shutting_down` tells that the listener has stopped accepting.
+    /// The response to a request. `shutting_down` is set once the listener has stopped accepting.
     fn answer(&self, request: ReceivedRequest, shutting_down: bool) -> impl Future<Output = Reply>;
 
     /// The listener shuts down: every request, received or still to come, must be answered `within` this time.
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Returns once the limiter admits another connection, evicting one where it says so.
+    /// Returns once the limiter admits another connection, evicting one where it requires that.
     async fn ensure_capacity(&self) {
         let mut eviction = None;
         loop {
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Registers an accepted connection and serves it in a task of its own.
+    /// Registers an accepted connection and serves it in a new task.
     fn spawn_connection(self: &Rc<Self>, stream: TcpStream) {
         let client = ClientState::new(stream.as_raw_fd(), self.epoch);
         let id = self.next_connection.get();
--- a/src/frontend/platform/mod.rs
+++ b/src/frontend/platform/mod.rs
@@ -56,7 +56,7 @@
             return reply;
         }
         let class = single_value(request.headers(), CLASS).map(str::to_owned);
-        let reply = self.forward(request).await.unwrap_or_else(|refusal| refusal);
+        let reply = self.forward(request).await.unwrap_or_else(|rejection| rejection);
         self.count_answer(class.as_deref(), reply.status());
         reply
     }
@@ -86,7 +86,7 @@
         let body = body.map_err(|status| plain(status, "the request is not taken"))?;
         let reservation = head.extensions.remove::<Arc<BodyReservation>>();
         let parsed = self.tables.borrow().parse(&head.method, &head.headers);
-        let parsed = parsed.map_err(|error| plain(StatusCode::BAD_REQUEST, error.message()))?;
+        let parsed = parsed.map_err(|error| plain(StatusCode::BAD_REQUEST, error.to_string()))?;
         if head.method == Method::GET && !body.is_empty() {
             return Err(plain(StatusCode::BAD_REQUEST, "a read has no body"));
         }
--- a/src/frontend/platform/request_parser.rs
+++ b/src/frontend/platform/request_parser.rs
@@ -18,56 +18,48 @@
 const BLOCK_COOKIE: &str = "block=";
 /// Digits of an id in hexadecimal.
 const ID_DIGITS: usize = 16;
-/// The longest remaining time that is taken, an hour; a longer one is shortened to it.
+/// The longest remaining time, an hour; a longer one is shortened to it.
 const MAX_REMAINING_NANOS: f64 = 3.6e12;
 const NANOS_PER_MILLISECOND: f64 = 1e6;
 const NANOS_PER_MICROSECOND: f64 = 1e3;
 /// Value of the field `shard` where the front may choose the shard.
 const ANY_SHARD: i64 = -1;
 
-/// Why a request is refused with 400.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a request is rejected with 400; the client gets the message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RequestError {
+    #[error("X-Txn is not of 16 hex digits")]
     InvalidTransactionId,
+    #[error("X-Lane is missing")]
     MissingClass,
+    #[error("X-Lane names no class")]
     UnknownClass,
+    #[error("the method is not that of the class")]
     WrongMethod,
+    #[error("X-Plan is missing")]
     MissingPlan,
+    #[error("X-Plan names no plan")]
     UnknownPlan,
+    #[error("X-Remaining is not a time")]
     InvalidRemaining,
+    #[error("X-IO is missing")]
     MissingOperation,
+    #[error("X-IO is not a list of fields")]
     MalformedOperation,
+    #[error("'shard' names no shard")]
     InvalidShard,
+    #[error("'shard' must say where the data lies")]
     MissingShard,
+    #[error("'volume' is not of 16 hex digits")]
     InvalidVolume,
+    #[error("the cookie 'block' is not of 16 hex digits")]
     InvalidBlock,
+    #[error("'units' is no size")]
     InvalidUnits,
+    #[error("'hosts' is no number of fronts")]
     InvalidFrontCount,
 }
 
-impl RequestError {
-    /// The sentence that the client gets.
-    pub fn message(self) -> &'static str {
-        match self {
-            RequestError::InvalidTransactionId => "X-Txn is not of 16 hex digits",
-            RequestError::MissingClass => "X-Lane is missing",
-            RequestError::UnknownClass => "X-Lane names no class",
-            RequestError::WrongMethod => "the method is not that of the class",
-            RequestError::MissingPlan => "X-Plan is missing",
-            RequestError::UnknownPlan => "X-Plan names no plan",
-            RequestError::InvalidRemaining => "X-Remaining is not a time",
-            RequestError::MissingOperation => "X-IO is missing",
-            RequestError::MalformedOperation => "X-IO is not a list of fields",
-            RequestError::InvalidShard => "'shard' names no shard",
-            RequestError::MissingShard => "'shard' must say where the data lies",
-            RequestError::InvalidVolume => "'volume' is not of 16 hex digits",
-            RequestError::InvalidBlock => "the cookie 'block' is not of 16 hex digits",
-            RequestError::InvalidUnits => "'units' is no size",
-            RequestError::InvalidFrontCount => "'hosts' is no number of fronts",
-        }
-    }
-}
-
 /// A request with its transaction id.
 pub(super) struct ParsedRequest {
     pub transaction_id: u64,
@@ -119,7 +111,7 @@
         Ok(ParsedRequest { transaction_id, request })
     }
 
-    /// Whether a class writes. Where the configuration does not say, the method decides.
+    /// Whether a class writes. Where the configuration leaves it open, the method decides.
     fn writes(&self, class: usize, method: &Method) -> bool {
         let configured = self.classes.get(class).and_then(|entry| entry.writes);
         configured.unwrap_or(*method == Method::PUT)
--- a/src/frontend/platform/request_tables.rs
+++ b/src/frontend/platform/request_tables.rs
@@ -11,7 +11,7 @@
 pub struct RequestClass {
     /// The class for the decision module.
     pub class: Class,
-    /// Whether its requests write; `None` where the configuration does not say and the method decides.
+    /// Whether its requests write; `None` where the configuration leaves it open and the method decides.
     pub writes: Option<bool>,
 }
 
--- a/src/frontend/replies.rs
+++ b/src/frontend/replies.rs
@@ -16,8 +16,8 @@
 pub type Reply = Response<Either<Full<Bytes>, Channel<Bytes, io::Error>>>;
 
 /// A response with a short plain-text body.
-pub fn plain(status: StatusCode, text: &'static str) -> Reply {
-    let mut reply = Response::new(Either::Left(Full::new(Bytes::from_static(text.as_bytes()))));
+pub fn plain(status: StatusCode, text: impl Into<Bytes>) -> Reply {
+    let mut reply = Response::new(Either::Left(Full::new(text.into())));
     *reply.status_mut() = status;
     reply
 }
--- a/src/frontend/response_body.rs
+++ b/src/frontend/response_body.rs
@@ -10,7 +10,7 @@
 
 use super::client_state::ClientState;
 
-/// A response body that keeps its request counted as open until hyper has taken it completely or dropped it.
+/// A response body that keeps its request counted as open until hyper has read it completely or dropped it.
 pub struct ResponseBody<B> {
     body: B,
     _open: OpenRequest,
--- a/src/object/error.rs
+++ b/src/object/error.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use http_body_util::{Either, Full};
-use hyper::header::{HeaderMap, HeaderValue, CONTENT_RANGE, ETAG, RETRY_AFTER};
+use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_RANGE, ETAG, RETRY_AFTER};
 use hyper::StatusCode;
 
 use super::replies::{copy_header, document, empty};
@@ -11,9 +11,10 @@
 use crate::frontend::replies::Reply;
 
 /// Why a request is not answered with a success.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub(super) enum ApiError {
     /// The request is at fault, by the front's check or the chunk server's answer.
+    #[error("{message}")]
     Request {
         status: StatusCode,
         /// Code of the API, such as `NoSuchKey`.
@@ -21,12 +22,16 @@
         message: &'static str,
     },
     /// The range lies past the end of an object of this size, where it is known.
+    #[error("The range lies past the end of the object.")]
     InvalidRange(Option<u64>),
     /// The object is not modified; the headers are those of the chunk server's answer.
+    #[error("The object is not modified.")]
     NotModified(HeaderMap),
     /// The request was not executed; the client may retry after this time.
+    #[error("It has not run; try again later.")]
     SlowDown(Duration),
     /// The request may have been executed.
+    #[error("No answer came in time; it may have run.")]
     OutcomeUnknown,
 }
 
@@ -52,7 +57,7 @@
     }
 
     /// The error for a request body that the listener refused with `status`.
-    pub fn refused_body(status: StatusCode) -> ApiError {
+    pub fn rejected_body(status: StatusCode) -> ApiError {
         let (code, message) = match status {
             StatusCode::PAYLOAD_TOO_LARGE => ("EntityTooLarge", "A body holds at most 64 KiB; send parts."),
             StatusCode::REQUEST_TIMEOUT => ("RequestTimeout", "The body does not come."),
@@ -75,32 +80,52 @@
         }
     }
 
-    /// The response to a request for `resource` with the id `request_id`. A response to HEAD has no body.
-    pub fn into_reply(self, resource: &str, request_id: &str, is_head: bool) -> Reply {
-        let mut headers = HeaderMap::new();
-        let (status, code, message) = match self {
-            ApiError::Request { status, code, message } => (status, code, message),
-            ApiError::NotModified(answer_headers) => return not_modified(&answer_headers),
-            ApiError::InvalidRange(size) => {
-                let range = size.and_then(|size| HeaderValue::try_from(format!("bytes */{size}")).ok());
-                headers.extend(range.map(|range| (CONTENT_RANGE, range)));
-                let message = "The range lies past the end of the object.";
-                (StatusCode::RANGE_NOT_SATISFIABLE, "InvalidRange".to_owned(), message)
+    fn status(&self) -> StatusCode {
+        match self {
+            ApiError::Request { status, .. } => *status,
+            ApiError::InvalidRange(_) => StatusCode::RANGE_NOT_SATISFIABLE,
+            ApiError::NotModified(_) => StatusCode::NOT_MODIFIED,
+            ApiError::SlowDown(_) => StatusCode::SERVICE_UNAVAILABLE,
+            ApiError::OutcomeUnknown => StatusCode::INTERNAL_SERVER_ERROR,
+        }
+    }
+
+    /// The code of the API.
+    fn code(&self) -> &str {
+        match self {
+            ApiError::Request { code, .. } => code,
+            ApiError::InvalidRange(_) => "InvalidRange",
+            ApiError::NotModified(_) => "NotModified",
+            ApiError::SlowDown(_) => "SlowDown",
+            ApiError::OutcomeUnknown => "InternalError",
+        }
+    }
+
+    /// The header that goes with the error, if any.
+    fn header(&self) -> Option<(HeaderName, HeaderValue)> {
+        match self {
+            ApiError::InvalidRange(Some(size)) => {
+                let range = HeaderValue::try_from(format!("bytes */{size}"));
+                range.ok().map(|range| (CONTENT_RANGE, range))
             }
             ApiError::SlowDown(retry_after) => {
                 // Clients of this API read whole seconds, and 0 would be no delay.
                 let seconds = retry_after.as_secs_f64().ceil().max(1.0) as u64;
-                headers.insert(RETRY_AFTER, HeaderValue::from(seconds));
-                (StatusCode::SERVICE_UNAVAILABLE, "SlowDown".to_owned(), "It has not run; try again later.")
-            }
-            ApiError::OutcomeUnknown => {
-                let message = "No answer came in time; it may have run.";
-                (StatusCode::INTERNAL_SERVER_ERROR, "InternalError".to_owned(), message)
+                Some((RETRY_AFTER, HeaderValue::from(seconds)))
             }
-        };
-        let error = xml::Error { code: &code, message, resource, request_id };
-        let mut reply = document(status, "Error", &error);
-        reply.headers_mut().extend(headers);
+            _ => None,
+        }
+    }
+
+    /// The response to a request for `resource` with the id `request_id`. A response to HEAD has no body.
+    pub fn into_reply(self, resource: &str, request_id: &str, is_head: bool) -> Reply {
+        if let ApiError::NotModified(answer_headers) = &self {
+            return not_modified(answer_headers);
+        }
+        let message = self.to_string();
+        let error = xml::Error { code: self.code(), message: &message, resource, request_id };
+        let mut reply = document(self.status(), "Error", &error);
+        reply.headers_mut().extend(self.header());
         if is_head {
             *reply.body_mut() = Either::Left(Full::default());
         }
--- a/src/object/front.rs
+++ b/src/object/front.rs
@@ -71,7 +71,7 @@
 impl FrontState {
     async fn serve(self: &Rc<Self>, request: ReceivedRequest) -> Result<Reply, ApiError> {
         let (head, body) = request.into_parts();
-        let body = body.and_then(check_length).map_err(ApiError::refused_body)?;
+        let body = body.and_then(check_length).map_err(ApiError::rejected_body)?;
         let request = self.parse(&head.method, &head.uri, head.headers)?;
         match request.operation(&head.method)? {
             Operation::GetObject => self.get(request).await,
--- a/src/object/get.rs
+++ b/src/object/get.rs
@@ -140,7 +140,7 @@
             Some(ByteRange::From(first, last)) => piece_range(first, last),
             Some(ByteRange::Last(count)) if count <= MAX_PIECE_BYTES => format!("bytes=-{count}"),
             Some(ByteRange::Last(count)) => {
-                // The last byte alone tells the size, and with it where such a range begins.
+                // A request for the last byte returns the size, and so the start of such a range.
                 let last_byte = "bytes=-1".to_owned();
                 let piece = self.read_piece(request, source, last_byte, request.conditions()).await?;
                 piece_range(piece.range.size.saturating_sub(count), None)
@@ -161,7 +161,7 @@
     }
 
     /// Reads a range of at most [`MAX_PIECE_BYTES`] bytes. A chunk server that does not support ranges returns the
-    /// whole object, of which the range is taken.
+    /// whole object, from which the range is cut.
     async fn read_piece(
         &self,
         request: &ObjectRequest,
@@ -278,7 +278,7 @@
     Ok(Piece { answer, range: ContentRange { bytes, size } })
 }
 
-/// When an object was modified; the Unix epoch where the answer does not tell.
+/// When an object was modified; the Unix epoch where the answer has no date.
 fn modified_at(answer: &Answer) -> SystemTime {
     let value = answer.headers.get(LAST_MODIFIED).and_then(|value| value.to_str().ok());
     let time = value.and_then(|value| httpdate::parse_http_date(value).ok());
--- a/src/object/mod.rs
+++ b/src/object/mod.rs
@@ -1,7 +1,7 @@
 //! The object API's front: objects with ranges and multipart uploads over HTTP, on the same exchange and so under the
 //! same decisions as the platform's front. It speaks the same API to the chunk servers.
 //!
-//! Fronts share no state about objects, so every id that a client gives back holds the shard: a version id is
+//! Fronts share no state about objects, so every id that a client sends back contains the shard: a version id is
 //! `SHARD.VERSION` and an upload id `SHARD.TOKEN.UPLOAD`, with the chunk server's own id at the end.
 
 mod answer;
@@ -61,7 +61,7 @@
 /// Runs an object front on one thread, until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// The configuration is invalid, or the system does not give what the front needs.
+/// The configuration is invalid, or the system lacks a resource that the front needs.
 pub fn run(file: &Path) -> Result<(), ObjectFrontError> {
     let config = Config::from_file(file)?;
     on_one_thread(serve(config, file.to_owned()))
--- a/src/object/node_request.rs
+++ b/src/object/node_request.rs
@@ -72,7 +72,7 @@
         };
         let payload = Payload {
             target: target(&request.path, &node.query)?,
-            // Every request to a chunk server is a transaction of its own, as the retry of a client is.
+            // Every request to a chunk server is a separate transaction, as the retry of a client is.
             id: random_id()?,
             method: node.method,
             headers: node.headers,
--- a/src/object/request.rs
+++ b/src/object/request.rs
@@ -104,7 +104,7 @@
             )
         })?;
         let query = parse_query(uri.query().unwrap_or_default())?;
-        refuse_unsupported(&headers)?;
+        reject_unsupported(&headers)?;
         let is_write = matches!(*method, Method::PUT | Method::POST);
         let class = if is_write { bucket.write_class } else { bucket.read_class };
         Ok(ObjectRequest {
@@ -136,7 +136,7 @@
     Ok(query)
 }
 
-fn refuse_unsupported(headers: &HeaderMap) -> Result<(), ApiError> {
+fn reject_unsupported(headers: &HeaderMap) -> Result<(), ApiError> {
     // Such bodies hold signatures between the chunks, which must not be stored as data.
     let hash = headers.get("x-amz-content-sha256").map_or(&b""[..], |value| value.as_bytes());
     let encoding = headers.get(CONTENT_ENCODING).map_or(&b""[..], |value| value.as_bytes());
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -8,7 +8,7 @@
 /// Why the program's tasks cannot run.
 #[derive(Debug, thiserror::Error)]
 pub enum RuntimeError {
-    /// The system does not give what the runtime needs.
+    /// The system lacks a resource that the runtime needs.
     #[error("cannot start: {0}")]
     Start(#[source] std::io::Error),
     /// The system does not let the program handle a signal.
--- a/src/telemetry/trace.rs
+++ b/src/telemetry/trace.rs
@@ -31,7 +31,7 @@
     crate::telemetry::log::line(format_args!("{}", object.encode()));
 }
 
-/// Traces an input before the scheduler handles it. `name` gives the names of chunk servers.
+/// Traces an input before the scheduler handles it. `name` returns the names of chunk servers.
 pub fn input(input: &Input, name: impl Fn(NodeId) -> String) {
     let event = match input {
         Input::RequestReceived(request) => request_received(request),
@@ -56,7 +56,7 @@
     write(event);
 }
 
-/// Traces an effect before it is carried out. `name` gives the names of chunk servers.
+/// Traces an effect before it is carried out. `name` returns the names of chunk servers.
 pub fn effect(effect: &Effect, name: impl Fn(NodeId) -> String) {
     let event = match effect {
         Effect::Send { id, attempt, node, .. } => {
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -78,7 +78,7 @@
             && !self.task.is_finished()
     }
 
-    /// Whether the connection is open and no bytes wait on its socket: unsolicited bytes would be taken for the next
+    /// Whether the connection is open and no bytes wait on its socket: unsolicited bytes would be mistaken for the next
     /// response.
     pub fn is_quiet(&self) -> bool {
         let peek = MsgFlags::MSG_PEEK | MsgFlags::MSG_DONTWAIT;
--- a/src/upstream/connections.rs
+++ b/src/upstream/connections.rs
@@ -86,7 +86,7 @@
         self.pool.borrow_mut().sweep(now, PooledConnection::is_open);
     }
 
-    /// Carries out an attempt in the steps that its state machine gives.
+    /// Carries out an attempt in the steps that its state machine requests.
     pub async fn attempt(
         self: Rc<Self>,
         node: NodeId,
@@ -178,7 +178,7 @@
 
     /// Returns a connection to the pool.
     pub fn release(&self, node: NodeId, connection: PooledConnection) {
-        // Unsolicited bytes on its socket are checked for when it is taken again.
+        // Unsolicited bytes on its socket are checked for when it is next used.
         let is_open = connection.is_open();
         let address_epoch = connection.address_epoch;
         self.pool.borrow_mut().release(node, address_epoch, connection, self.now(), is_open);
--- a/src/upstream/payload.rs
+++ b/src/upstream/payload.rs
@@ -55,7 +55,7 @@
     pub streamed: Option<StreamedBody>,
 }
 
-/// A long body that is still arriving, with its connection. It is read only as fast as the client takes it, so that
+/// A long body that is still arriving, with its connection. It is read only as fast as the client reads, so that
 /// memory holds a few parts of it at most. Dropping it closes the connection.
 pub struct StreamedBody {
     /// The part of the body that has arrived already.
--- a/src/upstream/response.rs
+++ b/src/upstream/response.rs
@@ -13,7 +13,7 @@
 use crate::exchange::AttemptReport;
 use crate::limits::MAX_BODY;
 
-/// The most bytes of a body that is streamed; a longer one is taken for a malformed response.
+/// The most bytes of a body that is streamed; a longer one makes the response malformed.
 const MAX_STREAMED_BODY: u64 = 1 << 30;
 /// Header that is `1` where the server has rejected a request without executing it.
 const REJECTED: HeaderName = HeaderName::from_static("x-turned-away");
--- a/src/upstream/wire_state.rs
+++ b/src/upstream/wire_state.rs
@@ -1,4 +1,4 @@
-//! What has been written to and read from a connection to a chunk server. The errors of hyper do not tell whether the
+//! What has been written to and read from a connection to a chunk server. The errors of hyper do not show whether the
 //! last byte of a request was written, which decides whether the request may have been executed.
 
 use std::cell::{Cell, RefCell};
@@ -37,7 +37,7 @@
     response_started: Notify,
     /// Counts the present request once its last byte is written.
     metrics: RefCell<Option<ClassMetrics>>,
-    /// Tells whether the present request is still wanted.
+    /// Whether the current request has been withdrawn.
     withdrawal: RefCell<Option<Withdrawal>>,
 }
 
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -14,6 +14,7 @@
 use serde::{Deserialize, Serialize};
 use tulipbridge::cluster::config::ClusterConfig;
 use tulipbridge::cluster::ejections::{EjectionMetrics, Ejections};
+use tulipbridge::exchange::AttemptKey;
 use tulipbridge::request_tracker::Input;
 use tulipbridge::telemetry::metrics::Metrics;
 use tulipbridge::{Listed, NodeInfo, Outcome, UpdateScope};
@@ -180,14 +181,14 @@
     for id in 0..60 {
         let node = id as usize % servers.len();
         let outcome = if node == 1 { Outcome::Error } else { Outcome::Served };
-        bench.attempt_sent(0, (id, 0), node, 0, true);
+        bench.attempt_sent(0, AttemptKey { request: id, attempt: 0 }, node, 0, true);
         bench.observe_input(
             1_000,
             &Input::AttemptEnded { id, attempt: 0, outcome, observed_use: 0.0, foreign_units: 0.0 },
         );
     }
     let done = bench.evaluate(2_000, 0, &GossipStore::new(0, 3, 1, 100_000, 0));
-    let keys: Vec<EntryKey> = done.entries.iter().map(|(key, _)| *key).collect();
+    let keys: Vec<EntryKey> = done.entries.iter().map(|change| change.key).collect();
     assert_eq!(keys, [EntryKey { kind: 2, id: 0x6a76_f700_4058_78ab }]);
 }
 
