--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,6 +1,6 @@
-//! What operators and other programs see of the program, word for word: the sentences of its refusals, the lines of
-//! its trace, the answers of its console and the file it keeps for the next version. A change of the code behind it
-//! must leave all of this as it is; a change here is a change for its users, and belongs in CHANGELOG.md.
+//! Golden output of the program for operators and other programs: error messages, trace events, responses of the
+//! console and the maintenance file. Refactoring must not change any of it; a change here is a change for users, and
+//! belongs in CHANGELOG.md.
 
 #[path = "golden/edits.rs"]
 mod edits;
@@ -25,55 +25,55 @@
 use tulipbridge_core::request_tracker::{Effect, FinalAnswer, Input};
 use tulipbridge_core::{ClassSet, FleetUpdate, Outcome, SharedLimit, UpdateScope};
 
-use edits::{Edit, REFUSED_BY_BOTH, REFUSED_BY_OBJECT};
-use fleet::{fleet_with_a_silent_server, read_json, shape, whole_verdict};
-use program::{edited, front, program, run_to_end, Folder, Kind, CONFIG, LONG};
+use edits::{Edit, REJECTED_BY_BOTH, REJECTED_BY_OBJECT};
+use fleet::{complete_ejection, fleet_with_silent_server, read_json, shape};
+use program::{edited, front, program, run_to_end, Folder, FrontKind, CONFIG, TIMEOUT};
 use running::{read_head, Front};
-use traced::Traced;
+use traced::TracedFront;
 
-/// Runs a front on the edited file: its exit code and what it says.
-fn refusal(kind: Kind, edit: &Edit) -> String {
+/// Runs a front on the edited configuration. Returns its exit code and its error message.
+fn rejection_output(kind: FrontKind, edit: &Edit) -> String {
     assert!(CONFIG.contains(edit.from), "{}: no {} in the file", edit.name, edit.from);
     let folder = Folder::new();
     let file = folder.configuration(&CONFIG.replacen(edit.from, edit.to, 1));
-    ending(&folder, &run_to_end(front(kind, &file)))
+    exit_summary(&folder, &run_to_end(front(kind, &file)))
 }
 
-/// An exit code and the lines on standard error, but for those of sockets opened before the refusal, whose ports the
-/// system chose.
-fn ending(folder: &Folder, output: &Output) -> String {
-    let said = folder.masked(&String::from_utf8_lossy(&output.stderr));
+/// The exit code and the error message, without the lines of sockets opened before, whose ports the system chose.
+fn exit_summary(folder: &Folder, output: &Output) -> String {
+    let stderr = folder.masked(&String::from_utf8_lossy(&output.stderr));
     let is_of_socket = |line: &str| line.contains("listening on 127.0.0.1:") || line.starts_with("peers at ");
-    let lines: Vec<&str> = said.lines().filter(|line| !is_of_socket(line)).collect();
-    assert_eq!(lines.len(), 1, "one line says what is wrong: {said}");
+    let lines: Vec<&str> = stderr.lines().filter(|line| !is_of_socket(line)).collect();
+    assert_eq!(lines.len(), 1, "one line has the error: {stderr}");
     format!("{:?} {}", output.status.code(), lines[0])
 }
 
 #[test]
-fn each_bad_configuration_has_its_sentence() {
-    let mut seen = String::new();
-    for edit in REFUSED_BY_BOTH {
-        let (object, platform) = (refusal(Kind::Object, edit), refusal(Kind::Platform, edit));
-        let _ = writeln!(seen, "{}: {object}", edit.name);
+fn invalid_configurations_report_their_errors() {
+    let mut actual = String::new();
+    for edit in REJECTED_BY_BOTH {
+        let (object, platform) =
+            (rejection_output(FrontKind::Object, edit), rejection_output(FrontKind::Platform, edit));
+        let _ = writeln!(actual, "{}: {object}", edit.name);
         if platform != object {
-            let _ = writeln!(seen, "{} (platform): {platform}", edit.name);
+            let _ = writeln!(actual, "{} (platform): {platform}", edit.name);
         }
     }
-    for edit in REFUSED_BY_OBJECT {
-        let _ = writeln!(seen, "{}: {}", edit.name, refusal(Kind::Object, edit));
+    for edit in REJECTED_BY_OBJECT {
+        let _ = writeln!(actual, "{}: {}", edit.name, rejection_output(FrontKind::Object, edit));
     }
-    insta::assert_snapshot!(seen);
+    insta::assert_snapshot!(actual);
 }
 
 #[test]
-fn each_bad_environment_has_its_sentence() {
+fn invalid_environments_report_their_errors() {
     let folder = Folder::new();
     let file = folder.configuration(CONFIG);
     let large = folder.path().join("large.json");
     std::fs::write(&large, vec![b' '; (8 << 20) + 1]).expect("written");
-    let mut seen = String::new();
-    let unset = ending(&folder, &run_to_end(program()));
-    let _ = writeln!(seen, "no file named: {unset}");
+    let mut actual = String::new();
+    let without_file = exit_summary(&folder, &run_to_end(program()));
+    let _ = writeln!(actual, "no file named: {without_file}");
     for (name, variable, value) in [
         ("file that is not there", "BALANCER_CONFIG", folder.path().join("nothing").display().to_string()),
         ("file that is a folder", "BALANCER_CONFIG", folder.path().display().to_string()),
@@ -83,93 +83,93 @@
         ("discovery", "BALANCER_DISCOVERY", "nowhere".to_owned()),
         ("name", "BALANCER_NAME", "object-9".to_owned()),
     ] {
-        let mut command = front(Kind::Platform, &file);
+        let mut command = front(FrontKind::Platform, &file);
         command.env(variable, value);
-        let _ = writeln!(seen, "{name}: {}", ending(&folder, &run_to_end(command)));
+        let _ = writeln!(actual, "{name}: {}", exit_summary(&folder, &run_to_end(command)));
     }
     for (name, path) in [("object, not there", "nothing"), ("object, a folder", "")] {
-        let command = front(Kind::Object, &folder.path().join(path));
-        let _ = writeln!(seen, "{name}: {}", ending(&folder, &run_to_end(command)));
+        let command = front(FrontKind::Object, &folder.path().join(path));
+        let _ = writeln!(actual, "{name}: {}", exit_summary(&folder, &run_to_end(command)));
     }
-    insta::assert_snapshot!(seen);
+    insta::assert_snapshot!(actual);
 }
 
-/// A command line, and all that the program says to it.
+/// A command line with its exit code and output.
 fn command_line(arguments: &[&str]) -> String {
     let mut command = program();
     command.args(arguments);
     let output = run_to_end(command);
-    let (out, err) = (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
-    let said = format!("{out}{err}").replace(env!("CARGO_PKG_VERSION"), "VERSION");
-    format!("$ tulipbridge {}\n{:?}\n{said}\n", arguments.join(" "), output.status.code())
+    let (stdout, stderr) = (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
+    let text = format!("{stdout}{stderr}").replace(env!("CARGO_PKG_VERSION"), "VERSION");
+    format!("$ tulipbridge {}\n{:?}\n{text}\n", arguments.join(" "), output.status.code())
 }
 
 const SUBCOMMANDS: [&str; 9] =
     ["object", "agent", "status", "drain", "peers", "verdicts", "explain", "resume", "restart"];
 
 #[test]
-fn each_command_has_its_help() {
-    let mut seen = command_line(&["--help"]) + &command_line(&["--version"]);
+fn commands_print_their_help() {
+    let mut actual = command_line(&["--help"]) + &command_line(&["--version"]);
     for subcommand in SUBCOMMANDS {
-        seen += &command_line(&[subcommand, "--help"]);
+        actual += &command_line(&[subcommand, "--help"]);
     }
-    insta::assert_snapshot!(seen);
+    insta::assert_snapshot!(actual);
 }
 
 #[test]
-fn bad_usage_ends_with_2_and_says_what_is_missing() {
-    // Nothing listens at port 1 of this machine.
-    const NOBODY: &str = "127.0.0.1:1";
+fn invalid_usage_exits_with_code_2() {
+    // Nothing listens on port 1 of this machine.
+    const UNREACHABLE: &str = "127.0.0.1:1";
     let lines: &[&[&str]] = &[
         &["nothing"],
         &["--nothing"],
         &["object"],
         &["object", "a", "b"],
         &["agent"],
-        &["agent", "--file", "a", "--etcd", NOBODY],
+        &["agent", "--file", "a", "--etcd", UNREACHABLE],
         &["agent", "--etcd", "nowhere"],
         &["agent", "--file", "a", "--control", "nowhere"],
         &["status", "--agent", "nowhere"],
-        &["status", "--agent", NOBODY],
+        &["status", "--agent", UNREACHABLE],
         &["drain"],
-        &["drain", "a", "--agent", NOBODY],
+        &["drain", "a", "--agent", UNREACHABLE],
         &["resume"],
-        &["resume", "a", "--agent", NOBODY],
-        &["restart", "a", "--agent", NOBODY],
+        &["resume", "a", "--agent", UNREACHABLE],
+        &["restart", "a", "--agent", UNREACHABLE],
         &["peers"],
         &["peers", "--console", "nowhere"],
-        &["peers", "--console", NOBODY, "--output", "xml"],
-        &["peers", "--console", NOBODY],
+        &["peers", "--console", UNREACHABLE, "--output", "xml"],
+        &["peers", "--console", UNREACHABLE],
         &["verdicts"],
-        &["verdicts", "--console", NOBODY],
+        &["verdicts", "--console", UNREACHABLE],
         &["explain"],
         &["explain", "s-0"],
-        &["explain", "s-0", "--console", NOBODY],
+        &["explain", "s-0", "--console", UNREACHABLE],
     ];
-    let seen: String = lines.iter().map(|arguments| command_line(arguments)).collect();
-    insta::assert_snapshot!(seen);
+    let actual: String = lines.iter().map(|arguments| command_line(arguments)).collect();
+    insta::assert_snapshot!(actual);
 }
 
-/// A line with the value of each of these keys, up to the next comma or brace, made `_`.
+/// A line with the value of each of these keys, up to the next comma or brace, replaced by `_`.
 fn without_values(line: &str, keys: &[&str]) -> String {
     keys.iter().fold(line.to_owned(), |line, key| {
         let mark = format!("\"{key}\":");
         let mut parts = line.split(&mark);
         let first = parts.next().unwrap_or_default().to_owned();
-        parts.fold(first, |seen, part| {
+        parts.fold(first, |masked, part| {
             let end = part.find([',', '}']).unwrap_or(part.len());
-            seen + &mark + "_" + &part[end..]
+            masked + &mark + "_" + &part[end..]
         })
     })
 }
 
-/// The value of a key in a line of the trace, empty where it has none.
+/// The value of a key in a trace event; empty where it has none.
 fn value<'a>(line: &'a str, key: &str) -> &'a str {
     let Some((_, rest)) = line.split_once(&format!("\"{key}\":")) else { return "" };
     &rest[..rest.find([',', '}']).unwrap_or(rest.len())]
 }
 
-/// The first line of each kind, by what it is about and how that went.
+/// The first trace event of each kind, where the kind is the event with its outcome.
 fn first_of_each_kind(lines: &[String]) -> String {
     let mut kinds: BTreeMap<Vec<&str>, &str> = BTreeMap::new();
     for line in lines.iter().filter(|line| line.starts_with('{')) {
@@ -180,52 +180,52 @@
 }
 
 #[test]
-fn each_kind_of_line_of_the_trace_has_its_keys_in_their_order() {
-    const LENGTH: usize = 300_000;
-    const PATIENT: u32 = 10_000;
-    let mut traced = Traced::start();
-    // A request that is served, by an answer so long that it is passed on as it comes.
-    let mut client = traced.ask(1, PATIENT);
-    let mut upstream = traced.arrives(0);
-    let head = format!("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {LENGTH}\r\n\r\n");
-    upstream.write_all(&[head.as_bytes(), &[b'x'; LENGTH]].concat()).expect("sent");
+fn trace_events_have_their_keys_in_order() {
+    const BODY_BYTES: usize = 300_000;
+    const REMAINING_MILLIS: u32 = 10_000;
+    let mut traced = TracedFront::start();
+    // A request that is served with a response long enough to be streamed.
+    let mut client = traced.send_read(1, REMAINING_MILLIS);
+    let mut upstream = traced.wait_for_request(0);
+    let head = format!("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {BODY_BYTES}\r\n\r\n");
+    upstream.write_all(&[head.as_bytes(), &[b'x'; BODY_BYTES]].concat()).expect("sent");
     read_head(&mut client);
-    client.read_exact(&mut [0; LENGTH]).expect("the whole body");
-    traced.front.until(r#""e":"passed""#);
-    // One whose client leaves while the server has it.
-    let client = traced.ask(2, PATIENT);
-    let _upstream = traced.arrives(1);
+    client.read_exact(&mut [0; BODY_BYTES]).expect("the whole body");
+    traced.front.wait_for_line(r#""e":"passed""#);
+    // A request whose client disconnects while it is in flight.
+    let client = traced.send_read(2, REMAINING_MILLIS);
+    let _upstream = traced.wait_for_request(1);
     drop(client);
-    traced.front.until(r#""e":"left","id":1"#);
-    // One that the server turns away.
-    let _client = traced.ask(3, PATIENT);
-    let mut upstream = traced.arrives(2);
-    let busy = b"HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-    upstream.write_all(busy).expect("sent");
-    traced.front.until(r#""e":"answer","id":2"#);
-    // One that the server never answers.
-    let _client = traced.ask(4, 300);
-    let _upstream = traced.arrives(3);
-    traced.front.until(r#""e":"answer","id":3"#);
-    traced.front.until(r#""e":"note""#);
-    // One too large to be taken.
+    traced.front.wait_for_line(r#""e":"left","id":1"#);
+    // A request that the server rejects.
+    let _client = traced.send_read(3, REMAINING_MILLIS);
+    let mut upstream = traced.wait_for_request(2);
+    let rejection = b"HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+    upstream.write_all(rejection).expect("sent");
+    traced.front.wait_for_line(r#""e":"answer","id":2"#);
+    // A request that the server never answers.
+    let _client = traced.send_read(4, 300);
+    let _upstream = traced.wait_for_request(3);
+    traced.front.wait_for_line(r#""e":"answer","id":3"#);
+    traced.front.wait_for_line(r#""e":"note""#);
+    // A request with too large a body.
     let mut client = TcpStream::connect(traced.front.clients).expect("it takes connections");
     client.write_all(b"PUT /api HTTP/1.1\r\nHost: t\r\nContent-Length: 99999999999\r\n\r\n").expect("sent");
-    traced.front.until(r#""e":"not taken""#);
-    // The list changes, and is replaced.
-    traced.tell(false, "Gone");
-    traced.front.until(r#""e":"forget""#);
-    traced.tell(true, "Ready");
-    traced.front.until(r#""scope":"replace""#);
-    traced.front.until(r#""e":"subscribe""#);
-    assert_eq!(traced.front.end(), Some(0));
-    insta::assert_snapshot!(traced.masked(&first_of_each_kind(&traced.front.said)));
+    traced.front.wait_for_line(r#""e":"not taken""#);
+    // The endpoint list is updated, then replaced.
+    traced.send_endpoints(false, "Gone");
+    traced.front.wait_for_line(r#""e":"forget""#);
+    traced.send_endpoints(true, "Ready");
+    traced.front.wait_for_line(r#""scope":"replace""#);
+    traced.front.wait_for_line(r#""e":"subscribe""#);
+    assert_eq!(traced.front.terminate(), Some(0));
+    insta::assert_snapshot!(traced.masked(&first_of_each_kind(&traced.front.log_lines)));
 }
 
-/// Set for the process that writes the lines of [`the_words_of_the_trace_are_these`].
-const WRITER: &str = "TULIPBRIDGE_GOLDEN_WRITER";
+/// Environment variable of the child process that writes the events of [`trace_event_vocabulary`].
+const TRACE_WRITER_VARIABLE: &str = "TULIPBRIDGE_GOLDEN_WRITER";
 
-/// Writes what a short scenario does not bring about, as the program would.
+/// Writes the events that a short scenario does not cause, as the program would.
 fn write_trace() {
     let name = |node| format!("s-{node}");
     let (id, attempt) = (7, 1);
@@ -248,56 +248,56 @@
     {
         trace::input(&Input::Endpoints { scope, nodes: Vec::new() }, name);
     }
-    for of in [
+    for limit in [
         SharedLimit::Volume(0x1f),
         SharedLimit::Retries,
         SharedLimit::WarmingUpNode,
         SharedLimit::InFlightPerNode,
     ] {
         trace::input(
-            &Input::FleetUpdate(FleetUpdate::SharedLimit { limit: of, rate: 2.5, burst: 4.0, at: 0 }),
+            &Input::FleetUpdate(FleetUpdate::SharedLimit { limit, rate: 2.5, burst: 4.0, at: 0 }),
             name,
         );
     }
-    for out in [ClassSet::NONE, ClassSet::NONE.with(1), ClassSet::ALL] {
-        trace::input(&Input::FleetUpdate(FleetUpdate::Ejection { node: 3, classes: out }), name);
+    for classes in [ClassSet::NONE, ClassSet::NONE.with(1), ClassSet::ALL] {
+        trace::input(&Input::FleetUpdate(FleetUpdate::Ejection { node: 3, classes }), name);
     }
     trace::input(&Input::FleetUpdate(FleetUpdate::Probe { node: 3, until: 0 }), name);
     trace::input(&Input::Overdue(id), name);
     trace::input(&Input::Timer(1), name);
-    for verdict in [FinalAnswer::Served, FinalAnswer::Rejected(1_500_000), FinalAnswer::Failed] {
-        trace::effect(&Effect::Answer { id, answer: verdict }, name);
+    for answer in [FinalAnswer::Served, FinalAnswer::Rejected(1_500_000), FinalAnswer::Failed] {
+        trace::effect(&Effect::Answer { id, answer }, name);
     }
     trace::effect(&Effect::Release(id), name);
 }
 
-/// Lines go to standard error, so a second process of this test writes them.
+/// Events go to standard error, so a child process of this test writes them.
 #[test]
-fn the_words_of_the_trace_are_these() {
-    if std::env::var_os(WRITER).is_some() {
+fn trace_event_vocabulary() {
+    if std::env::var_os(TRACE_WRITER_VARIABLE).is_some() {
         return write_trace();
     }
     let mut command = Command::new(std::env::current_exe().expect("this program"));
-    command.args(["--exact", "the_words_of_the_trace_are_these", "--nocapture"]);
-    command.env(WRITER, "1").env("TULIPBRIDGE_TRACE", "1");
+    command.args(["--exact", "trace_event_vocabulary", "--nocapture"]);
+    command.env(TRACE_WRITER_VARIABLE, "1").env("TULIPBRIDGE_TRACE", "1");
     let output = run_to_end(command);
     assert!(output.status.success());
-    let said = String::from_utf8(output.stderr).expect("text");
-    let lines = said.lines().filter(|line| line.starts_with('{'));
-    let seen: Vec<String> = lines.map(|line| without_values(line, &["t"])).collect();
-    insta::assert_snapshot!(seen.join("\n"));
+    let output = String::from_utf8(output.stderr).expect("text");
+    let lines = output.lines().filter(|line| line.starts_with('{'));
+    let actual: Vec<String> = lines.map(|line| without_values(line, &["t"])).collect();
+    insta::assert_snapshot!(actual.join("\n"));
 }
 
-/// The answer to a call at the console, with what differs from run to run made `_`.
+/// The response to a request at the console, with values that differ between runs replaced by `_`.
 fn answer(front: &Front, method: &str, path: &str) -> String {
-    let answer = front.call(method, path);
+    let answer = front.request(method, path);
     let body = without_values(answer.body.trim_end(), &["boot"]);
     format!("{method} {path}\n{} [{}]\n{body}\n\n", answer.status, answer.content_type)
 }
 
-/// The figures of a front, with their numbers made `_`.
-fn figures(front: &Front) -> String {
-    let answer = front.call("GET", "/status/metrics");
+/// The metrics of a front, with their values replaced by `_`.
+fn metrics(front: &Front) -> String {
+    let answer = front.request("GET", "/status/metrics");
     let body: String = answer
         .body
         .lines()
@@ -309,33 +309,33 @@
     format!("{} [{}]\n{body}\n", answer.status, answer.content_type)
 }
 
-/// A front of [`CONFIG`], which hears no peer and has just started for as long as a test runs.
-fn lone_front(kind: Kind, folder: &Folder) -> Front {
+/// A front with [`CONFIG`] that no peer reaches; it counts as starting for as long as a test runs.
+fn isolated_front(kind: FrontKind, folder: &Folder) -> Front {
     let mut command = front(kind, &folder.configuration(CONFIG));
     command.env("TMPDIR", folder.path());
     Front::start(command)
 }
 
 #[test]
-fn each_figure_has_its_name_help_type_and_labels() {
-    let seen = [("object", Kind::Object), ("platform", Kind::Platform)].map(|(name, kind)| {
+fn metrics_have_names_help_types_and_labels() {
+    let actual = [("object", FrontKind::Object), ("platform", FrontKind::Platform)].map(|(name, kind)| {
         let folder = Folder::new();
-        let mut front = lone_front(kind, &folder);
-        // Figures of messages and of parts are there once there was a message and a beat.
-        let peers = front.until("peers at ");
+        let mut front = isolated_front(kind, &folder);
+        // The metrics of messages and of shares exist after the first message and the first heartbeat.
+        let peers = front.wait_for_line("peers at ");
         let peers = peers.rsplit(' ').next().expect("an address");
-        let stranger = UdpSocket::bind("127.0.0.1:0").expect("a free port");
-        stranger.send_to(b"no message", peers).expect("sent");
-        front.until_figures(&["app_peer_messages{", "app_peer_part{"]);
-        format!("{name} front\n{}", figures(&front))
+        let unknown_peer = UdpSocket::bind("127.0.0.1:0").expect("a free port");
+        unknown_peer.send_to(b"no message", peers).expect("sent");
+        front.wait_for_metrics(&["app_peer_messages{", "app_peer_part{"]);
+        format!("{name} front\n{}", metrics(&front))
     });
-    insta::assert_snapshot!(seen.concat());
+    insta::assert_snapshot!(actual.concat());
 }
 
 #[test]
-fn each_call_at_the_console_has_its_answer() {
+fn console_requests_are_answered() {
     let folder = Folder::new();
-    let front = lone_front(Kind::Object, &folder);
+    let front = isolated_front(FrontKind::Object, &folder);
     let calls = [
         ("GET", "/status"),
         ("GET", "/status/peers"),
@@ -354,39 +354,39 @@
         ("PUT", "/status/peers"),
         ("GET", "/nothing"),
     ];
-    let seen: String = calls.iter().map(|(method, path)| answer(&front, method, path)).collect();
-    insta::assert_snapshot!(seen);
+    let actual: String = calls.iter().map(|(method, path)| answer(&front, method, path)).collect();
+    insta::assert_snapshot!(actual);
 }
 
 #[test]
-fn a_front_without_peers_says_so_at_its_console() {
+fn console_of_a_front_without_peers() {
     let folder = Folder::new();
     let file = folder.configuration(&edited(&[("\"peers\": {", "\"others\": {")]));
-    let front = Front::start(front(Kind::Object, &file));
+    let front = Front::start(front(FrontKind::Object, &file));
     let paths = ["/status/peers", "/status/verdicts", "/status/verdicts/s-0"];
-    let seen: String = paths.iter().map(|path| answer(&front, "GET", path)).collect();
-    insta::assert_snapshot!(seen);
+    let actual: String = paths.iter().map(|path| answer(&front, "GET", path)).collect();
+    insta::assert_snapshot!(actual);
 }
 
 #[test]
-fn each_command_shows_what_a_console_says() {
+fn commands_print_the_console_status() {
     let folder = Folder::new();
-    let front = lone_front(Kind::Object, &folder);
+    let front = isolated_front(FrontKind::Object, &folder);
     let console = front.console.to_string();
-    let mut seen = String::new();
+    let mut actual = String::new();
     for arguments in [&["peers"][..], &["verdicts"], &["explain", "s-0"], &["explain", "s-9"]] {
         for output in ["table", "json"] {
             let arguments = [arguments, &["--output", output, "--console", &console]].concat();
-            seen += &command_line(&arguments).replace(&console, "CONSOLE");
+            actual += &command_line(&arguments).replace(&console, "CONSOLE");
         }
     }
-    insta::assert_snapshot!(without_values(&seen, &["boot"]));
+    insta::assert_snapshot!(without_values(&actual, &["boot"]));
 }
 
-/// The first line that holds a text, with its numbers made `_` and its columns parted by one space.
-fn line_with(said: &str, text: &str) -> String {
-    let line = said.lines().find(|line| line.contains(text));
-    let line = line.unwrap_or_else(|| panic!("no line with {text} in {said}"));
+/// The first line that contains a text, with its numbers replaced by `_` and its columns separated by one space.
+fn line_with(output: &str, text: &str) -> String {
+    let line = output.lines().find(|line| line.contains(text));
+    let line = line.unwrap_or_else(|| panic!("no line with {text} in {output}"));
     let words: Vec<&str> = line.split_whitespace().collect();
     let mut masked = String::new();
     for letter in words.join(" ").chars() {
@@ -400,97 +400,98 @@
     masked
 }
 
-/// A line up to the end of a text, whole where it does not hold it.
+/// A line up to the end of a text; the whole line where it does not contain the text.
 fn up_to<'a>(line: &'a str, text: &str) -> &'a str {
     line.find(text).map_or(line, |start| &line[..start + text.len()])
 }
 
-/// Runs a command, beside the lab's tasks, until it shows all of these texts.
-async fn until_shown(arguments: &[&str], texts: &[&str]) -> String {
-    let until = Instant::now() + LONG;
+/// Runs a command, concurrently with the lab's tasks, until its output contains all of these texts.
+async fn wait_for_output(arguments: &[&str], texts: &[&str]) -> String {
+    let deadline = Instant::now() + TIMEOUT;
     loop {
         let arguments: Vec<String> = arguments.iter().map(|argument| (*argument).to_owned()).collect();
         let run = move || command_line(&arguments.iter().map(String::as_str).collect::<Vec<_>>());
-        let seen = tokio::task::spawn_blocking(run).await.expect("it runs");
-        if texts.iter().all(|text| seen.contains(text)) {
-            return seen;
+        let actual = tokio::task::spawn_blocking(run).await.expect("it runs");
+        if texts.iter().all(|text| actual.contains(text)) {
+            return actual;
         }
-        assert!(Instant::now() < until, "not all of {texts:?} are in {seen}");
+        assert!(Instant::now() < deadline, "not all of {texts:?} are in {actual}");
     }
 }
 
-/// What is said of a server that is held out, but for who said it and when.
-async fn said_of_a_server_held_out() -> String {
-    let lab = fleet_with_a_silent_server().await;
+/// The status of an ejected server, without names and times.
+async fn ejection_status() -> String {
+    let lab = fleet_with_silent_server().await;
     let console = lab.console(0).expect("it has a console").to_string();
     let (verdicts, peers) = (RefCell::default(), RefCell::default());
-    let is_whole = |told: &str| {
-        *verdicts.borrow_mut() = read_json(told);
-        whole_verdict(&verdicts.borrow()).is_some()
+    let is_complete = |status: &str| {
+        *verdicts.borrow_mut() = read_json(status);
+        complete_ejection(&verdicts.borrow()).is_some()
     };
-    assert!(lab.until_verdicts(0, is_whole).await, "a server is held out, and somebody tries it");
-    let all_hear = |told: &str| {
-        *peers.borrow_mut() = read_json(told);
-        told.matches("\"heard_by\":[\"").count() == 2 && !told.contains("\"told_ms\":null")
+    assert!(lab.until_verdicts(0, is_complete).await, "a server is held out, and somebody tries it");
+    let all_reachable = |status: &str| {
+        *peers.borrow_mut() = read_json(status);
+        status.matches("\"heard_by\":[\"").count() == 2 && !status.contains("\"told_ms\":null")
     };
-    assert!(lab.until_peers(0, all_hear).await, "all hear each other");
+    assert!(lab.until_peers(0, all_reachable).await, "all hear each other");
     let (verdicts, peers) = (verdicts.into_inner(), peers.into_inner());
-    let verdict = whole_verdict(&verdicts).expect("there is one");
-    let mut seen = format!("verdict: {}\n", shape(&verdict));
-    let _ = writeln!(seen, "median: {}", shape(&verdicts["medians"][0]));
-    let _ = writeln!(seen, "peer: {}", shape(&peers["peers"][0]));
-    let _ = writeln!(seen, "belief: {}", peers["peers"][0]["belief"]);
+    let verdict = complete_ejection(&verdicts).expect("there is one");
+    let mut actual = format!("verdict: {}\n", shape(&verdict));
+    let _ = writeln!(actual, "median: {}", shape(&verdicts["medians"][0]));
+    let _ = writeln!(actual, "peer: {}", shape(&peers["peers"][0]));
+    let _ = writeln!(actual, "belief: {}", peers["peers"][0]["belief"]);
     let texts =
         ["has been held out for ", " s unless it is renewed", " tries it now", "assents (", "ATTEMPTS"];
-    let explained = until_shown(&["explain", "s-1", "--console", &console], &texts).await;
+    let explained = wait_for_output(&["explain", "s-1", "--console", &console], &texts).await;
     for text in texts {
         let line = line_with(&explained, text);
-        // For what work it is held out, who assents and who tries differ from run to run.
+        // The scope of the ejection, the voters and the probing front differ between runs.
         let line = up_to(up_to(&line, "held out for"), "needed):");
         let line = line.strip_suffix("tries it now").map_or(line, |_| "SOMEBODY tries it now");
-        let _ = writeln!(seen, "explain: {line}");
+        let _ = writeln!(actual, "explain: {line}");
     }
     let texts = ["EVIDENCE", "heard by ", "this front: "];
-    let shown = until_shown(&["peers", "--console", &console], &texts).await;
+    let output = wait_for_output(&["peers", "--console", &console], &texts).await;
     for text in texts {
-        let line = line_with(&shown, text);
+        let line = line_with(&output, text);
         let line = up_to(up_to(&line, "heard by"), "banks of:");
-        let _ = writeln!(seen, "peers: {line}");
+        let _ = writeln!(actual, "peers: {line}");
     }
-    seen
+    actual
 }
 
 #[test]
-fn what_is_said_of_a_server_that_is_held_out_has_its_words() {
+fn status_of_an_ejected_server() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let seen = tokio::task::LocalSet::new().block_on(&runtime, said_of_a_server_held_out());
-    insta::assert_snapshot!(seen);
+    let actual = tokio::task::LocalSet::new().block_on(&runtime, ejection_status());
+    insta::assert_snapshot!(actual);
 }
 
-/// The file in which a front of [`CONFIG`] keeps the servers that are held out by hand.
-const HELD: &str = "tulipbridge-object-1-held.json";
+/// The file in which a front with [`CONFIG`] stores the servers in maintenance.
+const MAINTENANCE_FILE: &str = "tulipbridge-object-1-held.json";
 
-/// How many of the listed servers a front avoids.
-fn avoided(front: &Front) -> String {
-    let figures = front.call("GET", "/status/metrics").body;
-    let line = figures.lines().find(|line| line.starts_with("app_cluster_unhealthy "));
+/// The metric of how many listed servers a front avoids.
+fn avoided_servers(front: &Front) -> String {
+    let metrics = front.request("GET", "/status/metrics").body;
+    let line = metrics.lines().find(|line| line.starts_with("app_cluster_unhealthy "));
     line.expect("the figure is there").to_owned()
 }
 
 #[test]
-fn the_file_of_servers_held_out_has_its_name_and_bytes() {
+fn maintenance_file_has_its_name_and_content() {
     let folder = Folder::new();
-    let front = lone_front(Kind::Object, &folder);
-    let held = || std::fs::read_to_string(folder.path().join(HELD)).expect("the file is there");
-    assert!(!folder.path().join(HELD).exists(), "nothing is written before the first call");
+    let front = isolated_front(FrontKind::Object, &folder);
+    let content =
+        || std::fs::read_to_string(folder.path().join(MAINTENANCE_FILE)).expect("the file is there");
+    assert!(!folder.path().join(MAINTENANCE_FILE).exists(), "nothing is written before the first call");
     for (path, bytes) in [
         ("/maintenance/enter/s-1", r#"{"held":["s-1"]}"#),
         ("/maintenance/enter/s-0", r#"{"held":["s-0","s-1"]}"#),
         ("/maintenance/exit/s-1", r#"{"held":["s-0"]}"#),
         ("/maintenance/exit/s-0", r#"{"held":[]}"#),
     ] {
-        assert_eq!(front.call("PUT", path).status, "HTTP/1.1 200 OK", "{path}");
-        assert_eq!(held(), bytes, "{path}");
+        assert_eq!(front.request("PUT", path).status, "HTTP/1.1 200 OK", "{path}");
+        assert_eq!(content(), bytes, "{path}");
     }
     let mut names: Vec<String> = std::fs::read_dir(folder.path())
         .expect("the folder is there")
@@ -498,28 +499,28 @@
         .filter(|name| name.starts_with("tulipbridge-"))
         .collect();
     names.sort();
-    assert_eq!(names, [HELD, "tulipbridge-object-1-held.lock"]);
+    assert_eq!(names, [MAINTENANCE_FILE, "tulipbridge-object-1-held.lock"]);
 }
 
 #[test]
-fn a_front_started_on_a_file_of_servers_held_out_holds_them_out() {
-    for (bytes, avoids) in [
+fn maintenance_file_is_restored_at_start() {
+    for (bytes, expected) in [
         (r#"{"held":[]}"#, "app_cluster_unhealthy 0"),
         (r#"{"held":["s-1"]}"#, "app_cluster_unhealthy 1"),
         (r#"{"held":["s-0","s-1","s-7"]}"#, "app_cluster_unhealthy 2"),
     ] {
         let folder = Folder::new();
-        std::fs::write(folder.path().join(HELD), bytes).expect("written");
-        assert_eq!(avoided(&lone_front(Kind::Object, &folder)), avoids, "{bytes}");
+        std::fs::write(folder.path().join(MAINTENANCE_FILE), bytes).expect("written");
+        assert_eq!(avoided_servers(&isolated_front(FrontKind::Object, &folder)), expected, "{bytes}");
     }
 }
 
 #[test]
-fn a_file_of_servers_held_out_that_cannot_be_read_is_passed_over() {
+fn unreadable_maintenance_file_is_ignored() {
     let folder = Folder::new();
-    std::fs::write(folder.path().join(HELD), r#"{"held":["s-1","#).expect("written");
-    let mut front = lone_front(Kind::Object, &folder);
-    let said = folder.masked(&front.until("maintenance: "));
-    assert_eq!(said, format!("maintenance: FOLDER/{HELD} cannot be read, and is passed over"));
-    assert_eq!(avoided(&front), "app_cluster_unhealthy 0");
+    std::fs::write(folder.path().join(MAINTENANCE_FILE), r#"{"held":["s-1","#).expect("written");
+    let mut front = isolated_front(FrontKind::Object, &folder);
+    let output = folder.masked(&front.wait_for_line("maintenance: "));
+    assert_eq!(output, format!("maintenance: FOLDER/{MAINTENANCE_FILE} cannot be read, and is passed over"));
+    assert_eq!(avoided_servers(&front), "app_cluster_unhealthy 0");
 }
--- a/tests/golden/edits.rs
+++ b/tests/golden/edits.rs
@@ -1,6 +1,6 @@
-//! Edits of the configuration that a front refuses.
+//! Edits that make the configuration invalid.
 
-/// An edit of [`CONFIG`](crate::program::CONFIG): the first of one text made another.
+/// An edit of [`CONFIG`](crate::program::CONFIG): the first occurrence of `from` is replaced by `to`.
 pub struct Edit {
     pub name: &'static str,
     pub from: &'static str,
@@ -11,8 +11,8 @@
     Edit { name, from, to }
 }
 
-/// What ends the start of an object front and of a platform front alike.
-pub const REFUSED_BY_BOTH: &[Edit] = &[
+/// Edits that both kinds of front reject.
+pub const REJECTED_BY_BOTH: &[Edit] = &[
     edit("broken JSON", "\"name\": \"object-1\",", "\"name\": \"object-1\""),
     edit("a file that ends early", "\"Zone\": \"edificio-a\"}", "\"Zone\": "),
     edit("settings missing", "\"settings\": {", "\"other\": {"),
@@ -115,8 +115,8 @@
     edit("instance cell out of range", "\"cell\": 0", "\"cell\": -1"),
 ];
 
-/// What ends the start of an object front only.
-pub const REFUSED_BY_OBJECT: &[Edit] = &[
+/// Edits that only an object front rejects.
+pub const REJECTED_BY_OBJECT: &[Edit] = &[
     edit("buckets missing", "\"buckets\": {", "\"others\": {"),
     edit("buckets of another kind", "\"buckets\": {", "\"buckets\": [], \"others\": {"),
     edit("volume missing", "\"volume\": \"00000003b4d60021\", ", ""),
--- a/tests/golden/program.rs
+++ b/tests/golden/program.rs
@@ -1,18 +1,18 @@
-//! The built program under test: its configuration file, and how it is started.
+//! The program under test: its configuration file, and how it is started.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// A configuration that both kinds of front take: three peers, two chunk servers, two buckets.
+/// A configuration that is valid for both kinds of front: three peers, two chunk servers, two buckets.
 pub const CONFIG: &str = include_str!("front.json");
 /// How long the program may take for anything before the test has failed.
-pub const LONG: Duration = Duration::from_secs(20);
-/// Between two looks at something that is waited for.
-const POLL: Duration = Duration::from_millis(10);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// The environment variables that the program reads.
-const VARIABLES: [&str; 6] = [
+const ENVIRONMENT_VARIABLES: [&str; 6] = [
     "BALANCER_CONFIG",
     "BALANCER_NAME",
     "BALANCER_LISTEN",
@@ -21,7 +21,7 @@
     "TULIPBRIDGE_TRACE",
 ];
 
-/// [`CONFIG`] with the first of each pair made the second.
+/// [`CONFIG`] with the first text of each pair replaced by the second.
 pub fn edited(edits: &[(&str, &str)]) -> String {
     edits.iter().fold(CONFIG.to_owned(), |config, (from, to)| {
         assert!(config.contains(from), "no {from} in the file");
@@ -29,14 +29,14 @@
     })
 }
 
-/// Which front the program runs.
+/// The kind of front that the program runs.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Kind {
+pub enum FrontKind {
     Platform,
     Object,
 }
 
-/// A folder of the test's own, removed with all that is in it.
+/// A temporary folder, removed on drop.
 pub struct Folder(PathBuf);
 
 impl Folder {
@@ -54,7 +54,7 @@
         &self.0
     }
 
-    /// Writes a configuration, and gives its path.
+    /// Writes a configuration and returns its path.
     pub fn configuration(&self, text: &str) -> PathBuf {
         let file = self.0.join("front.json");
         std::fs::write(&file, text).expect("written");
@@ -73,39 +73,39 @@
     }
 }
 
-/// The program, with no variable of its own set.
+/// The program, without any of its environment variables.
 pub fn program() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_tulipbridge"));
-    for variable in VARIABLES {
+    for variable in ENVIRONMENT_VARIABLES {
         command.env_remove(variable);
     }
     command.stdin(Stdio::null());
     command
 }
 
-/// The program that runs a front of this kind on this file, in the file's folder: paths in it are relative, so that
-/// it has the same bytes on each run.
-pub fn front(kind: Kind, file: &Path) -> Command {
+/// The program as a front of this kind with this file, run in the file's folder: paths in it are relative, so that it
+/// has the same bytes on each run.
+pub fn front(kind: FrontKind, file: &Path) -> Command {
     let mut command = program();
     command.current_dir(file.parent().expect("a file is in a folder"));
     match kind {
-        Kind::Platform => command.env("BALANCER_CONFIG", file),
-        Kind::Object => command.arg("object").arg(file),
+        FrontKind::Platform => command.env("BALANCER_CONFIG", file),
+        FrontKind::Object => command.arg("object").arg(file),
     };
     command
 }
 
-/// Runs a command that is to end by itself; one that does not is killed, and the test fails.
+/// Runs a command that should exit by itself; one that does not is killed, and the test fails.
 pub fn run_to_end(mut command: Command) -> Output {
     let mut child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("it starts");
-    let until = Instant::now() + LONG;
+    let deadline = Instant::now() + TIMEOUT;
     while matches!(child.try_wait(), Ok(None)) {
-        if Instant::now() > until {
+        if Instant::now() > deadline {
             let _ = child.kill();
             let output = child.wait_with_output().expect("it was started");
             panic!("it runs on: {}", String::from_utf8_lossy(&output.stderr));
         }
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
     child.wait_with_output().expect("it was started")
 }
--- a/tests/golden/running.rs
+++ b/tests/golden/running.rs
@@ -1,4 +1,4 @@
-//! A front that runs: its log, its console, and the other parties that the test plays over sockets.
+//! A running front: its log, its console, and helpers for the servers that the test plays.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,14 +6,14 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-use crate::program::LONG;
+use crate::program::TIMEOUT;
 
-/// A front that runs.
+/// A running front.
 pub struct Front {
     child: Child,
     log: Receiver<String>,
-    /// What it has said so far.
-    pub said: Vec<String>,
+    /// The lines of its log so far.
+    pub log_lines: Vec<String>,
     pub clients: SocketAddr,
     pub console: SocketAddr,
 }
@@ -26,52 +26,53 @@
         let (sender, log) = channel();
         std::thread::spawn(move || pipe.lines().map_while(Result::ok).try_for_each(|line| sender.send(line)));
         let unknown: SocketAddr = ([0, 0, 0, 0], 0).into();
-        let mut front = Front { child, log, said: Vec::new(), clients: unknown, console: unknown };
-        front.clients = address(&front.until("listening on "));
-        front.console = address(&front.until("console on "));
+        let mut front = Front { child, log, log_lines: Vec::new(), clients: unknown, console: unknown };
+        front.clients = address(&front.wait_for_line("listening on "));
+        front.console = address(&front.wait_for_line("console on "));
         front
     }
 
-    /// Waits until a line of the log, said already or not, holds this text, and gives the line.
-    pub fn until(&mut self, text: &str) -> String {
-        let until = Instant::now() + LONG;
+    /// Waits until a line of the log, old or new, contains this text, and returns the line.
+    pub fn wait_for_line(&mut self, text: &str) -> String {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
-            if let Some(line) = self.said.iter().find(|line| line.contains(text)) {
+            if let Some(line) = self.log_lines.iter().find(|line| line.contains(text)) {
                 return line.clone();
             }
-            let left = until.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             let line = self.log.recv_timeout(left);
-            self.said.push(line.unwrap_or_else(|_| panic!("it never said {text}: {:#?}", self.said)));
+            let line = line.unwrap_or_else(|_| panic!("no line with {text} in {:#?}", self.log_lines));
+            self.log_lines.push(line);
         }
     }
 
-    /// One call at the console: status line, content type and body.
-    pub fn call(&self, method: &str, path: &str) -> Answer {
+    /// Sends a request to the console.
+    pub fn request(&self, method: &str, path: &str) -> Answer {
         let mut stream = TcpStream::connect(self.console).expect("the console takes connections");
         let head = format!("{method} {path} HTTP/1.1\r\nHost: t\r\nContent-Length: 0\r\n\r\n");
         stream.write_all(head.as_bytes()).expect("sent");
         read_answer(stream)
     }
 
-    /// Waits until the figures hold all of these texts.
-    pub fn until_figures(&self, texts: &[&str]) {
-        let until = Instant::now() + LONG;
+    /// Waits until the metrics contain all of these texts.
+    pub fn wait_for_metrics(&self, texts: &[&str]) {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
-            let figures = self.call("GET", "/status/metrics").body;
-            if texts.iter().all(|text| figures.contains(text)) {
+            let metrics = self.request("GET", "/status/metrics").body;
+            if texts.iter().all(|text| metrics.contains(text)) {
                 return;
             }
-            assert!(Instant::now() < until, "not all of {texts:?} are in {figures}");
+            assert!(Instant::now() < deadline, "not all of {texts:?} are in {metrics}");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Tells it to end, waits until it has, and reads the rest of its log.
-    pub fn end(&mut self) -> Option<i32> {
+    /// Sends SIGTERM, waits for the exit, and reads the rest of the log. Returns the exit code.
+    pub fn terminate(&mut self) -> Option<i32> {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill").args(["-TERM", &pid]).status().expect("kill").success());
         let code = self.child.wait().expect("it ends").code();
-        self.said.extend(self.log.iter());
+        self.log_lines.extend(self.log.iter());
         code
     }
 }
@@ -83,7 +84,7 @@
     }
 }
 
-/// An answer over HTTP.
+/// An HTTP response.
 pub struct Answer {
     /// Its status line.
     pub status: String,
@@ -92,9 +93,9 @@
     pub body: String,
 }
 
-/// Reads an answer from a connection that ends with it.
+/// Reads a response that ends with its connection.
 fn read_answer(mut stream: TcpStream) -> Answer {
-    stream.set_read_timeout(Some(LONG)).expect("settable");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("settable");
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes).expect("an answer");
     let text = String::from_utf8(bytes).expect("text");
@@ -109,11 +110,11 @@
 
 /// The address at the end of a line.
 fn address(line: &str) -> SocketAddr {
-    let told = line.trim().rsplit(' ').next().and_then(|told| told.parse().ok());
-    told.unwrap_or_else(|| panic!("no address: {line}"))
+    let address = line.trim().rsplit(' ').next().and_then(|address| address.parse().ok());
+    address.unwrap_or_else(|| panic!("no address: {line}"))
 }
 
-/// A socket on a port that the system chooses.
+/// A listening socket on a port that the system chooses.
 pub fn bind() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a free port")
 }
@@ -121,21 +122,23 @@
 /// Waits for the next connection.
 pub fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).expect("settable");
-    let until = Instant::now() + LONG;
+    let deadline = Instant::now() + TIMEOUT;
     loop {
         match listener.accept() {
             Ok((stream, _)) => {
                 stream.set_nonblocking(false).expect("settable");
-                stream.set_read_timeout(Some(LONG)).expect("settable");
+                stream.set_read_timeout(Some(TIMEOUT)).expect("settable");
                 return stream;
             }
-            Err(why) => assert!(why.kind() == ErrorKind::WouldBlock && Instant::now() < until, "{why}"),
+            Err(error) => {
+                assert!(error.kind() == ErrorKind::WouldBlock && Instant::now() < deadline, "{error}")
+            }
         }
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// Reads up to the end of a head that has no body behind it.
+/// Reads a request or response head that no body follows.
 pub fn read_head(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     while !bytes.ends_with(b"\r\n\r\n") {
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -23,8 +23,8 @@
     Delta, EntryKey, Envelope, EnvelopeCodec, GossipEntry, GossipMessage, GossipStore, PeerState,
 };
 
-/// What a datagram says, as the program has it privately: the order of the variants is part of the format.
-/// `program_speaks_and_hears_the_golden_format` holds this copy against the running program.
+/// A copy of the private message type of the program: the order of the variants is part of the format.
+/// `program_sends_and_receives_the_golden_format` checks this copy against the running program.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Message {
     Heartbeat(Box<Heartbeat>),
@@ -32,14 +32,14 @@
 }
 
 const KEY: &[u8] = b"golden key of the fronts";
-/// Where a datagram's content begins.
-const CONTENT: usize = 14;
-/// The first byte of a content that is a beat.
-const BEAT: u8 = 0;
-/// The first byte of a content that is entries.
-const ENTRIES: u8 = 1;
+/// Offset of the message in a datagram.
+const MESSAGE_OFFSET: usize = 14;
+/// First byte of a heartbeat message.
+const HEARTBEAT_VARIANT: u8 = 0;
+/// First byte of a gossip message.
+const GOSSIP_VARIANT: u8 = 1;
 
-fn seal() -> EnvelopeCodec {
+fn codec() -> EnvelopeCodec {
     EnvelopeCodec::new(KEY).expect("the key is long enough")
 }
 
@@ -48,20 +48,20 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Checks that a message makes exactly this datagram, and that it is read back as an equal message.
+/// Checks that a message is encoded as exactly this datagram, and that decoding returns an equal message.
 fn assert_golden(message: &Message, expected: &str) {
-    let datagram = seal().seal(0x0203, 0x1122_3344_5566_7788, message).expect("the datagram is short");
+    let datagram = codec().seal(0x0203, 0x1122_3344_5566_7788, message).expect("the datagram is short");
     assert_eq!(hex(&datagram), expected);
-    let opened = seal().open::<Message>(&datagram);
+    let envelope = codec().open::<Message>(&datagram);
     assert_eq!(
-        opened,
+        envelope,
         Ok(Envelope { from: 0x0203, incarnation: 0x1122_3344_5566_7788, message: message.clone() })
     );
 }
 
 #[test]
-fn datagram_of_a_beat() {
-    let hello = PeerState {
+fn heartbeat_datagram() {
+    let state = PeerState {
         sent_at: 3_000,
         echo: Some((301, -64)),
         conflicting: Some(305),
@@ -69,10 +69,10 @@
         reachable: vec![9],
     };
     let volume = Lease { limit: Limit::Volume(131), share: 132 };
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         roster: 0x8877_6655_4433_2211,
         revision: 257,
-        state: hello,
+        state,
         established: false,
         is_reply: true,
         claims: vec![1, 2],
@@ -83,65 +83,65 @@
         grant: LeaseGrant { number: 400, duration: -2_500, leases: vec![volume] },
     };
     assert_golden(
-        &Message::Heartbeat(Box::new(beat)),
+        &Message::Heartbeat(Box::new(heartbeat)),
         concat!(
             "54425002",                                                         // the letters TBP, version
-            "0302",                 // the sender's place, low byte first
-            "8877665544332211",     // the sender's boot, low byte first
-            "00",                   // what is said: Beat
+            "0302",                 // the sender's peer id, low byte first
+            "8877665544332211",     // the sender's incarnation, low byte first
+            "00",                   // message variant: Heartbeat
             "91c4cca1d4cad9bb8801", // roster
             "8102",                 // revision
-            "f02e",                 // hello: sent
-            "01ad027f",             // hello: echo
-            "01b102",               // hello: stranger
-            "01",                   // hello: leaving
-            "0109",                 // hello: hears
+            "f02e",                 // state: sent_at
+            "01ad027f",             // state: echo
+            "01b102",               // state: conflicting
+            "01",                   // state: shutting_down
+            "0109",                 // state: reachable
             "00",                   // established
-            "01",                   // reply
-            "020102",               // wants
-            "0103",                 // agrees
+            "01",                   // is_reply
+            "020102",               // claims
+            "0103",                 // votes
             "0304800506",           // settled
-            "01019601",             // asks: Servers
-            "01ae02af02",           // uses
-            "90038727",             // loans: number, term
-            "010283018401",         // loans: Volume
+            "01019601",             // demands: ServerLoad
+            "01ae02af02",           // grant_in_use
+            "90038727",             // grant: number, duration
+            "010283018401",         // grant: lease of Volume
             "3d1a5913e0dc74ad62649852a3e9405eecb4fcd2c6116001cec6165b35d99cfb", // HMAC-SHA256 of all before
         ),
     );
 }
 
 #[test]
-fn datagram_of_entries() {
+fn gossip_datagram() {
     let key = EntryKey { kind: 200, id: 500 };
-    let item = GossipEntry { key, version: 131, age_ms: 60_000, value: Some(vec![0x00, 0xff]) };
-    let delta = Delta { origin: 4, incarnation: 303, after: 5, to: 8, entries: vec![item] };
-    let exchange = GossipMessage {
+    let entry = GossipEntry { key, version: 131, age_ms: 60_000, value: Some(vec![0x00, 0xff]) };
+    let delta = Delta { origin: 4, incarnation: 303, after: 5, to: 8, entries: vec![entry] };
+    let gossip = GossipMessage {
         echo: Some((900, -5)),
         knows: vec![(513, 6, 302)],
         requests_missing: true,
         deltas: vec![delta],
     };
     assert_golden(
-        &Message::Gossip(exchange),
+        &Message::Gossip(gossip),
         concat!(
             "54425002",                                                         // the letters TBP, version
-            "0302",                       // the sender's place, low byte first
-            "8877665544332211",           // the sender's boot, low byte first
-            "01",                         // what is said: Entries
+            "0302",                       // the sender's peer id, low byte first
+            "8877665544332211",           // the sender's incarnation, low byte first
+            "01",                         // message variant: Gossip
             "01840709",                   // echo
             "01810406ae02",               // knows
-            "01",                         // asks
-            "0104af020508",               // delta: origin, boot, after, to
-            "01c8f4038301e0d403010200ff", // item: key, version, age, value
+            "01",                         // requests_missing
+            "0104af020508",               // delta: origin, incarnation, after, to
+            "01c8f4038301e0d403010200ff", // entry: key, version, age, value
             "58a2e4806132debea561b818838336f5d340ae10eb7770f847e9a89c13a79bbd", // HMAC-SHA256 of all before
         ),
     );
 }
 
-/// The roster's digest that the front `a` reads from `peers`, with this put in.
-fn roster_digest(more: &str) -> u64 {
+/// The digest of the roster that the front `a` reads from `peers` with `extra_fields` in it.
+fn roster_digest(extra_fields: &str) -> u64 {
     let peers = format!(
-        r#"{{"listen": "127.0.0.1:1", "key_file": "k", "revision": 7, "life_ms": 3000, "floor": 0.25, {more}
+        r#"{{"listen": "127.0.0.1:1", "key_file": "k", "revision": 7, "life_ms": 3000, "floor": 0.25, {extra_fields}
         "roster": [{{"name": "b", "address": "127.0.0.1:2", "zone": "east"}},
         {{"name": "a", "address": "127.0.0.1:3", "zone": "west"}}]}}"#
     );
@@ -150,52 +150,53 @@
 }
 
 #[test]
-fn roster_digest_without_verdicts() {
-    let digested = r#"7|3000000000|250000|["a", "b"]"#;
-    assert_eq!(EnvelopeCodec::digest(digested), 0x21a1_d7fc_80f5_9db3);
+fn roster_digest_without_ejections() {
+    let digested_text = r#"7|3000000000|250000|["a", "b"]"#;
+    assert_eq!(EnvelopeCodec::digest(digested_text), 0x21a1_d7fc_80f5_9db3);
     assert_eq!(roster_digest(""), 0x21a1_d7fc_80f5_9db3);
 }
 
 #[test]
-fn roster_digest_with_verdicts() {
+fn roster_digest_with_ejections() {
     // The digested text has the names of a type and its fields in it: they are part of the format.
-    let digested =
+    let digested_text =
         r#"7|3000000000|250000|["a", "b"]|Config { most_out: 0.25, witnesses: 3 }|["east", "west"]|[1, 0]"#;
-    assert_eq!(EnvelopeCodec::digest(digested), 0x9a5d_abd6_94d8_0079);
+    assert_eq!(EnvelopeCodec::digest(digested_text), 0x9a5d_abd6_94d8_0079);
     assert_eq!(roster_digest(r#""verdicts": {"most_out": 0.25, "witnesses": 3},"#), 0x9a5d_abd6_94d8_0079);
 }
 
-/// A server of the list.
-fn server(node: usize, came_up: i64) -> NodeInfo {
-    NodeInfo { node, zone: 0, cell: 0, listed: Listed::Up, started_at: came_up }
+/// A server of the endpoint list.
+fn server(node: usize, started_at: i64) -> NodeInfo {
+    NodeInfo { node, zone: 0, cell: 0, listed: Listed::Up, started_at }
 }
 
 #[test]
 fn server_ids_in_entries() {
-    // A server's number is the digest of its name and of when it came up, which all fronts are told.
+    // A server's id is the digest of its name and its start time, which all fronts get from discovery.
     assert_eq!(EnvelopeCodec::digest("s-1|77000000"), 0x6a76_f700_4058_78ab);
-    let terms = tulipbridge_outlier_detection::DetectorConfig::new(0, 3, 0);
-    let mut bench = Ejections::new(terms, EjectionMetrics::new(&Metrics::new())).expect("the terms hold");
+    let config = tulipbridge_outlier_detection::DetectorConfig::new(0, 3, 0);
+    let mut ejections =
+        Ejections::new(config, EjectionMetrics::new(&Metrics::new())).expect("the configuration is valid");
     let servers = [server(0, 1), server(1, 77_000_000), server(2, 3)];
-    bench.update_endpoints(UpdateScope::Replace, &servers, |node| format!("s-{node}"));
+    ejections.update_endpoints(UpdateScope::Replace, &servers, |node| format!("s-{node}"));
     for id in 0..60 {
         let node = id as usize % servers.len();
         let outcome = if node == 1 { Outcome::Error } else { Outcome::Served };
-        bench.attempt_sent(0, AttemptKey { request: id, attempt: 0 }, node, 0, true);
-        bench.observe_input(
+        ejections.attempt_sent(0, AttemptKey { request: id, attempt: 0 }, node, 0, true);
+        ejections.observe_input(
             1_000,
             &Input::AttemptEnded { id, attempt: 0, outcome, observed_use: 0.0, foreign_units: 0.0 },
         );
     }
-    let done = bench.evaluate(2_000, 0, &GossipStore::new(0, 3, 1, 100_000, 0));
-    let keys: Vec<EntryKey> = done.entries.iter().map(|change| change.key).collect();
+    let changes = ejections.evaluate(2_000, 0, &GossipStore::new(0, 3, 1, 100_000, 0));
+    let keys: Vec<EntryKey> = changes.entries.iter().map(|change| change.key).collect();
     assert_eq!(keys, [EntryKey { kind: 2, id: 0x6a76_f700_4058_78ab }]);
 }
 
 /// How long the program may take for anything here.
-const LONG: Duration = Duration::from_secs(20);
-/// The boot of the peer that the test plays; the program is at place 0 and the peer at place 1.
-const PEER_BOOT: u64 = 77;
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// The incarnation of the peer that the test plays; the program is peer 0 and the played peer is peer 1.
+const PEER_INCARNATION: u64 = 77;
 
 /// The program as the front `alpha`, with a peer `beta` that the test plays.
 struct Program {
@@ -227,28 +228,28 @@
         command.env("BALANCER_CONFIG", &file).stdin(Stdio::null()).stdout(Stdio::null());
         let mut child = command.stderr(Stdio::piped()).spawn().expect("the program starts");
         let mut log = BufReader::new(child.stderr.take().expect("a pipe"));
-        let (mut console, mut peers, mut said) = (None, None, String::new());
+        let (mut console, mut peers, mut output) = (None, None, String::new());
         while console.is_none() || peers.is_none() {
             let mut line = String::new();
-            assert!(log.read_line(&mut line).expect("it speaks") > 0, "it ended: {said}");
+            assert!(log.read_line(&mut line).expect("a line of the log") > 0, "it ended: {output}");
             console = console.or_else(|| address_after("console on ", &line));
             peers = peers.or_else(|| address_after("peers at ", &line));
-            said += &line;
+            output += &line;
         }
-        // What it says later is read and dropped, so that the pipe never fills.
+        // Later output is read and discarded, so that the pipe never fills.
         std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
         let (console, peers) = (console.expect("found"), peers.expect("found"));
         Program { child, folder, console, peers }
     }
 
-    /// What the console says of the peers.
+    /// The console's status of the peers.
     fn status(&self) -> String {
         let mut stream = TcpStream::connect(self.console).expect("the console takes connections");
         let request = b"GET /status/peers HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n";
         stream.write_all(request).expect("the request goes out");
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("the answer comes");
-        answer
+        let mut response = String::new();
+        stream.read_to_string(&mut response).expect("the answer comes");
+        response
     }
 }
 
@@ -260,71 +261,73 @@
     }
 }
 
-fn address_after(words: &str, line: &str) -> Option<SocketAddr> {
-    line.rsplit_once(words).and_then(|(_, address)| address.trim().parse().ok())
+fn address_after(prefix: &str, line: &str) -> Option<SocketAddr> {
+    line.rsplit_once(prefix).and_then(|(_, address)| address.trim().parse().ok())
 }
 
-/// The next datagram of the program's, which must be byte for byte what the golden format makes of its content.
-fn next_datagram(socket: &UdpSocket) -> Envelope<Message> {
+/// Receives the next datagram of the program, which must equal the golden encoding of its message byte for byte.
+fn receive_envelope(socket: &UdpSocket) -> Envelope<Message> {
     let mut bytes = vec![0; 65_536];
     let length = socket.recv(&mut bytes).expect("the program sends");
     let datagram = &bytes[..length];
-    let opened = seal().open::<Message>(datagram).expect("the datagram can be opened");
-    let variant = if matches!(opened.message, Message::Heartbeat(_)) { BEAT } else { ENTRIES };
-    assert_eq!(datagram[CONTENT], variant);
-    assert_eq!(opened.from, 0);
-    let again = seal().seal(opened.from, opened.incarnation, &opened.message).expect("it is short");
-    assert_eq!(hex(&again), hex(datagram));
-    opened
+    let envelope = codec().open::<Message>(datagram).expect("the envelope is valid");
+    let variant =
+        if matches!(envelope.message, Message::Heartbeat(_)) { HEARTBEAT_VARIANT } else { GOSSIP_VARIANT };
+    assert_eq!(datagram[MESSAGE_OFFSET], variant);
+    assert_eq!(envelope.from, 0);
+    let encoded = codec().seal(envelope.from, envelope.incarnation, &envelope.message).expect("it is short");
+    assert_eq!(hex(&encoded), hex(datagram));
+    envelope
 }
 
-/// A beat of the peer's, by which the program knows that the peer hears it.
-fn answer_to(beat: &Heartbeat, boot: u64, sent: i64) -> Message {
-    let hello = PeerState { sent_at: sent, echo: Some((boot, beat.state.sent_at)), ..PeerState::default() };
-    let (roster, revision) = (beat.roster, beat.revision);
-    Message::Heartbeat(Box::new(Heartbeat { roster, revision, state: hello, ..Heartbeat::default() }))
+/// A heartbeat of the peer that acknowledges one of the program.
+fn heartbeat_reply(heartbeat: &Heartbeat, incarnation: u64, sent_at: i64) -> Message {
+    let echo = Some((incarnation, heartbeat.state.sent_at));
+    let state = PeerState { sent_at, echo, ..PeerState::default() };
+    let (roster, revision) = (heartbeat.roster, heartbeat.revision);
+    Message::Heartbeat(Box::new(Heartbeat { roster, revision, state, ..Heartbeat::default() }))
 }
 
-/// Entries of the peer's, with one that says its version.
-fn version_of_peer(beat: &Heartbeat, boot: u64) -> Message {
-    let about = EntryKey { kind: 0, id: 0 };
-    let item = GossipEntry { key: about, version: 1, age_ms: 0, value: Some(b"golden".to_vec()) };
-    let delta = Delta { origin: 1, incarnation: PEER_BOOT, after: 0, to: 1, entries: vec![item] };
-    let echo = Some((boot, beat.state.sent_at));
+/// Gossip of the peer with the entry of its program version.
+fn version_gossip(heartbeat: &Heartbeat, incarnation: u64) -> Message {
+    let key = EntryKey { kind: 0, id: 0 };
+    let entry = GossipEntry { key, version: 1, age_ms: 0, value: Some(b"golden".to_vec()) };
+    let delta = Delta { origin: 1, incarnation: PEER_INCARNATION, after: 0, to: 1, entries: vec![entry] };
+    let echo = Some((incarnation, heartbeat.state.sent_at));
     Message::Gossip(GossipMessage { echo, knows: Vec::new(), requests_missing: false, deltas: vec![delta] })
 }
 
 #[test]
-fn program_speaks_and_hears_the_golden_format() {
+fn program_sends_and_receives_the_golden_format() {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
-    socket.set_read_timeout(Some(LONG)).expect("it can time out");
+    socket.set_read_timeout(Some(TIMEOUT)).expect("it can time out");
     let program = Program::start(socket.local_addr().expect("it has an address"));
     let send = |message: &Message| {
-        let datagram = seal().seal(1, PEER_BOOT, message).expect("it is short");
+        let datagram = codec().seal(1, PEER_INCARNATION, message).expect("it is short");
         socket.send_to(&datagram, program.peers).expect("it goes out");
     };
-    let until = Instant::now() + LONG;
-    let (mut sent, mut entries) = (0, None);
-    // Entries come only after the program has taken a beat, and the version only after it has taken entries.
-    while entries.is_none() || !program.status().contains(r#""version":"golden""#) {
-        assert!(Instant::now() < until, "entries: {entries:?}, status: {}", program.status());
-        let Envelope { incarnation: boot, message: said, .. } = next_datagram(&socket);
-        match said {
-            Message::Heartbeat(beat) => {
-                sent += 1;
-                send(&answer_to(&beat, boot, sent));
-                send(&version_of_peer(&beat, boot));
+    let deadline = Instant::now() + TIMEOUT;
+    let (mut heartbeats_received, mut first_delta) = (0, None);
+    // The program gossips only after a heartbeat of the peer, and shows the version only after the gossip with it.
+    while first_delta.is_none() || !program.status().contains(r#""version":"golden""#) {
+        assert!(Instant::now() < deadline, "delta: {first_delta:?}, status: {}", program.status());
+        let Envelope { incarnation, message, .. } = receive_envelope(&socket);
+        match message {
+            Message::Heartbeat(heartbeat) => {
+                heartbeats_received += 1;
+                send(&heartbeat_reply(&heartbeat, incarnation, heartbeats_received));
+                send(&version_gossip(&heartbeat, incarnation));
             }
-            Message::Gossip(exchange) => {
-                let told = exchange.deltas.into_iter().find(|delta| delta.origin == 0);
-                entries = entries.or(told.map(|delta| (boot, delta)));
+            Message::Gossip(gossip) => {
+                let own_delta = gossip.deltas.into_iter().find(|delta| delta.origin == 0);
+                first_delta = first_delta.or(own_delta.map(|delta| (incarnation, delta)));
             }
         }
     }
     // The program's own first entry is its version, under the key 0 of the kind 0.
-    let (boot, delta) = entries.expect("entries came");
-    let [item] = &delta.entries[..] else { panic!("one item: {delta:?}") };
-    assert_eq!((delta.incarnation, delta.after, delta.to), (boot, 0, 1));
-    assert_eq!((item.key, item.version), (EntryKey { kind: 0, id: 0 }, 1));
-    assert_eq!(item.value.as_deref(), Some(env!("CARGO_PKG_VERSION").as_bytes()));
+    let (incarnation, delta) = first_delta.expect("entries came");
+    let [entry] = &delta.entries[..] else { panic!("one item: {delta:?}") };
+    assert_eq!((delta.incarnation, delta.after, delta.to), (incarnation, 0, 1));
+    assert_eq!((entry.key, entry.version), (EntryKey { kind: 0, id: 0 }, 1));
+    assert_eq!(entry.value.as_deref(), Some(env!("CARGO_PKG_VERSION").as_bytes()));
 }
