--- a/src/cli/agent.rs
+++ b/src/cli/agent.rs
@@ -14,7 +14,7 @@
 use crate::control::agent::command::FrontCommand;
 use crate::control::agent::supervisor::Phase;
 
-/// The longest time for a front to reach the phase that a command asks for.
+/// The longest time for a front to reach the phase that a command requires.
 const PHASE_TIMEOUT: Duration = Duration::from_secs(60);
 /// The pause between two requests for the status of the fronts.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
--- a/src/cluster/config.rs
+++ b/src/cluster/config.rs
@@ -17,7 +17,7 @@
 use crate::cluster::roster::Roster;
 use crate::limits::MAX_FRONTS;
 
-/// Bytes a second of gossip, where the file does not say.
+/// Bytes a second of gossip, unless the file has a limit.
 const DEFAULT_GOSSIP_BYTES_PER_SECOND: f64 = 20_000.0;
 const NANOS_PER_MILLISECOND: f64 = 1e6;
 
--- a/src/cluster/ejections/mod.rs
+++ b/src/cluster/ejections/mod.rs
@@ -1,7 +1,7 @@
 //! Outlier ejection of chunk servers, decided together with the peers.
 //!
-//! [`Ejections`] connects the state machine [`OutlierDetector`] to the front: it turns inputs of the request tracker into
-//! observations of servers, and the detector's effects into gossip entries and into updates for the decision module.
+//! [`Ejections`] connects the state machine [`OutlierDetector`] to the front: it turns inputs of the request tracker
+//! into observations of servers, and the detector's effects into gossip entries and updates for the decision module.
 //! It is only used where the configuration file has `peers.verdicts`.
 
 mod config;
@@ -263,7 +263,7 @@
     }
 }
 
-/// What an outcome says about the server.
+/// The result of an attempt with this outcome, as the detector counts it.
 fn attempt_result(outcome: Outcome) -> AttemptResult {
     match outcome {
         Outcome::Served => AttemptResult::Answered,
--- a/src/cluster/limits/config.rs
+++ b/src/cluster/limits/config.rs
@@ -9,8 +9,8 @@
 use super::{fraction, LimitDemand, LimitRate, LimitUpdate};
 use crate::cluster::fields::{self, FieldError};
 
-/// Retries that each request demands in advance, where a failed attempt demands 1: a front with traffic then has a share
-/// of the retries before its first failure.
+/// Retries that each request demands in advance, where a failed attempt demands 1: a front with traffic then has a
+/// share of the retries before its first failure.
 const RETRY_RESERVE_PER_REQUEST: f64 = 0.02;
 /// Retries that a failed attempt demands.
 const RETRIES_PER_FAILURE: f64 = 1.0;
@@ -127,7 +127,7 @@
     fields::positive_number(limits, IN_FLIGHT_KEY, &format!("peers.limits.{IN_FLIGHT_KEY}")).map(Some)
 }
 
-/// Whether an input says that an attempt has failed.
+/// Whether an input reports that an attempt has failed.
 fn is_failed_attempt(input: &Input) -> bool {
     match input {
         Input::AttemptEnded { outcome, .. } => *outcome != Outcome::Served,
--- a/src/cluster/limits/mod.rs
+++ b/src/cluster/limits/mod.rs
@@ -24,8 +24,8 @@
 }
 
 impl LimitRate {
-    /// A front's share of the limit. The bucket holds at least one request of size `min_burst`, so that a small share is
-    /// a low rate and not a bound on the size of a request.
+    /// A front's share of the limit. The bucket holds at least one request of size `min_burst`, so that a small share
+    /// is a low rate and not a bound on the size of a request.
     fn scaled(self, share: Share, min_burst: f64) -> LimitRate {
         let fraction = fraction(share);
         let burst = if share == 0 { 0.0 } else { (self.burst * fraction).max(min_burst) };
@@ -77,8 +77,8 @@
 }
 
 impl FleetLimits {
-    /// Applies a new configuration. Returns what this front may use of each configured limit now: nothing, until it has a
-    /// share of it.
+    /// Applies a new configuration. Returns what this front may use of each configured limit now: nothing, until it has
+    /// a share of it.
     pub fn configure(&mut self, configured: ConfiguredLimits, settings: &Settings) -> Vec<LimitUpdate> {
         self.configured = configured;
         configured
@@ -97,8 +97,8 @@
         self.shares.get(&limit).copied().unwrap_or(0)
     }
 
-    /// Records the plan of a volume's request. Returns an update of the volume's limit where the plan has changed, as it may
-    /// after a reload.
+    /// Records the plan of a volume's request. Returns an update of the volume's limit where the plan has changed, as
+    /// it may after a reload.
     pub fn volume_requested(
         &mut self,
         volume: VolumeId,
--- a/src/cluster/peers/effects.rs
+++ b/src/cluster/peers/effects.rs
@@ -76,8 +76,8 @@
         updates.into_iter().map(|update| self.fleet_update(update, at)).collect()
     }
 
-    /// A limit's update for the decision module. `at`, from when it holds, is by the clock of the state machines here and
-    /// is converted to the decision module's clock.
+    /// A limit's update for the decision module. `at`, when it takes effect, is by the clock of the state machines here
+    /// and is converted to the decision module's clock.
     pub(super) fn fleet_update(&self, update: LimitUpdate, at: Nanos) -> FleetUpdate {
         let LimitUpdate { limit, rate } = update;
         let at = self.exchange.now() - (clock::now() - at);
@@ -110,7 +110,7 @@
                 self.send(self.address_of(to), &OutgoingMessage::Gossip(&message));
             }
             GossipAction::Rejected(error) => self.metrics.count_rejected_gossip(error),
-            // The console reads entries when it is asked; only ejections depend on them at once.
+            // The console reads entries on request; only ejections depend on them at once.
             GossipAction::Changed(..) | GossipAction::Dropped(_) => self.evaluation_due.notify_one(),
         }
     }
--- a/src/cluster/peers/mod.rs
+++ b/src/cluster/peers/mod.rs
@@ -1,9 +1,9 @@
 //! This front among its peers.
 //!
-//! [`Peers`] drives the state machines of the fleet with the messages and the time: the leases on fleet-wide limits with
-//! membership ([`LimitCoordinator`]), gossip ([`GossipStore`]) and outlier ejection ([`Ejections`]). Their effects go out
-//! as messages or become updates for the decision module. Leases are checked before each decision of the module, so that
-//! a front that was stopped for a while uses nothing of a lease that has expired meanwhile.
+//! [`Peers`] drives the state machines of the fleet with the messages and the time: the leases on fleet-wide limits
+//! with membership ([`LimitCoordinator`]), gossip ([`GossipStore`]) and outlier ejection ([`Ejections`]). Their effects
+//! are sent as messages or become updates for the decision module. Leases are checked before each decision of the
+//! module, so that a front that was stopped for a while uses nothing of a lease that has expired meanwhile.
 //!
 //! It only runs where the configuration file has `peers`.
 
--- a/src/cluster/peers/tasks.rs
+++ b/src/cluster/peers/tasks.rs
@@ -11,6 +11,7 @@
 use crate::cluster::clock;
 use crate::cluster::ejections::{EjectionChanges, EntryChange};
 use crate::cluster::messages::IncomingMessage;
+use crate::cluster::socket::ReceivedDatagram;
 
 /// Pause before the next try to receive, after the system has reported an error.
 const RECEIVE_RETRY_PAUSE: Duration = Duration::from_millis(10);
@@ -73,7 +74,7 @@
         let mut buffer = vec![0; MAX_MESSAGE_BYTES + 1];
         loop {
             match self.socket.receive(&mut buffer).await {
-                Some(Ok((length, source))) => self.receive(&buffer[..length], source),
+                Some(Ok(ReceivedDatagram { length, source })) => self.receive(&buffer[..length], source),
                 // The system reports a peer that is gone, once; an error that persists must not take all of the CPU.
                 Some(Err(_)) => tokio::time::sleep(RECEIVE_RETRY_PAUSE).await,
                 None => self.retry_bind().await,
--- a/src/cluster/socket.rs
+++ b/src/cluster/socket.rs
@@ -19,6 +19,14 @@
     socket: OnceCell<UdpSocket>,
 }
 
+/// A datagram in the caller's buffer.
+pub(super) struct ReceivedDatagram {
+    /// Its length in bytes.
+    pub length: usize,
+    /// Its sender's address.
+    pub source: SocketAddr,
+}
+
 impl PeerSocket {
     /// Reads the shared key and binds the address. Where another process has the address, such as this front's
     /// predecessor during an upgrade, the socket stays unbound until [`PeerSocket::bind`] succeeds.
@@ -56,11 +64,14 @@
         Ok(())
     }
 
-    /// Waits for the next datagram; `None` while the address is not bound. Returns its length and its source.
-    pub(super) async fn receive(&self, buffer: &mut [u8]) -> Option<io::Result<(usize, SocketAddr)>> {
+    /// Waits for the next datagram; `None` while the address is not bound.
+    pub(super) async fn receive(&self, buffer: &mut [u8]) -> Option<io::Result<ReceivedDatagram>> {
         match self.socket.get() {
             None => None,
-            Some(socket) => Some(socket.recv_from(buffer).await),
+            Some(socket) => {
+                let received = socket.recv_from(buffer).await;
+                Some(received.map(|(length, source)| ReceivedDatagram { length, source }))
+            }
         }
     }
 
@@ -72,7 +83,7 @@
         self.codec.open(datagram)
     }
 
-    /// Sends a message as this front's. A datagram that the system refuses is lost like any other: later messages
+    /// Sends a message as this front's. A datagram that the system rejects is lost like any other: later messages
     /// repeat its content.
     ///
     /// # Errors
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -28,12 +28,12 @@
 const DISCOVERY_VARIABLE: &str = "BALANCER_DISCOVERY";
 /// The name of a front without one in file and environment.
 const DEFAULT_NAME: &str = "front";
-/// File descriptors that a process may hold, where the file does not say.
+/// File descriptors that a process may open, unless the file has a limit.
 const DEFAULT_DESCRIPTORS: f64 = 1024.0;
-/// Memory that a process may use, in MiB, where the file does not say.
+/// Memory that a process may use, in MiB, unless the file has a limit.
 const DEFAULT_MEMORY_MIB: f64 = 192.0;
 const BYTES_PER_MIB: usize = 1 << 20;
-/// Timeouts in nanoseconds, where the settings do not say.
+/// Timeouts in nanoseconds, unless the settings have them.
 const DEFAULT_DIAL_TIMEOUT_NANOS: f64 = 250e6;
 const DEFAULT_IDLE_CLOSE_NANOS: f64 = 30e9;
 
@@ -63,7 +63,7 @@
     pub raw_settings: Value,
     /// The names of the classes, in the order of the settings.
     pub classes: Vec<String>,
-    /// Whether each class writes, where the settings say.
+    /// Whether each class writes, where the settings have that.
     pub class_writes: Vec<Option<bool>>,
     /// The names of the plans, in the order of the settings.
     pub plans: Vec<String>,
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -17,7 +17,7 @@
 use crate::config::error::{ConfigError, ReloadError};
 use crate::config::Config;
 use crate::exchange::Exchange;
-use crate::frontend::platform::RequestTables;
+use crate::frontend::platform::{ReloadedSettings, RequestTables};
 use crate::telemetry::log::log;
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::Upstream;
@@ -68,8 +68,8 @@
         let new_discovery = config.discovery;
         // Changed in a copy: the scheduler may still reject the settings.
         let mut tables = self.tables.borrow().clone();
-        let (settings, carried) = tables.reload(config, &self.metrics);
-        self.exchange.reload_settings(settings, &carried)?;
+        let ReloadedSettings { settings, replaced_classes } = tables.reload(config, &self.metrics);
+        self.exchange.reload_settings(settings, &replaced_classes)?;
         if let (Some(peers), Some(new_peers)) = (&self.peers, new_peers) {
             peers.reload(new_peers);
         }
--- a/src/control/agent/command.rs
+++ b/src/control/agent/command.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Changes the desired state as the command says.
+    /// Changes the desired state as the command requires.
     pub fn apply(self, desired: &mut DesiredState) {
         match self {
             FrontCommand::Drain => desired.drained = true,
--- a/src/control/console.rs
+++ b/src/control/console.rs
@@ -203,7 +203,7 @@
         response
     }
 
-    /// What `status` says of the front's peers, where it has any.
+    /// The `status` of the front's peers, where it has any.
     fn answer_peers<E: Display>(&self, status: impl FnOnce(&Peers) -> Result<Value, E>) -> ConsoleResponse {
         let Some(peers) = &self.parts.peers else {
             return plain(StatusCode::NOT_FOUND, "this front has no peers\n");
--- a/src/control/discovery.rs
+++ b/src/control/discovery.rs
@@ -1,4 +1,4 @@
-//! Follows discovery: calls it when [`DiscoveryWatch`] says so, and passes the endpoint lists of its messages on to the
+//! Follows discovery: calls it when [`DiscoveryWatch`] requires it, and passes the endpoint lists of its messages on to the
 //! scheduler.
 
 use std::future::Future;
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -149,8 +149,8 @@
         self.process(Input::FleetUpdate(update), None);
     }
 
-    /// Applies new settings to requests from now on; see [`Scheduler::apply_settings`]. `replaced_classes` pairs a new class
-    /// with the old one that it replaces.
+    /// Applies new settings to requests from now on; see [`Scheduler::apply_settings`]. `replaced_classes` pairs a new
+    /// class with the old one that it replaces.
     ///
     /// # Errors
     /// When the settings are invalid; then nothing changes.
@@ -174,7 +174,7 @@
         self.core.borrow().tracker.requests().len()
     }
 
-    /// Returns when the decision module next asks for the endpoint list.
+    /// Returns when the decision module next requests the endpoint list.
     pub async fn endpoints_requested(&self) {
         self.endpoints_requested.notified().await;
     }
@@ -184,8 +184,8 @@
         self.feed(Input::Endpoints { scope, nodes }, None);
     }
 
-    /// Submits a request and returns its one final answer. `request.id` is assigned here. Dropping the future means that
-    /// the client is gone.
+    /// Submits a request and returns its one final answer. `request.id` is assigned here. Dropping the future means
+    /// that the client has disconnected.
     pub async fn submit(
         self: &Rc<Self>,
         mut request: Request,
--- a/src/front/assembly.rs
+++ b/src/front/assembly.rs
@@ -132,7 +132,7 @@
 
 /// How long a starting front may wait before it calls discovery. Where lists are pushed, a front is expected to know
 /// from the first moment what discovery has. Where lists are polled, it is expected to know a list only after a poll
-/// interval without a call; the scheduler asks for its first list within half of that, at a time that differs from
+/// interval without a call; the scheduler requests its first list within half of that, at a time that differs from
 /// front to front.
 fn max_first_call_delay(settings: &Settings) -> Nanos {
     if settings.polls_discovery {
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Accepts every connection in the kernel's queue and closes the listening socket. The kernel is asked directly
+    /// Accepts every connection in the kernel's queue and closes the listening socket. The kernel is queried directly
     /// until the queue is empty: the runtime learns of a connection later, and one left in the queue would be reset.
     fn accept_backlog(self: &Rc<Self>, listener: TcpListener) {
         let Ok(listener) = listener.into_std() else { return };
--- a/src/frontend/platform/mod.rs
+++ b/src/frontend/platform/mod.rs
@@ -23,7 +23,7 @@
 use crate::exchange::{Exchange, FinalResponse};
 use crate::upstream::{Accepts, Answer, Payload, Upstream};
 
-pub use self::request_tables::{RequestClass, RequestTables};
+pub use self::request_tables::{ReloadedSettings, RequestClass, RequestTables};
 
 /// Header with the transaction id of a request.
 const TRANSACTION_ID: &str = "x-txn";
@@ -130,7 +130,7 @@
 }
 
 impl OpenTransaction<'_> {
-    /// Opens a transaction; `None` where it is open already, since two requests with one id cannot be told apart.
+    /// Opens a transaction; `None` where it is open already, since two requests with one id cannot be distinguished.
     fn insert(open: &RefCell<HashSet<u64>>, id: u64) -> Option<OpenTransaction<'_>> {
         let inserted = open.borrow_mut().insert(id);
         inserted.then(|| OpenTransaction { open, id })
--- a/src/frontend/platform/request_tables.rs
+++ b/src/frontend/platform/request_tables.rs
@@ -15,8 +15,8 @@
     pub writes: Option<bool>,
 }
 
-/// What the parser of requests looks up. A request that no chunk server could execute is refused by these tables, and
-/// costs no server anything.
+/// The tables of the request parser. A request that no chunk server could execute is rejected by them and causes no
+/// load on any server.
 #[derive(Clone)]
 pub struct RequestTables {
     /// Classes.
@@ -33,6 +33,14 @@
     pub max_units: f64,
 }
 
+/// What the decision module needs after a reload.
+pub struct ReloadedSettings {
+    /// The new settings.
+    pub settings: Settings,
+    /// Pairs of a new class and the old one that it replaces.
+    pub replaced_classes: Vec<(usize, usize)>,
+}
+
 impl RequestTables {
     /// The tables of a configuration; classes and plans keep its order, which is that of the decision module.
     pub fn new(config: &Config, metrics: &Metrics) -> RequestTables {
@@ -48,9 +56,8 @@
         tables
     }
 
-    /// Applies a new configuration. Returns the settings for the decision module, and pairs of a new class and the
-    /// old one that it replaces.
-    pub fn reload(&mut self, config: Config, metrics: &Metrics) -> (Settings, Vec<(usize, usize)>) {
+    /// Applies a new configuration.
+    pub fn reload(&mut self, config: Config, metrics: &Metrics) -> ReloadedSettings {
         let replaced_classes = self.classes.reload(class_entries(&config));
         self.plans.reload(plan_entries(&config));
         self.shards = config.shards;
@@ -59,7 +66,7 @@
         self.add_class_metrics(metrics);
         let classes = self.classes.values().into_iter().map(|entry| entry.class).collect();
         let settings = Settings { classes, plans: self.plans.values(), ..config.settings };
-        (settings, replaced_classes)
+        ReloadedSettings { settings, replaced_classes }
     }
 
     /// Creates the metrics of classes that are new, starting at 0.
--- a/src/object/config.rs
+++ b/src/object/config.rs
@@ -10,9 +10,9 @@
 use crate::config;
 use crate::config::json::{self, parse_hex, positive_number_or, string, JsonError, Kind};
 
-/// The size of a unit of work, in bytes, where a bucket does not say.
+/// The size of a unit of work, in bytes, unless the bucket has one.
 const DEFAULT_UNIT_BYTES: f64 = 16.0 * 1024.0;
-/// The number of fronts through which a bucket's requests come, where it does not say.
+/// The number of fronts through which a bucket's requests arrive, unless the bucket has one.
 const DEFAULT_FRONTS: f64 = 1.0;
 
 /// Why the configuration of an object front cannot be used.
--- a/src/object/error.rs
+++ b/src/object/error.rs
@@ -66,7 +66,7 @@
         ApiError::request(StatusCode::BAD_REQUEST, code, message)
     }
 
-    /// Whether the error says that the object or upload does not exist.
+    /// Whether the error means that the object or upload does not exist.
     pub fn is_not_found(&self) -> bool {
         matches!(self, ApiError::Request { status: StatusCode::NOT_FOUND, .. })
     }
--- a/src/object/get.rs
+++ b/src/object/get.rs
@@ -153,7 +153,7 @@
         piece
     }
 
-    /// Reads an empty object: no range of it is valid, and the client has not asked for one.
+    /// Reads an empty object: no range of it is valid, and the client has not requested one.
     async fn read_empty(&self, request: &ObjectRequest, source: &ReadSource) -> Result<Piece, ApiError> {
         let node = self.read_request(request, source, Method::GET, request.conditions());
         let answer = self.send(request, node).await?.into_success("NoSuchKey")?;
--- a/src/object/range.rs
+++ b/src/object/range.rs
@@ -2,7 +2,7 @@
 
 use std::ops::Range;
 
-/// What a `Range` header asks for. Only a single range is supported; a header with several is ignored, as the
+/// The byte range of a `Range` header. Only a single range is supported; a header with several is ignored, as the
 /// standard allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ByteRange {
@@ -13,7 +13,7 @@
 }
 
 impl ByteRange {
-    /// Parses a `Range` header; `None` where it is not a valid byte range, which the standard says to ignore.
+    /// Parses a `Range` header; `None` where it is not a valid byte range, which the standard requires to ignore.
     pub fn parse(header: &str) -> Option<ByteRange> {
         let (first, last) = header.trim().strip_prefix("bytes=")?.split_once('-')?;
         let (first, last) = (first.trim(), last.trim());
--- a/src/object/request.rs
+++ b/src/object/request.rs
@@ -1,4 +1,4 @@
-//! Requests of the object API: parsing, and the operation that each asks for.
+//! Requests of the object API: parsing, and the operation that each requests.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -151,7 +151,7 @@
 }
 
 impl ObjectRequest {
-    /// The operation that the method and the query ask for.
+    /// The operation that the method and the query select.
     pub fn operation(&self, method: &Method) -> Result<Operation, ApiError> {
         let has_upload_id = self.query.contains_key("uploadId");
         let has_uploads = self.query.contains_key("uploads");
