--- a/src/cluster/limits/config.rs
+++ b/src/cluster/limits/config.rs
@@ -9,8 +9,8 @@
 use super::{fraction, LimitDemand, LimitRate, LimitUpdate};
 use crate::cluster::fields::{self, FieldError};
 
-/// Retries that each request demands in advance, where a failed attempt demands 1: a front with traffic then has a share
-/// of the retries before its first failure.
+/// Retries that each request demands in advance, where a failed attempt demands 1: a front with traffic then has a
+/// share of the retries before its first failure.
 const RETRY_RESERVE_PER_REQUEST: f64 = 0.02;
 /// Retries that a failed attempt demands.
 const RETRIES_PER_FAILURE: f64 = 1.0;
@@ -45,10 +45,10 @@
 
     /// Whether each limit configured here is configured in `other` too, with whatever value.
     pub fn is_within(&self, other: &ConfiguredLimits) -> bool {
-        let kept = |here: bool, there: bool| !here || there;
-        kept(self.retries.is_some(), other.retries.is_some())
-            && kept(self.warming_up.is_some(), other.warming_up.is_some())
-            && kept(self.in_flight.is_some(), other.in_flight.is_some())
+        let stays_configured = |before: bool, after: bool| !before || after;
+        stays_configured(self.retries.is_some(), other.retries.is_some())
+            && stays_configured(self.warming_up.is_some(), other.warming_up.is_some())
+            && stays_configured(self.in_flight.is_some(), other.in_flight.is_some())
     }
 
     /// The configured limits, each with its label in metrics and on the console.
@@ -127,7 +127,7 @@
     fields::positive_number(limits, IN_FLIGHT_KEY, &format!("peers.limits.{IN_FLIGHT_KEY}")).map(Some)
 }
 
-/// Whether an input says that an attempt has failed.
+/// Whether an input reports that an attempt has failed.
 fn is_failed_attempt(input: &Input) -> bool {
     match input {
         Input::AttemptEnded { outcome, .. } => *outcome != Outcome::Served,
--- a/src/cluster/peers/mod.rs
+++ b/src/cluster/peers/mod.rs
@@ -1,9 +1,9 @@
 //! This front among its peers.
 //!
-//! [`Peers`] drives the state machines of the fleet with the messages and the time: the leases on fleet-wide limits with
-//! membership ([`LimitCoordinator`]), gossip ([`GossipStore`]) and outlier ejection ([`Ejections`]). Their effects go out
-//! as messages or become updates for the decision module. Leases are checked before each decision of the module, so that
-//! a front that was stopped for a while uses nothing of a lease that has expired meanwhile.
+//! [`Peers`] drives the state machines of the fleet with the messages and the time: the leases on fleet-wide limits
+//! with membership ([`LimitCoordinator`]), gossip ([`GossipStore`]) and outlier ejection ([`Ejections`]). Their effects
+//! are sent as messages or become updates for the decision module. Leases are checked before each decision of the
+//! module, so that a front that was stopped for a while uses nothing of a lease that has expired meanwhile.
 //!
 //! It only runs where the configuration file has `peers`.
 
@@ -32,9 +32,6 @@
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::Upstream;
 
-/// The configuration by the name that the reader of the whole file has for it.
-pub use crate::cluster::config::ClusterConfig as Config;
-
 /// The gossip entry with a front's program version.
 const VERSION_KEY: EntryKey = EntryKey { kind: 0, id: 0 };
 
@@ -59,7 +56,7 @@
 }
 
 impl Peers {
-    /// Joins the peers: from now on the decision module is told what it may use of fleet-wide limits.
+    /// Joins the peers: from now on the decision module gets its share of fleet-wide limits.
     ///
     /// # Errors
     /// The socket cannot be bound, the key cannot be read, or the configuration contradicts itself.
@@ -105,7 +102,7 @@
         }
     }
 
-    /// Tells the peers that this front shuts down, so that they need not wait for its leases to expire.
+    /// Announces to the peers that this front shuts down, so that they need not wait for its leases to expire.
     pub fn shut_down(&self) {
         self.update_limits(Event::Shutdown, None);
         self.update_limits(Event::HeartbeatDue, None);
--- a/src/cluster/peers/tasks.rs
+++ b/src/cluster/peers/tasks.rs
@@ -9,8 +9,9 @@
 
 use super::Peers;
 use crate::cluster::clock;
-use crate::cluster::ejections::EjectionChanges;
+use crate::cluster::ejections::{EjectionChanges, EntryChange};
 use crate::cluster::messages::IncomingMessage;
+use crate::cluster::socket::ReceivedDatagram;
 
 /// Pause before the next try to receive, after the system has reported an error.
 const RECEIVE_RETRY_PAUSE: Duration = Duration::from_millis(10);
@@ -43,11 +44,11 @@
         }
     }
 
-    /// Evaluates the observations of all fronts. Gives whether there are new gossip entries of this front.
+    /// Evaluates the observations of all fronts. Returns whether there are new gossip entries of this front.
     pub(super) fn evaluate_ejections(&self) -> bool {
         let Some(EjectionChanges { entries, updates }) = self.ejection_changes() else { return false };
         let has_entries = !entries.is_empty();
-        for (key, value) in entries {
+        for EntryChange { key, value } in entries {
             self.publish(key, value);
         }
         for update in updates {
@@ -73,7 +74,7 @@
         let mut buffer = vec![0; MAX_MESSAGE_BYTES + 1];
         loop {
             match self.socket.receive(&mut buffer).await {
-                Some(Ok((length, source))) => self.receive(&buffer[..length], source),
+                Some(Ok(ReceivedDatagram { length, source })) => self.receive(&buffer[..length], source),
                 // The system reports a peer that is gone, once; an error that persists must not take all of the CPU.
                 Some(Err(_)) => tokio::time::sleep(RECEIVE_RETRY_PAUSE).await,
                 None => self.retry_bind().await,
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -21,11 +21,10 @@
 
 use super::body::MAX_REQUEST_BODY;
 use super::client_state::ClientState;
+use super::replies::Reply;
+use crate::body_budget::BodyBudget;
 use crate::telemetry::log::log;
 
-pub use super::body::BodyBudget;
-pub use super::replies::{plain, Reply};
-
 /// Connections above the limit that are accepted at a time to be answered with a rejection; others wait in the
 /// kernel's queue.
 const REJECTION_SLOTS: usize = 16;
@@ -56,7 +55,7 @@
 
 /// Answers the requests that a listener receives.
 pub trait Handler: 'static {
-    /// The response to a request. `shutting_down` tells that the listener has stopped accepting.
+    /// The response to a request. `shutting_down` is set once the listener has stopped accepting.
     fn answer(&self, request: ReceivedRequest, shutting_down: bool) -> impl Future<Output = Reply>;
 
     /// The listener shuts down: every request, received or still to come, must be answered `within` this time.
@@ -171,7 +170,7 @@
         }
     }
 
-    /// Accepts every connection in the kernel's queue and closes the listening socket. The kernel is asked directly
+    /// Accepts every connection in the kernel's queue and closes the listening socket. The kernel is queried directly
     /// until the queue is empty: the runtime learns of a connection later, and one left in the queue would be reset.
     fn accept_backlog(self: &Rc<Self>, listener: TcpListener) {
         let Ok(listener) = listener.into_std() else { return };
@@ -195,7 +194,7 @@
         }
     }
 
-    /// Returns once the limiter admits another connection, evicting one where it says so.
+    /// Returns once the limiter admits another connection, evicting one where it requires that.
     async fn ensure_capacity(&self) {
         let mut eviction = None;
         loop {
@@ -212,7 +211,7 @@
         }
     }
 
-    /// Registers an accepted connection and serves it in a task of its own.
+    /// Registers an accepted connection and serves it in a new task.
     fn spawn_connection(self: &Rc<Self>, stream: TcpStream) {
         let client = ClientState::new(stream.as_raw_fd(), self.epoch);
         let id = self.next_connection.get();
--- a/src/frontend/platform/mod.rs
+++ b/src/frontend/platform/mod.rs
@@ -17,13 +17,13 @@
 
 use self::request_parser::single_value;
 use self::streaming::stream_response;
-use super::body::BodyReservation;
 use super::listener::{Handler, ReceivedRequest};
 use super::replies::{health_check, plain, rejected, Reply};
+use crate::body_budget::BodyReservation;
 use crate::exchange::{Exchange, FinalResponse};
 use crate::upstream::{Accepts, Answer, Payload, Upstream};
 
-pub use self::request_tables::{RequestClass, RequestTables};
+pub use self::request_tables::{ReloadedSettings, RequestClass, RequestTables};
 
 /// Header with the transaction id of a request.
 const TRANSACTION_ID: &str = "x-txn";
@@ -56,7 +56,7 @@
             return reply;
         }
         let class = single_value(request.headers(), CLASS).map(str::to_owned);
-        let reply = self.forward(request).await.unwrap_or_else(|refusal| refusal);
+        let reply = self.forward(request).await.unwrap_or_else(|rejection| rejection);
         self.count_answer(class.as_deref(), reply.status());
         reply
     }
@@ -86,7 +86,7 @@
         let body = body.map_err(|status| plain(status, "the request is not taken"))?;
         let reservation = head.extensions.remove::<Arc<BodyReservation>>();
         let parsed = self.tables.borrow().parse(&head.method, &head.headers);
-        let parsed = parsed.map_err(|error| plain(StatusCode::BAD_REQUEST, error.message()))?;
+        let parsed = parsed.map_err(|error| plain(StatusCode::BAD_REQUEST, error.to_string()))?;
         if head.method == Method::GET && !body.is_empty() {
             return Err(plain(StatusCode::BAD_REQUEST, "a read has no body"));
         }
@@ -130,7 +130,7 @@
 }
 
 impl OpenTransaction<'_> {
-    /// Opens a transaction; `None` where it is open already, since two requests with one id cannot be told apart.
+    /// Opens a transaction; `None` where it is open already, since two requests with one id cannot be distinguished.
     fn insert(open: &RefCell<HashSet<u64>>, id: u64) -> Option<OpenTransaction<'_>> {
         let inserted = open.borrow_mut().insert(id);
         inserted.then(|| OpenTransaction { open, id })
--- a/src/object/get.rs
+++ b/src/object/get.rs
@@ -15,13 +15,14 @@
 use tulipbridge_core::CellId;
 
 use super::error::ApiError;
-use super::front::{encode, Front, VERSION_ID};
-use super::node_request::NodeRequest;
+use super::front_state::FrontState;
+use super::node_request::{encode_query_value, NodeRequest};
 use super::range::{ByteRange, ContentRange};
-use super::replies::{copy_header, empty};
+use super::replies::{copy_header, empty, VERSION_ID};
 use super::request::{select_headers, ObjectRequest, VersionId};
 use crate::frontend::replies::Reply;
-use crate::upstream::{Answer, MAX_BODY};
+use crate::limits::MAX_BODY;
+use crate::upstream::Answer;
 
 /// Headers of a chunk server's answer that describe an object, besides those with metadata of the user.
 const DESCRIBING_HEADERS: [&str; 8] = [
@@ -54,7 +55,7 @@
     range: ContentRange,
 }
 
-impl Front {
+impl FrontState {
     /// HeadObject.
     pub(super) async fn head(self: &Rc<Self>, request: ObjectRequest) -> Result<Reply, ApiError> {
         let source = self.read_source(&request).await?;
@@ -105,7 +106,7 @@
             Some(version) => version,
             None => VersionId { cell: self.find_shard(request).await?, own: String::new() },
         };
-        let query = if own.is_empty() { own } else { format!("versionId={}", encode(&own)) };
+        let query = if own.is_empty() { own } else { format!("versionId={}", encode_query_value(&own)) };
         let version_id = request.query.get("versionId").and_then(|id| HeaderValue::try_from(id).ok());
         Ok(ReadSource { cell, query, version_id })
     }
@@ -139,7 +140,7 @@
             Some(ByteRange::From(first, last)) => piece_range(first, last),
             Some(ByteRange::Last(count)) if count <= MAX_PIECE_BYTES => format!("bytes=-{count}"),
             Some(ByteRange::Last(count)) => {
-                // The last byte alone tells the size, and with it where such a range begins.
+                // A request for the last byte returns the size, and so the start of such a range.
                 let last_byte = "bytes=-1".to_owned();
                 let piece = self.read_piece(request, source, last_byte, request.conditions()).await?;
                 piece_range(piece.range.size.saturating_sub(count), None)
@@ -152,7 +153,7 @@
         piece
     }
 
-    /// Reads an empty object: no range of it is valid, and the client has not asked for one.
+    /// Reads an empty object: no range of it is valid, and the client has not requested one.
     async fn read_empty(&self, request: &ObjectRequest, source: &ReadSource) -> Result<Piece, ApiError> {
         let node = self.read_request(request, source, Method::GET, request.conditions());
         let answer = self.send(request, node).await?.into_success("NoSuchKey")?;
@@ -160,7 +161,7 @@
     }
 
     /// Reads a range of at most [`MAX_PIECE_BYTES`] bytes. A chunk server that does not support ranges returns the
-    /// whole object, of which the range is taken.
+    /// whole object, from which the range is cut.
     async fn read_piece(
         &self,
         request: &ObjectRequest,
@@ -277,7 +278,7 @@
     Ok(Piece { answer, range: ContentRange { bytes, size } })
 }
 
-/// When an object was modified; the Unix epoch where the answer does not tell.
+/// When an object was modified; the Unix epoch where the answer has no date.
 fn modified_at(answer: &Answer) -> SystemTime {
     let value = answer.headers.get(LAST_MODIFIED).and_then(|value| value.to_str().ok());
     let time = value.and_then(|value| httpdate::parse_http_date(value).ok());
--- a/src/object/request.rs
+++ b/src/object/request.rs
@@ -1,4 +1,4 @@
-//! Requests of the object API: parsing, and the operation that each asks for.
+//! Requests of the object API: parsing, and the operation that each requests.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -11,7 +11,7 @@
 use tulipbridge_core::CellId;
 
 use super::error::ApiError;
-use super::front::Front;
+use super::front_state::FrontState;
 use super::Bucket;
 
 /// Prefix of the headers with metadata of the user.
@@ -81,7 +81,7 @@
     pub own: String,
 }
 
-impl Front {
+impl FrontState {
     /// Parses a request head.
     pub(super) fn parse(
         &self,
@@ -104,7 +104,7 @@
             )
         })?;
         let query = parse_query(uri.query().unwrap_or_default())?;
-        refuse_unsupported(&headers)?;
+        reject_unsupported(&headers)?;
         let is_write = matches!(*method, Method::PUT | Method::POST);
         let class = if is_write { bucket.write_class } else { bucket.read_class };
         Ok(ObjectRequest {
@@ -136,7 +136,7 @@
     Ok(query)
 }
 
-fn refuse_unsupported(headers: &HeaderMap) -> Result<(), ApiError> {
+fn reject_unsupported(headers: &HeaderMap) -> Result<(), ApiError> {
     // Such bodies hold signatures between the chunks, which must not be stored as data.
     let hash = headers.get("x-amz-content-sha256").map_or(&b""[..], |value| value.as_bytes());
     let encoding = headers.get(CONTENT_ENCODING).map_or(&b""[..], |value| value.as_bytes());
@@ -151,7 +151,7 @@
 }
 
 impl ObjectRequest {
-    /// The operation that the method and the query ask for.
+    /// The operation that the method and the query select.
     pub fn operation(&self, method: &Method) -> Result<Operation, ApiError> {
         let has_upload_id = self.query.contains_key("uploadId");
         let has_uploads = self.query.contains_key("uploads");
