--- a/crates/core/src/state/bookkeeping.rs
+++ b/crates/core/src/state/bookkeeping.rs
@@ -5,7 +5,9 @@
     VolumeId,
 };
 use crate::mutations::{mutated, Mutation};
-use crate::state::{LiveRequest, PossibleExecution, RateLimit, Scheduler, SentAttempt, WarmupSend};
+use crate::state::{
+    AttemptKey, LiveRequest, PossibleExecution, RateLimit, Scheduler, SentAttempt, WarmupSend,
+};
 
 /// Retries sent and requests received within a window of time.
 #[derive(Clone, Copy, Debug)]
@@ -134,7 +136,7 @@
             node.ejection.record_probe();
         }
         node.admission_credit = (node.admission_credit - 1.0).max(0.0);
-        node.in_flight.insert((id, live.attempts), sent);
+        node.in_flight.insert(AttemptKey { request: id, attempt: live.attempts }, sent);
         live.attempts += 1;
         live.in_flight += 1;
         live.queued = false;
@@ -151,10 +153,11 @@
     ) -> Option<(SentAttempt, Request)> {
         let live = self.live.get_mut(&id)?;
         let in_flight = &mut self.nodes.get_mut(&at)?.in_flight;
+        let key = AttemptKey { request: id, attempt };
         let sent = if mutated(Mutation::EndedStaysInFlight) {
-            in_flight.get(&(id, attempt)).cloned()
+            in_flight.get(&key).cloned()
         } else {
-            in_flight.remove(&(id, attempt))
+            in_flight.remove(&key)
         }?;
         live.in_flight -= 1;
         live.finished |= last;
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -14,7 +14,7 @@
 mod volume;
 
 pub(crate) use admission::{Admission, ClientPatience};
-pub(crate) use node::{Health, Node, SentAttempt, WarmupSend};
+pub(crate) use node::{AttemptKey, Health, Node, SentAttempt, WarmupSend};
 pub(crate) use request::{KeyQueue, LiveRequest, PossibleExecution};
 pub use scheduler::Scheduler;
 pub use statistics::Rate;
--- a/crates/core/src/state/node.rs
+++ b/crates/core/src/state/node.rs
@@ -16,6 +16,15 @@
     Suspect,
 }
 
+/// Identifies an attempt of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AttemptKey {
+    /// The request.
+    pub request: RequestId,
+    /// The number of the attempt, from 0.
+    pub attempt: u32,
+}
+
 /// An attempt in flight.
 #[derive(Clone, Debug)]
 pub struct SentAttempt {
@@ -108,8 +117,8 @@
     pub probe_at: Nanos,
     /// The time between two probes.
     pub probe_interval: Nanos,
-    /// Attempts in flight, by request and number of the attempt.
-    pub in_flight: BTreeMap<(RequestId, u32), SentAttempt>,
+    /// Attempts in flight.
+    pub in_flight: BTreeMap<AttemptKey, SentAttempt>,
     /// The least window, by the number of fronts that share the server; 0 until known.
     pub min_window: f64,
     /// The front's part of the limits of the fleet.
