--- a/crates/core/src/policy/congestion.rs
+++ b/crates/core/src/policy/congestion.rs
@@ -10,11 +10,11 @@
 const WEIGHT_CUT: f64 = 0.5;
 /// Design: recovery after a clean period, and shift of base weight each second, as a fraction of it.
 const WEIGHT_STEP: f64 = 0.01;
-/// The weight stays above this fraction of base, so that a server is tried again within some hundred choices.
+/// The weight stays above this fraction of base, so that a server is tried again in some hundred choices.
 const WEIGHT_MIN_FRACTION: f64 = 0.02;
 /// The base weight stays above this fraction of an even share, so that rebalancing cannot starve a server.
 const BASE_WEIGHT_MIN: f64 = 0.25;
-/// Design: the window's bounds in requests. It starts small, as all fronts start at once on the same servers.
+/// Design: the window's bounds in requests. It starts small, as all fronts start at once on all servers.
 const WINDOW_MAX: f64 = 32.0;
 const WINDOW_MIN: f64 = 0.3;
 pub(super) const INITIAL_WINDOW: f64 = 4.0;
--- a/crates/core/src/policy/health.rs
+++ b/crates/core/src/policy/health.rs
@@ -34,7 +34,7 @@
 }
 
 impl Scheduler {
-    /// A pause of this front is no silence of the servers. Where timers are always late, failures show later.
+    /// A pause of this front is no silence of the servers. If timers are always late, failures show later.
     pub(super) fn forgive_local_pause(&mut self, pause: Nanos) {
         for node in self.nodes.values_mut() {
             node.last_answer_at = self.now;
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Updates health after an attempt and returns a log line if the server has recovered. A failure, however
-    /// quick, marks the period as congested.
+    /// Updates health after an attempt and returns a log line if the server has recovered. A failure,
+    /// however quick, marks the period as congested.
     pub(super) fn update_health(&mut self, at: NodeId, outcome: Outcome, sent_at: Nanos) -> Option<Action> {
         let node = self.nodes.get_mut(&at)?;
         if matches!(outcome, Outcome::Rejected | Outcome::TimedOut) {
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -142,8 +142,8 @@
         let accepts = |node: &Node| !node.ejection.is_ejected(request.class);
         let fits = |n: &Node| n.has_capacity(n.window, self.now) && self.warmup_quota(n) >= request.units;
         let is_free = |node: &Node| node.is_healthy() && accepts(node) && fits(node);
-        let choose_regular = || self.choose_among(draw, is_free).or_else(|| self.choose_among(draw, accepts));
-        self.cell_to_probe(request).or_else(choose_regular).or_else(|| self.choose_among(draw, |_| true))
+        let choose_usual = || self.choose_among(draw, is_free).or_else(|| self.choose_among(draw, accepts));
+        self.cell_to_probe(request).or_else(choose_usual).or_else(|| self.choose_among(draw, |_| true))
     }
 
     fn choose_among(&self, draw: f64, is_eligible: impl Fn(&Node) -> bool) -> Option<CellId> {
--- a/crates/core/src/policy/retry.rs
+++ b/crates/core/src/policy/retry.rs
@@ -6,9 +6,9 @@
 use crate::state::{LiveRequest, Scheduler};
 
 /// The retry budget if none is configured, so that retries do not feed an overload.
-const DEFAULT_RETRY_BUDGET: RetryBudget = RetryBudget { base_allowance: 3.0, ratio: 0.3, window: 5 * SECOND };
+const DEFAULT_BUDGET: RetryBudget = RetryBudget { base_allowance: 3.0, ratio: 0.3, window: 5 * SECOND };
 const RETRY_PAUSE_LATENCY_FRACTION: f64 = 0.5;
-/// A request that was never sent is rejected after this fraction of its patience, while its client can retry.
+/// A request never sent is rejected after this fraction of its patience, while its client can retry.
 const UNSENT_PATIENCE_FRACTION: f64 = 0.5;
 const RETRY_AFTER_LATENCY_RATIO: f64 = 2.0;
 const RETRY_AFTER_MIN_NS: f64 = 5e7;
@@ -67,7 +67,7 @@
     }
 
     pub(super) fn retry_budget(&self) -> RetryBudget {
-        self.settings.retry_budget.clone().unwrap_or(DEFAULT_RETRY_BUDGET)
+        self.settings.retry_budget.clone().unwrap_or(DEFAULT_BUDGET)
     }
 
     /// Whether an answer must go out now to reach the client: a timer may be late by a tick and a batch.
@@ -79,7 +79,7 @@
         TICK_INTERVAL + 2 * self.settings.quantum
     }
 
-    /// Answers a request at once: rejected if repeating it does no harm, failed if it may have been executed.
+    /// Answers a request at once: rejected if repeating it is harmless, failed if it may have been executed.
     pub(super) fn give_up(&mut self, id: RequestId, actions: &mut Actions) {
         let draw = self.random.f64();
         self.record_client_stayed(id);
--- a/crates/core/src/policy/value.rs
+++ b/crates/core/src/policy/value.rs
@@ -50,7 +50,7 @@
         self.value_fraction(live, node) * self.full_value_per_work(&live.request)
     }
 
-    /// The fraction of the full value that the request would earn at a server, by its share and its lateness.
+    /// The fraction of the full value that a request would earn at a server, by its share and lateness.
     pub(super) fn value_fraction(&self, live: &LiveRequest, node: &Node) -> f64 {
         let late_value = self.class(&live.request).late_value;
         self.share_value(&live.request) * if self.would_be_late(live, node) { late_value } else { 1.0 }
