--- a/src/bin/tulipbridge-adapter/vocabulary.rs
+++ b/src/bin/tulipbridge-adapter/vocabulary.rs
@@ -1,4 +1,4 @@
-//! The words of the wire and the types of the decision module that they stand for.
+//! Conversion between the strings of the wire protocol and the types of the decision module.
 
 use tulipbridge::{Listed, Outcome, UpdateScope};
 
--- a/src/body_budget.rs
+++ b/src/body_budget.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Limits the total bytes of request bodies that a front holds in memory.
+/// Limits the total bytes of request bodies that a front buffers.
 pub struct BodyBudget {
     max_bytes: usize,
     reserved_bytes: AtomicUsize,
@@ -47,7 +47,7 @@
         let additional = bytes.saturating_sub(self.bytes);
         let reserved = self.budget.reserved_bytes.fetch_add(additional, Ordering::Relaxed) + additional;
         self.bytes += additional;
-        // A body alone always fits, so that no long request is refused for ever.
+        // A single body always fits, so that no long request is rejected for ever.
         if reserved > self.budget.max_bytes && reserved > self.bytes {
             return Err(BodyBudgetExhausted);
         }
--- a/src/cli/ejections.rs
+++ b/src/cli/ejections.rs
@@ -11,7 +11,7 @@
 use crate::cli::error::CliError;
 use crate::config::json::{array, string, JsonError};
 
-/// Shows all ejections that a front knows of, and those that are not yet effective in brackets.
+/// Shows all ejections known to a front; those that are not yet effective are in brackets.
 pub async fn show(console: SocketAddr, output: OutputFormat) -> Result<(), CliError> {
     let Some(status) = fetch_from_console(console, "/status/verdicts", output).await? else { return Ok(()) };
     println!(
--- a/src/cluster/ejections/mod.rs
+++ b/src/cluster/ejections/mod.rs
@@ -40,7 +40,7 @@
     pub value: Option<Vec<u8>>,
 }
 
-/// What is to be done after an evaluation.
+/// The changes that an evaluation results in.
 #[derive(Default)]
 pub struct EjectionChanges {
     /// Changes of this front's gossip entries.
--- a/src/cluster/limits/config.rs
+++ b/src/cluster/limits/config.rs
@@ -43,7 +43,7 @@
         })
     }
 
-    /// Whether each limit configured here is configured in `other` too, with whatever value.
+    /// Whether each limit configured here is configured in `other` too, with any value.
     pub fn is_within(&self, other: &ConfiguredLimits) -> bool {
         let stays_configured = |before: bool, after: bool| !before || after;
         stays_configured(self.retries.is_some(), other.retries.is_some())
@@ -75,12 +75,12 @@
         demands
     }
 
-    /// Whether a limit on what servers are sent is configured. Both such limits hang on one share.
+    /// Whether a limit on the load of servers is configured. Both such limits depend on one share.
     fn limits_server_load(&self) -> bool {
         self.warming_up.is_some() || self.in_flight.is_some()
     }
 
-    /// What a share of a configured limit comes to.
+    /// The updates for a share of a configured limit.
     pub(super) fn updates(&self, limit: Limit, share: Share, settings: &Settings) -> Vec<LimitUpdate> {
         match limit {
             Limit::Retries => self.retries_update(share).into_iter().collect(),
--- a/src/cluster/limits/mod.rs
+++ b/src/cluster/limits/mod.rs
@@ -1,4 +1,4 @@
-//! Fleet-wide limits as the decision module applies them: the rates that this front's shares come to.
+//! Fleet-wide limits as the decision module applies them: the rates of this front's shares.
 
 mod config;
 
@@ -24,8 +24,8 @@
 }
 
 impl LimitRate {
-    /// A front's share of the limit. The bucket holds at least one request of size `min_burst`, so that a small share
-    /// is a low rate and not a bound on the size of a request.
+    /// A front's share of the limit. The bucket has room for at least one request of size `min_burst`, so that a
+    /// small share is a low rate and not a bound on the size of a request.
     fn scaled(self, share: Share, min_burst: f64) -> LimitRate {
         let fraction = fraction(share);
         let burst = if share == 0 { 0.0 } else { (self.burst * fraction).max(min_burst) };
@@ -59,7 +59,7 @@
 }
 
 impl VolumeShare {
-    /// What the share comes to under the plan; `None` where the settings have no such plan.
+    /// The rate of the share under the plan; `None` where the settings have no such plan.
     fn update(self, volume: VolumeId, settings: &Settings) -> Option<LimitUpdate> {
         let plan = settings.plans.get(self.plan)?;
         let limit = LimitRate { rate: plan.limit_rate, burst: plan.limit_burst };
@@ -124,7 +124,7 @@
         entry.update(volume, settings).into_iter().collect()
     }
 
-    /// Drops a limit that has had no demand for a while: this front may use nothing of it.
+    /// Drops a limit without recent demand: this front may use nothing of it.
     pub fn forget(&mut self, limit: Limit, settings: &Settings) -> Vec<LimitUpdate> {
         match limit {
             Limit::Volume(volume) => {
--- a/src/cluster/peers/reload.rs
+++ b/src/cluster/peers/reload.rs
@@ -43,7 +43,7 @@
 
     fn reload_gossip(&self, limits_config: &LimitsConfig) {
         let mut gossip = self.gossip.borrow_mut();
-        // Another digest may stand for other fronts, or for the same fronts at other positions.
+        // Another digest may mean other fronts, or for the same fronts at other positions.
         if self.coordinator.borrow().config().roster != limits_config.roster {
             *gossip = gossip.with_roster(limits_config.me, limits_config.fronts, clock::now());
         }
--- a/src/cluster/peers/status.rs
+++ b/src/cluster/peers/status.rs
@@ -1,5 +1,5 @@
-//! What operators see of the peers: log lines about changes, gauges, and JSON for the console. The keys of the JSON are
-//! part of the console's interface.
+//! The status of the peers for operators: log lines about changes, gauges, and JSON for the console. The keys of
+//! the JSON are part of the console's interface.
 
 use simd_json::{json, OwnedValue as Value};
 use tulipbridge_core::Nanos;
--- a/src/config/json.rs
+++ b/src/config/json.rs
@@ -5,7 +5,7 @@
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
 
-/// What a JSON value must be, as error messages put it.
+/// The required type of a JSON value, as error messages name it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Kind {
     /// An object.
@@ -146,7 +146,7 @@
 /// An optional number, 0 where it is missing or null; `key` names it in the error.
 ///
 /// # Errors
-/// [`JsonError::WrongKind`], where it is there and not a number.
+/// [`JsonError::WrongKind`], where it is present and not a number.
 pub fn optional_number(value: Option<&Value>, key: &str) -> Result<f64, JsonError> {
     match value {
         None => Ok(0.0),
@@ -158,7 +158,7 @@
 /// The number under `key`, 0 where it is missing or null.
 ///
 /// # Errors
-/// [`JsonError::WrongKind`], where it is there and not a number.
+/// [`JsonError::WrongKind`], where it is present and not a number.
 pub fn number(parent: &Value, key: &str) -> Result<f64, JsonError> {
     optional_number(parent.get(key), key)
 }
@@ -166,7 +166,7 @@
 /// The number under `key`, or `default` where it is missing, null, 0 or negative.
 ///
 /// # Errors
-/// [`JsonError::WrongKind`], where it is there and not a number.
+/// [`JsonError::WrongKind`], where it is present and not a number.
 pub fn positive_number_or(parent: &Value, key: &str, default: f64) -> Result<f64, JsonError> {
     let configured = number(parent, key)?;
     Ok(if configured > 0.0 { configured } else { default })
@@ -175,7 +175,7 @@
 /// The boolean under `key`, false where it is missing or null.
 ///
 /// # Errors
-/// [`JsonError::WrongKind`], where it is there and not a boolean.
+/// [`JsonError::WrongKind`], where it is present and not a boolean.
 pub fn boolean(parent: &Value, key: &str) -> Result<bool, JsonError> {
     match parent.get(key) {
         None => Ok(false),
--- a/src/control/agent/fleet.rs
+++ b/src/control/agent/fleet.rs
@@ -29,7 +29,7 @@
 }
 
 impl Fleet {
-    /// Changes the fronts to what is declared. An invalid declaration leaves its front as it is.
+    /// Reconciles the fronts with their declarations. An invalid declaration leaves its front as it is.
     pub fn apply(&self, declarations: Declarations) {
         self.stop_undeclared(&declarations);
         for (name, json) in declarations {
--- a/src/control/discovery.rs
+++ b/src/control/discovery.rs
@@ -1,5 +1,5 @@
-//! Follows discovery: calls it when [`DiscoveryWatch`] requires it, and passes the endpoint lists of its messages on to the
-//! scheduler.
+//! Follows discovery: calls it when [`DiscoveryWatch`] requires it, and passes the endpoint lists of its messages on to
+//! the scheduler.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -128,7 +128,7 @@
     Event(WatchEvent),
 }
 
-/// The task that carries out what [`DiscoveryWatch`] decides.
+/// The task that carries out the decisions of [`DiscoveryWatch`].
 struct Follower {
     discovery: Discovery,
     address: watch::Receiver<Option<SocketAddr>>,
--- a/src/control/http_client.rs
+++ b/src/control/http_client.rs
@@ -118,7 +118,7 @@
         let stream = connected.map_err(|_| HttpError::ConnectTimeout)?.map_err(HttpError::Connect)?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await?;
         let task = tokio::task::spawn_local(async move {
-            // Its error also reaches whoever sends the request or reads the body.
+            // Its error is also returned to the sender of the request and the reader of the body.
             let _ = connection.await;
         });
         Ok(Connection { sender, task: ConnectionTask(task) })
--- a/src/control/maintenance.rs
+++ b/src/control/maintenance.rs
@@ -2,7 +2,7 @@
 //! passed on to the scheduler as draining.
 //!
 //! Versions of a front that run at the same time share the file. Each reads it at its start and then periodically,
-//! and takes over what another has changed.
+//! and applies the changes of another.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -44,7 +44,7 @@
         maintenance
     }
 
-    /// Records an entry of the endpoint list. Returns what the scheduler is to see of it.
+    /// Records an entry of the endpoint list. Returns its state for the scheduler.
     pub fn listed(&self, name: &str, info: NodeInfo) -> NodeInfo {
         self.set.borrow_mut().endpoint_listed(&name.to_owned(), info)
     }
--- a/src/control/maintenance_call.rs
+++ b/src/control/maintenance_call.rs
@@ -5,7 +5,7 @@
 /// A call that changes which servers are in maintenance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MaintenanceCall {
-    /// What happens to the server.
+    /// The change for the server.
     pub action: MaintenanceAction,
     /// The id of the server.
     pub server: String,
--- a/src/control/maintenance_file.rs
+++ b/src/control/maintenance_file.rs
@@ -42,7 +42,7 @@
         std::fs::rename(&next, &self.path)
     }
 
-    /// Waits for the lock on the set and holds it for as long as the result lives; `None` where there can be no lock.
+    /// Waits for the lock on the set, which the result releases on drop; `None` where locking fails.
     pub fn lock(&self) -> Option<Flock<File>> {
         let path = self.path.with_extension("lock");
         let file = OpenOptions::new().create(true).truncate(false).write(true).open(path).ok()?;
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -40,7 +40,7 @@
     Failed,
 }
 
-/// What a request that the tracker knows carries.
+/// The payload and the client of a request in the tracker.
 struct PendingRequest<T: Transport> {
     payload: Rc<T::Payload>,
     class: usize,
@@ -205,7 +205,7 @@
         answer.try_recv().unwrap_or(FinalResponse::Failed)
     }
 
-    /// Assigns an id to a request and stores what it carries.
+    /// Assigns an id to a request and stores its payload.
     fn register(
         &self,
         class: usize,
--- a/src/exchange/transport.rs
+++ b/src/exchange/transport.rs
@@ -1,4 +1,4 @@
-//! The interface between the exchange and what carries its attempts to chunk servers.
+//! The interface between the exchange and the transport of its attempts to chunk servers.
 
 use std::future::Future;
 use std::rc::Rc;
@@ -28,9 +28,9 @@
 
 /// Carries attempts to chunk servers.
 pub trait Transport: 'static {
-    /// What a server is sent.
+    /// A request to a server.
     type Payload: 'static;
-    /// What a server answers.
+    /// A server's answer.
     type Answer: 'static;
 
     /// Name and address of a server for logs.
--- a/src/frontend/client_state.rs
+++ b/src/frontend/client_state.rs
@@ -1,4 +1,4 @@
-//! What the listener knows of one client connection, shared between the framed socket and the accept loop.
+//! The state of one client connection, shared between the framed socket and the accept loop.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/src/frontend/framed_socket.rs
+++ b/src/frontend/framed_socket.rs
@@ -81,7 +81,7 @@
         Poll::Ready(Ok(buf.filled().len()))
     }
 
-    /// Fills the buffer unless it holds bytes already. Returns whether the stream has ended.
+    /// Fills the buffer unless it is non-empty already. Returns whether the stream has ended.
     fn poll_fill_if_empty(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
         if !self.buffer.is_empty() {
             return Poll::Ready(Ok(false));
--- a/src/frontend/platform/mod.rs
+++ b/src/frontend/platform/mod.rs
@@ -63,7 +63,7 @@
 }
 
 impl PlatformFront {
-    /// A front on an exchange; `tables` holds the names that requests may use, and may be reloaded.
+    /// A front on an exchange; `tables` has the names that requests may use, and may be reloaded.
     pub fn new(exchange: Rc<Exchange<Upstream>>, tables: Rc<RefCell<RequestTables>>) -> PlatformFront {
         PlatformFront { exchange, tables, open_transactions: RefCell::default() }
     }
--- a/src/object/get.rs
+++ b/src/object/get.rs
@@ -1,4 +1,4 @@
-//! Reading objects: GetObject with ranges, HeadObject, and finding the shard that holds an object.
+//! Reading objects: GetObject with ranges, HeadObject, and finding the shard that stores an object.
 
 use std::io;
 use std::rc::Rc;
--- a/src/object/multipart.rs
+++ b/src/object/multipart.rs
@@ -1,5 +1,6 @@
-//! Multipart uploads. An upload lives on the chunk server that opened it. Its id holds that server's shard, and a token
-//! that is stored with the object: by it a front recognises an object that a completion of unknown outcome has made.
+//! Multipart uploads. An upload lives on the chunk server that opened it. Its id contains that server's shard, and a
+//! token that is stored with the object: by it a front recognises an object that a completion of unknown outcome has
+//! made.
 
 use std::time::Instant;
 
@@ -32,7 +33,7 @@
     own: String,
 }
 
-/// What a chunk server knows of an upload.
+/// A chunk server's state of an upload.
 enum UploadState {
     Open,
     /// The object exists; this is the answer to a HEAD request for it.
--- a/src/object/range.rs
+++ b/src/object/range.rs
@@ -44,7 +44,7 @@
     text.parse().ok().filter(|_| only_digits)
 }
 
-/// The part of an object that an answer holds.
+/// The part of an object that an answer contains.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ContentRange {
     /// The bytes of the object.
--- a/src/object/request.rs
+++ b/src/object/request.rs
@@ -74,7 +74,7 @@
     pub deadline: Instant,
 }
 
-/// A version id: the shard that holds the version, and the chunk server's own id for it.
+/// A version id: the shard that stores the version, and the chunk server's own id for it.
 pub(super) struct VersionId {
     pub cell: CellId,
     /// Empty where the chunk server keeps no versions.
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -11,7 +11,7 @@
     /// The system lacks a resource that the runtime needs.
     #[error("cannot start: {0}")]
     Start(#[source] std::io::Error),
-    /// The system does not let the program handle a signal.
+    /// The system rejects a signal handler.
     #[error(transparent)]
     Signal(std::io::Error),
 }
--- a/src/telemetry/log.rs
+++ b/src/telemetry/log.rs
@@ -5,7 +5,7 @@
 
 /// Writes a log line.
 pub fn line(text: Arguments<'_>) {
-    // Unlike `eprintln`, ignores errors: a front must survive a log that nobody reads any more.
+    // Unlike `eprintln`, ignores errors: a front must survive a closed log.
     let _ = writeln!(std::io::stderr(), "{text}");
 }
 
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -1,4 +1,4 @@
-//! What a front reports of itself: log lines, a trace of decisions, and metrics.
+//! Observability of a front: log lines, a trace of decisions, and metrics.
 
 pub mod log;
 pub mod metrics;
--- a/src/upstream/payload.rs
+++ b/src/upstream/payload.rs
@@ -1,4 +1,4 @@
-//! What is sent to a chunk server and what comes back.
+//! Requests to chunk servers and their responses.
 
 use std::sync::Arc;
 
@@ -36,7 +36,7 @@
 pub enum Accepts {
     /// 200 alone; anything else is an error of the server.
     Served,
-    /// What the object API answers: any success, and any error in the request itself.
+    /// Those of the object API: any success, and any error in the request itself.
     Object,
 }
 
@@ -56,7 +56,7 @@
 }
 
 /// A long body that is still arriving, with its connection. It is read only as fast as the client reads, so that
-/// memory holds a few parts of it at most. Dropping it closes the connection.
+/// a few parts of it are buffered at most. Dropping it closes the connection.
 pub struct StreamedBody {
     /// The part of the body that has arrived already.
     pub first: Bytes,
