--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -73,7 +73,9 @@
     fn next_step(self, event: AttemptEvent) -> AttemptStep {
         match (self, event) {
             (Attempt::Finished(outcome), _) => AttemptStep::End(outcome),
-            (Attempt::AcquiringConnection, AttemptEvent::PooledConnectionFound) => AttemptStep::Send,
+            (Attempt::AcquiringConnection, AttemptEvent::PooledConnectionFound) => {
+                AttemptStep::Send
+            }
             (Attempt::AcquiringConnection, AttemptEvent::NoPooledConnection { may_open }) => {
                 if may_open {
                     AttemptStep::Dial
@@ -84,7 +86,11 @@
             (Attempt::Dialing, AttemptEvent::Connected) => AttemptStep::Send,
             (Attempt::Dialing, AttemptEvent::ConnectFailed) => {
                 let may_have_run = mutated(Mutation::DialFailureMayHaveRun);
-                AttemptStep::End(if may_have_run { Outcome::Reset } else { Outcome::NotExecuted })
+                AttemptStep::End(if may_have_run {
+                    Outcome::Reset
+                } else {
+                    Outcome::NotExecuted
+                })
             }
             (Attempt::OnPooledConnection, AttemptEvent::ConnectionBroke(execution))
                 if may_use_another_connection(execution) =>
@@ -96,11 +102,16 @@
                 AttemptEvent::ConnectionBroke(execution),
             ) => {
                 let not_executed = mutated(Mutation::ResetCountsAsNotExecuted);
-                AttemptStep::End(if not_executed { Outcome::NotExecuted } else { execution.outcome() })
-            }
-            (Attempt::OnPooledConnection | Attempt::OnNewConnection, AttemptEvent::Answered(outcome)) => {
-                AttemptStep::End(outcome)
+                AttemptStep::End(if not_executed {
+                    Outcome::NotExecuted
+                } else {
+                    execution.outcome()
+                })
             }
+            (
+                Attempt::OnPooledConnection | Attempt::OnNewConnection,
+                AttemptEvent::Answered(outcome),
+            ) => AttemptStep::End(outcome),
             (_, AttemptEvent::Withdrawn(outcome)) => AttemptStep::End(outcome),
             // Any other event is a defect of the caller; assume that the request may have run.
             _ => AttemptStep::End(Outcome::Reset),
@@ -108,14 +119,15 @@
     }
 }
 
-/// Whether a request whose pooled connection broke may be written to another one within the same attempt. A pooled
-/// connection may turn out to be closed before it accepts a byte; a request that was written in part is never
-/// resent silently.
+/// Whether a request whose pooled connection broke may be written to another one within the same
+/// attempt. A pooled connection may turn out to be closed before it accepts a byte; a request that
+/// was written in part is never resent silently.
 fn may_use_another_connection(execution: Execution) -> bool {
     match execution {
         Execution::NotStarted => true,
         Execution::PartiallyWritten => {
-            mutated(Mutation::PartiallyWrittenRequestResent) || mutated(Mutation::WrittenRequestResent)
+            mutated(Mutation::PartiallyWrittenRequestResent)
+                || mutated(Mutation::WrittenRequestResent)
         }
         Execution::MayHaveRun => mutated(Mutation::WrittenRequestResent),
     }
--- a/crates/core/src/client_connection.rs
+++ b/crates/core/src/client_connection.rs
@@ -4,11 +4,11 @@
 use crate::mutations::{mutated, Mutation};
 
 const MS: Nanos = 1_000_000;
-/// From accepting a connection until its first request is complete. A client that sends none gets an answer within
-/// 3 s.
+/// From accepting a connection until its first request is complete. A client that sends none gets
+/// an answer within 3 s.
 const FIRST_REQUEST_TIMEOUT: Nanos = 2_700 * MS;
-/// From the first byte of a later request until its head is complete and its body has begun: a client that stops in the
-/// middle gets its error within 3 s, on any of its requests.
+/// From the first byte of a later request until its head is complete and its body has begun: a
+/// client that stops in the middle gets its error within 3 s, on any of its requests.
 const REQUEST_TIMEOUT: Nanos = 2_700 * MS;
 /// An idle connection is closed after this, whether or not connections are scarce.
 const IDLE_TIMEOUT: Nanos = 60_000 * MS;
@@ -66,7 +66,12 @@
 impl ClientConnection {
     /// A connection that was accepted at `now`.
     pub fn new(now: Nanos) -> ClientConnection {
-        ClientConnection { phase: Phase::New, since: now, connected_at: now, has_been_answered: false }
+        ClientConnection {
+            phase: Phase::New,
+            since: now,
+            connected_at: now,
+            has_been_answered: false,
+        }
     }
 
     /// The present phase, and since when it lasts. A body does not restart the time of its head.
@@ -105,10 +110,15 @@
         }
     }
 
-    /// Whether the connection is to be closed for a timeout, which is shorter while connections are `scarce`.
-    /// `is_busy` says that closing it would lose data: a request waits unread, or a response was not read yet.
+    /// Whether the connection is to be closed for a timeout, which is shorter while connections are
+    /// `scarce`. `is_busy` says that closing it would lose data: a request waits unread, or a
+    /// response was not read yet.
     pub fn has_timed_out(&self, now: Nanos, scarce: bool, is_busy: impl Fn() -> bool) -> bool {
-        let idle_timeout = if scarce { SCARCE_IDLE_TIMEOUT } else { IDLE_TIMEOUT };
+        let idle_timeout = if scarce {
+            SCARCE_IDLE_TIMEOUT
+        } else {
+            IDLE_TIMEOUT
+        };
         match self.phase {
             Phase::New | Phase::ReadingHead => now >= self.request_deadline(),
             Phase::Idle => {
@@ -120,9 +130,9 @@
         }
     }
 
-    /// Whether a request is arriving, or may be. During a graceful shutdown the connection stays open until that
-    /// request is answered. `unread_bytes` says that bytes wait on the socket, or that the system does not have
-    /// the whole response yet.
+    /// Whether a request is arriving, or may be. During a graceful shutdown the connection stays
+    /// open until that request is answered. `unread_bytes` says that bytes wait on the socket, or
+    /// that the system does not have the whole response yet.
     pub fn is_arriving(&self, now: Nanos, unread_bytes: bool) -> bool {
         if mutated(Mutation::ShutdownClosesArrivingRequest) {
             return false;
@@ -135,14 +145,16 @@
         }
     }
 
-    /// Whether the process must not exit because of this connection: a request is arriving or open, a response is
-    /// being written, or unread bytes would turn the close into a reset.
+    /// Whether the process must not exit because of this connection: a request is arriving or open,
+    /// a response is being written, or unread bytes would turn the close into a reset.
     pub fn has_pending_work(&self, now: Nanos, unread_bytes: bool) -> bool {
-        self.is_arriving(now, unread_bytes) || matches!(self.phase, Phase::Responding | Phase::Closing)
+        self.is_arriving(now, unread_bytes)
+            || matches!(self.phase, Phase::Responding | Phase::Closing)
     }
 
-    /// Whether the connection, which is due to close, may be closed now without losing a request that has arrived
-    /// meanwhile. A request that keeps arriving in pieces does not prevent the close for ever.
+    /// Whether the connection, which is due to close, may be closed now without losing a request
+    /// that has arrived meanwhile. A request that keeps arriving in pieces does not prevent the
+    /// close for ever.
     pub fn may_close_now(&self, now: Nanos, unread_bytes: bool) -> bool {
         match self.phase {
             Phase::Responding => false,
@@ -153,8 +165,8 @@
         }
     }
 
-    /// Rank in the order of eviction, the lowest first; `None` where the connection must be kept. With `only_idle`
-    /// all but idle connections are kept.
+    /// Rank in the order of eviction, the lowest first; `None` where the connection must be kept.
+    /// With `only_idle` all but idle connections are kept.
     pub(crate) fn eviction_rank(&self, now: Nanos, only_idle: bool) -> Option<u8> {
         let age = now - self.since;
         match self.phase {
@@ -163,8 +175,12 @@
             Phase::Idle if age >= MIN_SILENT_AGE || !only_idle => Some(4),
             Phase::Closing if !only_idle => Some(0),
             Phase::New if !only_idle && age >= MIN_SILENT_AGE => Some(1),
-            Phase::ReadingHead | Phase::ReadingBody if !only_idle && age >= MIN_PARTIAL_AGE => Some(3),
-            Phase::Responding if !only_idle && mutated(Mutation::RespondingConnectionEvicted) => Some(5),
+            Phase::ReadingHead | Phase::ReadingBody if !only_idle && age >= MIN_PARTIAL_AGE => {
+                Some(3)
+            }
+            Phase::Responding if !only_idle && mutated(Mutation::RespondingConnectionEvicted) => {
+                Some(5)
+            }
             _ => None,
         }
     }
--- a/crates/core/src/connection_limiter.rs
+++ b/crates/core/src/connection_limiter.rs
@@ -1,4 +1,5 @@
-//! The limit on connections from clients: when one more is accepted, and which one is evicted for it. No I/O.
+//! The limit on connections from clients: when one more is accepted, and which one is evicted for
+//! it. No I/O.
 
 use crate::client_connection::ClientConnection;
 use crate::interface::Nanos;
@@ -30,10 +31,14 @@
 }
 
 impl ConnectionLimiter {
-    /// A limit of `max_connections` in total, of which `rejection_slots` are used for rejections alone.
+    /// A limit of `max_connections` in total, of which `rejection_slots` are used for rejections
+    /// alone.
     pub fn new(max_connections: usize, rejection_slots: usize) -> ConnectionLimiter {
         let max_connections = max_connections.saturating_sub(rejection_slots).max(1);
-        ConnectionLimiter { max_connections, rejection_slots }
+        ConnectionLimiter {
+            max_connections,
+            rejection_slots,
+        }
     }
 
     /// Whether connections are scarce while `open` are open.
@@ -46,11 +51,12 @@
         open >= self.max_connections
     }
 
-    /// The next step before one more connection is accepted while `open` are open. `previous` is the previous step for
-    /// it and whether that evicted a connection; `None` at first and after a wait.
+    /// The next step before one more connection is accepted while `open` are open. `previous` is
+    /// the previous step for it and whether that evicted a connection; `None` at first and after a
+    /// wait.
     ///
-    /// Eviction starts before the cap is reached: clients that send one request and keep their connection would
-    /// otherwise use up the connections that other clients need, and their own.
+    /// Eviction starts before the cap is reached: clients that send one request and keep their
+    /// connection would otherwise use up the connections that other clients need, and their own.
     pub fn accept(&self, open: usize, previous: Option<(Accept, bool)>) -> Accept {
         let eviction_attempted = previous.is_some();
         let more_to_evict = !matches!(previous, Some((Accept::EvictAny, false)));
@@ -67,8 +73,9 @@
         }
     }
 
-    /// The connection to evict, if any may be evicted. `connections` yields each with its id; with `only_idle` all
-    /// but idle ones are kept. A connection with an open request, or one that `is_busy`, is never evicted.
+    /// The connection to evict, if any may be evicted. `connections` yields each with its id; with
+    /// `only_idle` all but idle ones are kept. A connection with an open request, or one that
+    /// `is_busy`, is never evicted.
     pub fn eviction_candidate(
         &self,
         now: Nanos,
--- a/crates/core/src/discovery_watch.rs
+++ b/crates/core/src/discovery_watch.rs
@@ -1,14 +1,15 @@
-//! The subscription to discovery's endpoint list: when it counts as broken, when a call is abandoned, and when the
-//! next call is made.
+//! The subscription to discovery's endpoint list: when it counts as broken, when a call is
+//! abandoned, and when the next call is made.
 //!
-//! An update that discovery publishes must take effect within [`STALE_AFTER`], even if the watch falls silent or calls
-//! fail at the same time. The longest time without news is therefore the sum of three bounds that stays below it:
-//! a watch may be silent for [`SILENCE_TIMEOUT`], the next call is made within [`CALL_JITTER`] after that, and it is
-//! abandoned after [`CALL_TIMEOUT`]. A failed call counts like a silent watch from the time it was made. The decision
-//! module may request the list earlier (its own backoff spreads a fleet's calls), never later.
+//! An update that discovery publishes must take effect within [`STALE_AFTER`], even if the watch
+//! falls silent or calls fail at the same time. The longest time without news is therefore the sum
+//! of three bounds that stays below it: a watch may be silent for [`SILENCE_TIMEOUT`], the next
+//! call is made within [`CALL_JITTER`] after that, and it is abandoned after [`CALL_TIMEOUT`]. A
+//! failed call counts like a silent watch from the time it was made. The decision module may
+//! request the list earlier (its own backoff spreads a fleet's calls), never later.
 //!
-//! [`DiscoveryWatch`] does no I/O and has no clock: the caller reports each [`WatchEvent`], carries out the
-//! [`WatchStep`]s and reports [`WatchEvent::TimerDue`] at [`DiscoveryWatch::due`].
+//! [`DiscoveryWatch`] does no I/O and has no clock: the caller reports each [`WatchEvent`], carries
+//! out the [`WatchStep`]s and reports [`WatchEvent::TimerDue`] at [`DiscoveryWatch::due`].
 
 use std::hash::{Hash, Hasher};
 
@@ -16,8 +17,8 @@
 use crate::mutations::{mutated, Mutation};
 
 const MS: Nanos = 1_000_000;
-/// A watch without a message for this long has fallen silent: discovery sends an empty line every 2 s while nothing
-/// changes.
+/// A watch without a message for this long has fallen silent: discovery sends an empty line every 2
+/// s while nothing changes.
 pub const SILENCE_TIMEOUT: Nanos = 2_500 * MS;
 /// The next calls of all fronts that lose one discovery at the same time are spread over this.
 pub const CALL_JITTER: Nanos = 1_000 * MS;
@@ -30,8 +31,8 @@
 const _: () = assert!(SILENCE_TIMEOUT + CALL_JITTER + CALL_TIMEOUT <= STALE_AFTER - APPLY_MARGIN);
 /// Pause after a failed call to a new address of discovery, whose updates must take effect sooner.
 const RETRY_AFTER_MOVE: Nanos = 200 * MS;
-/// The first calls of fronts that start together are spread over this time. It is short: a starting front cannot know
-/// how old its list is, and what discovery has counts as known soon.
+/// The first calls of fronts that start together are spread over this time. It is short: a starting
+/// front cannot know how old its list is, and what discovery has counts as known soon.
 pub const FIRST_CALL_SPREAD: Nanos = 300 * MS;
 /// How long after a change of discovery's address [`RETRY_AFTER_MOVE`] applies.
 const MOVE_SPAN: Nanos = 4_000 * MS;
@@ -47,7 +48,8 @@
     Opened,
     /// The call failed.
     Failed,
-    /// The watch delivered a complete message, if only that nothing changed. Part of a message does not count.
+    /// The watch delivered a complete message, if only that nothing changed. Part of a message does
+    /// not count.
     MessageReceived,
     /// The watch ended.
     Ended,
@@ -86,8 +88,8 @@
 }
 
 impl DiscoveryWatch {
-    /// Without a watch; the first call is made `within` a time. `phase`, from 0 to 1, differs between fronts, so
-    /// that their calls are spread when they start or lose discovery together.
+    /// Without a watch; the first call is made `within` a time. `phase`, from 0 to 1, differs
+    /// between fronts, so that their calls are spread when they start or lose discovery together.
     pub fn new(now: Nanos, within: Nanos, phase: f64) -> DiscoveryWatch {
         let first_call_at = now + (within as f64 * phase) as Nanos;
         DiscoveryWatch {
@@ -105,7 +107,10 @@
         let hangs_at = self.call_started_at.map(|at| at + CALL_TIMEOUT);
         let silent_at = silent_at.filter(|_| !mutated(Mutation::SilentWatchCountsAsOpen));
         let hangs_at = hangs_at.filter(|_| !mutated(Mutation::CallTimeoutIgnored));
-        [silent_at, hangs_at, self.next_call_at].into_iter().flatten().min()
+        [silent_at, hangs_at, self.next_call_at]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Hashes all state that later steps depend on, with times relative to `now`.
@@ -128,7 +133,8 @@
                     self.call(now, &mut steps);
                 }
             }
-            // The open watch is kept until the new one is open, so that no update is missed in between.
+            // The open watch is kept until the new one is open, so that no update is missed in
+            // between.
             WatchEvent::AddressChanged => {
                 self.address_changed_at = Some(now);
                 self.call(now, &mut steps);
@@ -156,12 +162,18 @@
     }
 
     fn timer_due(&mut self, now: Nanos, steps: &mut Vec<WatchStep>) {
-        if let Some(silent_since) = self.last_message_at.filter(|at| now >= at + SILENCE_TIMEOUT) {
+        if let Some(silent_since) = self
+            .last_message_at
+            .filter(|at| now >= at + SILENCE_TIMEOUT)
+        {
             self.last_message_at = None;
             steps.push(WatchStep::CloseWatch);
             self.watch_lost(now, silent_since, steps);
         }
-        if self.call_started_at.is_some_and(|at| now >= at + CALL_TIMEOUT) {
+        if self
+            .call_started_at
+            .is_some_and(|at| now >= at + CALL_TIMEOUT)
+        {
             steps.push(WatchStep::CancelCall);
             self.call_failed(now, steps);
         }
@@ -177,8 +189,13 @@
     }
 
     fn call_failed(&mut self, now: Nanos, steps: &mut Vec<WatchStep>) {
-        let Some(started_at) = self.call_started_at.take() else { return };
-        if self.address_changed_at.is_some_and(|at| now - at < MOVE_SPAN) {
+        let Some(started_at) = self.call_started_at.take() else {
+            return;
+        };
+        if self
+            .address_changed_at
+            .is_some_and(|at| now - at < MOVE_SPAN)
+        {
             self.next_call_at = Some(now + RETRY_AFTER_MOVE);
         } else if self.last_message_at.is_some() {
             self.next_call_at = Some(self.latest_call(now, started_at));
@@ -187,8 +204,8 @@
         }
     }
 
-    /// Schedules the next call when there is neither a watch nor a call. `since` is the last time at which an update
-    /// could have been received.
+    /// Schedules the next call when there is neither a watch nor a call. `since` is the last time
+    /// at which an update could have been received.
     fn watch_lost(&mut self, now: Nanos, since: Nanos, steps: &mut Vec<WatchStep>) {
         // A call that is in flight or scheduled opens a watch or reports its own failure.
         if self.call_started_at.is_none() && self.next_call_at.is_none() {
--- a/crates/core/src/ejection.rs
+++ b/crates/core/src/ejection.rs
@@ -7,7 +7,8 @@
 use crate::interface::{CellId, ClassSet, Listed, Nanos, NodeId, Request, Semantics};
 use crate::state::{LiveRequest, Node, Scheduler};
 
-/// Timely results in a row of this front that readmit a server here: as many as successful probes readmit it for all.
+/// Timely results in a row of this front that readmit a server here: as many as successful probes
+/// readmit it for all.
 const READMIT_AFTER_SUCCESSES: u8 = 8;
 /// A readmitted server warms up for this long, in nanoseconds.
 const READMIT_WARMUP: Nanos = 4_000_000_000;
@@ -47,27 +48,38 @@
         self.probe_until = 0;
     }
 
-    /// Records a result of this front. Results of classes that are not ejected say nothing about the ejection.
+    /// Records a result of this front. Results of classes that are not ejected say nothing about
+    /// the ejection.
     pub fn record_result(&mut self, class: usize, failed: bool) {
         if self.ejected_for.contains(class) {
-            self.consecutive_successes =
-                if failed { 0 } else { self.consecutive_successes.saturating_add(1) };
+            self.consecutive_successes = if failed {
+                0
+            } else {
+                self.consecutive_successes.saturating_add(1)
+            };
         }
     }
 
     /// Hashes all that later decisions depend on.
     pub fn fingerprint<H: Hasher>(&self, now: Nanos, h: &mut H) {
         let consecutive_successes = self.consecutive_successes.min(READMIT_AFTER_SUCCESSES);
-        (self.ejected_for, consecutive_successes, (self.probe_until - now).max(0)).hash(h);
+        (
+            self.ejected_for,
+            consecutive_successes,
+            (self.probe_until - now).max(0),
+        )
+            .hash(h);
     }
 }
 
 impl Scheduler {
-    /// Applies the classes for which a server is ejected. A readmitted server warms up, as all fronts would send to it
-    /// at once.
+    /// Applies the classes for which a server is ejected. A readmitted server warms up, as all
+    /// fronts would send to it at once.
     pub(crate) fn apply_ejection(&mut self, at: NodeId, classes: ClassSet) {
         let now = self.now;
-        let Some(node) = self.nodes.get_mut(&at) else { return };
+        let Some(node) = self.nodes.get_mut(&at) else {
+            return;
+        };
         let before = std::mem::replace(&mut node.ejection.ejected_for, classes);
         if before == ClassSet::NONE && classes != ClassSet::NONE {
             node.ejection.consecutive_successes = 0;
@@ -84,11 +96,14 @@
 
     /// Sends the next idempotent request to a server as a probe, once.
     pub(crate) fn apply_probe(&mut self, at: NodeId, until: Nanos) {
-        self.nodes.entry(at).and_modify(|node| node.ejection.probe_until = until);
+        self.nodes
+            .entry(at)
+            .and_modify(|node| node.ejection.probe_until = until);
     }
 
-    /// Whether an ejection keeps a request from a server: a new object while any other server takes it, stored data
-    /// while its shard has another server. The last one still gets what only it can serve.
+    /// Whether an ejection keeps a request from a server: a new object while any other server takes
+    /// it, stored data while its shard has another server. The last one still gets what only it can
+    /// serve.
     pub(crate) fn is_blocked(&self, live: &LiveRequest, at: NodeId) -> bool {
         let (class, node) = (live.request.class, &self.nodes[&at]);
         let is_probe = node.ejection.is_probe_due(self.now) && self.may_probe(&live.request);
@@ -98,7 +113,10 @@
         let accepts = |node: &Node| !node.ejection.is_ejected(class);
         match live.request.cell {
             Some(cell) => self.up_nodes(cell).any(|(_, node)| accepts(node)),
-            None => self.nodes.values().any(|node| node.listed == Listed::Up && accepts(node)),
+            None => self
+                .nodes
+                .values()
+                .any(|node| node.listed == Listed::Up && accepts(node)),
         }
     }
 
@@ -107,7 +125,8 @@
         if !self.may_probe(request) {
             return None;
         }
-        let has_capacity = |node: &Node| !node.is_full() && self.warmup_quota(node) >= request.units;
+        let has_capacity =
+            |node: &Node| !node.is_full() && self.warmup_quota(node) >= request.units;
         let is_due = |node: &&Node| {
             node.ejection.is_probe_due(self.now) && node.listed == Listed::Up && has_capacity(node)
         };
--- a/crates/core/src/fleet_limits.rs
+++ b/crates/core/src/fleet_limits.rs
@@ -1,5 +1,5 @@
-//! This front's part of the limits that all fronts share, other than those of volumes: retries, units sent to a server
-//! that is warming up, requests in flight at a server.
+//! This front's part of the limits that all fronts share, other than those of volumes: retries,
+//! units sent to a server that is warming up, requests in flight at a server.
 //!
 //! Without an update from the fleet nothing here holds a request back.
 
@@ -8,8 +8,8 @@
 use crate::interface::Nanos;
 use crate::state::{Node, RateLimit, TokenBucket};
 
-/// Added to a limit on requests in flight, so that rounding does not take a whole request away. A thousand fronts with
-/// this much more send no whole request more.
+/// Added to a limit on requests in flight, so that rounding does not take a whole request away. A
+/// thousand fronts with this much more send no whole request more.
 const IN_FLIGHT_ROUNDING: f64 = 1e-4;
 
 /// The limits, as they hold for each server.
@@ -50,7 +50,11 @@
 
     /// Sets the limit on requests in flight at any server; below 1 it is a pace.
     pub fn set_in_flight<'a>(&mut self, limit: f64, nodes: impl Iterator<Item = &'a mut Node>) {
-        let limit = if limit > 0.0 { limit + IN_FLIGHT_ROUNDING } else { 0.0 };
+        let limit = if limit > 0.0 {
+            limit + IN_FLIGHT_ROUNDING
+        } else {
+            0.0
+        };
         self.in_flight = Some(limit);
         nodes.for_each(|node| node.limits.in_flight = Some(limit));
     }
@@ -58,12 +62,17 @@
     /// The limits of a server that is new in the endpoint list.
     pub fn node_limits(&self, now: Nanos) -> NodeLimits {
         let warming_up = self.warming_up.map(|limit| limit.empty_bucket(now));
-        NodeLimits { warming_up, in_flight: self.in_flight }
+        NodeLimits {
+            warming_up,
+            in_flight: self.in_flight,
+        }
     }
 
     /// Whether no retry may be sent now.
     pub fn retries_exhausted(&self, now: Nanos) -> bool {
-        self.retries.as_ref().is_some_and(|bucket| bucket.level_at(now) < 1.0)
+        self.retries
+            .as_ref()
+            .is_some_and(|bucket| bucket.level_at(now) < 1.0)
     }
 
     /// Records a retry that is sent.
@@ -76,7 +85,9 @@
     /// Hashes all that later decisions depend on.
     pub fn fingerprint<H: Hasher>(&self, now: Nanos, h: &mut H) {
         hash_bucket(self.retries.as_ref(), now, h);
-        self.warming_up.map(|limit| (limit.rate.to_bits(), limit.burst.to_bits())).hash(h);
+        self.warming_up
+            .map(|limit| (limit.rate.to_bits(), limit.burst.to_bits()))
+            .hash(h);
         self.in_flight.map(f64::to_bits).hash(h);
     }
 }
@@ -101,7 +112,8 @@
 
     /// Whether a server with this many requests in flight may get no further one.
     pub fn is_full(&self, in_flight: usize) -> bool {
-        self.in_flight.is_some_and(|limit| limit <= 0.0 || in_flight as f64 >= limit.floor().max(1.0))
+        self.in_flight
+            .is_some_and(|limit| limit <= 0.0 || in_flight as f64 >= limit.floor().max(1.0))
     }
 
     /// Hashes all that later decisions depend on.
@@ -120,5 +132,7 @@
 }
 
 fn hash_bucket<H: Hasher>(bucket: Option<&TokenBucket>, now: Nanos, h: &mut H) {
-    bucket.map(|bucket| (bucket.rate.to_bits(), bucket.level_at(now).to_bits())).hash(h);
+    bucket
+        .map(|bucket| (bucket.rate.to_bits(), bucket.level_at(now).to_bits()))
+        .hash(h);
 }
--- a/crates/core/src/graceful_shutdown.rs
+++ b/crates/core/src/graceful_shutdown.rs
@@ -1,10 +1,12 @@
-//! Graceful shutdown after SIGTERM: how long connections are still accepted, and when the process exits. No I/O.
+//! Graceful shutdown after SIGTERM: how long connections are still accepted, and when the process
+//! exits. No I/O.
 
 use crate::interface::Nanos;
 use crate::mutations::{mutated, Mutation};
 
 const MS: Nanos = 1_000_000;
-/// Connections are accepted until none has come for this long, since clients learn of a restart late.
+/// Connections are accepted until none has come for this long, since clients learn of a restart
+/// late.
 const ACCEPT_QUIET: Nanos = 200 * MS;
 /// Connections are accepted for at least this long.
 const MIN_ACCEPT_TIME: Nanos = 450 * MS;
@@ -24,8 +26,8 @@
 const MAX_EXIT_TIME: Nanos = 3_400 * MS;
 /// How often the front checks whether it may exit.
 const POLL_INTERVAL: Nanos = 20 * MS;
-/// It exits after more than this many polls in a row without an open request: one may still be on its way into the
-/// process, while an idle connection closes by itself.
+/// It exits after more than this many polls in a row without an open request: one may still be on
+/// its way into the process, while an idle connection closes by itself.
 const QUIET_POLLS_TO_EXIT: u32 = 10;
 
 /// The shutdown of a front.
@@ -61,7 +63,8 @@
         connections: usize,
         /// Those with pending work, see [`ClientConnection::has_pending_work`].
         ///
-        /// [`ClientConnection::has_pending_work`]: crate::client_connection::ClientConnection::has_pending_work
+        /// [`ClientConnection::has_pending_work`]:
+        /// crate::client_connection::ClientConnection::has_pending_work
         busy: usize,
     },
 }
@@ -71,8 +74,8 @@
 pub enum ShutdownStep {
     /// Accept connections for this time.
     Accept(Nanos),
-    /// Accept the connections in the backlog, close the listener, and let each connection end with its present
-    /// response.
+    /// Accept the connections in the backlog, close the listener, and let each connection end with
+    /// its present response.
     StopAccepting,
     /// Poll again after this time.
     Wait(Nanos),
@@ -81,9 +84,9 @@
 }
 
 impl GracefulShutdown {
-    /// Starts the shutdown at `now` and returns its first step. `longest_deadline` is the longest deadline of a
-    /// request. Clients learn of a restart late, so new connections are accepted for a while, and their requests
-    /// are served like those received before.
+    /// Starts the shutdown at `now` and returns its first step. `longest_deadline` is the longest
+    /// deadline of a request. Clients learn of a restart late, so new connections are accepted for
+    /// a while, and their requests are served like those received before.
     pub fn new(now: Nanos, longest_deadline: Nanos) -> (GracefulShutdown, ShutdownStep) {
         let kill_after = longest_deadline.clamp(0, MAX_DEADLINE_BEFORE_KILL) + KILL_GRACE;
         let shutdown = GracefulShutdown {
@@ -106,14 +109,16 @@
         self.quiet_polls
     }
 
-    /// Handles an event and returns the next step. An event that does not belong to the present stage changes
-    /// nothing.
+    /// Handles an event and returns the next step. An event that does not belong to the present
+    /// stage changes nothing.
     pub fn on(&mut self, now: Nanos, event: ShutdownEvent) -> ShutdownStep {
         match (self.stage, event) {
             (Stage::Accepting, ShutdownEvent::Accepted) => self.accept_or_stop(now, false),
             (Stage::Accepting, ShutdownEvent::AcceptTimedOut) => self.accept_or_stop(now, true),
             (Stage::Accepting, ShutdownEvent::Poll { .. }) => ShutdownStep::Accept(ACCEPT_QUIET),
-            (Stage::Draining, ShutdownEvent::Poll { connections, busy }) => self.poll(now, connections, busy),
+            (Stage::Draining, ShutdownEvent::Poll { connections, busy }) => {
+                self.poll(now, connections, busy)
+            }
             (Stage::Draining, _) => ShutdownStep::Wait(POLL_INTERVAL),
             (Stage::Finished, _) => ShutdownStep::Exit,
         }
--- a/crates/core/src/interface/events.rs
+++ b/crates/core/src/interface/events.rs
@@ -26,12 +26,18 @@
 impl Outcome {
     /// Whether the chunk server may have executed the attempt.
     pub fn may_have_executed(self) -> bool {
-        !matches!(self, Outcome::Rejected | Outcome::NotExecuted | Outcome::NotSent)
+        !matches!(
+            self,
+            Outcome::Rejected | Outcome::NotExecuted | Outcome::NotSent
+        )
     }
 
     /// Whether the chunk server may execute the attempt after its end.
     pub(crate) fn may_still_execute(self) -> bool {
-        matches!(self, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
+        matches!(
+            self,
+            Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
+        )
     }
 }
 
--- a/crates/core/src/interface/fleet.rs
+++ b/crates/core/src/interface/fleet.rs
@@ -18,7 +18,8 @@
 /// The index of the bit that stands for the last class of a [`ClassSet`] and for all after it.
 const LAST_CLASS_BIT: usize = 63;
 
-/// The request classes for which a chunk server is ejected: a bit for each class, the last bit for all from there on.
+/// The request classes for which a chunk server is ejected: a bit for each class, the last bit for
+/// all from there on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ClassSet(u64);
 
@@ -48,8 +49,8 @@
 /// An update from the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FleetUpdate {
-    /// This front's part of a shared limit. It replaces an even part of a volume's limit, and holds beside all other
-    /// rules.
+    /// This front's part of a shared limit. It replaces an even part of a volume's limit, and holds
+    /// beside all other rules.
     SharedLimit {
         /// The limit.
         limit: SharedLimit,
@@ -74,7 +75,8 @@
         /// No probe is sent after this time.
         until: Nanos,
     },
-    /// The front shuts down: all its requests are answered by a deadline, however long their clients would wait.
+    /// The front shuts down: all its requests are answered by a deadline, however long their
+    /// clients would wait.
     Shutdown {
         /// The deadline.
         deadline: Nanos,
--- a/crates/core/src/interface/mod.rs
+++ b/crates/core/src/interface/mod.rs
@@ -1,7 +1,8 @@
-//! The types that cross the boundary of the decision module: its settings, the events it takes, the actions it returns.
+//! The types that cross the boundary of the decision module: its settings, the events it takes, the
+//! actions it returns.
 //!
-//! Classes, plans, zones, shards and chunk servers are indices; volumes, keys and requests are opaque integers, so that
-//! no name can influence a decision. All times are integer nanoseconds.
+//! Classes, plans, zones, shards and chunk servers are indices; volumes, keys and requests are
+//! opaque integers, so that no name can influence a decision. All times are integer nanoseconds.
 
 mod endpoints;
 mod events;
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -110,7 +110,8 @@
     pub max_retry_after: Nanos,
     /// Whether the front must subscribe to the endpoint list.
     pub polls_discovery: bool,
-    /// The longest time without a subscription before a missed change counts as known; 0 is no such time.
+    /// The longest time without a subscription before a missed change counts as known; 0 is no such
+    /// time.
     pub poll_interval: Nanos,
     /// The duration of a chunk server's warm-up.
     pub warmup_duration: Nanos,
--- a/crates/core/src/invariant_monitor.rs
+++ b/crates/core/src/invariant_monitor.rs
@@ -1,13 +1,16 @@
 //! Checks the rules of requests while a front runs.
 //!
-//! The monitor sees the inputs and effects of the request tracker and judges them by the rules alone. It shares nothing
-//! with the decisions: where they break a rule all the same, the caller counts and logs it.
+//! The monitor sees the inputs and effects of the request tracker and judges them by the rules
+//! alone. It shares nothing with the decisions: where they break a rule all the same, the caller
+//! counts and logs it.
 //!
 //! No I/O and no clock: the caller passes the time.
 
 use std::collections::BTreeMap;
 
-use crate::interface::{Group, Listed, Nanos, NodeId, Outcome, RequestId, Semantics, Settings, UpdateScope};
+use crate::interface::{
+    Group, Listed, Nanos, NodeId, Outcome, RequestId, Semantics, Settings, UpdateScope,
+};
 use crate::request_tracker::{Effect, FinalAnswer, Input};
 
 /// A rule of requests.
@@ -87,7 +90,9 @@
     pub fn input(&mut self, input: &Input, settings: &Settings) {
         match input {
             Input::RequestReceived(request) => {
-                let Some(class) = settings.classes.get(request.class) else { return };
+                let Some(class) = settings.classes.get(request.class) else {
+                    return;
+                };
                 let monitored = MonitoredRequest {
                     semantics: class.semantics,
                     group: class.group,
@@ -100,16 +105,30 @@
                 self.requests.insert(request.id, monitored);
             }
             Input::ClientGone(id) => {
-                self.requests.entry(*id).and_modify(|request| request.ended = true);
+                self.requests
+                    .entry(*id)
+                    .and_modify(|request| request.ended = true);
+            }
+            Input::AttemptEnded {
+                id,
+                attempt,
+                outcome,
+                ..
+            } => self.attempt_ended(*id, *attempt, *outcome),
+            Input::AttemptTimedOut { id, attempt } => {
+                self.attempt_ended(*id, *attempt, Outcome::TimedOut)
+            }
+            Input::AttemptCancelled { id, attempt } => {
+                self.attempt_ended(*id, *attempt, Outcome::Cancelled)
             }
-            Input::AttemptEnded { id, attempt, outcome, .. } => self.attempt_ended(*id, *attempt, *outcome),
-            Input::AttemptTimedOut { id, attempt } => self.attempt_ended(*id, *attempt, Outcome::TimedOut),
-            Input::AttemptCancelled { id, attempt } => self.attempt_ended(*id, *attempt, Outcome::Cancelled),
             Input::Endpoints { scope, nodes } => {
                 if *scope == UpdateScope::Replace {
-                    self.listed.values_mut().for_each(|listed| *listed = Listed::Removed);
+                    self.listed
+                        .values_mut()
+                        .for_each(|listed| *listed = Listed::Removed);
                 }
-                self.listed.extend(nodes.iter().map(|info| (info.node, info.listed)));
+                self.listed
+                    .extend(nodes.iter().map(|info| (info.node, info.listed)));
             }
             Input::Overdue(_) | Input::FleetUpdate(_) | Input::Timer(_) => {}
         }
@@ -118,7 +137,9 @@
     /// Judges an effect before it is carried out.
     pub fn effect(&mut self, now: Nanos, effect: &Effect) -> Option<Violation> {
         match effect {
-            Effect::Send { id, attempt, node, .. } => self.sent(now, *id, *attempt, *node),
+            Effect::Send {
+                id, attempt, node, ..
+            } => self.sent(now, *id, *attempt, *node),
             Effect::Answer { id, answer } => self.answered(*id, answer),
             Effect::Release(id) => {
                 self.requests.remove(id);
@@ -133,21 +154,30 @@
     }
 
     fn attempt_ended(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(sent_at) = request.in_flight.remove(&attempt) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(sent_at) = request.in_flight.remove(&attempt) else {
+            return;
+        };
         if outcome.may_have_executed() {
             request.executed_since.get_or_insert(sent_at);
         }
     }
 
     fn sent(&mut self, now: Nanos, id: RequestId, attempt: u32, node: NodeId) -> Option<Violation> {
-        let is_up = self.listed.get(&node).is_none_or(|listed| *listed == Listed::Up);
+        let is_up = self
+            .listed
+            .get(&node)
+            .is_none_or(|listed| *listed == Listed::Up);
         let request = self.requests.get_mut(&id)?;
-        let repeat_allowed = request.executed_since.is_none_or(|since| match request.semantics {
-            Semantics::Idempotent => true,
-            Semantics::Deduplicated => now < since + request.window,
-            Semantics::AtMostOnce => false,
-        });
+        let repeat_allowed = request
+            .executed_since
+            .is_none_or(|since| match request.semantics {
+                Semantics::Idempotent => true,
+                Semantics::Deduplicated => now < since + request.window,
+                Semantics::AtMostOnce => false,
+            });
         let rule = if request.ended {
             Some(Rule::NothingAfterTheEnd)
         } else if !is_up {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,8 @@
-//! The decision module and the state machines of a storage front. The [`Scheduler`] decides when, in which order and to
-//! which chunk server each request is sent, and where a new object is placed. It has no clock, does no I/O and shares
-//! nothing with other fronts: it takes events and returns actions. The other modules are state machines of the same
-//! kind round it, for connections, attempts, discovery and shutdown.
+//! The decision module and the state machines of a storage front. The [`Scheduler`] decides when,
+//! in which order and to which chunk server each request is sent, and where a new object is placed.
+//! It has no clock, does no I/O and shares nothing with other fronts: it takes events and returns
+//! actions. The other modules are state machines of the same kind round it, for connections,
+//! attempts, discovery and shutdown.
 //!
 //! ```
 //! use tulipbridge_core::{Action, Class, Event, Group, Listed, NodeInfo, Plan, Request, Scheduler, Semantics, Settings};
--- a/crates/core/src/maintenance.rs
+++ b/crates/core/src/maintenance.rs
@@ -1,10 +1,12 @@
-//! Chunk servers that the operators have put into maintenance. Sits between the endpoint list and the decision module.
+//! Chunk servers that the operators have put into maintenance. Sits between the endpoint list and
+//! the decision module.
 //!
-//! [`MaintenanceSet`] keeps the last listed state of each server and the set of servers in maintenance. Whatever the
-//! list says, a server in maintenance is passed on as draining, so that the rules for draining servers apply to it.
-//! When its maintenance ends it is passed on as listed, but as started at that moment, so that it gets a slow start.
-//! Servers are identified by a key of the caller's choice, such as their name in the list, which outlives the node
-//! numbers of the decision module: a server that leaves the list and returns is still in maintenance.
+//! [`MaintenanceSet`] keeps the last listed state of each server and the set of servers in
+//! maintenance. Whatever the list says, a server in maintenance is passed on as draining, so that
+//! the rules for draining servers apply to it. When its maintenance ends it is passed on as listed,
+//! but as started at that moment, so that it gets a slow start. Servers are identified by a key of
+//! the caller's choice, such as their name in the list, which outlives the node numbers of the
+//! decision module: a server that leaves the list and returns is still in maintenance.
 //!
 //! No I/O and no clock: the caller passes the time.
 
@@ -57,13 +59,14 @@
         self.effective_entry(key, info)
     }
 
-    /// Records that a complete endpoint list arrived: servers that it does not name are no longer listed.
+    /// Records that a complete endpoint list arrived: servers that it does not name are no longer
+    /// listed.
     pub fn list_replaced(&mut self, keys: &BTreeSet<K>) {
         self.listed.retain(|key, _| keys.contains(key));
     }
 
-    /// Puts a server into maintenance. Returns the entry to pass on, if the server is listed and was not in
-    /// maintenance before.
+    /// Puts a server into maintenance. Returns the entry to pass on, if the server is listed and
+    /// was not in maintenance before.
     ///
     /// # Errors
     /// [`MaintenanceError::NeverListed`] if no endpoint list has named it.
@@ -76,8 +79,9 @@
         Ok(info.map(|info| self.effective_entry(key, info)))
     }
 
-    /// Ends the maintenance of a server at `now`. Returns the entry to pass on, if the server is listed and was in
-    /// maintenance: as listed, but started at `now`, because it was restarted meanwhile.
+    /// Ends the maintenance of a server at `now`. Returns the entry to pass on, if the server is
+    /// listed and was in maintenance: as listed, but started at `now`, because it was restarted
+    /// meanwhile.
     ///
     /// # Errors
     /// [`MaintenanceError::NeverListed`] if no endpoint list has named it.
@@ -86,13 +90,16 @@
         if !self.in_maintenance.remove(key) {
             return Ok(None);
         }
-        let Some(info) = self.listed.get_mut(key) else { return Ok(None) };
+        let Some(info) = self.listed.get_mut(key) else {
+            return Ok(None);
+        };
         info.started_at = info.started_at.max(now);
         Ok(Some(info.clone()))
     }
 
-    /// Replaces the set by one that another process of this front has persisted. Returns the entries to pass on, of
-    /// the listed servers that changed: first of those whose maintenance ended, then of those that entered it.
+    /// Replaces the set by one that another process of this front has persisted. Returns the
+    /// entries to pass on, of the listed servers that changed: first of those whose maintenance
+    /// ended, then of those that entered it.
     pub fn replace_set(&mut self, keys: &BTreeSet<K>, now: Nanos) -> Vec<NodeInfo> {
         let ended: Vec<K> = self.in_maintenance.difference(keys).cloned().collect();
         let entered: Vec<K> = keys.difference(&self.in_maintenance).cloned().collect();
@@ -101,7 +108,8 @@
             changed.extend(self.exit(&key, now).ok().flatten());
         }
         for key in entered {
-            // A server that this process does not know yet may be listed later; its maintenance applies then.
+            // A server that this process does not know yet may be listed later; its maintenance
+            // applies then.
             self.ever_listed.insert(key.clone());
             changed.extend(self.enter(&key).ok().flatten());
         }
--- a/crates/core/src/maintenance_changes.rs
+++ b/crates/core/src/maintenance_changes.rs
@@ -1,8 +1,9 @@
 //! Changes to the servers in maintenance that are in force here and not in the shared file yet.
 //!
-//! A call of the operators is owed from the moment at which it is answered, and other processes of this front learn of it
-//! from the file alone. While the file cannot be read, locked or written, the change waits here. It is applied to whatever
-//! the file holds then, so that it overwrites nothing that another process has changed meanwhile.
+//! A call of the operators is owed from the moment at which it is answered, and other processes of
+//! this front learn of it from the file alone. While the file cannot be read, locked or written,
+//! the change waits here. It is applied to whatever the file holds then, so that it overwrites
+//! nothing that another process has changed meanwhile.
 //!
 //! No I/O and no clock.
 
@@ -25,7 +26,9 @@
 
 impl<K> Default for UnwrittenChanges<K> {
     fn default() -> UnwrittenChanges<K> {
-        UnwrittenChanges { changes: BTreeMap::new() }
+        UnwrittenChanges {
+            changes: BTreeMap::new(),
+        }
     }
 }
 
--- a/crates/core/src/mutations.rs
+++ b/crates/core/src/mutations.rs
@@ -1,14 +1,15 @@
-//! Mutation testing: deliberate defects in the machines, used to verify that the model checker detects them.
+//! Mutation testing: deliberate defects in the machines, used to verify that the model checker
+//! detects them.
 //!
-//! Exactly one mutation, or none, is active in a process. Without the feature `mutations` [`mutated`] is the constant
-//! `false`, so that no defect is compiled in.
+//! Exactly one mutation, or none, is active in a process. Without the feature `mutations`
+//! [`mutated`] is the constant `false`, so that no defect is compiled in.
 
 /// Defines the switch for the mutations of a crate.
 ///
-/// The caller has an enum `Mutation` in scope that is `Copy` and fieldless, and a Cargo feature `mutations`. With
-/// the feature the macro defines `activate(Option<Mutation>)`, which activates one mutation or none for the process,
-/// and `mutated(Mutation) -> bool`, which tells whether it is active. Without the feature it defines `mutated` alone, as
-/// a constant `false`.
+/// The caller has an enum `Mutation` in scope that is `Copy` and fieldless, and a Cargo feature
+/// `mutations`. With the feature the macro defines `activate(Option<Mutation>)`, which activates
+/// one mutation or none for the process, and `mutated(Mutation) -> bool`, which tells whether it is
+/// active. Without the feature it defines `mutated` alone, as a constant `false`.
 #[macro_export]
 macro_rules! mutation_switch {
     () => {
@@ -48,12 +49,14 @@
     };
 }
 
-/// A deliberate defect in a machine of this crate. [`ALL`] has its stable name for the command line.
+/// A deliberate defect in a machine of this crate. [`ALL`] has its stable name for the command
+/// line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mutation {
     /// The last byte of a request counts as written when the request is assigned to a connection.
     LastByteCountedAtAssignment,
-    /// The write of the last byte is not recorded: a request that may have run counts as partially written.
+    /// The write of the last byte is not recorded: a request that may have run counts as partially
+    /// written.
     LastByteNotRecorded,
     /// Bytes that arrive before the request is written completely are taken as its response.
     EarlyBytesTakenAsResponse,
@@ -97,7 +100,8 @@
     DrainIgnoresQueue,
     /// A request that must not run twice is retried after a reset.
     RetriesUnsafeWrite,
-    /// A request that must not run twice is rejected as harmless to repeat although it may have run.
+    /// A request that must not run twice is rejected as harmless to repeat although it may have
+    /// run.
     RejectsUnsafeWrite,
     /// The cap on attempts is ignored.
     UnlimitedRetry,
@@ -117,7 +121,8 @@
     ClientConnectionCapIgnored,
     /// The process exits while requests are open.
     ExitsWithOpenRequests,
-    /// Attempts that have not begun are not withdrawn when the client leaves or the request is answered.
+    /// Attempts that have not begun are not withdrawn when the client leaves or the request is
+    /// answered.
     WithdrawalOmitted,
     /// Attempts that are still dialing a node are not withdrawn when the node drains.
     DrainIgnoresDialing,
@@ -146,46 +151,206 @@
 
 /// All mutations, each with its name on the command line and its group of machines.
 pub const ALL: &[(Mutation, &str, MachineGroup)] = &[
-    (Mutation::LastByteCountedAtAssignment, "last-byte-at-hand-over", MachineGroup::Requests),
-    (Mutation::LastByteNotRecorded, "last-byte-not-seen", MachineGroup::Requests),
-    (Mutation::EarlyBytesTakenAsResponse, "early-answer-taken", MachineGroup::Requests),
-    (Mutation::PartiallyWrittenRequestResent, "partly-sent-goes-round", MachineGroup::Requests),
-    (Mutation::WrittenRequestResent, "resent-silently", MachineGroup::Requests),
-    (Mutation::ResetCountsAsNotExecuted, "reset-taken-for-refusal", MachineGroup::Requests),
-    (Mutation::WritesOverUnreadBytes, "writes-over-waiting-bytes", MachineGroup::Requests),
-    (Mutation::IdleTimeoutIgnored, "idle-for-too-long", MachineGroup::Requests),
-    (Mutation::ReusedAfterAddressChange, "kept-for-another-address", MachineGroup::Requests),
-    (Mutation::ServerConnectionCapIgnored, "no-cap-on-connections", MachineGroup::Requests),
-    (Mutation::CancelCountsAsNotExecuted, "cancel-proves-nothing-ran", MachineGroup::Requests),
-    (Mutation::AnswerAfterClientGone, "answer-to-client-that-left", MachineGroup::Requests),
-    (Mutation::NoReleaseAfterClientGone, "left-charged-for-ever", MachineGroup::Requests),
-    (Mutation::SecondFinalAnswer, "second-final-answer", MachineGroup::Requests),
-    (Mutation::AttemptAfterAnswer, "placed-after-answer", MachineGroup::Requests),
-    (Mutation::EndedAttemptRetained, "attempt-left-in-table", MachineGroup::Requests),
-    (Mutation::ReleasedWithAttemptInFlight, "released-while-out", MachineGroup::Requests),
-    (Mutation::TimeoutCountsAsNotExecuted, "time-up-proves-nothing-ran", MachineGroup::Requests),
-    (Mutation::TimeoutPastClientDeadline, "until-past-client", MachineGroup::Requests),
-    (Mutation::DialFailureMayHaveRun, "dial-failure-in-doubt", MachineGroup::Requests),
-    (Mutation::RemovedNodeKeepsConnections, "forgotten-node-keeps-connections", MachineGroup::Requests),
-    (Mutation::DrainIgnoresQueue, "drain-misses-queued", MachineGroup::Requests),
-    (Mutation::RetriesUnsafeWrite, "repeats-submit", MachineGroup::Requests),
-    (Mutation::RejectsUnsafeWrite, "refuses-submit-in-doubt", MachineGroup::Requests),
-    (Mutation::UnlimitedRetry, "tries-unbounded", MachineGroup::Requests),
-    (Mutation::FinishedStaysQueued, "queue-keeps-finished", MachineGroup::Requests),
-    (Mutation::IgnoresClientGone, "gone-not-finished", MachineGroup::Requests),
-    (Mutation::EndedStaysInFlight, "out-keeps-ended", MachineGroup::Requests),
-    (Mutation::BodyRestartsTimeout, "body-restarts-time", MachineGroup::ClientConnections),
-    (Mutation::ClosesOverArrivedRequest, "closes-across-request", MachineGroup::ClientConnections),
-    (Mutation::RespondingConnectionEvicted, "open-gives-way", MachineGroup::ClientConnections),
-    (Mutation::ClientConnectionCapIgnored, "no-cap-at-door", MachineGroup::ClientConnections),
-    (Mutation::ExitsWithOpenRequests, "leaves-open-requests", MachineGroup::ClientConnections),
-    (Mutation::WithdrawalOmitted, "left-attempt-goes-out", MachineGroup::Requests),
-    (Mutation::DrainIgnoresDialing, "drain-misses-dialling", MachineGroup::Requests),
-    (Mutation::WithdrawnRequestWritten, "withdrawn-is-written", MachineGroup::Requests),
-    (Mutation::SilentWatchCountsAsOpen, "silent-watch-stands", MachineGroup::DiscoveryWatch),
-    (Mutation::CallTimeoutIgnored, "call-hangs", MachineGroup::DiscoveryWatch),
-    (Mutation::ShutdownClosesArrivingRequest, "shuts-across-arriving", MachineGroup::ClientConnections),
-    (Mutation::CallsOnlyOnRequest, "asks-when-wanted-alone", MachineGroup::DiscoveryWatch),
+    (
+        Mutation::LastByteCountedAtAssignment,
+        "last-byte-at-hand-over",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::LastByteNotRecorded,
+        "last-byte-not-seen",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::EarlyBytesTakenAsResponse,
+        "early-answer-taken",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::PartiallyWrittenRequestResent,
+        "partly-sent-goes-round",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::WrittenRequestResent,
+        "resent-silently",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::ResetCountsAsNotExecuted,
+        "reset-taken-for-refusal",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::WritesOverUnreadBytes,
+        "writes-over-waiting-bytes",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::IdleTimeoutIgnored,
+        "idle-for-too-long",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::ReusedAfterAddressChange,
+        "kept-for-another-address",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::ServerConnectionCapIgnored,
+        "no-cap-on-connections",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::CancelCountsAsNotExecuted,
+        "cancel-proves-nothing-ran",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::AnswerAfterClientGone,
+        "answer-to-client-that-left",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::NoReleaseAfterClientGone,
+        "left-charged-for-ever",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::SecondFinalAnswer,
+        "second-final-answer",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::AttemptAfterAnswer,
+        "placed-after-answer",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::EndedAttemptRetained,
+        "attempt-left-in-table",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::ReleasedWithAttemptInFlight,
+        "released-while-out",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::TimeoutCountsAsNotExecuted,
+        "time-up-proves-nothing-ran",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::TimeoutPastClientDeadline,
+        "until-past-client",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::DialFailureMayHaveRun,
+        "dial-failure-in-doubt",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::RemovedNodeKeepsConnections,
+        "forgotten-node-keeps-connections",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::DrainIgnoresQueue,
+        "drain-misses-queued",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::RetriesUnsafeWrite,
+        "repeats-submit",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::RejectsUnsafeWrite,
+        "refuses-submit-in-doubt",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::UnlimitedRetry,
+        "tries-unbounded",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::FinishedStaysQueued,
+        "queue-keeps-finished",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::IgnoresClientGone,
+        "gone-not-finished",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::EndedStaysInFlight,
+        "out-keeps-ended",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::BodyRestartsTimeout,
+        "body-restarts-time",
+        MachineGroup::ClientConnections,
+    ),
+    (
+        Mutation::ClosesOverArrivedRequest,
+        "closes-across-request",
+        MachineGroup::ClientConnections,
+    ),
+    (
+        Mutation::RespondingConnectionEvicted,
+        "open-gives-way",
+        MachineGroup::ClientConnections,
+    ),
+    (
+        Mutation::ClientConnectionCapIgnored,
+        "no-cap-at-door",
+        MachineGroup::ClientConnections,
+    ),
+    (
+        Mutation::ExitsWithOpenRequests,
+        "leaves-open-requests",
+        MachineGroup::ClientConnections,
+    ),
+    (
+        Mutation::WithdrawalOmitted,
+        "left-attempt-goes-out",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::DrainIgnoresDialing,
+        "drain-misses-dialling",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::WithdrawnRequestWritten,
+        "withdrawn-is-written",
+        MachineGroup::Requests,
+    ),
+    (
+        Mutation::SilentWatchCountsAsOpen,
+        "silent-watch-stands",
+        MachineGroup::DiscoveryWatch,
+    ),
+    (
+        Mutation::CallTimeoutIgnored,
+        "call-hangs",
+        MachineGroup::DiscoveryWatch,
+    ),
+    (
+        Mutation::ShutdownClosesArrivingRequest,
+        "shuts-across-arriving",
+        MachineGroup::ClientConnections,
+    ),
+    (
+        Mutation::CallsOnlyOnRequest,
+        "asks-when-wanted-alone",
+        MachineGroup::DiscoveryWatch,
+    ),
 ];
 
 mutation_switch!();
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -1,5 +1,5 @@
-//! All decisions: here the event loop, in each submodule one kind of decision.
-//! "Design" marks a constant of the design document; all others are starting values of this project.
+//! All decisions: here the event loop, in each submodule one kind of decision. "Design" marks a
+//! constant of the design document; all others are starting values of this project.
 
 mod admission;
 mod congestion;
@@ -41,7 +41,10 @@
             self.tick(actions);
         }
         match event {
-            Event::Endpoints { scope: UpdateScope::Unavailable, .. } => self.back_off_subscription(),
+            Event::Endpoints {
+                scope: UpdateScope::Unavailable,
+                ..
+            } => self.back_off_subscription(),
             Event::Endpoints { scope, nodes } => self.on_endpoints(scope, nodes, actions),
             Event::Request(request) => self.on_request(request, actions),
             Event::ClientGone(id) => {
@@ -64,7 +67,8 @@
         if self.live.contains_key(&id) {
             return;
         }
-        if request.class >= self.settings.classes.len() || request.plan >= self.settings.plans.len() {
+        if request.class >= self.settings.classes.len() || request.plan >= self.settings.plans.len()
+        {
             actions.push(Action::Reject { id, retry_after: 0 });
             return;
         }
@@ -73,22 +77,45 @@
         self.join_key_queue(&request);
         self.ensure_volume(&request);
         let admitted = self.admit(&request);
-        self.track(LiveRequest::new(request, self.now, objective, self.settings.max_attempts));
+        self.track(LiveRequest::new(
+            request,
+            self.now,
+            objective,
+            self.settings.max_attempts,
+        ));
         if admitted {
             self.enqueue(id, actions);
         }
         // A request may come with less time left than a tick takes.
-        if !admitted || self.live.get(&id).is_some_and(|live| self.is_hopeless(live)) {
+        if !admitted
+            || self
+                .live
+                .get(&id)
+                .is_some_and(|live| self.is_hopeless(live))
+        {
             self.give_up(id, actions);
         }
     }
 
     fn on_attempt_ended(&mut self, event: &Event, actions: &mut Actions) {
-        let &Event::AttemptEnded { id, attempt, node: at, outcome, took, last, .. } = event else { return };
+        let &Event::AttemptEnded {
+            id,
+            attempt,
+            node: at,
+            outcome,
+            took,
+            last,
+            ..
+        } = event
+        else {
+            return;
+        };
         if last {
             self.record_client_stayed(id);
         }
-        let Some((sent, request)) = self.record_end(id, attempt, at, outcome, last) else { return };
+        let Some((sent, request)) = self.record_end(id, attempt, at, outcome, last) else {
+            return;
+        };
         if outcome.may_still_execute() {
             self.settle_key(request.key, self.now + self.settings.order_settle_time);
         }
@@ -107,13 +134,19 @@
         }
         let cell = self.nodes[&at].cell;
         self.dispatch(cell, actions);
-        if let Some(next) = self.next_cell_for_key(request.key).filter(|next| *next != cell) {
+        if let Some(next) = self
+            .next_cell_for_key(request.key)
+            .filter(|next| *next != cell)
+        {
             self.dispatch(next, actions);
         }
     }
 
     fn tick(&mut self, actions: &mut Actions) {
-        actions.push(Action::SetTimer { after: TICK_INTERVAL, cookie: TICK_COOKIE });
+        actions.push(Action::SetTimer {
+            after: TICK_INTERVAL,
+            cookie: TICK_COOKIE,
+        });
         if self.subscribe_at.take_if(|at| self.now >= *at).is_some() {
             actions.push(Action::Subscribe);
         }
@@ -129,7 +162,11 @@
             self.rebalance_base_weights();
             self.update_warm_rates();
             self.expire_idle(VOLUME_IDLE_MAX, self.retry_budget().window);
-            actions.extend(self.forget_removed_nodes().into_iter().map(Action::ForgetNode));
+            actions.extend(
+                self.forget_removed_nodes()
+                    .into_iter()
+                    .map(Action::ForgetNode),
+            );
         }
         self.dispatch_all(actions);
     }
--- a/crates/core/src/policy/retry.rs
+++ b/crates/core/src/policy/retry.rs
@@ -6,15 +6,26 @@
 use crate::state::{LiveRequest, Scheduler};
 
 /// The retry budget if none is configured, so that retries do not feed an overload.
-const DEFAULT_BUDGET: RetryBudget = RetryBudget { base_allowance: 3.0, ratio: 0.3, window: 5 * SECOND };
+const DEFAULT_BUDGET: RetryBudget = RetryBudget {
+    base_allowance: 3.0,
+    ratio: 0.3,
+    window: 5 * SECOND,
+};
 const RETRY_PAUSE_LATENCY_FRACTION: f64 = 0.5;
-/// A request never sent is rejected after this fraction of its patience, while its client can retry.
+/// A request never sent is rejected after this fraction of its patience, while its client can
+/// retry.
 const UNSENT_PATIENCE_FRACTION: f64 = 0.5;
 const RETRY_AFTER_LATENCY_RATIO: f64 = 2.0;
 const RETRY_AFTER_MIN_NS: f64 = 5e7;
 
 impl Scheduler {
-    pub(super) fn on_failure(&mut self, id: RequestId, at: NodeId, outcome: Outcome, actions: &mut Actions) {
+    pub(super) fn on_failure(
+        &mut self,
+        id: RequestId,
+        at: NodeId,
+        outcome: Outcome,
+        actions: &mut Actions,
+    ) {
         let live = &self.live[&id];
         if live.queued || live.in_flight > 0 || live.streaming {
             return;
@@ -42,7 +53,11 @@
     pub(super) fn may_retry(&self, live: &LiveRequest, at: Option<NodeId>) -> bool {
         let max_attempts = live.max_attempts.min(self.settings.max_attempts);
         let is_exhausted = live.attempts >= max_attempts && !mutated(Mutation::UnlimitedRetry);
-        if is_exhausted || live.in_flight > 0 || self.is_expired(live) || self.fleet_retries_exhausted() {
+        if is_exhausted
+            || live.in_flight > 0
+            || self.is_expired(live)
+            || self.fleet_retries_exhausted()
+        {
             return false;
         }
         let budget = self.retry_budget();
@@ -52,7 +67,9 @@
         if is_budgeted && (recent.retries + 1) as f64 > allowed {
             return false;
         }
-        let Some(first) = live.possible_execution else { return true };
+        let Some(first) = live.possible_execution else {
+            return true;
+        };
         let class = self.class(&live.request);
         let is_in_group = |at: NodeId| match class.group {
             Group::All => true,
@@ -62,7 +79,9 @@
         match class.semantics {
             Semantics::Idempotent => true,
             Semantics::AtMostOnce => mutated(Mutation::RetriesUnsafeWrite),
-            Semantics::Deduplicated => self.now < first.sent_at + class.window && at.is_none_or(is_in_group),
+            Semantics::Deduplicated => {
+                self.now < first.sent_at + class.window && at.is_none_or(is_in_group)
+            }
         }
     }
 
@@ -70,7 +89,8 @@
         self.settings.retry_budget.clone().unwrap_or(DEFAULT_BUDGET)
     }
 
-    /// Whether an answer must go out now to reach the client: a timer may be late by a tick and a batch.
+    /// Whether an answer must go out now to reach the client: a timer may be late by a tick and a
+    /// batch.
     pub(super) fn is_expired(&self, live: &LiveRequest) -> bool {
         self.now >= live.deadline_at - self.deadline_margin()
     }
@@ -79,26 +99,41 @@
         TICK_INTERVAL + 2 * self.settings.quantum
     }
 
-    /// Answers a request at once: rejected if repeating it is harmless, failed if it may have been executed.
+    /// Answers a request at once: rejected if repeating it is harmless, failed if it may have been
+    /// executed.
     pub(super) fn give_up(&mut self, id: RequestId, actions: &mut Actions) {
         let draw = self.random.f64();
         self.record_client_stayed(id);
-        let Some(live) = self.live.get(&id).filter(|live| !live.finished) else { return };
+        let Some(live) = self.live.get(&id).filter(|live| !live.finished) else {
+            return;
+        };
         let class = self.class(&live.request);
         let is_repeatable = match class.semantics {
             Semantics::Idempotent => true,
             Semantics::Deduplicated => !live.may_have_executed() || class.group == Group::All,
-            Semantics::AtMostOnce => !live.may_have_executed() || mutated(Mutation::RejectsUnsafeWrite),
+            Semantics::AtMostOnce => {
+                !live.may_have_executed() || mutated(Mutation::RejectsUnsafeWrite)
+            }
         };
-        let rejection = Action::Reject { id, retry_after: self.retry_after(live, draw) };
-        actions.push(if is_repeatable { rejection } else { Action::Fail(id) });
+        let rejection = Action::Reject {
+            id,
+            retry_after: self.retry_after(live, draw),
+        };
+        actions.push(if is_repeatable {
+            rejection
+        } else {
+            Action::Fail(id)
+        });
         self.finish(id);
     }
 
-    /// When a client's retry may help, spread over the upper half so that clients do not return at once.
+    /// When a client's retry may help, spread over the upper half so that clients do not return at
+    /// once.
     fn retry_after(&self, live: &LiveRequest, draw: f64) -> Nanos {
         let wait = match live.cell.and_then(|cell| self.preferred_node(cell)) {
-            Some(node) if node.is_healthy() => RETRY_AFTER_LATENCY_RATIO * node.fast_latency.unwrap_or(0.0),
+            Some(node) if node.is_healthy() => {
+                RETRY_AFTER_LATENCY_RATIO * node.fast_latency.unwrap_or(0.0)
+            }
             _ => SECOND as f64,
         };
         let scaled = wait.max(RETRY_AFTER_MIN_NS) / self.admitted_fraction().clamp(0.01, 1.0);
@@ -123,7 +158,8 @@
             return self.now > live.objective_at;
         };
         let is_limited = is_unsent && !self.volume_limit_allows(&live.request);
-        let client_leaves = self.typical_wait(live.request.class) < live.deadline_at - live.received_at;
+        let client_leaves =
+            self.typical_wait(live.request.class) < live.deadline_at - live.received_at;
         let is_stuck = client_leaves || is_limited || !node.is_healthy();
         let answer_at = self.now + self.expected_latency(live, node) as Nanos;
         answer_at > live.deadline_at || (is_stuck && self.would_be_late(live, node))
--- a/crates/core/src/request_tracker.rs
+++ b/crates/core/src/request_tracker.rs
@@ -1,10 +1,11 @@
 //! Tracks client requests and their attempts, from receipt to the one final answer.
 //!
-//! The [`RequestTracker`] connects three parties: the front that receives requests, the transport that carries
-//! attempts, and the policy that decides (the [`Scheduler`](crate::Scheduler), or another implementation of [`Decisions`]). It
-//! enforces what must hold whatever the policy decides: each request gets one final answer, each attempt starts
-//! once and ends once, and the state of a finished request is dropped. It does no I/O: feed it each [`Input`] and
-//! carry out the [`Effect`]s in their order.
+//! The [`RequestTracker`] connects three parties: the front that receives requests, the transport
+//! that carries attempts, and the policy that decides (the [`Scheduler`](crate::Scheduler), or
+//! another implementation of [`Decisions`]). It enforces what must hold whatever the policy
+//! decides: each request gets one final answer, each attempt starts once and ends once, and the
+//! state of a finished request is dropped. It does no I/O: feed it each [`Input`] and carry out the
+//! [`Effect`]s in their order.
 
 mod decisions;
 mod in_flight;
@@ -20,7 +21,8 @@
 };
 use crate::mutations::{mutated, Mutation};
 
-/// How far [`Mutation::TimeoutPastClientDeadline`] moves the deadline of an attempt past that of its client.
+/// How far [`Mutation::TimeoutPastClientDeadline`] moves the deadline of an attempt past that of
+/// its client.
 const MUTATED_DEADLINE_EXCESS: Nanos = 1_000_000_000;
 
 /// How an attempt ended, with the use of its volume that the chunk server reported.
@@ -35,7 +37,13 @@
 impl AttemptEnd {
     /// An end without a response, and so without a report of the volume's use.
     fn without_response(id: RequestId, attempt: u32, outcome: Outcome) -> AttemptEnd {
-        AttemptEnd { id, attempt, outcome, observed_use: 0.0, foreign_units: 0.0 }
+        AttemptEnd {
+            id,
+            attempt,
+            outcome,
+            observed_use: 0.0,
+            foreign_units: 0.0,
+        }
     }
 }
 
@@ -52,7 +60,12 @@
 impl<D: Decisions> RequestTracker<D> {
     /// A tracker without requests.
     pub fn new(decisions: D) -> RequestTracker<D> {
-        RequestTracker { decisions, requests: BTreeMap::new(), next_id: 0, actions: Vec::new() }
+        RequestTracker {
+            decisions,
+            requests: BTreeMap::new(),
+            next_id: 0,
+            actions: Vec::new(),
+        }
     }
 
     /// An id for a new request, unique within this tracker.
@@ -82,19 +95,47 @@
             Input::RequestReceived(request) => self.request_received(now, request, effects),
             Input::ClientGone(id) => self.client_gone(now, id, effects),
             Input::Overdue(id) => self.overdue(now, id, effects),
-            Input::AttemptEnded { id, attempt, outcome, observed_use: seen_use, foreign_units } => {
-                let end = AttemptEnd { id, attempt, outcome, observed_use: seen_use, foreign_units };
+            Input::AttemptEnded {
+                id,
+                attempt,
+                outcome,
+                observed_use: seen_use,
+                foreign_units,
+            } => {
+                let end = AttemptEnd {
+                    id,
+                    attempt,
+                    outcome,
+                    observed_use: seen_use,
+                    foreign_units,
+                };
                 self.attempt_ended(now, end, effects);
             }
             Input::AttemptTimedOut { id, attempt } => {
                 let not_executed = mutated(Mutation::TimeoutCountsAsNotExecuted);
-                let outcome = if not_executed { Outcome::NotExecuted } else { Outcome::TimedOut };
-                self.attempt_ended(now, AttemptEnd::without_response(id, attempt, outcome), effects);
+                let outcome = if not_executed {
+                    Outcome::NotExecuted
+                } else {
+                    Outcome::TimedOut
+                };
+                self.attempt_ended(
+                    now,
+                    AttemptEnd::without_response(id, attempt, outcome),
+                    effects,
+                );
             }
             Input::AttemptCancelled { id, attempt } => {
                 let not_executed = mutated(Mutation::CancelCountsAsNotExecuted);
-                let outcome = if not_executed { Outcome::NotExecuted } else { Outcome::Cancelled };
-                self.attempt_ended(now, AttemptEnd::without_response(id, attempt, outcome), effects);
+                let outcome = if not_executed {
+                    Outcome::NotExecuted
+                } else {
+                    Outcome::Cancelled
+                };
+                self.attempt_ended(
+                    now,
+                    AttemptEnd::without_response(id, attempt, outcome),
+                    effects,
+                );
             }
             Input::Endpoints { scope, nodes } => {
                 self.withdraw_from_draining(scope, &nodes, effects);
@@ -105,8 +146,8 @@
         }
     }
 
-    /// Carries out one action of the policy. [`RequestTracker::on`] does so for the actions that an input causes;
-    /// a checker that takes the place of the policy calls it directly.
+    /// Carries out one action of the policy. [`RequestTracker::on`] does so for the actions that an
+    /// input causes; a checker that takes the place of the policy calls it directly.
     pub fn apply_decision(&mut self, now: Nanos, action: Action, effects: &mut Vec<Effect>) {
         let mut follow_ups = VecDeque::new();
         self.apply_action(now, action, &mut follow_ups, effects);
@@ -117,20 +158,34 @@
 
     fn request_received(&mut self, now: Nanos, request: Request, effects: &mut Vec<Effect>) {
         let deadline = now + request.patience.max(0);
-        self.requests.insert(request.id, InFlightRequest::new(deadline));
+        self.requests
+            .insert(request.id, InFlightRequest::new(deadline));
         self.decide(now, Event::Request(request), effects);
     }
 
     /// Fails a request that the policy has left without a final answer past its deadline.
     fn overdue(&mut self, now: Nanos, id: RequestId, effects: &mut Vec<Effect>) {
-        if self.requests.get(&id).is_some_and(|request| !request.answered) {
-            effects.push(Effect::Answer { id, answer: FinalAnswer::Failed });
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|request| !request.answered)
+        {
+            effects.push(Effect::Answer {
+                id,
+                answer: FinalAnswer::Failed,
+            });
             self.client_gone(now, id, effects);
         }
     }
 
     fn client_gone(&mut self, now: Nanos, id: RequestId, effects: &mut Vec<Effect>) {
-        let Some(request) = self.requests.get_mut(&id).filter(|request| !request.answered) else { return };
+        let Some(request) = self
+            .requests
+            .get_mut(&id)
+            .filter(|request| !request.answered)
+        else {
+            return;
+        };
         request.answered = !mutated(Mutation::AnswerAfterClientGone);
         self.withdraw_attempts(id, effects);
         if !mutated(Mutation::NoReleaseAfterClientGone) {
@@ -140,21 +195,38 @@
     }
 
     fn attempt_ended(&mut self, now: Nanos, end: AttemptEnd, effects: &mut Vec<Effect>) {
-        let AttemptEnd { id, attempt, outcome, observed_use: seen_use, foreign_units } = end;
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let AttemptEnd {
+            id,
+            attempt,
+            outcome,
+            observed_use: seen_use,
+            foreign_units,
+        } = end;
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         // An attempt ends once; a second report of its end was already on its way.
-        let position = request.in_flight.iter().position(|in_flight| in_flight.attempt == attempt);
+        let position = request
+            .in_flight
+            .iter()
+            .position(|in_flight| in_flight.attempt == attempt);
         let Some(position) = position else { return };
         let InFlightAttempt { node, sent_at, .. } = request.in_flight[position];
         if !mutated(Mutation::EndedAttemptRetained) {
             request.in_flight.remove(position);
         }
-        if outcome == Outcome::Served && (!request.answered || mutated(Mutation::SecondFinalAnswer)) {
+        if outcome == Outcome::Served && (!request.answered || mutated(Mutation::SecondFinalAnswer))
+        {
             request.answered = true;
-            effects.push(Effect::Answer { id, answer: FinalAnswer::Served });
+            effects.push(Effect::Answer {
+                id,
+                answer: FinalAnswer::Served,
+            });
             self.withdraw_attempts(id, effects);
         }
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         let last = request.answered;
         self.release_if_finished(id, effects);
         let took = now - sent_at;
@@ -171,8 +243,8 @@
         self.decide(now, event, effects);
     }
 
-    /// Passes an event to the policy and applies its actions. Events that the actions cause follow after all
-    /// actions of the same batch.
+    /// Passes an event to the policy and applies its actions. Events that the actions cause follow
+    /// after all actions of the same batch.
     fn decide(&mut self, now: Nanos, event: Event, effects: &mut Vec<Effect>) {
         let mut follow_ups = VecDeque::new();
         let mut next = Some(event);
@@ -210,7 +282,8 @@
         }
     }
 
-    /// Starts an attempt. For a request that is answered already, returns the event that ends it unsent instead.
+    /// Starts an attempt. For a request that is answered already, returns the event that ends it
+    /// unsent instead.
     fn send(
         &mut self,
         now: Nanos,
@@ -233,19 +306,35 @@
                 foreign_units: 0.0,
             });
         }
-        request.in_flight.push(InFlightAttempt { attempt, node, sent_at: now, cancelled: false });
+        request.in_flight.push(InFlightAttempt {
+            attempt,
+            node,
+            sent_at: now,
+            cancelled: false,
+        });
         let deadline = match timeout {
-            0 if mutated(Mutation::TimeoutPastClientDeadline) => request.deadline + MUTATED_DEADLINE_EXCESS,
+            0 if mutated(Mutation::TimeoutPastClientDeadline) => {
+                request.deadline + MUTATED_DEADLINE_EXCESS
+            }
             0 => request.deadline,
             timeout => request.deadline.min(now + timeout.max(0)),
         };
         let begin_by = self.decisions.begin_deadline(id);
-        effects.push(Effect::Send { id, attempt, node, deadline, begin_by });
+        effects.push(Effect::Send {
+            id,
+            attempt,
+            node,
+            deadline,
+            begin_by,
+        });
         None
     }
 
     fn cancel(&mut self, id: RequestId, attempt: u32, effects: &mut Vec<Effect>) {
-        let in_flight = self.requests.get_mut(&id).and_then(|request| request.attempt_mut(attempt));
+        let in_flight = self
+            .requests
+            .get_mut(&id)
+            .and_then(|request| request.attempt_mut(attempt));
         if let Some(in_flight) = in_flight.filter(|in_flight| !in_flight.cancelled) {
             in_flight.cancelled = true;
             effects.push(Effect::Cancel { id, attempt });
@@ -254,7 +343,9 @@
 
     /// Emits a final answer, unless the request has one.
     fn answer(&mut self, id: RequestId, answer: FinalAnswer, effects: &mut Vec<Effect>) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         if !request.answered {
             request.answered = true;
             effects.push(Effect::Answer { id, answer });
@@ -263,22 +354,37 @@
         self.release_if_finished(id, effects);
     }
 
-    /// Withdraws the attempts of a request whose response nobody waits for. Their end says nothing about their
-    /// chunk servers, hence [`Outcome::NotSent`].
+    /// Withdraws the attempts of a request whose response nobody waits for. Their end says nothing
+    /// about their chunk servers, hence [`Outcome::NotSent`].
     fn withdraw_attempts(&self, id: RequestId, effects: &mut Vec<Effect>) {
         if mutated(Mutation::WithdrawalOmitted) {
             return;
         }
-        let Some(request) = self.requests.get(&id) else { return };
-        for in_flight in request.in_flight.iter().filter(|in_flight| !in_flight.cancelled) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        for in_flight in request
+            .in_flight
+            .iter()
+            .filter(|in_flight| !in_flight.cancelled)
+        {
             let outcome = Outcome::NotSent;
-            effects.push(Effect::Withdraw { id, attempt: in_flight.attempt, outcome });
+            effects.push(Effect::Withdraw {
+                id,
+                attempt: in_flight.attempt,
+                outcome,
+            });
         }
     }
 
-    /// Withdraws the attempts at chunk servers that drain or are removed: one that has not begun was not executed
-    /// and may be retried elsewhere.
-    fn withdraw_from_draining(&self, scope: UpdateScope, nodes: &[NodeInfo], effects: &mut Vec<Effect>) {
+    /// Withdraws the attempts at chunk servers that drain or are removed: one that has not begun
+    /// was not executed and may be retried elsewhere.
+    fn withdraw_from_draining(
+        &self,
+        scope: UpdateScope,
+        nodes: &[NodeInfo],
+        effects: &mut Vec<Effect>,
+    ) {
         if mutated(Mutation::DrainIgnoresDialing) {
             return;
         }
@@ -287,9 +393,17 @@
             None => scope != UpdateScope::Replace,
         };
         for (id, request) in &self.requests {
-            for in_flight in request.in_flight.iter().filter(|a| !a.cancelled && !stays(a.node)) {
+            for in_flight in request
+                .in_flight
+                .iter()
+                .filter(|a| !a.cancelled && !stays(a.node))
+            {
                 let (id, attempt, outcome) = (*id, in_flight.attempt, Outcome::NotExecuted);
-                effects.push(Effect::Withdraw { id, attempt, outcome });
+                effects.push(Effect::Withdraw {
+                    id,
+                    attempt,
+                    outcome,
+                });
             }
         }
     }
--- a/crates/core/src/request_tracker/decisions.rs
+++ b/crates/core/src/request_tracker/decisions.rs
@@ -8,8 +8,8 @@
     /// Handles one event. `now` never goes back between calls.
     fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>);
 
-    /// Until when the first byte of an attempt placed now may be written; later the request may no longer be
-    /// repeated.
+    /// Until when the first byte of an attempt placed now may be written; later the request may no
+    /// longer be repeated.
     fn begin_deadline(&self, _id: RequestId) -> Nanos {
         Nanos::MAX
     }
--- a/crates/core/src/request_tracker/in_flight.rs
+++ b/crates/core/src/request_tracker/in_flight.rs
@@ -18,7 +18,12 @@
 impl InFlightRequest {
     /// A request without attempts.
     pub(super) fn new(deadline: Nanos) -> InFlightRequest {
-        InFlightRequest { deadline, answered: false, attempts_started: 0, in_flight: Vec::new() }
+        InFlightRequest {
+            deadline,
+            answered: false,
+            attempts_started: 0,
+            in_flight: Vec::new(),
+        }
     }
 
     /// Counts one more attempt and returns its number.
@@ -29,7 +34,9 @@
 
     /// The attempt of a number, while it is in flight.
     pub(super) fn attempt_mut(&mut self, attempt: u32) -> Option<&mut InFlightAttempt> {
-        self.in_flight.iter_mut().find(|in_flight| in_flight.attempt == attempt)
+        self.in_flight
+            .iter_mut()
+            .find(|in_flight| in_flight.attempt == attempt)
     }
 }
 
--- a/crates/core/src/request_tracker/messages.rs
+++ b/crates/core/src/request_tracker/messages.rs
@@ -1,6 +1,8 @@
 //! Inputs and effects of the request tracker.
 
-use crate::interface::{FleetUpdate, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, UpdateScope};
+use crate::interface::{
+    FleetUpdate, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, UpdateScope,
+};
 
 /// An event that the request tracker handles.
 #[derive(Clone, Debug)]
@@ -53,7 +55,8 @@
     Timer(u64),
 }
 
-/// A command to the transport, the server of clients or the runtime, to be carried out in the order of emission.
+/// A command to the transport, the server of clients or the runtime, to be carried out in the order
+/// of emission.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Start an attempt, once.
@@ -77,8 +80,8 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// The attempt is no longer wanted. If none of its bytes is written, it ends now with this outcome and none
-    /// will be; otherwise it goes on.
+    /// The attempt is no longer wanted. If none of its bytes is written, it ends now with this
+    /// outcome and none will be; otherwise it goes on.
     Withdraw {
         /// The request.
         id: RequestId,
--- a/crates/core/src/send_permission.rs
+++ b/crates/core/src/send_permission.rs
@@ -1,7 +1,8 @@
 //! Whether an attempt may begin to write, asked at the last moment before its first byte.
 //!
-//! An attempt is decided when its request is dispatched, but a connection may come up much later, and this process may be
-//! held up in between. So everything that forbids it is asked again here, in one place, with the time of that moment.
+//! An attempt is decided when its request is dispatched, but a connection may come up much later,
+//! and this process may be held up in between. So everything that forbids it is asked again here,
+//! in one place, with the time of that moment.
 //!
 //! No I/O and no clock: the caller passes what it knows.
 
@@ -12,8 +13,8 @@
 pub struct SendQuestion {
     /// The present time.
     pub now: Nanos,
-    /// The outcome with which the attempt was withdrawn or cancelled, if it was: its request is answered, its client has
-    /// gone, or its server drains.
+    /// The outcome with which the attempt was withdrawn or cancelled, if it was: its request is
+    /// answered, its client has gone, or its server drains.
     pub withdrawn: Option<Outcome>,
     /// Until when a repeat may begin, by the window of its class; absent for no limit.
     pub begin_by: Option<Nanos>,
@@ -55,7 +56,10 @@
     if let Some(outcome) = question.withdrawn {
         return Err(SendRefusal::Withdrawn(outcome));
     }
-    if question.begin_by.is_some_and(|begin_by| question.now >= begin_by) {
+    if question
+        .begin_by
+        .is_some_and(|begin_by| question.now >= begin_by)
+    {
         return Err(SendRefusal::WindowOver);
     }
     if question.now >= question.deadline {
--- a/crates/core/src/server_connection.rs
+++ b/crates/core/src/server_connection.rs
@@ -1,7 +1,8 @@
 //! The state of a connection to a chunk server, and what is known about the request on it.
 //!
-//! Whether a request may have been executed depends on one fact: whether its last byte was written. The machine
-//! records that from the bytes that the socket accepted, and reports it as [`Execution`]. It does no I/O.
+//! Whether a request may have been executed depends on one fact: whether its last byte was written.
+//! The machine records that from the bytes that the socket accepted, and reports it as
+//! [`Execution`]. It does no I/O.
 
 use crate::interface::Outcome;
 use crate::mutations::{mutated, Mutation};
@@ -74,7 +75,9 @@
             ConnectionEvent::RequestAssigned => self.after_assignment(),
             ConnectionEvent::BytesWritten { last } => self.after_write(last),
             ConnectionEvent::BytesReceived => self.after_receipt(),
-            ConnectionEvent::ResponseComplete if *self == ServerConnection::Reading => ServerConnection::Idle,
+            ConnectionEvent::ResponseComplete if *self == ServerConnection::Reading => {
+                ServerConnection::Idle
+            }
             ConnectionEvent::ResponseComplete => *self,
         };
     }
@@ -95,9 +98,12 @@
                 ServerConnection::Awaiting
             }
             ServerConnection::Writing { .. } => ServerConnection::Writing { begun: true },
-            ServerConnection::Desynchronized { request_written, .. } => {
-                ServerConnection::Desynchronized { begun: true, request_written: request_written || last }
-            }
+            ServerConnection::Desynchronized {
+                request_written, ..
+            } => ServerConnection::Desynchronized {
+                begun: true,
+                request_written: request_written || last,
+            },
             unchanged => unchanged,
         }
     }
@@ -105,20 +111,27 @@
     /// Bytes that arrive before the request is written completely cannot be its response.
     fn after_receipt(self) -> ServerConnection {
         match self {
-            ServerConnection::Idle => {
-                ServerConnection::Desynchronized { begun: false, request_written: false }
-            }
-            ServerConnection::Writing { begun } if !mutated(Mutation::EarlyBytesTakenAsResponse) => {
-                ServerConnection::Desynchronized { begun, request_written: false }
+            ServerConnection::Idle => ServerConnection::Desynchronized {
+                begun: false,
+                request_written: false,
+            },
+            ServerConnection::Writing { begun }
+                if !mutated(Mutation::EarlyBytesTakenAsResponse) =>
+            {
+                ServerConnection::Desynchronized {
+                    begun,
+                    request_written: false,
+                }
             }
             ServerConnection::Awaiting => ServerConnection::Reading,
             unchanged => unchanged,
         }
     }
 
-    /// Whether bytes may be written now. `unread_bytes` says that bytes, or the end of the stream, wait on the socket:
-    /// once the last byte is written they could not be told from the response. `withdrawn` says that the request is
-    /// no longer wanted, which stops it only while no byte of it is written.
+    /// Whether bytes may be written now. `unread_bytes` says that bytes, or the end of the stream,
+    /// wait on the socket: once the last byte is written they could not be told from the response.
+    /// `withdrawn` says that the request is no longer wanted, which stops it only while no byte of
+    /// it is written.
     pub fn may_write(&mut self, unread_bytes: bool, withdrawn: bool) -> bool {
         if unread_bytes && !mutated(Mutation::WritesOverUnreadBytes) {
             self.on(ConnectionEvent::BytesReceived);
@@ -133,14 +146,21 @@
         match self {
             ServerConnection::Idle
             | ServerConnection::Writing { begun: false }
-            | ServerConnection::Desynchronized { begun: false, request_written: false } => {
-                Execution::NotStarted
-            }
+            | ServerConnection::Desynchronized {
+                begun: false,
+                request_written: false,
+            } => Execution::NotStarted,
             ServerConnection::Writing { begun: true }
-            | ServerConnection::Desynchronized { request_written: false, .. } => Execution::PartiallyWritten,
+            | ServerConnection::Desynchronized {
+                request_written: false,
+                ..
+            } => Execution::PartiallyWritten,
             ServerConnection::Awaiting
             | ServerConnection::Reading
-            | ServerConnection::Desynchronized { request_written: true, .. } => Execution::MayHaveRun,
+            | ServerConnection::Desynchronized {
+                request_written: true,
+                ..
+            } => Execution::MayHaveRun,
         }
     }
 
--- a/crates/core/src/server_start_times.rs
+++ b/crates/core/src/server_start_times.rs
@@ -1,13 +1,15 @@
 //! When chunk servers started, in the clock of this front.
 //!
-//! Discovery tells the start of a server in Unix time. The wall clock of this machine, or of the server's, may be wrong by
-//! seconds or by hours, and then the age of a server that has just started would be too: it would get no slow start, or one
-//! that lasts for as long as the clocks differ. So a listed start is taken only as far as it is plausible:
+//! Discovery tells the start of a server in Unix time. The wall clock of this machine, or of the
+//! server's, may be wrong by seconds or by hours, and then the age of a server that has just
+//! started would be too: it would get no slow start, or one that lasts for as long as the clocks
+//! differ. So a listed start is taken only as far as it is plausible:
 //!
 //! - none lies in the future;
-//! - a start that is new to this front came after the list that discovery confirmed last, which is at most
-//!   [`MAX_LIST_DELAY`] old; one that is listed as older is taken to be now;
-//! - where discovery tells its own time, the difference to the clock of this front is taken out before.
+//! - a start that is new to this front came after the list that discovery confirmed last, which is
+//!   at most [`MAX_LIST_DELAY`] old; one that is listed as older is taken to be now;
+//! - where discovery tells its own time, the difference to the clock of this front is taken out
+//!   before.
 //!
 //! No I/O and no clock: the caller passes the time.
 
@@ -18,7 +20,8 @@
 
 /// The age of the state that discovery tells, at the most.
 pub const MAX_LIST_DELAY: Nanos = STALE_AFTER;
-/// Differences below this are no sign of a wrong clock: discovery tells its time in whole seconds, and late.
+/// Differences below this are no sign of a wrong clock: discovery tells its time in whole seconds,
+/// and late.
 pub const MIN_CLOCK_DIFFERENCE: Nanos = 3_000_000_000;
 /// The listed start of a server that has run for long.
 const LONG_AGO: Nanos = 0;
@@ -44,7 +47,11 @@
 
 impl<K> Default for ServerStartTimes<K> {
     fn default() -> ServerStartTimes<K> {
-        ServerStartTimes { known: BTreeMap::new(), confirmed_at: None, clock_difference: 0 }
+        ServerStartTimes {
+            known: BTreeMap::new(),
+            confirmed_at: None,
+            clock_difference: 0,
+        }
     }
 }
 
@@ -57,7 +64,11 @@
     /// Discovery has told its own time.
     pub fn discovery_time(&mut self, now: Nanos, discovery: Nanos) {
         let difference = now - discovery;
-        self.clock_difference = if difference.abs() < MIN_CLOCK_DIFFERENCE { 0 } else { difference };
+        self.clock_difference = if difference.abs() < MIN_CLOCK_DIFFERENCE {
+            0
+        } else {
+            difference
+        };
     }
 
     /// Records an entry of a list. Returns when the server started; 0 is long ago.
@@ -65,7 +76,11 @@
         if let Some(known) = self.known.get(key).filter(|known| known.listed == listed) {
             return known.start;
         }
-        let start = if listed == LONG_AGO { LONG_AGO } else { self.plausible_start(now, listed) };
+        let start = if listed == LONG_AGO {
+            LONG_AGO
+        } else {
+            self.plausible_start(now, listed)
+        };
         self.known.insert(key.clone(), KnownStart { listed, start });
         start
     }
@@ -82,7 +97,9 @@
 
     fn plausible_start(&self, now: Nanos, listed: Nanos) -> Nanos {
         let start = listed.saturating_add(self.clock_difference);
-        let is_too_old = self.confirmed_at.is_some_and(|confirmed_at| start < confirmed_at - MAX_LIST_DELAY);
+        let is_too_old = self
+            .confirmed_at
+            .is_some_and(|confirmed_at| start < confirmed_at - MAX_LIST_DELAY);
         if is_too_old || start > now {
             now
         } else {
--- a/crates/core/src/stall_detector.rs
+++ b/crates/core/src/stall_detector.rs
@@ -1,9 +1,10 @@
 //! When a request may have arrived, where this process itself has been held up.
 //!
-//! A client counts the time that it waits from the moment at which it sent its request. A front that is stopped, starved
-//! or busy for a while reads the request later, and would grant itself, and tell chunk servers, more time than the client
-//! has left. The front's ticks tell how long it has been held up: whatever is read right after a gap between them may have
-//! come at its beginning.
+//! A client counts the time that it waits from the moment at which it sent its request. A front
+//! that is stopped, starved or busy for a while reads the request later, and would grant itself,
+//! and tell chunk servers, more time than the client has left. The front's ticks tell how long it
+//! has been held up: whatever is read right after a gap between them may have come at its
+//! beginning.
 //!
 //! No I/O and no clock: the caller passes the time.
 
--- a/crates/core/src/state/admission.rs
+++ b/crates/core/src/state/admission.rs
@@ -15,7 +15,8 @@
 }
 
 impl ClientPatience {
-    /// The ratio of the clients that waited about as long and left then. It decays without new observations.
+    /// The ratio of the clients that waited about as long and left then. It decays without new
+    /// observations.
     pub fn abandon_ratio(&self, now: Nanos, memory: f64) -> f64 {
         decayed(self.abandon_ratio, now - self.updated_at, memory)
     }
@@ -51,11 +52,20 @@
         self.rate_limit = self.rate_limit.map(|limit| limit * factor);
     }
 
-    /// The fraction of the latest requests with a higher value than this one, which becomes the latest of at most
-    /// `capacity`. Of those with the same value, the fraction `draw` counts as higher.
+    /// The fraction of the latest requests with a higher value than this one, which becomes the
+    /// latest of at most `capacity`. Of those with the same value, the fraction `draw` counts as
+    /// higher.
     pub fn rank(&mut self, value: f64, draw: f64, capacity: usize) -> f64 {
-        let higher = self.recent_values.iter().filter(|recent| **recent > value).count() as f64;
-        let equal = self.recent_values.iter().filter(|recent| **recent == value).count() as f64;
+        let higher = self
+            .recent_values
+            .iter()
+            .filter(|recent| **recent > value)
+            .count() as f64;
+        let equal = self
+            .recent_values
+            .iter()
+            .filter(|recent| **recent == value)
+            .count() as f64;
         let rank = (higher + equal * draw) / self.recent_values.len().max(1) as f64;
         self.recent_values.push_back(value);
         if self.recent_values.len() > capacity {
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! The state of the decision module and its bookkeeping. No decision is made here and no constant of a decision is
-//! chosen here: both are in [`crate::policy`].
+//! The state of the decision module and its bookkeeping. No decision is made here and no constant
+//! of a decision is chosen here: both are in [`crate::policy`].
 
 mod active_nodes;
 mod admission;
--- a/crates/core/src/state/node.rs
+++ b/crates/core/src/state/node.rs
@@ -43,7 +43,13 @@
 impl SentAttempt {
     /// An attempt that is sent now.
     pub fn new(now: Nanos, class: usize, expected_latency: f64, due_at: Nanos) -> SentAttempt {
-        SentAttempt { sent_at: now, class, expected_latency, due_at, counted: false }
+        SentAttempt {
+            sent_at: now,
+            class,
+            expected_latency,
+            due_at,
+            counted: false,
+        }
     }
 }
 
@@ -205,9 +211,14 @@
         }
     }
 
-    /// Records whether an attempt was answered in time: if so it earns a credit, up to a bound, else none is left.
+    /// Records whether an attempt was answered in time: if so it earns a credit, up to a bound,
+    /// else none is left.
     pub fn record_result(&mut self, class: usize, failed: bool, max_credit: f64) {
-        self.admission_credit = if failed { 0.0 } else { (self.admission_credit + 1.0).min(max_credit) };
+        self.admission_credit = if failed {
+            0.0
+        } else {
+            (self.admission_credit + 1.0).min(max_credit)
+        };
         self.ejection.record_result(class, failed);
     }
 
@@ -233,7 +244,11 @@
             self.warmup_since = None;
             self.warmup_budget = 0.0;
         }
-        while self.warmup_sends.front().is_some_and(|send| send.sent_at <= now - span) {
+        while self
+            .warmup_sends
+            .front()
+            .is_some_and(|send| send.sent_at <= now - span)
+        {
             self.warmup_sends.pop_front();
         }
     }
--- a/crates/core/src/state/node_table.rs
+++ b/crates/core/src/state/node_table.rs
@@ -9,13 +9,19 @@
 impl Scheduler {
     /// The chunk servers that are listed up for a shard.
     pub(crate) fn up_nodes(&self, cell: CellId) -> impl Iterator<Item = (NodeId, &Node)> {
-        let members = self.cells.get(&cell).into_iter().flatten().map(|id| (*id, &self.nodes[id]));
+        let members = self
+            .cells
+            .get(&cell)
+            .into_iter()
+            .flatten()
+            .map(|id| (*id, &self.nodes[id]));
         let drain_missed =
             |node: &Node| mutated(Mutation::DrainIgnoresQueue) && node.listed == Listed::Draining;
         members.filter(move |(_, node)| node.listed == Listed::Up || drain_missed(node))
     }
 
-    /// Applies the shard, zone and state of an entry of the endpoint list. A new chunk server gets the given window.
+    /// Applies the shard, zone and state of an entry of the endpoint list. A new chunk server gets
+    /// the given window.
     pub(crate) fn upsert_node(&mut self, info: &NodeInfo, window: f64) -> &mut Node {
         self.assign_cell(info.node, info.cell);
         let (now, limits) = (self.now, &self.fleet_limits);
@@ -29,15 +35,23 @@
     /// Moves base weight from one chunk server to another.
     pub(crate) fn move_base_weight(&mut self, from: NodeId, to: NodeId, amount: f64) {
         for (id, change) in [(from, -amount), (to, amount)] {
-            self.nodes.entry(id).and_modify(|node| node.shift_base_weight(change));
+            self.nodes
+                .entry(id)
+                .and_modify(|node| node.shift_base_weight(change));
         }
     }
 
     /// Keeps the index by shard; a chunk server may move to another shard.
     fn assign_cell(&mut self, id: NodeId, cell: CellId) {
         self.queues.entry(cell).or_default();
-        let old = self.nodes.get_mut(&id).map(|node| std::mem::replace(&mut node.cell, cell));
-        if let Some(members) = old.filter(|old| *old != cell).and_then(|old| self.cells.get_mut(&old)) {
+        let old = self
+            .nodes
+            .get_mut(&id)
+            .map(|node| std::mem::replace(&mut node.cell, cell));
+        if let Some(members) = old
+            .filter(|old| *old != cell)
+            .and_then(|old| self.cells.get_mut(&old))
+        {
             members.retain(|member| *member != id);
         }
         let members = self.cells.entry(cell).or_default();
@@ -56,10 +70,13 @@
         }
     }
 
-    /// Drops removed chunk servers that nothing refers to any more and returns their ids. Without this the table would
-    /// grow with every replacement.
+    /// Drops removed chunk servers that nothing refers to any more and returns their ids. Without
+    /// this the table would grow with every replacement.
     pub(crate) fn forget_removed_nodes(&mut self) -> Vec<NodeId> {
-        let executions = self.live.values().filter_map(|live| live.possible_execution);
+        let executions = self
+            .live
+            .values()
+            .filter_map(|live| live.possible_execution);
         let referenced: Vec<NodeId> = executions.map(|execution| execution.node).collect();
         let is_unused = |id: &NodeId, node: &Node| {
             node.listed == Listed::Removed
@@ -70,7 +87,11 @@
         let unused = self.nodes.iter().filter(|(id, node)| is_unused(id, node));
         let removed: Vec<NodeId> = unused.map(|(id, _)| *id).collect();
         for id in &removed {
-            if let Some(members) = self.nodes.remove(id).and_then(|node| self.cells.get_mut(&node.cell)) {
+            if let Some(members) = self
+                .nodes
+                .remove(id)
+                .and_then(|node| self.cells.get_mut(&node.cell))
+            {
                 members.retain(|member| member != id);
             }
         }
--- a/crates/core/src/state/scheduler.rs
+++ b/crates/core/src/state/scheduler.rs
@@ -3,15 +3,17 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::fleet_limits::FleetLimits;
-use crate::interface::{CellId, KeyId, Listed, Nanos, NodeId, RequestId, Settings, SettingsError, VolumeId};
+use crate::interface::{
+    CellId, KeyId, Listed, Nanos, NodeId, RequestId, Settings, SettingsError, VolumeId,
+};
 use crate::state::{Admission, ClientPatience, KeyQueue, LiveRequest, Node, RateLimit, Volume};
 
-/// Requests in flight at a chunk server from all fronts together for which no front is paced: fewer than a server
-/// with one core keeps in its queue.
+/// Requests in flight at a chunk server from all fronts together for which no front is paced: fewer
+/// than a server with one core keeps in its queue.
 const UNPACED_REQUESTS_PER_NODE: f64 = 16.0;
 
-/// The decision module of one front: it takes events and returns actions. See the crate's documentation for an
-/// example.
+/// The decision module of one front: it takes events and returns actions. See the crate's
+/// documentation for an example.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     pub(crate) settings: Settings,
@@ -60,7 +62,8 @@
     /// A scheduler that knows only its settings. `seed` starts its random numbers.
     ///
     /// # Errors
-    /// [`SettingsError`] for settings that are not valid, such as no classes or a rate that is not finite.
+    /// [`SettingsError`] for settings that are not valid, such as no classes or a rate that is not
+    /// finite.
     pub fn new(settings: Settings, seed: u64, now: Nanos) -> Result<Self, SettingsError> {
         settings.check()?;
         let classes = settings.classes.len();
@@ -97,12 +100,13 @@
     }
 
     /// Applies reloaded settings. Classes and plans keep their numbers, as a
-    /// [`VersionedTable`](crate::settings_reload::VersionedTable) assigns them; `carried` pairs a class with the older
-    /// one that it replaces, whose learned values it takes. Requests under way keep their class and the number of
-    /// attempts they were allowed.
+    /// [`VersionedTable`](crate::settings_reload::VersionedTable) assigns them; `carried` pairs a
+    /// class with the older one that it replaces, whose learned values it takes. Requests under way
+    /// keep their class and the number of attempts they were allowed.
     ///
     /// # Errors
-    /// [`SettingsError`] for settings that are not valid or have fewer classes or plans; then nothing changes.
+    /// [`SettingsError`] for settings that are not valid or have fewer classes or plans; then
+    /// nothing changes.
     pub fn apply_settings(
         &mut self,
         settings: Settings,
@@ -116,9 +120,13 @@
         }
         let classes = settings.classes.len();
         self.unit_cost.resize(classes, 0.0);
-        self.client_patience.resize(classes, ClientPatience::default());
+        self.client_patience
+            .resize(classes, ClientPatience::default());
         self.max_patience.resize(classes, 0);
-        for &(new, old) in carried.iter().filter(|(new, old)| *new < classes && *old < classes) {
+        for &(new, old) in carried
+            .iter()
+            .filter(|(new, old)| *new < classes && *old < classes)
+        {
             self.unit_cost[new] = self.unit_cost[old];
             self.client_patience[new] = self.client_patience[old].clone();
             self.max_patience[new] = self.max_patience[old];
@@ -132,11 +140,18 @@
         &self.settings
     }
 
-    /// The number of listed chunk servers, and of those that get no regular requests: draining, suspect or ejected.
+    /// The number of listed chunk servers, and of those that get no regular requests: draining,
+    /// suspect or ejected.
     pub fn node_counts(&self) -> (usize, usize) {
-        let listed = || self.nodes.values().filter(|node| node.listed != Listed::Removed);
+        let listed = || {
+            self.nodes
+                .values()
+                .filter(|node| node.listed != Listed::Removed)
+        };
         let is_avoided = |node: &&Node| {
-            node.listed == Listed::Draining || !node.is_healthy() || node.ejection.is_fully_ejected()
+            node.listed == Listed::Draining
+                || !node.is_healthy()
+                || node.ejection.is_fully_ejected()
         };
         (listed().count(), listed().filter(is_avoided).count())
     }
@@ -152,8 +167,9 @@
         self.live.is_empty() && self.queues.values().all(Vec::is_empty) && !in_flight
     }
 
-    /// The least window at a chunk server. A window below 1 is paced, which keeps the sum over many fronts within what
-    /// a server can queue; few fronts with one request each stay within it without pacing.
+    /// The least window at a chunk server. A window below 1 is paced, which keeps the sum over many
+    /// fronts within what a server can queue; few fronts with one request each stay within it
+    /// without pacing.
     pub(crate) fn min_window(&self) -> f64 {
         (UNPACED_REQUESTS_PER_NODE / self.settings.fronts()).min(1.0)
     }
--- a/crates/core/src/state/settings_check.rs
+++ b/crates/core/src/state/settings_check.rs
@@ -42,7 +42,13 @@
 }
 
 fn is_valid_plan(plan: &Plan) -> bool {
-    let values = [plan.limit_rate, plan.limit_burst, plan.reserve_rate, plan.weight, plan.price];
+    let values = [
+        plan.limit_rate,
+        plan.limit_burst,
+        plan.reserve_rate,
+        plan.weight,
+        plan.price,
+    ];
     values.into_iter().all(is_non_negative)
 }
 
--- a/crates/core/src/state/statistics.rs
+++ b/crates/core/src/state/statistics.rs
@@ -1,5 +1,5 @@
-//! Estimators shared by the decisions: decaying rates, moving averages, a sliding minimum, a weighted choice.
-//! Their time constants are chosen by the callers.
+//! Estimators shared by the decisions: decaying rates, moving averages, a sliding minimum, a
+//! weighted choice. Their time constants are chosen by the callers.
 
 use crate::interface::Nanos;
 
@@ -14,7 +14,10 @@
 impl Rate {
     /// A rate of zero.
     pub fn new(at: Nanos) -> Rate {
-        Rate { per_second: 0.0, at }
+        Rate {
+            per_second: 0.0,
+            at,
+        }
     }
 
     /// The rate at `now`.
@@ -35,7 +38,8 @@
     }
 }
 
-/// What is left of a value after some time, decaying with the time constant `memory` in nanoseconds.
+/// What is left of a value after some time, decaying with the time constant `memory` in
+/// nanoseconds.
 pub fn decayed(value: f64, elapsed: Nanos, memory: f64) -> f64 {
     value * (-(elapsed.max(0) as f64) / memory).exp()
 }
@@ -51,7 +55,11 @@
 impl SlidingMinimum {
     /// A minimum without values whose first span starts at `now`.
     pub fn new(now: Nanos) -> SlidingMinimum {
-        SlidingMinimum { current: f64::INFINITY, previous: f64::INFINITY, span_started_at: now }
+        SlidingMinimum {
+            current: f64::INFINITY,
+            previous: f64::INFINITY,
+            span_started_at: now,
+        }
     }
 
     /// Forgets all values; the span goes on.
@@ -85,7 +93,8 @@
     }
 }
 
-/// The weight of a new value in a moving average that also ages by time: at least `alpha`, more after a long pause.
+/// The weight of a new value in a moving average that also ages by time: at least `alpha`, more
+/// after a long pause.
 pub fn time_aware_alpha(alpha: f64, elapsed: Nanos, time_constant: Nanos) -> f64 {
     alpha.max(1.0 - (-(elapsed.max(0) as f64) / time_constant as f64).exp())
 }
--- a/crates/core/src/state/token_bucket.rs
+++ b/crates/core/src/state/token_bucket.rs
@@ -34,7 +34,12 @@
 impl TokenBucket {
     /// A bucket that holds `level` tokens at `now`.
     pub fn new(rate: f64, capacity: f64, level: f64, now: Nanos) -> TokenBucket {
-        TokenBucket { rate, capacity, level, updated_at: now }
+        TokenBucket {
+            rate,
+            capacity,
+            level,
+            updated_at: now,
+        }
     }
 
     /// The tokens available at a later time.
@@ -57,8 +62,8 @@
         self.level -= tokens;
     }
 
-    /// Applies another limit from `effective_at` on. Where that is in the past, tokens that accrued since at a higher
-    /// rate are taken back.
+    /// Applies another limit from `effective_at` on. Where that is in the past, tokens that accrued
+    /// since at a higher rate are taken back.
     pub fn set_limit(&mut self, limit: RateLimit, effective_at: Nanos) {
         let already_elapsed = (self.updated_at - effective_at).max(0) as f64 / 1e9;
         let excess = already_elapsed * (self.rate - limit.rate).max(0.0);
--- a/crates/core/src/state/volume.rs
+++ b/crates/core/src/state/volume.rs
@@ -19,11 +19,22 @@
 
 impl Volume {
     /// A volume that has sent nothing yet.
-    pub fn new(limit: Option<TokenBucket>, reserve: TokenBucket, fair_share: f64, now: Nanos) -> Volume {
-        Volume { limit, reserve, excess_rate: Rate::new(now), fair_share }
+    pub fn new(
+        limit: Option<TokenBucket>,
+        reserve: TokenBucket,
+        fair_share: f64,
+        now: Nanos,
+    ) -> Volume {
+        Volume {
+            limit,
+            reserve,
+            excess_rate: Rate::new(now),
+            fair_share,
+        }
     }
 
-    /// Charges the units of a first attempt to the limit, the reserve and, past that, the excess rate.
+    /// Charges the units of a first attempt to the limit, the reserve and, past that, the excess
+    /// rate.
     pub fn charge(&mut self, now: Nanos, units: f64, memory: f64) {
         if let Some(limit) = &mut self.limit {
             limit.charge(now, units);
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -17,11 +17,17 @@
 fn requests_in_flight_are_answered_before_their_deadline() {
     let mut front = TestFront::new(settings(), 2);
     for (id, class) in [(1, 0), (2, 1)] {
-        assert_eq!(sends(&front.submit(request(id, class, Some(id as CellId - 1)))).len(), 1);
+        assert_eq!(
+            sends(&front.submit(request(id, class, Some(id as CellId - 1)))).len(),
+            1
+        );
     }
     let actions = front.advance(S - MS);
     assert!(rejected(&actions, 1), "safe to repeat: rejected");
-    assert!(failed(&actions, 2), "deduplicated and perhaps executed: failed, never rejected");
+    assert!(
+        failed(&actions, 2),
+        "deduplicated and perhaps executed: failed, never rejected"
+    );
     assert!(!rejected(&actions, 2));
 }
 
@@ -35,7 +41,8 @@
         front.event(Event::ClientGone(id));
         front.end_attempt(id, 0, 0, Outcome::Served, 60 * MS);
     }
-    // The server is full; requests that wait longer than clients typically stay are rejected before their objective.
+    // The server is full; requests that wait longer than clients typically stay are rejected before
+    // their objective.
     for id in 200..230 {
         front.submit(request(id, 0, Some(0)));
     }
@@ -47,7 +54,8 @@
 fn clients_that_leave_at_random_times_do_not_shorten_the_wait_of_others() {
     let mut front = TestFront::new(settings(), 1);
     front.warm(0, 30, 0, 20 * MS);
-    // Two at a time, each answered well within the objective; of every five clients one leaves before.
+    // Two at a time, each answered well within the objective; of every five clients one leaves
+    // before.
     let mut actions = Vec::new();
     for id in (100..300).step_by(2) {
         for id in [id, id + 1] {
@@ -64,7 +72,10 @@
             actions.extend(front.end_attempt(id, 0, 0, Outcome::Served, 60 * MS));
         }
     }
-    assert!(!(100..300).any(|id| rejected(&actions, id)), "the objective is far away");
+    assert!(
+        !(100..300).any(|id| rejected(&actions, id)),
+        "the objective is far away"
+    );
 }
 
 #[test]
@@ -74,9 +85,14 @@
     for (id, class, is_cancelled) in [(100, 0, true), (101, 2, false)] {
         front.submit(request(id, class, Some(0)));
         let actions = front.event(Event::ClientGone(id));
-        assert_eq!(actions.contains(&Action::Cancel { id, attempt: 0 }), is_cancelled);
+        assert_eq!(
+            actions.contains(&Action::Cancel { id, attempt: 0 }),
+            is_cancelled
+        );
         assert!(
-            !front.event(Event::ClientGone(id)).contains(&Action::Cancel { id, attempt: 0 }),
+            !front
+                .event(Event::ClientGone(id))
+                .contains(&Action::Cancel { id, attempt: 0 }),
             "only once"
         );
     }
@@ -87,8 +103,15 @@
     let mut front = TestFront::new(settings(), 1);
     let mut limited = request(1, 0, Some(0));
     limited.plan = 1;
-    assert!(sends(&front.submit(limited.clone())).is_empty(), "a restarted front does not know what it used");
-    assert_eq!(sends(&front.advance(120 * MS)).len(), 1, "20 units a second give 2 in 0.1 s");
+    assert!(
+        sends(&front.submit(limited.clone())).is_empty(),
+        "a restarted front does not know what it used"
+    );
+    assert_eq!(
+        sends(&front.advance(120 * MS)).len(),
+        1,
+        "20 units a second give 2 in 0.1 s"
+    );
 }
 
 #[test]
@@ -97,10 +120,13 @@
     settings.max_retry_after = 5 * S;
     let mut front = TestFront::new(settings, 3);
     let retry_after = |actions: &[Action]| match actions {
-        [Action::Reject { retry_after: wait, .. }] => Some(*wait),
+        [Action::Reject {
+            retry_after: wait, ..
+        }] => Some(*wait),
         _ => None,
     };
-    // The servers reject all attempts, so that few are sent and the other requests are rejected here.
+    // The servers reject all attempts, so that few are sent and the other requests are rejected
+    // here.
     let mut waits = Vec::new();
     for id in 0..600 {
         let mut actions = front.submit(request(id, 0, Some((id % 3) as CellId)));
@@ -112,8 +138,16 @@
     }
     let mean = |w: &[Nanos]| w.iter().sum::<Nanos>() / w.len() as Nanos;
     let late = &waits[waits.len() - 100..];
-    assert!(mean(late) > mean(&waits[..20]), "{} and {}", mean(&waits[..20]), mean(late));
-    assert!(late.iter().max() > late.iter().min(), "all clients return at once");
+    assert!(
+        mean(late) > mean(&waits[..20]),
+        "{} and {}",
+        mean(&waits[..20]),
+        mean(late)
+    );
+    assert!(
+        late.iter().max() > late.iter().min(),
+        "all clients return at once"
+    );
 }
 
 #[test]
@@ -122,13 +156,23 @@
     settings.initiators = 200;
     let mut front = TestFront::new(settings, 10);
     for id in 0..10 {
-        assert_eq!(sends(&front.submit(request(id, 0, Some(id as CellId)))).len(), 1);
+        assert_eq!(
+            sends(&front.submit(request(id, 0, Some(id as CellId)))).len(),
+            1
+        );
     }
     front.advance(300 * MS);
-    let rejected_at_once =
-        (10..40).filter(|id| rejected(&front.submit(request(*id, 0, Some((id % 10) as CellId))), *id));
+    let rejected_at_once = (10..40).filter(|id| {
+        rejected(
+            &front.submit(request(*id, 0, Some((id % 10) as CellId))),
+            *id,
+        )
+    });
     let rejected = rejected_at_once.count();
-    assert!(rejected >= 20, "{rejected} of 30 rejected at once while no server answers");
+    assert!(
+        rejected >= 20,
+        "{rejected} of 30 rejected at once while no server answers"
+    );
 }
 
 #[test]
@@ -139,7 +183,11 @@
     let mut front = TestFront::new(settings, 1);
     front.warm(0, 30, 0, 20 * MS);
     for id in 100..190 {
-        assert_eq!(sends(&front.submit(request(id, 0, Some(0)))).len(), 1, "request {id}");
+        assert_eq!(
+            sends(&front.submit(request(id, 0, Some(0)))).len(),
+            1,
+            "request {id}"
+        );
         front.advance(20 * MS);
         if id % 3 > 0 {
             front.end_attempt(id, 0, 0, Outcome::Served, 20 * MS);
@@ -165,5 +213,8 @@
         let waiting = front.advance(40 * MS);
         assert!(!rejected(&waiting, 2), "there is time left");
     }
-    assert!(rejected(&front.advance(50 * MS), 2), "a later rejection leaves the client no time");
+    assert!(
+        rejected(&front.advance(50 * MS), 2),
+        "a later rejection leaves the client no time"
+    );
 }
--- a/crates/core/tests/assigned_limits.rs
+++ b/crates/core/tests/assigned_limits.rs
@@ -5,7 +5,8 @@
 use common::*;
 use tulipbridge_core::*;
 
-/// A front whose requests of 2 units are under a limit of 40 units per second, shared by four fronts.
+/// A front whose requests of 2 units are under a limit of 40 units per second, shared by four
+/// fronts.
 fn limited_front() -> TestFront {
     let mut set = settings();
     set.plans = vec![plan(40.0, 0.0)];
@@ -44,7 +45,10 @@
 fn an_assigned_limit_replaces_the_even_part() {
     let mut front = limited_front();
     let even = units_sent(&mut front, 1_000, 2_000 * MS);
-    assert!((16.0..=24.0).contains(&even), "a quarter of 40 a second for 2 s: {even}");
+    assert!(
+        (16.0..=24.0).contains(&even),
+        "a quarter of 40 a second for 2 s: {even}"
+    );
     let now = front.now;
     assign_volume_limit(&mut front, 40.0, 6.0, now);
     let whole = units_sent(&mut front, 2_000, 2_000 * MS);
@@ -90,14 +94,19 @@
         let mut actions = front.advance(30 * MS);
         actions.extend(front.submit(request(id, 0, Some(id as CellId % 2))));
         for attempt in 0..3 {
-            let Some((_, node)) = sends(&actions).into_iter().find(|(r, _)| *r == id) else { break };
+            let Some((_, node)) = sends(&actions).into_iter().find(|(r, _)| *r == id) else {
+                break;
+            };
             retries += usize::from(attempt > 0);
             actions = front.end_attempt(id, attempt, node, Outcome::Error, MS);
             actions.extend(front.advance(20 * MS));
         }
     }
     let bound = 2.0 * (front.now - 100 * S) as f64 / 1e9 + 3.0;
-    assert!((3..=bound as usize).contains(&retries), "{retries} of at most {bound}");
+    assert!(
+        (3..=bound as usize).contains(&retries),
+        "{retries} of at most {bound}"
+    );
 }
 
 #[test]
@@ -112,8 +121,17 @@
     }));
     // The server starts after the limit was assigned.
     let started_at = front.now;
-    let start = NodeInfo { node: 1, zone: 0, cell: 7, listed: Listed::Up, started_at };
-    front.event(Event::Endpoints { scope: UpdateScope::Update, nodes: vec![start] });
+    let start = NodeInfo {
+        node: 1,
+        zone: 0,
+        cell: 7,
+        listed: Listed::Up,
+        started_at,
+    };
+    front.event(Event::Endpoints {
+        scope: UpdateScope::Update,
+        nodes: vec![start],
+    });
     let mut sent: Vec<Nanos> = Vec::new();
     for id in 100..500 {
         let mut actions = front.submit(request(id, 0, Some(7)));
@@ -130,7 +148,10 @@
             // Within 10 s its capacity grows to 4 times that at the start.
             let growth = 1.0 + 3.0 * ((until - started_at) as f64 / 1e10).min(1.0);
             let limit = (4.0 * (window + 0.01) + 8.0) * growth;
-            assert!(units <= limit, "{units} units in {window} s, of at most {limit}");
+            assert!(
+                units <= limit,
+                "{units} units in {window} s, of at most {limit}"
+            );
         }
     }
 }
@@ -152,8 +173,9 @@
     let mut front = TestFront::new(settings(), 1);
     front.warm(0, 4, 0, 20 * MS);
     let submit_six = |front: &mut TestFront, first: RequestId| -> Vec<(RequestId, NodeId)> {
-        let submitted =
-            (first..first + 6).flat_map(|id| front.submit(request(id, 0, Some(0)))).collect::<Vec<_>>();
+        let submitted = (first..first + 6)
+            .flat_map(|id| front.submit(request(id, 0, Some(0))))
+            .collect::<Vec<_>>();
         sends(&submitted)
     };
     let assign = |front: &mut TestFront, limit| {
@@ -164,7 +186,10 @@
             at: front.now,
         }));
     };
-    assert!(submit_six(&mut front, 100).len() > 2, "without a limit, the window alone counts");
+    assert!(
+        submit_six(&mut front, 100).len() > 2,
+        "without a limit, the window alone counts"
+    );
     answer_all(&mut front, (100..106).map(|id| (id, 0)).collect());
     assign(&mut front, 2.7);
     let out = submit_six(&mut front, 200);
@@ -183,8 +208,15 @@
         }
     }
     let part = busy as f64 / (front.now - started_at) as f64;
-    assert!((0.3..=0.55).contains(&part), "one in flight for half of the time: {part:.2}");
+    assert!(
+        (0.3..=0.55).contains(&part),
+        "one in flight for half of the time: {part:.2}"
+    );
     assign(&mut front, 0.0);
     front.advance(2 * S);
-    assert_eq!(submit_six(&mut front, 500), Vec::new(), "a limit of 0 allows none");
+    assert_eq!(
+        submit_six(&mut front, 500),
+        Vec::new(),
+        "a limit of 0 allows none"
+    );
 }
--- a/crates/core/tests/attempt_withdrawal.rs
+++ b/crates/core/tests/attempt_withdrawal.rs
@@ -1,4 +1,5 @@
-//! An attempt that is no longer needed and of which nothing was written is withdrawn, and is never written.
+//! An attempt that is no longer needed and of which nothing was written is withdrawn, and is never
+//! written.
 
 use tulipbridge_core::attempt::{Attempt, AttemptEvent, AttemptStep};
 use tulipbridge_core::request_tracker::{Decisions, Effect, Input, RequestTracker};
@@ -12,7 +13,11 @@
 impl Decisions for SendToFirst {
     fn handle(&mut self, _now: Nanos, event: Event, actions: &mut Vec<Action>) {
         if let Event::Request(request) = event {
-            actions.push(Action::Send { id: request.id, node: 0, timeout: 0 });
+            actions.push(Action::Send {
+                id: request.id,
+                node: 0,
+                timeout: 0,
+            });
         }
         actions.append(&mut self.0);
     }
@@ -33,7 +38,18 @@
     };
     let mut effects = Vec::new();
     tracker.on(0, Input::RequestReceived(request), &mut effects);
-    assert!(matches!(effects[..], [Effect::Send { id: 0, attempt: 0, node: 0, .. }]), "{effects:?}");
+    assert!(
+        matches!(
+            effects[..],
+            [Effect::Send {
+                id: 0,
+                attempt: 0,
+                node: 0,
+                ..
+            }]
+        ),
+        "{effects:?}"
+    );
     tracker
 }
 
@@ -41,46 +57,99 @@
     let mut effects = Vec::new();
     tracker.on(1, input, &mut effects);
     let outcomes = effects.into_iter().filter_map(|e| match e {
-        Effect::Withdraw { id: 0, attempt: 0, outcome } => Some(outcome),
+        Effect::Withdraw {
+            id: 0,
+            attempt: 0,
+            outcome,
+        } => Some(outcome),
         _ => None,
     });
     outcomes.collect()
 }
 
 fn node_info(node: usize, listed: Listed) -> NodeInfo {
-    NodeInfo { node, zone: 0, cell: 0, listed, started_at: 0 }
+    NodeInfo {
+        node,
+        zone: 0,
+        cell: 0,
+        listed,
+        started_at: 0,
+    }
 }
 
 #[test]
 fn an_unstarted_attempt_is_withdrawn_when_its_client_leaves_or_is_overdue() {
-    assert_eq!(withdrawals(&mut tracker_with_one_attempt(), Input::ClientGone(0)), [Outcome::NotSent]);
-    assert_eq!(withdrawals(&mut tracker_with_one_attempt(), Input::Overdue(0)), [Outcome::NotSent]);
+    assert_eq!(
+        withdrawals(&mut tracker_with_one_attempt(), Input::ClientGone(0)),
+        [Outcome::NotSent]
+    );
+    assert_eq!(
+        withdrawals(&mut tracker_with_one_attempt(), Input::Overdue(0)),
+        [Outcome::NotSent]
+    );
 }
 
 #[test]
 fn a_final_answer_withdraws_an_unstarted_attempt() {
     let mut tracker = tracker_with_one_attempt();
-    tracker.decisions_mut().0.push(Action::Reject { id: 0, retry_after: 0 });
-    assert_eq!(withdrawals(&mut tracker, Input::Timer(9)), [Outcome::NotSent]);
+    tracker.decisions_mut().0.push(Action::Reject {
+        id: 0,
+        retry_after: 0,
+    });
+    assert_eq!(
+        withdrawals(&mut tracker, Input::Timer(9)),
+        [Outcome::NotSent]
+    );
 }
 
 #[test]
 fn an_unstarted_attempt_is_withdrawn_from_a_server_that_leaves() {
     let endpoints = |scope, nodes| Input::Endpoints { scope, nodes };
     for (name, input, expected) in [
-        ("drains", endpoints(UpdateScope::Update, vec![node_info(0, Listed::Draining)]), true),
-        ("is removed", endpoints(UpdateScope::Update, vec![node_info(0, Listed::Removed)]), true),
-        ("is not on the list", endpoints(UpdateScope::Replace, vec![node_info(1, Listed::Up)]), true),
-        ("stays up", endpoints(UpdateScope::Replace, vec![node_info(0, Listed::Up)]), false),
-        ("is not mentioned", endpoints(UpdateScope::Update, vec![node_info(1, Listed::Draining)]), false),
+        (
+            "drains",
+            endpoints(UpdateScope::Update, vec![node_info(0, Listed::Draining)]),
+            true,
+        ),
+        (
+            "is removed",
+            endpoints(UpdateScope::Update, vec![node_info(0, Listed::Removed)]),
+            true,
+        ),
+        (
+            "is not on the list",
+            endpoints(UpdateScope::Replace, vec![node_info(1, Listed::Up)]),
+            true,
+        ),
+        (
+            "stays up",
+            endpoints(UpdateScope::Replace, vec![node_info(0, Listed::Up)]),
+            false,
+        ),
+        (
+            "is not mentioned",
+            endpoints(UpdateScope::Update, vec![node_info(1, Listed::Draining)]),
+            false,
+        ),
         (
             "is up in the last entry",
-            endpoints(UpdateScope::Update, vec![node_info(0, Listed::Draining), node_info(0, Listed::Up)]),
+            endpoints(
+                UpdateScope::Update,
+                vec![node_info(0, Listed::Draining), node_info(0, Listed::Up)],
+            ),
             false,
         ),
     ] {
         let outcomes = withdrawals(&mut tracker_with_one_attempt(), input);
-        assert_eq!(outcomes, if expected { vec![Outcome::NotExecuted] } else { vec![] }, "the server {name}");
+        assert_eq!(
+            outcomes,
+            if expected {
+                vec![Outcome::NotExecuted]
+            } else {
+                vec![]
+            },
+            "the server {name}"
+        );
     }
 }
 
@@ -93,7 +162,10 @@
         Attempt::OnPooledConnection,
         Attempt::OnNewConnection,
     ] {
-        assert_eq!(attempt.on(AttemptEvent::Withdrawn(outcome)), AttemptStep::End(outcome));
+        assert_eq!(
+            attempt.on(AttemptEvent::Withdrawn(outcome)),
+            AttemptStep::End(outcome)
+        );
         assert_eq!(attempt, Attempt::Finished(outcome));
     }
 }
--- a/crates/core/tests/client_connection.rs
+++ b/crates/core/tests/client_connection.rs
@@ -18,17 +18,49 @@
     let now = 1_000 * MS;
     for (name, connection, unread_bytes, arriving) in [
         ("half a head", after(&[HeadStarted]), false, true),
-        ("half a body", after(&[HeadStarted, BodyStarted]), false, true),
-        ("idle", after(&[HeadStarted, RequestReceived, Answered]), false, false),
-        ("idle, with bytes unread", after(&[HeadStarted, RequestReceived, Answered]), true, true),
+        (
+            "half a body",
+            after(&[HeadStarted, BodyStarted]),
+            false,
+            true,
+        ),
+        (
+            "idle",
+            after(&[HeadStarted, RequestReceived, Answered]),
+            false,
+            false,
+        ),
+        (
+            "idle, with bytes unread",
+            after(&[HeadStarted, RequestReceived, Answered]),
+            true,
+            true,
+        ),
         ("silent", after(&[]), false, false),
         ("silent, with bytes unread", after(&[]), true, true),
-        ("responding", after(&[HeadStarted, RequestReceived]), true, false),
-        ("closing", after(&[HeadStarted, RequestReceived, Answered, Closing]), true, false),
+        (
+            "responding",
+            after(&[HeadStarted, RequestReceived]),
+            true,
+            false,
+        ),
+        (
+            "closing",
+            after(&[HeadStarted, RequestReceived, Answered, Closing]),
+            true,
+            false,
+        ),
     ] {
-        assert_eq!(connection.is_arriving(now, unread_bytes), arriving, "{name}");
+        assert_eq!(
+            connection.is_arriving(now, unread_bytes),
+            arriving,
+            "{name}"
+        );
     }
-    assert!(after(&[]).is_arriving(100 * MS, false), "a new connection is expected to send a request");
+    assert!(
+        after(&[]).is_arriving(100 * MS, false),
+        "a new connection is expected to send a request"
+    );
 }
 
 #[test]
@@ -36,7 +68,10 @@
     use ClientEvent::{Answered, HeadStarted, RequestReceived};
     assert!(after(&[HeadStarted, RequestReceived, Answered]).may_close_now(100 * MS, false));
     assert!(!after(&[HeadStarted, RequestReceived, Answered]).may_close_now(100 * MS, true));
-    assert!(!after(&[HeadStarted, RequestReceived]).may_close_now(100 * MS, false), "a request is open");
+    assert!(
+        !after(&[HeadStarted, RequestReceived]).may_close_now(100 * MS, false),
+        "a request is open"
+    );
     assert!(!after(&[HeadStarted]).may_close_now(2_700 * MS, true));
     assert!(
         after(&[HeadStarted]).may_close_now(3_300 * MS, true),
--- a/crates/core/tests/client_patience.rs
+++ b/crates/core/tests/client_patience.rs
@@ -5,8 +5,8 @@
 use common::*;
 use tulipbridge_core::*;
 
-/// Runs reads one after another, each answered after `took`. Returns the longest wait until an attempt was sent, and
-/// the number of rejected reads.
+/// Runs reads one after another, each answered after `took`. Returns the longest wait until an
+/// attempt was sent, and the number of rejected reads.
 fn run_reads(front: &mut TestFront, first: RequestId, count: u64, took: Nanos) -> (Nanos, usize) {
     let (mut longest, mut rejections) = (0, 0);
     for id in first..first + count {
@@ -32,10 +32,16 @@
         let actions = front.submit(request(id, 0, Some(0)));
         front.now += age;
         let end_actions = front.event(Event::ClientGone(id));
-        if end_actions.iter().any(|a| matches!(a, Action::Cancel { .. })) {
+        if end_actions
+            .iter()
+            .any(|a| matches!(a, Action::Cancel { .. }))
+        {
             front.event(ended(id, 0, 0, Outcome::Cancelled, age, true));
         } else {
-            assert!(sends(&actions).is_empty(), "an attempt for a client that left is cancelled");
+            assert!(
+                sends(&actions).is_empty(),
+                "an attempt for a client that left is cancelled"
+            );
         }
     }
 }
@@ -73,7 +79,10 @@
     front.end_attempt(2000, 0, 0, Outcome::NotExecuted, 0);
     let waits = front.submit(request(2001, 0, Some(0)));
     assert!(!rejected(&waits, 2001), "it is not late yet");
-    assert!(!rejected(&front.advance(100 * MS), 2001), "nor after half of its objective");
+    assert!(
+        !rejected(&front.advance(100 * MS), 2001),
+        "nor after half of its objective"
+    );
 }
 
 #[test]
@@ -84,5 +93,8 @@
     front.advance(30 * S);
     let (longest, rejections) = run_reads(&mut front, 3000, 40, 170 * MS);
     assert_eq!(rejections, 0, "others wait longer than those clients did");
-    assert!(longest <= 100 * MS, "{longest} ns until an attempt was sent");
+    assert!(
+        longest <= 100 * MS,
+        "{longest} ns until an attempt was sent"
+    );
 }
--- a/crates/core/tests/common/fleet.rs
+++ b/crates/core/tests/common/fleet.rs
@@ -24,8 +24,9 @@
 impl Fleet {
     /// A front for each seed, with the given number of warm servers.
     pub fn new(settings: &Settings, nodes: usize, seeds: impl Iterator<Item = u64>) -> Fleet {
-        let fronts: Vec<TestFront> =
-            seeds.map(|seed| TestFront::seeded(settings.clone(), nodes, seed)).collect();
+        let fronts: Vec<TestFront> = seeds
+            .map(|seed| TestFront::seeded(settings.clone(), nodes, seed))
+            .collect();
         let now = fronts[0].now;
         Fleet { fronts, now }
     }
@@ -41,7 +42,10 @@
     /// Handles an event at a front and returns the attempts sent.
     pub fn event(&mut self, front: usize, event: Event) -> Vec<FleetSend> {
         let actions = self.fronts[front].event(event);
-        sends(&actions).into_iter().map(|(id, node)| FleetSend { front, id, node }).collect()
+        sends(&actions)
+            .into_iter()
+            .map(|(id, node)| FleetSend { front, id, node })
+            .collect()
     }
 
     /// Submits a request at a front and returns the attempts sent.
@@ -55,12 +59,16 @@
         self.event(attempt.front, event)
     }
 
-    /// Runs the timer of each front, after an endpoint update where there is one, and returns the attempts sent.
+    /// Runs the timer of each front, after an endpoint update where there is one, and returns the
+    /// attempts sent.
     pub fn tick(&mut self, update: Option<&[NodeInfo]>) -> Vec<FleetSend> {
         let mut sent = Vec::new();
         for front in 0..self.fronts.len() {
             if let Some(nodes) = update {
-                let update = Event::Endpoints { scope: UpdateScope::Update, nodes: nodes.to_vec() };
+                let update = Event::Endpoints {
+                    scope: UpdateScope::Update,
+                    nodes: nodes.to_vec(),
+                };
                 sent.extend(self.event(front, update));
             }
             sent.extend(self.event(front, Event::Timer(1)));
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! The settings of a small site and a front that is driven by scripted events. The figures are made up.
+//! The settings of a small site and a front that is driven by scripted events. The figures are made
+//! up.
 #![allow(dead_code)]
 
 pub mod fleet;
@@ -24,7 +25,14 @@
 }
 
 pub fn plan(limit_rate: f64, reserve_rate: f64) -> Plan {
-    Plan { limit_rate, limit_burst: limit_rate * 2.0, reserve_rate, nominal: 10.0, weight: 1.0, price: 1.0 }
+    Plan {
+        limit_rate,
+        limit_burst: limit_rate * 2.0,
+        reserve_rate,
+        nominal: 10.0,
+        weight: 1.0,
+        price: 1.0,
+    }
 }
 
 pub fn settings() -> Settings {
@@ -58,16 +66,36 @@
         tip_multiple: 3.0,
         overload_span: S,
         order_settle_time: 50 * MS,
-        retry_budget: Some(RetryBudget { base_allowance: 3.0, ratio: 0.15, window: 5 * S }),
+        retry_budget: Some(RetryBudget {
+            base_allowance: 3.0,
+            ratio: 0.15,
+            window: 5 * S,
+        }),
     }
 }
 
 pub fn node(node: NodeId, listed: Listed, started_at: Nanos) -> NodeInfo {
-    NodeInfo { node, zone: (node % 2) as u32, cell: node as CellId, listed, started_at }
+    NodeInfo {
+        node,
+        zone: (node % 2) as u32,
+        cell: node as CellId,
+        listed,
+        started_at,
+    }
 }
 
 pub fn request(id: RequestId, class: usize, cell: Option<CellId>) -> Request {
-    Request { id, class, plan: 0, volume: 1, key: Some(id), patience: S, units: 2.0, cell, front_count: 1 }
+    Request {
+        id,
+        class,
+        plan: 0,
+        volume: 1,
+        key: Some(id),
+        patience: S,
+        units: 2.0,
+        cell,
+        front_count: 1,
+    }
 }
 
 /// A scheduler and its clock.
@@ -85,9 +113,15 @@
     /// The same with a given seed.
     pub fn seeded(settings: Settings, nodes: usize, seed: u64) -> TestFront {
         let scheduler = Scheduler::new(settings, seed, 100 * S).expect("settings hold");
-        let mut front = TestFront { scheduler, now: 100 * S };
+        let mut front = TestFront {
+            scheduler,
+            now: 100 * S,
+        };
         let list = (0..nodes).map(|n| node(n, Listed::Up, 0)).collect();
-        front.event(Event::Endpoints { scope: UpdateScope::Restored, nodes: list });
+        front.event(Event::Endpoints {
+            scope: UpdateScope::Restored,
+            nodes: list,
+        });
         front
     }
 
@@ -105,7 +139,10 @@
         while self.now < until {
             self.now = (self.now + 10 * MS).min(until);
             let some = self.event(Event::Timer(1));
-            all.extend(some.into_iter().filter(|a| !matches!(a, Action::SetTimer { .. })));
+            all.extend(
+                some.into_iter()
+                    .filter(|a| !matches!(a, Action::SetTimer { .. })),
+            );
         }
         all
     }
@@ -132,8 +169,16 @@
     pub fn warm(&mut self, first: RequestId, count: u64, cell: usize, took: Nanos) {
         for id in first..first + count {
             let sent = self.submit(request(id, 0, Some(cell as CellId)));
-            let sent = if sends(&sent).is_empty() { self.advance(500 * MS) } else { sent };
-            assert_eq!(sends(&sent), vec![(id, cell)], "a healthy server takes request {id}");
+            let sent = if sends(&sent).is_empty() {
+                self.advance(500 * MS)
+            } else {
+                sent
+            };
+            assert_eq!(
+                sends(&sent),
+                vec![(id, cell)],
+                "a healthy server takes request {id}"
+            );
             self.now += took;
             self.end_attempt(id, 0, cell, Outcome::Served, took);
         }
@@ -141,8 +186,24 @@
 }
 
 /// The end of an attempt, without figures on the use by other fronts.
-pub fn ended(id: RequestId, attempt: u32, node: NodeId, outcome: Outcome, took: Nanos, last: bool) -> Event {
-    Event::AttemptEnded { id, attempt, node, outcome, took, last, observed_use: 0.0, foreign_units: 0.0 }
+pub fn ended(
+    id: RequestId,
+    attempt: u32,
+    node: NodeId,
+    outcome: Outcome,
+    took: Nanos,
+    last: bool,
+) -> Event {
+    Event::AttemptEnded {
+        id,
+        attempt,
+        node,
+        outcome,
+        took,
+        last,
+        observed_use: 0.0,
+        foreign_units: 0.0,
+    }
 }
 
 /// The attempts sent, as request and server.
@@ -156,7 +217,9 @@
 
 /// Whether a request was rejected.
 pub fn rejected(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { id: r, .. } if *r == id))
+    actions
+        .iter()
+        .any(|a| matches!(a, Action::Reject { id: r, .. } if *r == id))
 }
 
 /// Whether a request was failed.
--- a/crates/core/tests/congestion.rs
+++ b/crates/core/tests/congestion.rs
@@ -10,14 +10,25 @@
     let mut settings = settings();
     settings.retry_budget = None;
     let mut front = TestFront::new(settings, 2);
-    // Server 0 fails once a period, which halves its weight each time. Server 1 stays at its base weight.
+    // Server 0 fails once a period, which halves its weight each time. Server 1 stays at its base
+    // weight.
     let mut hits = [0u32; 2];
     for id in 0..400 {
         let sent = sends(&front.submit(request(id, 2, None)));
         let at = sent[0].1;
         hits[at] += 1;
         front.now += 20 * MS;
-        front.end_attempt(id, 0, at, if at == 0 { Outcome::Error } else { Outcome::Served }, 20 * MS);
+        front.end_attempt(
+            id,
+            0,
+            at,
+            if at == 0 {
+                Outcome::Error
+            } else {
+                Outcome::Served
+            },
+            20 * MS,
+        );
     }
     assert!(hits[0] > 0, "a failing server is still tried");
     assert!(hits[0] * 5 < hits[1], "chosen {hits:?}");
@@ -33,7 +44,10 @@
         front.now += 20 * MS;
         front.end_attempt(id, 0, at, Outcome::Served, 20 * MS);
     }
-    assert!(hits.iter().all(|h| (60..=140).contains(h)), "chosen {hits:?}");
+    assert!(
+        hits.iter().all(|h| (60..=140).contains(h)),
+        "chosen {hits:?}"
+    );
 }
 
 #[test]
@@ -41,7 +55,8 @@
     let mut front = TestFront::new(settings(), 2);
     front.warm(0, 40, 0, 20 * MS);
     front.warm(100, 40, 1, 20 * MS);
-    // Requests to server 0 are four times as large and take four times as long: it must keep its share.
+    // Requests to server 0 are four times as large and take four times as long: it must keep its
+    // share.
     for id in 200..220 {
         let mut large = request(id, 0, Some(0));
         large.units = 8.0;
@@ -65,7 +80,9 @@
     settings.plans[0].reserve_rate = 1e6;
     let mut front = TestFront::new(settings, 1);
     let flood = |front: &mut TestFront, from: RequestId| {
-        (from..from + 60).map(|id| sends(&front.submit(request(id, 0, Some(0)))).len()).sum::<usize>()
+        (from..from + 60)
+            .map(|id| sends(&front.submit(request(id, 0, Some(0)))).len())
+            .sum::<usize>()
     };
     let first = flood(&mut front, 0);
     assert!((2..=8).contains(&first), "several at first, not {first}");
@@ -74,10 +91,18 @@
     for _ in 0..300 {
         front.now += 10 * MS;
         for id in std::mem::take(&mut out) {
-            out.extend(sends(&front.end_attempt(id, 0, 0, Outcome::Served, 10 * MS)).iter().map(|p| p.0));
+            out.extend(
+                sends(&front.end_attempt(id, 0, 0, Outcome::Served, 10 * MS))
+                    .iter()
+                    .map(|p| p.0),
+            );
         }
         for _ in 0..40 {
-            out.extend(sends(&front.submit(request(next, 0, Some(0)))).iter().map(|p| p.0));
+            out.extend(
+                sends(&front.submit(request(next, 0, Some(0))))
+                    .iter()
+                    .map(|p| p.0),
+            );
             next += 1;
         }
     }
@@ -107,10 +132,16 @@
         hits
     };
     let halved = choose_server_0(&mut front, 1000);
-    assert!((70..=130).contains(&halved), "a third of 300 at half weight, not {halved}");
+    assert!(
+        (70..=130).contains(&halved),
+        "a third of 300 at half weight, not {halved}"
+    );
     front.advance(10 * S);
     let recovered = choose_server_0(&mut front, 2000);
-    assert!((120..=180).contains(&recovered), "half of 300 at base, not {recovered}");
+    assert!(
+        (120..=180).contains(&recovered),
+        "half of 300 at base, not {recovered}"
+    );
 }
 
 #[test]
@@ -126,12 +157,16 @@
         }
         front.now += 10 * MS;
     }
-    assert!(sent < 25, "{sent} of 50 requests sent at once to a server known to be full");
+    assert!(
+        sent < 25,
+        "{sent} of 50 requests sent at once to a server known to be full"
+    );
 }
 
 #[test]
 fn a_lost_answer_does_not_occupy_the_window() {
-    // At a paced server one attempt gets no answer: a request two objectives later must not wait for it.
+    // At a paced server one attempt gets no answer: a request two objectives later must not wait
+    // for it.
     let mut front = TestFront::new(settings(), 1);
     front.warm(0, 30, 0, 20 * MS);
     front.warm(100, 12, 0, 180 * MS);
--- a/crates/core/tests/discovery_watch.rs
+++ b/crates/core/tests/discovery_watch.rs
@@ -1,5 +1,5 @@
-//! The discovery watch: a missed update takes effect within [`STALE_AFTER`] for several sequences of faults, and the
-//! calls of a fleet are spread.
+//! The discovery watch: a missed update takes effect within [`STALE_AFTER`] for several sequences
+//! of faults, and the calls of a fleet are spread.
 
 use tulipbridge_core::discovery_watch::{
     DiscoveryWatch, WatchEvent, WatchStep, CALL_JITTER, CALL_TIMEOUT, SILENCE_TIMEOUT, STALE_AFTER,
@@ -44,15 +44,25 @@
         let (at, steps) = run_to_timer(&mut watch);
         assert_eq!(
             (at, &steps[..2]),
-            (2_000 * MS + SILENCE_TIMEOUT, &[WatchStep::CloseWatch, WatchStep::ReportLost][..])
+            (
+                2_000 * MS + SILENCE_TIMEOUT,
+                &[WatchStep::CloseWatch, WatchStep::ReportLost][..]
+            )
         );
         // The front with the lowest phase calls at once.
-        let called = if steps.contains(&WatchStep::Call) { at } else { run_to_call(&mut watch) };
+        let called = if steps.contains(&WatchStep::Call) {
+            at
+        } else {
+            run_to_call(&mut watch)
+        };
         assert!(
             called + RESPONSE_TIME <= 2_000 * MS + STALE_AFTER - APPLY_MARGIN,
             "{called} at phase {phase}"
         );
-        assert_eq!(watch.on(called + RESPONSE_TIME, WatchEvent::Opened), [WatchStep::Adopt]);
+        assert_eq!(
+            watch.on(called + RESPONSE_TIME, WatchEvent::Opened),
+            [WatchStep::Adopt]
+        );
     }
 }
 
@@ -60,7 +70,11 @@
 #[test]
 fn failed_call_is_retried_before_updates_are_stale() {
     for phase in [0.0, 0.5, 0.999] {
-        for (name, fails_after) in [("refused", 0), ("late", 1_900 * MS), ("hangs", CALL_TIMEOUT)] {
+        for (name, fails_after) in [
+            ("refused", 0),
+            ("late", 1_900 * MS),
+            ("hangs", CALL_TIMEOUT),
+        ] {
             let mut watch = open_watch(phase);
             assert_eq!(watch.on(1, WatchEvent::Ended), [WatchStep::ReportLost]);
             let first = run_to_call(&mut watch);
@@ -74,7 +88,10 @@
                 let (at, steps) = run_to_timer(&mut watch);
                 assert_eq!(
                     (at, steps),
-                    (first + CALL_TIMEOUT, vec![WatchStep::CancelCall, WatchStep::ReportLost]),
+                    (
+                        first + CALL_TIMEOUT,
+                        vec![WatchStep::CancelCall, WatchStep::ReportLost]
+                    ),
                     "{name}"
                 );
             }
@@ -103,7 +120,10 @@
 fn requested_list_is_called_for_early_and_only_once() {
     let mut watch = open_watch(0.9);
     watch.on(MS, WatchEvent::Ended);
-    assert_eq!(watch.on(200 * MS, WatchEvent::ListRequested), [WatchStep::Call]);
+    assert_eq!(
+        watch.on(200 * MS, WatchEvent::ListRequested),
+        [WatchStep::Call]
+    );
     assert_eq!(watch.on(201 * MS, WatchEvent::ListRequested), []);
     assert_eq!(watch.on(300 * MS, WatchEvent::Opened), [WatchStep::Adopt]);
     assert_eq!(watch.on(301 * MS, WatchEvent::ListRequested), []);
@@ -119,7 +139,10 @@
     assert_eq!(watch.on(3 * MS, WatchEvent::Failed), []);
     let (at, steps) = run_to_timer(&mut watch);
     assert_eq!(steps, [WatchStep::Call]);
-    assert!(at <= 300 * MS, "updates at the new address must take effect within 4 s of the change");
+    assert!(
+        at <= 300 * MS,
+        "updates at the new address must take effect within 4 s of the change"
+    );
     assert_eq!(watch.on(at + MS, WatchEvent::Opened), [WatchStep::Adopt]);
 }
 
@@ -146,8 +169,18 @@
         run_to_call(&mut watch)
     });
     let calls: Vec<Nanos> = calls.collect();
-    let within = |from: Nanos| calls.iter().filter(|c| (from..from + 100 * MS).contains(*c)).count();
-    let max_per_window = (0..40).map(|i| within(i * 100 * MS)).max().expect("the range is not empty");
+    let within = |from: Nanos| {
+        calls
+            .iter()
+            .filter(|c| (from..from + 100 * MS).contains(*c))
+            .count()
+    };
+    let max_per_window = (0..40)
+        .map(|i| within(i * 100 * MS))
+        .max()
+        .expect("the range is not empty");
     assert!(max_per_window <= 31, "{max_per_window} calls in 100 ms");
-    assert!(calls.iter().all(|c| *c <= MS + SILENCE_TIMEOUT + CALL_JITTER));
+    assert!(calls
+        .iter()
+        .all(|c| *c <= MS + SILENCE_TIMEOUT + CALL_JITTER));
 }
--- a/crates/core/tests/ejection.rs
+++ b/crates/core/tests/ejection.rs
@@ -10,8 +10,8 @@
 /// The index of the class whose requests are executed at most once.
 const AT_MOST_ONCE: usize = 2;
 
-/// Submits a request of a class every 10 ms for two seconds, for a shard or for new objects, and ends each attempt at
-/// once with the outcome for its server. Returns the servers used.
+/// Submits a request of a class every 10 ms for two seconds, for a shard or for new objects, and
+/// ends each attempt at once with the outcome for its server. Returns the servers used.
 fn servers_used(
     front: &mut TestFront,
     class: usize,
@@ -26,7 +26,13 @@
         while let Some((id, node)) = due.pop() {
             nodes.push(node);
             let attempt: &mut u32 = attempts.entry(id).or_default();
-            due.extend(sends(&front.end_attempt(id, *attempt, node, outcome(node), 2 * MS)));
+            due.extend(sends(&front.end_attempt(
+                id,
+                *attempt,
+                node,
+                outcome(node),
+                2 * MS,
+            )));
             *attempt += 1;
         }
     }
@@ -38,7 +44,10 @@
 }
 
 fn eject(front: &mut TestFront, node: NodeId, out: ClassSet) {
-    front.event(Event::FleetUpdate(FleetUpdate::Ejection { node, classes: out }));
+    front.event(Event::FleetUpdate(FleetUpdate::Ejection {
+        node,
+        classes: out,
+    }));
 }
 
 fn warm_front(nodes: usize) -> TestFront {
@@ -52,7 +61,10 @@
     let mut front = warm_front(3);
     let mut second = node(1, Listed::Up, 0);
     second.cell = 0;
-    front.event(Event::Endpoints { scope: UpdateScope::Update, nodes: vec![second] });
+    front.event(Event::Endpoints {
+        scope: UpdateScope::Update,
+        nodes: vec![second],
+    });
     front
 }
 
@@ -74,10 +86,18 @@
 #[test]
 fn requests_go_to_another_server_of_the_shard() {
     let mut front = front_with_two_servers_of_a_shard();
-    assert!(servers_used(&mut front, 0, Some(0), served).iter().all(|n| *n == 0), "the first of two");
+    assert!(
+        servers_used(&mut front, 0, Some(0), served)
+            .iter()
+            .all(|n| *n == 0),
+        "the first of two"
+    );
     eject(&mut front, 0, ClassSet::ALL);
     let there = servers_used(&mut front, 0, Some(0), served);
-    assert!(there.len() > 100 && there.iter().all(|n| *n == 1), "{there:?}");
+    assert!(
+        there.len() > 100 && there.iter().all(|n| *n == 1),
+        "{there:?}"
+    );
     // Both are ejected: as without ejections.
     eject(&mut front, 1, ClassSet::ALL);
     assert!(servers_used(&mut front, 0, Some(0), served).len() > 100);
@@ -89,7 +109,11 @@
     eject(&mut front, 0, ClassSet::NONE.with(AT_MOST_ONCE));
     assert!(servers_used(&mut front, 0, None, served).contains(&0));
     assert!(!servers_used(&mut front, AT_MOST_ONCE, None, served).contains(&0));
-    assert_eq!(front.scheduler.node_counts(), (2, 0), "it is not ejected for all classes");
+    assert_eq!(
+        front.scheduler.node_counts(),
+        (2, 0),
+        "it is not ejected for all classes"
+    );
 }
 
 #[test]
@@ -105,9 +129,15 @@
     eject(&mut front, 0, ClassSet::ALL);
     // Reads of the data that it alone holds are served.
     servers_used(&mut front, 0, Some(0), served);
-    assert!(servers_used(&mut front, AT_MOST_ONCE, None, served).contains(&0), "own results are more recent");
+    assert!(
+        servers_used(&mut front, AT_MOST_ONCE, None, served).contains(&0),
+        "own results are more recent"
+    );
     servers_used(&mut front, 0, Some(0), |_| Outcome::TimedOut);
-    assert!(!servers_used(&mut front, AT_MOST_ONCE, None, served).contains(&0), "a failure ejects it again");
+    assert!(
+        !servers_used(&mut front, AT_MOST_ONCE, None, served).contains(&0),
+        "a failure ejects it again"
+    );
 }
 
 #[test]
@@ -123,10 +153,16 @@
     let first = front.submit(request(9_001, 0, Some(0)));
     assert_eq!(sends(&first), [(9_001, 0)]);
     front.end_attempt(9_001, 0, 0, Outcome::Error, 2 * MS);
-    assert!(!servers_used(&mut front, 0, Some(0), served).contains(&0), "one probe only");
+    assert!(
+        !servers_used(&mut front, 0, Some(0), served).contains(&0),
+        "one probe only"
+    );
     let until = front.now;
     front.event(Event::FleetUpdate(FleetUpdate::Probe { node: 0, until }));
-    assert!(!servers_used(&mut front, 0, Some(0), served).contains(&0), "its deadline has passed");
+    assert!(
+        !servers_used(&mut front, 0, Some(0), served).contains(&0),
+        "its deadline has passed"
+    );
     // An idempotent new object may be the probe.
     let until = front.now + 500 * MS;
     front.event(Event::FleetUpdate(FleetUpdate::Probe { node: 0, until }));
@@ -150,5 +186,8 @@
     assert!((8..=16).contains(&units), "{units}");
     servers_used(&mut front, 0, None, served);
     servers_used(&mut front, 0, None, served);
-    assert!(servers_used(&mut front, 0, Some(0), served).len() > 150, "the warm-up is over");
+    assert!(
+        servers_used(&mut front, 0, Some(0), served).len() > 150,
+        "the warm-up is over"
+    );
 }
--- a/crates/core/tests/graceful_shutdown.rs
+++ b/crates/core/tests/graceful_shutdown.rs
@@ -24,27 +24,63 @@
                     step = shutdown.on(now, ShutdownEvent::AcceptTimedOut);
                 }
                 ShutdownStep::StopAccepting => {
-                    step = shutdown.on(now, ShutdownEvent::Poll { connections: 3, busy: 1 })
+                    step = shutdown.on(
+                        now,
+                        ShutdownEvent::Poll {
+                            connections: 3,
+                            busy: 1,
+                        },
+                    )
                 }
                 ShutdownStep::Wait(time) => {
                     now += time;
-                    step = shutdown.on(now, ShutdownEvent::Poll { connections: 3, busy: 1 });
+                    step = shutdown.on(
+                        now,
+                        ShutdownEvent::Poll {
+                            connections: 3,
+                            busy: 1,
+                        },
+                    );
                 }
                 ShutdownStep::Exit => {}
             }
         }
-        assert!((exit_by * MS..(exit_by + 20) * MS + 1).contains(&now), "{longest_deadline} ms: {now}");
-        assert!(now < (longest_deadline.min(3_000) + 700) * MS, "before the kill");
+        assert!(
+            (exit_by * MS..(exit_by + 20) * MS + 1).contains(&now),
+            "{longest_deadline} ms: {now}"
+        );
+        assert!(
+            now < (longest_deadline.min(3_000) + 700) * MS,
+            "before the kill"
+        );
     }
 }
 
 #[test]
 fn process_without_pending_work_exits_at_the_next_poll() {
     let (mut shutdown, _) = GracefulShutdown::new(0, 3_000 * MS);
-    assert_eq!(shutdown.on(500 * MS, ShutdownEvent::AcceptTimedOut), ShutdownStep::StopAccepting);
+    assert_eq!(
+        shutdown.on(500 * MS, ShutdownEvent::AcceptTimedOut),
+        ShutdownStep::StopAccepting
+    );
     assert!(matches!(
-        shutdown.on(500 * MS, ShutdownEvent::Poll { connections: 2, busy: 1 }),
+        shutdown.on(
+            500 * MS,
+            ShutdownEvent::Poll {
+                connections: 2,
+                busy: 1
+            }
+        ),
         ShutdownStep::Wait(_)
     ));
-    assert_eq!(shutdown.on(520 * MS, ShutdownEvent::Poll { connections: 0, busy: 0 }), ShutdownStep::Exit);
+    assert_eq!(
+        shutdown.on(
+            520 * MS,
+            ShutdownEvent::Poll {
+                connections: 0,
+                busy: 0
+            }
+        ),
+        ShutdownStep::Exit
+    );
 }
--- a/crates/core/tests/health.rs
+++ b/crates/core/tests/health.rs
@@ -12,29 +12,47 @@
     front.submit(request(50, 0, Some(0)));
     front.submit(request(51, 0, Some(0)));
     let while_silent = front.advance(400 * MS);
-    assert!(while_silent.iter().any(|a| matches!(a, Action::Log { text: "node is silent", node: 0 })));
+    assert!(while_silent.iter().any(|a| matches!(
+        a,
+        Action::Log {
+            text: "node is silent",
+            node: 0
+        }
+    )));
     let mut sent = 0;
     for id in 60..90 {
         sent += sends(&front.submit(request(id, 0, Some(0)))).len();
     }
     assert!(sent <= 1, "{sent} sent to a silent server at once");
     for id in 100..120 {
-        assert_eq!(sends(&front.submit(request(id, 0, None)))[0].1, 1, "new objects avoid a silent server");
+        assert_eq!(
+            sends(&front.submit(request(id, 0, None)))[0].1,
+            1,
+            "new objects avoid a silent server"
+        );
         front.now += MS;
         front.end_attempt(id, 0, 1, Outcome::Served, MS);
     }
     let recovered = front.end_attempt(50, 0, 0, Outcome::Served, 400 * MS);
-    assert!(recovered.iter().any(|a| matches!(a, Action::Log { text: "node answers again", node: 0 })));
+    assert!(recovered.iter().any(|a| matches!(
+        a,
+        Action::Log {
+            text: "node answers again",
+            node: 0
+        }
+    )));
     let mut again = 0;
     for id in 200..220 {
-        again += sends(&front.submit(request(id, 0, Some(0)))).len() + sends(&front.advance(50 * MS)).len();
+        again += sends(&front.submit(request(id, 0, Some(0)))).len()
+            + sends(&front.advance(50 * MS)).len();
     }
     assert!(again > 0);
 }
 
 #[test]
 fn a_server_that_was_silent_stays_warm() {
-    // A server that answers again after seconds of silence is as warm as before, unless the list says otherwise.
+    // A server that answers again after seconds of silence is as warm as before, unless the list
+    // says otherwise.
     let mut front = TestFront::new(settings(), 1);
     front.warm(0, 20, 0, 10 * MS);
     for id in 100..103 {
@@ -63,9 +81,23 @@
     let mut front = TestFront::new(settings(), 2);
     front.warm(0, 30, 0, 20 * MS);
     for id in 100..130 {
-        assert_eq!(sends(&front.submit(request(id, 2, Some(0)))), vec![(id, 0)], "request {id} must be sent");
+        assert_eq!(
+            sends(&front.submit(request(id, 2, Some(0)))),
+            vec![(id, 0)],
+            "request {id} must be sent"
+        );
         front.now += 20 * MS;
-        front.end_attempt(id, 0, 0, if id % 3 == 0 { Outcome::Reset } else { Outcome::Served }, 20 * MS);
+        front.end_attempt(
+            id,
+            0,
+            0,
+            if id % 3 == 0 {
+                Outcome::Reset
+            } else {
+                Outcome::Served
+            },
+            20 * MS,
+        );
     }
 }
 
@@ -77,7 +109,10 @@
     front.advance(20 * MS);
     front.now += 900 * MS;
     let after = front.advance(20 * MS);
-    assert!(!after.iter().any(|a| matches!(a, Action::Log { .. })), "{after:?}");
+    assert!(
+        !after.iter().any(|a| matches!(a, Action::Log { .. })),
+        "{after:?}"
+    );
     front.end_attempt(50, 0, 0, Outcome::Served, 20 * MS);
     assert_eq!(sends(&front.submit(request(51, 0, Some(0)))).len(), 1);
 }
@@ -94,7 +129,13 @@
         probes.extend(sends(&front.advance(50 * MS)));
         for (id, at) in std::mem::take(&mut probes) {
             let actions = front.end_attempt(id, 0, at, Outcome::Rejected, MS);
-            assert!(!actions.iter().any(|a| matches!(a, Action::Log { text: "node answers again", .. })));
+            assert!(!actions.iter().any(|a| matches!(
+                a,
+                Action::Log {
+                    text: "node answers again",
+                    ..
+                }
+            )));
         }
     }
 }
@@ -117,5 +158,8 @@
         sent
     };
     let (few, many) = (probes(2), probes(400));
-    assert!(few > 30 && many < 20, "{few} probes a minute of one front in two, {many} of one in 400");
+    assert!(
+        few > 30 && many < 20,
+        "{few} probes a minute of one front in two, {many} of one in 400"
+    );
 }
--- a/crates/core/tests/hundred_fronts.rs
+++ b/crates/core/tests/hundred_fronts.rs
@@ -1,5 +1,5 @@
-//! What a hundred fronts do together: each is harmless alone, the sum is what a server or discovery meets. Virtual
-//! time, fixed seeds, a simple model of a server.
+//! What a hundred fronts do together: each is harmless alone, the sum is what a server or discovery
+//! meets. Virtual time, fixed seeds, a simple model of a server.
 
 mod common;
 
@@ -18,8 +18,9 @@
     settings
 }
 
-/// One of forty servers is replaced. Each of a hundred fronts has met the old one twice in ten seconds, too seldom to
-/// learn what it served there. The new one still gets requests from the start, and in no span more than it bears.
+/// One of forty servers is replaced. Each of a hundred fronts has met the old one twice in ten
+/// seconds, too seldom to learn what it served there. The new one still gets requests from the
+/// start, and in no span more than it bears.
 #[test]
 fn a_hundred_fronts_that_hardly_met_a_server_use_its_starting_replacement() {
     const UNITS_PER_REQUEST: f64 = 2.0;
@@ -31,15 +32,27 @@
     let (mut next_id, mut in_flight) = (0, VecDeque::<(Nanos, FleetSend)>::new());
     let (mut recent, mut units) = (VecDeque::new(), 0.0);
     let started_at = 110 * S;
-    let started = NodeInfo { node: NODES, zone: 0, cell: 0, listed: Listed::Up, started_at };
+    let started = NodeInfo {
+        node: NODES,
+        zone: 0,
+        cell: 0,
+        listed: Listed::Up,
+        started_at,
+    };
     let replacement = [node(0, Listed::Removed, 0), started];
-    // 20 requests of 2 units per second for each server, which can serve 80 units per second when warm.
+    // 20 requests of 2 units per second for each server, which can serve 80 units per second when
+    // warm.
     while fleet.now < started_at + 8 * S {
         fleet.step();
         let now = fleet.now;
         let mut sent = Vec::new();
-        while in_flight.front().is_some_and(|(answered_at, _)| *answered_at <= now) {
-            let Some((_, attempt)) = in_flight.pop_front() else { break };
+        while in_flight
+            .front()
+            .is_some_and(|(answered_at, _)| *answered_at <= now)
+        {
+            let Some((_, attempt)) = in_flight.pop_front() else {
+                break;
+            };
             sent.extend(fleet.serve(attempt, 20 * MS));
         }
         for _ in 0..8 {
@@ -61,11 +74,17 @@
             let age = (now - started_at) as f64 / settings.warmup_duration as f64;
             let bearable = settings.tip_multiple * (0.2 + 0.8 * age) * 80.0;
             let recent_units = recent.len() as f64 * UNITS_PER_REQUEST;
-            assert!(recent_units <= bearable, "rule 4: {recent_units} units, {bearable} are bearable");
+            assert!(
+                recent_units <= bearable,
+                "rule 4: {recent_units} units, {bearable} are bearable"
+            );
         }
     }
     // 320 units were requested, of 310 that it could serve by the slowest warm-up.
-    assert!(units > 100.0, "only {units} units to a server that could serve 310 while starting");
+    assert!(
+        units > 100.0,
+        "only {units} units to a server that could serve 310 while starting"
+    );
 }
 
 /// A hundred fronts that start at once while each call of discovery fails after two seconds.
@@ -85,10 +104,17 @@
     fn new() -> FailingDiscovery {
         let settings = fleet_settings();
         let front = |seed| {
-            let scheduler = Scheduler::new(settings.clone(), seed, Self::STARTED_AT).expect("valid settings");
-            TestFront { scheduler, now: Self::STARTED_AT }
+            let scheduler =
+                Scheduler::new(settings.clone(), seed, Self::STARTED_AT).expect("valid settings");
+            TestFront {
+                scheduler,
+                now: Self::STARTED_AT,
+            }
+        };
+        let fleet = Fleet {
+            fronts: (0..FRONTS as u64).map(front).collect(),
+            now: Self::STARTED_AT,
         };
-        let fleet = Fleet { fronts: (0..FRONTS as u64).map(front).collect(), now: Self::STARTED_AT };
         let mut discovery = FailingDiscovery {
             fleet,
             settings,
@@ -98,14 +124,23 @@
         };
         for front in 0..FRONTS {
             let nodes = (0..4).map(|id| node(id, Listed::Up, 0)).collect();
-            discovery.event(front, Event::Endpoints { scope: UpdateScope::Restored, nodes });
+            discovery.event(
+                front,
+                Event::Endpoints {
+                    scope: UpdateScope::Restored,
+                    nodes,
+                },
+            );
         }
         discovery
     }
 
     /// Handles an event at a front and records its call, if it makes one.
     fn event(&mut self, front: usize, event: Event) {
-        if self.fleet.fronts[front].event(event).contains(&Action::Subscribe) {
+        if self.fleet.fronts[front]
+            .event(event)
+            .contains(&Action::Subscribe)
+        {
             self.calls.push(self.fleet.now);
             self.fails_at[front] = Some(self.fleet.now + Self::CALL_TIME);
         }
@@ -118,26 +153,36 @@
                 self.fails_at[front] = None;
                 self.last_failure[front] = now;
                 let nodes = Vec::new();
-                let failure = Event::Endpoints { scope: UpdateScope::Unavailable, nodes };
+                let failure = Event::Endpoints {
+                    scope: UpdateScope::Unavailable,
+                    nodes,
+                };
                 self.fleet.fronts[front].event(failure);
             }
             self.event(front, Event::Timer(1));
             let since_failure = now - self.last_failure[front];
-            assert!(since_failure < self.settings.poll_interval, "front {front} has not called for too long");
+            assert!(
+                since_failure < self.settings.poll_interval,
+                "front {front} has not called for too long"
+            );
         }
     }
 
     /// The most calls within a span that begins at a time or later.
     fn max_calls(&self, span: Nanos, from: Nanos) -> usize {
         let starts = self.calls.iter().filter(|at| **at >= from);
-        let within =
-            |start: Nanos| self.calls.iter().filter(|at| **at >= start && **at < start + span).count();
+        let within = |start: Nanos| {
+            self.calls
+                .iter()
+                .filter(|at| **at >= start && **at < start + span)
+                .count()
+        };
         starts.map(|start| within(*start)).max().unwrap_or(0)
     }
 }
 
-/// Discovery takes calls in order, so that what counts is how many come together, and that they become fewer while
-/// all fail. No front stays without a call for as long as the poll interval.
+/// Discovery takes calls in order, so that what counts is how many come together, and that they
+/// become fewer while all fail. No front stays without a call for as long as the poll interval.
 #[test]
 fn a_hundred_starts_and_failed_calls_do_not_meet_at_discovery() {
     let mut discovery = FailingDiscovery::new();
@@ -158,7 +203,10 @@
 /// A front that has just seen many attempts fail, at servers 1 and 2 of five.
 fn overloaded_front() -> TestFront {
     let mut settings = settings();
-    settings.classes.iter_mut().for_each(|class| class.late_value = 0.1);
+    settings
+        .classes
+        .iter_mut()
+        .for_each(|class| class.late_value = 0.1);
     let mut front = TestFront::new(settings, 5);
     front.warm(0, 8, 0, 20 * MS);
     for (id, cell) in [(100, 1), (101, 2), (102, 1)] {
@@ -167,8 +215,13 @@
         }
     }
     // Far more is requested of one of them than it may be sent.
-    let answers: Vec<Vec<Action>> = (110..150).map(|id| front.submit(request(id, 0, Some(1)))).collect();
-    let rejections = (110..150).zip(&answers).filter(|(id, actions)| rejected(actions, *id)).count();
+    let answers: Vec<Vec<Action>> = (110..150)
+        .map(|id| front.submit(request(id, 0, Some(1))))
+        .collect();
+    let rejections = (110..150)
+        .zip(&answers)
+        .filter(|(id, actions)| rejected(actions, *id))
+        .count();
     assert!(rejections >= 10, "the overload is rejected: {rejections}");
     front
 }
@@ -180,24 +233,39 @@
     })
 }
 
-/// While many attempts fail, a read ends when it is late, as other work is more valuable. A write does not, as it
-/// would be in doubt; without overload nothing is cut off.
+/// While many attempts fail, a read ends when it is late, as other work is more valuable. A write
+/// does not, as it would be in doubt; without overload nothing is cut off.
 #[test]
 fn in_an_overload_reads_end_at_their_objective_and_writes_do_not() {
     let mut front = overloaded_front();
     let mut calm = TestFront::new(settings(), 3);
-    assert_eq!(attempt_timeout(&calm.submit(request(1, 0, Some(0)))), Some(0), "without overload");
+    assert_eq!(
+        attempt_timeout(&calm.submit(request(1, 0, Some(0)))),
+        Some(0),
+        "without overload"
+    );
     let read = front.submit(request(300, 0, Some(0)));
-    assert_eq!(attempt_timeout(&read), Some(200 * MS), "the objective of a read");
+    assert_eq!(
+        attempt_timeout(&read),
+        Some(200 * MS),
+        "the objective of a read"
+    );
     front.now += 200 * MS;
     let actions = front.event(ended(300, 0, 0, Outcome::TimedOut, 200 * MS, false));
-    assert!(rejected(&actions, 300) && sends(&actions).is_empty(), "it is answered at once: {actions:?}");
+    assert!(
+        rejected(&actions, 300) && sends(&actions).is_empty(),
+        "it is answered at once: {actions:?}"
+    );
     let write = front.submit(request(301, 2, Some(0)));
-    assert!(attempt_timeout(&write).is_none_or(|timeout| timeout == 0), "a write waits: {write:?}");
+    assert!(
+        attempt_timeout(&write).is_none_or(|timeout| timeout == 0),
+        "a write waits: {write:?}"
+    );
 }
 
-/// A new object whose server refused the connection was not executed and goes to another server, also in an overload:
-/// a list with servers that are gone must not cost writes that any other server could take.
+/// A new object whose server refused the connection was not executed and goes to another server,
+/// also in an overload: a list with servers that are gone must not cost writes that any other
+/// server could take.
 #[test]
 fn a_new_object_whose_connection_was_refused_goes_to_another_server() {
     let mut front = overloaded_front();
@@ -207,7 +275,9 @@
     actions.extend(front.advance(100 * MS));
     let retries = sends(&actions);
     assert!(!rejected(&actions, id), "it was rejected: {actions:?}");
-    let moved = retries.iter().any(|(request, node)| *request == id && *node != refused_by);
+    let moved = retries
+        .iter()
+        .any(|(request, node)| *request == id && *node != refused_by);
     assert!(moved, "it went to another server: {retries:?}");
 }
 
@@ -217,9 +287,9 @@
     attempt: FleetSend,
 }
 
-/// New objects may go anywhere. A hundred fronts that each send a few per second keep to servers with recent answers,
-/// each to its own, so that connections are reused and a slow server is noticed; together they use all servers and
-/// avoid the slow one.
+/// New objects may go anywhere. A hundred fronts that each send a few per second keep to servers
+/// with recent answers, each to its own, so that connections are reused and a slow server is
+/// noticed; together they use all servers and avoid the slow one.
 #[test]
 fn new_objects_keep_to_servers_with_recent_answers_and_avoid_a_slow_one() {
     let mut random = fastrand::Rng::with_seed(3);
@@ -233,8 +303,9 @@
         }
         let now = fleet.now;
         let mut sent = Vec::new();
-        let (due, pending): (Vec<_>, Vec<_>) =
-            in_flight.into_iter().partition(|sent| sent.answered_at <= now);
+        let (due, pending): (Vec<_>, Vec<_>) = in_flight
+            .into_iter()
+            .partition(|sent| sent.answered_at <= now);
         in_flight = pending;
         for served in due {
             sent.extend(fleet.serve(served.attempt, now - served.sent_at));
@@ -247,15 +318,28 @@
         for attempt in sent {
             // Server 0 is ten times slower than the others.
             let latency = if attempt.node == 0 { 190 * MS } else { 20 * MS };
-            in_flight.push(InFlight { answered_at: now + latency, sent_at: now, attempt });
+            in_flight.push(InFlight {
+                answered_at: now + latency,
+                sent_at: now,
+                attempt,
+            });
             fronts_of_node[attempt.node].insert(attempt.front);
             sends_in_last_half[attempt.node] += usize::from(step >= 1000);
         }
     }
     let pairs: usize = fronts_of_node.iter().map(BTreeSet::len).sum();
-    assert!(pairs < 2200, "{pairs} pairs of a front and a server have met, each a connection");
-    assert!(fronts_of_node.iter().all(|fronts| fronts.len() >= 10), "every server is used by some fronts");
+    assert!(
+        pairs < 2200,
+        "{pairs} pairs of a front and a server have met, each a connection"
+    );
+    assert!(
+        fronts_of_node.iter().all(|fronts| fronts.len() >= 10),
+        "every server is used by some fronts"
+    );
     let mean = sends_in_last_half[1..].iter().sum::<usize>() / (NODES - 1);
     let slow = sends_in_last_half[0];
-    assert!(slow * 4 < mean, "the slow server got {slow} in the last 10 s, the others {mean}");
+    assert!(
+        slow * 4 < mean,
+        "the slow server got {slow} in the last 10 s, the others {mean}"
+    );
 }
--- a/crates/core/tests/invariant_monitor.rs
+++ b/crates/core/tests/invariant_monitor.rs
@@ -16,18 +16,35 @@
 fn monitor(class: usize) -> InvariantMonitor {
     let mut monitor = InvariantMonitor::default();
     let nodes = vec![node(NODE, Listed::Up, 0)];
-    monitor.input(&Input::Endpoints { scope: UpdateScope::Replace, nodes }, &settings());
-    monitor.input(&Input::RequestReceived(request(1, class, Some(0))), &settings());
+    monitor.input(
+        &Input::Endpoints {
+            scope: UpdateScope::Replace,
+            nodes,
+        },
+        &settings(),
+    );
+    monitor.input(
+        &Input::RequestReceived(request(1, class, Some(0))),
+        &settings(),
+    );
     monitor
 }
 
 fn send(monitor: &mut InvariantMonitor, attempt: u32) -> Option<Rule> {
-    let effect = Effect::Send { id: 1, attempt, node: NODE, deadline: S, begin_by: Nanos::MAX };
+    let effect = Effect::Send {
+        id: 1,
+        attempt,
+        node: NODE,
+        deadline: S,
+        begin_by: Nanos::MAX,
+    };
     monitor.effect(0, &effect).map(|violation| violation.rule)
 }
 
 fn answer(monitor: &mut InvariantMonitor, answer: FinalAnswer) -> Option<Rule> {
-    monitor.effect(0, &Effect::Answer { id: 1, answer }).map(|violation| violation.rule)
+    monitor
+        .effect(0, &Effect::Answer { id: 1, answer })
+        .map(|violation| violation.rule)
 }
 
 fn time_out(monitor: &mut InvariantMonitor, attempt: u32) {
@@ -47,7 +64,10 @@
 fn each_broken_rule_is_found() {
     let mut second_answer = monitor(IDEMPOTENT);
     answer(&mut second_answer, FinalAnswer::Failed);
-    assert_eq!(answer(&mut second_answer, FinalAnswer::Failed), Some(Rule::OneAnswer));
+    assert_eq!(
+        answer(&mut second_answer, FinalAnswer::Failed),
+        Some(Rule::OneAnswer)
+    );
     assert_eq!(send(&mut second_answer, 0), Some(Rule::NothingAfterTheEnd));
 
     let mut client_gone = monitor(IDEMPOTENT);
@@ -56,7 +76,13 @@
 
     let mut draining = monitor(IDEMPOTENT);
     let nodes = vec![node(NODE, Listed::Draining, 0)];
-    draining.input(&Input::Endpoints { scope: UpdateScope::Update, nodes }, &settings());
+    draining.input(
+        &Input::Endpoints {
+            scope: UpdateScope::Update,
+            nodes,
+        },
+        &settings(),
+    );
     assert_eq!(send(&mut draining, 0), Some(Rule::CleanDrain));
 
     let mut two_attempts = monitor(IDEMPOTENT);
@@ -70,5 +96,8 @@
 
     let mut rejected_write = monitor(AT_MOST_ONCE);
     send(&mut rejected_write, 0);
-    assert_eq!(answer(&mut rejected_write, FinalAnswer::Rejected(0)), Some(Rule::HarmlessRejection));
+    assert_eq!(
+        answer(&mut rejected_write, FinalAnswer::Rejected(0)),
+        Some(Rule::HarmlessRejection)
+    );
 }
--- a/crates/core/tests/invariants.rs
+++ b/crates/core/tests/invariants.rs
@@ -1,5 +1,5 @@
-//! A seeded property test: random requests, outcomes, endpoint lists and restarts, and an oracle for each of the seven
-//! rules that does not know how the module decides.
+//! A seeded property test: random requests, outcomes, endpoint lists and restarts, and an oracle
+//! for each of the seven rules that does not know how the module decides.
 
 mod common;
 
@@ -34,7 +34,10 @@
     fn possibly_executed(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| {
             !attempt.ended
-                || !matches!(attempt.outcome, Outcome::Rejected | Outcome::NotExecuted | Outcome::NotSent)
+                || !matches!(
+                    attempt.outcome,
+                    Outcome::Rejected | Outcome::NotExecuted | Outcome::NotSent
+                )
         })
     }
 }
@@ -105,7 +108,13 @@
             settings,
             random,
             requests: BTreeMap::new(),
-            listed: vec![ListEntry { listed: Listed::Up, started_at: 0 }; NODES],
+            listed: vec![
+                ListEntry {
+                    listed: Listed::Up,
+                    started_at: 0
+                };
+                NODES
+            ],
             listed_at: vec![0; NODES],
             sent: vec![VecDeque::new(); NODES],
             served: vec![ServedUnits::default(); NODES],
@@ -157,16 +166,28 @@
 
     fn random_request(&mut self) {
         let random = &mut self.random;
-        let mut request = request(self.next_id, random.usize(0..5), Some(random.u32(0..NODES as u32 + 1)));
+        let mut request = request(
+            self.next_id,
+            random.usize(0..5),
+            Some(random.u32(0..NODES as u32 + 1)),
+        );
         if random.u32(0..4) == 0 {
             request.cell = None;
         }
         request.plan = random.usize(0..2);
         request.volume = request.plan as u64 * 10 + random.u64(0..2);
         request.front_count = 1;
-        request.key = if random.u32(0..8) == 0 { None } else { Some(random.u64(0..12)) };
+        request.key = if random.u32(0..8) == 0 {
+            None
+        } else {
+            Some(random.u64(0..12))
+        };
         request.units = f64::from(random.u32(1..8));
-        request.patience = if random.u32(0..5) == 0 { random.i64(0..40) * MS } else { S };
+        request.patience = if random.u32(0..5) == 0 {
+            random.i64(0..40) * MS
+        } else {
+            S
+        };
         let (id, at) = (self.next_id, self.front.now);
         self.next_id += 1;
         self.requests_received.push(at);
@@ -186,28 +207,42 @@
     fn random_endpoint_event(&mut self) {
         let n = self.random.usize(0..NODES);
         let now = self.front.now;
-        let listed = [Listed::Up, Listed::Up, Listed::Draining, Listed::Removed][self.random.usize(0..4)];
+        let listed =
+            [Listed::Up, Listed::Up, Listed::Draining, Listed::Removed][self.random.usize(0..4)];
         let started_at = match listed {
             Listed::Up if self.random.bool() => now - self.random.i64(0..3000) * MS,
             _ => self.listed[n].started_at,
         };
-        self.listed[n] = ListEntry { listed, started_at: started_at.max(self.listed[n].started_at) };
+        self.listed[n] = ListEntry {
+            listed,
+            started_at: started_at.max(self.listed[n].started_at),
+        };
         self.listed_at[n] = now;
-        let scope =
-            [UpdateScope::Update, UpdateScope::Replace, UpdateScope::Unavailable][self.random.usize(0..3)];
+        let scope = [
+            UpdateScope::Update,
+            UpdateScope::Replace,
+            UpdateScope::Unavailable,
+        ][self.random.usize(0..3)];
         let remaining = (0..NODES).filter(|index| self.listed[*index].listed != Listed::Removed);
         let nodes = match scope {
             UpdateScope::Replace => remaining.map(|index| self.node_info(index)).collect(),
             _ => vec![self.node_info(n)],
         };
         let nodes = if scope == UpdateScope::Unavailable {
-            let actions = self.front.event(Event::Endpoints { scope, nodes: vec![] });
+            let actions = self.front.event(Event::Endpoints {
+                scope,
+                nodes: vec![],
+            });
             self.apply(actions);
             vec![self.node_info(n)]
         } else {
             nodes
         };
-        let scope = if scope == UpdateScope::Unavailable { UpdateScope::Update } else { scope };
+        let scope = if scope == UpdateScope::Unavailable {
+            UpdateScope::Update
+        } else {
+            scope
+        };
         let actions = self.front.event(Event::Endpoints { scope, nodes });
         self.apply(actions);
     }
@@ -217,8 +252,12 @@
     }
 
     fn random_client_leaves(&mut self) {
-        let open: Vec<RequestId> =
-            self.requests.iter().filter(|(_, tracked)| !tracked.answered).map(|(id, _)| *id).collect();
+        let open: Vec<RequestId> = self
+            .requests
+            .iter()
+            .filter(|(_, tracked)| !tracked.answered)
+            .map(|(id, _)| *id)
+            .collect();
         if open.is_empty() {
             return;
         }
@@ -234,19 +273,25 @@
     fn restart(&mut self) {
         let seed = self.random.u64(..);
         let now = self.front.now;
-        self.front.scheduler = Scheduler::new(self.settings.clone(), seed, now).expect("valid settings");
+        self.front.scheduler =
+            Scheduler::new(self.settings.clone(), seed, now).expect("valid settings");
         self.requests.clear();
         self.settles_at.clear();
         self.retries_sent.clear();
         self.requests_received.clear();
         let nodes = (0..NODES).map(|index| self.node_info(index)).collect();
-        let actions = self.front.event(Event::Endpoints { scope: UpdateScope::Restored, nodes });
+        let actions = self.front.event(Event::Endpoints {
+            scope: UpdateScope::Restored,
+            nodes,
+        });
         self.apply(actions);
     }
 
     fn finish_attempt(&mut self, id: RequestId, index: usize) {
         let now = self.front.now;
-        let Some(tracked) = self.requests.get_mut(&id) else { return };
+        let Some(tracked) = self.requests.get_mut(&id) else {
+            return;
+        };
         let attempt = &mut tracked.attempts[index];
         attempt.ended = true;
         let (at, outcome, took) = (attempt.node, attempt.outcome, now - attempt.sent_at);
@@ -257,15 +302,28 @@
         let last = tracked.answered;
         if outcome == Outcome::Served {
             let served = &mut self.served[at];
-            served.last_second.push_back(TimedUnits { at: now, units: tracked.request.units });
+            served.last_second.push_back(TimedUnits {
+                at: now,
+                units: tracked.request.units,
+            });
             served.last_second.retain(|earlier| earlier.at > now - S);
-            served.peak = served.peak.max(served.last_second.iter().map(|earlier| earlier.units).sum());
+            served.peak = served
+                .peak
+                .max(served.last_second.iter().map(|earlier| earlier.units).sum());
         }
-        let settles = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
-        if let (true, ORDERED_CLASS, Some(key)) = (settles, tracked.request.class, tracked.request.key) {
-            self.settles_at.insert(key, now + self.settings.order_settle_time);
+        let settles = matches!(
+            outcome,
+            Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
+        );
+        if let (true, ORDERED_CLASS, Some(key)) =
+            (settles, tracked.request.class, tracked.request.key)
+        {
+            self.settles_at
+                .insert(key, now + self.settings.order_settle_time);
         }
-        let actions = self.front.event(ended(id, index as u32, at, outcome, took, last));
+        let actions = self
+            .front
+            .event(ended(id, index as u32, at, outcome, took, last));
         self.apply(actions);
     }
 
@@ -296,7 +354,10 @@
                 Semantics::Deduplicated => class.group == Group::All,
                 Semantics::AtMostOnce => false,
             };
-            assert!(is_repeatable, "rule 2: request {id} rejected though it may have been executed");
+            assert!(
+                is_repeatable,
+                "rule 2: request {id} rejected though it may have been executed"
+            );
         }
     }
 
@@ -307,18 +368,28 @@
                 tracked.answered || now <= tracked.at + tracked.request.patience + ANSWER_SLACK,
                 "rule 1: request {id} got no answer"
             );
-            assert!(tracked.answers <= 1, "rule 1: request {id} got {} answers", tracked.answers);
+            assert!(
+                tracked.answers <= 1,
+                "rule 1: request {id} got {} answers",
+                tracked.answers
+            );
         }
-        self.requests
-            .retain(|_, tracked| !tracked.answered || tracked.attempts.iter().any(|attempt| !attempt.ended));
+        self.requests.retain(|_, tracked| {
+            !tracked.answered || tracked.attempts.iter().any(|attempt| !attempt.ended)
+        });
     }
 
     fn record_send(&mut self, id: RequestId, at: NodeId) {
         let now = self.front.now;
-        let Some(tracked) = self.requests.get(&id) else { panic!("rule 1: sent for an unknown request") };
+        let Some(tracked) = self.requests.get(&id) else {
+            panic!("rule 1: sent for an unknown request")
+        };
         assert!(!tracked.answered, "rule 1: request {id} sent after its end");
         self.check_semantics(id, at);
-        assert!(self.listed[at].listed == Listed::Up, "rule 3: sent to a server that is not up");
+        assert!(
+            self.listed[at].listed == Listed::Up,
+            "rule 3: sent to a server that is not up"
+        );
         self.check_slow_start(at, self.requests[&id].request.units);
         self.check_limit(id);
         self.check_order(id);
@@ -368,7 +439,10 @@
             );
         }
         if class.semantics == Semantics::AtMostOnce {
-            assert!(tracked.possibly_executed().count() == 0, "rule 2: request {id} may have been executed");
+            assert!(
+                tracked.possibly_executed().count() == 0,
+                "rule 2: request {id} may have been executed"
+            );
         }
         if class.semantics == Semantics::Deduplicated {
             for attempt in tracked.possibly_executed() {
@@ -384,9 +458,15 @@
             }
         }
         if let Some(cell) = tracked.request.cell {
-            assert_eq!(cell as usize, at, "sent to a server that does not hold its data");
+            assert_eq!(
+                cell as usize, at,
+                "sent to a server that does not hold its data"
+            );
         }
-        assert!(tracked.attempts.len() < self.settings.max_attempts as usize, "more attempts than allowed");
+        assert!(
+            tracked.attempts.len() < self.settings.max_attempts as usize,
+            "more attempts than allowed"
+        );
     }
 
     fn check_slow_start(&mut self, at: NodeId, units: f64) {
@@ -399,13 +479,22 @@
             return;
         }
         let since = self.listed_at[at].max(up);
-        let total: f64 = sent.iter().filter(|send| send.at >= since).map(|send| send.units).sum();
-        // The even part of what is always bearable, and what the rule allows of the capacity that the server has shown.
-        let even = self.settings.warmup_units * (1.0 + 3.0 * age) / f64::from(self.settings.initiators);
+        let total: f64 = sent
+            .iter()
+            .filter(|send| send.at >= since)
+            .map(|send| send.units)
+            .sum();
+        // The even part of what is always bearable, and what the rule allows of the capacity that
+        // the server has shown.
+        let even =
+            self.settings.warmup_units * (1.0 + 3.0 * age) / f64::from(self.settings.initiators);
         let shown = self.settings.tip_multiple * (0.25 + 0.75 * age) * self.served[at].peak;
         // The largest request is an allowance for chance.
         let most = even + shown + self.settings.max_units;
-        assert!(total <= most + 1e-9, "rule 4: {total} of {most} units to a starting server");
+        assert!(
+            total <= most + 1e-9,
+            "rule 4: {total} of {most} units to a starting server"
+        );
     }
 
     fn check_limit(&mut self, id: RequestId) {
@@ -415,24 +504,38 @@
             return;
         }
         let now = self.front.now;
-        let full = Bucket { level: plan.limit_burst, updated_at: 100 * S };
-        let bucket = self.limit_buckets.entry(tracked.request.volume).or_insert(full);
+        let full = Bucket {
+            level: plan.limit_burst,
+            updated_at: 100 * S,
+        };
+        let bucket = self
+            .limit_buckets
+            .entry(tracked.request.volume)
+            .or_insert(full);
         let accrued = (now - bucket.updated_at) as f64 / 1e9 * plan.limit_rate;
         bucket.level = (bucket.level + accrued).min(plan.limit_burst) - tracked.request.units;
         bucket.updated_at = now;
         let (volume, level) = (tracked.request.volume, bucket.level);
-        assert!(level >= -1e-6, "rule 5: the bucket of volume {volume} is at {level}");
+        assert!(
+            level >= -1e-6,
+            "rule 5: the bucket of volume {volume} is at {level}"
+        );
     }
 
     fn check_order(&self, id: RequestId) {
         let tracked = &self.requests[&id];
-        let (ORDERED_CLASS, Some(key)) = (tracked.request.class, tracked.request.key) else { return };
+        let (ORDERED_CLASS, Some(key)) = (tracked.request.class, tracked.request.key) else {
+            return;
+        };
         for (other, earlier) in &self.requests {
             let before = earlier.number < tracked.number
                 && earlier.request.class == ORDERED_CLASS
                 && earlier.request.key == Some(key);
             let open = !earlier.answered || earlier.attempts.iter().any(|attempt| !attempt.ended);
-            assert!(!(before && open), "rule 6: {id} sent before {other} is settled");
+            assert!(
+                !(before && open),
+                "rule 6: {id} sent before {other} is settled"
+            );
         }
         let rest = self.settles_at.get(&key).copied().unwrap_or(0);
         assert!(
@@ -442,7 +545,9 @@
     }
 
     fn check_retry_budget(&mut self, id: RequestId) {
-        let Some(budget) = &self.settings.retry_budget else { return };
+        let Some(budget) = &self.settings.retry_budget else {
+            return;
+        };
         if self.requests[&id].attempts.is_empty() {
             return;
         }
@@ -450,7 +555,11 @@
         self.retries_sent.push(now);
         let since = now - budget.window;
         let retries_sent = self.retries_sent.iter().filter(|at| **at >= since).count() as f64;
-        let requests_received = self.requests_received.iter().filter(|at| **at > since).count() as f64;
+        let requests_received = self
+            .requests_received
+            .iter()
+            .filter(|at| **at > since)
+            .count() as f64;
         assert!(
             retries_sent <= budget.base_allowance + budget.ratio * requests_received,
             "rule 7: {retries_sent} retries of {requests_received} requests"
