--- a/crates/model-checker/src/fleet_limits_model/transitions.rs
+++ b/crates/model-checker/src/fleet_limits_model/transitions.rs
@@ -1,8 +1,8 @@
 //! The transitions of the fleet limits model: what each step changes.
 
 use tulipbridge_fleet_limits::{
-    Effect, Event, Heartbeat, Incarnation, Limit, LimitCoordinator, LimitsConfig, Nanos, PeerId, Share,
-    FULL_SHARE,
+    Effect, Event, Heartbeat, Incarnation, Limit, LimitCoordinator, LimitsConfig, Nanos, PeerId,
+    Share, FULL_SHARE,
 };
 
 use super::state::{Link, Message, Process, HEARTBEAT_INTERVAL};
@@ -51,7 +51,11 @@
         };
         let coordinator = LimitCoordinator::new(config, self.last_incarnation, self.now());
         let coordinator = coordinator.expect("the configuration is valid");
-        self.processes[usize::from(front)] = Some(Process { coordinator, stopped: false, share: 0 });
+        self.processes[usize::from(front)] = Some(Process {
+            coordinator,
+            stopped: false,
+            share: 0,
+        });
     }
 
     fn set_stopped(&mut self, front: PeerId, stopped: bool) {
@@ -67,9 +71,11 @@
         self.deliver();
     }
 
-    /// Cuts links and drops what is being sent on them. A delayed message has left its link already.
+    /// Cuts links and drops what is being sent on them. A delayed message has left its link
+    /// already.
     fn cut(&mut self, links: &[Link]) {
-        self.messages.retain(|message| !links.contains(&message.link) || message.rounds_left > 0);
+        self.messages
+            .retain(|message| !links.contains(&message.link) || message.rounds_left > 0);
         self.cut_links.extend(links);
         self.cut_links.sort_unstable();
         self.cut_links.dedup();
@@ -78,7 +84,18 @@
     fn isolate(&mut self, front: PeerId) {
         let others = self.fronts().filter(|other| *other != front);
         let links: Vec<Link> = others
-            .flat_map(|other| [Link { from: front, to: other }, Link { from: other, to: front }])
+            .flat_map(|other| {
+                [
+                    Link {
+                        from: front,
+                        to: other,
+                    },
+                    Link {
+                        from: other,
+                        to: front,
+                    },
+                ]
+            })
             .collect();
         self.cut(&links);
     }
@@ -96,7 +113,13 @@
                 continue;
             }
             if let Some(units) = self.demand(front) {
-                self.feed(front, Event::Demanded { limit: LIMIT, units });
+                self.feed(
+                    front,
+                    Event::Demanded {
+                        limit: LIMIT,
+                        units,
+                    },
+                );
             }
             self.feed(front, Event::HeartbeatDue);
             self.check();
@@ -104,7 +127,8 @@
         }
     }
 
-    /// Units demanded at a front in each round: nearly everything at the first, a little at the last.
+    /// Units demanded at a front in each round: nearly everything at the first, a little at the
+    /// last.
     fn demand(&self, front: PeerId) -> Option<f64> {
         if front == 0 {
             Some(HIGH_DEMAND)
@@ -115,18 +139,28 @@
         }
     }
 
-    /// Delivers the messages that are not delayed. Those to a stopped process wait until it continues.
+    /// Delivers the messages that are not delayed. Those to a stopped process wait until it
+    /// continues.
     fn deliver(&mut self) {
         let mut index = 0;
         while index < self.messages.len() {
-            let Message { link, rounds_left, .. } = self.messages[index];
+            let Message {
+                link, rounds_left, ..
+            } = self.messages[index];
             if rounds_left > 0 || self.process(link.to).is_some_and(|process| process.stopped) {
                 index += 1;
                 continue;
             }
-            let Message { incarnation, heartbeat, .. } = self.messages.remove(index);
-            let received =
-                Event::HeartbeatReceived { from: link.from, incarnation, heartbeat: Box::new(heartbeat) };
+            let Message {
+                incarnation,
+                heartbeat,
+                ..
+            } = self.messages.remove(index);
+            let received = Event::HeartbeatReceived {
+                from: link.from,
+                incarnation,
+                heartbeat: Box::new(heartbeat),
+            };
             self.feed(link.to, received);
             self.check();
         }
@@ -135,7 +169,9 @@
     /// Passes an event to the coordinator of a front and carries out the effects.
     fn feed(&mut self, front: PeerId, event: Event) {
         let now = self.now();
-        let Some(process) = &mut self.processes[usize::from(front)] else { return };
+        let Some(process) = &mut self.processes[usize::from(front)] else {
+            return;
+        };
         let mut effects = Vec::new();
         process.coordinator.on(now, event, &mut effects);
         let incarnation = process.coordinator.incarnation();
@@ -162,12 +198,20 @@
         if self.cut_links.contains(&link) {
             return;
         }
-        let delayed = self.delayed_links.iter().position(|delayed| *delayed == link);
+        let delayed = self
+            .delayed_links
+            .iter()
+            .position(|delayed| *delayed == link);
         if let Some(index) = delayed {
             self.delayed_links.remove(index);
         }
         let rounds_left = if delayed.is_some() { DELAY_ROUNDS } else { 0 };
-        self.messages.push(Message { link, incarnation, heartbeat, rounds_left });
+        self.messages.push(Message {
+            link,
+            incarnation,
+            heartbeat,
+            rounds_left,
+        });
     }
 
     /// Lets every running front drop what has expired, and checks the sum of the shares in use.
@@ -179,7 +223,9 @@
             if running.is_some_and(|process| now >= process.coordinator.next_expiry()) {
                 self.feed(front, Event::Poll);
             }
-            sum += self.running_process(front).map_or(0, |process| process.share);
+            sum += self
+                .running_process(front)
+                .map_or(0, |process| process.share);
         }
         self.violations.shared_limit_exceeded |= sum > FULL_SHARE;
     }
--- a/crates/model-checker/src/history.rs
+++ b/crates/model-checker/src/history.rs
@@ -1,8 +1,8 @@
 //! Histories of a model as text files: written step by step, replayed, and minimized.
 //!
-//! A history file starts with a format line and the name of the configuration, lists the violated properties, and then
-//! one step a line. Replaying matches each line against the texts of the enabled steps, so these texts are part of the
-//! format.
+//! A history file starts with a format line and the name of the configuration, lists the violated
+//! properties, and then one step a line. Replaying matches each line against the texts of the
+//! enabled steps, so these texts are part of the format.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -17,8 +17,8 @@
 /// Longest part of an unexpected line that an error quotes, in characters.
 const MAX_QUOTED_CHARS: usize = 60;
 
-/// The steps of one configuration, from its initial state. The names of its serialized fields are part of the report
-/// format.
+/// The steps of one configuration, from its initial state. The names of its serialized fields are
+/// part of the report format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct History {
     /// Name of the configuration.
@@ -78,7 +78,10 @@
         }
         History {
             config: model.summary().name.to_owned(),
-            violated: M::violated_properties(&state).into_iter().map(str::to_owned).collect(),
+            violated: M::violated_properties(&state)
+                .into_iter()
+                .map(str::to_owned)
+                .collect(),
             steps: steps.iter().map(M::Step::to_string).collect(),
         }
     }
@@ -88,19 +91,31 @@
     /// # Errors
     /// If the file cannot be read, has another format, or names no known configuration.
     pub fn read(path: &Path) -> Result<(Config, History), HistoryError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|source| HistoryError::Read { path: path.to_owned(), source })?;
+        let text = std::fs::read_to_string(path).map_err(|source| HistoryError::Read {
+            path: path.to_owned(),
+            source,
+        })?;
         let mut lines = text.lines();
         let format_line = lines.next().unwrap_or_default();
         if format_line != FORMAT_LINE {
-            return Err(HistoryError::UnknownFormat { path: path.to_owned(), found: quoted(format_line) });
+            return Err(HistoryError::UnknownFormat {
+                path: path.to_owned(),
+                found: quoted(format_line),
+            });
         }
         let config_line = lines.next().unwrap_or_default();
-        let config = config_line.strip_prefix("config ").and_then(configs::named).ok_or_else(|| {
-            HistoryError::UnknownConfig { path: path.to_owned(), found: quoted(config_line) }
-        })?;
-        let mut history =
-            History { config: config.summary().name.to_owned(), violated: Vec::new(), steps: Vec::new() };
+        let config = config_line
+            .strip_prefix("config ")
+            .and_then(configs::named)
+            .ok_or_else(|| HistoryError::UnknownConfig {
+                path: path.to_owned(),
+                found: quoted(config_line),
+            })?;
+        let mut history = History {
+            config: config.summary().name.to_owned(),
+            violated: Vec::new(),
+            steps: Vec::new(),
+        };
         for line in lines.map(str::trim).filter(|line| !line.is_empty()) {
             match line.strip_prefix("breaks ") {
                 Some(property) => history.violated.push(property.to_owned()),
@@ -110,8 +125,8 @@
         Ok((config, history))
     }
 
-    /// Replays the steps and returns the last state. `on_step` is called after each step with its text and the names of
-    /// the properties violated so far.
+    /// Replays the steps and returns the last state. `on_step` is called after each step with its
+    /// text and the names of the properties violated so far.
     ///
     /// # Errors
     /// If a step is not enabled in the state before it.
@@ -125,13 +140,14 @@
         for (index, text) in self.steps.iter().enumerate() {
             enabled.clear();
             model.enabled_steps(&state, &mut enabled);
-            let step = enabled.iter().find(|step| step.to_string() == *text).ok_or_else(|| {
-                HistoryError::StepNotEnabled {
+            let step = enabled
+                .iter()
+                .find(|step| step.to_string() == *text)
+                .ok_or_else(|| HistoryError::StepNotEnabled {
                     number: index + 1,
                     found: text.clone(),
                     enabled: enabled.len(),
-                }
-            })?;
+                })?;
             state = model.apply(&state, step);
             on_step(text, &M::violated_properties(&state));
         }
@@ -156,16 +172,21 @@
 
 /// Removes steps that are not needed to reach a state that satisfies `is_goal`.
 ///
-/// Removes parts of the history, halving their length down to single steps, as long as what remains still reaches such
-/// a state.
-pub fn minimize<M: Model>(model: &M, steps: &[M::Step], is_goal: impl Fn(&M::State) -> bool) -> Vec<M::Step> {
+/// Removes parts of the history, halving their length down to single steps, as long as what remains
+/// still reaches such a state.
+pub fn minimize<M: Model>(
+    model: &M,
+    steps: &[M::Step],
+    is_goal: impl Fn(&M::State) -> bool,
+) -> Vec<M::Step> {
     let mut remaining = steps_to_goal(model, steps, &is_goal).unwrap_or_else(|| steps.to_vec());
     let mut part_len = remaining.len().max(1) / 2;
     while part_len > 0 {
         let mut start = 0;
         while start < remaining.len() {
             let rest = &remaining[(start + part_len).min(remaining.len())..];
-            let without_part: Vec<M::Step> = remaining[..start].iter().chain(rest).cloned().collect();
+            let without_part: Vec<M::Step> =
+                remaining[..start].iter().chain(rest).cloned().collect();
             match steps_to_goal(model, &without_part, &is_goal) {
                 Some(shorter) => remaining = shorter,
                 None => start += part_len,
@@ -176,7 +197,8 @@
     remaining
 }
 
-/// Takes those of the steps that are enabled when their turn comes, and returns them once they reach a goal state.
+/// Takes those of the steps that are enabled when their turn comes, and returns them once they
+/// reach a goal state.
 fn steps_to_goal<M: Model>(
     model: &M,
     steps: &[M::Step],
--- a/crates/model-checker/src/model.rs
+++ b/crates/model-checker/src/model.rs
@@ -1,5 +1,6 @@
-//! The interface between a model and the tools that explore it: an initial state, the steps that are enabled in a
-//! state, the transition that a step makes, and the properties that a state violates.
+//! The interface between a model and the tools that explore it: an initial state, the steps that
+//! are enabled in a state, the transition that a step makes, and the properties that a state
+//! violates.
 
 use std::fmt::{Debug, Display};
 use std::hash::Hash;
@@ -19,8 +20,9 @@
 
 /// A transition system that can be explored.
 ///
-/// Models are deterministic: the same step applied to the same state always leads to the same state, and steps are
-/// generated in a fixed order. Searches, random walks and stored histories depend on that.
+/// Models are deterministic: the same step applied to the same state always leads to the same
+/// state, and steps are generated in a fixed order. Searches, random walks and stored histories
+/// depend on that.
 pub trait Model: Clone + Send + Sync + 'static {
     /// A state. Two states with the same hash are treated as one.
     type State: Clone + Debug + Hash + Send + Sync + 'static;
@@ -49,10 +51,13 @@
         }
     }
 
-    /// Names of the properties that were violated on the way to a state, in the order of [`properties::ALL`].
+    /// Names of the properties that were violated on the way to a state, in the order of
+    /// [`properties::ALL`].
     fn violated_properties(state: &Self::State) -> Vec<&'static str> {
         let violations = Self::violations(state);
-        let violated = properties::ALL.iter().filter(|property| (property.is_violated)(violations));
+        let violated = properties::ALL
+            .iter()
+            .filter(|property| (property.is_violated)(violations));
         violated.map(|property| property.name).collect()
     }
 }
--- a/crates/model-checker/src/policy.rs
+++ b/crates/model-checker/src/policy.rs
@@ -1,4 +1,5 @@
-//! The policy that makes a model's decisions: the scheduler that ships, or every decision that the rules allow.
+//! The policy that makes a model's decisions: the scheduler that ships, or every decision that the
+//! rules allow.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -41,8 +42,10 @@
 impl KnownRequest {
     /// Records that an attempt ended while the request goes on.
     fn attempt_ended(&mut self, outcome: Outcome) {
-        let proves_not_executed =
-            matches!(outcome, Outcome::Rejected | Outcome::NotExecuted | Outcome::NotSent);
+        let proves_not_executed = matches!(
+            outcome,
+            Outcome::Rejected | Outcome::NotExecuted | Outcome::NotSent
+        );
         self.may_have_run |= !proves_not_executed;
     }
 }
@@ -51,7 +54,8 @@
     /// The policy of a front that starts at `now`.
     ///
     /// # Panics
-    /// If the scheduler rejects the settings. Those of every configuration are valid; a test constructs them all.
+    /// If the scheduler rejects the settings. Those of every configuration are valid; a test
+    /// constructs them all.
     pub fn new(kind: PolicyKind, settings: &Settings, now: Nanos) -> PolicyUnderTest {
         match kind {
             PolicyKind::Unrestricted => PolicyUnderTest::Unrestricted(BTreeMap::new()),
@@ -102,13 +106,21 @@
 fn record_event(known: &mut BTreeMap<RequestId, KnownRequest>, event: Event) {
     match event {
         Event::Request(request) => {
-            known.insert(request.id, KnownRequest { class: request.class, may_have_run: false });
+            known.insert(
+                request.id,
+                KnownRequest {
+                    class: request.class,
+                    may_have_run: false,
+                },
+            );
         }
         Event::ClientGone(id) | Event::AttemptEnded { id, last: true, .. } => {
             known.remove(&id);
         }
         Event::AttemptEnded { id, outcome, .. } => {
-            known.entry(id).and_modify(|request| request.attempt_ended(outcome));
+            known
+                .entry(id)
+                .and_modify(|request| request.attempt_ended(outcome));
         }
         _ => {}
     }
--- a/crates/model-checker/src/properties.rs
+++ b/crates/model-checker/src/properties.rs
@@ -1,4 +1,5 @@
-//! The properties that must hold in every state, each with a stable name and the rule it comes from.
+//! The properties that must hold in every state, each with a stable name and the rule it comes
+//! from.
 
 /// A property that must hold in every state.
 #[derive(Clone, Copy, Debug)]
--- a/crates/model-checker/src/recovery.rs
+++ b/crates/model-checker/src/recovery.rs
@@ -1,6 +1,9 @@
-//! Whether the scheduler recovers: after a history, good responses must bring it back to normal operation.
+//! Whether the scheduler recovers: after a history, good responses must bring it back to normal
+//! operation.
 
-use tulipbridge_core::{Action, CellId, Event, Nanos, NodeId, Outcome, Request, RequestId, Scheduler};
+use tulipbridge_core::{
+    Action, CellId, Event, Nanos, NodeId, Outcome, Request, RequestId, Scheduler,
+};
 
 use crate::time::MS;
 
@@ -26,8 +29,8 @@
     sent_at: Nanos,
 }
 
-/// Whether a scheduler at rest has recovered after [`RECOVERY_TIME`] of reads that are all served within a tick: from
-/// then on it must send each read at once, without queueing or rejecting it.
+/// Whether a scheduler at rest has recovered after [`RECOVERY_TIME`] of reads that are all served
+/// within a tick: from then on it must send each read at once, without queueing or rejecting it.
 pub fn recovers(mut scheduler: Scheduler, mut now: Nanos, cells: &[CellId]) -> bool {
     let started_at = now;
     let mut last_id = FIRST_ID;
@@ -39,7 +42,11 @@
             scheduler.handle(now, served(&attempt, now), &mut actions);
         }
         scheduler.handle(now, Event::Timer(TIMER_COOKIE), &mut actions);
-        let cells_to_read = if tick % TICKS_BETWEEN_READS == 0 { cells } else { &[] };
+        let cells_to_read = if tick % TICKS_BETWEEN_READS == 0 {
+            cells
+        } else {
+            &[]
+        };
         for &cell in cells_to_read {
             last_id += 1;
             let actions_before = actions.len();
@@ -51,7 +58,11 @@
         }
         for action in actions.drain(..) {
             if let Action::Send { id, node, .. } = action {
-                in_flight.push(SentAttempt { id, node, sent_at: now });
+                in_flight.push(SentAttempt {
+                    id,
+                    node,
+                    sent_at: now,
+                });
             }
         }
     }
@@ -59,7 +70,9 @@
 }
 
 fn is_sent(id: RequestId, actions: &[Action]) -> bool {
-    actions.iter().any(|action| matches!(action, Action::Send { id: sent, .. } if *sent == id))
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Send { id: sent, .. } if *sent == id))
 }
 
 fn read(id: RequestId, cell: CellId) -> Request {
--- a/crates/model-checker/src/request_model/attempts.rs
+++ b/crates/model-checker/src/request_model/attempts.rs
@@ -11,14 +11,26 @@
 
 impl State {
     /// Passes an event to the machine of an attempt and does what it asks for.
-    pub(super) fn drive_attempt(&mut self, model: &RequestModel, key: AttemptKey, event: AttemptEvent) {
-        let Some(attempt) = self.attempts.get_mut(&key) else { return };
+    pub(super) fn drive_attempt(
+        &mut self,
+        model: &RequestModel,
+        key: AttemptKey,
+        event: AttemptEvent,
+    ) {
+        let Some(attempt) = self.attempts.get_mut(&key) else {
+            return;
+        };
         let next = attempt.machine.on(event);
         self.run_attempt(model, key, next);
     }
 
     /// Does what the machine of an attempt asks for, until it has to wait.
-    pub(super) fn run_attempt(&mut self, model: &RequestModel, key: AttemptKey, mut next: AttemptStep) {
+    pub(super) fn run_attempt(
+        &mut self,
+        model: &RequestModel,
+        key: AttemptKey,
+        mut next: AttemptStep,
+    ) {
         loop {
             match next {
                 AttemptStep::AcquireConnection => match self.acquire_connection(key) {
@@ -38,14 +50,17 @@
         attempt.connection = None;
         let node = attempt.node;
         let connections = &self.connections;
-        let is_reusable = |id: &ConnectionId| connections.get(id).is_some_and(Connection::is_reusable);
+        let is_reusable =
+            |id: &ConnectionId| connections.get(id).is_some_and(Connection::is_reusable);
         let (found, unusable) = self.pool.take(node, self.now, is_reusable);
         for id in unusable {
             self.close(id);
         }
         let event = match found {
             Some(_) => AttemptEvent::PooledConnectionFound,
-            None => AttemptEvent::NoPooledConnection { may_open: self.ensure_capacity(node) },
+            None => AttemptEvent::NoPooledConnection {
+                may_open: self.ensure_capacity(node),
+            },
         };
         let attempt = self.attempts.get_mut(&key)?;
         attempt.connection = found;
@@ -68,9 +83,14 @@
     }
 
     fn dial(&mut self, model: &RequestModel, key: AttemptKey) {
-        let Some(attempt) = self.attempts.get_mut(&key) else { return };
-        // The lowest free number, so that histories that differ only in numbers lead to the same state.
-        let id = (0..).find(|id| !self.connections.contains_key(id)).unwrap_or_default();
+        let Some(attempt) = self.attempts.get_mut(&key) else {
+            return;
+        };
+        // The lowest free number, so that histories that differ only in numbers lead to the same
+        // state.
+        let id = (0..)
+            .find(|id| !self.connections.contains_key(id))
+            .unwrap_or_default();
         attempt.connection = Some(id);
         let node = attempt.node;
         let connection = Connection {
@@ -90,14 +110,20 @@
 
     /// Hands the request over to the connection of its attempt.
     fn assign_request(&mut self, model: &RequestModel, key: AttemptKey) {
-        let id = self.attempts.get(&key).and_then(|attempt| attempt.connection);
-        let Some(connection) = id.and_then(|id| self.connections.get_mut(&id)) else { return };
+        let id = self
+            .attempts
+            .get(&key)
+            .and_then(|attempt| attempt.connection);
+        let Some(connection) = id.and_then(|id| self.connections.get_mut(&id)) else {
+            return;
+        };
         let is_reused = connection.attempt.is_none();
         connection.machine.on(ConnectionEvent::RequestAssigned);
         connection.written = Written::Nothing;
         connection.attempt = Some(key);
         let is_stale = self.now - connection.since >= model.idle_timeout;
-        let address_changed = Some(connection.address_epoch) != self.pool.address_epoch(connection.node);
+        let address_changed =
+            Some(connection.address_epoch) != self.pool.address_epoch(connection.node);
         self.violations.stale_connection_reused |= is_reused && is_stale;
         self.violations.old_address_reused |= is_reused && address_changed;
     }
@@ -111,14 +137,20 @@
 
     /// Removes an attempt and closes its connection.
     pub(super) fn drop_attempt(&mut self, key: AttemptKey) {
-        if let Some(connection) = self.attempts.remove(&key).and_then(|attempt| attempt.connection) {
+        if let Some(connection) = self
+            .attempts
+            .remove(&key)
+            .and_then(|attempt| attempt.connection)
+        {
             self.close(connection);
         }
     }
 
     /// Ends a withdrawn attempt that has not begun.
     pub(super) fn withdraw_attempt(&mut self, model: &RequestModel, key: AttemptKey) {
-        let Some(attempt) = self.attempts.get_mut(&key) else { return };
+        let Some(attempt) = self.attempts.get_mut(&key) else {
+            return;
+        };
         let outcome = attempt.withdrawn.unwrap_or(Outcome::NotSent);
         if let Some(connection) = attempt.connection.take() {
             self.close(connection);
--- a/crates/model-checker/src/request_model/checks.rs
+++ b/crates/model-checker/src/request_model/checks.rs
@@ -39,15 +39,19 @@
         self.violations.sent_to_draining_node |= node.listed != Listed::Up;
         self.violations.node_forgotten_in_use |= node.forgotten;
         let request = self.tracker.requests().get(&id);
-        let (started, in_flight) =
-            request.map_or((0, 0), |request| (request.attempts_started, request.in_flight.len()));
+        let (started, in_flight) = request.map_or((0, 0), |request| {
+            (request.attempts_started, request.in_flight.len())
+        });
         let max_in_flight = if model.settings.hedging { 2 } else { 1 };
         let too_many = started > model.settings.max_attempts || in_flight > max_in_flight;
         self.violations.too_many_attempts |= too_many;
         let client_waits = self.clients.iter().any(|client| client.waits_for(id));
         self.violations.sent_without_client |= !client_waits;
         let outlives = |client: &ClientState| match client {
-            ClientState::Waiting { id: waiting, deadline } => *waiting == id && *deadline < attempt_deadline,
+            ClientState::Waiting {
+                id: waiting,
+                deadline,
+            } => *waiting == id && *deadline < attempt_deadline,
             _ => false,
         };
         self.violations.attempt_outlives_client |= self.clients.iter().any(outlives);
@@ -66,12 +70,17 @@
             self.violations.foreign_answer |= origin != ResponseOrigin::Client(client);
         }
         if model.is_at_most_once(client) && matches!(answer, FinalAnswer::Rejected(_)) {
-            let may_run = self.server_work.iter().any(|work| work.client == client && !work.executed);
-            let is_being_written = self
-                .connections
-                .values()
-                .any(|connection| connection.attempt.is_some_and(|attempt| attempt.request == id));
-            self.violations.unsafe_rejection |= self.executions[client] > 0 || may_run || is_being_written;
+            let may_run = self
+                .server_work
+                .iter()
+                .any(|work| work.client == client && !work.executed);
+            let is_being_written = self.connections.values().any(|connection| {
+                connection
+                    .attempt
+                    .is_some_and(|attempt| attempt.request == id)
+            });
+            self.violations.unsafe_rejection |=
+                self.executions[client] > 0 || may_run || is_being_written;
         }
     }
 
@@ -80,7 +89,10 @@
             if !model.is_at_most_once(client) {
                 continue;
             }
-            let is_rejected = matches!(self.clients[client], ClientState::Answered(FinalAnswer::Rejected(_)));
+            let is_rejected = matches!(
+                self.clients[client],
+                ClientState::Answered(FinalAnswer::Rejected(_))
+            );
             self.violations.submit_executed_twice |= *executions > 1;
             self.violations.unsafe_rejection |= *executions > 0 && is_rejected;
         }
@@ -97,20 +109,27 @@
     }
 
     fn check_attempts(&mut self) {
-        let tracked = self
-            .tracker
-            .requests()
-            .iter()
-            .flat_map(|(id, request)| request.in_flight.iter().map(|attempt| (*id, attempt.attempt)));
+        let tracked = self.tracker.requests().iter().flat_map(|(id, request)| {
+            request
+                .in_flight
+                .iter()
+                .map(|attempt| (*id, attempt.attempt))
+        });
         let in_flight = self.attempts.keys().map(|key| (key.request, key.attempt));
         self.violations.untracked_attempt |= !tracked.eq(in_flight);
-        let to_forgotten_node = self.pool.idle_connections().any(|(node, _)| self.nodes[node].forgotten);
+        let to_forgotten_node = self
+            .pool
+            .idle_connections()
+            .any(|(node, _)| self.nodes[node].forgotten);
         self.violations.node_forgotten_in_use |= to_forgotten_node;
     }
 
     /// Checks that nothing is left over once no client waits and no attempt is in flight.
     fn check_rest(&mut self) {
-        let in_use = self.connections.values().any(|connection| connection.attempt.is_some());
+        let in_use = self
+            .connections
+            .values()
+            .any(|connection| connection.attempt.is_some());
         let outside_pool = self.pool.idle_connections().count() != self.connections.len();
         let tracker_is_empty = self.tracker.requests().is_empty();
         let policy_is_at_rest = self.tracker.decisions().is_at_rest();
@@ -125,7 +144,12 @@
             return;
         }
         let is_warm = |node: &&NodeState| node.listed == Listed::Up && node.started_at == 0;
-        let cells: Vec<CellId> = self.nodes.iter().filter(is_warm).map(|node| node.cell).collect();
+        let cells: Vec<CellId> = self
+            .nodes
+            .iter()
+            .filter(is_warm)
+            .map(|node| node.cell)
+            .collect();
         self.violations.does_not_recover |= !self.tracker.decisions().recovers(self.now, &cells);
     }
 }
--- a/crates/model-checker/src/request_model/connections.rs
+++ b/crates/model-checker/src/request_model/connections.rs
@@ -17,20 +17,34 @@
 }
 
 impl State {
-    /// Removes a connection that the front closes or that is lost. The server may still execute what it has received.
+    /// Removes a connection that the front closes or that is lost. The server may still execute
+    /// what it has received.
     pub(super) fn close(&mut self, id: ConnectionId) {
         self.connections.remove(&id);
-        for work in self.server_work.iter_mut().filter(|work| work.connection == id) {
+        for work in self
+            .server_work
+            .iter_mut()
+            .filter(|work| work.connection == id)
+        {
             work.orphaned = true;
             work.connection = CLOSED_CONNECTION;
         }
         self.server_work.sort_unstable();
-        self.server_work.retain(|work| !(work.orphaned && work.executed));
+        self.server_work
+            .retain(|work| !(work.orphaned && work.executed));
     }
 
     /// Closes a connection and passes the event to its attempt.
-    pub(super) fn end_connection(&mut self, model: &RequestModel, id: ConnectionId, event: AttemptEvent) {
-        let attempt = self.connections.get(&id).and_then(|connection| connection.attempt);
+    pub(super) fn end_connection(
+        &mut self,
+        model: &RequestModel,
+        id: ConnectionId,
+        event: AttemptEvent,
+    ) {
+        let attempt = self
+            .connections
+            .get(&id)
+            .and_then(|connection| connection.attempt);
         self.close(id);
         if let Some(attempt) = attempt {
             self.drive_attempt(model, attempt, event);
@@ -49,17 +63,26 @@
         let connection = self.connections.get(&id)?;
         let execution = connection.machine.execution();
         let fully_written = connection.written == Written::All;
-        self.violations.wrong_execution_state |= (execution == Execution::MayHaveRun) != fully_written;
+        self.violations.wrong_execution_state |=
+            (execution == Execution::MayHaveRun) != fully_written;
         Some(execution)
     }
 
     /// The front looks at the socket and writes a part of the request, or with `last` all the rest.
     pub(super) fn write(&mut self, model: &RequestModel, id: ConnectionId, last: bool) {
-        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
         let attempt = connection.attempt.and_then(|key| self.attempts.get(&key));
-        let withdrawn =
-            attempt.and_then(|attempt| attempt.withdrawn.or(attempt.cancelled.then_some(Outcome::Cancelled)));
-        if connection.machine.may_write(connection.unsolicited_bytes, withdrawn.is_some()) {
+        let withdrawn = attempt.and_then(|attempt| {
+            attempt
+                .withdrawn
+                .or(attempt.cancelled.then_some(Outcome::Cancelled))
+        });
+        if connection
+            .machine
+            .may_write(connection.unsolicited_bytes, withdrawn.is_some())
+        {
             self.write_bytes(id, last);
         } else {
             self.abandon_write(model, id, withdrawn);
@@ -67,8 +90,15 @@
     }
 
     /// Ends a connection that must not be written to.
-    fn abandon_write(&mut self, model: &RequestModel, id: ConnectionId, withdrawn: Option<Outcome>) {
-        let Some(execution) = self.checked_execution(id) else { return };
+    fn abandon_write(
+        &mut self,
+        model: &RequestModel,
+        id: ConnectionId,
+        withdrawn: Option<Outcome>,
+    ) {
+        let Some(execution) = self.checked_execution(id) else {
+            return;
+        };
         let event = match withdrawn {
             Some(outcome) if execution == Execution::NotStarted => AttemptEvent::Withdrawn(outcome),
             _ => AttemptEvent::ConnectionBroke(execution),
@@ -77,14 +107,23 @@
     }
 
     fn write_bytes(&mut self, id: ConnectionId, last: bool) {
-        let Some(connection) = self.connections.get_mut(&id) else { return };
-        let Some(key) = connection.attempt else { return };
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        let Some(key) = connection.attempt else {
+            return;
+        };
         let is_first_write = connection.written == Written::Nothing;
         connection.written = if last { Written::All } else { Written::Part };
-        connection.machine.on(ConnectionEvent::BytesWritten { last });
+        connection
+            .machine
+            .on(ConnectionEvent::BytesWritten { last });
         let node = connection.node;
         if is_first_write {
-            let client_waits = self.clients.iter().any(|client| client.waits_for(key.request));
+            let client_waits = self
+                .clients
+                .iter()
+                .any(|client| client.waits_for(key.request));
             self.violations.sent_without_client |= !client_waits;
             self.violations.sent_to_draining_node |= self.nodes[node].listed != Listed::Up;
             self.count_connection_written(key);
@@ -105,31 +144,54 @@
     fn server_receives(&mut self, key: AttemptKey, connection: ConnectionId) {
         if let Some(client) = self.client_of(key.request) {
             let attempt = key.attempt;
-            let work = ServerWork { client, attempt, connection, executed: false, orphaned: false };
+            let work = ServerWork {
+                client,
+                attempt,
+                connection,
+                executed: false,
+                orphaned: false,
+            };
             self.server_work.push(work);
             self.server_work.sort_unstable();
         }
     }
 
     /// A complete response arrives, with which the attempt ends in `outcome`.
-    pub(super) fn response_arrives(&mut self, model: &RequestModel, index: usize, outcome: Outcome) {
+    pub(super) fn response_arrives(
+        &mut self,
+        model: &RequestModel,
+        index: usize,
+        outcome: Outcome,
+    ) {
         let work = self.server_work.remove(index);
-        let Some(connection) = self.connections.get_mut(&work.connection) else { return };
+        let Some(connection) = self.connections.get_mut(&work.connection) else {
+            return;
+        };
         connection.machine.on(ConnectionEvent::BytesReceived);
-        self.read_response(model, work.connection, outcome, ResponseOrigin::Client(work.client));
+        self.read_response(
+            model,
+            work.connection,
+            outcome,
+            ResponseOrigin::Client(work.client),
+        );
     }
 
-    /// A response arrives that cannot be parsed: the connection is closed, and the request may have run.
+    /// A response arrives that cannot be parsed: the connection is closed, and the request may have
+    /// run.
     pub(super) fn unreadable_response(&mut self, model: &RequestModel, index: usize) {
         let work = self.server_work.remove(index);
-        let Some(connection) = self.connections.get_mut(&work.connection) else { return };
+        let Some(connection) = self.connections.get_mut(&work.connection) else {
+            return;
+        };
         connection.machine.on(ConnectionEvent::BytesReceived);
         self.break_connection(model, work.connection);
     }
 
     /// The front reads bytes that are no response to any request, but may take them for one.
     pub(super) fn read_unsolicited_bytes(&mut self, model: &RequestModel, id: ConnectionId) {
-        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
         connection.unsolicited_bytes = false;
         connection.machine.on(ConnectionEvent::BytesReceived);
         self.read_response(model, id, Outcome::Served, ResponseOrigin::Unsolicited);
@@ -143,8 +205,12 @@
         outcome: Outcome,
         origin: ResponseOrigin,
     ) {
-        let Some(connection) = self.connections.get_mut(&id) else { return };
-        let Some(key) = connection.attempt else { return };
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        let Some(key) = connection.attempt else {
+            return;
+        };
         if !connection.machine.is_reading_response() {
             self.break_connection(model, id);
             return;
@@ -160,11 +226,20 @@
         self.feed_from(model, attempt_ended(key, outcome), origin);
     }
 
-    /// Returns a connection to the pool, which may not keep it. Whether bytes wait on it is checked when it is taken.
+    /// Returns a connection to the pool, which may not keep it. Whether bytes wait on it is checked
+    /// when it is taken.
     fn release_connection(&mut self, id: ConnectionId) {
-        let Some(connection) = self.connections.get(&id) else { return };
+        let Some(connection) = self.connections.get(&id) else {
+            return;
+        };
         let is_idle = connection.machine == ServerConnection::Idle;
-        let rejected = self.pool.release(connection.node, connection.address_epoch, id, self.now, is_idle);
+        let rejected = self.pool.release(
+            connection.node,
+            connection.address_epoch,
+            id,
+            self.now,
+            is_idle,
+        );
         if let Some(id) = rejected {
             self.close(id);
         }
--- a/crates/model-checker/src/request_model/effects.rs
+++ b/crates/model-checker/src/request_model/effects.rs
@@ -1,4 +1,5 @@
-//! Carrying out the effects of the request tracker, in the place of the asynchronous code of the front.
+//! Carrying out the effects of the request tracker, in the place of the asynchronous code of the
+//! front.
 
 use tulipbridge_core::attempt::AttemptStep;
 use tulipbridge_core::request_tracker::{Effect, FinalAnswer};
@@ -28,21 +29,52 @@
     ) {
         for effect in effects {
             match effect {
-                Effect::Send { id, attempt, node, deadline, .. } => {
-                    self.start_attempt(model, AttemptKey { request: id, attempt }, node, deadline);
+                Effect::Send {
+                    id,
+                    attempt,
+                    node,
+                    deadline,
+                    ..
+                } => {
+                    self.start_attempt(
+                        model,
+                        AttemptKey {
+                            request: id,
+                            attempt,
+                        },
+                        node,
+                        deadline,
+                    );
                 }
                 Effect::Cancel { id, attempt } => {
-                    let key = AttemptKey { request: id, attempt };
-                    self.attempts.entry(key).and_modify(|attempt| attempt.cancelled = true);
+                    let key = AttemptKey {
+                        request: id,
+                        attempt,
+                    };
+                    self.attempts
+                        .entry(key)
+                        .and_modify(|attempt| attempt.cancelled = true);
                 }
-                Effect::Withdraw { id, attempt, outcome } => {
-                    let key = AttemptKey { request: id, attempt };
-                    self.attempts.entry(key).and_modify(|attempt| attempt.withdrawn = Some(outcome));
+                Effect::Withdraw {
+                    id,
+                    attempt,
+                    outcome,
+                } => {
+                    let key = AttemptKey {
+                        request: id,
+                        attempt,
+                    };
+                    self.attempts
+                        .entry(key)
+                        .and_modify(|attempt| attempt.withdrawn = Some(outcome));
                 }
                 Effect::Answer { id, answer } => self.answer_client(model, id, answer, origin),
                 Effect::SetTimer { after, cookie } => {
                     self.timers.retain(|timer| timer.cookie != cookie);
-                    self.timers.push(Timer { due: self.now + after, cookie });
+                    self.timers.push(Timer {
+                        due: self.now + after,
+                        cookie,
+                    });
                 }
                 Effect::ForgetNode(node) => self.forget_node(node),
                 Effect::Release(_) | Effect::Log { .. } | Effect::Subscribe => {}
@@ -50,7 +82,13 @@
         }
     }
 
-    fn start_attempt(&mut self, model: &RequestModel, key: AttemptKey, node: NodeId, deadline: Nanos) {
+    fn start_attempt(
+        &mut self,
+        model: &RequestModel,
+        key: AttemptKey,
+        node: NodeId,
+        deadline: Nanos,
+    ) {
         self.check_send(model, key.request, node, deadline);
         self.attempts.insert(key, ModelAttempt::new(node, deadline));
         self.run_attempt(model, key, AttemptStep::AcquireConnection);
--- a/crates/model-checker/src/request_model/mod.rs
+++ b/crates/model-checker/src/request_model/mod.rs
@@ -1,10 +1,12 @@
 //! A model of one front-end process with its clients, servers, network, endpoint list and clock.
 //!
-//! The state machines in it are those that ship: [`RequestTracker`], [`Attempt`](tulipbridge_core::attempt::Attempt),
-//! [`ServerConnection`](tulipbridge_core::server_connection::ServerConnection) and [`ConnectionPool`], driven either by
-//! the real [`Scheduler`](tulipbridge_core::Scheduler) or by every decision that the rules allow. The model takes the
-//! place of the asynchronous code around them. It also records what the front cannot know: which bytes really went out,
-//! and which requests a server really executed.
+//! The state machines in it are those that ship: [`RequestTracker`],
+//! [`Attempt`](tulipbridge_core::attempt::Attempt),
+//! [`ServerConnection`](tulipbridge_core::server_connection::ServerConnection) and
+//! [`ConnectionPool`], driven either by the real [`Scheduler`](tulipbridge_core::Scheduler) or by
+//! every decision that the rules allow. The model takes the place of the asynchronous code around
+//! them. It also records what the front cannot know: which bytes really went out, and which
+//! requests a server really executed.
 
 mod attempts;
 mod checks;
@@ -105,7 +107,8 @@
     pub faults: &'static [Fault],
     /// Time that passes in [`Step::ClockAdvances`].
     pub clock_step: Nanos,
-    /// Number of clock steps within which requests may arrive. Requests that have arrived are followed to their end.
+    /// Number of clock steps within which requests may arrive. Requests that have arrived are
+    /// followed to their end.
     pub max_clock_steps: u8,
     /// Largest number of connections to servers.
     pub max_connections: usize,
@@ -125,7 +128,12 @@
 
     fn initial_state(&self) -> State {
         let policy = PolicyUnderTest::new(self.policy, &self.settings, START);
-        let new_node = |cell| NodeState { listed: Listed::Up, cell, started_at: 0, forgotten: false };
+        let new_node = |cell| NodeState {
+            listed: Listed::Up,
+            cell,
+            started_at: 0,
+            forgotten: false,
+        };
         let mut state = State {
             now: START,
             clock_steps: 0,
@@ -146,7 +154,13 @@
             state.pool.add(node);
         }
         let nodes = (0..self.nodes).map(|node| state.node_info(node)).collect();
-        state.feed(self, Input::Endpoints { scope: UpdateScope::Restored, nodes });
+        state.feed(
+            self,
+            Input::Endpoints {
+                scope: UpdateScope::Restored,
+                nodes,
+            },
+        );
         state
     }
 
@@ -154,7 +168,8 @@
         self.generate(state, steps);
     }
 
-    /// A panic of the state machines is a violation of its own, and leaves the rest of the state as it was.
+    /// A panic of the state machines is a violation of its own, and leaves the rest of the state as
+    /// it was.
     fn apply(&self, state: &State, step: &Step) -> State {
         let applied = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             let mut next = state.clone();
@@ -182,7 +197,11 @@
 
     /// The request of a client, as the front receives it.
     fn request(&self, client: usize, id: RequestId) -> Request {
-        let ClientRequest { class, cell, timeout } = self.requests[client];
+        let ClientRequest {
+            class,
+            cell,
+            timeout,
+        } = self.requests[client];
         Request {
             id,
             class,
--- a/crates/model-checker/src/request_model/state.rs
+++ b/crates/model-checker/src/request_model/state.rs
@@ -15,7 +15,8 @@
 /// Number of a connection to a server.
 pub(super) type ConnectionId = u32;
 
-/// Stands for the connection of [`ServerWork`] whose connection is closed. It sorts after every open connection.
+/// Stands for the connection of [`ServerWork`] whose connection is closed. It sorts after every
+/// open connection.
 pub(super) const CLOSED_CONNECTION: ConnectionId = ConnectionId::MAX;
 
 /// Identifies an attempt of a request.
@@ -82,7 +83,8 @@
     }
 }
 
-/// A request that a server has received completely. Steps refer to it by its position in sorted order.
+/// A request that a server has received completely. Steps refer to it by its position in sorted
+/// order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct ServerWork {
     pub client: usize,
@@ -158,7 +160,10 @@
 impl State {
     /// Number of clients that have their answer.
     pub fn answered_clients(&self) -> usize {
-        self.clients.iter().filter(|client| matches!(client, ClientState::Answered(_))).count()
+        self.clients
+            .iter()
+            .filter(|client| matches!(client, ClientState::Answered(_)))
+            .count()
     }
 
     /// Whether a client waits, or the front has anything in flight.
@@ -172,7 +177,9 @@
 
     /// The client of a request: identifiers are allocated in the order in which clients send.
     pub(super) fn client_of(&self, id: RequestId) -> Option<usize> {
-        usize::try_from(id).ok().filter(|client| *client < self.clients.len())
+        usize::try_from(id)
+            .ok()
+            .filter(|client| *client < self.clients.len())
     }
 
     /// A node as discovery lists it.
@@ -191,7 +198,13 @@
 impl Hash for State {
     /// Hashes points in time relative to now: what can happen next depends on nothing else.
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        (self.clock_steps, self.faults, self.next_update, self.violations).hash(hasher);
+        (
+            self.clock_steps,
+            self.faults,
+            self.next_update,
+            self.violations,
+        )
+            .hash(hasher);
         self.hash_tracker(hasher);
         for idle in self.pool.idle_connections() {
             idle.hash(hasher);
@@ -219,9 +232,21 @@
 
     fn hash_tracker<H: Hasher>(&self, hasher: &mut H) {
         for (id, request) in self.tracker.requests() {
-            (id, self.age(request.deadline), request.answered, request.attempts_started).hash(hasher);
+            (
+                id,
+                self.age(request.deadline),
+                request.answered,
+                request.attempts_started,
+            )
+                .hash(hasher);
             for attempt in &request.in_flight {
-                (attempt.attempt, attempt.node, self.age(attempt.sent_at), attempt.cancelled).hash(hasher);
+                (
+                    attempt.attempt,
+                    attempt.node,
+                    self.age(attempt.sent_at),
+                    attempt.cancelled,
+                )
+                    .hash(hasher);
             }
         }
         self.tracker.decisions().fingerprint(self.now, hasher);
@@ -230,16 +255,37 @@
     fn hash_connections<H: Hasher>(&self, hasher: &mut H) {
         for (id, connection) in &self.connections {
             let in_use = connection.established && connection.attempt.is_some();
-            let idle_for = if in_use { 0 } else { self.age(connection.since) };
-            (id, connection.machine, connection.node, connection.address_epoch).hash(hasher);
-            (connection.written, connection.closed_by_server, connection.unsolicited_bytes).hash(hasher);
+            let idle_for = if in_use {
+                0
+            } else {
+                self.age(connection.since)
+            };
+            (
+                id,
+                connection.machine,
+                connection.node,
+                connection.address_epoch,
+            )
+                .hash(hasher);
+            (
+                connection.written,
+                connection.closed_by_server,
+                connection.unsolicited_bytes,
+            )
+                .hash(hasher);
             (connection.established, idle_for, connection.attempt).hash(hasher);
         }
     }
 
     fn hash_attempts<H: Hasher>(&self, hasher: &mut H) {
         for (key, attempt) in &self.attempts {
-            (key, attempt.node, self.age(attempt.deadline), attempt.machine).hash(hasher);
+            (
+                key,
+                attempt.node,
+                self.age(attempt.deadline),
+                attempt.machine,
+            )
+                .hash(hasher);
             (attempt.connection, attempt.connections_written).hash(hasher);
             (attempt.cancelled, attempt.withdrawn).hash(hasher);
         }
--- a/crates/model-checker/src/request_model/step.rs
+++ b/crates/model-checker/src/request_model/step.rs
@@ -61,8 +61,8 @@
     Decision(Action),
 }
 
-/// A decision as histories write it. Stored histories are replayed by these texts, so they stay the same whatever the
-/// actions are called in the code.
+/// A decision as histories write it. Stored histories are replayed by these texts, so they stay the
+/// same whatever the actions are called in the code.
 struct DecisionText<'a>(&'a Action);
 
 impl fmt::Display for DecisionText<'_> {
@@ -71,10 +71,16 @@
             Action::Send { id, node, timeout } => {
                 write!(f, "Place {{ id: {id}, node: {node}, patience: {timeout} }}")
             }
-            Action::Cancel { id, attempt } => write!(f, "Cancel {{ id: {id}, attempt: {attempt} }}"),
-            Action::Reject { id, retry_after } => write!(f, "Refuse {{ id: {id}, wait: {retry_after} }}"),
+            Action::Cancel { id, attempt } => {
+                write!(f, "Cancel {{ id: {id}, attempt: {attempt} }}")
+            }
+            Action::Reject { id, retry_after } => {
+                write!(f, "Refuse {{ id: {id}, wait: {retry_after} }}")
+            }
             Action::Fail(id) => write!(f, "Fail({id})"),
-            Action::SetTimer { after, cookie } => write!(f, "Sleep {{ after: {after}, cookie: {cookie} }}"),
+            Action::SetTimer { after, cookie } => {
+                write!(f, "Sleep {{ after: {after}, cookie: {cookie} }}")
+            }
             Action::Subscribe => write!(f, "Subscribe"),
             Action::ForgetNode(node) => write!(f, "Forget({node})"),
             Action::Log { text, node } => write!(f, "Note {{ text: {text:?}, node: {node} }}"),
@@ -90,10 +96,14 @@
             Step::ConnectionEstablished(id) => write!(f, "connection {id} is up"),
             Step::ConnectionRefused(id) => write!(f, "connection {id} is refused"),
             Step::PartWritten(id) => write!(f, "connection {id} takes a part of the request"),
-            Step::LastByteWritten(id) => write!(f, "connection {id} takes the last byte of the request"),
+            Step::LastByteWritten(id) => {
+                write!(f, "connection {id} takes the last byte of the request")
+            }
             Step::ConnectionBreaks(id) => write!(f, "connection {id} breaks"),
             Step::ServerCloses(id) => write!(f, "the node closes connection {id}"),
-            Step::UnsolicitedBytes(id) => write!(f, "bytes that nobody asked for come on connection {id}"),
+            Step::UnsolicitedBytes(id) => {
+                write!(f, "bytes that nobody asked for come on connection {id}")
+            }
             Step::UnsolicitedBytesRead(id) => write!(f, "the front reads them on connection {id}"),
             Step::ServerExecutes(work) => write!(f, "the node runs work {work}"),
             Step::ServerDrops(work) => write!(f, "the node drops cancelled work {work}"),
@@ -101,7 +111,9 @@
             Step::UnreadableResponse(work) => write!(f, "the answer to work {work} comes spoilt"),
             Step::ServerError(work) => write!(f, "the node answers work {work} with an error"),
             Step::ServerRejects(work) => write!(f, "the node turns work {work} away"),
-            Step::AttemptDropped(id, attempt) => write!(f, "attempt {attempt} of request {id} is dropped"),
+            Step::AttemptDropped(id, attempt) => {
+                write!(f, "attempt {attempt} of request {id} is dropped")
+            }
             Step::AttemptWithdrawn(id, attempt) => {
                 write!(f, "attempt {attempt} of request {id} ends before it began")
             }
--- a/crates/model-checker/src/request_model/step_generation.rs
+++ b/crates/model-checker/src/request_model/step_generation.rs
@@ -60,13 +60,18 @@
     fn next_client(&self, state: &State) -> Option<usize> {
         let is_its_turn = !self.sequential || !state.any_client_waits();
         let may_send = is_its_turn && state.clock_steps <= self.max_clock_steps;
-        let next = state.clients.iter().position(|client| *client == ClientState::NotStarted);
+        let next = state
+            .clients
+            .iter()
+            .position(|client| *client == ClientState::NotStarted);
         next.filter(|_| may_send)
     }
 
     fn generate_client_steps(&self, state: &State, steps: &mut Vec<Step>) {
         for (client, client_state) in state.clients.iter().enumerate() {
-            let ClientState::Waiting { deadline, .. } = client_state else { continue };
+            let ClientState::Waiting { deadline, .. } = client_state else {
+                continue;
+            };
             if self.may_fail(state, Fault::ClientDisconnects) {
                 steps.push(Step::ClientDisconnects(client));
             }
@@ -89,10 +94,12 @@
         }
         if connection.attempt.is_some() {
             self.generate_exchange_steps(state, id, connection, steps);
-        } else if !connection.closed_by_server && self.may_fail(state, Fault::IdleConnectionClosed) {
+        } else if !connection.closed_by_server && self.may_fail(state, Fault::IdleConnectionClosed)
+        {
             steps.push(Step::ServerCloses(id));
         }
-        // After the last byte of a request, unsolicited bytes cannot be told from its response: no front can detect it.
+        // After the last byte of a request, unsolicited bytes cannot be told from its response: no
+        // front can detect it.
         let may_arrive = !connection.unsolicited_bytes
             && !connection.closed_by_server
             && connection.written != Written::All;
@@ -165,7 +172,8 @@
         }
     }
 
-    /// The clock advances only after all that is due is done, so that nothing is late by more than one clock step.
+    /// The clock advances only after all that is due is done, so that nothing is late by more than
+    /// one clock step.
     fn generate_clock_steps(&self, state: &State, client_may_send: bool, steps: &mut Vec<Step>) {
         if steps.iter().any(Step::is_due) {
             return;
@@ -181,7 +189,9 @@
 
     /// Every decision that the rules allow, given what the front can know.
     fn generate_decisions(&self, state: &State, steps: &mut Vec<Step>) {
-        let PolicyUnderTest::Unrestricted(known) = state.tracker.decisions() else { return };
+        let PolicyUnderTest::Unrestricted(known) = state.tracker.decisions() else {
+            return;
+        };
         for (node, node_state) in state.nodes.iter().enumerate() {
             let in_use = state.attempts.values().any(|attempt| attempt.node == node);
             if node_state.listed == Listed::Removed && !node_state.forgotten && !in_use {
@@ -203,14 +213,26 @@
         known: &KnownRequest,
         steps: &mut Vec<Step>,
     ) {
-        for attempt in request.in_flight.iter().filter(|attempt| !attempt.cancelled) {
-            steps.push(Step::Decision(Action::Cancel { id, attempt: attempt.attempt }));
+        for attempt in request
+            .in_flight
+            .iter()
+            .filter(|attempt| !attempt.cancelled)
+        {
+            steps.push(Step::Decision(Action::Cancel {
+                id,
+                attempt: attempt.attempt,
+            }));
         }
         let attempts_left = request.attempts_started < self.settings.max_attempts;
         if request.answered {
-            // A decision may come late: the request tracker must send nothing for an answered request.
+            // A decision may come late: the request tracker must send nothing for an answered
+            // request.
             if attempts_left {
-                steps.push(Step::Decision(Action::Send { id, node: 0, timeout: 0 }));
+                steps.push(Step::Decision(Action::Send {
+                    id,
+                    node: 0,
+                    timeout: 0,
+                }));
             }
             return;
         }
@@ -219,13 +241,20 @@
         if none_in_flight && attempts_left && !(at_most_once && known.may_have_run) {
             for (node, node_state) in state.nodes.iter().enumerate() {
                 if node_state.listed == Listed::Up {
-                    steps.push(Step::Decision(Action::Send { id, node, timeout: 0 }));
+                    steps.push(Step::Decision(Action::Send {
+                        id,
+                        node,
+                        timeout: 0,
+                    }));
                 }
             }
         }
         let may_still_run = known.may_have_run || !none_in_flight;
         if !at_most_once || !may_still_run {
-            steps.push(Step::Decision(Action::Reject { id, retry_after: RETRY_AFTER }));
+            steps.push(Step::Decision(Action::Reject {
+                id,
+                retry_after: RETRY_AFTER,
+            }));
         }
         steps.push(Step::Decision(Action::Fail(id)));
     }
--- a/crates/model-checker/src/request_model/transitions.rs
+++ b/crates/model-checker/src/request_model/transitions.rs
@@ -36,10 +36,14 @@
             Step::LastByteWritten(id) => self.write(model, id, true),
             Step::ConnectionBreaks(id) => self.break_connection(model, id),
             Step::ServerCloses(id) => {
-                self.connections.entry(id).and_modify(|connection| connection.closed_by_server = true);
+                self.connections
+                    .entry(id)
+                    .and_modify(|connection| connection.closed_by_server = true);
             }
             Step::UnsolicitedBytes(id) => {
-                self.connections.entry(id).and_modify(|connection| connection.unsolicited_bytes = true);
+                self.connections
+                    .entry(id)
+                    .and_modify(|connection| connection.unsolicited_bytes = true);
             }
             Step::UnsolicitedBytesRead(id) => self.read_unsolicited_bytes(model, id),
             Step::ServerExecutes(index) => self.server_executes(index),
@@ -51,14 +55,20 @@
             Step::ServerError(index) => self.response_arrives(model, index, Outcome::Error),
             Step::ServerRejects(index) => self.response_arrives(model, index, Outcome::Rejected),
             Step::AttemptDropped(id, attempt) => {
-                self.drop_attempt(AttemptKey { request: id, attempt });
+                self.drop_attempt(AttemptKey {
+                    request: id,
+                    attempt,
+                });
                 self.feed(model, Input::AttemptCancelled { id, attempt });
             }
             Step::AttemptWithdrawn(request, attempt) => {
                 self.withdraw_attempt(model, AttemptKey { request, attempt });
             }
             Step::AttemptTimesOut(id, attempt) => {
-                self.drop_attempt(AttemptKey { request: id, attempt });
+                self.drop_attempt(AttemptKey {
+                    request: id,
+                    attempt,
+                });
                 self.feed(model, Input::AttemptTimedOut { id, attempt });
             }
             Step::WatchUpdated(index) => self.watch_updated(model, index),
@@ -70,7 +80,8 @@
             }
             Step::Decision(ref action) => {
                 let mut effects = Vec::new();
-                self.tracker.apply_decision(self.now, action.clone(), &mut effects);
+                self.tracker
+                    .apply_decision(self.now, action.clone(), &mut effects);
                 self.apply_effects(model, effects, ResponseOrigin::NoResponse);
             }
         }
@@ -80,9 +91,10 @@
     fn is_fault(&self, step: &Step) -> bool {
         match step {
             // That the server closed the connection was the fault.
-            Step::ConnectionBreaks(id) => {
-                self.connections.get(id).is_some_and(|connection| !connection.closed_by_server)
-            }
+            Step::ConnectionBreaks(id) => self
+                .connections
+                .get(id)
+                .is_some_and(|connection| !connection.closed_by_server),
             Step::ClientDisconnects(_)
             | Step::ConnectionRefused(_)
             | Step::ServerCloses(_)
@@ -123,7 +135,9 @@
     }
 
     fn connection_established(&mut self, model: &RequestModel, id: ConnectionId) {
-        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
         connection.established = true;
         if let Some(attempt) = connection.attempt {
             self.drive_attempt(model, attempt, AttemptEvent::Connected);
@@ -140,7 +154,10 @@
     }
 
     fn advance_clock(&mut self, model: &RequestModel, by: Nanos) {
-        self.clock_steps = self.clock_steps.saturating_add(1).min(model.max_clock_steps + 1);
+        self.clock_steps = self
+            .clock_steps
+            .saturating_add(1)
+            .min(model.max_clock_steps + 1);
         self.now += by;
     }
 
@@ -148,7 +165,10 @@
         self.next_update += 1;
         match model.watch_updates[index] {
             WatchUpdate::WatchLost => {
-                let lost = Input::Endpoints { scope: UpdateScope::Unavailable, nodes: Vec::new() };
+                let lost = Input::Endpoints {
+                    scope: UpdateScope::Unavailable,
+                    nodes: Vec::new(),
+                };
                 self.feed(model, lost);
             }
             WatchUpdate::NodeDraining(node) => {
@@ -172,7 +192,12 @@
     }
 
     fn start_node(&mut self, node: NodeId, cell: CellId) {
-        let started = NodeState { listed: Listed::Up, cell, started_at: self.now, forgotten: false };
+        let started = NodeState {
+            listed: Listed::Up,
+            cell,
+            started_at: self.now,
+            forgotten: false,
+        };
         if node == self.nodes.len() {
             self.nodes.push(started);
         } else {
@@ -183,6 +208,12 @@
 
     fn report_node(&mut self, model: &RequestModel, node: NodeId) {
         let nodes = vec![self.node_info(node)];
-        self.feed(model, Input::Endpoints { scope: UpdateScope::Update, nodes });
+        self.feed(
+            model,
+            Input::Endpoints {
+                scope: UpdateScope::Update,
+                nodes,
+            },
+        );
     }
 }
--- a/crates/model-checker/tests/checker.rs
+++ b/crates/model-checker/tests/checker.rs
@@ -1,4 +1,5 @@
-//! The checker itself: it is deterministic, reads its own histories, and reports input that it cannot read.
+//! The checker itself: it is deterministic, reads its own histories, and reports input that it
+//! cannot read.
 
 use std::num::NonZeroUsize;
 use std::path::PathBuf;
@@ -20,7 +21,11 @@
 
 fn limits(threads: usize, memory_mb: u64) -> SearchLimits {
     let threads = NonZeroUsize::new(threads).expect("at least one thread");
-    SearchLimits { threads, memory_mb, time: Duration::from_secs(600) }
+    SearchLimits {
+        threads,
+        memory_mb,
+        time: Duration::from_secs(600),
+    }
 }
 
 fn search(config: &str, limits: SearchLimits) -> Report {
@@ -29,13 +34,17 @@
 }
 
 fn write_temporary(name: &str, text: &[u8]) -> PathBuf {
-    let path = std::env::temp_dir().join(format!("tulipbridge-check-{}-{name}", std::process::id()));
+    let path =
+        std::env::temp_dir().join(format!("tulipbridge-check-{}-{name}", std::process::id()));
     std::fs::write(&path, text).expect("the file can be written");
     path
 }
 
 fn run_check(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_tulipbridge-check")).args(args).output().expect("the program runs")
+    Command::new(env!("CARGO_BIN_EXE_tulipbridge-check"))
+        .args(args)
+        .output()
+        .expect("the program runs")
 }
 
 fn single_error_line(output: &Output) -> String {
@@ -44,8 +53,8 @@
     text
 }
 
-/// The number of states depends on the state machines alone. Threads visit states in different orders, so it would differ
-/// if states counted as one that lead to different states.
+/// The number of states depends on the state machines alone. Threads visit states in different
+/// orders, so it would differ if states counted as one that lead to different states.
 #[test]
 fn search_finds_the_same_number_of_states_with_any_number_of_threads() {
     for config in ["submit", "module-submit", "crowd"] {
@@ -74,7 +83,9 @@
     assert_eq!(read, history);
     assert_eq!(config.summary().name, "large");
     let mut steps_replayed = 0;
-    let state = read.replay(&model, |_, _| steps_replayed += 1).expect("the history replays");
+    let state = read
+        .replay(&model, |_, _| steps_replayed += 1)
+        .expect("the history replays");
     assert_eq!(steps_replayed, WALK_STEPS);
     assert!(!RequestModel::violations(&state).any());
 }
@@ -86,12 +97,18 @@
     let is_goal = |state: &State| state.answered_clients() > 0;
     let minimized = minimize(&model, &steps, is_goal);
     // Sent, connected, written, executed and answered, or sent and rejected: no more is needed.
-    assert!(minimized.len() < steps.len() && minimized.len() <= 6, "{minimized:?}");
+    assert!(
+        minimized.len() < steps.len() && minimized.len() <= 6,
+        "{minimized:?}"
+    );
     for left_out in 0..minimized.len() {
         let mut fewer = minimized.clone();
         fewer.remove(left_out);
         let minimized_again = minimize(&model, &fewer, is_goal);
-        assert!(minimized_again.len() == fewer.len(), "step {left_out} of {minimized:?} is needed");
+        assert!(
+            minimized_again.len() == fewer.len(),
+            "step {left_out} of {minimized:?} is needed"
+        );
     }
 }
 
@@ -99,10 +116,26 @@
 fn replay_of_an_invalid_file_prints_one_error_and_exits_with_2() {
     for (name, text, expected) in [
         ("empty", &b""[..], "line 1 must be"),
-        ("future", b"tulipbridge-check trace 9\nconfig submit\n", "line 1 must be"),
-        ("unknown", b"tulipbridge-check trace 1\nconfig nowhere\n", "line 2 must be"),
-        ("step", b"tulipbridge-check trace 1\nconfig submit\nclient 7 asks\n", "step 1 cannot come there"),
-        ("bytes", b"tulipbridge-check trace 1\nconfig submit\n\xff\xfe\n", "cannot be read"),
+        (
+            "future",
+            b"tulipbridge-check trace 9\nconfig submit\n",
+            "line 1 must be",
+        ),
+        (
+            "unknown",
+            b"tulipbridge-check trace 1\nconfig nowhere\n",
+            "line 2 must be",
+        ),
+        (
+            "step",
+            b"tulipbridge-check trace 1\nconfig submit\nclient 7 asks\n",
+            "step 1 cannot come there",
+        ),
+        (
+            "bytes",
+            b"tulipbridge-check trace 1\nconfig submit\n\xff\xfe\n",
+            "cannot be read",
+        ),
     ] {
         let path = write_temporary(name, text);
         let output = run_check(&["replay", path.to_str().expect("the path is UTF-8")]);
@@ -121,13 +154,26 @@
 
 #[test]
 fn documented_properties_are_those_of_the_code() {
-    let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/operators/model-checking.md");
+    let page = concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../docs/operators/model-checking.md"
+    );
     let page = std::fs::read_to_string(page).expect("the page exists");
-    let rows: Vec<&str> = page.lines().filter(|line| line.starts_with("| `")).collect();
+    let rows: Vec<&str> = page
+        .lines()
+        .filter(|line| line.starts_with("| `"))
+        .collect();
     for property in properties::ALL {
-        let row = format!("| `{}` | {} | {} |", property.name, property.statement, property.rule);
+        let row = format!(
+            "| `{}` | {} | {} |",
+            property.name, property.statement, property.rule
+        );
         assert!(rows.contains(&row.as_str()), "the page lacks: {row}");
     }
     let expected_rows = properties::ALL.len() + configs::all().len();
-    assert_eq!(rows.len(), expected_rows, "a row for each property and each configuration, and no other");
+    assert_eq!(
+        rows.len(),
+        expected_rows,
+        "a row for each property and each configuration, and no other"
+    );
 }
--- a/crates/model-checker/tests/fleet_limits_model.rs
+++ b/crates/model-checker/tests/fleet_limits_model.rs
@@ -12,8 +12,17 @@
 const MIN_BUSY_SHARE: Share = FULL_SHARE / 4 * 3;
 
 fn model(fronts: PeerId) -> FleetLimitsModel {
-    let summary = ModelSummary { name: "test", description: "test", quick: true };
-    FleetLimitsModel { summary, fronts, rounds: 1, max_faults: 0 }
+    let summary = ModelSummary {
+        name: "test",
+        description: "test",
+        quick: true,
+    };
+    FleetLimitsModel {
+        summary,
+        fronts,
+        rounds: 1,
+        max_faults: 0,
+    }
 }
 
 /// A search in which nothing is leased would hold whatever the state machines do.
@@ -23,6 +32,9 @@
         let state = model(fronts).initial_state();
         let share = state.share(BUSY_FRONT);
         assert!(share > MIN_BUSY_SHARE, "{fronts} fronts: {share}");
-        assert!(state.share_leased(BUSY_FRONT, OTHER_FRONT) > 0, "{fronts} fronts");
+        assert!(
+            state.share_leased(BUSY_FRONT, OTHER_FRONT) > 0,
+            "{fronts} fronts"
+        );
     }
 }
--- a/crates/model-checker/tests/golden.rs
+++ b/crates/model-checker/tests/golden.rs
@@ -1,13 +1,15 @@
-//! Golden tests: they pin the stored formats and the command line of the checker, so that files and scripts of an earlier
-//! version keep working.
+//! Golden tests: they pin the stored formats and the command line of the checker, so that files and
+//! scripts of an earlier version keep working.
 //!
-//! The expected texts are in `tests/golden`. A difference means that stored files, scripts or reports of an earlier
-//! version no longer work; change an expected text only where that is intended. To update the texts:
-//! `UPDATE_GOLDEN=1 cargo test -p tulipbridge-model-checker --test golden`.
+//! The expected texts are in `tests/golden`. A difference means that stored files, scripts or
+//! reports of an earlier version no longer work; change an expected text only where that is
+//! intended. To update the texts: `UPDATE_GOLDEN=1 cargo test -p tulipbridge-model-checker --test
+//! golden`.
 //!
-//! That never updates the histories (`*.trace`), which `History` wrote of random walks. Replay takes a step only where it
-//! is enabled, so a change of what the state machines do may make a history impossible; it then has to be replaced by a
-//! new one, with the reason. A change of names alone must leave all of them readable.
+//! That never updates the histories (`*.trace`), which `History` wrote of random walks. Replay
+//! takes a step only where it is enabled, so a change of what the state machines do may make a
+//! history impossible; it then has to be replaced by a new one, with the reason. A change of names
+//! alone must leave all of them readable.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -42,10 +44,13 @@
 
 /// The path of an expected text.
 fn golden_path(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name)
 }
 
-/// Compares a text with the expected one, after updating the expected one if `UPDATE_GOLDEN` is set.
+/// Compares a text with the expected one, after updating the expected one if `UPDATE_GOLDEN` is
+/// set.
 #[track_caller]
 fn assert_golden(name: &str, actual: &str) {
     let path = golden_path(name);
@@ -58,9 +63,15 @@
 
 /// The output of the program, which must succeed.
 fn printed(args: &[&str]) -> String {
-    let output =
-        Command::new(env!("CARGO_BIN_EXE_tulipbridge-check")).args(args).output().expect("the program runs");
-    assert!(output.status.success(), "{args:?} ends with {}", output.status);
+    let output = Command::new(env!("CARGO_BIN_EXE_tulipbridge-check"))
+        .args(args)
+        .output()
+        .expect("the program runs");
+    assert!(
+        output.status.success(),
+        "{args:?} ends with {}",
+        output.status
+    );
     String::from_utf8(output.stdout).expect("the output is UTF-8")
 }
 
@@ -79,21 +90,39 @@
 
 /// Every configuration that a history can belong to.
 fn every_config() -> Vec<Config> {
-    let not_explored = configs::known_failing().into_iter().chain([configs::large()]);
-    configs::all().into_iter().chain(not_explored.map(Config::Request)).collect()
+    let not_explored = configs::known_failing()
+        .into_iter()
+        .chain([configs::large()]);
+    configs::all()
+        .into_iter()
+        .chain(not_explored.map(Config::Request))
+        .collect()
 }
 
 /// One decision of every kind.
 fn every_action() -> Vec<Action> {
     vec![
-        Action::Send { id: 1, node: 2, timeout: 3 },
+        Action::Send {
+            id: 1,
+            node: 2,
+            timeout: 3,
+        },
         Action::Cancel { id: 1, attempt: 2 },
-        Action::Reject { id: 1, retry_after: 2 },
+        Action::Reject {
+            id: 1,
+            retry_after: 2,
+        },
         Action::Fail(1),
-        Action::SetTimer { after: 1, cookie: 2 },
+        Action::SetTimer {
+            after: 1,
+            cookie: 2,
+        },
         Action::Subscribe,
         Action::ForgetNode(1),
-        Action::Log { text: "a text", node: 1 },
+        Action::Log {
+            text: "a text",
+            node: 1,
+        },
     ]
 }
 
@@ -189,7 +218,10 @@
 
 /// The texts of values, one a line.
 fn lines<T: ToString>(values: &[T]) -> String {
-    values.iter().map(|value| format!("{}\n", value.to_string())).collect()
+    values
+        .iter()
+        .map(|value| format!("{}\n", value.to_string()))
+        .collect()
 }
 
 /// The texts of one step of every kind of all models.
@@ -209,7 +241,8 @@
     assert_golden("steps.txt", &every_step_text());
 }
 
-/// The shapes of all lines of random histories of all configurations, and of the steps that none of them takes.
+/// The shapes of all lines of random histories of all configurations, and of the steps that none of
+/// them takes.
 #[test]
 fn line_shapes_of_random_histories_are_stable() {
     let mut shapes: BTreeSet<String> = every_step_text().lines().map(shape).collect();
@@ -221,10 +254,14 @@
             shapes.extend(history.to_string().lines().map(shape));
         }
     }
-    assert_golden("line-shapes.txt", &lines(&shapes.into_iter().collect::<Vec<_>>()));
+    assert_golden(
+        "line-shapes.txt",
+        &lines(&shapes.into_iter().collect::<Vec<_>>()),
+    );
 }
 
-/// Histories that an earlier version wrote are read, replayed to their end, and written again byte for byte.
+/// Histories that an earlier version wrote are read, replayed to their end, and written again byte
+/// for byte.
 #[test]
 fn stored_histories_replay_to_their_end() {
     for (file, config_name) in HISTORIES {
@@ -284,13 +321,20 @@
         exhausted: true,
         violation: None,
     };
-    let violated = Report { exhausted: false, violation: Some(violating_history()), ..exhausted.clone() };
+    let violated = Report {
+        exhausted: false,
+        violation: Some(violating_history()),
+        ..exhausted.clone()
+    };
     vec![exhausted, violated]
 }
 
 #[test]
 fn report_json_is_stable() {
-    assert_golden("reports.json", &simd_json::to_string_pretty(&reports()).expect("reports are JSON"));
+    assert_golden(
+        "reports.json",
+        &simd_json::to_string_pretty(&reports()).expect("reports are JSON"),
+    );
 }
 
 #[test]
@@ -299,8 +343,8 @@
     assert_eq!(bars.len(), reports().len());
 }
 
-/// The names of configurations, properties and mutations: what `--config` and `seeded --name` accept, and what the
-/// lines `config` and `breaks` of a history contain.
+/// The names of configurations, properties and mutations: what `--config` and `seeded --name`
+/// accept, and what the lines `config` and `breaks` of a history contain.
 #[test]
 fn listed_names_are_stable() {
     assert_golden("list.txt", &printed(&["list"]));
@@ -309,15 +353,20 @@
 /// What `seeded --name` accepts.
 #[test]
 fn mutation_names_are_stable() {
-    let names: Vec<&str> = tulipbridge_core::mutations::ALL.iter().map(|(_, name, _)| *name).collect();
+    let names: Vec<&str> = tulipbridge_core::mutations::ALL
+        .iter()
+        .map(|(_, name, _)| *name)
+        .collect();
     assert_golden("seeded-bugs.txt", &lines(&names));
 }
 
 /// What `seeded --rights --name` accepts.
 #[test]
 fn fleet_limits_mutation_names_are_stable() {
-    let names: Vec<String> =
-        tulipbridge_fleet_limits::mutations::ALL.iter().map(|mutation| mutation.to_string()).collect();
+    let names: Vec<String> = tulipbridge_fleet_limits::mutations::ALL
+        .iter()
+        .map(|mutation| mutation.to_string())
+        .collect();
     assert_golden("seeded-rights-bugs.txt", &lines(&names));
 }
 
@@ -326,7 +375,10 @@
 fn help_texts_are_stable() {
     let mut text = format!("$ {PROGRAM} --help\n{}", printed(&["--help"]));
     for command in SUBCOMMANDS {
-        text += &format!("\n$ {PROGRAM} {command} --help\n{}", printed(&[command, "--help"]));
+        text += &format!(
+            "\n$ {PROGRAM} {command} --help\n{}",
+            printed(&[command, "--help"])
+        );
     }
     assert_golden("help.txt", &text);
 }
@@ -335,19 +387,39 @@
 #[cfg(feature = "mutations")]
 fn keys(text: &str) -> Vec<&str> {
     let parts: Vec<&str> = text.split('"').collect();
-    let is_key = |n: usize| parts.get(n + 1).is_some_and(|next| next.trim_start().starts_with(':'));
-    (1..parts.len()).step_by(2).filter(|n| is_key(*n)).map(|n| parts[n]).collect()
+    let is_key = |n: usize| {
+        parts
+            .get(n + 1)
+            .is_some_and(|next| next.trim_start().starts_with(':'))
+    };
+    (1..parts.len())
+        .step_by(2)
+        .filter(|n| is_key(*n))
+        .map(|n| parts[n])
+        .collect()
 }
 
 /// The reports that `seeded --json` writes; only a build with mutations can write them.
 #[cfg(feature = "mutations")]
 #[test]
 fn mutation_report_keys_are_stable() {
-    let file = std::env::temp_dir().join(format!("{PROGRAM}-golden-seeded-{}.json", std::process::id()));
+    let file = std::env::temp_dir().join(format!(
+        "{PROGRAM}-golden-seeded-{}.json",
+        std::process::id()
+    ));
     let path = file.to_str().expect("the path is UTF-8");
     printed(&["seeded", "--name", "second-final-answer", "--json", path]);
     let text = std::fs::read_to_string(&file).expect("the reports can be read");
     std::fs::remove_file(&file).expect("the file can be removed");
-    let expected = ["bug", "found", "config", "breaks", "length", "seconds", "states", "random_of_1000"];
+    let expected = [
+        "bug",
+        "found",
+        "config",
+        "breaks",
+        "length",
+        "seconds",
+        "states",
+        "random_of_1000",
+    ];
     assert_eq!(keys(&text), expected);
 }
--- a/crates/outlier-detection/src/attempt_counts.rs
+++ b/crates/outlier-detection/src/attempt_counts.rs
@@ -29,11 +29,19 @@
     fn decayed(&self, now: Nanos, half_life: Nanos) -> DecayingCount {
         let elapsed = (now - self.at).max(0) as f64;
         let remaining = 0.5f64.powf(elapsed / half_life as f64);
-        DecayingCount { attempts: self.attempts * remaining, failures: self.failures * remaining, at: now }
+        DecayingCount {
+            attempts: self.attempts * remaining,
+            failures: self.failures * remaining,
+            at: now,
+        }
     }
 
     fn evidence(&self, class: Class) -> ClassEvidence {
-        ClassEvidence { class, attempts: to_tenths(self.attempts), failures: to_tenths(self.failures) }
+        ClassEvidence {
+            class,
+            attempts: to_tenths(self.attempts),
+            failures: to_tenths(self.failures),
+        }
     }
 }
 
@@ -47,13 +55,19 @@
 impl AttemptCounts {
     /// No attempts. After `half_life`, an attempt counts half.
     pub fn new(half_life: Nanos) -> AttemptCounts {
-        AttemptCounts { half_life, counts: BTreeMap::new() }
+        AttemptCounts {
+            half_life,
+            counts: BTreeMap::new(),
+        }
     }
 
     /// Adds one attempt.
     pub fn add(&mut self, now: Nanos, server: Server, class: Class, quality: SampleQuality) {
         let half_life = self.half_life;
-        self.counts.entry((server, class)).or_default().add(now, quality, half_life);
+        self.counts
+            .entry((server, class))
+            .or_default()
+            .add(now, quality, half_life);
     }
 
     /// Drops the counts of all servers but some.
@@ -64,13 +78,20 @@
     /// Drops the counts that have decayed to almost nothing.
     pub fn drop_negligible(&mut self, now: Nanos) {
         let half_life = self.half_life;
-        self.counts.retain(|_, count| count.decayed(now, half_life).attempts >= NEGLIGIBLE_ATTEMPTS);
+        self.counts
+            .retain(|_, count| count.decayed(now, half_life).attempts >= NEGLIGIBLE_ATTEMPTS);
     }
 
     /// The evidence on a server, by class of work.
     pub fn evidence(&self, now: Nanos, server: Server) -> Vec<ClassEvidence> {
-        let counts = self.counts.range((server, Class::MIN)..=(server, Class::MAX));
-        let evidence = counts.map(|((_, class), count)| count.decayed(now, self.half_life).evidence(*class));
-        evidence.filter(|evidence| evidence.attempts > 0).take(MAX_CLASSES).collect()
+        let counts = self
+            .counts
+            .range((server, Class::MIN)..=(server, Class::MAX));
+        let evidence =
+            counts.map(|((_, class), count)| count.decayed(now, self.half_life).evidence(*class));
+        evidence
+            .filter(|evidence| evidence.attempts > 0)
+            .take(MAX_CLASSES)
+            .collect()
     }
 }
--- a/crates/outlier-detection/src/attempt_observer.rs
+++ b/crates/outlier-detection/src/attempt_observer.rs
@@ -38,7 +38,8 @@
     counted: bool,
 }
 
-/// Observes the attempts of one front and classifies them. Attempts are identified by a key of the front's own.
+/// Observes the attempts of one front and classifies them. Attempts are identified by a key of the
+/// front's own.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptObserver {
     pending: BTreeMap<(u64, u32), PendingAttempt>,
@@ -50,8 +51,8 @@
 }
 
 impl AttemptObserver {
-    /// Must be called at each step of the front. Time during which the front was paused is not held against the
-    /// attempts in flight.
+    /// Must be called at each step of the front. Time during which the front was paused is not held
+    /// against the attempts in flight.
     pub fn step(&mut self, now: Nanos) {
         let elapsed = self.last_step_at.map_or(0, |at| now - at);
         self.last_step_at = Some(now);
@@ -81,13 +82,29 @@
         class: Class,
         repeatable: bool,
     ) {
-        let is_probe = repeatable && self.probes_due.remove(&server).is_some_and(|until| now < until);
-        let attempt = PendingAttempt { server, class, sent_at: now, is_probe, counted: false };
+        let is_probe = repeatable
+            && self
+                .probes_due
+                .remove(&server)
+                .is_some_and(|until| now < until);
+        let attempt = PendingAttempt {
+            server,
+            class,
+            sent_at: now,
+            is_probe,
+            counted: false,
+        };
         self.pending.insert(key, attempt);
     }
 
-    /// An attempt has ended. Returns the event for the detector, unless the result is inconclusive or was counted.
-    pub fn attempt_ended(&mut self, now: Nanos, key: (u64, u32), result: AttemptResult) -> Option<Event> {
+    /// An attempt has ended. Returns the event for the detector, unless the result is inconclusive
+    /// or was counted.
+    pub fn attempt_ended(
+        &mut self,
+        now: Nanos,
+        key: (u64, u32),
+        result: AttemptResult,
+    ) -> Option<Event> {
         let attempt = self.pending.remove(&key)?;
         let latency = now - attempt.sent_at;
         let is_slow = self.is_slow(attempt.class, latency);
@@ -100,12 +117,16 @@
             AttemptResult::Cancelled => is_slow.then_some(SampleQuality::Failed),
             AttemptResult::Rejected => None,
         };
-        quality.filter(|_| !attempt.counted).map(|quality| attempt.event(quality))
+        quality
+            .filter(|_| !attempt.counted)
+            .map(|quality| attempt.event(quality))
     }
 
     /// Whether any attempt is overdue and not counted as failed yet.
     pub fn has_overdue(&self, now: Nanos) -> bool {
-        self.pending.values().any(|attempt| self.is_overdue(now, attempt))
+        self.pending
+            .values()
+            .any(|attempt| self.is_overdue(now, attempt))
     }
 
     /// Counts the attempts that are overdue as failed, each once, however they will end.
@@ -129,7 +150,8 @@
         self.medians.get(&class).copied()
     }
 
-    /// Moves the estimate by a small step towards the latency, so that it settles where as many are above as below.
+    /// Moves the estimate by a small step towards the latency, so that it settles where as many are
+    /// above as below.
     fn update_median(&mut self, class: Class, latency: Nanos) {
         let median = self.medians.entry(class).or_insert(latency);
         let step = (*median / MEDIAN_STEP_DIVISOR).max(1);
@@ -150,9 +172,17 @@
     fn event(&self, quality: SampleQuality) -> Event {
         let PendingAttempt { server, class, .. } = *self;
         if self.is_probe {
-            Event::Probed { server, class, quality }
+            Event::Probed {
+                server,
+                class,
+                quality,
+            }
         } else {
-            Event::Attempt { server, class, quality }
+            Event::Attempt {
+                server,
+                class,
+                quality,
+            }
         }
     }
 }
--- a/crates/outlier-detection/src/config.rs
+++ b/crates/outlier-detection/src/config.rs
@@ -17,22 +17,25 @@
     pub fronts: PeerId,
     /// This front's zone.
     pub zone: Zone,
-    /// Fronts that must have evidence of their own against a server before any front votes for its ejection.
+    /// Fronts that must have evidence of their own against a server before any front votes for its
+    /// ejection.
     pub witnesses: usize,
-    /// Attempts, with exponential decay, that a front must have made at a server before the two are compared with the
-    /// other fronts to find suspect fronts.
+    /// Attempts, with exponential decay, that a front must have made at a server before the two are
+    /// compared with the other fronts to find suspect fronts.
     pub min_attempts: f64,
     /// Attempts that the evidence of one front counts as at most.
     pub max_weight: f64,
     /// Failure rate of a healthy server, as a fraction.
     pub healthy_failure_rate: f64,
-    /// A healthy server may fail this many times as often as the front's median server, if that is more.
+    /// A healthy server may fail this many times as often as the front's median server, if that is
+    /// more.
     pub baseline_factor: f64,
     /// Minimum failure rate of an outlier, as a fraction.
     pub outlier_failure_rate: f64,
     /// Log-likelihood ratio from which a front's evidence makes it a witness against a server.
     pub witness_threshold: f64,
-    /// Log-likelihood ratio of all evidence together from which a server is an outlier: 11.5 is 100,000 to 1.
+    /// Log-likelihood ratio of all evidence together from which a server is an outlier: 11.5 is
+    /// 100,000 to 1.
     pub ejection_threshold: f64,
     /// Half-life of the exponential decay of attempts.
     pub half_life: Nanos,
@@ -119,7 +122,10 @@
     /// The first problem that is found.
     pub fn check(&self) -> Result<(), DetectorConfigError> {
         if self.me >= self.fronts {
-            return Err(DetectorConfigError::UnknownPeer { me: self.me, fronts: self.fronts });
+            return Err(DetectorConfigError::UnknownPeer {
+                me: self.me,
+                fronts: self.fronts,
+            });
         }
         if self.witnesses < MIN_WITNESSES {
             return Err(DetectorConfigError::Witnesses(self.witnesses));
@@ -163,12 +169,14 @@
 
     /// How long after its publication a vote may count at any peer, by this front's clock.
     pub fn vote_span(&self) -> Nanos {
-        let allowance = i128::from(self.vote_ttl) * i128::from(self.max_clock_drift) / PARTS_PER_MILLION;
+        let allowance =
+            i128::from(self.vote_ttl) * i128::from(self.max_clock_drift) / PARTS_PER_MILLION;
         self.vote_ttl + allowance as Nanos + 1
     }
 
-    /// Maximum number of servers, of all known ones, that a front may vote to eject within [`Self::vote_span`]: half
-    /// of what may be ejected, since each ejection needs more than half of the fronts.
+    /// Maximum number of servers, of all known ones, that a front may vote to eject within
+    /// [`Self::vote_span`]: half of what may be ejected, since each ejection needs more than half
+    /// of the fronts.
     pub fn max_votes(&self, servers: usize) -> usize {
         (self.max_ejected_fraction * servers as f64 / 2.0) as usize
     }
--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -1,8 +1,9 @@
 //! The state machine of one front.
 //!
-//! Every front publishes its evidence on servers that any front suspects, votes to eject what the evidence of all
-//! fronts together proves to be an outlier, and ejects what more than half of the fleet vote for. Fronts take turns in
-//! probing an ejected server, until enough probes in a row have succeeded.
+//! Every front publishes its evidence on servers that any front suspects, votes to eject what the
+//! evidence of all fronts together proves to be an outlier, and ejects what more than half of the
+//! fleet vote for. Fronts take turns in probing an ejected server, until enough probes in a row
+//! have succeeded.
 
 mod ejections;
 mod evidence_sharing;
@@ -17,8 +18,8 @@
 use crate::attempt_counts::AttemptCounts;
 use crate::gossip::{probe_key, ProbeEntry};
 use crate::{
-    Class, DetectorConfig, DetectorConfigError, Effect, EjectionTarget, Event, Evidence, GossipStore, Nanos,
-    PeerId, SampleQuality, Server,
+    Class, DetectorConfig, DetectorConfigError, Effect, EjectionTarget, Event, Evidence,
+    GossipStore, Nanos, PeerId, SampleQuality, Server,
 };
 
 use evidence_sharing::SharedEvidence;
@@ -85,13 +86,27 @@
         })
     }
 
-    /// Handles one event and appends the effects that the caller must carry out, in order. `entries` holds what the
-    /// peers have published.
-    pub fn on(&mut self, now: Nanos, entries: &GossipStore, event: Event, effects: &mut Vec<Effect>) {
+    /// Handles one event and appends the effects that the caller must carry out, in order.
+    /// `entries` holds what the peers have published.
+    pub fn on(
+        &mut self,
+        now: Nanos,
+        entries: &GossipStore,
+        event: Event,
+        effects: &mut Vec<Effect>,
+    ) {
         match event {
             Event::Servers(servers) => self.set_servers(servers),
-            Event::Attempt { server, class, quality } => self.record_attempt(now, server, class, quality),
-            Event::Probed { server, class, quality } => {
+            Event::Attempt {
+                server,
+                class,
+                quality,
+            } => self.record_attempt(now, server, class, quality),
+            Event::Probed {
+                server,
+                class,
+                quality,
+            } => {
                 self.record_attempt(now, server, class, quality);
                 self.record_probe(server, quality, effects);
             }
@@ -114,17 +129,21 @@
         self.suspect
     }
 
-    /// Whether a recently proven outlier waits for this front's vote: evidence of peers may still arrive.
+    /// Whether a recently proven outlier waits for this front's vote: evidence of peers may still
+    /// arrive.
     pub fn is_waiting(&self, now: Nanos) -> bool {
         let has_vote = |target| self.votes.get(target).is_some_and(|vote| vote.active);
         let is_recent = |since: &Nanos| now - since < 2 * self.config.vote_delay;
-        self.outliers.iter().any(|(target, since)| is_recent(since) && !has_vote(target))
+        self.outliers
+            .iter()
+            .any(|(target, since)| is_recent(since) && !has_vote(target))
     }
 
     fn set_servers(&mut self, servers: Vec<(Server, bool)>) {
         self.servers = servers.into_iter().collect();
         let known = &self.servers;
-        self.counts.retain_servers(|server| known.contains_key(&server));
+        self.counts
+            .retain_servers(|server| known.contains_key(&server));
         self.probes.retain(|server, _| known.contains_key(server));
     }
 
@@ -140,7 +159,9 @@
             SampleQuality::Healthy => probe.successes.saturating_add(1),
             SampleQuality::Failed => 0,
         };
-        let entry = ProbeEntry { successes: probe.successes };
+        let entry = ProbeEntry {
+            successes: probe.successes,
+        };
         effects.push(Effect::Put(probe_key(server), Some(entry.encode())));
     }
 
--- a/crates/outlier-detection/src/detector/ejections.rs
+++ b/crates/outlier-detection/src/detector/ejections.rs
@@ -8,7 +8,8 @@
 use crate::{Effect, EjectionTarget, GossipStore, Nanos};
 
 impl OutlierDetector {
-    /// Ejects what a quorum votes for and concerns this front, and readmits what no longer has a quorum.
+    /// Ejects what a quorum votes for and concerns this front, and readmits what no longer has a
+    /// quorum.
     pub(super) fn update_ejections(
         &mut self,
         now: Nanos,
@@ -21,7 +22,8 @@
             let is_up = self.servers.get(&target.server).is_some_and(|up| *up);
             is_up && target.scope.includes_zone(self.config.zone)
         };
-        let to_eject: BTreeSet<EjectionTarget> = self.agreed.iter().copied().filter(concerns_us).collect();
+        let to_eject: BTreeSet<EjectionTarget> =
+            self.agreed.iter().copied().filter(concerns_us).collect();
         self.readmit_others(&to_eject, recovered, effects);
         for target in to_eject {
             if let Entry::Vacant(entry) = self.ejected.entry(target) {
@@ -49,7 +51,9 @@
         effects: &mut Vec<Effect>,
     ) {
         let ejected = self.ejected.keys().copied();
-        let to_readmit: Vec<EjectionTarget> = ejected.filter(|target| !to_eject.contains(target)).collect();
+        let to_readmit: Vec<EjectionTarget> = ejected
+            .filter(|target| !to_eject.contains(target))
+            .collect();
         for target in to_readmit {
             self.ejected.remove(&target);
             self.probes.remove(&target.server);
--- a/crates/outlier-detection/src/detector/evidence_sharing.rs
+++ b/crates/outlier-detection/src/detector/evidence_sharing.rs
@@ -21,17 +21,26 @@
     pub(super) fn views(&self, now: Nanos, entries: &GossipStore) -> Views {
         let mut views = Views::new();
         for (front, _, server, value, age) in entries.all(now, EVIDENCE) {
-            let is_fresh = age <= self.config.evidence_ttl || mutated(Mutation::ExpiredEvidenceCounts);
+            let is_fresh =
+                age <= self.config.evidence_ttl || mutated(Mutation::ExpiredEvidenceCounts);
             if front == self.config.me || !is_fresh || !self.servers.contains_key(&server) {
                 continue;
             }
             if let Some(evidence) = decode::<Evidence>(value) {
-                let view = View { front, evidence, age };
+                let view = View {
+                    front,
+                    evidence,
+                    age,
+                };
                 views.entry(server).or_default().push(view);
             }
         }
         for (server, evidence) in self.own_evidence(now) {
-            let view = View { front: self.config.me, evidence, age: 0 };
+            let view = View {
+                front: self.config.me,
+                evidence,
+                age: 0,
+            };
             views.entry(server).or_default().push(view);
         }
         views
@@ -46,13 +55,27 @@
             .filter(|(_, classes)| !classes.is_empty())
             .collect();
         let zone = self.config.zone;
-        let baseline = baseline(counted.iter().map(|(_, classes)| failure_rate(classes)).collect());
-        let evidence = |(server, classes)| (server, Evidence { zone, baseline, classes });
+        let baseline = baseline(
+            counted
+                .iter()
+                .map(|(_, classes)| failure_rate(classes))
+                .collect(),
+        );
+        let evidence = |(server, classes)| {
+            (
+                server,
+                Evidence {
+                    zone,
+                    baseline,
+                    classes,
+                },
+            )
+        };
         counted.into_iter().map(evidence).collect()
     }
 
-    /// Publishes this front's evidence on each server that it suspects or that others have evidence on, and withdraws
-    /// what is outdated.
+    /// Publishes this front's evidence on each server that it suspects or that others have evidence
+    /// on, and withdraws what is outdated.
     pub(super) fn share_evidence(&mut self, now: Nanos, views: &Views, effects: &mut Vec<Effect>) {
         for (server, of_server) in views {
             let own = of_server.iter().find(|view| view.front == self.config.me);
@@ -63,33 +86,46 @@
                 continue;
             }
             if let Some(value) = encode(&own.evidence) {
-                self.shared.insert(*server, SharedEvidence { shared_at: now, is_outlier });
+                self.shared.insert(
+                    *server,
+                    SharedEvidence {
+                        shared_at: now,
+                        is_outlier,
+                    },
+                );
                 effects.push(Effect::Put(evidence_key(*server), Some(value)));
             }
         }
         self.withdraw_outdated_evidence(now, effects);
     }
 
-    /// Whether a front's evidence makes it a witness against the server, for all work or for any class of it.
+    /// Whether a front's evidence makes it a witness against the server, for all work or for any
+    /// class of it.
     fn is_outlier(&self, evidence: &Evidence) -> bool {
         let exceeds = |class: Option<Class>| {
             let summary = EvidenceSummary::of(evidence, class, &self.config);
             summary.log_likelihood_ratio >= self.config.witness_threshold
         };
-        exceeds(None) || evidence.classes.iter().any(|listed| exceeds(Some(listed.class)))
+        exceeds(None)
+            || evidence
+                .classes
+                .iter()
+                .any(|listed| exceeds(Some(listed.class)))
     }
 
     fn is_sharing_due(&self, now: Nanos, server: Server, is_outlier: bool) -> bool {
         let interval = self.config.evidence_ttl / REFRESHES_PER_TTL;
-        let is_outdated =
-            |shared: &SharedEvidence| shared.is_outlier != is_outlier || now - shared.shared_at >= interval;
+        let is_outdated = |shared: &SharedEvidence| {
+            shared.is_outlier != is_outlier || now - shared.shared_at >= interval
+        };
         self.shared.get(&server).is_none_or(is_outdated)
     }
 
     fn withdraw_outdated_evidence(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         let (config, servers) = (&self.config, &self.servers);
         self.shared.retain(|server, shared| {
-            let is_current = now - shared.shared_at < config.evidence_ttl && servers.contains_key(server);
+            let is_current =
+                now - shared.shared_at < config.evidence_ttl && servers.contains_key(server);
             if !is_current {
                 effects.push(Effect::Put(evidence_key(*server), None));
             }
@@ -97,17 +133,20 @@
         });
     }
 
-    /// Drops and withdraws the evidence from before a server recovered: it says nothing about the server now.
+    /// Drops and withdraws the evidence from before a server recovered: it says nothing about the
+    /// server now.
     pub(super) fn clear_recovered(
         &mut self,
         now: Nanos,
         recovered: &RecoveryAges,
         effects: &mut Vec<Effect>,
     ) {
-        self.cleared.retain(|server, _| recovered.contains_key(server));
+        self.cleared
+            .retain(|server, _| recovered.contains_key(server));
         for (server, age) in recovered {
             let recovered_at = now - age;
-            // An age is an upper bound that may shrink: the same probes must not count as later ones.
+            // An age is an upper bound that may shrink: the same probes must not count as later
+            // ones.
             let is_known = |known: &Nanos| recovered_at <= known + self.config.probe_turn;
             if self.cleared.get(server).is_some_and(is_known) {
                 continue;
--- a/crates/outlier-detection/src/detector/probes.rs
+++ b/crates/outlier-detection/src/detector/probes.rs
@@ -28,12 +28,14 @@
 }
 
 impl OutlierDetector {
-    /// Servers of which a prober reports that enough probes in a row have succeeded, with the age of its report.
+    /// Servers of which a prober reports that enough probes in a row have succeeded, with the age
+    /// of its report.
     pub(super) fn recovered(&self, now: Nanos, entries: &GossipStore) -> RecoveryAges {
         let mut recovered = RecoveryAges::new();
         for (_, _, server, value, age) in entries.all(now, PROBE) {
             let needed = self.config.probes_to_readmit;
-            let is_recovered = ProbeEntry::decode(value).is_some_and(|entry| entry.successes >= needed);
+            let is_recovered =
+                ProbeEntry::decode(value).is_some_and(|entry| entry.successes >= needed);
             if is_recovered && age <= self.config.evidence_ttl {
                 let youngest = recovered.entry(server).or_insert(age);
                 *youngest = age.min(*youngest);
@@ -65,19 +67,23 @@
         }
     }
 
-    /// The oldest ejection of each server: a server that is ejected for several scopes is probed once at a time.
+    /// The oldest ejection of each server: a server that is ejected for several scopes is probed
+    /// once at a time.
     fn oldest_ejections(&self) -> BTreeMap<Server, Ejection> {
         let mut oldest: BTreeMap<Server, Ejection> = BTreeMap::new();
         for (target, since) in &self.ejected {
-            let ejection = Ejection { since: *since, target: *target };
+            let ejection = Ejection {
+                since: *since,
+                target: *target,
+            };
             let first = oldest.entry(target.server).or_insert(ejection);
             *first = ejection.min(*first);
         }
         oldest
     }
 
-    /// The front whose turn it is to probe a target that has been ejected since a time: one of its voters that the
-    /// target concerns and that is not suspect.
+    /// The front whose turn it is to probe a target that has been ejected since a time: one of its
+    /// voters that the target concerns and that is not suspect.
     pub(super) fn prober(
         &self,
         now: Nanos,
@@ -88,9 +94,16 @@
     ) -> Option<PeerId> {
         let may_probe =
             |vote: &&Vote| target.scope.includes_zone(vote.zone) && !suspects.contains(&vote.front);
-        let mut fronts: Vec<PeerId> = voters.iter().filter(may_probe).map(|vote| vote.front).collect();
-        // In another order for each server, so that the probes of several servers are spread over the fronts.
-        fronts.sort_by_key(|front| mix(target.server ^ (u64::from(*front) + 1).wrapping_mul(GOLDEN_RATIO)));
+        let mut fronts: Vec<PeerId> = voters
+            .iter()
+            .filter(may_probe)
+            .map(|vote| vote.front)
+            .collect();
+        // In another order for each server, so that the probes of several servers are spread over
+        // the fronts.
+        fronts.sort_by_key(|front| {
+            mix(target.server ^ (u64::from(*front) + 1).wrapping_mul(GOLDEN_RATIO))
+        });
         // A front has several turns on end, so that enough of its probes can succeed in a row.
         let turns_on_end = Nanos::from(self.config.probes_to_readmit) + 1;
         let shift = (now - since) / self.config.probe_turn / turns_on_end;
--- a/crates/outlier-detection/src/detector/suspects.rs
+++ b/crates/outlier-detection/src/detector/suspects.rs
@@ -1,4 +1,5 @@
-//! Fronts whose evidence contradicts that of most others, so that it is more likely about the front itself.
+//! Fronts whose evidence contradicts that of most others, so that it is more likely about the front
+//! itself.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -53,12 +54,18 @@
                 comparison.contradicted += u32::from(is_outlier != is_outlier_to_most);
             }
         }
-        let suspects = comparisons.iter().filter(|(_, comparison)| comparison.is_suspect());
+        let suspects = comparisons
+            .iter()
+            .filter(|(_, comparison)| comparison.is_suspect());
         suspects.map(|(front, _)| *front).collect()
     }
 
     /// Reports whether this front has become suspect or is so no more.
-    pub(super) fn update_suspect(&mut self, suspects: &BTreeSet<PeerId>, effects: &mut Vec<Effect>) {
+    pub(super) fn update_suspect(
+        &mut self,
+        suspects: &BTreeSet<PeerId>,
+        effects: &mut Vec<Effect>,
+    ) {
         let is_suspect = suspects.contains(&self.config.me);
         if self.suspect != is_suspect {
             self.suspect = is_suspect;
@@ -72,7 +79,10 @@
             let summary = EvidenceSummary::of(&view.evidence, None, &self.config);
             let is_outlier = summary.log_likelihood_ratio >= self.config.witness_threshold;
             let has_enough = summary.attempts >= self.config.min_attempts;
-            has_enough.then_some(Opinion { front: view.front, is_outlier })
+            has_enough.then_some(Opinion {
+                front: view.front,
+                is_outlier,
+            })
         };
         of_server.iter().filter_map(opinion).collect()
     }
--- a/crates/outlier-detection/src/detector/voting.rs
+++ b/crates/outlier-detection/src/detector/voting.rs
@@ -23,17 +23,32 @@
 pub(super) type Votes = BTreeMap<EjectionTarget, Vec<Vote>>;
 
 impl OutlierDetector {
-    /// Votes to eject outliers that have been proven for long enough, the surest first and as many as one front may,
-    /// and withdraws votes for what is no longer an outlier.
-    pub(super) fn cast_votes(&mut self, now: Nanos, outliers: &Outliers, effects: &mut Vec<Effect>) {
-        self.outliers.retain(|target, _| outliers.contains_key(target));
+    /// Votes to eject outliers that have been proven for long enough, the surest first and as many
+    /// as one front may, and withdraws votes for what is no longer an outlier.
+    pub(super) fn cast_votes(
+        &mut self,
+        now: Nanos,
+        outliers: &Outliers,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.outliers
+            .retain(|target, _| outliers.contains_key(target));
         for target in outliers.keys() {
             self.outliers.entry(*target).or_insert(now);
         }
         for target in by_descending_ratio(outliers) {
             if self.is_vote_due(now, target) {
-                self.votes.insert(target, OwnVote { put_at: now, active: true });
-                if let Some(value) = encode(&VoteEntry { target, zone: self.config.zone }) {
+                self.votes.insert(
+                    target,
+                    OwnVote {
+                        put_at: now,
+                        active: true,
+                    },
+                );
+                if let Some(value) = encode(&VoteEntry {
+                    target,
+                    zone: self.config.zone,
+                }) {
                     effects.push(Effect::Put(vote_key(target), Some(value)));
                 }
             }
@@ -47,14 +62,22 @@
         if let Some(vote) = self.votes.get(&target).filter(|vote| vote.active) {
             return now - vote.put_at >= self.config.vote_ttl / REFRESHES_PER_TTL;
         }
-        let delay = if mutated(Mutation::NoVoteDelay) { 0 } else { self.config.vote_delay };
+        let delay = if mutated(Mutation::NoVoteDelay) {
+            0
+        } else {
+            self.config.vote_delay
+        };
         now - self.outliers[&target] >= delay && self.may_vote(now, target.server)
     }
 
-    /// Whether another vote keeps the number of servers that this front may have ejected within its bound.
+    /// Whether another vote keeps the number of servers that this front may have ejected within its
+    /// bound.
     fn may_vote(&self, now: Nanos, server: Server) -> bool {
         let span = self.config.vote_span();
-        let counting = self.votes.iter().filter(|(_, vote)| vote.active || now < vote.put_at + span);
+        let counting = self
+            .votes
+            .iter()
+            .filter(|(_, vote)| vote.active || now < vote.put_at + span);
         let mut servers: BTreeSet<Server> = counting.map(|(target, _)| target.server).collect();
         servers.insert(server);
         servers.len() <= self.config.max_votes(self.servers.len())
@@ -63,7 +86,8 @@
     fn withdraw_votes(&mut self, outliers: &Outliers, effects: &mut Vec<Effect>) {
         for (target, vote) in &mut self.votes {
             let is_known = self.servers.contains_key(&target.server);
-            let is_cleared = !outliers.contains_key(target) && !mutated(Mutation::VotesNeverWithdrawn);
+            let is_cleared =
+                !outliers.contains_key(target) && !mutated(Mutation::VotesNeverWithdrawn);
             if vote.active && (is_cleared || !is_known) {
                 vote.active = false;
                 effects.push(Effect::Put(vote_key(*target), None));
@@ -75,18 +99,25 @@
     fn drop_expired_votes(&mut self, now: Nanos) {
         let span = self.config.vote_span();
         let is_forgotten = mutated(Mutation::WithdrawnVoteForgotten);
-        self.votes.retain(|_, vote| vote.active || (now < vote.put_at + span && !is_forgotten));
+        self.votes
+            .retain(|_, vote| vote.active || (now < vote.put_at + span && !is_forgotten));
     }
 
-    /// The votes of all fronts that have not expired. A vote for [`Scope::All`] counts for every narrower target of
-    /// the same server, too.
+    /// The votes of all fronts that have not expired. A vote for [`Scope::All`] counts for every
+    /// narrower target of the same server, too.
     pub(super) fn all_votes(&self, now: Nanos, entries: &GossipStore) -> Votes {
         let mut votes = self.peer_votes(now, entries);
-        let counting =
-            self.votes.iter().filter(|(_, vote)| vote.active && now - vote.put_at <= self.config.vote_ttl);
+        let counting = self
+            .votes
+            .iter()
+            .filter(|(_, vote)| vote.active && now - vote.put_at <= self.config.vote_ttl);
         for (target, vote) in counting {
             let (front, zone) = (self.config.me, self.config.zone);
-            let vote = Vote { front, zone, age: now - vote.put_at };
+            let vote = Vote {
+                front,
+                zone,
+                age: now - vote.put_at,
+            };
             votes.entry(*target).or_default().push(vote);
         }
         extend_narrower_targets(&mut votes);
@@ -100,9 +131,14 @@
             if front == self.config.me || !is_fresh {
                 continue;
             }
-            let Some(VoteEntry { target, zone }) = decode(value) else { continue };
+            let Some(VoteEntry { target, zone }) = decode(value) else {
+                continue;
+            };
             if target.id() == id {
-                votes.entry(target).or_default().push(Vote { front, zone, age });
+                votes
+                    .entry(target)
+                    .or_default()
+                    .push(Vote { front, zone, age });
             }
         }
         votes
@@ -111,13 +147,16 @@
 
 /// The outliers with the highest log-likelihood ratio first.
 fn by_descending_ratio(outliers: &Outliers) -> Vec<EjectionTarget> {
-    let mut sorted: Vec<(EjectionTarget, f64)> =
-        outliers.iter().map(|(target, ratio)| (*target, *ratio)).collect();
+    let mut sorted: Vec<(EjectionTarget, f64)> = outliers
+        .iter()
+        .map(|(target, ratio)| (*target, *ratio))
+        .collect();
     sorted.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
     sorted.into_iter().map(|(target, _)| target).collect()
 }
 
-/// Adds each front's vote for [`Scope::All`] to the narrower targets of the same server that have none of it.
+/// Adds each front's vote for [`Scope::All`] to the narrower targets of the same server that have
+/// none of it.
 fn extend_narrower_targets(votes: &mut Votes) {
     let for_all: Vec<(Server, Vec<Vote>)> = votes
         .iter()
@@ -125,7 +164,8 @@
         .map(|(target, votes)| (target.server, votes.clone()))
         .collect();
     for (server, votes_for_all) in for_all {
-        let is_narrower = |target: &EjectionTarget| target.server == server && target.scope != Scope::All;
+        let is_narrower =
+            |target: &EjectionTarget| target.server == server && target.scope != Scope::All;
         for (_, narrower) in votes.iter_mut().filter(|(target, _)| is_narrower(target)) {
             for vote in &votes_for_all {
                 if !narrower.iter().any(|known| known.front == vote.front) {
--- a/crates/outlier-detection/src/event.rs
+++ b/crates/outlier-detection/src/event.rs
@@ -43,7 +43,8 @@
         /// Whether enough probes in a row have succeeded.
         healthy: bool,
     },
-    /// It is this front's turn to probe a server, once, within [`probe_turn`](crate::DetectorConfig::probe_turn).
+    /// It is this front's turn to probe a server, once, within
+    /// [`probe_turn`](crate::DetectorConfig::probe_turn).
     Probe(Server),
     /// Whether this front's evidence contradicts that of most peers, so that it is ignored.
     Suspect(bool),
--- a/crates/outlier-detection/src/evidence.rs
+++ b/crates/outlier-detection/src/evidence.rs
@@ -11,11 +11,13 @@
 const TENTHS: f64 = 10.0;
 /// Failure rates are published in thousandths.
 const THOUSANDTHS: f64 = 1_000.0;
-/// Where the failure rate of a front's median server exceeds this, the front cannot tell an outlier from the rest.
+/// Where the failure rate of a front's median server exceeds this, the front cannot tell an outlier
+/// from the rest.
 const MAX_BASELINE: f64 = 0.4;
 /// Upper bound of the failure rate that is assumed of an outlier.
 const MAX_FAILURE_RATE: f64 = 0.95;
-/// The failure rate that is assumed of an outlier is at least this many times that of a healthy server.
+/// The failure rate that is assumed of an outlier is at least this many times that of a healthy
+/// server.
 const MIN_RATE_RATIO: f64 = 2.0;
 
 /// The result of an attempt.
@@ -56,7 +58,8 @@
     pub attempts: f64,
     /// The failed ones among these.
     pub failures: f64,
-    /// Natural logarithm of how much more likely the evidence is for an outlier than for a healthy server.
+    /// Natural logarithm of how much more likely the evidence is for an outlier than for a healthy
+    /// server.
     pub log_likelihood_ratio: f64,
 }
 
@@ -69,10 +72,16 @@
 impl FailureRates {
     /// Both rates rise with the failure rate of the front's median server.
     fn new(baseline: f64, config: &DetectorConfig) -> FailureRates {
-        let scaled_baseline =
-            if mutated(Mutation::NoBaseline) { 0.0 } else { config.baseline_factor * baseline };
+        let scaled_baseline = if mutated(Mutation::NoBaseline) {
+            0.0
+        } else {
+            config.baseline_factor * baseline
+        };
         let healthy = config.healthy_failure_rate.max(scaled_baseline);
-        let outlier = config.outlier_failure_rate.max(MIN_RATE_RATIO * healthy).min(MAX_FAILURE_RATE);
+        let outlier = config
+            .outlier_failure_rate
+            .max(MIN_RATE_RATIO * healthy)
+            .min(MAX_FAILURE_RATE);
         FailureRates { healthy, outlier }
     }
 
@@ -85,7 +94,11 @@
 
 impl EvidenceSummary {
     /// Summarizes a front's evidence for one class of work, or for all of them.
-    pub fn of(evidence: &Evidence, class: Option<Class>, config: &DetectorConfig) -> EvidenceSummary {
+    pub fn of(
+        evidence: &Evidence,
+        class: Option<Class>,
+        config: &DetectorConfig,
+    ) -> EvidenceSummary {
         let listed = evidence.classes.iter().take(MAX_CLASSES);
         let mut attempts = 0.0;
         let mut failures = 0.0;
@@ -96,13 +109,24 @@
         let baseline = f64::from(evidence.baseline) / THOUSANDTHS;
         let is_inconclusive = baseline > MAX_BASELINE && !mutated(Mutation::NoBaseline);
         if attempts <= 0.0 || is_inconclusive {
-            return EvidenceSummary { attempts, failures, log_likelihood_ratio: 0.0 };
+            return EvidenceSummary {
+                attempts,
+                failures,
+                log_likelihood_ratio: 0.0,
+            };
         }
         // A front with many attempts must not outweigh all the others.
-        let weight =
-            if mutated(Mutation::SamplesUncapped) { 1.0 } else { (config.max_weight / attempts).min(1.0) };
+        let weight = if mutated(Mutation::SamplesUncapped) {
+            1.0
+        } else {
+            (config.max_weight / attempts).min(1.0)
+        };
         let ratio = FailureRates::new(baseline, config).log_likelihood_ratio(attempts, failures);
-        EvidenceSummary { attempts, failures, log_likelihood_ratio: ratio * weight }
+        EvidenceSummary {
+            attempts,
+            failures,
+            log_likelihood_ratio: ratio * weight,
+        }
     }
 }
 
@@ -118,8 +142,8 @@
     failures / attempts
 }
 
-/// The median of a front's failure rates, the upper one of two, in thousandths. The largest number without any, since
-/// nothing can be compared then.
+/// The median of a front's failure rates, the upper one of two, in thousandths. The largest number
+/// without any, since nothing can be compared then.
 pub(crate) fn baseline(mut failure_rates: Vec<f64>) -> u16 {
     failure_rates.sort_by(f64::total_cmp);
     let median = failure_rates.get(failure_rates.len() / 2);
--- a/crates/outlier-detection/src/gossip.rs
+++ b/crates/outlier-detection/src/gossip.rs
@@ -8,7 +8,8 @@
 
 use crate::{EjectionTarget, Server, Zone};
 
-/// Kind of the entries with a front's [`Evidence`](crate::Evidence) on a server; the id is the server.
+/// Kind of the entries with a front's [`Evidence`](crate::Evidence) on a server; the id is the
+/// server.
 pub const EVIDENCE: u8 = 2;
 /// Kind of the entries with a front's vote for an ejection; the id is [`EjectionTarget::id`].
 pub const VOTE: u8 = 3;
@@ -17,17 +18,26 @@
 
 /// Key of the evidence on a server.
 pub(crate) fn evidence_key(server: Server) -> EntryKey {
-    EntryKey { kind: EVIDENCE, id: server }
+    EntryKey {
+        kind: EVIDENCE,
+        id: server,
+    }
 }
 
 /// Key of a vote for an ejection.
 pub(crate) fn vote_key(target: EjectionTarget) -> EntryKey {
-    EntryKey { kind: VOTE, id: target.id() }
+    EntryKey {
+        kind: VOTE,
+        id: target.id(),
+    }
 }
 
 /// Key of the probe results of a server.
 pub(crate) fn probe_key(server: Server) -> EntryKey {
-    EntryKey { kind: PROBE, id: server }
+    EntryKey {
+        kind: PROBE,
+        id: server,
+    }
 }
 
 /// Value of a vote.
@@ -55,7 +65,9 @@
     /// Reads a value; `None` where it is malformed.
     pub fn decode(value: &[u8]) -> Option<ProbeEntry> {
         match value {
-            [successes] => Some(ProbeEntry { successes: *successes }),
+            [successes] => Some(ProbeEntry {
+                successes: *successes,
+            }),
             _ => None,
         }
     }
@@ -66,7 +78,8 @@
     postcard::to_stdvec(value).ok()
 }
 
-/// Decodes the value of an evidence or vote entry; `None` where it is malformed or has further bytes.
+/// Decodes the value of an evidence or vote entry; `None` where it is malformed or has further
+/// bytes.
 pub(crate) fn decode<T: DeserializeOwned>(value: &[u8]) -> Option<T> {
     match postcard::take_from_bytes(value) {
         Ok((decoded, [])) => Some(decoded),
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -1,8 +1,10 @@
-//! Outlier detection of chunk servers by a whole fleet of front ends. Each front runs one [`OutlierDetector`]: it is
-//! fed the results of the front's own attempts, reads the evidence and the votes of its peers in the [`GossipStore`],
-//! and answers which servers the front must eject and when it is the front's turn to probe one.
+//! Outlier detection of chunk servers by a whole fleet of front ends. Each front runs one
+//! [`OutlierDetector`]: it is fed the results of the front's own attempts, reads the evidence and
+//! the votes of its peers in the [`GossipStore`], and answers which servers the front must eject
+//! and when it is the front's turn to probe one.
 //!
-//! The crate does no I/O and reads no clock. The protocol and its bounds are described in `docs/fleet-verdicts.md`.
+//! The crate does no I/O and reads no clock. The protocol and its bounds are described in
+//! `docs/fleet-verdicts.md`.
 
 mod attempt_counts;
 mod attempt_observer;
@@ -25,7 +27,8 @@
 pub use target::{EjectionTarget, Scope};
 pub use tulipbridge_membership::{EntryKey, GossipStore, Incarnation, Nanos, PeerId};
 
-/// One run of a chunk server: a digest of its name and of its start time, so that a restarted server is a new one.
+/// One run of a chunk server: a digest of its name and of its start time, so that a restarted
+/// server is a new one.
 pub type Server = u64;
 /// A class of work, by its number in the settings that all fronts share.
 pub type Class = u8;
--- a/crates/outlier-detection/src/mutations.rs
+++ b/crates/outlier-detection/src/mutations.rs
@@ -1,5 +1,6 @@
-//! Mutations of the detector for mutation testing: each one breaks a rule of the protocol, and the simulation must
-//! notice it. Without the feature `mutations`, [`mutated`] is the constant `false`, so that none of them is compiled in.
+//! Mutations of the detector for mutation testing: each one breaks a rule of the protocol, and the
+//! simulation must notice it. Without the feature `mutations`, [`mutated`] is the constant `false`,
+//! so that none of them is compiled in.
 
 /// A deliberate fault in the detector. Tools print its [`Mutation::name`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -10,7 +11,8 @@
     SuspectCounts,
     /// Half of the fronts suffice to eject a server.
     HalfIsEnough,
-    /// A withdrawn vote no longer counts for the bound on votes, though it may still count at peers.
+    /// A withdrawn vote no longer counts for the bound on votes, though it may still count at
+    /// peers.
     WithdrawnVoteForgotten,
     /// Evidence counts whatever its age.
     ExpiredEvidenceCounts,
--- a/crates/outlier-detection/src/target.rs
+++ b/crates/outlier-detection/src/target.rs
@@ -46,8 +46,9 @@
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl EjectionTarget {
-    /// The identifier of the target in the keys of votes. Where two targets collide, one vote replaces the other: the
-    /// entry names its target, so that a vote is lost, but none is counted for the wrong target.
+    /// The identifier of the target in the keys of votes. Where two targets collide, one vote
+    /// replaces the other: the entry names its target, so that a vote is lost, but none is counted
+    /// for the wrong target.
     pub fn id(&self) -> u64 {
         let scope = match self.scope {
             Scope::All => 0,
--- a/crates/outlier-detection/tests/attempt_observer.rs
+++ b/crates/outlier-detection/tests/attempt_observer.rs
@@ -16,8 +16,16 @@
 
 fn sample(event: Event) -> Sample {
     match event {
-        Event::Attempt { server: SERVER, class: CLASS, quality } => Sample::Attempt(quality),
-        Event::Probed { server: SERVER, class: CLASS, quality } => Sample::Probe(quality),
+        Event::Attempt {
+            server: SERVER,
+            class: CLASS,
+            quality,
+        } => Sample::Attempt(quality),
+        Event::Probed {
+            server: SERVER,
+            class: CLASS,
+            quality,
+        } => Sample::Probe(quality),
         other => panic!("unexpected event: {other:?}"),
     }
 }
@@ -27,7 +35,10 @@
     let mut observer = AttemptObserver::default();
     observer.attempt_sent(0, KEY, SERVER, CLASS, true);
     let first = observer.attempt_ended(10 * MS, KEY, AttemptResult::Answered);
-    assert_eq!(first.map(sample), Some(Sample::Attempt(SampleQuality::Healthy)));
+    assert_eq!(
+        first.map(sample),
+        Some(Sample::Attempt(SampleQuality::Healthy))
+    );
     observer
 }
 
@@ -35,7 +46,9 @@
 fn sample_after(latency: Nanos, result: AttemptResult) -> Option<Sample> {
     let mut observer = observer();
     observer.attempt_sent(100 * MS, KEY, SERVER, CLASS, true);
-    observer.attempt_ended(100 * MS + latency, KEY, result).map(sample)
+    observer
+        .attempt_ended(100 * MS + latency, KEY, result)
+        .map(sample)
 }
 
 #[test]
@@ -48,7 +61,10 @@
 
 #[test]
 fn a_failure_counts_and_a_rejection_does_not() {
-    assert_eq!(sample_after(MS, AttemptResult::Failed), Some(Sample::Attempt(SampleQuality::Failed)));
+    assert_eq!(
+        sample_after(MS, AttemptResult::Failed),
+        Some(Sample::Attempt(SampleQuality::Failed))
+    );
     assert_eq!(sample_after(MS, AttemptResult::Rejected), None);
     assert_eq!(sample_after(45 * MS, AttemptResult::Rejected), None);
 }
@@ -66,11 +82,17 @@
     observer.attempt_sent(100 * MS, KEY, SERVER, CLASS, true);
     assert!(!observer.has_overdue(135 * MS));
     assert!(observer.has_overdue(145 * MS));
-    let overdue: Vec<Sample> = observer.take_overdue(145 * MS).into_iter().map(sample).collect();
+    let overdue: Vec<Sample> = observer
+        .take_overdue(145 * MS)
+        .into_iter()
+        .map(sample)
+        .collect();
     assert_eq!(overdue, [Sample::Attempt(SampleQuality::Failed)]);
     assert!(!observer.has_overdue(146 * MS));
     assert!(observer.take_overdue(146 * MS).is_empty());
-    assert!(observer.attempt_ended(150 * MS, KEY, AttemptResult::Answered).is_none());
+    assert!(observer
+        .attempt_ended(150 * MS, KEY, AttemptResult::Answered)
+        .is_none());
 }
 
 #[test]
@@ -89,7 +111,9 @@
         let mut observer = observer();
         observer.probe_next(SERVER, 500 * MS);
         observer.attempt_sent(sent_at, KEY, SERVER, CLASS, repeatable);
-        let event = observer.attempt_ended(sent_at + MS, KEY, AttemptResult::Answered).expect("it counts");
+        let event = observer
+            .attempt_ended(sent_at + MS, KEY, AttemptResult::Answered)
+            .expect("it counts");
         sample(event) == Sample::Probe(SampleQuality::Healthy)
     };
     assert!(is_probe(499 * MS, true));
@@ -101,7 +125,10 @@
 fn only_one_attempt_is_the_probe_and_none_after_readmission() {
     let mut observer = observer();
     observer.probe_next(SERVER, 500 * MS);
-    for expected in [Sample::Probe(SampleQuality::Healthy), Sample::Attempt(SampleQuality::Healthy)] {
+    for expected in [
+        Sample::Probe(SampleQuality::Healthy),
+        Sample::Attempt(SampleQuality::Healthy),
+    ] {
         observer.attempt_sent(100 * MS, KEY, SERVER, CLASS, true);
         let event = observer.attempt_ended(101 * MS, KEY, AttemptResult::Answered);
         assert_eq!(event.map(sample), Some(expected));
@@ -110,7 +137,10 @@
     observer.readmitted(SERVER);
     observer.attempt_sent(100 * MS, KEY, SERVER, CLASS, true);
     let event = observer.attempt_ended(101 * MS, KEY, AttemptResult::Answered);
-    assert_eq!(event.map(sample), Some(Sample::Attempt(SampleQuality::Healthy)));
+    assert_eq!(
+        event.map(sample),
+        Some(Sample::Attempt(SampleQuality::Healthy))
+    );
 }
 
 #[test]
--- a/crates/outlier-detection/tests/config.rs
+++ b/crates/outlier-detection/tests/config.rs
@@ -7,36 +7,73 @@
     let valid = DetectorConfig::new(0, 4, 0);
     assert_eq!(valid.check(), Ok(()));
     let invalid = [
-        (DetectorConfig { me: 4, ..valid.clone() }, "place 4 is not in a roster of 4"),
         (
-            DetectorConfig { witnesses: 1, ..valid.clone() },
+            DetectorConfig {
+                me: 4,
+                ..valid.clone()
+            },
+            "place 4 is not in a roster of 4",
+        ),
+        (
+            DetectorConfig {
+                witnesses: 1,
+                ..valid.clone()
+            },
             "a verdict needs two witnesses or more, and 1 were asked for",
         ),
         (
-            DetectorConfig { max_ejected_fraction: 1.5, ..valid.clone() },
+            DetectorConfig {
+                max_ejected_fraction: 1.5,
+                ..valid.clone()
+            },
             "'most_out' must be a part between 0 and 1, and 1.5 was told",
         ),
         (
-            DetectorConfig { healthy_failure_rate: 0.4, ..valid.clone() },
+            DetectorConfig {
+                healthy_failure_rate: 0.4,
+                ..valid.clone()
+            },
             "'good_part' 0.4 must be above 0 and below 'bad_part' 0.3",
         ),
-        (DetectorConfig { vote_ttl: 0, ..valid }, "'assent_life' must be longer than nothing"),
+        (
+            DetectorConfig {
+                vote_ttl: 0,
+                ..valid
+            },
+            "'assent_life' must be longer than nothing",
+        ),
     ];
     for (config, reason) in invalid {
-        assert_eq!(config.check().expect_err("it is invalid").to_string(), reason);
+        assert_eq!(
+            config.check().expect_err("it is invalid").to_string(),
+            reason
+        );
     }
 }
 
 #[test]
 fn one_of_several_problems_is_reported() {
-    let config = DetectorConfig { me: 4, witnesses: 0, ..DetectorConfig::new(0, 4, 0) };
-    assert_eq!(config.check(), Err(DetectorConfigError::UnknownPeer { me: 4, fronts: 4 }));
+    let config = DetectorConfig {
+        me: 4,
+        witnesses: 0,
+        ..DetectorConfig::new(0, 4, 0)
+    };
+    assert_eq!(
+        config.check(),
+        Err(DetectorConfigError::UnknownPeer { me: 4, fronts: 4 })
+    );
 }
 
 #[test]
 fn the_quorum_is_more_than_half_and_votes_are_bounded_by_half_of_the_fraction() {
     let config = |fronts| DetectorConfig::new(0, fronts, 0);
-    assert_eq!([1, 2, 3, 4].map(|fronts| config(fronts).quorum()), [1, 2, 2, 3]);
-    assert_eq!([0, 3, 4, 6, 8].map(|servers| config(4).max_votes(servers)), [0, 0, 1, 1, 2]);
+    assert_eq!(
+        [1, 2, 3, 4].map(|fronts| config(fronts).quorum()),
+        [1, 2, 2, 3]
+    );
+    assert_eq!(
+        [0, 3, 4, 6, 8].map(|servers| config(4).max_votes(servers)),
+        [0, 0, 1, 1, 2]
+    );
     assert_eq!(config(4).vote_span(), 4_004_000_001);
 }
--- a/crates/outlier-detection/tests/detector.rs
+++ b/crates/outlier-detection/tests/detector.rs
@@ -1,5 +1,5 @@
-//! Behavior of a small fleet of detectors that gossip with each other, step by step. Arbitrary orders of faults are
-//! covered by the simulation.
+//! Behavior of a small fleet of detectors that gossip with each other, step by step. Arbitrary
+//! orders of faults are covered by the simulation.
 
 use tulipbridge_membership::{GossipAction, GossipInput, GossipStore, MembershipTable};
 use tulipbridge_outlier_detection::*;
@@ -10,7 +10,10 @@
 const SERVERS: Server = 6;
 const CLASSES: [Class; 2] = [0, 1];
 /// The server that fails in most tests, for all work.
-const OUTLIER: EjectionTarget = EjectionTarget { server: 3, scope: Scope::All };
+const OUTLIER: EjectionTarget = EjectionTarget {
+    server: 3,
+    scope: Scope::All,
+};
 
 struct Front {
     me: PeerId,
@@ -31,7 +34,15 @@
         let servers = (0..SERVERS).map(|server| (server, true)).collect();
         detector.on(0, &entries, Event::Servers(servers), &mut Vec::new());
         let members = MembershipTable::new(me, fronts, incarnation, FAILURE_TIMEOUT);
-        Front { me, incarnation, members, entries, detector, ejected: Vec::new(), probes: 0 }
+        Front {
+            me,
+            incarnation,
+            members,
+            entries,
+            detector,
+            ejected: Vec::new(),
+            probes: 0,
+        }
     }
 
     /// Handles an event and its effects. `probe` gives the result of a probe of a server.
@@ -42,13 +53,21 @@
             match effect {
                 Effect::Put(key, value) => {
                     let put = GossipInput::Put(key, value);
-                    self.entries.on(now, &self.members, put, &mut Vec::new()).expect("the entry fits");
+                    self.entries
+                        .on(now, &self.members, put, &mut Vec::new())
+                        .expect("the entry fits");
                 }
                 Effect::Ejected(target) => self.ejected.push(target),
-                Effect::Readmitted { target, .. } => self.ejected.retain(|ejected| *ejected != target),
+                Effect::Readmitted { target, .. } => {
+                    self.ejected.retain(|ejected| *ejected != target)
+                }
                 Effect::Probe(server) => {
                     self.probes += 1;
-                    let probed = Event::Probed { server, class: 0, quality: probe(server) };
+                    let probed = Event::Probed {
+                        server,
+                        class: 0,
+                        quality: probe(server),
+                    };
                     self.handle(now, probed, probe);
                 }
                 Effect::Suspect(_) => {}
@@ -57,13 +76,25 @@
     }
 
     /// One attempt of each class at each server that is not ejected, and an evaluation.
-    fn attempt_and_evaluate(&mut self, now: Nanos, quality: &dyn Fn(Server, Class) -> SampleQuality) {
+    fn attempt_and_evaluate(
+        &mut self,
+        now: Nanos,
+        quality: &dyn Fn(Server, Class) -> SampleQuality,
+    ) {
         let probe = |server| quality(server, 0);
         for server in 0..SERVERS {
             let is_ejected = self.ejected.iter().any(|target| target.server == server);
             for class in CLASSES.into_iter().filter(|_| !is_ejected) {
                 let quality = quality(server, class);
-                self.handle(now, Event::Attempt { server, class, quality }, &probe);
+                self.handle(
+                    now,
+                    Event::Attempt {
+                        server,
+                        class,
+                        quality,
+                    },
+                    &probe,
+                );
             }
         }
         self.members.begin_round(now);
@@ -73,11 +104,13 @@
 
 /// Fronts in zones that alternate.
 fn fleet(fronts: PeerId, zones: Zone) -> Vec<Front> {
-    (0..fronts).map(|me| Front::new(me, fronts, (me % PeerId::from(zones)) as Zone)).collect()
+    (0..fronts)
+        .map(|me| Front::new(me, fronts, (me % PeerId::from(zones)) as Zone))
+        .collect()
 }
 
-/// Rounds of all fronts from one time to another. `is_linked(to, from)` says which messages arrive, and
-/// `fails(front, server, class)` which attempts fail.
+/// Rounds of all fronts from one time to another. `is_linked(to, from)` says which messages arrive,
+/// and `fails(front, server, class)` which attempts fail.
 fn rounds(
     fleet: &mut [Front],
     from: Nanos,
@@ -101,23 +134,48 @@
 }
 
 /// Sends a front's heartbeats and gossip to the peers that it is linked to.
-fn send_messages(fleet: &mut [Front], now: Nanos, sender: usize, is_linked: &dyn Fn(usize, usize) -> bool) {
-    let Front { me, incarnation, .. } = fleet[sender];
+fn send_messages(
+    fleet: &mut [Front],
+    now: Nanos,
+    sender: usize,
+    is_linked: &dyn Fn(usize, usize) -> bool,
+) {
+    let Front {
+        me, incarnation, ..
+    } = fleet[sender];
     let front = &mut fleet[sender];
     let mut actions = Vec::new();
-    front.entries.on(now, &front.members, GossipInput::Round, &mut actions).expect("a round puts nothing");
-    let states: Vec<_> = front.members.others().map(|to| (to, front.members.state_for(now, to))).collect();
+    front
+        .entries
+        .on(now, &front.members, GossipInput::Round, &mut actions)
+        .expect("a round puts nothing");
+    let states: Vec<_> = front
+        .members
+        .others()
+        .map(|to| (to, front.members.state_for(now, to)))
+        .collect();
     for (to, state) in states {
         if is_linked(usize::from(to), sender) {
-            fleet[usize::from(to)].members.receive(now, me, incarnation, &state);
+            fleet[usize::from(to)]
+                .members
+                .receive(now, me, incarnation, &state);
         }
     }
     for action in actions {
-        let GossipAction::Send { to, message } = action else { continue };
+        let GossipAction::Send { to, message } = action else {
+            continue;
+        };
         if is_linked(usize::from(to), sender) {
-            let received = GossipInput::Received { from: me, incarnation, message };
+            let received = GossipInput::Received {
+                from: me,
+                incarnation,
+                message,
+            };
             let receiver = &mut fleet[usize::from(to)];
-            receiver.entries.on(now, &receiver.members, received, &mut Vec::new()).expect("it puts nothing");
+            receiver
+                .entries
+                .on(now, &receiver.members, received, &mut Vec::new())
+                .expect("it puts nothing");
         }
     }
 }
@@ -134,14 +192,41 @@
 fn an_outlier_is_ejected_by_all_probed_by_one_and_readmitted() {
     let mut fronts = fleet(4, 2);
     rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
-    rounds(&mut fronts, 2_000 * MS, 6_000 * MS, all_linked, |_, server, _| server == OUTLIER.server);
+    rounds(
+        &mut fronts,
+        2_000 * MS,
+        6_000 * MS,
+        all_linked,
+        |_, server, _| server == OUTLIER.server,
+    );
     assert!(fronts.iter().all(|front| front.ejected == [OUTLIER]));
     let probes: usize = fronts.iter().map(|front| front.probes).sum();
-    assert!((3..=9).contains(&probes), "one front at a time, every half second: {probes}");
-    rounds(&mut fronts, 6_000 * MS, 16_000 * MS, all_linked, no_failures);
-    assert!(fronts.iter().all(|front| front.ejected.is_empty()), "it has recovered");
-    rounds(&mut fronts, 16_000 * MS, 20_000 * MS, all_linked, no_failures);
-    assert!(fronts.iter().all(|front| front.ejected.is_empty()), "earlier evidence is ignored");
+    assert!(
+        (3..=9).contains(&probes),
+        "one front at a time, every half second: {probes}"
+    );
+    rounds(
+        &mut fronts,
+        6_000 * MS,
+        16_000 * MS,
+        all_linked,
+        no_failures,
+    );
+    assert!(
+        fronts.iter().all(|front| front.ejected.is_empty()),
+        "it has recovered"
+    );
+    rounds(
+        &mut fronts,
+        16_000 * MS,
+        20_000 * MS,
+        all_linked,
+        no_failures,
+    );
+    assert!(
+        fronts.iter().all(|front| front.ejected.is_empty()),
+        "earlier evidence is ignored"
+    );
 }
 
 #[test]
@@ -149,10 +234,27 @@
     let mut fronts = fleet(6, 2);
     let is_unreachable = |front: usize, server, _| server == OUTLIER.server && front % 2 == 1;
     rounds(&mut fronts, 0, 1_000 * MS, all_linked, no_failures);
-    rounds(&mut fronts, 1_000 * MS, 6_000 * MS, all_linked, is_unreachable);
-    let in_zone = EjectionTarget { scope: Scope::Zone(1), ..OUTLIER };
+    rounds(
+        &mut fronts,
+        1_000 * MS,
+        6_000 * MS,
+        all_linked,
+        is_unreachable,
+    );
+    let in_zone = EjectionTarget {
+        scope: Scope::Zone(1),
+        ..OUTLIER
+    };
     for (me, front) in fronts.iter().enumerate() {
-        assert_eq!(front.ejected, if me % 2 == 1 { vec![in_zone] } else { Vec::new() }, "front {me}");
+        assert_eq!(
+            front.ejected,
+            if me % 2 == 1 {
+                vec![in_zone]
+            } else {
+                Vec::new()
+            },
+            "front {me}"
+        );
     }
 }
 
@@ -162,20 +264,39 @@
     let fails = |_, server, class| server == OUTLIER.server && class == 1;
     rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
     rounds(&mut fronts, 2_000 * MS, 6_000 * MS, all_linked, fails);
-    let for_class = EjectionTarget { scope: Scope::Class(1), ..OUTLIER };
-    assert!(fronts.iter().all(|front| front.ejected == [for_class]), "{:?}", fronts[0].ejected);
+    let for_class = EjectionTarget {
+        scope: Scope::Class(1),
+        ..OUTLIER
+    };
+    assert!(
+        fronts.iter().all(|front| front.ejected == [for_class]),
+        "{:?}",
+        fronts[0].ejected
+    );
 }
 
 #[test]
 fn a_front_for_which_all_servers_fail_ejects_none_and_is_suspect() {
     let mut fronts = fleet(4, 2);
     rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
-    rounds(&mut fronts, 2_000 * MS, 8_000 * MS, all_linked, |front, _, _| front == 2);
+    rounds(
+        &mut fronts,
+        2_000 * MS,
+        8_000 * MS,
+        all_linked,
+        |front, _, _| front == 2,
+    );
     assert!(fronts.iter().all(|front| front.ejected.is_empty()));
     // Where one server in three fails, the front has a baseline by which it could be a witness.
     let mut fronts = fleet(4, 2);
     rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
-    rounds(&mut fronts, 2_000 * MS, 8_000 * MS, all_linked, |front, server, _| front == 2 && server % 3 == 0);
+    rounds(
+        &mut fronts,
+        2_000 * MS,
+        8_000 * MS,
+        all_linked,
+        |front, server, _| front == 2 && server % 3 == 0,
+    );
     assert!(fronts.iter().all(|front| front.ejected.is_empty()));
     assert!(fronts[2].detector.is_suspect() && !fronts[1].detector.is_suspect());
 }
@@ -184,8 +305,18 @@
 fn nothing_is_ejected_where_half_of_all_servers_are_slow_under_load() {
     let mut fronts = fleet(4, 2);
     rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
-    rounds(&mut fronts, 2_000 * MS, 10_000 * MS, all_linked, |_, server, _| server % 2 == 0);
-    assert!(fronts.iter().all(|front| front.ejected.is_empty()), "{:?}", fronts[0].ejected);
+    rounds(
+        &mut fronts,
+        2_000 * MS,
+        10_000 * MS,
+        all_linked,
+        |_, server, _| server % 2 == 0,
+    );
+    assert!(
+        fronts.iter().all(|front| front.ejected.is_empty()),
+        "{:?}",
+        fronts[0].ejected
+    );
 }
 
 #[test]
@@ -195,20 +326,42 @@
     let fails = |_, server, _| server == OUTLIER.server;
     rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
     rounds(&mut fronts, 2_000 * MS, 8_000 * MS, same_half, fails);
-    assert!(fronts.iter().all(|front| front.ejected.is_empty()), "two of four");
+    assert!(
+        fronts.iter().all(|front| front.ejected.is_empty()),
+        "two of four"
+    );
     rounds(&mut fronts, 8_000 * MS, 12_000 * MS, all_linked, fails);
-    let in_zone = EjectionTarget { scope: Scope::Zone(0), ..OUTLIER };
-    assert!(fronts.iter().all(|front| front.ejected == [OUTLIER] || front.ejected == [in_zone]));
+    let in_zone = EjectionTarget {
+        scope: Scope::Zone(0),
+        ..OUTLIER
+    };
+    assert!(fronts
+        .iter()
+        .all(|front| front.ejected == [OUTLIER] || front.ejected == [in_zone]));
     rounds(&mut fronts, 12_000 * MS, 17_000 * MS, same_half, fails);
-    assert!(fronts.iter().all(|front| front.ejected.is_empty()), "the votes have expired");
+    assert!(
+        fronts.iter().all(|front| front.ejected.is_empty()),
+        "the votes have expired"
+    );
 }
 
 #[test]
 fn no_more_than_the_maximum_fraction_is_ejected() {
     let mut fronts = fleet(4, 1);
     rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
-    rounds(&mut fronts, 2_000 * MS, 12_000 * MS, all_linked, |_, server, _| server == 2 || server == 3);
+    rounds(
+        &mut fronts,
+        2_000 * MS,
+        12_000 * MS,
+        all_linked,
+        |_, server, _| server == 2 || server == 3,
+    );
     for front in &fronts {
-        assert_eq!(front.ejected.len(), 1, "half of a half of six: {:?}", front.ejected);
+        assert_eq!(
+            front.ejected.len(),
+            1,
+            "half of a half of six: {:?}",
+            front.ejected
+        );
     }
 }
--- a/crates/outlier-detection/tests/golden.rs
+++ b/crates/outlier-detection/tests/golden.rs
@@ -1,11 +1,12 @@
 //! Golden bytes of the gossip entries of outlier detection.
 //!
-//! Fronts of two versions run side by side during an upgrade, so the bytes are a contract: names of types and fields
-//! may change, their order, their widths and the numbers of enum variants may not. The expected bytes were
-//! derived from the postcard format by an independent encoder, not copied from a run.
+//! Fronts of two versions run side by side during an upgrade, so the bytes are a contract: names of
+//! types and fields may change, their order, their widths and the numbers of enum variants may not.
+//! The expected bytes were derived from the postcard format by an independent encoder, not copied
+//! from a run.
 //!
-//! What a front publishes is also taken from a running [`OutlierDetector`], so that the values of votes (a target and a
-//! zone) and of probe results (one byte) are pinned as it encodes them.
+//! What a front publishes is also taken from a running [`OutlierDetector`], so that the values of
+//! votes (a target and a zone) and of probe results (one byte) are pinned as it encodes them.
 
 use std::fmt::Debug;
 
@@ -54,7 +55,10 @@
 #[test]
 fn ejection_target() {
     assert_golden(
-        &EjectionTarget { server: SERVER, scope: Scope::Class(201) },
+        &EjectionTarget {
+            server: SERVER,
+            scope: Scope::Class(201),
+        },
         concat!(
             "88ef99abc5e88c9111", // server
             "02c9",               // scope: Class, its number in one byte
@@ -64,7 +68,13 @@
 
 #[test]
 fn target_ids_in_the_keys_of_votes() {
-    let id = |scope| EjectionTarget { server: SERVER, scope }.id();
+    let id = |scope| {
+        EjectionTarget {
+            server: SERVER,
+            scope,
+        }
+        .id()
+    };
     assert_eq!(id(Scope::All), 0x7709_291b_83f6_32e2);
     assert_eq!(id(Scope::Zone(200)), 0x3af1_14a4_1730_e1a7);
     assert_eq!(id(Scope::Class(201)), 0xb36f_1ca2_ada6_6c67);
@@ -73,7 +83,11 @@
 #[test]
 fn class_evidence() {
     assert_golden(
-        &ClassEvidence { class: 202, attempts: 301, failures: 130 },
+        &ClassEvidence {
+            class: 202,
+            attempts: 301,
+            failures: 130,
+        },
         concat!(
             "ca",   // class, in one byte
             "ad02", // attempts
@@ -85,11 +99,23 @@
 #[test]
 fn evidence() {
     let classes = vec![
-        ClassEvidence { class: 202, attempts: 301, failures: 130 },
-        ClassEvidence { class: 3, attempts: 5, failures: 4 },
+        ClassEvidence {
+            class: 202,
+            attempts: 301,
+            failures: 130,
+        },
+        ClassEvidence {
+            class: 3,
+            attempts: 5,
+            failures: 4,
+        },
     ];
     assert_golden(
-        &Evidence { zone: 201, baseline: 400, classes },
+        &Evidence {
+            zone: 201,
+            baseline: 400,
+            classes,
+        },
         concat!(
             "c9",         // zone, in one byte
             "9003",       // baseline
@@ -104,7 +130,8 @@
 const FRONT: PeerId = 0;
 const INCARNATION: Incarnation = 100;
 const ZONE: Zone = 200;
-/// A front of another zone with the same evidence, so that both vote to eject the server for all work.
+/// A front of another zone with the same evidence, so that both vote to eject the server for all
+/// work.
 const PEER: PeerId = 1;
 const PEER_INCARNATION: Incarnation = 101;
 const PEER_ZONE: Zone = 7;
@@ -128,9 +155,23 @@
 /// The entries of the front, which has received this evidence from the peer.
 fn entries_with(now: Nanos, evidence: &Evidence) -> GossipStore {
     let value = postcard::to_stdvec(evidence).expect("the evidence can be encoded");
-    let key = EntryKey { kind: EVIDENCE, id: SERVER };
-    let entry = GossipEntry { key, version: 1, age_ms: 0, value: Some(value) };
-    let delta = Delta { origin: PEER, incarnation: PEER_INCARNATION, after: 0, to: 1, entries: vec![entry] };
+    let key = EntryKey {
+        kind: EVIDENCE,
+        id: SERVER,
+    };
+    let entry = GossipEntry {
+        key,
+        version: 1,
+        age_ms: 0,
+        value: Some(value),
+    };
+    let delta = Delta {
+        origin: PEER,
+        incarnation: PEER_INCARNATION,
+        after: 0,
+        to: 1,
+        entries: vec![entry],
+    };
     let message = GossipMessage {
         echo: Some((INCARNATION, now)),
         knows: Vec::new(),
@@ -140,11 +181,22 @@
     let mut entries = GossipStore::new(FRONT, 2, INCARNATION, 100_000, now);
     let members = membership(now);
     // Entries count from the first round on that knows the peer's incarnation.
-    entries.on(now, &members, GossipInput::Round, &mut Vec::new()).expect("a round puts nothing");
-    let received = GossipInput::Received { from: PEER, incarnation: PEER_INCARNATION, message };
+    entries
+        .on(now, &members, GossipInput::Round, &mut Vec::new())
+        .expect("a round puts nothing");
+    let received = GossipInput::Received {
+        from: PEER,
+        incarnation: PEER_INCARNATION,
+        message,
+    };
     let mut actions = Vec::new();
-    entries.on(now, &members, received, &mut actions).expect("it puts nothing");
-    assert!(entries.get(now, PEER, key).is_some(), "the evidence is accepted: {actions:?}");
+    entries
+        .on(now, &members, received, &mut actions)
+        .expect("it puts nothing");
+    assert!(
+        entries.get(now, PEER, key).is_some(),
+        "the evidence is accepted: {actions:?}"
+    );
     entries
 }
 
@@ -157,20 +209,43 @@
     failures: usize,
 ) {
     for attempt in 0..20 {
-        let quality = if attempt < failures { SampleQuality::Failed } else { SampleQuality::Healthy };
-        let event = Event::Attempt { server, class: CLASS, quality };
+        let quality = if attempt < failures {
+            SampleQuality::Failed
+        } else {
+            SampleQuality::Healthy
+        };
+        let event = Event::Attempt {
+            server,
+            class: CLASS,
+            quality,
+        };
         detector.on(now, entries, event, &mut Vec::new());
     }
 }
 
-/// What the front publishes of a server that is an outlier by its own attempts and by the peer's evidence.
+/// What the front publishes of a server that is an outlier by its own attempts and by the peer's
+/// evidence.
 fn entries_on_an_outlier() -> Vec<(EntryKey, Option<String>)> {
     let now = 1_000 * MS;
-    let classes = vec![ClassEvidence { class: CLASS, attempts: 200, failures: 180 }];
-    let entries = entries_with(now, &Evidence { zone: PEER_ZONE, baseline: 50, classes });
-    let mut detector =
-        OutlierDetector::new(DetectorConfig::new(FRONT, 2, ZONE)).expect("the configuration is valid");
-    let servers = HEALTHY_SERVERS.chain([SERVER]).map(|server| (server, true)).collect();
+    let classes = vec![ClassEvidence {
+        class: CLASS,
+        attempts: 200,
+        failures: 180,
+    }];
+    let entries = entries_with(
+        now,
+        &Evidence {
+            zone: PEER_ZONE,
+            baseline: 50,
+            classes,
+        },
+    );
+    let mut detector = OutlierDetector::new(DetectorConfig::new(FRONT, 2, ZONE))
+        .expect("the configuration is valid");
+    let servers = HEALTHY_SERVERS
+        .chain([SERVER])
+        .map(|server| (server, true))
+        .collect();
     detector.on(now, &entries, Event::Servers(servers), &mut Vec::new());
     record_attempts(&mut detector, now, &entries, SERVER, 18);
     HEALTHY_SERVERS.for_each(|server| record_attempts(&mut detector, now, &entries, server, 1));
@@ -197,7 +272,13 @@
         "01",         // classes: length
         "c9c801b401", // classes: class in one byte, attempts, failures
     );
-    let expected = (EntryKey { kind: 2, id: SERVER }, Some(value.to_owned()));
+    let expected = (
+        EntryKey {
+            kind: 2,
+            id: SERVER,
+        },
+        Some(value.to_owned()),
+    );
     assert_eq!(entries_on_an_outlier().first(), Some(&expected));
 }
 
@@ -208,20 +289,47 @@
         "00",                 // target: scope All
         "c8",                 // zone, in one byte
     );
-    let expected = (EntryKey { kind: 3, id: 0x7709_291b_83f6_32e2 }, Some(value.to_owned()));
+    let expected = (
+        EntryKey {
+            kind: 3,
+            id: 0x7709_291b_83f6_32e2,
+        },
+        Some(value.to_owned()),
+    );
     assert_eq!(entries_on_an_outlier().last(), Some(&expected));
 }
 
 #[test]
 fn probe_result_as_published() {
     let entries = GossipStore::new(FRONT, 2, INCARNATION, 100_000, 0);
-    let mut detector =
-        OutlierDetector::new(DetectorConfig::new(FRONT, 2, ZONE)).expect("the configuration is valid");
+    let mut detector = OutlierDetector::new(DetectorConfig::new(FRONT, 2, ZONE))
+        .expect("the configuration is valid");
     let mut effects = Vec::new();
-    for quality in [SampleQuality::Healthy, SampleQuality::Healthy, SampleQuality::Failed] {
-        detector.on(0, &entries, Event::Probed { server: SERVER, class: CLASS, quality }, &mut effects);
+    for quality in [
+        SampleQuality::Healthy,
+        SampleQuality::Healthy,
+        SampleQuality::Failed,
+    ] {
+        detector.on(
+            0,
+            &entries,
+            Event::Probed {
+                server: SERVER,
+                class: CLASS,
+                quality,
+            },
+            &mut effects,
+        );
     }
     // The number of successes in a row, in one byte.
-    let put = |value: &str| (EntryKey { kind: 4, id: SERVER }, Some(value.to_owned()));
+    let put = |value: &str| {
+        (
+            EntryKey {
+                kind: 4,
+                id: SERVER,
+            },
+            Some(value.to_owned()),
+        )
+    };
     assert_eq!(published(effects), [put("01"), put("02"), put("00")]);
 }
--- a/crates/results/src/chart.rs
+++ b/crates/results/src/chart.rs
@@ -68,7 +68,10 @@
     }
 
     fn draw(&self, title: &str, file: &Path) -> Result<(), Box<dyn Error + Send + Sync>> {
-        let size = (WIDTH, PLOT_HEIGHT + LINE_HEIGHT * self.conditions.len() as u32);
+        let size = (
+            WIDTH,
+            PLOT_HEIGHT + LINE_HEIGHT * self.conditions.len() as u32,
+        );
         let area = SVGBackend::new(file, size).into_drawing_area();
         area.fill(&WHITE)?;
         let (plot, legend) = area.split_vertically(PLOT_HEIGHT);
--- a/crates/results/src/comparison.rs
+++ b/crates/results/src/comparison.rs
@@ -31,8 +31,8 @@
     pub first: Sample,
     /// The rows of the second table.
     pub second: Sample,
-    /// The fraction of the permutations of all rows between the two tables in which the means differ as much: a small
-    /// one is no chance.
+    /// The fraction of the permutations of all rows between the two tables in which the means
+    /// differ as much: a small one is no chance.
     pub p_value: f64,
 }
 
@@ -42,12 +42,20 @@
 /// Compares every metric under every condition that both tables have.
 pub fn compare(first: &Table, second: &Table) -> Vec<Comparison> {
     let (first, second) = (values_by_metric(first), values_by_metric(second));
-    let common = first.iter().filter_map(|(key, values)| Some((key, values, second.get(key)?)));
+    let common = first
+        .iter()
+        .filter_map(|(key, values)| Some((key, values, second.get(key)?)));
     let comparisons = common.map(|((conditions, metric), first, second)| Comparison {
         conditions: conditions.clone(),
         metric: metric.clone(),
-        first: Sample { median: median(first), rows: first.len() },
-        second: Sample { median: median(second), rows: second.len() },
+        first: Sample {
+            median: median(first),
+            rows: first.len(),
+        },
+        second: Sample {
+            median: median(second),
+            rows: second.len(),
+        },
         p_value: permutation_test(first, second),
     });
     comparisons.collect()
--- a/crates/results/src/error.rs
+++ b/crates/results/src/error.rs
@@ -52,6 +52,9 @@
 impl TableError {
     /// Adds the file to an error of the operating system.
     pub(crate) fn file(file: &Path) -> impl FnOnce(std::io::Error) -> TableError + '_ {
-        move |source| TableError::File { file: file.to_owned(), source }
+        move |source| TableError::File {
+            file: file.to_owned(),
+            source,
+        }
     }
 }
--- a/crates/results/src/parquet_file.rs
+++ b/crates/results/src/parquet_file.rs
@@ -20,15 +20,25 @@
     ///
     /// # Errors
     /// If the file cannot be written.
-    pub fn write_parquet(&self, file: &Path, metadata: &[(&str, String)]) -> Result<(), TableError> {
+    pub fn write_parquet(
+        &self,
+        file: &Path,
+        metadata: &[(&str, String)],
+    ) -> Result<(), TableError> {
         let schema = self.schema()?;
-        let metadata = metadata.iter().map(|(key, value)| KeyValue::new((*key).to_owned(), value.clone()));
-        let properties = WriterProperties::builder().set_key_value_metadata(Some(metadata.collect())).build();
+        let metadata = metadata
+            .iter()
+            .map(|(key, value)| KeyValue::new((*key).to_owned(), value.clone()));
+        let properties = WriterProperties::builder()
+            .set_key_value_metadata(Some(metadata.collect()))
+            .build();
         let output = File::create(file).map_err(TableError::file(file))?;
         let mut writer = SerializedFileWriter::new(output, schema, Arc::new(properties))?;
         let mut row_group = writer.next_row_group()?;
         for column in &self.columns {
-            let Some(mut column_writer) = row_group.next_column()? else { break };
+            let Some(mut column_writer) = row_group.next_column()? else {
+                break;
+            };
             write_column(&mut column_writer, &column.values)?;
             column_writer.close()?;
         }
@@ -38,8 +48,16 @@
     }
 
     fn schema(&self) -> Result<TypePtr, ParquetError> {
-        let fields = self.columns.iter().map(field).collect::<Result<Vec<_>, _>>()?;
-        Ok(Arc::new(Type::group_type_builder("row").with_fields(fields).build()?))
+        let fields = self
+            .columns
+            .iter()
+            .map(field)
+            .collect::<Result<Vec<_>, _>>()?;
+        Ok(Arc::new(
+            Type::group_type_builder("row")
+                .with_fields(fields)
+                .build()?,
+        ))
     }
 }
 
@@ -50,18 +68,35 @@
             .with_logical_type(Some(LogicalType::String)),
         Values::Number(_) => Type::primitive_type_builder(&column.name, PhysicalType::DOUBLE),
     };
-    Ok(Arc::new(builder.with_repetition(Repetition::OPTIONAL).build()?))
+    Ok(Arc::new(
+        builder.with_repetition(Repetition::OPTIONAL).build()?,
+    ))
 }
 
-fn write_column(writer: &mut SerializedColumnWriter<'_>, values: &Values) -> Result<(), ParquetError> {
+fn write_column(
+    writer: &mut SerializedColumnWriter<'_>,
+    values: &Values,
+) -> Result<(), ParquetError> {
     match values {
         Values::Text(values) => {
-            let present: Vec<ByteArray> = values.iter().flatten().map(|text| text.as_str().into()).collect();
-            writer.typed::<ByteArrayType>().write_batch(&present, Some(&definition_levels(values)), None)?;
+            let present: Vec<ByteArray> = values
+                .iter()
+                .flatten()
+                .map(|text| text.as_str().into())
+                .collect();
+            writer.typed::<ByteArrayType>().write_batch(
+                &present,
+                Some(&definition_levels(values)),
+                None,
+            )?;
         }
         Values::Number(values) => {
             let present: Vec<f64> = values.iter().flatten().copied().collect();
-            writer.typed::<DoubleType>().write_batch(&present, Some(&definition_levels(values)), None)?;
+            writer.typed::<DoubleType>().write_batch(
+                &present,
+                Some(&definition_levels(values)),
+                None,
+            )?;
         }
     }
     Ok(())
@@ -69,5 +104,8 @@
 
 /// For each row whether it has a value: 1 or 0.
 fn definition_levels<T>(values: &[Option<T>]) -> Vec<i16> {
-    values.iter().map(|value| i16::from(value.is_some())).collect()
+    values
+        .iter()
+        .map(|value| i16::from(value.is_some()))
+        .collect()
 }
--- a/crates/results/src/table.rs
+++ b/crates/results/src/table.rs
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Appends a value. A number in a column of text becomes text; text in a column of numbers becomes absent.
+    /// Appends a value. A number in a column of text becomes text; text in a column of numbers
+    /// becomes absent.
     fn push(&mut self, cell: Cell) {
         match (self, cell) {
             (Values::Text(values), Cell::Text(text)) => values.push(Some(text)),
@@ -107,9 +108,13 @@
     /// If the file cannot be read, or does not hold an array.
     pub fn read(file: &Path) -> Result<Table, TableError> {
         let mut bytes = std::fs::read(file).map_err(TableError::file(file))?;
-        let value = simd_json::to_owned_value(&mut bytes)
-            .map_err(|source| TableError::Json { file: file.to_owned(), source })?;
-        let rows = value.as_array().ok_or_else(|| TableError::NotRows { file: file.to_owned() })?;
+        let value = simd_json::to_owned_value(&mut bytes).map_err(|source| TableError::Json {
+            file: file.to_owned(),
+            source,
+        })?;
+        let rows = value.as_array().ok_or_else(|| TableError::NotRows {
+            file: file.to_owned(),
+        })?;
         Table::of(rows)
     }
 
@@ -137,9 +142,16 @@
         })
     }
 
-    /// Adds a value of the current row. What is neither object, array, number, text nor truth value is absent.
+    /// Adds a value of the current row. What is neither object, array, number, text nor truth value
+    /// is absent.
     fn add_value(&mut self, path: &str, value: &Value) {
-        let child = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
+        let child = |key: &str| {
+            if path.is_empty() {
+                key.to_owned()
+            } else {
+                format!("{path}.{key}")
+            }
+        };
         if let Some(object) = value.as_object() {
             for (key, value) in object {
                 self.add_value(&child(key), value);
@@ -164,7 +176,10 @@
                 Cell::Text(_) => Values::Text(vec![None; self.rows]),
                 Cell::Number(_) => Values::Number(vec![None; self.rows]),
             };
-            self.columns.push(Column { name: name.to_owned(), values });
+            self.columns.push(Column {
+                name: name.to_owned(),
+                values,
+            });
             self.columns.len() - 1
         });
         self.columns[position].values.push(cell);
--- a/crates/results/tests/comparison.rs
+++ b/crates/results/tests/comparison.rs
@@ -10,7 +10,13 @@
 }
 
 fn table(served: &[f64]) -> Table {
-    let rows: Vec<Row> = served.iter().map(|served| Row { case: "even", served: *served }).collect();
+    let rows: Vec<Row> = served
+        .iter()
+        .map(|served| Row {
+            case: "even",
+            served: *served,
+        })
+        .collect();
     Table::of(&rows).expect("a table")
 }
 
@@ -22,7 +28,10 @@
     assert!(same[0].p_value > 0.9, "{same:?}");
     let worse = compare(&before, &table(&[0.50, 0.51, 0.52, 0.53, 0.54, 0.55]));
     assert!(worse[0].p_value < 0.01, "{worse:?}");
-    assert_eq!((worse[0].first.median, worse[0].second.median), (0.925, 0.525));
+    assert_eq!(
+        (worse[0].first.median, worse[0].second.median),
+        (0.925, 0.525)
+    );
 }
 
 #[test]
--- a/crates/results/tests/table.rs
+++ b/crates/results/tests/table.rs
@@ -18,13 +18,26 @@
 }
 
 fn rows() -> Vec<Row> {
-    let row =
-        |case, seed, served, healed| Row { case, fronts: 4, seed, served, windows: vec![(1.0, 2.0)], healed };
-    vec![row("even", 1, 0.5, None), row("even", 2, 0.75, Some(1.0)), row("one", 1, 1.0, None)]
+    let row = |case, seed, served, healed| Row {
+        case,
+        fronts: 4,
+        seed,
+        served,
+        windows: vec![(1.0, 2.0)],
+        healed,
+    };
+    vec![
+        row("even", 1, 0.5, None),
+        row("even", 2, 0.75, Some(1.0)),
+        row("one", 1, 1.0, None),
+    ]
 }
 
 fn temporary_file(extension: &str) -> PathBuf {
-    std::env::temp_dir().join(format!("tulipbridge-results-{}.{extension}", std::process::id()))
+    std::env::temp_dir().join(format!(
+        "tulipbridge-results-{}.{extension}",
+        std::process::id()
+    ))
 }
 
 #[test]
@@ -34,7 +47,10 @@
     let metrics: Vec<&str> = table.metrics().map(|metric| metric.name).collect();
     assert_eq!(metrics, ["served", "windows.0.0", "windows.0.1", "healed"]);
     assert_eq!(table.conditions(0), "case even, fronts 4");
-    let healed = table.metrics().find(|metric| metric.name == "healed").expect("the metric is there");
+    let healed = table
+        .metrics()
+        .find(|metric| metric.name == "healed")
+        .expect("the metric is there");
     assert_eq!(healed.values, [None, Some(1.0), None]);
 }
 
@@ -42,12 +58,25 @@
 fn parquet_file_is_read_back_by_the_reader_of_its_library() {
     let file = temporary_file("parquet");
     let table = Table::of(&rows()).expect("a table");
-    table.write_parquet(&file, &[("commit", "abc".to_owned())]).expect("written");
+    table
+        .write_parquet(&file, &[("commit", "abc".to_owned())])
+        .expect("written");
     let opened = std::fs::File::open(&file).expect("the file is there");
     let reader = SerializedFileReader::new(opened).expect("the file is Parquet");
-    let metadata = reader.metadata().file_metadata().key_value_metadata().expect("metadata").clone();
-    assert!(metadata.iter().any(|pair| pair.key == "commit" && pair.value.as_deref() == Some("abc")));
-    let read: Vec<_> = reader.get_row_iter(None).expect("rows").map(|row| row.expect("a row")).collect();
+    let metadata = reader
+        .metadata()
+        .file_metadata()
+        .key_value_metadata()
+        .expect("metadata")
+        .clone();
+    assert!(metadata
+        .iter()
+        .any(|pair| pair.key == "commit" && pair.value.as_deref() == Some("abc")));
+    let read: Vec<_> = reader
+        .get_row_iter(None)
+        .expect("rows")
+        .map(|row| row.expect("a row"))
+        .collect();
     assert_eq!(read.len(), 3);
     assert_eq!(read[1].get_string(0).expect("text"), "even");
     assert_eq!(read[1].get_double(3).expect("a number"), 0.75);
@@ -57,7 +86,9 @@
 #[test]
 fn file_without_a_table_is_reported() {
     let file = temporary_file("json");
-    let missing = Table::read(&file).expect_err("the file is not there").to_string();
+    let missing = Table::read(&file)
+        .expect_err("the file is not there")
+        .to_string();
     assert!(missing.contains("No such file"), "{missing}");
     std::fs::write(&file, "{\"a\": 1}").expect("written");
     let error = Table::read(&file).expect_err("no array").to_string();
--- a/crates/testbed/src/chunk_server.rs
+++ b/crates/testbed/src/chunk_server.rs
@@ -1,4 +1,5 @@
-//! A stand-in for a chunk server: it records every attempt that reaches it, and answers as its behavior says.
+//! A stand-in for a chunk server: it records every attempt that reaches it, and answers as its
+//! behavior says.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -23,7 +24,8 @@
     pub latency: Duration,
     /// Requests that fail, of a hundred.
     pub failure_percent: u8,
-    /// Whether discovery announces that it started with the testbed, so that fronts apply slow start.
+    /// Whether discovery announces that it started with the testbed, so that fronts apply slow
+    /// start.
     pub just_started: bool,
 }
 
@@ -53,7 +55,11 @@
 impl AttemptLog {
     /// An empty log whose times count from `started_at`.
     pub fn new(started_at: Instant) -> AttemptLog {
-        AttemptLog { attempts: Rc::default(), paths: Rc::default(), started_at }
+        AttemptLog {
+            attempts: Rc::default(),
+            paths: Rc::default(),
+            started_at,
+        }
     }
 
     /// All attempts in the order of their arrival.
@@ -63,18 +69,34 @@
 
     /// The attempts that match.
     pub fn select(&self, matches: impl Fn(&Attempt) -> bool) -> Vec<Attempt> {
-        self.attempts.borrow().iter().filter(|attempt| matches(attempt)).copied().collect()
+        self.attempts
+            .borrow()
+            .iter()
+            .filter(|attempt| matches(attempt))
+            .copied()
+            .collect()
     }
 
     /// Records an attempt, which is in flight until the returned value is dropped.
     fn record(&self, server: usize, path: &str) -> AttemptInFlight {
         let bucket = path.trim_start_matches("/b").split('/').next();
-        let volume = bucket.and_then(|bucket| bucket.parse().ok()).unwrap_or(usize::MAX);
+        let volume = bucket
+            .and_then(|bucket| bucket.parse().ok())
+            .unwrap_or(usize::MAX);
         let is_retry = !self.paths.borrow_mut().insert(path.to_owned());
         let at = self.started_at.elapsed();
         let mut attempts = self.attempts.borrow_mut();
-        attempts.push(Attempt { server, volume, at, ended_at: None, is_retry });
-        AttemptInFlight { number: attempts.len() - 1, log: self.clone() }
+        attempts.push(Attempt {
+            server,
+            volume,
+            at,
+            ended_at: None,
+            is_retry,
+        });
+        AttemptInFlight {
+            number: attempts.len() - 1,
+            log: self.clone(),
+        }
     }
 }
 
@@ -106,7 +128,9 @@
     /// Serves connections without end.
     pub async fn serve(self, listener: TcpListener) {
         loop {
-            let Ok((stream, _)) = listener.accept().await else { continue };
+            let Ok((stream, _)) = listener.accept().await else {
+                continue;
+            };
             spawn_local(self.clone().serve_connection(stream));
         }
     }
@@ -114,10 +138,15 @@
     async fn serve_connection(self, stream: TcpStream) {
         let service = service_fn(|request| self.answer(request));
         // A connection that a front breaks off is no failure of the testbed.
-        let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+        let _ = http1::Builder::new()
+            .serve_connection(TokioIo::new(stream), service)
+            .await;
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
+    async fn answer(
+        &self,
+        request: Request<Incoming>,
+    ) -> Result<Response<Full<Bytes>>, Infallible> {
         let in_flight = self.log.record(self.number, request.uri().path());
         let behavior = self.behavior.get();
         let fails = fastrand::u8(0..100) < behavior.failure_percent;
--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line of `tulipbridge-lab`.
 //!
-//! Help texts, printed lines, exit codes and error sentences are those of earlier versions: scripts and stored reports
-//! depend on them.
+//! Help texts, printed lines, exit codes and error sentences are those of earlier versions: scripts
+//! and stored reports depend on them.
 
 mod arguments;
 mod compare;
@@ -45,7 +45,8 @@
     }
 }
 
-/// Runs the program. The exit code is 1 if a bound was broken, and 2 if a command cannot be carried out.
+/// Runs the program. The exit code is 1 if a bound was broken, and 2 if a command cannot be carried
+/// out.
 pub fn main() -> ExitCode {
     match run_command(Arguments::parse().command) {
         Ok(Outcome::Valid) => ExitCode::SUCCESS,
--- a/crates/testbed/src/cli/arguments.rs
+++ b/crates/testbed/src/cli/arguments.rs
@@ -78,10 +78,20 @@
     #[arg(long, default_value = "0..5", value_parser = parse_seeds, help = "The seeds, FROM..TO")]
     pub seeds: Range<u64>,
     /// How many testbeds run at the same time.
-    #[arg(long = "side-by-side", value_name = "SIDE_BY_SIDE", default_value_t = 4, help = "Labs at once")]
+    #[arg(
+        long = "side-by-side",
+        value_name = "SIDE_BY_SIDE",
+        default_value_t = 4,
+        help = "Labs at once"
+    )]
     pub parallel: usize,
     /// The numbers of fronts, for the experiment `sick`.
-    #[arg(long, value_delimiter = ',', default_value = "4,8,24", help = "How many fronts, of `sick` alone")]
+    #[arg(
+        long,
+        value_delimiter = ',',
+        default_value = "4,8,24",
+        help = "How many fronts, of `sick` alone"
+    )]
     pub fronts: Vec<usize>,
     /// Where the results go.
     #[command(flatten)]
@@ -95,13 +105,20 @@
     #[arg(long, help = "As JSON, an array of rows")]
     pub json: Option<PathBuf>,
     /// A Parquet file for the rows.
-    #[arg(long, help = "As Parquet, with the commit, the seeds and the program's version")]
+    #[arg(
+        long,
+        help = "As Parquet, with the commit, the seeds and the program's version"
+    )]
     pub parquet: Option<PathBuf>,
     /// An SVG file for a chart.
     #[arg(long, help = "A picture of one figure")]
     pub svg: Option<PathBuf>,
     /// The column that the chart shows.
-    #[arg(long, default_value = "beyond", help = "Which figure the picture is of")]
+    #[arg(
+        long,
+        default_value = "beyond",
+        help = "Which figure the picture is of"
+    )]
     pub figure: String,
     /// A directory for schedules that failed.
     #[arg(
@@ -120,7 +137,11 @@
     #[arg(long, default_value_t = 4, help = "How many fronts")]
     pub fronts: usize,
     /// The load of the first front, in reads a second.
-    #[arg(long, default_value_t = 160, help = "Reads a second that come to the first of them")]
+    #[arg(
+        long,
+        default_value_t = 160,
+        help = "Reads a second that come to the first of them"
+    )]
     pub load: u32,
     /// The program under test.
     #[arg(long, default_value = DEFAULT_PROGRAM, help = "The built program")]
@@ -158,7 +179,12 @@
 #[derive(Args)]
 pub struct CostArguments {
     /// The numbers of fronts.
-    #[arg(long, value_delimiter = ',', default_value = "4,30,300", help = "Fronts")]
+    #[arg(
+        long,
+        value_delimiter = ',',
+        default_value = "4,30,300",
+        help = "Fronts"
+    )]
     pub fronts: Vec<u16>,
     /// The numbers of volumes.
     #[arg(
@@ -169,7 +195,12 @@
     )]
     pub volumes: Vec<u64>,
     /// How many rounds are measured.
-    #[arg(long = "beats", value_name = "BEATS", default_value_t = 10, help = "Beats that are measured")]
+    #[arg(
+        long = "beats",
+        value_name = "BEATS",
+        default_value_t = 10,
+        help = "Beats that are measured"
+    )]
     pub rounds: u32,
 }
 
@@ -177,10 +208,18 @@
 #[derive(Args)]
 pub struct MutationsArguments {
     /// The most schedules for each mutation.
-    #[arg(long = "most", value_name = "MOST", default_value_t = 4000, help = "Most schedules for each")]
+    #[arg(
+        long = "most",
+        value_name = "MOST",
+        default_value_t = 4000,
+        help = "Most schedules for each"
+    )]
     pub max_schedules: u64,
     /// Whether outlier detection is mutated.
-    #[arg(long = "verdicts", help = "Into the machine of verdicts, instead of that of limits")]
+    #[arg(
+        long = "verdicts",
+        help = "Into the machine of verdicts, instead of that of limits"
+    )]
     pub outlier_detection: bool,
 }
 
@@ -191,7 +230,10 @@
     #[arg(help = "Its file")]
     pub file: PathBuf,
     /// Whether real processes run the schedule.
-    #[arg(long, help = "With processes of the program, instead of the machines in one")]
+    #[arg(
+        long,
+        help = "With processes of the program, instead of the machines in one"
+    )]
     pub processes: bool,
     /// The program under test.
     #[arg(long, default_value = DEFAULT_PROGRAM, help = "The built program")]
--- a/crates/testbed/src/cli/compare.rs
+++ b/crates/testbed/src/cli/compare.rs
@@ -12,7 +12,10 @@
 
 /// Runs the command. The outcome is invalid if a metric differs significantly.
 pub fn run(arguments: &CompareArguments) -> Result<Outcome, CliError> {
-    let (first, second) = (Table::read(&arguments.first)?, Table::read(&arguments.second)?);
+    let (first, second) = (
+        Table::read(&arguments.first)?,
+        Table::read(&arguments.second)?,
+    );
     let comparisons = tulipbridge_results::compare(&first, &second);
     if comparisons.is_empty() {
         return Err(TableError::NothingInCommon.into());
@@ -34,6 +37,9 @@
             if is_significant { " *" } else { "" }
         );
     }
-    println!("{significant} of {} figures differ beyond chance", comparisons.len());
+    println!(
+        "{significant} of {} figures differ beyond chance",
+        comparisons.len()
+    );
     Ok(Outcome::of(significant == 0))
 }
--- a/crates/testbed/src/cli/files.rs
+++ b/crates/testbed/src/cli/files.rs
@@ -9,12 +9,18 @@
 
 /// Reads a value from a JSON file.
 pub fn read_json<T: DeserializeOwned>(file: &Path) -> Result<T, CliError> {
-    try_read(file).map_err(|source| CliError::Read { file: file.to_owned(), source })
+    try_read(file).map_err(|source| CliError::Read {
+        file: file.to_owned(),
+        source,
+    })
 }
 
 /// Writes a value to a JSON file, and creates its directory if there is none.
 pub fn write_json(file: &Path, value: &(impl Serialize + ?Sized)) -> Result<(), CliError> {
-    try_write(file, value).map_err(|source| CliError::Write { file: file.to_owned(), source })
+    try_write(file, value).map_err(|source| CliError::Write {
+        file: file.to_owned(),
+        source,
+    })
 }
 
 fn try_read<T: DeserializeOwned>(file: &Path) -> Result<T, FileError> {
--- a/crates/testbed/src/cli/mutations.rs
+++ b/crates/testbed/src/cli/mutations.rs
@@ -1,4 +1,5 @@
-//! The command `bugs`: finds the seed by which the simulations detect each mutation of the state machines.
+//! The command `bugs`: finds the seed by which the simulations detect each mutation of the state
+//! machines.
 
 use super::arguments::MutationsArguments;
 use super::error::CliError;
--- a/crates/testbed/src/cli/replay.rs
+++ b/crates/testbed/src/cli/replay.rs
@@ -35,8 +35,8 @@
     block_on_local(run_fault_schedule(program, schedule))?
 }
 
-/// A schedule with which real processes broke the bound, without the steps that it does not need. A step is left out
-/// only if the bound is broken without it in each of two runs.
+/// A schedule with which real processes broke the bound, without the steps that it does not need. A
+/// step is left out only if the bound is broken without it in each of two runs.
 pub fn shrink(program: &Path, schedule: Schedule) -> Result<Schedule, TestbedError> {
     let error = Mutex::new(None);
     let fails_once = |schedule: &Schedule| match run_once(program, schedule) {
--- a/crates/testbed/src/cli/results.rs
+++ b/crates/testbed/src/cli/results.rs
@@ -38,5 +38,7 @@
 /// The commit of the working directory; empty if git does not tell.
 fn current_commit() -> String {
     let output = Command::new("git").args(["rev-parse", "HEAD"]).output();
-    output.map(|output| String::from_utf8_lossy(&output.stdout).trim().to_owned()).unwrap_or_default()
+    output
+        .map(|output| String::from_utf8_lossy(&output.stdout).trim().to_owned())
+        .unwrap_or_default()
 }
--- a/crates/testbed/src/cli/run.rs
+++ b/crates/testbed/src/cli/run.rs
@@ -39,7 +39,9 @@
     /// Each kind with each seed.
     fn with_seeds<K: Copy>(&self, kinds: impl IntoIterator<Item = K>) -> Vec<(K, u64)> {
         let kinds = kinds.into_iter();
-        kinds.flat_map(|kind| self.seeds.clone().map(move |seed| (kind, seed))).collect()
+        kinds
+            .flat_map(|kind| self.seeds.clone().map(move |seed| (kind, seed)))
+            .collect()
     }
 }
 
--- a/crates/testbed/src/cli/run/limits.rs
+++ b/crates/testbed/src/cli/run/limits.rs
@@ -7,8 +7,9 @@
 use crate::cli::replay::shrink;
 use crate::cli::Outcome;
 use crate::limit_experiments::{
-    load_case_table, process_schedule, run_fault_case, run_fault_schedule, run_load_case, FaultCase,
-    FaultCaseResult, FaultScheduleResult, LoadCaseSetup, FAULT_CASES, LOAD_CASES, WINDOWS_MS,
+    load_case_table, process_schedule, run_fault_case, run_fault_schedule, run_load_case,
+    FaultCase, FaultCaseResult, FaultScheduleResult, LoadCaseSetup, FAULT_CASES, LOAD_CASES,
+    WINDOWS_MS,
 };
 use crate::schedule::Schedule;
 
@@ -23,7 +24,12 @@
     for seed in arguments.seeds.clone() {
         for case in LOAD_CASES {
             for fronts in LOAD_CASE_FRONTS {
-                jobs.extend([false, true].map(|peers| LoadCaseSetup { case, fronts, peers, seed }));
+                jobs.extend([false, true].map(|peers| LoadCaseSetup {
+                    case,
+                    fronts,
+                    peers,
+                    seed,
+                }));
             }
         }
     }
@@ -32,7 +38,9 @@
     println!("{}", load_case_table(&results));
     arguments.results.store(&results, &arguments.seeds)?;
     let mut with_peers = results.iter().filter(|result| result.peers);
-    Ok(Outcome::of(with_peers.all(|result| result.max_excess <= 0.0)))
+    Ok(Outcome::of(
+        with_peers.all(|result| result.max_excess <= 0.0),
+    ))
 }
 
 /// Runs every fault case.
@@ -42,11 +50,18 @@
     let results = arguments.run_jobs(&jobs, run)?;
     println!("{FAULT_CASES_HEAD}");
     for case in FAULT_CASES {
-        let of_case: Vec<_> = results.iter().filter(|result| result.case == case).collect();
+        let of_case: Vec<_> = results
+            .iter()
+            .filter(|result| result.case == case)
+            .collect();
         println!("{}", fault_case_row(case, &of_case));
     }
     arguments.results.store(&results, &arguments.seeds)?;
-    Ok(Outcome::of(results.iter().all(|result| result.max_excess <= 0.0 && result.reported)))
+    Ok(Outcome::of(
+        results
+            .iter()
+            .all(|result| result.max_excess <= 0.0 && result.reported),
+    ))
 }
 
 fn fault_case_row(case: FaultCase, results: &[&FaultCaseResult]) -> String {
@@ -76,16 +91,24 @@
     arguments.results.store(&results, &arguments.seeds)?;
     for result in results.iter().filter(|result| !result.is_valid()) {
         let seed = result.seed;
-        let file = arguments.results.schedules.join(format!("faults-{seed}.json"));
+        let file = arguments
+            .results
+            .schedules
+            .join(format!("faults-{seed}.json"));
         write_json(&file, &shrink(program, process_schedule(seed))?)?;
         println!("seed {seed} broke the bound; kept as {}", file.display());
     }
-    Ok(Outcome::of(results.iter().all(FaultScheduleResult::is_valid)))
+    Ok(Outcome::of(
+        results.iter().all(FaultScheduleResult::is_valid),
+    ))
 }
 
 fn print_fault_schedules(results: &[FaultScheduleResult]) {
     let worst = max(results.iter().map(|result| result.max_excess));
-    let healed: Vec<f64> = results.iter().filter_map(|result| result.served_after).collect();
+    let healed: Vec<f64> = results
+        .iter()
+        .filter_map(|result| result.served_after)
+        .collect();
     let min_served = min(healed.iter().copied());
     println!(
         "{} schedules, {} faults, {} reads sent: at most {worst:.1} units beyond the bound; {} healed, served \
--- a/crates/testbed/src/cli/run/outliers.rs
+++ b/crates/testbed/src/cli/run/outliers.rs
@@ -4,19 +4,25 @@
 use crate::cli::error::CliError;
 use crate::cli::Outcome;
 use crate::outlier_experiments::{
-    run_outlier_schedule, run_server_fault, server_fault_table, OutlierScheduleResult, ServerFaultSetup,
-    SERVER_FAULTS,
+    run_outlier_schedule, run_server_fault, server_fault_table, OutlierScheduleResult,
+    ServerFaultSetup, SERVER_FAULTS,
 };
 use crate::schedule::Schedule;
 
-/// Runs every fault of a server with each number of fronts, without and with shared outlier detection.
+/// Runs every fault of a server with each number of fronts, without and with shared outlier
+/// detection.
 pub fn run_server_faults(arguments: &RunArguments) -> Result<Outcome, CliError> {
     let mut jobs = Vec::new();
     for fault in SERVER_FAULTS {
         for fronts in arguments.fronts.iter().copied() {
             for shared in [false, true] {
                 let seeds = arguments.seeds.clone();
-                jobs.extend(seeds.map(|seed| ServerFaultSetup { fault, fronts, shared, seed }));
+                jobs.extend(seeds.map(|seed| ServerFaultSetup {
+                    fault,
+                    fronts,
+                    shared,
+                    seed,
+                }));
             }
         }
     }
@@ -24,7 +30,11 @@
     let results = arguments.run_jobs(&jobs, run)?;
     println!("{}", server_fault_table(&results));
     arguments.results.store(&results, &arguments.seeds)?;
-    Ok(Outcome::of(results.iter().all(|result| result.unjustified_ejections == 0)))
+    Ok(Outcome::of(
+        results
+            .iter()
+            .all(|result| result.unjustified_ejections == 0),
+    ))
 }
 
 /// Runs the schedule of every seed with servers that become faulty.
@@ -34,7 +44,11 @@
     let results = arguments.run_jobs(&jobs, run)?;
     print_schedules(&results);
     let is_invalid = |result: &&OutlierScheduleResult| !result.is_valid();
-    let failed: Vec<u64> = results.iter().filter(is_invalid).map(|result| result.seed).collect();
+    let failed: Vec<u64> = results
+        .iter()
+        .filter(is_invalid)
+        .map(|result| result.seed)
+        .collect();
     if !failed.is_empty() {
         println!("broken by the seeds {failed:?}");
     }
--- a/crates/testbed/src/cli/run/shared_limits.rs
+++ b/crates/testbed/src/cli/run/shared_limits.rs
@@ -14,12 +14,16 @@
 /// Runs the experiment for every limit.
 pub fn run(arguments: &RunArguments) -> Result<Outcome, CliError> {
     let jobs = arguments.with_seeds(SHARED_LIMITS);
-    let run =
-        async |(limit, seed): &_| run_shared_limit(&arguments.program, *limit, *seed, RECORDING_SLACK).await;
+    let run = async |(limit, seed): &_| {
+        run_shared_limit(&arguments.program, *limit, *seed, RECORDING_SLACK).await
+    };
     let results = arguments.run_jobs(&jobs, run)?;
     println!("{TABLE_HEAD}");
     for limit in SHARED_LIMITS {
-        let of_limit: Vec<_> = results.iter().filter(|result| result.limit == limit).collect();
+        let of_limit: Vec<_> = results
+            .iter()
+            .filter(|result| result.limit == limit)
+            .collect();
         let used = min(of_limit.iter().map(|result| result.used));
         let used_after = min(of_limit.iter().map(|result| result.used_after));
         let usage = max(of_limit.iter().map(|result| result.max_usage)).max(0.0);
--- a/crates/testbed/src/cli/run/soak.rs
+++ b/crates/testbed/src/cli/run/soak.rs
@@ -11,10 +11,17 @@
 const FRONTS: usize = 3;
 const SERVERS: usize = 5;
 
-/// Runs a soak for every seed, with its faults or `calm`, and prints the seeds that found something.
+/// Runs a soak for every seed, with its faults or `calm`, and prints the seeds that found
+/// something.
 pub fn run(arguments: &RunArguments, calm: bool) -> Result<Outcome, CliError> {
     let program = &arguments.program;
-    let setup = |seed| SoakSetup { program: program.clone(), seed, calm, fronts: FRONTS, servers: SERVERS };
+    let setup = |seed| SoakSetup {
+        program: program.clone(),
+        seed,
+        calm,
+        fronts: FRONTS,
+        servers: SERVERS,
+    };
     let jobs: Vec<SoakSetup> = arguments.seeds.clone().map(setup).collect();
     let results = arguments.run_jobs(&jobs, async |setup: &SoakSetup| run_seed(setup).await)?;
     let mut by_rule: BTreeMap<_, usize> = BTreeMap::new();
@@ -26,7 +33,10 @@
     }
     let requests: usize = results.iter().map(|result| result.requests).sum();
     let served: usize = results.iter().map(|result| result.served).sum();
-    println!("{} seeds, {requests} requests, {served} served; broken: {by_rule:?}", results.len());
+    println!(
+        "{} seeds, {requests} requests, {served} served; broken: {by_rule:?}",
+        results.len()
+    );
     arguments.results.store(&results, &arguments.seeds)?;
     Ok(Outcome::of(by_rule.is_empty()))
 }
--- a/crates/testbed/src/cli/simulate.rs
+++ b/crates/testbed/src/cli/simulate.rs
@@ -14,22 +14,31 @@
 use crate::simulation::limits::{self, LimitsReport};
 use crate::simulation::outliers::{self, OutlierReport};
 
-/// The most failed schedules of gossip or outlier detection that are stored: to shrink one takes as many runs as it has
-/// steps.
+/// The most failed schedules of gossip or outlier detection that are stored: to shrink one takes as
+/// many runs as it has steps.
 const MAX_STORED_SCHEDULES: usize = 5;
 
 /// The simulation of fleet limits.
-pub const LIMITS: Simulation<LimitsReport> =
-    Simulation { name: "limits", run: limits::run, is_valid: LimitsReport::is_valid };
+pub const LIMITS: Simulation<LimitsReport> = Simulation {
+    name: "limits",
+    run: limits::run,
+    is_valid: LimitsReport::is_valid,
+};
 /// The simulation of gossip.
-const GOSSIP: Simulation<GossipReport> =
-    Simulation { name: "entries", run: gossip::run, is_valid: GossipReport::is_valid };
+const GOSSIP: Simulation<GossipReport> = Simulation {
+    name: "entries",
+    run: gossip::run,
+    is_valid: GossipReport::is_valid,
+};
 /// The simulation of outlier detection.
-pub const OUTLIERS: Simulation<OutlierReport> =
-    Simulation { name: "verdicts", run: outliers::run, is_valid: OutlierReport::is_valid };
+pub const OUTLIERS: Simulation<OutlierReport> = Simulation {
+    name: "verdicts",
+    run: outliers::run,
+    is_valid: OutlierReport::is_valid,
+};
 
-/// What the simulations of fleet limits observed together, as `--json` stores it. Shares are in millionths of the
-/// limit; the serialized names are those of stored results.
+/// What the simulations of fleet limits observed together, as `--json` stores it. Shares are in
+/// millionths of the limit; the serialized names are those of stored results.
 #[derive(Debug, Default, Serialize)]
 struct LimitsSummary {
     schedules: u64,
@@ -49,12 +58,20 @@
 impl LimitsSummary {
     fn of(sweep: &Sweep<LimitsReport>) -> LimitsSummary {
         let reports = &sweep.reports;
-        let without_duplicates = reports.iter().filter(|report| report.allowed_share <= FULL_SHARE);
-        let healed: Vec<Share> = reports.iter().filter_map(|report| report.healed_share).collect();
+        let without_duplicates = reports
+            .iter()
+            .filter(|report| report.allowed_share <= FULL_SHARE);
+        let healed: Vec<Share> = reports
+            .iter()
+            .filter_map(|report| report.healed_share)
+            .collect();
         LimitsSummary {
             schedules: reports.len() as u64,
             messages: reports.iter().map(|report| report.messages).sum(),
-            max_total_share: without_duplicates.map(|report| report.max_total_share).max().unwrap_or(0),
+            max_total_share: without_duplicates
+                .map(|report| report.max_total_share)
+                .max()
+                .unwrap_or(0),
             min_healed_share: healed.iter().copied().min(),
             healed: healed.len() as u64,
             failed: sweep.failed.iter().map(|schedule| schedule.seed).collect(),
@@ -112,8 +129,15 @@
         "{} schedules, {} messages, {} entries learnt: at most {} bytes in any second; {} failed",
         reports.len(),
         reports.iter().map(|report| report.messages).sum::<u64>(),
-        reports.iter().map(|report| report.entries_learned).sum::<u64>(),
-        reports.iter().map(|report| report.max_bytes_per_second).max().unwrap_or(0),
+        reports
+            .iter()
+            .map(|report| report.entries_learned)
+            .sum::<u64>(),
+        reports
+            .iter()
+            .map(|report| report.max_bytes_per_second)
+            .max()
+            .unwrap_or(0),
         failed.len()
     );
     Ok(Outcome::of(failed.is_empty()))
