--- a/crates/testbed/src/cli/sweep.rs
+++ b/crates/testbed/src/cli/sweep.rs
@@ -33,7 +33,9 @@
 /// # Errors
 /// If it is no range, or an empty one.
 pub fn parse_seeds(text: &str) -> Result<Range<u64>, String> {
-    let range = text.split_once("..").and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?));
+    let range = text
+        .split_once("..")
+        .and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?));
     let range = range.filter(|range: &Range<u64>| !range.is_empty());
     range.ok_or_else(|| format!("{text} is no range such as 0..2000"))
 }
@@ -58,7 +60,10 @@
 impl<R: Display + Send> Simulation<R> {
     /// Simulates the schedule of every seed.
     pub fn sweep(&self, seeds: &Range<u64>) -> Sweep<R> {
-        let sweep = Mutex::new(Sweep { reports: Vec::new(), failed: Vec::new() });
+        let sweep = Mutex::new(Sweep {
+            reports: Vec::new(),
+            failed: Vec::new(),
+        });
         for_each_schedule(seeds, |schedule| {
             let report = (self.run)(&schedule);
             let is_valid = (self.is_valid)(&report);
@@ -71,15 +76,21 @@
         sweep.into_inner().expect("no thread panics")
     }
 
-    /// Reduces failed schedules to what the failure needs, stores them in a directory and prints where.
+    /// Reduces failed schedules to what the failure needs, stores them in a directory and prints
+    /// where.
     pub fn store_failed(&self, failed: &[Schedule], directory: &Path) -> Result<(), CliError> {
         for schedule in failed {
             let seed = schedule.seed;
-            let shrunk = schedule.clone().shrunk(|shorter| !(self.is_valid)(&(self.run)(shorter)));
+            let shrunk = schedule
+                .clone()
+                .shrunk(|shorter| !(self.is_valid)(&(self.run)(shorter)));
             let file = directory.join(format!("{}-{seed}.json", self.name));
             write_json(&file, &shrunk)?;
             let report = (self.run)(&shrunk);
-            println!("seed {seed} broke a bound: {report}; kept as {}", file.display());
+            println!(
+                "seed {seed} broke a bound: {report}; kept as {}",
+                file.display()
+            );
         }
         Ok(())
     }
--- a/crates/testbed/src/cli/up.rs
+++ b/crates/testbed/src/cli/up.rs
@@ -27,7 +27,10 @@
     println!("{fronts} fronts share a limit of {VOLUME_RATE} units a second and a store of {VOLUME_BURST}");
     print_addresses(&testbed, fronts, &arguments.program);
     testbed.set_load(0, arguments.load);
-    println!("{} reads a second come to object-0; interrupt to end them all", arguments.load);
+    println!(
+        "{} reads a second come to object-0; interrupt to end them all",
+        arguments.load
+    );
     let mut last_report = testbed.elapsed();
     loop {
         tokio::select! {
@@ -43,9 +46,13 @@
 
 fn print_addresses(testbed: &Testbed, fronts: usize, program: &Path) {
     for front in 0..fronts {
-        let addresses = testbed.clients_address(front).zip(testbed.console_address(front));
+        let addresses = testbed
+            .clients_address(front)
+            .zip(testbed.console_address(front));
         if let Some((clients, console)) = addresses {
-            println!("object-{front}: http://{clients}/b0/object?versionId=0.v    console {console}");
+            println!(
+                "object-{front}: http://{clients}/b0/object?versionId=0.v    console {console}"
+            );
             println!("    {} peers --console {console}", program.display());
         }
     }
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -1,6 +1,6 @@
-//! What sharing limits costs a front: bytes and processor time a second, memory, and how long it takes until every
-//! front knows that one has died. All coordinators of a fleet run in one process, in step, and nothing fails but one
-//! front.
+//! What sharing limits costs a front: bytes and processor time a second, memory, and how long it
+//! takes until every front knows that one has died. All coordinators of a fleet run in one process,
+//! in step, and nothing fails but one front.
 
 use std::time::Instant;
 
@@ -38,7 +38,8 @@
     /// Datagrams a second that a front sends.
     #[serde(rename = "datagrams")]
     pub datagrams_per_second: f64,
-    /// The fraction of one core that a front's coordinator and the authentication of its messages take.
+    /// The fraction of one core that a front's coordinator and the authentication of its messages
+    /// take.
     #[serde(rename = "core")]
     pub core_fraction: f64,
     /// Resident memory of each front, in KB.
@@ -51,7 +52,10 @@
 /// Resident memory of this process in KB; 0 if the system does not tell.
 fn resident_kb() -> f64 {
     let statistics = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let pages = statistics.split(' ').nth(1).and_then(|pages| pages.parse::<f64>().ok());
+    let pages = statistics
+        .split(' ')
+        .nth(1)
+        .and_then(|pages| pages.parse::<f64>().ok());
     pages.unwrap_or(0.0) * PAGE_KB
 }
 
@@ -71,7 +75,8 @@
         let codec = EnvelopeCodec::new(KEY)?;
         let coordinator = |front: PeerId| {
             let config = LimitsConfig::new(front, fronts, 1);
-            LimitCoordinator::new(config, u64::from(front) + 1, 0).expect("the configuration is valid")
+            LimitCoordinator::new(config, u64::from(front) + 1, 0)
+                .expect("the configuration is valid")
         };
         let coordinators: Vec<LimitCoordinator> = (0..fronts).map(coordinator).collect();
         let heartbeat_interval = coordinators[VICTIM].config().heartbeat_interval;
@@ -91,7 +96,10 @@
         self.now += self.heartbeat_interval;
         for front in (0..self.coordinators.len()).filter(|front| is_alive(*front)) {
             for volume in 0..self.volumes {
-                let event = Event::Demanded { limit: Limit::Volume(volume), units: UNITS_PER_ROUND };
+                let event = Event::Demanded {
+                    limit: Limit::Volume(volume),
+                    units: UNITS_PER_ROUND,
+                };
                 self.coordinators[front].on(self.now, event, &mut Vec::new());
             }
             let mut effects = Vec::new();
@@ -119,7 +127,11 @@
         if is_alive(to) {
             let opened = self.codec.open::<Heartbeat>(&sealed)?;
             let heartbeat = Box::new(opened.message);
-            let event = Event::HeartbeatReceived { from: opened.from, incarnation, heartbeat };
+            let event = Event::HeartbeatReceived {
+                from: opened.from,
+                incarnation,
+                heartbeat,
+            };
             self.coordinators[to].on(self.now, event, &mut Vec::new());
         }
         Ok(())
@@ -128,7 +140,9 @@
     /// Whether every other front knows that the victim has died.
     fn has_detected_death(&self) -> bool {
         let others = self.coordinators.iter().skip(VICTIM + 1);
-        others.into_iter().all(|front| front.members().status(self.now, VICTIM as PeerId) == PeerStatus::Dead)
+        others
+            .into_iter()
+            .all(|front| front.members().status(self.now, VICTIM as PeerId) == PeerStatus::Dead)
     }
 }
 
--- a/crates/testbed/src/discovery_server.rs
+++ b/crates/testbed/src/discovery_server.rs
@@ -1,5 +1,5 @@
-//! A stand-in for discovery: one endpoint list, streamed to each front over a watch of its own, since each front
-//! reaches the chunk servers at other addresses.
+//! A stand-in for discovery: one endpoint list, streamed to each front over a watch of its own,
+//! since each front reaches the chunk servers at other addresses.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -33,7 +33,11 @@
     pub fn new(started_ms: Vec<u64>, zones: usize) -> Rc<DiscoveryServer> {
         let started_ms = RefCell::new(started_ms);
         let generation = watch::Sender::new(1);
-        Rc::new(DiscoveryServer { started_ms, zones: zones.max(1), generation })
+        Rc::new(DiscoveryServer {
+            started_ms,
+            zones: zones.max(1),
+            generation,
+        })
     }
 
     /// Announces that a server has restarted.
@@ -62,7 +66,9 @@
     /// Serves the watches of one front without end.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, addresses: Vec<SocketAddr>) {
         loop {
-            let Ok((stream, _)) = listener.accept().await else { continue };
+            let Ok((stream, _)) = listener.accept().await else {
+                continue;
+            };
             let (server, addresses) = (Rc::clone(&self), addresses.clone());
             spawn_local(async move {
                 // A front that has ended does not read any more.
@@ -71,7 +77,11 @@
         }
     }
 
-    async fn serve_watch(&self, mut stream: TcpStream, addresses: &[SocketAddr]) -> std::io::Result<()> {
+    async fn serve_watch(
+        &self,
+        mut stream: TcpStream,
+        addresses: &[SocketAddr],
+    ) -> std::io::Result<()> {
         if !read_head(&mut stream).await? {
             return Ok(());
         }
@@ -80,7 +90,10 @@
         loop {
             generation.borrow_and_update();
             write_chunk(&mut stream, &(self.endpoint_list(addresses) + "\n")).await?;
-            while tokio::time::timeout(KEEPALIVE_INTERVAL, generation.changed()).await.is_err() {
+            while tokio::time::timeout(KEEPALIVE_INTERVAL, generation.changed())
+                .await
+                .is_err()
+            {
                 write_chunk(&mut stream, "\n").await?;
             }
         }
@@ -99,7 +112,9 @@
 }
 
 async fn write_chunk(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
-    stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await
+    stream
+        .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
+        .await
 }
 
 /// The name of a zone.
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,11 +1,12 @@
-//! The testbed: it shows what many fronts do together when parts of the system fail. It does so in two ways, which
-//! share the faults of [`schedule`]:
+//! The testbed: it shows what many fronts do together when parts of the system fail. It does so in
+//! two ways, which share the faults of [`schedule`]:
 //!
-//! - [`simulation`] runs the state machines of the fronts in one process, under a simulated network and simulated
-//!   clocks: thousands of schedules a minute, each drawn from a seed;
-//! - [`testbed`] runs many processes of the built program. Every link between two fronts, and from each front to each
-//!   chunk server and to discovery, leads through a proxy that cuts, delays, loses and duplicates. The experiments in
-//!   [`limit_experiments`], [`shared_limit_experiments`] and [`outlier_experiments`] use it.
+//! - [`simulation`] runs the state machines of the fronts in one process, under a simulated network
+//!   and simulated clocks: thousands of schedules a minute, each drawn from a seed;
+//! - [`testbed`] runs many processes of the built program. Every link between two fronts, and from
+//!   each front to each chunk server and to discovery, leads through a proxy that cuts, delays,
+//!   loses and duplicates. The experiments in [`limit_experiments`], [`shared_limit_experiments`]
+//!   and [`outlier_experiments`] use it.
 
 pub mod chunk_server;
 pub mod cli;
--- a/crates/testbed/src/limit_experiments/fault_cases.rs
+++ b/crates/testbed/src/limit_experiments/fault_cases.rs
@@ -1,4 +1,5 @@
-//! Named faults at four fronts: what they serve during the fault and after it, and whether the limit holds.
+//! Named faults at four fronts: what they serve during the fault and after it, and whether the
+//! limit holds.
 
 use std::fmt;
 use std::path::Path;
@@ -30,16 +31,19 @@
 pub enum FaultCase {
     /// The link from one front to another is cut, one way.
     OneWayCut,
-    /// Two fronts are partitioned from the other two, while the load moves from one side to the other and back.
+    /// Two fronts are partitioned from the other two, while the load moves from one side to the
+    /// other and back.
     #[serde(rename = "split_in_half")]
     PartitionInHalf,
     /// One front is partitioned from the other three, with the same load.
     #[serde(rename = "split_one_off")]
     PartitionOfOne,
-    /// The front that uses nearly all of the limit is paused for longer than its leases last, and resumes.
+    /// The front that uses nearly all of the limit is paused for longer than its leases last, and
+    /// resumes.
     #[serde(rename = "holder_stopped")]
     LeaseholderPaused,
-    /// Fronts are killed, one after another, while they grant and take leases, and are started again at once.
+    /// Fronts are killed, one after another, while they grant and take leases, and are started
+    /// again at once.
     #[serde(rename = "killed_between")]
     RollingKills,
     /// Datagrams are lost, duplicated and delayed while fronts restart.
@@ -105,10 +109,12 @@
     /// The fraction of the limits that was served during the fault.
     #[serde(rename = "during")]
     pub served_during: f64,
-    /// The fraction of the limits that was served in four seconds, nine seconds after the fault had ended.
+    /// The fraction of the limits that was served in four seconds, nine seconds after the fault had
+    /// ended.
     #[serde(rename = "after")]
     pub served_after: f64,
-    /// The most units beyond the bound within any window of up to 10 s; at most 0 if the bound holds.
+    /// The most units beyond the bound within any window of up to 10 s; at most 0 if the bound
+    /// holds.
     #[serde(rename = "beyond")]
     pub max_excess: f64,
     /// Whether the fronts reported the fault, where they must.
@@ -150,7 +156,12 @@
     pub fn schedule(self, seed: u64) -> Schedule {
         let mut steps: Vec<Step> = self.load().into_iter().chain(self.faults()).collect();
         steps.sort_by_key(|step| step.at_ms);
-        Schedule { seed, fronts: FRONTS, duration_ms: DURATION_MS, steps }
+        Schedule {
+            seed,
+            fronts: FRONTS,
+            duration_ms: DURATION_MS,
+            steps,
+        }
     }
 
     fn load(self) -> Vec<Step> {
@@ -159,10 +170,12 @@
                 let moves = loads(3_000, [80, 80, 0, 0]).chain(loads(6_000, [0, 0, 80, 80]));
                 loads(0, [40; FRONTS]).chain(moves).collect()
             }
-            FaultCase::LeaseholderPaused => {
-                loads(0, [160, 0, 0, 0]).chain(loads(3_000, [160, 80, 80, 0])).collect()
-            }
-            FaultCase::RollingKills => loads(0, [160, 0, 0, 0]).chain(loads(2_000, [80, 0, 80, 0])).collect(),
+            FaultCase::LeaseholderPaused => loads(0, [160, 0, 0, 0])
+                .chain(loads(3_000, [160, 80, 80, 0]))
+                .collect(),
+            FaultCase::RollingKills => loads(0, [160, 0, 0, 0])
+                .chain(loads(2_000, [80, 0, 80, 0]))
+                .collect(),
             FaultCase::ManyVolumes => loads(0, [250; FRONTS]).collect(),
             _ => loads(0, [40; FRONTS]).collect(),
         }
@@ -173,33 +186,63 @@
             FaultCase::OneWayCut => vec![step(1_000, Fault::Cut { from: 0, to: 1 })],
             FaultCase::PartitionInHalf => vec![step(1_000, Fault::Partition { side: vec![0, 1] })],
             FaultCase::PartitionOfOne => vec![step(1_000, Fault::Partition { side: vec![3] })],
-            FaultCase::LeaseholderPaused => vec![step(2_500, Fault::Pause { front: 0, millis: 4_500 })],
+            FaultCase::LeaseholderPaused => vec![step(
+                2_500,
+                Fault::Pause {
+                    front: 0,
+                    millis: 4_500,
+                },
+            )],
             FaultCase::RollingKills => {
                 let kill = |front| {
                     let at_ms = 1_000 + 1_500 * front as Millis;
-                    step(at_ms, Fault::Kill { front, restart_after_ms: Some(1) })
+                    step(
+                        at_ms,
+                        Fault::Kill {
+                            front,
+                            restart_after_ms: Some(1),
+                        },
+                    )
                 };
                 (0..FRONTS).map(kill).collect()
             }
             FaultCase::DatagramFaultsAndRestarts => {
                 let faults = step(
                     500,
-                    Fault::DatagramFaults { loss_percent: 20, duplication_percent: 40, max_delay_ms: 400 },
+                    Fault::DatagramFaults {
+                        loss_percent: 20,
+                        duplication_percent: 40,
+                        max_delay_ms: 400,
+                    },
                 );
-                let kill =
-                    |front| step(2_000 * front as Millis, Fault::Kill { front, restart_after_ms: Some(50) });
+                let kill = |front| {
+                    step(
+                        2_000 * front as Millis,
+                        Fault::Kill {
+                            front,
+                            restart_after_ms: Some(50),
+                        },
+                    )
+                };
                 std::iter::once(faults).chain([1, 2].map(kill)).collect()
             }
             FaultCase::DuplicateProcess => {
-                vec![step(1_000, Fault::DuplicateProcess { front: 1, millis: 6_000 })]
+                vec![step(
+                    1_000,
+                    Fault::DuplicateProcess {
+                        front: 1,
+                        millis: 6_000,
+                    },
+                )]
             }
             FaultCase::RollingUpgrades => {
-                let upgrade = |front| step(1_000 + 2_000 * front as Millis, Fault::Upgrade { front });
+                let upgrade =
+                    |front| step(1_000 + 2_000 * front as Millis, Fault::Upgrade { front });
                 (0..FRONTS).map(upgrade).collect()
             }
-            FaultCase::ManyVolumes | FaultCase::PartialRosters | FaultCase::UnauthenticatedDatagrams => {
-                Vec::new()
-            }
+            FaultCase::ManyVolumes
+            | FaultCase::PartialRosters
+            | FaultCase::UnauthenticatedDatagrams => Vec::new(),
         }
     }
 
@@ -210,9 +253,11 @@
         };
         let config = TestbedConfig::new(FRONTS, sharing, seed);
         match self {
-            FaultCase::ManyVolumes => {
-                TestbedConfig { volumes: MANY_VOLUMES, rate: MANY_VOLUMES_RATE, ..config }
-            }
+            FaultCase::ManyVolumes => TestbedConfig {
+                volumes: MANY_VOLUMES,
+                rate: MANY_VOLUMES_RATE,
+                ..config
+            },
             _ => config,
         }
     }
@@ -231,17 +276,22 @@
         }
         testbed.set_load_of_all(HEALED_LOAD);
         let duration = Duration::from_millis(DURATION_MS);
-        testbed.send_unauthenticated_datagrams(DATAGRAMS_PER_SECOND, duration).await;
+        testbed
+            .send_unauthenticated_datagrams(DATAGRAMS_PER_SECOND, duration)
+            .await;
         Ok(())
     }
 
     /// Whether the fronts reported the fault, where they must.
     async fn is_reported(self, testbed: &Testbed) -> bool {
         match self {
-            FaultCase::DuplicateProcess => testbed.duplicate_log().contains("another process has the name"),
+            FaultCase::DuplicateProcess => testbed
+                .duplicate_log()
+                .contains("another process has the name"),
             FaultCase::UnauthenticatedDatagrams => {
                 let metrics = testbed.metrics(0).await.unwrap_or_default();
-                metrics.contains("worth=\"no_message\"") && metrics.contains("worth=\"wrong_digest\"")
+                metrics.contains("worth=\"no_message\"")
+                    && metrics.contains("worth=\"wrong_digest\"")
             }
             _ => true,
         }
@@ -263,7 +313,9 @@
     case.inject(&mut testbed, seed).await?;
     let served_during = testbed.served_fraction(from, testbed.elapsed());
     let reported = case.is_reported(&testbed).await;
-    testbed.inject_all(&[Fault::Heal, Fault::NO_DATAGRAM_FAULTS]).await?;
+    testbed
+        .inject_all(&[Fault::Heal, Fault::NO_DATAGRAM_FAULTS])
+        .await?;
     if case != FaultCase::ManyVolumes {
         testbed.set_load_of_all(HEALED_LOAD);
     }
@@ -271,9 +323,17 @@
     let from = testbed.elapsed();
     tokio::time::sleep(HEALED_SPAN).await;
     let served_after = testbed.served_fraction(from, testbed.elapsed());
-    let windows =
-        WINDOWS_MS.map(|millis| testbed.window_usage(Duration::from_millis(millis), RECORDING_SLACK));
+    let windows = WINDOWS_MS
+        .map(|millis| testbed.window_usage(Duration::from_millis(millis), RECORDING_SLACK));
     let max_excess = testbed.max_excess(RECORDING_SLACK);
     let windows = windows.to_vec();
-    Ok(FaultCaseResult { case, seed, served_during, served_after, max_excess, reported, windows })
+    Ok(FaultCaseResult {
+        case,
+        seed,
+        served_during,
+        served_after,
+        max_excess,
+        reported,
+        windows,
+    })
 }
--- a/crates/testbed/src/limit_experiments/fault_schedules.rs
+++ b/crates/testbed/src/limit_experiments/fault_schedules.rs
@@ -29,11 +29,12 @@
     /// Reads that reached a chunk server.
     #[serde(rename = "sent")]
     pub attempts: usize,
-    /// The most units beyond the bound within any window of up to 10 s; at most 0 if the bound holds.
+    /// The most units beyond the bound within any window of up to 10 s; at most 0 if the bound
+    /// holds.
     #[serde(rename = "beyond")]
     pub max_excess: f64,
-    /// The fraction of the limit that was served in four seconds once everything was healed; absent if at most half of
-    /// the fronts ran then, or if the roster changed and not all of them did.
+    /// The fraction of the limit that was served in four seconds once everything was healed; absent
+    /// if at most half of the fronts ran then, or if the roster changed and not all of them did.
     #[serde(rename = "healed")]
     pub served_after: Option<f64>,
 }
@@ -60,11 +61,14 @@
     }
 }
 
-/// The schedule of a seed for processes. It has no second processes of a name: each may use a floor while no link joins
-/// them. The simulation and [`FaultCase::DuplicateProcess`](super::FaultCase::DuplicateProcess) cover these.
+/// The schedule of a seed for processes. It has no second processes of a name: each may use a floor
+/// while no link joins them. The simulation and
+/// [`FaultCase::DuplicateProcess`](super::FaultCase::DuplicateProcess) cover these.
 pub fn process_schedule(seed: u64) -> Schedule {
     let mut schedule = Schedule::draw(seed);
-    schedule.steps.retain(|step| !matches!(step.fault, Fault::DuplicateProcess { .. }));
+    schedule
+        .steps
+        .retain(|step| !matches!(step.fault, Fault::DuplicateProcess { .. }));
     schedule.duration_ms = DURATION_MS;
     for step in &mut schedule.steps {
         step.at_ms = step.at_ms * DURATION_MS / DRAWN_DURATION_MS;
@@ -83,24 +87,44 @@
 ) -> Result<FaultScheduleResult, TestbedError> {
     let fronts = schedule.fronts;
     let config = TestbedConfig::new(fronts, Sharing::Peers, schedule.seed);
-    let mut testbed = Testbed::start_all(program, TestbedConfig { servers: SERVERS, ..config }).await?;
+    let mut testbed = Testbed::start_all(
+        program,
+        TestbedConfig {
+            servers: SERVERS,
+            ..config
+        },
+    )
+    .await?;
     testbed.wait_until_joined().await;
     testbed.run_schedule(schedule).await?;
     heal(&mut testbed, fronts).await?;
-    let running = (0..fronts).filter(|front| testbed.is_running(*front)).count();
+    let running = (0..fronts)
+        .filter(|front| testbed.is_running(*front))
+        .count();
     testbed.set_load_of_all(HEALED_LOAD);
     // With a new roster all fronts keep to their floors until every front in it has loaded it.
-    let roster_changed = schedule.steps.iter().any(|step| matches!(step.fault, Fault::Roster { .. }));
+    let roster_changed = schedule
+        .steps
+        .iter()
+        .any(|step| matches!(step.fault, Fault::Roster { .. }));
     if roster_changed {
         (0..fronts).for_each(|front| testbed.signal(front, Signal::SIGHUP));
     }
     let can_recover = 2 * running > fronts && (!roster_changed || running == fronts);
-    let served_after = if can_recover { Some(measure_healed(&testbed).await) } else { None };
+    let served_after = if can_recover {
+        Some(measure_healed(&testbed).await)
+    } else {
+        None
+    };
     let is_fault = |fault: &Fault| !matches!(fault, Fault::Load { .. });
     Ok(FaultScheduleResult {
         seed: schedule.seed,
         fronts,
-        faults: schedule.steps.iter().filter(|step| is_fault(&step.fault)).count(),
+        faults: schedule
+            .steps
+            .iter()
+            .filter(|step| is_fault(&step.fault))
+            .count(),
         attempts: testbed.attempts().len(),
         max_excess: testbed.max_excess(RECORDING_SLACK),
         served_after,
@@ -111,7 +135,13 @@
 async fn heal(testbed: &mut Testbed, fronts: usize) -> Result<(), TestbedError> {
     testbed.inject(&Fault::Heal).await?;
     for server in 0..SERVERS {
-        testbed.inject(&Fault::Server { server, latency_ms: 0, failure_percent: 0 }).await?;
+        testbed
+            .inject(&Fault::Server {
+                server,
+                latency_ms: 0,
+                failure_percent: 0,
+            })
+            .await?;
     }
     testbed.inject(&Fault::NO_DATAGRAM_FAULTS).await?;
     (0..fronts).for_each(|front| testbed.signal(front, Signal::SIGCONT));
--- a/crates/testbed/src/limit_experiments/load_cases.rs
+++ b/crates/testbed/src/limit_experiments/load_cases.rs
@@ -41,8 +41,12 @@
 }
 
 /// All of them.
-pub const LOAD_CASES: [LoadCase; 4] =
-    [LoadCase::Even, LoadCase::OneFront, LoadCase::OneKilled, LoadCase::UnderstatedFleet];
+pub const LOAD_CASES: [LoadCase; 4] = [
+    LoadCase::Even,
+    LoadCase::OneFront,
+    LoadCase::OneKilled,
+    LoadCase::UnderstatedFleet,
+];
 
 impl LoadCase {
     /// What the table calls it.
@@ -95,7 +99,8 @@
     /// Units served within five seconds, as a fraction of what the limit allows in them.
     #[serde(rename = "served")]
     pub served_fraction: f64,
-    /// The most units beyond the bound within any window of up to 10 s; at most 0 if the bound holds.
+    /// The most units beyond the bound within any window of up to 10 s; at most 0 if the bound
+    /// holds.
     #[serde(rename = "beyond")]
     pub max_excess: f64,
 }
@@ -119,9 +124,21 @@
 ///
 /// # Errors
 /// If the testbed fails.
-pub async fn run_load_case(program: &Path, setup: LoadCaseSetup) -> Result<LoadCaseResult, TestbedError> {
-    let LoadCaseSetup { case, fronts, peers, seed } = setup;
-    let sharing = if peers { Sharing::Peers } else { Sharing::Even(configured_fronts(case, fronts)) };
+pub async fn run_load_case(
+    program: &Path,
+    setup: LoadCaseSetup,
+) -> Result<LoadCaseResult, TestbedError> {
+    let LoadCaseSetup {
+        case,
+        fronts,
+        peers,
+        seed,
+    } = setup;
+    let sharing = if peers {
+        Sharing::Peers
+    } else {
+        Sharing::Even(configured_fronts(case, fronts))
+    };
     let testbed = Testbed::start_all(program, TestbedConfig::new(fronts, sharing, seed)).await?;
     if peers {
         testbed.wait_until_joined().await;
@@ -143,7 +160,14 @@
     tokio::time::sleep(MEASURED_SPAN).await;
     let served_fraction = testbed.served_fraction(from, from + MEASURED_SPAN);
     let max_excess = testbed.max_excess(RECORDING_SLACK);
-    Ok(LoadCaseResult { case, fronts, peers, seed, served_fraction, max_excess })
+    Ok(LoadCaseResult {
+        case,
+        fronts,
+        peers,
+        seed,
+        served_fraction,
+        max_excess,
+    })
 }
 
 /// For how many fronts each is configured where they do not communicate.
@@ -154,14 +178,20 @@
     }
 }
 
-/// The results as a Markdown table: for each case, the median and the worst of the seeds, without and with peers.
+/// The results as a Markdown table: for each case, the median and the worst of the seeds, without
+/// and with peers.
 pub fn load_case_table(results: &[LoadCaseResult]) -> String {
     let mut text = String::from(TABLE_HEAD);
     for fronts in TABLE_FRONTS {
         for case in LOAD_CASES {
-            let of_case = results.iter().filter(|result| result.case == case && result.fronts == fronts);
+            let of_case = results
+                .iter()
+                .filter(|result| result.case == case && result.fronts == fronts);
             let (with_peers, without): (Vec<_>, Vec<_>) = of_case.partition(|result| result.peers);
-            let excess = with_peers.iter().map(|result| result.max_excess).fold(f64::NEG_INFINITY, f64::max);
+            let excess = with_peers
+                .iter()
+                .map(|result| result.max_excess)
+                .fold(f64::NEG_INFINITY, f64::max);
             text += &format!(
                 "| {} | {fronts} | {} | {} | {excess:.1} units |\n",
                 case.title(),
@@ -177,10 +207,15 @@
 
 /// The median of the served fractions, and the one that differs most from the whole limit.
 fn median_and_worst(results: &[&LoadCaseResult]) -> String {
-    let mut served: Vec<f64> = results.iter().map(|result| result.served_fraction).collect();
+    let mut served: Vec<f64> = results
+        .iter()
+        .map(|result| result.served_fraction)
+        .collect();
     served.sort_by(f64::total_cmp);
     let distance = |served: &f64| (served - 1.0).abs();
-    let worst = served.iter().max_by(|a, b| distance(a).total_cmp(&distance(b)));
+    let worst = served
+        .iter()
+        .max_by(|a, b| distance(a).total_cmp(&distance(b)));
     match (served.get(served.len() / 2), worst) {
         (Some(median), Some(worst)) => format!("{median:.2} ({worst:.2})"),
         _ => "-".to_owned(),
--- a/crates/testbed/src/outlier_experiments.rs
+++ b/crates/testbed/src/outlier_experiments.rs
@@ -1,5 +1,5 @@
-//! Experiments on outlier detection by a fleet of real processes: what faulty chunk servers cost, and which servers are
-//! ejected.
+//! Experiments on outlier detection by a fleet of real processes: what faulty chunk servers cost,
+//! and which servers are ejected.
 
 mod schedules;
 mod single_fault;
@@ -45,8 +45,12 @@
 }
 
 /// All of them.
-pub const SERVER_FAULTS: [ServerFault; 4] =
-    [ServerFault::Stopped, ServerFault::Slow, ServerFault::Failing, ServerFault::OneZone];
+pub const SERVER_FAULTS: [ServerFault; 4] = [
+    ServerFault::Stopped,
+    ServerFault::Slow,
+    ServerFault::Failing,
+    ServerFault::OneZone,
+];
 
 impl ServerFault {
     /// Whether the fronts of a zone observe the fault.
@@ -55,18 +59,37 @@
     }
 
     /// Makes a server of a testbed faulty.
-    async fn inject(self, testbed: &mut Testbed, server: usize, fronts: usize) -> Result<(), TestbedError> {
-        let silence = |front| Fault::ServerLink { front, server, state: LinkState::Silent };
+    async fn inject(
+        self,
+        testbed: &mut Testbed,
+        server: usize,
+        fronts: usize,
+    ) -> Result<(), TestbedError> {
+        let silence = |front| Fault::ServerLink {
+            front,
+            server,
+            state: LinkState::Silent,
+        };
         match self {
             ServerFault::Stopped => testbed.inject(&silence(None)).await,
             ServerFault::Slow => {
                 let takes = LATENCY.as_millis() as u64 * SLOW_FACTOR;
-                testbed.inject(&Fault::Server { server, latency_ms: takes, failure_percent: 0 }).await
+                testbed
+                    .inject(&Fault::Server {
+                        server,
+                        latency_ms: takes,
+                        failure_percent: 0,
+                    })
+                    .await
             }
             ServerFault::Failing => {
                 let takes = LATENCY.as_millis() as u64;
                 testbed
-                    .inject(&Fault::Server { server, latency_ms: takes, failure_percent: FAILURE_PERCENT })
+                    .inject(&Fault::Server {
+                        server,
+                        latency_ms: takes,
+                        failure_percent: FAILURE_PERCENT,
+                    })
                     .await
             }
             ServerFault::OneZone => {
@@ -80,7 +103,11 @@
 
 /// A server behaves as it did at first.
 fn healthy_server(server: usize) -> Fault {
-    Fault::Server { server, latency_ms: LATENCY.as_millis() as u64, failure_percent: 0 }
+    Fault::Server {
+        server,
+        latency_ms: LATENCY.as_millis() as u64,
+        failure_percent: 0,
+    }
 }
 
 /// The name of a server in the fronts' status.
--- a/crates/testbed/src/outlier_experiments/schedules.rs
+++ b/crates/testbed/src/outlier_experiments/schedules.rs
@@ -1,5 +1,5 @@
-//! Schedules of faults of links and processes with servers that become faulty: which servers are ejected, and which
-//! should not be.
+//! Schedules of faults of links and processes with servers that become faulty: which servers are
+//! ejected, and which should not be.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -47,7 +47,8 @@
     /// The most servers ejected at one time, over all fronts.
     #[serde(rename = "most_out")]
     pub max_ejected: usize,
-    /// Ejections of servers that were never faulty, or not for that front, counted at each poll of each front.
+    /// Ejections of servers that were never faulty, or not for that front, counted at each poll of
+    /// each front.
     #[serde(rename = "innocent")]
     pub unjustified_ejections: usize,
     /// Faulty servers that any front ejected.
@@ -61,7 +62,9 @@
 impl OutlierScheduleResult {
     /// Whether every bound held.
     pub fn is_valid(&self) -> bool {
-        self.max_ejected <= MAX_EJECTED && self.unjustified_ejections == 0 && self.fronts_with_ejections == 0
+        self.max_ejected <= MAX_EJECTED
+            && self.unjustified_ejections == 0
+            && self.fronts_with_ejections == 0
     }
 }
 
@@ -114,28 +117,50 @@
         }
         let front = (rng.u8(0..3) == 0).then(|| rng.usize(0..fronts));
         let loss_percent = rng.u8(10..40);
-        let lossy_front = front.map(|front| LossyFront { front, loss_percent });
-        Scenario { faulty_servers, lossy_front }
+        let lossy_front = front.map(|front| LossyFront {
+            front,
+            loss_percent,
+        });
+        Scenario {
+            faulty_servers,
+            lossy_front,
+        }
     }
 
     fn is_faulty(&self, server: usize) -> bool {
-        self.faulty_servers.iter().any(|faulty| faulty.server == server)
+        self.faulty_servers
+            .iter()
+            .any(|faulty| faulty.server == server)
     }
 
     /// Whether a front has a reason to eject a server.
     fn justifies(&self, server: usize, front: usize) -> bool {
         let zone = front % ZONES;
-        self.faulty_servers.iter().any(|faulty| faulty.server == server && faulty.fault.concerns_zone(zone))
+        self.faulty_servers
+            .iter()
+            .any(|faulty| faulty.server == server && faulty.fault.concerns_zone(zone))
     }
 
     async fn inject(&self, testbed: &mut Testbed, fronts: usize) -> Result<(), TestbedError> {
         for FaultyServer { server, fault } in &self.faulty_servers {
             fault.inject(testbed, *server, fronts).await?;
         }
-        let Some(LossyFront { front, loss_percent }) = self.lossy_front else { return Ok(()) };
+        let Some(LossyFront {
+            front,
+            loss_percent,
+        }) = self.lossy_front
+        else {
+            return Ok(());
+        };
         for server in (0..SERVERS).filter(|server| !self.is_faulty(*server)) {
             let state = LinkState::Lossy(loss_percent);
-            testbed.inject(&Fault::ServerLink { front: Some(front), server, state }).await?;
+            testbed
+                .inject(&Fault::ServerLink {
+                    front: Some(front),
+                    server,
+                    state,
+                })
+                .await?;
         }
         Ok(())
     }
@@ -168,8 +193,8 @@
     }
 }
 
-/// Runs a schedule of faults of links and processes with servers that become faulty, and in a third of all schedules
-/// with a front whose links to all servers lose pieces.
+/// Runs a schedule of faults of links and processes with servers that become faulty, and in a third
+/// of all schedules with a front whose links to all servers lose pieces.
 ///
 /// # Errors
 /// If the testbed fails.
@@ -185,7 +210,12 @@
     let scenario = Scenario::draw(seed, fronts);
     tokio::time::sleep(LEARNING_TIME / 2).await;
     scenario.inject(&mut testbed, fronts).await?;
-    let steps: Vec<Step> = schedule.steps.iter().filter(|step| is_included(&step.fault)).cloned().collect();
+    let steps: Vec<Step> = schedule
+        .steps
+        .iter()
+        .filter(|step| is_included(&step.fault))
+        .cloned()
+        .collect();
     let duration = Duration::from_millis(schedule.duration_ms);
     let ejections = run_steps(&mut testbed, &scenario, &steps, fronts, duration).await?;
     heal(&mut testbed, fronts).await?;
@@ -207,7 +237,10 @@
 fn is_included(fault: &Fault) -> bool {
     let is_excluded = matches!(
         fault,
-        Fault::Load { .. } | Fault::DuplicateProcess { .. } | Fault::Roster { .. } | Fault::Upgrade { .. }
+        Fault::Load { .. }
+            | Fault::DuplicateProcess { .. }
+            | Fault::Roster { .. }
+            | Fault::Upgrade { .. }
     );
     !is_excluded
 }
@@ -227,10 +260,16 @@
         loop {
             let now = testbed.elapsed() - start;
             let is_due = |step: &&Step| now >= Duration::from_millis(step.at_ms);
-            let Some(step) = steps.next_if(is_due) else { break };
+            let Some(step) = steps.next_if(is_due) else {
+                break;
+            };
             match &step.fault {
                 // Only the links between fronts are healed: the servers stay faulty.
-                Fault::Heal => testbed.inject(&Fault::Partition { side: Vec::new() }).await?,
+                Fault::Heal => {
+                    testbed
+                        .inject(&Fault::Partition { side: Vec::new() })
+                        .await?
+                }
                 fault => testbed.inject(fault).await?,
             }
         }
@@ -242,7 +281,9 @@
 
 /// Heals every link and server, and resumes every front that is paused.
 async fn heal(testbed: &mut Testbed, fronts: usize) -> Result<(), TestbedError> {
-    testbed.inject_all(&[Fault::Heal, Fault::NO_DATAGRAM_FAULTS]).await?;
+    testbed
+        .inject_all(&[Fault::Heal, Fault::NO_DATAGRAM_FAULTS])
+        .await?;
     let servers: Vec<Fault> = (0..SERVERS).map(healthy_server).collect();
     testbed.inject_all(&servers).await?;
     (0..fronts).for_each(|front| testbed.signal(front, Signal::SIGCONT));
--- a/crates/testbed/src/outlier_experiments/single_fault.rs
+++ b/crates/testbed/src/outlier_experiments/single_fault.rs
@@ -1,4 +1,5 @@
-//! One server that becomes faulty and healthy again: what that costs the fleet, and how the server gets its load back.
+//! One server that becomes faulty and healthy again: what that costs the fleet, and how the server
+//! gets its load back.
 
 use std::fmt;
 use std::path::Path;
@@ -22,7 +23,8 @@
 const RECOVERY_DURATION: Duration = Duration::from_secs(15);
 /// How often the fronts' ejections are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// For how long after the fault the requests are ignored that were held up on a silent link and arrive at once.
+/// For how long after the fault the requests are ignored that were held up on a silent link and
+/// arrive at once.
 const BACKLOG_TIME: Duration = Duration::from_millis(500);
 /// How long the slowest request may take to end: the clients' timeout and some more.
 const DRAIN_TIME: Duration = Duration::from_millis(3_100);
@@ -81,7 +83,8 @@
     /// Attempts a second at the server before the fault.
     #[serde(rename = "usual")]
     pub usual_attempts: f64,
-    /// Seconds after the fault until the server had half of its usual attempts again; absent if it had not.
+    /// Seconds after the fault until the server had half of its usual attempts again; absent if it
+    /// had not.
     #[serde(rename = "back")]
     pub recovered_after_s: Option<f64>,
 }
@@ -151,9 +154,18 @@
     program: &Path,
     setup: ServerFaultSetup,
 ) -> Result<ServerFaultResult, TestbedError> {
-    let ServerFaultSetup { fault, fronts, shared, seed } = setup;
+    let ServerFaultSetup {
+        fault,
+        fronts,
+        shared,
+        seed,
+    } = setup;
     let config = TestbedConfig::with_outlier_detection(fronts, SERVERS, LATENCY, seed);
-    let config = TestbedConfig { write_percent: WRITE_PERCENT, outlier_detection: shared, ..config };
+    let config = TestbedConfig {
+        write_percent: WRITE_PERCENT,
+        outlier_detection: shared,
+        ..config
+    };
     let mut testbed = Testbed::start_all(program, config).await?;
     testbed.wait_until_joined().await;
     testbed.set_load_of_all((TOTAL_LOAD / fronts as u32).max(1));
@@ -163,9 +175,15 @@
     fault.inject(&mut testbed, server, fronts).await?;
     let ejections = poll_ejections(&testbed, server, fronts, fault_began + FAULT_DURATION).await;
     let fault_ended = testbed.elapsed();
-    testbed.inject_all(&[Fault::Heal, healthy_server(server)]).await?;
+    testbed
+        .inject_all(&[Fault::Heal, healthy_server(server)])
+        .await?;
     tokio::time::sleep(RECOVERY_DURATION).await;
-    let phases = Phases { fault_began, fault_ended, run_ended: testbed.elapsed() };
+    let phases = Phases {
+        fault_began,
+        fault_ended,
+        run_ended: testbed.elapsed(),
+    };
     testbed.set_load_of_all(0);
     tokio::time::sleep(DRAIN_TIME).await;
     let affected = affected_requests(&testbed, server, phases);
@@ -186,7 +204,12 @@
     })
 }
 
-async fn poll_ejections(testbed: &Testbed, server: usize, fronts: usize, until: Duration) -> Ejections {
+async fn poll_ejections(
+    testbed: &Testbed,
+    server: usize,
+    fronts: usize,
+    until: Duration,
+) -> Ejections {
     let faulty = server_name(server);
     let mut ejections = Ejections::default();
     while testbed.elapsed() < until {
@@ -201,7 +224,11 @@
 }
 
 fn affected_requests(testbed: &Testbed, server: usize, phases: Phases) -> AffectedRequests {
-    let Phases { fault_began, fault_ended, .. } = phases;
+    let Phases {
+        fault_began,
+        fault_ended,
+        ..
+    } = phases;
     // Reads of the server's own shard have no other server to go to, whether it is ejected or not.
     let mut requests = testbed.requests();
     requests.retain(|request| request.shard != Some(server));
@@ -218,7 +245,9 @@
     fronts.sort_unstable();
     fronts.dedup();
     let by_chance = usual_per_second * (fault_ended - fault_began).as_secs_f64();
-    let since_fault = affected.iter().map(|request| (request.at - fault_began).as_secs_f64());
+    let since_fault = affected
+        .iter()
+        .map(|request| (request.at - fault_began).as_secs_f64());
     AffectedRequests {
         count: (affected.len() as f64 - by_chance).max(0.0),
         last_s: since_fault.fold(0.0, f64::max),
@@ -228,29 +257,50 @@
 
 /// The median of the requests that were answered.
 fn usual_latency(requests: &[ClientRequest]) -> Duration {
-    let mut durations: Vec<Duration> = requests.iter().filter_map(|request| request.duration).collect();
+    let mut durations: Vec<Duration> = requests
+        .iter()
+        .filter_map(|request| request.duration)
+        .collect();
     durations.sort_unstable();
-    durations.get(durations.len() / 2).copied().unwrap_or(LATENCY)
+    durations
+        .get(durations.len() / 2)
+        .copied()
+        .unwrap_or(LATENCY)
 }
 
 fn within(requests: &[ClientRequest], from: Duration, to: Duration) -> Vec<ClientRequest> {
-    requests.iter().filter(|request| request.at >= from && request.at < to).copied().collect()
+    requests
+        .iter()
+        .filter(|request| request.at >= from && request.at < to)
+        .copied()
+        .collect()
 }
 
 fn measure_recovery(testbed: &Testbed, server: usize, phases: Phases) -> Recovery {
     let attempts_within = |from: Duration, to: Duration| {
-        testbed.attempt_times(|attempt| attempt.server == server && attempt.at >= from && attempt.at < to)
+        testbed.attempt_times(|attempt| {
+            attempt.server == server && attempt.at >= from && attempt.at < to
+        })
     };
     let usual_span = (phases.fault_began - phases.usual_from()).as_secs_f64();
     let usual = attempts_within(phases.usual_from(), phases.fault_began).len() as f64 / usual_span;
     let after = attempts_within(phases.fault_ended + BACKLOG_TIME, phases.run_ended);
     let count_from = |from: Duration, window: Duration| {
-        after.iter().filter(|at| **at >= from && **at < from + window).count()
+        after
+            .iter()
+            .filter(|at| **at >= from && **at < from + window)
+            .count()
     };
     let enough = usual * RECOVERY_WINDOW.as_secs_f64() / 2.0;
-    let recovered = after.iter().find(|from| count_from(**from, RECOVERY_WINDOW) as f64 >= enough);
+    let recovered = after
+        .iter()
+        .find(|from| count_from(**from, RECOVERY_WINDOW) as f64 >= enough);
     Recovery {
-        peak: after.iter().map(|from| count_from(*from, PEAK_WINDOW)).max().unwrap_or(0),
+        peak: after
+            .iter()
+            .map(|from| count_from(*from, PEAK_WINDOW))
+            .max()
+            .unwrap_or(0),
         usual,
         after_s: recovered.map(|from| (*from - phases.fault_ended).as_secs_f64()),
     }
@@ -263,8 +313,10 @@
     kinds.dedup();
     let mut text = String::from(TABLE_HEAD);
     for kind in kinds {
-        let group: Vec<&ServerFaultResult> =
-            results.iter().filter(|result| conditions(result) == kind).collect();
+        let group: Vec<&ServerFaultResult> = results
+            .iter()
+            .filter(|result| conditions(result) == kind)
+            .collect();
         text += &table_row(&group);
     }
     text
@@ -280,7 +332,12 @@
     let max = |value: &dyn Fn(&ServerFaultResult) -> f64| {
         group.iter().map(|result| value(result)).fold(0.0, f64::max)
     };
-    let ServerFaultResult { fault, fronts, shared, .. } = group[0];
+    let ServerFaultResult {
+        fault,
+        fronts,
+        shared,
+        ..
+    } = group[0];
     format!(
         "| {fault:?} | {fronts} | {} | {:.0} ({:.0}) | {:.0} | {:.1} | {:.0} | {:.0} | {:.1} | {:.1} |\n",
         if *shared { "shared" } else { "own" },
--- a/crates/testbed/src/parallel.rs
+++ b/crates/testbed/src/parallel.rs
@@ -8,8 +8,8 @@
 
 use crate::testbed::TestbedError;
 
-/// Runs jobs on so many threads and returns their results in the order of the jobs. `on_result` is called as soon as
-/// each is there.
+/// Runs jobs on so many threads and returns their results in the order of the jobs. `on_result` is
+/// called as soon as each is there.
 ///
 /// # Errors
 /// That of the first job, in their order, that failed.
@@ -30,7 +30,10 @@
                 if let Ok(result) = &result {
                     on_result(result);
                 }
-                results.lock().expect("no thread panics").push((number, result));
+                results
+                    .lock()
+                    .expect("no thread panics")
+                    .push((number, result));
             });
         }
     });
@@ -44,7 +47,9 @@
 /// # Errors
 /// If the runtime cannot be built.
 pub fn block_on_local<R>(future: impl Future<Output = R>) -> Result<R, TestbedError> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(TestbedError::system("a runtime"))?;
     Ok(LocalSet::new().block_on(&runtime, future))
 }
--- a/crates/testbed/src/schedule.rs
+++ b/crates/testbed/src/schedule.rs
@@ -22,7 +22,8 @@
     pub loss_percent: u8,
     /// Datagrams that are sent twice, of a hundred.
     pub duplication_percent: u8,
-    /// The longest delay, in milliseconds; each datagram has one at random, so that they arrive out of order.
+    /// The longest delay, in milliseconds; each datagram has one at random, so that they arrive out
+    /// of order.
     pub max_delay_ms: Millis,
 }
 
@@ -119,7 +120,8 @@
         #[serde(rename = "failing")]
         failure_percent: u8,
     },
-    /// A second version of a front starts at its addresses, and the first one shuts down gracefully.
+    /// A second version of a front starts at its addresses, and the first one shuts down
+    /// gracefully.
     Upgrade {
         /// Which front.
         front: usize,
@@ -149,8 +151,11 @@
 
 impl Fault {
     /// No datagram is lost, duplicated or delayed any more.
-    pub const NO_DATAGRAM_FAULTS: Fault =
-        Fault::DatagramFaults { loss_percent: 0, duplication_percent: 0, max_delay_ms: 0 };
+    pub const NO_DATAGRAM_FAULTS: Fault = Fault::DatagramFaults {
+        loss_percent: 0,
+        duplication_percent: 0,
+        max_delay_ms: 0,
+    };
 }
 
 /// A fault and its time.
@@ -166,7 +171,8 @@
 /// A run of so many fronts with these faults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// The seed that the schedule was drawn from, and from which everything else is drawn while it runs.
+    /// The seed that the schedule was drawn from, and from which everything else is drawn while it
+    /// runs.
     pub seed: u64,
     /// How many fronts there are.
     pub fronts: usize,
@@ -185,7 +191,10 @@
         let mut steps: Vec<Step> = (0..fronts)
             .map(|front| {
                 let rate = [0, 5, 20, 80][rng.usize(0..4)];
-                Step { at_ms: 0, fault: Fault::Load { front, rate } }
+                Step {
+                    at_ms: 0,
+                    fault: Fault::Load { front, rate },
+                }
             })
             .collect();
         for _ in 0..rng.usize(2..12) {
@@ -194,10 +203,16 @@
             steps.push(Step { at_ms, fault });
         }
         steps.sort_by_key(|step| step.at_ms);
-        Schedule { seed, fronts, duration_ms: DURATION_MS, steps }
+        Schedule {
+            seed,
+            fronts,
+            duration_ms: DURATION_MS,
+            steps,
+        }
     }
 
-    /// Adds faults of so many chunk servers, of the links to them and to discovery, and upgrades of fronts.
+    /// Adds faults of so many chunk servers, of the links to them and to discovery, and upgrades of
+    /// fronts.
     pub fn add_link_faults(&mut self, seed: u64, servers: usize) {
         let mut rng = Rng::with_seed(seed ^ LINK_FAULTS_SALT);
         for _ in 0..rng.usize(0..5) {
@@ -208,8 +223,8 @@
         self.steps.sort_by_key(|step| step.at_ms);
     }
 
-    /// The same schedule without the steps that a failure does not need: a step is left out if the schedule still
-    /// `fails` without it.
+    /// The same schedule without the steps that a failure does not need: a step is left out if the
+    /// schedule still `fails` without it.
     #[must_use]
     pub fn shrunk(mut self, fails: impl Fn(&Schedule) -> bool) -> Schedule {
         for step in (0..self.steps.len()).rev() {
@@ -226,20 +241,43 @@
 fn draw_fault(rng: &mut Rng, fronts: usize) -> Fault {
     let front = rng.usize(0..fronts);
     match rng.u8(0..20) {
-        0..=2 => Fault::Cut { from: front, to: (front + rng.usize(1..fronts)) % fronts },
-        3..=5 => Fault::Partition { side: (0..fronts).filter(|_| rng.bool()).collect() },
+        0..=2 => Fault::Cut {
+            from: front,
+            to: (front + rng.usize(1..fronts)) % fronts,
+        },
+        3..=5 => Fault::Partition {
+            side: (0..fronts).filter(|_| rng.bool()).collect(),
+        },
         6..=8 => Fault::Heal,
         9..=10 => Fault::DatagramFaults {
             loss_percent: rng.u8(0..60),
             duplication_percent: rng.u8(0..40),
             max_delay_ms: [1, 20, 300, 2_500][rng.usize(0..4)],
         },
-        11..=13 => Fault::Pause { front, millis: rng.u64(100..6_000) },
-        14..=15 => Fault::Kill { front, restart_after_ms: rng.bool().then(|| rng.u64(1..5_000)) },
-        16 => Fault::ShutDown { front, restart_after_ms: rng.u64(1..4_000) },
-        17 => Fault::DuplicateProcess { front, millis: rng.u64(500..8_000) },
-        18 => Fault::Roster { each: rng.u64(1..2_000), floor: rng.u8(2..50) },
-        _ => Fault::Load { front, rate: [0, 5, 20, 80, 300][rng.usize(0..5)] },
+        11..=13 => Fault::Pause {
+            front,
+            millis: rng.u64(100..6_000),
+        },
+        14..=15 => Fault::Kill {
+            front,
+            restart_after_ms: rng.bool().then(|| rng.u64(1..5_000)),
+        },
+        16 => Fault::ShutDown {
+            front,
+            restart_after_ms: rng.u64(1..4_000),
+        },
+        17 => Fault::DuplicateProcess {
+            front,
+            millis: rng.u64(500..8_000),
+        },
+        18 => Fault::Roster {
+            each: rng.u64(1..2_000),
+            floor: rng.u8(2..50),
+        },
+        _ => Fault::Load {
+            front,
+            rate: [0, 5, 20, 80, 300][rng.usize(0..5)],
+        },
     }
 }
 
@@ -254,9 +292,19 @@
         _ => LinkState::Throttled(rng.u32(2_000..50_000)),
     };
     match rng.u8(0..6) {
-        0 => Fault::Upgrade { front: rng.usize(0..fronts) },
+        0 => Fault::Upgrade {
+            front: rng.usize(0..fronts),
+        },
         1 => Fault::Discovery { front, state },
-        2 => Fault::Server { server, latency_ms: rng.u64(0..100), failure_percent: rng.u8(0..60) },
-        _ => Fault::ServerLink { front, server, state },
+        2 => Fault::Server {
+            server,
+            latency_ms: rng.u64(0..100),
+            failure_percent: rng.u8(0..60),
+        },
+        _ => Fault::ServerLink {
+            front,
+            server,
+            state,
+        },
     }
 }
--- a/crates/testbed/src/shared_limit_experiments.rs
+++ b/crates/testbed/src/shared_limit_experiments.rs
@@ -1,5 +1,5 @@
-//! Limits of the fleet that are no volume's, held by real processes while the load moves, links are cut and a front is
-//! killed.
+//! Limits of the fleet that are no volume's, held by real processes while the load moves, links are
+//! cut and a front is killed.
 
 use std::fmt;
 use std::path::Path;
@@ -10,8 +10,8 @@
 use crate::chunk_server::{Attempt, ServerBehavior};
 use crate::schedule::{Fault, Schedule, Step};
 use crate::testbed::{
-    RateBound, Sharing, Testbed, TestbedConfig, TestbedError, MAX_UNITS_PER_REQUEST, UNITS_PER_READ,
-    UNLIMITED_RATE,
+    RateBound, Sharing, Testbed, TestbedConfig, TestbedError, MAX_UNITS_PER_REQUEST,
+    UNITS_PER_READ, UNLIMITED_RATE,
 };
 
 /// How many fronts there are.
@@ -43,7 +43,8 @@
 const IN_FLIGHT_LIMIT: f64 = 4.0;
 /// How long an answer takes while requests in flight are limited.
 const IN_FLIGHT_LATENCY: Duration = Duration::from_millis(15);
-/// The least time in which a share of a limit may pass on twice: a heartbeat interval less its jitter.
+/// The least time in which a share of a limit may pass on twice: a heartbeat interval less its
+/// jitter.
 const MIN_LEASE_INTERVAL: Duration = Duration::from_millis(190);
 
 /// A limit of the fleet. The serialized names are those of stored results.
@@ -62,8 +63,11 @@
 }
 
 /// All of them.
-pub const SHARED_LIMITS: [SharedLimit; 3] =
-    [SharedLimit::Retries, SharedLimit::SlowStart, SharedLimit::InFlight];
+pub const SHARED_LIMITS: [SharedLimit; 3] = [
+    SharedLimit::Retries,
+    SharedLimit::SlowStart,
+    SharedLimit::InFlight,
+];
 
 /// The label that earlier versions printed.
 impl fmt::Display for SharedLimit {
@@ -85,10 +89,12 @@
     pub seed: u64,
     /// The fraction of the limit that was in use with all load at one front.
     pub used: f64,
-    /// The same with the load spread evenly, once the network is healed and the killed front is back.
+    /// The same with the load spread evenly, once the network is healed and the killed front is
+    /// back.
     #[serde(rename = "after")]
     pub used_after: f64,
-    /// The highest usage at any time: units or retries within any window beyond the rate, or requests in flight.
+    /// The highest usage at any time: units or retries within any window beyond the rate, or
+    /// requests in flight.
     #[serde(rename = "most")]
     pub max_usage: f64,
     /// The bound of it.
@@ -123,9 +129,13 @@
     bound: f64,
 }
 
-/// By which factor a server that started with the testbed has more capacity at a time than at first.
+/// By which factor a server that started with the testbed has more capacity at a time than at
+/// first.
 fn slow_start_growth(at: Duration) -> f64 {
-    let age = at.saturating_sub(SLOW_START_DELAY).div_duration_f64(SLOW_START_DURATION).min(1.0);
+    let age = at
+        .saturating_sub(SLOW_START_DELAY)
+        .div_duration_f64(SLOW_START_DURATION)
+        .min(1.0);
     1.0 + (1.0 / SLOW_START_INITIAL - 1.0) * age
 }
 
@@ -135,18 +145,33 @@
         let (limits, behavior) = match self {
             SharedLimit::Retries => (
                 r#"{"further_attempts": {"rate": 10, "burst": 10}}"#,
-                ServerBehavior { failure_percent: RETRY_FAILURE_PERCENT, ..default },
+                ServerBehavior {
+                    failure_percent: RETRY_FAILURE_PERCENT,
+                    ..default
+                },
             ),
             SharedLimit::SlowStart => (
                 r#"{"starting_server": {"rate": 6, "burst": 6}}"#,
-                ServerBehavior { just_started: true, ..default },
+                ServerBehavior {
+                    just_started: true,
+                    ..default
+                },
+            ),
+            SharedLimit::InFlight => (
+                r#"{"out_at_server": 4}"#,
+                ServerBehavior {
+                    latency: IN_FLIGHT_LATENCY,
+                    ..default
+                },
             ),
-            SharedLimit::InFlight => {
-                (r#"{"out_at_server": 4}"#, ServerBehavior { latency: IN_FLIGHT_LATENCY, ..default })
-            }
         };
         let config = TestbedConfig::new(FRONTS, Sharing::Peers, seed);
-        TestbedConfig { rate: UNLIMITED_RATE, limits, behavior, ..config }
+        TestbedConfig {
+            rate: UNLIMITED_RATE,
+            limits,
+            behavior,
+            ..config
+        }
     }
 
     /// The fraction of the limit that was in use within a span.
@@ -164,21 +189,30 @@
                 units / (SLOW_START_RATE * growth * span)
             }
             SharedLimit::InFlight => {
-                let busy = testbed.attempt_times(in_span).len() as f64 * IN_FLIGHT_LATENCY.as_secs_f64();
+                let busy =
+                    testbed.attempt_times(in_span).len() as f64 * IN_FLIGHT_LATENCY.as_secs_f64();
                 busy / (IN_FLIGHT_LIMIT * span)
             }
         }
     }
 
-    /// The highest usage over the whole run. `slack` is how long an attempt may take until it is recorded.
+    /// The highest usage over the whole run. `slack` is how long an attempt may take until it is
+    /// recorded.
     fn usage(self, testbed: &Testbed, slack: Duration) -> Usage {
         let fronts = FRONTS as f64;
         match self {
             SharedLimit::Retries => {
                 let burst = RETRY_RATE + fronts;
-                let bound = RateBound { units: 1.0, rate: RETRY_RATE, burst };
+                let bound = RateBound {
+                    units: 1.0,
+                    rate: RETRY_RATE,
+                    burst,
+                };
                 let retries = testbed.attempt_times(|attempt| attempt.is_retry);
-                Usage { max: burst + bound.max_excess(&retries, slack), bound: burst }
+                Usage {
+                    max: burst + bound.max_excess(&retries, slack),
+                    bound: burst,
+                }
             }
             SharedLimit::SlowStart => {
                 // The rate and the burst grow with the server's age.
@@ -186,14 +220,26 @@
                 let last = attempts.last().copied().unwrap_or_default();
                 let rate = SLOW_START_RATE * slow_start_growth(last);
                 let burst = rate + fronts * MAX_UNITS_PER_REQUEST;
-                let bound = RateBound { units: UNITS_PER_READ, rate, burst };
-                Usage { max: burst + bound.max_excess(&attempts, slack), bound: burst }
+                let bound = RateBound {
+                    units: UNITS_PER_READ,
+                    rate,
+                    burst,
+                };
+                Usage {
+                    max: burst + bound.max_excess(&attempts, slack),
+                    bound: burst,
+                }
             }
             SharedLimit::InFlight => {
                 // Each time that a share passes on during an attempt, it may be in use once more.
-                let passes = (IN_FLIGHT_LATENCY + slack).div_duration_f64(MIN_LEASE_INTERVAL).ceil();
+                let passes = (IN_FLIGHT_LATENCY + slack)
+                    .div_duration_f64(MIN_LEASE_INTERVAL)
+                    .ceil();
                 let max = testbed.max_in_flight(Duration::ZERO, testbed.elapsed()) as f64;
-                Usage { max, bound: IN_FLIGHT_LIMIT * (1.0 + passes) + fronts }
+                Usage {
+                    max,
+                    bound: IN_FLIGHT_LIMIT * (1.0 + passes) + fronts,
+                }
             }
         }
     }
@@ -207,24 +253,53 @@
     }
 }
 
-/// The load moves from one front to another; the fleet is partitioned in half, and a third front is killed, started
-/// again and healed.
+/// The load moves from one front to another; the fleet is partitioned in half, and a third front is
+/// killed, started again and healed.
 fn fault_schedule(seed: u64, loaded: usize) -> Schedule {
     let (next, killed) = ((loaded + 1) % FRONTS, (loaded + 2) % FRONTS);
     let step = |at_ms, fault| Step { at_ms, fault };
     let steps = vec![
-        step(0, Fault::Load { front: loaded, rate: 0 }),
-        step(0, Fault::Load { front: next, rate: TOTAL_LOAD }),
+        step(
+            0,
+            Fault::Load {
+                front: loaded,
+                rate: 0,
+            },
+        ),
+        step(
+            0,
+            Fault::Load {
+                front: next,
+                rate: TOTAL_LOAD,
+            },
+        ),
         step(800, Fault::Partition { side: vec![0, 1] }),
-        step(1_000, Fault::Load { front: killed, rate: KILLED_LOAD }),
-        step(2_500, Fault::Kill { front: killed, restart_after_ms: Some(20) }),
+        step(
+            1_000,
+            Fault::Load {
+                front: killed,
+                rate: KILLED_LOAD,
+            },
+        ),
+        step(
+            2_500,
+            Fault::Kill {
+                front: killed,
+                restart_after_ms: Some(20),
+            },
+        ),
         step(3_500, Fault::Heal),
     ];
-    Schedule { seed, fronts: FRONTS, duration_ms: 3_600, steps }
+    Schedule {
+        seed,
+        fronts: FRONTS,
+        duration_ms: 3_600,
+        steps,
+    }
 }
 
-/// Runs the experiment for one limit. `slack` is how long an attempt may take from its front until the server records
-/// it.
+/// Runs the experiment for one limit. `slack` is how long an attempt may take from its front until
+/// the server records it.
 ///
 /// # Errors
 /// If the testbed fails.
@@ -243,6 +318,16 @@
     testbed.set_load_of_all(TOTAL_LOAD / FRONTS as u32);
     testbed.wait_until_joined().await;
     let used_after = limit.measure(&testbed).await;
-    let Usage { max: max_usage, bound } = limit.usage(&testbed, slack);
-    Ok(SharedLimitResult { limit, seed, used, used_after, max_usage, bound })
+    let Usage {
+        max: max_usage,
+        bound,
+    } = limit.usage(&testbed, slack);
+    Ok(SharedLimitResult {
+        limit,
+        seed,
+        used,
+        used_after,
+        max_usage,
+        bound,
+    })
 }
--- a/crates/testbed/src/simulation/event_queue.rs
+++ b/crates/testbed/src/simulation/event_queue.rs
@@ -4,8 +4,8 @@
 
 use tulipbridge_membership::Nanos;
 
-/// Events ordered by the time at which they are due. Events due at the same time keep the order in which they were
-/// scheduled, which keeps a simulation deterministic.
+/// Events ordered by the time at which they are due. Events due at the same time keep the order in
+/// which they were scheduled, which keeps a simulation deterministic.
 pub struct EventQueue<E> {
     events: BTreeMap<(Nanos, u64), E>,
     scheduled: u64,
@@ -14,7 +14,10 @@
 impl<E> EventQueue<E> {
     /// An empty queue.
     pub fn new() -> EventQueue<E> {
-        EventQueue { events: BTreeMap::new(), scheduled: 0 }
+        EventQueue {
+            events: BTreeMap::new(),
+            scheduled: 0,
+        }
     }
 
     /// Adds an event that is due at a time.
@@ -25,7 +28,10 @@
 
     /// Removes and returns the earliest event, with its time, if it is due at `deadline` or before.
     pub fn pop_due(&mut self, deadline: Nanos) -> Option<(Nanos, E)> {
-        let entry = self.events.first_entry().filter(|first| first.key().0 <= deadline)?;
+        let entry = self
+            .events
+            .first_entry()
+            .filter(|first| first.key().0 <= deadline)?;
         let ((at, _), event) = entry.remove_entry();
         Some((at, event))
     }
--- a/crates/testbed/src/simulation/fleet.rs
+++ b/crates/testbed/src/simulation/fleet.rs
@@ -1,5 +1,5 @@
-//! The skeleton that the simulations of gossip and of outlier detection share: fronts that start, stop and exchange
-//! messages over the simulated network, under the faults of a schedule.
+//! The skeleton that the simulations of gossip and of outlier detection share: fronts that start,
+//! stop and exchange messages over the simulated network, under the faults of a schedule.
 
 use fastrand::Rng;
 use tulipbridge_membership::{GossipAction, Incarnation, Nanos, PeerId};
@@ -40,8 +40,8 @@
     LongestWins,
 }
 
-/// The fronts of a simulation, the network between them, and the events to come. `S` is the state of a front, and `E` the
-/// events, that only one simulation has.
+/// The fronts of a simulation, the network between them, and the events to come. `S` is the state
+/// of a front, and `E` the events, that only one simulation has.
 pub struct SimulatedFleet<'a, S, E> {
     /// The schedule whose faults are injected.
     pub schedule: &'a Schedule,
@@ -82,7 +82,8 @@
     /// Schedules every fault.
     pub fn schedule_faults(&mut self) {
         for (number, step) in self.schedule.steps.iter().enumerate() {
-            self.events.schedule(step.at_ms as Nanos * MILLISECOND, Event::Fault(number));
+            self.events
+                .schedule(step.at_ms as Nanos * MILLISECOND, Event::Fault(number));
         }
     }
 
@@ -100,7 +101,8 @@
         }
     }
 
-    /// The next event that is due by `deadline`; the time becomes that of the event, or else the deadline.
+    /// The next event that is due by `deadline`; the time becomes that of the event, or else the
+    /// deadline.
     pub fn next_event(&mut self, deadline: Nanos) -> Option<Event<E>> {
         let Some((at, event)) = self.events.pop_due(deadline) else {
             self.now = deadline;
@@ -110,7 +112,8 @@
         Some(event)
     }
 
-    /// The peer state of a process that starts now, with a random incarnation. `gossip_rate` is in bytes a second.
+    /// The peer state of a process that starts now, with a random incarnation. `gossip_rate` is in
+    /// bytes a second.
     pub fn new_peer(&mut self, front: usize, gossip_rate: u64) -> Peer {
         let incarnation = self.rng.u64(1..u64::MAX);
         Peer::new(front, self.fronts.len(), incarnation, gossip_rate, self.now)
@@ -122,7 +125,9 @@
         front: usize,
         incarnation: Incarnation,
     ) -> Option<&mut SimulatedFront<S>> {
-        self.fronts[front].as_mut().filter(|running| running.peer.incarnation == incarnation)
+        self.fronts[front]
+            .as_mut()
+            .filter(|running| running.peer.incarnation == incarnation)
     }
 
     /// Sends a message to each peer named.
@@ -135,29 +140,43 @@
     /// Sends a message from a front, if it runs.
     pub fn send(&mut self, from: usize, to: PeerId, message: PeerMessage) {
         let to = usize::from(to);
-        let Some(front) = &self.fronts[from] else { return };
+        let Some(front) = &self.fronts[from] else {
+            return;
+        };
         let incarnation = front.peer.incarnation;
         for delay in self.network.delays(&mut self.rng, from, to) {
             let message = message.clone();
-            let envelope = Envelope { to, from: from as PeerId, incarnation, message };
-            self.events.schedule(self.now + delay, Event::Deliver(envelope));
+            let envelope = Envelope {
+                to,
+                from: from as PeerId,
+                incarnation,
+                message,
+            };
+            self.events
+                .schedule(self.now + delay, Event::Deliver(envelope));
         }
     }
 
-    /// Delivers a message: what the receiver's gossip does in answer. `None` if the receiver does not run, or is
-    /// paused and gets the message when it resumes.
+    /// Delivers a message: what the receiver's gossip does in answer. `None` if the receiver does
+    /// not run, or is paused and gets the message when it resumes.
     pub fn deliver(&mut self, envelope: Envelope) -> Option<Vec<GossipAction>> {
         let peer = &mut self.fronts[envelope.to].as_mut()?.peer;
         if peer.is_paused(self.now) {
-            self.events.schedule(peer.paused_until, Event::Deliver(envelope));
+            self.events
+                .schedule(peer.paused_until, Event::Deliver(envelope));
             return None;
         }
-        let Envelope { from, incarnation, message, .. } = envelope;
+        let Envelope {
+            from,
+            incarnation,
+            message,
+            ..
+        } = envelope;
         Some(peer.receive(self.now, from, incarnation, message))
     }
 
-    /// Injects the fault of a step. Faults of what these simulations lack change nothing: load, rosters, second
-    /// processes of a name, chunk servers and discovery.
+    /// Injects the fault of a step. Faults of what these simulations lack change nothing: load,
+    /// rosters, second processes of a name, chunk servers and discovery.
     pub fn inject_step(&mut self, number: usize) {
         let schedule = self.schedule;
         match &schedule.steps[number].fault {
@@ -168,8 +187,14 @@
                 self.network.inject(fault);
             }
             Fault::Pause { front, millis } => self.pause(*front, self.after(*millis)),
-            Fault::Kill { front, restart_after_ms: back } => self.stop(*front, *back),
-            Fault::ShutDown { front, restart_after_ms: back } => self.stop(*front, Some(*back)),
+            Fault::Kill {
+                front,
+                restart_after_ms: back,
+            } => self.stop(*front, *back),
+            Fault::ShutDown {
+                front,
+                restart_after_ms: back,
+            } => self.stop(*front, Some(*back)),
             Fault::DuplicateProcess { .. } | Fault::Load { .. } | Fault::Roster { .. } => {}
             Fault::ServerLink { .. } | Fault::Server { .. } => {}
             Fault::Upgrade { .. } | Fault::Discovery { .. } | Fault::RestartServer { .. } => {}
@@ -181,7 +206,9 @@
     }
 
     fn pause(&mut self, front: usize, until: Nanos) {
-        let Some(front) = &mut self.fronts[front] else { return };
+        let Some(front) = &mut self.fronts[front] else {
+            return;
+        };
         let peer = &mut front.peer;
         peer.paused_until = match self.overlapping_pauses {
             OverlappingPauses::LastWins => until,
@@ -192,7 +219,8 @@
     fn stop(&mut self, front: usize, back_after: Option<Millis>) {
         self.fronts[front] = None;
         if let Some(millis) = back_after {
-            self.events.schedule(self.after(millis), Event::Start(front));
+            self.events
+                .schedule(self.after(millis), Event::Start(front));
         }
     }
 }
--- a/crates/testbed/src/simulation/gossip.rs
+++ b/crates/testbed/src/simulation/gossip.rs
@@ -1,7 +1,7 @@
 //! A simulation of the gossip between fronts.
 //!
-//! What each front holds of another must be what that one wrote, must never go back to something older, and must be
-//! the same everywhere once all faults are healed.
+//! What each front holds of another must be what that one wrote, must never go back to something
+//! older, and must be the same everywhere once all faults are healed.
 
 mod history;
 mod report;
@@ -52,7 +52,11 @@
     fleet.schedule_faults();
     let end = fleet.end_of_faults();
     let history = WriteHistory::default();
-    let mut simulation = Simulation { fleet, history, report: GossipReport::default() };
+    let mut simulation = Simulation {
+        fleet,
+        history,
+        report: GossipReport::default(),
+    };
     simulation.run_until(end);
     simulation.fleet.recover();
     simulation.run_until(end + convergence_time(schedule.fronts));
@@ -60,9 +64,9 @@
     simulation.report
 }
 
-/// How long a healthy fleet may take until all fronts hold the same: until unconfirmed incarnations are forgotten and
-/// the current ones confirmed, then a round for each front that may be polled, and the time in which the byte rate lets
-/// all entries through that may be new.
+/// How long a healthy fleet may take until all fronts hold the same: until unconfirmed incarnations
+/// are forgotten and the current ones confirmed, then a round for each front that may be polled,
+/// and the time in which the byte rate lets all entries through that may be new.
 fn convergence_time(fronts: usize) -> Nanos {
     let bytes = (fronts * fronts) as u64 * KEYS * MAX_ENTRY_BYTES;
     let transfer = (bytes * 1_000_000_000 / GOSSIP_RATE) as Nanos;
@@ -88,14 +92,21 @@
         }
         let peer = self.fleet.new_peer(front, GOSSIP_RATE);
         let incarnation = peer.incarnation;
-        let running = SimulatedFront { peer, state: FrontState::default() };
+        let running = SimulatedFront {
+            peer,
+            state: FrontState::default(),
+        };
         self.fleet.fronts[front] = Some(running);
-        self.fleet.events.schedule(self.fleet.now, Event::Round(front, incarnation));
+        self.fleet
+            .events
+            .schedule(self.fleet.now, Event::Round(front, incarnation));
     }
 
     fn round(&mut self, front: usize, incarnation: Incarnation) {
         let now = self.fleet.now;
-        let Some(running) = self.fleet.front_with_incarnation(front, incarnation) else { return };
+        let Some(running) = self.fleet.front_with_incarnation(front, incarnation) else {
+            return;
+        };
         let paused_until = running.peer.paused_until;
         let jitter = self.fleet.rng.i64(-20..20) * MILLISECOND;
         let next_round = paused_until.max(now + ROUND_INTERVAL + jitter);
@@ -103,7 +114,9 @@
             self.write_sometimes(front);
             self.gossip_round(front);
         }
-        self.fleet.events.schedule(next_round, Event::Round(front, incarnation));
+        self.fleet
+            .events
+            .schedule(next_round, Event::Round(front, incarnation));
     }
 
     /// Writes or removes an entry in every third round or so, while the schedule lasts.
@@ -115,20 +128,29 @@
         }
         let key = entry_key(rng.u64(0..KEYS));
         let value = (rng.u8(0..5) > 0).then(|| vec![rng.u8(..); rng.usize(0..60)]);
-        let Some(running) = &mut self.fleet.fronts[front] else { return };
-        let version = |peer: &Peer| peer.gossip.known(front as PeerId).map_or(0, |(_, version)| version);
+        let Some(running) = &mut self.fleet.fronts[front] else {
+            return;
+        };
+        let version = |peer: &Peer| {
+            peer.gossip
+                .known(front as PeerId)
+                .map_or(0, |(_, version)| version)
+        };
         let before = version(&running.peer);
         running.peer.put(now, key, value.clone());
         let after = version(&running.peer);
         if after > before {
             running.state.written = after;
-            self.history.record(running.peer.incarnation, after, key, value, now);
+            self.history
+                .record(running.peer.incarnation, after, key, value, now);
         }
     }
 
     fn gossip_round(&mut self, front: usize) {
         let now = self.fleet.now;
-        let Some(running) = &mut self.fleet.fronts[front] else { return };
+        let Some(running) = &mut self.fleet.fronts[front] else {
+            return;
+        };
         let heartbeats = running.peer.heartbeats(now);
         let actions = running.peer.gossip_round(now);
         self.fleet.send_all(front, heartbeats);
@@ -139,7 +161,11 @@
         for action in actions {
             match action {
                 GossipAction::Send { to, message } => {
-                    let bytes = message.deltas.iter().map(|delta| encoded_size(delta) as u64).sum();
+                    let bytes = message
+                        .deltas
+                        .iter()
+                        .map(|delta| encoded_size(delta) as u64)
+                        .sum();
                     self.count_sent(front, bytes);
                     self.report.messages += 1;
                     self.fleet.send(front, to, PeerMessage::Gossip(message));
@@ -152,8 +178,13 @@
 
     fn count_sent(&mut self, front: usize, bytes: u64) {
         let now = self.fleet.now;
-        let Some(running) = &mut self.fleet.fronts[front] else { return };
-        running.state.sent.retain(|(at, _)| *at > now - 1_000 * MILLISECOND);
+        let Some(running) = &mut self.fleet.fronts[front] else {
+            return;
+        };
+        running
+            .state
+            .sent
+            .retain(|(at, _)| *at > now - 1_000 * MILLISECOND);
         running.state.sent.push((now, bytes));
         let sum = running.state.sent.iter().map(|(_, bytes)| bytes).sum();
         self.report.max_bytes_per_second = self.report.max_bytes_per_second.max(sum);
@@ -161,17 +192,24 @@
 
     fn deliver(&mut self, envelope: Envelope) {
         let to = envelope.to;
-        let Some(actions) = self.fleet.deliver(envelope) else { return };
+        let Some(actions) = self.fleet.deliver(envelope) else {
+            return;
+        };
         self.apply(to, actions);
         self.check_entries(to);
     }
 
-    /// Checks that what a front holds was written by that incarnation under that version, and that versions only grow.
+    /// Checks that what a front holds was written by that incarnation under that version, and that
+    /// versions only grow.
     fn check_entries(&mut self, front: usize) {
         let now = self.fleet.now;
-        let Some(running) = &mut self.fleet.fronts[front] else { return };
+        let Some(running) = &mut self.fleet.fronts[front] else {
+            return;
+        };
         for origin in running.peer.membership.others() {
-            let Some((incarnation, version)) = running.peer.gossip.known(origin) else { continue };
+            let Some((incarnation, version)) = running.peer.gossip.known(origin) else {
+                continue;
+            };
             let previous = running.state.known.insert(origin, (incarnation, version));
             let went_back =
                 previous.is_some_and(|(earlier, known)| earlier == incarnation && version < known);
@@ -190,8 +228,12 @@
     /// Checks that every running front holds all that every running front has written.
     fn check_convergence(&mut self) {
         let fronts = &self.fleet.fronts;
-        let running =
-            || fronts.iter().enumerate().filter_map(|(index, front)| Some((index, front.as_ref()?)));
+        let running = || {
+            fronts
+                .iter()
+                .enumerate()
+                .filter_map(|(index, front)| Some((index, front.as_ref()?)))
+        };
         for (index, front) in running() {
             for (origin, writer) in
                 running().filter(|(origin, writer)| *origin != index && writer.state.written > 0)
--- a/crates/testbed/src/simulation/gossip/history.rs
+++ b/crates/testbed/src/simulation/gossip/history.rs
@@ -17,7 +17,8 @@
     writes: BTreeMap<(Incarnation, u64), Write>,
 }
 
-/// The writes of one key by one incarnation, as a front sees them that has received them up to a version.
+/// The writes of one key by one incarnation, as a front sees them that has received them up to a
+/// version.
 pub struct KeyHistory<'a> {
     history: &'a WriteHistory,
     incarnation: Incarnation,
@@ -35,12 +36,19 @@
         value: Option<Vec<u8>>,
         at: Nanos,
     ) {
-        self.writes.insert((incarnation, version), Write { key, value, at });
+        self.writes
+            .insert((incarnation, version), Write { key, value, at });
     }
 
-    /// The writes of a key, as a front sees them that has received an incarnation's writes up to a version.
+    /// The writes of a key, as a front sees them that has received an incarnation's writes up to a
+    /// version.
     pub fn of_key(&self, incarnation: Incarnation, version: u64, key: EntryKey) -> KeyHistory<'_> {
-        KeyHistory { history: self, incarnation, version, key }
+        KeyHistory {
+            history: self,
+            incarnation,
+            version,
+            key,
+        }
     }
 }
 
@@ -48,27 +56,44 @@
     /// The writes received, the latest first.
     fn received(&self) -> impl Iterator<Item = &'a Write> + use<'a> {
         let (key, incarnation) = (self.key, self.incarnation);
-        let range = self.history.writes.range((incarnation, 0)..=(incarnation, self.version));
-        range.rev().map(|(_, write)| write).filter(move |write| write.key == key)
+        let range = self
+            .history
+            .writes
+            .range((incarnation, 0)..=(incarnation, self.version));
+        range
+            .rev()
+            .map(|(_, write)| write)
+            .filter(move |write| write.key == key)
     }
 
     fn is_written_later(&self) -> bool {
-        let (first, last) = ((self.incarnation, self.version + 1), (self.incarnation, u64::MAX));
-        self.history.writes.range(first..=last).any(|(_, write)| write.key == self.key)
+        let (first, last) = (
+            (self.incarnation, self.version + 1),
+            (self.incarnation, u64::MAX),
+        );
+        self.history
+            .writes
+            .range(first..=last)
+            .any(|(_, write)| write.key == self.key)
     }
 
     fn latest_value(&self) -> Option<&'a [u8]> {
-        self.received().next().and_then(|write| write.value.as_deref())
+        self.received()
+            .next()
+            .and_then(|write| write.value.as_deref())
     }
 
-    /// Whether an entry, given as its value and age, is the latest one received but claims to be younger than that is.
+    /// Whether an entry, given as its value and age, is the latest one received but claims to be
+    /// younger than that is.
     pub fn understates_age(&self, entry: Option<(&[u8], Nanos)>, now: Nanos) -> bool {
-        let (Some((value, age)), Some(latest)) = (entry, self.received().next()) else { return false };
+        let (Some((value, age)), Some(latest)) = (entry, self.received().next()) else {
+            return false;
+        };
         Some(value) == latest.value.as_deref() && age < now - latest.at
     }
 
-    /// Whether a front may hold this value: the latest received; or, where the key was written again since and that
-    /// write is in transit, none or any earlier value.
+    /// Whether a front may hold this value: the latest received; or, where the key was written
+    /// again since and that write is in transit, none or any earlier value.
     pub fn allows(&self, value: Option<&[u8]>) -> bool {
         if value == self.latest_value() {
             return true;
--- a/crates/testbed/src/simulation/gossip/report.rs
+++ b/crates/testbed/src/simulation/gossip/report.rs
@@ -9,7 +9,8 @@
 /// What a run observed. The serialized names are those of stored results.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct GossipReport {
-    /// A front held what its origin had never written under that version, or went back to an older version.
+    /// A front held what its origin had never written under that version, or went back to an older
+    /// version.
     #[serde(rename = "wrong")]
     pub inconsistent: bool,
     /// A front took an entry for younger than it was.
@@ -29,8 +30,8 @@
 }
 
 impl GossipReport {
-    /// Whether the run kept every bound. Within a second a front may send that second's bytes and as many that it had
-    /// saved up.
+    /// Whether the run kept every bound. Within a second a front may send that second's bytes and
+    /// as many that it had saved up.
     pub fn is_valid(&self) -> bool {
         !self.inconsistent
             && !self.age_understated
--- a/crates/testbed/src/simulation/limits.rs
+++ b/crates/testbed/src/simulation/limits.rs
@@ -1,8 +1,9 @@
 //! A simulation of fleet limits: the limit coordinators of many fronts under a simulated network.
 //!
-//! Each process has its own clock, which runs fast or slow within the configured drift. A paused process receives and
-//! sends nothing; the messages that arrived meanwhile are delivered when it resumes. After every event the shares of
-//! all running processes are added up and compared with the bound.
+//! Each process has its own clock, which runs fast or slow within the configured drift. A paused
+//! process receives and sends nothing; the messages that arrived meanwhile are delivered when it
+//! resumes. After every event the shares of all running processes are added up and compared with
+//! the bound.
 
 mod checks;
 mod faults;
@@ -13,8 +14,8 @@
 
 use fastrand::Rng;
 use tulipbridge_fleet_limits::{
-    Effect, Event as CoordinatorEvent, Heartbeat, Incarnation, Limit, LimitCoordinator, LimitsConfig, Nanos,
-    PeerId,
+    Effect, Event as CoordinatorEvent, Heartbeat, Incarnation, Limit, LimitCoordinator,
+    LimitsConfig, Nanos, PeerId,
 };
 
 use self::process::{DriftingClock, Message, Process};
@@ -37,8 +38,8 @@
 const START_SPREAD_MS: u64 = 400;
 /// How long the fleet has to settle after all faults are healed.
 const SETTLE_TIME: Nanos = 10_000 * MILLISECOND;
-/// How often the shares in use are sampled once the fleet has settled, and at which interval. Shares follow the load
-/// from moment to moment, so their mean counts.
+/// How often the shares in use are sampled once the fleet has settled, and at which interval.
+/// Shares follow the load from moment to moment, so their mean counts.
 const SAMPLES: i64 = 40;
 const SAMPLE_INTERVAL: Nanos = 100 * MILLISECOND;
 /// When a front that is paused or stopped tries again to load a new roster.
@@ -46,7 +47,8 @@
 /// Distinguishes the random choices here from those of other simulations of the same schedule.
 const SEED_SALT: u64 = 0x5eed;
 
-/// What happens at a moment. The numbers are those of processes, of fronts, and of the steps of the schedule.
+/// What happens at a moment. The numbers are those of processes, of fronts, and of the steps of the
+/// schedule.
 enum Event {
     Heartbeat(usize),
     Demand(usize),
@@ -123,12 +125,14 @@
             self.events.schedule(at, Event::Start(front));
         }
         for (number, step) in self.schedule.steps.iter().enumerate() {
-            self.events.schedule(step.at_ms as Nanos * MILLISECOND, Event::Fault(number));
+            self.events
+                .schedule(step.at_ms as Nanos * MILLISECOND, Event::Fault(number));
         }
     }
 
     fn schedule_in(&mut self, millis: Millis, event: Event) {
-        self.events.schedule(self.now + millis as Nanos * MILLISECOND, event);
+        self.events
+            .schedule(self.now + millis as Nanos * MILLISECOND, event);
     }
 
     fn run_until(&mut self, deadline: Nanos) {
@@ -161,10 +165,16 @@
     }
 
     fn heartbeat(&mut self, process: usize) {
-        let Some(running) = &self.processes[process] else { return };
-        let (interval, is_paused) = (running.coordinator.config().heartbeat_interval, running.is_paused);
+        let Some(running) = &self.processes[process] else {
+            return;
+        };
+        let (interval, is_paused) = (
+            running.coordinator.config().heartbeat_interval,
+            running.is_paused,
+        );
         let jitter = self.rng.i64(-HEARTBEAT_JITTER..HEARTBEAT_JITTER);
-        self.events.schedule(self.now + interval + jitter, Event::Heartbeat(process));
+        self.events
+            .schedule(self.now + interval + jitter, Event::Heartbeat(process));
         if !is_paused {
             self.feed(process, process, CoordinatorEvent::HeartbeatDue);
         }
@@ -176,9 +186,13 @@
             return;
         }
         let wait = -(1.0 - self.rng.f64()).ln() / f64::from(rate) * 1e9;
-        self.events.schedule(self.now + wait as Nanos + 1, Event::Demand(front));
+        self.events
+            .schedule(self.now + wait as Nanos + 1, Event::Demand(front));
         if let Some(process) = self.unpaused_process(front) {
-            let event = CoordinatorEvent::Demanded { limit: VOLUME, units: UNITS_PER_REQUEST };
+            let event = CoordinatorEvent::Demanded {
+                limit: VOLUME,
+                units: UNITS_PER_REQUEST,
+            };
             self.feed(process, process, event);
         }
     }
@@ -186,12 +200,16 @@
     /// The process at a front's address, if it runs and is not paused.
     fn unpaused_process(&self, front: usize) -> Option<usize> {
         let process = self.address[front]?;
-        self.processes[process].as_ref().filter(|running| !running.is_paused)?;
+        self.processes[process]
+            .as_ref()
+            .filter(|running| !running.is_paused)?;
         Some(process)
     }
 
     fn deliver(&mut self, message: Message) {
-        let Some(running) = &mut self.processes[message.to] else { return };
+        let Some(running) = &mut self.processes[message.to] else {
+            return;
+        };
         if running.is_paused {
             running.pending.push(message);
             return;
@@ -200,17 +218,30 @@
     }
 
     fn receive(&mut self, message: Message) {
-        let Message { to, via, from, incarnation, heartbeat } = message;
+        let Message {
+            to,
+            via,
+            from,
+            incarnation,
+            heartbeat,
+        } = message;
         let heartbeat = Box::new(heartbeat);
-        let event = CoordinatorEvent::HeartbeatReceived { from, incarnation, heartbeat };
+        let event = CoordinatorEvent::HeartbeatReceived {
+            from,
+            incarnation,
+            heartbeat,
+        };
         self.feed(to, via, event);
     }
 
     fn resume(&mut self, process: usize) {
-        let Some(running) = &mut self.processes[process] else { return };
+        let Some(running) = &mut self.processes[process] else {
+            return;
+        };
         running.is_paused = false;
         let pending = std::mem::take(&mut running.pending);
-        // A front looks at its clock before anything else; what arrived meanwhile is handled after that.
+        // A front looks at its clock before anything else; what arrived meanwhile is handled after
+        // that.
         self.feed(process, process, CoordinatorEvent::Poll);
         self.check_total_share();
         for message in pending {
@@ -219,7 +250,10 @@
     }
 
     fn stop(&mut self, process: usize) {
-        if self.processes[process].as_ref().is_some_and(|running| running.is_duplicate) {
+        if self.processes[process]
+            .as_ref()
+            .is_some_and(|running| running.is_duplicate)
+        {
             self.duplicates -= 1;
         }
         self.processes[process] = None;
@@ -239,7 +273,9 @@
                 let config = self.configs[front].clone();
                 self.feed(process, process, CoordinatorEvent::Reconfigure(config));
             }
-            None => self.events.schedule(self.now + RECONFIGURE_RETRY, Event::Reconfigure(front)),
+            None => self
+                .events
+                .schedule(self.now + RECONFIGURE_RETRY, Event::Reconfigure(front)),
         }
     }
 
@@ -250,24 +286,31 @@
         let initial_reading = Nanos::from(self.rng.u32(1..4_000_000)) * MILLISECOND;
         let incarnation = self.rng.u64(1..u64::MAX);
         let config = self.configs[front].clone();
-        let coordinator =
-            LimitCoordinator::new(config, incarnation, initial_reading).expect("the configuration is valid");
+        let coordinator = LimitCoordinator::new(config, incarnation, initial_reading)
+            .expect("the configuration is valid");
         self.processes.push(Some(Process {
             front,
             coordinator,
-            clock: DriftingClock { started_at: self.now, initial_reading, drift_ppm },
+            clock: DriftingClock {
+                started_at: self.now,
+                initial_reading,
+                drift_ppm,
+            },
             is_paused: false,
             pending: Vec::new(),
             shares: BTreeMap::new(),
             is_duplicate,
         }));
-        self.events.schedule(self.now + 1, Event::Heartbeat(process));
+        self.events
+            .schedule(self.now + 1, Event::Heartbeat(process));
         process
     }
 
     /// Gives a process an event and carries out the effects. A reply goes to the process `via`.
     fn feed(&mut self, process: usize, via: usize, event: CoordinatorEvent) {
-        let Some(running) = &mut self.processes[process] else { return };
+        let Some(running) = &mut self.processes[process] else {
+            return;
+        };
         let mut effects = Vec::new();
         let clock = running.clock.read(self.now);
         running.coordinator.on(clock, event, &mut effects);
@@ -281,7 +324,9 @@
     }
 
     fn apply(&mut self, process: usize, via: usize, effect: Effect) {
-        let Some(running) = &mut self.processes[process] else { return };
+        let Some(running) = &mut self.processes[process] else {
+            return;
+        };
         let (front, incarnation) = (running.front, running.coordinator.incarnation());
         match effect {
             Effect::ShareChanged { limit, share, .. } => {
@@ -300,13 +345,29 @@
         }
     }
 
-    fn send(&mut self, via: usize, to: usize, sender: usize, incarnation: Incarnation, heartbeat: Heartbeat) {
+    fn send(
+        &mut self,
+        via: usize,
+        to: usize,
+        sender: usize,
+        incarnation: Incarnation,
+        heartbeat: Heartbeat,
+    ) {
         self.report.messages += 1;
-        let Some(receiver) = self.processes[to].as_ref().map(|running| running.front) else { return };
+        let Some(receiver) = self.processes[to].as_ref().map(|running| running.front) else {
+            return;
+        };
         for delay in self.network.delays(&mut self.rng, sender, receiver) {
             let (from, heartbeat) = (sender as PeerId, heartbeat.clone());
-            let message = Message { to, via, from, incarnation, heartbeat };
-            self.events.schedule(self.now + delay, Event::Deliver(Box::new(message)));
+            let message = Message {
+                to,
+                via,
+                from,
+                incarnation,
+                heartbeat,
+            };
+            self.events
+                .schedule(self.now + delay, Event::Deliver(Box::new(message)));
         }
     }
 }
--- a/crates/testbed/src/simulation/limits/faults.rs
+++ b/crates/testbed/src/simulation/limits/faults.rs
@@ -12,13 +12,23 @@
     /// Injects a fault.
     pub(super) fn inject(&mut self, fault: &Fault) {
         match fault {
-            Fault::Cut { .. } | Fault::Partition { .. } | Fault::Heal | Fault::DatagramFaults { .. } => {
+            Fault::Cut { .. }
+            | Fault::Partition { .. }
+            | Fault::Heal
+            | Fault::DatagramFaults { .. } => {
                 self.network.inject(fault);
             }
             Fault::Pause { front, millis } => self.pause(*front, *millis),
-            Fault::Kill { front, restart_after_ms: back } => self.kill(*front, *back),
-            Fault::ShutDown { front, restart_after_ms: back } => self.shut_down(*front, *back),
-            // The second version is absent until the first has ended: a restart, as the coordinators observe it.
+            Fault::Kill {
+                front,
+                restart_after_ms: back,
+            } => self.kill(*front, *back),
+            Fault::ShutDown {
+                front,
+                restart_after_ms: back,
+            } => self.shut_down(*front, *back),
+            // The second version is absent until the first has ended: a restart, as the
+            // coordinators observe it.
             Fault::Upgrade { front } => self.shut_down(*front, UPGRADE_GAP_MS),
             Fault::DuplicateProcess { front, millis } => {
                 self.duplicates += 1;
@@ -36,7 +46,9 @@
     }
 
     fn pause(&mut self, front: usize, millis: Millis) {
-        let Some(process) = self.unpaused_process(front) else { return };
+        let Some(process) = self.unpaused_process(front) else {
+            return;
+        };
         if let Some(running) = &mut self.processes[process] {
             running.is_paused = true;
         }
@@ -53,7 +65,9 @@
     }
 
     fn shut_down(&mut self, front: usize, back_after: Millis) {
-        let Some(process) = self.unpaused_process(front) else { return };
+        let Some(process) = self.unpaused_process(front) else {
+            return;
+        };
         self.feed(process, process, CoordinatorEvent::Shutdown);
         self.feed(process, process, CoordinatorEvent::HeartbeatDue);
         self.stop(process);
@@ -72,7 +86,10 @@
         for front in 0..self.schedule.fronts {
             let config = &mut self.configs[front];
             config.revision += 1;
-            config.roster = config.roster.wrapping_mul(31).wrapping_add(u64::from(floor_percent));
+            config.roster = config
+                .roster
+                .wrapping_mul(31)
+                .wrapping_add(u64::from(floor_percent));
             config.floor = FULL_SHARE / 100 * Share::from(floor_percent);
             self.schedule_in(interval * front as Millis, Event::Reconfigure(front));
         }
@@ -82,7 +99,10 @@
     pub(super) fn heal(&mut self) {
         self.network.heal();
         for process in 0..self.processes.len() {
-            if self.processes[process].as_ref().is_some_and(|running| running.is_duplicate) {
+            if self.processes[process]
+                .as_ref()
+                .is_some_and(|running| running.is_duplicate)
+            {
                 self.stop(process);
             }
         }
--- a/crates/testbed/src/simulation/limits/process.rs
+++ b/crates/testbed/src/simulation/limits/process.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use tulipbridge_fleet_limits::{Heartbeat, Incarnation, Limit, LimitCoordinator, Nanos, PeerId, Share};
+use tulipbridge_fleet_limits::{
+    Heartbeat, Incarnation, Limit, LimitCoordinator, Nanos, PeerId, Share,
+};
 
 /// A clock that runs fast or slow by a constant rate.
 pub struct DriftingClock {
--- a/crates/testbed/src/simulation/limits/report.rs
+++ b/crates/testbed/src/simulation/limits/report.rs
@@ -7,7 +7,8 @@
 
 use crate::schedule::Millis;
 
-/// What a run observed. Shares are in millionths of the limit; the serialized names are those of stored results.
+/// What a run observed. Shares are in millionths of the limit; the serialized names are those of
+/// stored results.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct LimitsReport {
     /// The sum of all shares at the moment of the largest excess over the bound.
@@ -38,7 +39,9 @@
 impl LimitsReport {
     /// Whether the run kept every bound.
     pub fn is_valid(&self) -> bool {
-        let recovered = self.healed_share.is_none_or(|healed| healed >= self.min_healed_share);
+        let recovered = self
+            .healed_share
+            .is_none_or(|healed| healed >= self.min_healed_share);
         !self.bound_exceeded && !self.stale_share_used && recovered
     }
 }
--- a/crates/testbed/src/simulation/network.rs
+++ b/crates/testbed/src/simulation/network.rs
@@ -1,4 +1,5 @@
-//! The simulated network between fronts: cut links, and datagrams that are lost, duplicated and delayed.
+//! The simulated network between fronts: cut links, and datagrams that are lost, duplicated and
+//! delayed.
 
 use fastrand::Rng;
 use tulipbridge_membership::Nanos;
@@ -24,8 +25,14 @@
 impl Network {
     /// A network without faults between so many fronts.
     pub fn new(fronts: usize) -> Network {
-        let faults = DatagramFaults { max_delay_ms: HEALTHY_MAX_DELAY_MS, ..DatagramFaults::default() };
-        Network { cut: vec![vec![false; fronts]; fronts], faults }
+        let faults = DatagramFaults {
+            max_delay_ms: HEALTHY_MAX_DELAY_MS,
+            ..DatagramFaults::default()
+        };
+        Network {
+            cut: vec![vec![false; fronts]; fronts],
+            faults,
+        }
     }
 
     /// Applies a fault to the links. Faults that do not concern links change nothing.
--- a/crates/testbed/src/simulation/outliers.rs
+++ b/crates/testbed/src/simulation/outliers.rs
@@ -1,5 +1,6 @@
-//! A simulation of outlier detection by many fronts: servers that fail for all, for one zone or for one class of work,
-//! fronts that report wrongly or whose own network is bad, and the faults of a schedule.
+//! A simulation of outlier detection by many fronts: servers that fail for all, for one zone or for
+//! one class of work, fronts that report wrongly or whose own network is bad, and the faults of a
+//! schedule.
 
 mod attempts;
 mod audit;
@@ -12,7 +13,8 @@
 use fastrand::Rng;
 use tulipbridge_membership::{EntryKey, GossipAction, Incarnation, Nanos, PeerId};
 use tulipbridge_outlier_detection::{
-    Class, DetectorConfig, Effect, EjectionTarget, Event as DetectorEvent, OutlierDetector, Server, Zone,
+    Class, DetectorConfig, Effect, EjectionTarget, Event as DetectorEvent, OutlierDetector, Server,
+    Zone,
 };
 
 use self::audit::{VoteAudit, VoteWithoutEvidence};
@@ -76,7 +78,8 @@
     let config = DetectorConfig::new(0, fronts as PeerId, 0);
     let max_votes = config.max_votes(SERVERS as usize);
     simulation.report.ejection_limit = fronts * max_votes / config.quorum();
-    // Each front probes for nine turns, of which one may have been half over, and waits for one before the first.
+    // Each front probes for nine turns, of which one may have been half over, and waits for one
+    // before the first.
     let probing_time = 21 * config.probe_turn + 2 * ROUND_INTERVAL;
     simulation.run_until(end + probing_time);
     simulation.check_readmission(max_votes);
@@ -117,8 +120,12 @@
                 Event::Round(front, incarnation) => self.round(front, incarnation),
                 Event::Deliver(envelope) => self.deliver(envelope),
                 Event::Fault(number) => self.fleet.inject_step(number),
-                Event::Custom(FrontEvent::Attempt(front, incarnation)) => self.attempt(front, incarnation),
-                Event::Custom(FrontEvent::Evaluate(front, incarnation)) => self.evaluate(front, incarnation),
+                Event::Custom(FrontEvent::Attempt(front, incarnation)) => {
+                    self.attempt(front, incarnation)
+                }
+                Event::Custom(FrontEvent::Evaluate(front, incarnation)) => {
+                    self.evaluate(front, incarnation)
+                }
             }
         }
     }
@@ -133,19 +140,39 @@
         let config = DetectorConfig::new(front as PeerId, peer_count, zone_of(front));
         let mut detector = OutlierDetector::new(config).expect("the configuration is valid");
         let servers = (0..SERVERS).map(|server| (server, true)).collect();
-        detector.on(now, &peer.gossip, DetectorEvent::Servers(servers), &mut Vec::new());
-        let state = FrontState { detector, next_evaluation: now, evaluation_scheduled: false };
+        detector.on(
+            now,
+            &peer.gossip,
+            DetectorEvent::Servers(servers),
+            &mut Vec::new(),
+        );
+        let state = FrontState {
+            detector,
+            next_evaluation: now,
+            evaluation_scheduled: false,
+        };
         let running = SimulatedFront { peer, state };
         self.fleet.fronts[front] = Some(running);
-        self.fleet.events.schedule(now, Event::Round(front, incarnation));
-        self.fleet.events.schedule(now, Event::Custom(FrontEvent::Attempt(front, incarnation)));
+        self.fleet
+            .events
+            .schedule(now, Event::Round(front, incarnation));
+        self.fleet
+            .events
+            .schedule(now, Event::Custom(FrontEvent::Attempt(front, incarnation)));
     }
 
-    /// Whether a front runs with this incarnation and is not paused. If it is paused, the event is postponed until it
-    /// resumes.
-    fn can_act(&mut self, front: usize, incarnation: Incarnation, event: Event<FrontEvent>) -> bool {
+    /// Whether a front runs with this incarnation and is not paused. If it is paused, the event is
+    /// postponed until it resumes.
+    fn can_act(
+        &mut self,
+        front: usize,
+        incarnation: Incarnation,
+        event: Event<FrontEvent>,
+    ) -> bool {
         let now = self.fleet.now;
-        let Some(running) = self.fleet.front_with_incarnation(front, incarnation) else { return false };
+        let Some(running) = self.fleet.front_with_incarnation(front, incarnation) else {
+            return false;
+        };
         if !running.peer.is_paused(now) {
             return true;
         }
@@ -157,7 +184,9 @@
     /// Schedules an evaluation outside the rounds, as a real front does, unless one is scheduled.
     fn evaluate_soon(&mut self, front: usize) {
         let now = self.fleet.now;
-        let Some(running) = &mut self.fleet.fronts[front] else { return };
+        let Some(running) = &mut self.fleet.fronts[front] else {
+            return;
+        };
         if running.state.evaluation_scheduled {
             return;
         }
@@ -169,7 +198,11 @@
 
     fn evaluate(&mut self, front: usize, incarnation: Incarnation) {
         let now = self.fleet.now;
-        if !self.can_act(front, incarnation, Event::Custom(FrontEvent::Evaluate(front, incarnation))) {
+        if !self.can_act(
+            front,
+            incarnation,
+            Event::Custom(FrontEvent::Evaluate(front, incarnation)),
+        ) {
             return;
         }
         if let Some(running) = &mut self.fleet.fronts[front] {
@@ -179,7 +212,10 @@
         if self.feed(front, DetectorEvent::Evaluate) {
             self.gossip_round(front);
         }
-        if self.fleet.fronts[front].as_ref().is_some_and(|running| running.state.detector.is_waiting(now)) {
+        if self.fleet.fronts[front]
+            .as_ref()
+            .is_some_and(|running| running.state.detector.is_waiting(now))
+        {
             self.evaluate_soon(front);
         }
     }
@@ -197,12 +233,16 @@
         }
         self.feed(front, DetectorEvent::Evaluate);
         self.gossip_round(front);
-        self.fleet.events.schedule(now + ROUND_INTERVAL + jitter, next_round());
+        self.fleet
+            .events
+            .schedule(now + ROUND_INTERVAL + jitter, next_round());
     }
 
     fn gossip_round(&mut self, front: usize) {
         let now = self.fleet.now;
-        let Some(running) = &mut self.fleet.fronts[front] else { return };
+        let Some(running) = &mut self.fleet.fronts[front] else {
+            return;
+        };
         let actions = running.peer.gossip_round(now);
         self.apply(front, actions);
     }
@@ -218,19 +258,27 @@
 
     fn deliver(&mut self, envelope: Envelope) {
         let to = envelope.to;
-        let Some(actions) = self.fleet.deliver(envelope) else { return };
-        let has_changes = actions.iter().any(|action| matches!(action, GossipAction::Changed(..)));
+        let Some(actions) = self.fleet.deliver(envelope) else {
+            return;
+        };
+        let has_changes = actions
+            .iter()
+            .any(|action| matches!(action, GossipAction::Changed(..)));
         self.apply(to, actions);
         if has_changes {
             self.evaluate_soon(to);
         }
     }
 
-    /// Gives a front's detector an event and carries out its effects; returns whether there is something to gossip.
+    /// Gives a front's detector an event and carries out its effects; returns whether there is
+    /// something to gossip.
     fn feed(&mut self, front: usize, event: DetectorEvent) -> bool {
         let mut effects = Vec::new();
         if let Some(running) = &mut self.fleet.fronts[front] {
-            running.state.detector.on(self.fleet.now, &running.peer.gossip, event, &mut effects);
+            running
+                .state
+                .detector
+                .on(self.fleet.now, &running.peer.gossip, event, &mut effects);
         }
         let (mut probes, mut has_updates) = (Vec::new(), false);
         for effect in effects {
@@ -253,7 +301,9 @@
 
     fn publish(&mut self, front: usize, key: EntryKey, value: Option<Vec<u8>>) {
         let now = self.fleet.now;
-        if let Err(VoteWithoutEvidence(target)) = self.audit.record(now, front, key, value.as_deref()) {
+        if let Err(VoteWithoutEvidence(target)) =
+            self.audit.record(now, front, key, value.as_deref())
+        {
             let violation = format!("{target:?} by {front} at {} ms", now / MILLISECOND);
             self.report.vote_without_evidence.get_or_insert(violation);
         }
@@ -264,16 +314,28 @@
 
     fn record_ejection(&mut self, target: EjectionTarget) {
         if !self.scenario.justifies(target) {
-            self.report.unjustified_ejection.get_or_insert(format!("{target:?}"));
+            self.report
+                .unjustified_ejection
+                .get_or_insert(format!("{target:?}"));
         }
         self.ejected.insert(target.server);
     }
 
     fn probe(&mut self, front: usize, server: Server) {
-        self.probes.push(Probe { at: self.fleet.now, server });
+        self.probes.push(Probe {
+            at: self.fleet.now,
+            server,
+        });
         let class = self.fleet.rng.u8(0..CLASSES);
         let quality = self.attempt_quality(front, server, class);
-        self.feed(front, DetectorEvent::Probed { server, class, quality });
+        self.feed(
+            front,
+            DetectorEvent::Probed {
+                server,
+                class,
+                quality,
+            },
+        );
         self.evaluate_soon(front);
     }
 }
--- a/crates/testbed/src/simulation/outliers/attempts.rs
+++ b/crates/testbed/src/simulation/outliers/attempts.rs
@@ -23,13 +23,22 @@
         if !self.can_act(front, incarnation, next_attempt()) {
             return;
         }
-        self.fleet.events.schedule(self.fleet.now + wait as Nanos + 1, next_attempt());
+        self.fleet
+            .events
+            .schedule(self.fleet.now + wait as Nanos + 1, next_attempt());
         let class = self.fleet.rng.u8(0..CLASSES);
         let open = self.open_servers(front, class);
         let server = open[self.fleet.rng.usize(0..open.len())];
         let quality = self.attempt_quality(front, server, class);
         for _ in 0..self.reports_per_attempt(front) {
-            self.feed(front, DetectorEvent::Attempt { server, class, quality });
+            self.feed(
+                front,
+                DetectorEvent::Attempt {
+                    server,
+                    class,
+                    quality,
+                },
+            );
         }
         if quality == SampleQuality::Failed {
             self.evaluate_soon(front);
@@ -38,7 +47,9 @@
 
     /// The servers that a front has not ejected for a class of work.
     fn open_servers(&self, front: usize, class: Class) -> Vec<Server> {
-        let detector = self.fleet.fronts[front].as_ref().map(|running| &running.state.detector);
+        let detector = self.fleet.fronts[front]
+            .as_ref()
+            .map(|running| &running.state.detector);
         let ejected: Vec<EjectionTarget> = detector.into_iter().flat_map(|d| d.ejected()).collect();
         let covers = |target: &EjectionTarget| match target.scope {
             Scope::Class(ejected_class) => ejected_class == class,
@@ -57,22 +68,31 @@
         }
     }
 
-    /// The outcome of an attempt as the front reports it. All servers and fronts are healthy once the schedule has
-    /// ended.
-    pub(super) fn attempt_quality(&mut self, front: usize, server: Server, class: Class) -> SampleQuality {
+    /// The outcome of an attempt as the front reports it. All servers and fronts are healthy once
+    /// the schedule has ended.
+    pub(super) fn attempt_quality(
+        &mut self,
+        front: usize,
+        server: Server,
+        class: Class,
+    ) -> SampleQuality {
         let now = self.fleet.now;
         let draw = self.fleet.rng.u32(0..1_000);
         if now >= self.fleet.end_of_faults() {
             return SampleQuality::Healthy;
         }
         let now_ms = (now / MILLISECOND) as Millis;
-        let fails = self.scenario.attempt_fails(server, zone_of(front), class, now_ms, draw);
+        let fails = self
+            .scenario
+            .attempt_fails(server, zone_of(front), class, now_ms, draw);
         self.report.failed_attempts += u64::from(fails);
         let base_failure = draw < BASE_FAILURES_PER_MILLE;
         let is_failed = match self.scenario.front_fault(front) {
             Some(FrontFault::ReportsAllFailed) => true,
             Some(FrontFault::ReportsAllHealthy) => false,
-            Some(FrontFault::LossyNetwork(per_mille)) => fails || self.fleet.rng.u32(0..1_000) < per_mille,
+            Some(FrontFault::LossyNetwork(per_mille)) => {
+                fails || self.fleet.rng.u32(0..1_000) < per_mille
+            }
             Some(FrontFault::UnreachableServer(to)) => fails || server == to || base_failure,
             None => fails || base_failure,
         };
--- a/crates/testbed/src/simulation/outliers/audit.rs
+++ b/crates/testbed/src/simulation/outliers/audit.rs
@@ -1,10 +1,12 @@
-//! An independent record of the evidence and the votes that fronts published, against which a simulation checks votes
-//! and ejections.
+//! An independent record of the evidence and the votes that fronts published, against which a
+//! simulation checks votes and ejections.
 
 use std::collections::BTreeMap;
 
 use tulipbridge_membership::{EntryKey, Nanos};
-use tulipbridge_outlier_detection::{DetectorConfig, EjectionTarget, Scope, Server, Zone, EVIDENCE, VOTE};
+use tulipbridge_outlier_detection::{
+    DetectorConfig, EjectionTarget, Scope, Server, Zone, EVIDENCE, VOTE,
+};
 
 use crate::simulation::peer::ROUND_INTERVAL;
 
@@ -22,7 +24,11 @@
 impl VoteAudit {
     /// An empty record.
     pub fn new() -> VoteAudit {
-        VoteAudit { config: DetectorConfig::new(0, 1, 0), votes: BTreeMap::new(), evidence: BTreeMap::new() }
+        VoteAudit {
+            config: DetectorConfig::new(0, 1, 0),
+            votes: BTreeMap::new(),
+            evidence: BTreeMap::new(),
+        }
     }
 
     /// Records an entry that a front wrote, or removed if there is no value.
@@ -76,12 +82,19 @@
     /// How many fronts have recent evidence on a server.
     fn witnesses(&self, now: Nanos, server: Server) -> usize {
         let oldest = now - self.config.evidence_ttl - ROUND_INTERVAL;
-        self.evidence.iter().filter(|((_, of), at)| *of == server && **at >= oldest).count()
+        self.evidence
+            .iter()
+            .filter(|((_, of), at)| *of == server && **at >= oldest)
+            .count()
     }
 
-    /// Whether a front has voted for this ejection, or for one of the whole server, at `oldest` or since.
+    /// Whether a front has voted for this ejection, or for one of the whole server, at `oldest` or
+    /// since.
     pub fn has_vote(&self, front: usize, target: EjectionTarget, oldest: Nanos) -> bool {
-        let whole_server = EjectionTarget { scope: Scope::All, ..target };
+        let whole_server = EjectionTarget {
+            scope: Scope::All,
+            ..target
+        };
         let votes = [target, whole_server].map(|target| self.votes.get(&(front, target)));
         votes.into_iter().flatten().any(|at| *at >= oldest)
     }
--- a/crates/testbed/src/simulation/outliers/report.rs
+++ b/crates/testbed/src/simulation/outliers/report.rs
@@ -19,7 +19,8 @@
     /// A server was still ejected long after everything was healthy.
     #[serde(rename = "not_lapsed")]
     pub not_expired: bool,
-    /// A server was still ejected after the time that successful probes take, with nothing in their way.
+    /// A server was still ejected after the time that successful probes take, with nothing in their
+    /// way.
     #[serde(rename = "not_back")]
     pub not_readmitted: bool,
     /// A front ejected a server with fewer recent votes than the quorum.
@@ -31,7 +32,8 @@
     /// The most servers that may be ejected at one time, over all fronts.
     #[serde(rename = "may_out")]
     pub ejection_limit: usize,
-    /// The most probes of one server within half a turn, in a run without faults of links and processes.
+    /// The most probes of one server within half a turn, in a run without faults of links and
+    /// processes.
     #[serde(rename = "trials")]
     pub max_probes: usize,
     /// Failed attempts at faulty servers, of all fronts.
--- a/crates/testbed/src/simulation/outliers/scenario.rs
+++ b/crates/testbed/src/simulation/outliers/scenario.rs
@@ -99,18 +99,35 @@
         let faulty_front = (rng.u8(0..3) == 0).then(|| draw_faulty_front(&mut rng, fronts));
         let attempts_per_second = [4, 16, 40][rng.usize(0..3)];
         let without_schedule = rng.u8(0..4) == 0;
-        Scenario { faulty_servers, faulty_front, attempts_per_second, without_schedule }
+        Scenario {
+            faulty_servers,
+            faulty_front,
+            attempts_per_second,
+            without_schedule,
+        }
     }
 
     /// The fault of a front, if it has one.
     pub fn front_fault(&self, front: usize) -> Option<FrontFault> {
-        self.faulty_front.filter(|faulty| faulty.front == front).map(|faulty| faulty.fault)
+        self.faulty_front
+            .filter(|faulty| faulty.front == front)
+            .map(|faulty| faulty.fault)
     }
 
-    /// Whether attempts at a server fail for a front in a zone, at a time in milliseconds. `draw` is a random number
-    /// below 1,000.
-    pub fn attempt_fails(&self, server: Server, zone: Zone, class: Class, at_ms: Millis, draw: u32) -> bool {
-        let active = self.faulty_servers.iter().filter(|f| f.server == server && at_ms >= f.from_ms);
+    /// Whether attempts at a server fail for a front in a zone, at a time in milliseconds. `draw`
+    /// is a random number below 1,000.
+    pub fn attempt_fails(
+        &self,
+        server: Server,
+        zone: Zone,
+        class: Class,
+        at_ms: Millis,
+        draw: u32,
+    ) -> bool {
+        let active = self
+            .faulty_servers
+            .iter()
+            .filter(|f| f.server == server && at_ms >= f.from_ms);
         active.into_iter().any(|faulty| match faulty.fault {
             ServerFault::Failing(per_mille) => draw < per_mille,
             ServerFault::Zone(faulty_zone) => faulty_zone == zone,
@@ -124,25 +141,35 @@
     }
 
     fn has_fault_covering(&self, target: EjectionTarget) -> bool {
-        let faults = self.faulty_servers.iter().filter(|faulty| faulty.server == target.server);
-        faults.into_iter().any(|faulty| match (target.scope, faulty.fault) {
-            (_, ServerFault::Failing(_)) => true,
-            (Scope::Zone(zone), ServerFault::Zone(faulty_zone)) => zone == faulty_zone,
-            (Scope::Class(class), ServerFault::Class(faulty_class)) => class == faulty_class,
-            // The work of one class is part of all work; the fronts of another zone are not.
-            (Scope::All | Scope::Zone(_), ServerFault::Class(_)) => true,
-            _ => false,
-        })
+        let faults = self
+            .faulty_servers
+            .iter()
+            .filter(|faulty| faulty.server == target.server);
+        faults
+            .into_iter()
+            .any(|faulty| match (target.scope, faulty.fault) {
+                (_, ServerFault::Failing(_)) => true,
+                (Scope::Zone(zone), ServerFault::Zone(faulty_zone)) => zone == faulty_zone,
+                (Scope::Class(class), ServerFault::Class(faulty_class)) => class == faulty_class,
+                // The work of one class is part of all work; the fronts of another zone are not.
+                (Scope::All | Scope::Zone(_), ServerFault::Class(_)) => true,
+                _ => false,
+            })
     }
 
     fn fails_in_every_zone(&self, server: Server) -> bool {
         let fails_in = |zone: Zone| {
             let fault = ServerFault::Zone(zone);
-            self.faulty_servers.iter().any(|faulty| faulty.server == server && faulty.fault == fault)
+            self.faulty_servers
+                .iter()
+                .any(|faulty| faulty.server == server && faulty.fault == fault)
         };
-        // A front that cannot reach a server which fails for the other zone observes what that zone observes.
+        // A front that cannot reach a server which fails for the other zone observes what that zone
+        // observes.
         let unreachable = FrontFault::UnreachableServer(server);
-        let joined = self.faulty_front.is_some_and(|faulty| faulty.fault == unreachable);
+        let joined = self
+            .faulty_front
+            .is_some_and(|faulty| faulty.fault == unreachable);
         (fails_in(0) && fails_in(1)) || (joined && (fails_in(0) || fails_in(1)))
     }
 }
@@ -156,7 +183,11 @@
     };
     let from_ms = rng.u64(2_000..8_000);
     let server = rng.u64(0..SERVERS);
-    FaultyServer { from_ms, server, fault }
+    FaultyServer {
+        from_ms,
+        server,
+        fault,
+    }
 }
 
 fn draw_faulty_front(rng: &mut Rng, fronts: usize) -> FaultyFront {
@@ -166,5 +197,8 @@
         2 => FrontFault::UnreachableServer(rng.u64(0..SERVERS)),
         _ => FrontFault::LossyNetwork(rng.u32(100..400)),
     };
-    FaultyFront { front: rng.usize(0..fronts), fault }
+    FaultyFront {
+        front: rng.usize(0..fronts),
+        fault,
+    }
 }
--- a/crates/testbed/src/simulation/peer.rs
+++ b/crates/testbed/src/simulation/peer.rs
@@ -1,8 +1,8 @@
 //! The membership and gossip state of one simulated front, and the messages between fronts.
 
 use tulipbridge_membership::{
-    EntryKey, GossipAction, GossipInput, GossipMessage, GossipStore, Incarnation, MembershipTable, Nanos,
-    PeerId, PeerState,
+    EntryKey, GossipAction, GossipInput, GossipMessage, GossipStore, Incarnation, MembershipTable,
+    Nanos, PeerId, PeerState,
 };
 
 use super::network::MILLISECOND;
@@ -48,7 +48,13 @@
 
 impl Peer {
     /// A process that has just started. `gossip_rate` is in bytes a second.
-    pub fn new(index: usize, fronts: usize, incarnation: Incarnation, gossip_rate: u64, now: Nanos) -> Peer {
+    pub fn new(
+        index: usize,
+        fronts: usize,
+        incarnation: Incarnation,
+        gossip_rate: u64,
+        now: Nanos,
+    ) -> Peer {
         let (peer_id, peer_count) = (index as PeerId, fronts as PeerId);
         Peer {
             incarnation,
@@ -66,7 +72,12 @@
     /// Begins a round: the heartbeat to each other front.
     pub fn heartbeats(&mut self, now: Nanos) -> Vec<(PeerId, PeerMessage)> {
         self.membership.begin_round(now);
-        let heartbeat = |to| (to, PeerMessage::Heartbeat(self.membership.state_for(now, to)));
+        let heartbeat = |to| {
+            (
+                to,
+                PeerMessage::Heartbeat(self.membership.state_for(now, to)),
+            )
+        };
         self.membership.others().map(heartbeat).collect()
     }
 
@@ -94,15 +105,21 @@
                 self.membership.receive(now, from, incarnation, &state);
                 Vec::new()
             }
-            PeerMessage::Gossip(message) => {
-                self.feed_gossip(now, GossipInput::Received { from, incarnation, message })
-            }
+            PeerMessage::Gossip(message) => self.feed_gossip(
+                now,
+                GossipInput::Received {
+                    from,
+                    incarnation,
+                    message,
+                },
+            ),
         }
     }
 
     fn feed_gossip(&mut self, now: Nanos, input: GossipInput) -> Vec<GossipAction> {
         let mut actions = Vec::new();
-        // The result says whether the input was accepted; the simulations check the entries themselves.
+        // The result says whether the input was accepted; the simulations check the entries
+        // themselves.
         let _ = self.gossip.on(now, &self.membership, input, &mut actions);
         actions
     }
--- a/crates/testbed/src/soak/checker.rs
+++ b/crates/testbed/src/soak/checker.rs
@@ -1,4 +1,5 @@
-//! The checker of a soak: it holds a recording against the rules. It knows nothing of how a front works.
+//! The checker of a soak: it holds a recording against the rules. It knows nothing of how a front
+//! works.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -88,13 +89,18 @@
     let mut finds = Vec::new();
     let by_transaction = arrivals_by_transaction(recording);
     for request in &recording.requests {
-        let arrivals = by_transaction.get(&request.transaction).map_or(&[][..], Vec::as_slice);
+        let arrivals = by_transaction
+            .get(&request.transaction)
+            .map_or(&[][..], Vec::as_slice);
         check_end(recording, request, &mut finds);
         check_attempts(recording, request, arrivals, &mut finds);
         check_drains(recording, request, arrivals, &mut finds);
     }
     check_half_requests(recording, &mut finds);
-    recording.processes.iter().for_each(|process| check_process(process, &mut finds));
+    recording
+        .processes
+        .iter()
+        .for_each(|process| check_process(process, &mut finds));
     check_cold_servers(recording, cold_start, &mut finds);
     finds
 }
@@ -102,30 +108,51 @@
 fn arrivals_by_transaction(recording: &Recording) -> BTreeMap<u64, Vec<&Arrival>> {
     let mut by_transaction: BTreeMap<u64, Vec<&Arrival>> = BTreeMap::new();
     for arrival in &recording.arrivals {
-        by_transaction.entry(arrival.transaction).or_default().push(arrival);
+        by_transaction
+            .entry(arrival.transaction)
+            .or_default()
+            .push(arrival);
     }
     by_transaction
 }
 
 /// How long a front stood still in a time.
 fn paused(recording: &Recording, front: usize, from: Duration, until: Duration) -> Duration {
-    let pauses = recording.processes.iter().filter(|process| process.front == front);
-    let pauses = pauses.flat_map(|process| &process.pauses).filter(|pause| pause.overlaps(from, until));
+    let pauses = recording
+        .processes
+        .iter()
+        .filter(|process| process.front == front);
+    let pauses = pauses
+        .flat_map(|process| &process.pauses)
+        .filter(|pause| pause.overlaps(from, until));
     pauses.map(|pause| pause.until - pause.from).sum()
 }
 
 /// Whether a front was killed, or was not there, around a time.
 fn was_killed(recording: &Recording, front: usize, from: Duration, until: Duration) -> bool {
     let killed = |process: &ProcessRecord| {
-        process.killed_at.is_some_and(|killed_at| killed_at <= until && from <= killed_at + KILL_SHADOW)
+        process
+            .killed_at
+            .is_some_and(|killed_at| killed_at <= until && from <= killed_at + KILL_SHADOW)
     };
-    recording.processes.iter().any(|process| process.front == front && killed(process))
+    recording
+        .processes
+        .iter()
+        .any(|process| process.front == front && killed(process))
 }
 
 fn check_end(recording: &Recording, request: &ClientRequest, finds: &mut Vec<Find>) {
-    let mut find = |rule, what: &str| finds.push(Find { rule, what: format!("{what}: {request:?}") });
+    let mut find = |rule, what: &str| {
+        finds.push(Find {
+            rule,
+            what: format!("{what}: {request:?}"),
+        })
+    };
     match request.end {
-        End::Answered { status: 200, body_matches: false } => {
+        End::Answered {
+            status: 200,
+            body_matches: false,
+        } => {
             find(Rule::WrongAnswer, "a body of no server");
         }
         End::Answered { .. } => {
@@ -136,8 +163,8 @@
             }
         }
         End::Closed | End::Silent => {
-            let is_paused =
-                paused(recording, request.front, request.sent_at, request.ended_at) > Duration::ZERO;
+            let is_paused = paused(recording, request.front, request.sent_at, request.ended_at)
+                > Duration::ZERO;
             let is_killed = was_killed(recording, request.front, request.sent_at, request.ended_at);
             let is_excused = is_killed || (is_paused && request.end == End::Silent);
             if !is_excused {
@@ -155,19 +182,33 @@
     finds: &mut Vec<Find>,
 ) {
     let mut find = |rule, what: &str| {
-        finds.push(Find { rule, what: format!("{what}: {request:?}, {arrivals:?}") });
+        finds.push(Find {
+            rule,
+            what: format!("{what}: {request:?}, {arrivals:?}"),
+        });
     };
-    let executed = arrivals.iter().filter(|arrival| !arrival.turned_away).count();
+    let executed = arrivals
+        .iter()
+        .filter(|arrival| !arrival.turned_away)
+        .count();
     if request.class == Class::Write && executed > 1 {
         find(Rule::Duplicate, "executed twice");
     }
-    let refused = matches!(request.end, End::Answered { status: 429 | 503, .. });
+    let refused = matches!(
+        request.end,
+        End::Answered {
+            status: 429 | 503,
+            ..
+        }
+    );
     if request.class == Class::Write && refused && executed > 0 {
         find(Rule::RefusedAndRun, "refused and executed");
     }
     for arrival in arrivals {
         let pause = paused(recording, request.front, request.sent_at, arrival.at);
-        if request.end == End::Left && arrival.first_byte_at > request.ended_at + LEFT_SLACK + MACHINE_SLACK {
+        if request.end == End::Left
+            && arrival.first_byte_at > request.ended_at + LEFT_SLACK + MACHINE_SLACK
+        {
             find(Rule::AfterClientLeft, "begun after the client had left");
         }
         let left = (request.sent_at + request.patience).saturating_sub(arrival.at);
@@ -176,16 +217,29 @@
         }
         // A front that stood still is allowed what it cannot see, and no more.
         if arrival.remaining > left + DEADLINE_SLACK + 2 * MACHINE_SLACK && pause > Duration::ZERO {
-            find(Rule::DeadlineTooLong, "told more than is left, after a pause");
+            find(
+                Rule::DeadlineTooLong,
+                "told more than is left, after a pause",
+            );
         }
     }
 }
 
 /// When a front counts as told of a change.
-fn notified_at(recording: &Recording, front: usize, process: &ProcessRecord, change: usize) -> Duration {
+fn notified_at(
+    recording: &Recording,
+    front: usize,
+    process: &ProcessRecord,
+    change: usize,
+) -> Duration {
     let change = &recording.changes[change];
-    let outages = recording.discovery_outages.iter().filter(|outage| outage.until >= change.at);
-    let reachable_at = outages.map(|outage| outage.until).fold(change.at, Duration::max);
+    let outages = recording
+        .discovery_outages
+        .iter()
+        .filter(|outage| outage.until >= change.at);
+    let reachable_at = outages
+        .map(|outage| outage.until)
+        .fold(change.at, Duration::max);
     let at_the_latest = (reachable_at + NOTIFIED_AFTER).max(process.started_at);
     let written = change.notified_at[front].filter(|at| *at >= process.started_at);
     written.map_or(at_the_latest, |written| written.min(at_the_latest))
@@ -201,35 +255,60 @@
         let latest = recording.changes.iter().enumerate().rev();
         let mut latest = latest.filter(|(_, change)| change.server == arrival.server);
         let before = latest.find(|(_, change)| change.at <= arrival.first_byte_at);
-        let Some((index, _)) = before.filter(|(_, change)| !change.is_ready) else { continue };
-        let processes = recording.processes.iter().filter(|process| process.front == request.front);
-        let process = processes.rev().find(|process| process.started_at <= arrival.first_byte_at);
+        let Some((index, _)) = before.filter(|(_, change)| !change.is_ready) else {
+            continue;
+        };
+        let processes = recording
+            .processes
+            .iter()
+            .filter(|process| process.front == request.front);
+        let process = processes
+            .rev()
+            .find(|process| process.started_at <= arrival.first_byte_at);
         let Some(process) = process else { continue };
         let notified_at = notified_at(recording, request.front, process, index);
         let pause = paused(recording, request.front, notified_at, arrival.first_byte_at);
         if arrival.first_byte_at > notified_at + DRAIN_GRACE + MACHINE_SLACK + pause {
             let what = format!("told at {notified_at:?}: {request:?}, {arrival:?}");
-            finds.push(Find { rule: Rule::Drain, what });
+            finds.push(Find {
+                rule: Rule::Drain,
+                what,
+            });
         }
     }
 }
 
 fn check_half_requests(recording: &Recording, finds: &mut Vec<Find>) {
     for half in &recording.half_requests {
-        let until = half.ended_at.unwrap_or(half.sent_at + 2 * HALF_REQUEST_LIMIT);
+        let until = half
+            .ended_at
+            .unwrap_or(half.sent_at + 2 * HALF_REQUEST_LIMIT);
         let pause = paused(recording, half.front, half.sent_at, until);
         let limit = half.sent_at + HALF_REQUEST_LIMIT + MACHINE_SLACK + pause;
         if until > limit && !was_killed(recording, half.front, half.sent_at, until) {
-            finds.push(Find { rule: Rule::HalfRequest, what: format!("{half:?}") });
+            finds.push(Find {
+                rule: Rule::HalfRequest,
+                what: format!("{half:?}"),
+            });
         }
     }
 }
 
 fn check_process(process: &ProcessRecord, finds: &mut Vec<Find>) {
-    let mut find = |rule| finds.push(Find { rule, what: format!("{process:?}") });
-    let pause: Duration = process.pauses.iter().map(|pause| pause.until - pause.from).sum();
+    let mut find = |rule| {
+        finds.push(Find {
+            rule,
+            what: format!("{process:?}"),
+        })
+    };
+    let pause: Duration = process
+        .pauses
+        .iter()
+        .map(|pause| pause.until - pause.from)
+        .sum();
     let was_told = process.terminated_at.is_some() || process.killed_at.is_some();
-    let failed = process.killed_at.is_none() && process.ended_at.is_some() && process.exit_code != Some(0);
+    let failed =
+        process.killed_at.is_none() && process.ended_at.is_some() && process.exit_code != Some(0);
     if failed || (process.ended_at.is_some() && !was_told) {
         find(Rule::Crash);
     }
@@ -238,7 +317,10 @@
             find(Rule::LateExit);
         }
     }
-    if process.ready_at.is_none_or(|ready_at| ready_at > process.started_at + READY_LIMIT + pause) {
+    if process
+        .ready_at
+        .is_none_or(|ready_at| ready_at > process.started_at + READY_LIMIT + pause)
+    {
         find(Rule::LateReady);
     }
     if process.violations > 0 {
@@ -258,20 +340,35 @@
 fn check_cold_servers(recording: &Recording, cold: ColdStart, finds: &mut Vec<Find>) {
     for (server, started_at) in &recording.starts {
         let is_in_start = |arrival: &&Arrival| {
-            arrival.server == *server && arrival.at >= *started_at && arrival.at < *started_at + cold.duration
+            arrival.server == *server
+                && arrival.at >= *started_at
+                && arrival.at < *started_at + cold.duration
         };
-        let mut times: Vec<Duration> =
-            recording.arrivals.iter().filter(is_in_start).map(|arrival| arrival.at).collect();
+        let mut times: Vec<Duration> = recording
+            .arrivals
+            .iter()
+            .filter(is_in_start)
+            .map(|arrival| arrival.at)
+            .collect();
         times.sort();
         for (last, at) in times.iter().enumerate() {
-            let in_span =
-                times[..=last].iter().rev().take_while(|earlier| **earlier + cold.span > *at).count();
+            let in_span = times[..=last]
+                .iter()
+                .rev()
+                .take_while(|earlier| **earlier + cold.span > *at)
+                .count();
             let age = (*at - *started_at).as_secs_f64();
-            let fraction = cold.floor + (1.0 - cold.floor) * (age / cold.duration.as_secs_f64()).min(1.0);
+            let fraction =
+                cold.floor + (1.0 - cold.floor) * (age / cold.duration.as_secs_f64()).min(1.0);
             let bears = cold.multiple * fraction * cold.capacity * cold.span.as_secs_f64();
             if in_span as f64 > with_allowance(bears) {
-                let what = format!("server {server} got {in_span} at an age of {age:.2} s, bears {bears:.0}");
-                finds.push(Find { rule: Rule::ColdServer, what });
+                let what = format!(
+                    "server {server} got {in_span} at an age of {age:.2} s, bears {bears:.0}"
+                );
+                finds.push(Find {
+                    rule: Rule::ColdServer,
+                    what,
+                });
                 break;
             }
         }
--- a/crates/testbed/src/soak/client.rs
+++ b/crates/testbed/src/soak/client.rs
@@ -45,13 +45,24 @@
 }
 
 /// Sends requests to a front until the soak ends.
-pub async fn run(world: Rc<ClientWorld>, front: usize, address: Rc<Cell<Option<SocketAddr>>>, mut rng: Rng) {
+pub async fn run(
+    world: Rc<ClientWorld>,
+    front: usize,
+    address: Rc<Cell<Option<SocketAddr>>>,
+    mut rng: Rng,
+) {
     let mut connection = None;
     while world.running.get() {
-        let burst = if world.fault.get() == Some(Fault::ClientsBurst) { 3.0 } else { 1.0 };
+        let burst = if world.fault.get() == Some(Fault::ClientsBurst) {
+            3.0
+        } else {
+            1.0
+        };
         let pause = -(1.0 - rng.f64()).ln() * PAUSE_MS / burst;
         sleep(Duration::from_secs_f64(pause / 1_000.0)).await;
-        let Some(address) = address.get() else { continue };
+        let Some(address) = address.get() else {
+            continue;
+        };
         if world.fault.get() == Some(Fault::ClientsStop) && rng.u8(..100) < 20 {
             send_half(&world, front, address, &mut rng).await;
             continue;
@@ -61,13 +72,20 @@
 }
 
 async fn connect(address: SocketAddr) -> Option<Connection> {
-    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
+        .await
+        .ok()?
+        .ok()?;
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
-    Some(Connection { reader: MessageReader::new(read), write })
+    Some(Connection {
+        reader: MessageReader::new(read),
+        write,
+    })
 }
 
-/// Sends one request, on the connection that is there or a new one. Returns the connection where it can be used again.
+/// Sends one request, on the connection that is there or a new one. Returns the connection where it
+/// can be used again.
 async fn send(
     world: &ClientWorld,
     front: usize,
@@ -76,12 +94,22 @@
     rng: &mut Rng,
 ) -> Option<Connection> {
     let transaction = rng.u64(..);
-    let class = if rng.u8(..100) < 30 { Class::Write } else { Class::Read };
+    let class = if rng.u8(..100) < 30 {
+        Class::Write
+    } else {
+        Class::Read
+    };
     let patience = match class {
         Class::Read => Duration::from_millis(rng.u64(300..750)),
         Class::Write => Duration::from_millis(rng.u64(500..1_200)),
     };
-    let text = request_text(transaction, class, patience, rng.usize(0..world.shards), rng.u64(..));
+    let text = request_text(
+        transaction,
+        class,
+        patience,
+        rng.usize(0..world.shards),
+        rng.u64(..),
+    );
     let mut is_fresh = connection.is_none();
     let mut connection = connection;
     loop {
@@ -94,7 +122,11 @@
             None => (End::NoConnection, sent_at),
             Some(connection) => {
                 let leave = world.fault.get() == Some(Fault::ClientsLeave) && rng.bool();
-                let wait = if leave { Duration::from_millis(rng.u64(0..120)) } else { patience + OVERTIME };
+                let wait = if leave {
+                    Duration::from_millis(rng.u64(0..120))
+                } else {
+                    patience + OVERTIME
+                };
                 let end = exchange(connection, &text, transaction, wait, leave).await;
                 (end, world.started.elapsed())
             }
@@ -105,7 +137,15 @@
             continue;
         }
         let is_open = matches!(end, End::Answered { .. });
-        let request = ClientRequest { transaction, front, class, sent_at, patience, ended_at, end };
+        let request = ClientRequest {
+            transaction,
+            front,
+            class,
+            sent_at,
+            patience,
+            ended_at,
+            end,
+        };
         world.recording.borrow_mut().requests.push(request);
         return connection.filter(|_| is_open);
     }
@@ -127,12 +167,21 @@
         Ok(None) => End::Closed,
         Ok(Some(message)) => {
             let body_matches = message.body == format!("{transaction:016x}").as_bytes();
-            End::Answered { status: message.status(), body_matches }
+            End::Answered {
+                status: message.status(),
+                body_matches,
+            }
         }
     }
 }
 
-fn request_text(transaction: u64, class: Class, patience: Duration, shard: usize, block: u64) -> String {
+fn request_text(
+    transaction: u64,
+    class: Class,
+    patience: Duration,
+    shard: usize,
+    block: u64,
+) -> String {
     let (method, lane, shard, body) = match class {
         Class::Read => ("GET", "read", shard as i64, ""),
         Class::Write => ("PUT", "write", -1, "new"),
@@ -149,10 +198,17 @@
 
 /// Sends half a request and stays.
 async fn send_half(world: &ClientWorld, front: usize, address: SocketAddr, rng: &mut Rng) {
-    let Some(mut connection) = connect(address).await else { return };
+    let Some(mut connection) = connect(address).await else {
+        return;
+    };
     let text = request_text(rng.u64(..), Class::Read, Duration::from_secs(1), 0, 0);
     let half = rng.usize(1..text.len() - 1);
-    if connection.write.write_all(&text.as_bytes()[..half]).await.is_err() {
+    if connection
+        .write
+        .write_all(&text.as_bytes()[..half])
+        .await
+        .is_err()
+    {
         return;
     }
     let sent_at = world.started.elapsed();
@@ -164,7 +220,11 @@
         let mut read = reader.into_stream();
         let end = timeout(HALF_REQUEST_STAY, read.read(&mut buffer)).await;
         let ended_at = end.is_ok().then(|| started.elapsed());
-        recording.borrow_mut().half_requests.push(HalfRequest { front, sent_at, ended_at });
+        recording.borrow_mut().half_requests.push(HalfRequest {
+            front,
+            sent_at,
+            ended_at,
+        });
         drop(write);
     });
 }
--- a/crates/testbed/src/soak/discovery.rs
+++ b/crates/testbed/src/soak/discovery.rs
@@ -90,20 +90,29 @@
     fn message(&self, reset: bool, servers: &[usize]) -> String {
         let entries = self.entries.borrow();
         let entry = |server: &usize| {
-            let Entry { address, lifecycle, started_ms } = entries[*server];
+            let Entry {
+                address,
+                lifecycle,
+                started_ms,
+            } = entries[*server];
             format!(
                 r#"{{"instanceId":"s-{server}","hostPort":"{address}","zone":"zone-a","machineType":"m","cell":{server},"lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":{started_ms}}}"#
             )
         };
         let entries: Vec<String> = servers.iter().map(entry).collect();
         let generation = self.version.borrow().to_owned() + 1;
-        format!(r#"{{"generation":{generation},"reset":{reset},"instances":[{}]}}"#, entries.join(","))
+        format!(
+            r#"{{"generation":{generation},"reset":{reset},"instances":[{}]}}"#,
+            entries.join(",")
+        )
     }
 
     /// Serves the calls of one front until the task is ended.
     pub async fn serve(self: Rc<Self>, front: usize, listener: TcpListener) {
         loop {
-            let Ok((stream, _)) = listener.accept().await else { continue };
+            let Ok((stream, _)) = listener.accept().await else {
+                continue;
+            };
             let discovery = Rc::clone(&self);
             spawn_local(async move {
                 // A front that has ended reads no more.
@@ -124,7 +133,9 @@
             tokio::time::sleep(SLOW_ANSWER).await;
         }
         self.wait_while_silent().await;
-        stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            .await?;
         let mut version = self.version.subscribe();
         let mut told = *version.borrow_and_update();
         write_chunk(&mut stream, &(self.list() + "\n")).await?;
@@ -170,5 +181,7 @@
 }
 
 async fn write_chunk(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
-    stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await
+    stream
+        .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
+        .await
 }
--- a/crates/testbed/src/soak/fault.rs
+++ b/crates/testbed/src/soak/fault.rs
@@ -140,7 +140,12 @@
         let from = FIRST_FAULT_MS + rng.u64(0..SPREAD_MS);
         let until = from + rng.u64(LENGTH_MS.0..LENGTH_MS.1).max(SPREAD_MS);
         let (from, until) = (Duration::from_millis(from), Duration::from_millis(until));
-        ScheduledFault { fault, from, until, target: rng.usize(..) }
+        ScheduledFault {
+            fault,
+            from,
+            until,
+            target: rng.usize(..),
+        }
     };
     kinds.into_iter().take(count).map(&mut schedule).collect()
 }
--- a/crates/testbed/src/soak/front.rs
+++ b/crates/testbed/src/soak/front.rs
@@ -1,4 +1,5 @@
-//! A front of a soak: a process of the program under the fault shim, started anew where a fault ends it.
+//! A front of a soak: a process of the program under the fault shim, started anew where a fault
+//! ends it.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -64,7 +65,11 @@
 
 impl Front {
     /// A front that is not started.
-    pub fn new(setup: FrontSetup, started: Instant, recording: Rc<RefCell<Recording>>) -> Rc<Front> {
+    pub fn new(
+        setup: FrontSetup,
+        started: Instant,
+        recording: Rc<RefCell<Recording>>,
+    ) -> Rc<Front> {
         Rc::new(Front {
             setup,
             started,
@@ -84,7 +89,10 @@
         if in_force {
             all.push(rules);
         }
-        let (file, next) = (self.setup.folder.join("faults"), self.setup.folder.join("faults.next"));
+        let (file, next) = (
+            self.setup.folder.join("faults"),
+            self.setup.folder.join("faults.next"),
+        );
         // Without its rules a soak is only milder.
         let _ = std::fs::write(&next, all.concat()).and_then(|()| std::fs::rename(&next, &file));
     }
@@ -106,14 +114,20 @@
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(file);
-        let child = command.spawn().map_err(TestbedError::system("starting the program"))?;
+        let child = command
+            .spawn()
+            .map_err(TestbedError::system("starting the program"))?;
         *self.child.borrow_mut() = Some(child);
         self.record_start();
         let address = self.announced(&log, "listening on ").await?;
-        self.console.set(Some(self.announced(&log, "console on ").await?));
+        self.console
+            .set(Some(self.announced(&log, "console on ").await?));
         let deadline = Instant::now() + PROCESS_TIMEOUT;
         while Instant::now() < deadline {
-            if get(address, "/health/ready").await.is_some_and(|answer| answer.status() == 200) {
+            if get(address, "/health/ready")
+                .await
+                .is_some_and(|answer| answer.status() == 200)
+            {
                 self.with_record(|record, now| record.ready_at = Some(now));
                 self.address.set(Some(address));
                 return Ok(());
@@ -157,7 +171,10 @@
 
     fn with_record(&self, change: impl FnOnce(&mut ProcessRecord, Duration)) {
         let now = self.started.elapsed();
-        change(&mut self.recording.borrow_mut().processes[self.record.get()], now);
+        change(
+            &mut self.recording.borrow_mut().processes[self.record.get()],
+            now,
+        );
     }
 
     /// Sends a signal to the process.
@@ -198,7 +215,11 @@
 
     /// Records the end of the process, if it has ended.
     pub fn reap(&self) -> bool {
-        let status = self.child.borrow_mut().as_mut().and_then(|child| child.try_wait().ok().flatten());
+        let status = self
+            .child
+            .borrow_mut()
+            .as_mut()
+            .and_then(|child| child.try_wait().ok().flatten());
         let Some(status) = status else { return false };
         *self.child.borrow_mut() = None;
         self.address.set(None);
@@ -212,7 +233,9 @@
     /// Replaces the first `from` in the configuration by `to`, and has the process take it.
     pub fn reload(&self, from: &str, to: &str) {
         let file = self.setup.folder.join("config.json");
-        let Ok(config) = std::fs::read_to_string(&file) else { return };
+        let Ok(config) = std::fs::read_to_string(&file) else {
+            return;
+        };
         // Without the new file nothing is reloaded.
         let _ = std::fs::write(&file, config.replacen(from, to, 1));
         self.signal(Signal::SIGHUP);
@@ -220,11 +243,19 @@
 
     /// The rules that the process counts as broken.
     async fn violations(&self) -> u64 {
-        let Some(console) = self.console.get() else { return 0 };
-        let Some(answer) = get(console, "/status/metrics").await else { return 0 };
+        let Some(console) = self.console.get() else {
+            return 0;
+        };
+        let Some(answer) = get(console, "/status/metrics").await else {
+            return 0;
+        };
         let text = String::from_utf8_lossy(&answer.body).into_owned();
-        let counts = text.lines().filter(|line| line.starts_with("app_invariant_violations"));
-        counts.filter_map(|line| line.rsplit_once(' ')?.1.parse::<u64>().ok()).sum()
+        let counts = text
+            .lines()
+            .filter(|line| line.starts_with("app_invariant_violations"));
+        counts
+            .filter_map(|line| line.rsplit_once(' ')?.1.parse::<u64>().ok())
+            .sum()
     }
 }
 
--- a/crates/testbed/src/soak/recording.rs
+++ b/crates/testbed/src/soak/recording.rs
@@ -16,7 +16,8 @@
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum End {
-    /// An answer with this status, and whether a 200 has the body that a server made for this request.
+    /// An answer with this status, and whether a 200 has the body that a server made for this
+    /// request.
     Answered {
         /// The status.
         status: u16,
@@ -89,7 +90,8 @@
     pub is_ready: bool,
     /// When discovery had it.
     pub at: Duration,
-    /// When it was written to each front first, after the start of its present process; absent if it was not.
+    /// When it was written to each front first, after the start of its present process; absent if
+    /// it was not.
     pub notified_at: Vec<Option<Duration>>,
 }
 
--- a/crates/testbed/src/soak/run.rs
+++ b/crates/testbed/src/soak/run.rs
@@ -79,10 +79,23 @@
 
 impl Display for SoakResult {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let faults: Vec<String> = self.faults.iter().map(|entry| entry.fault.to_string()).collect();
-        let SoakResult { seed, requests, served, attempts, .. } = self;
+        let faults: Vec<String> = self
+            .faults
+            .iter()
+            .map(|entry| entry.fault.to_string())
+            .collect();
+        let SoakResult {
+            seed,
+            requests,
+            served,
+            attempts,
+            ..
+        } = self;
         let faults = faults.join(" + ");
-        write!(formatter, "{seed}: {faults}: {requests} requests, {served} served, {attempts} attempts")?;
+        write!(
+            formatter,
+            "{seed}: {faults}: {requests} requests, {served} served, {attempts} attempts"
+        )?;
         for find in &self.finds {
             write!(formatter, "\n    {:?}: {}", find.rule, find.what)?;
         }
@@ -106,8 +119,16 @@
 /// # Errors
 /// If the operating system rejects something, or a front does not start.
 pub async fn run_seed(setup: &SoakSetup) -> Result<SoakResult, TestbedError> {
-    let folder = std::env::temp_dir().join(format!("tulipbridge-soak-{}-{}", std::process::id(), setup.seed));
-    let faults = if setup.calm { Vec::new() } else { draw(setup.seed) };
+    let folder = std::env::temp_dir().join(format!(
+        "tulipbridge-soak-{}-{}",
+        std::process::id(),
+        setup.seed
+    ));
+    let faults = if setup.calm {
+        Vec::new()
+    } else {
+        draw(setup.seed)
+    };
     let result = soak(setup, &faults, &folder).await;
     // What is left over is only a folder.
     let _ = std::fs::remove_dir_all(&folder);
@@ -116,7 +137,11 @@
     Ok(SoakResult {
         seed: setup.seed,
         requests: recording.requests.len(),
-        served: recording.requests.iter().filter(|request| is_served(request.end)).count(),
+        served: recording
+            .requests
+            .iter()
+            .filter(|request| is_served(request.end))
+            .count(),
         attempts: recording.arrivals.len(),
         finds: check(&recording, COLD_START),
         faults,
@@ -130,7 +155,9 @@
 ) -> Result<Recording, TestbedError> {
     let world = Rc::new(World::open(setup, folder).await?);
     for entry in faults.iter().filter(|entry| is_clock(entry.fault)) {
-        world.front(entry).set_rules(entry.fault.shim_rules().unwrap_or_default(), true);
+        world
+            .front(entry)
+            .set_rules(entry.fault.shim_rules().unwrap_or_default(), true);
     }
     for front in &world.fronts {
         front.start().await?;
@@ -140,7 +167,12 @@
         for _ in 0..CLIENTS {
             let clients = Rc::clone(&world.clients);
             let address = Rc::clone(&front.address);
-            spawn_local(client::run(clients, number, address, fastrand::Rng::with_seed(rng.u64(..))));
+            spawn_local(client::run(
+                clients,
+                number,
+                address,
+                fastrand::Rng::with_seed(rng.u64(..)),
+            ));
         }
     }
     for entry in faults {
@@ -164,13 +196,20 @@
 }
 
 async fn listen() -> Result<(TcpListener, SocketAddr), TestbedError> {
-    let listener = TcpListener::bind("127.0.0.1:0").await.map_err(TestbedError::system("a socket"))?;
-    let address = listener.local_addr().map_err(TestbedError::system("a socket"))?;
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .map_err(TestbedError::system("a socket"))?;
+    let address = listener
+        .local_addr()
+        .map_err(TestbedError::system("a socket"))?;
     Ok((listener, address))
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 impl World {
@@ -181,12 +220,22 @@
         for number in 0..setup.servers {
             let (listener, address) = listen().await?;
             let server = Server::new(number, started, Rc::clone(&recording));
-            server_tasks.push((address, spawn_local(Rc::clone(&server).serve(listener)).abort_handle()));
+            server_tasks.push((
+                address,
+                spawn_local(Rc::clone(&server).serve(listener)).abort_handle(),
+            ));
             servers.push(server);
-            entries.push(Entry { address, lifecycle: "Ready", started_ms: 0 });
+            entries.push(Entry {
+                address,
+                lifecycle: "Ready",
+                started_ms: 0,
+            });
         }
         let discovery = Discovery::new(entries, setup.fronts, started, Rc::clone(&recording));
-        let program = setup.program.canonicalize().map_err(TestbedError::system("the program"))?;
+        let program = setup
+            .program
+            .canonicalize()
+            .map_err(TestbedError::system("the program"))?;
         let mut fronts = Vec::new();
         for number in 0..setup.fronts {
             let (listener, address) = listen().await?;
@@ -194,9 +243,16 @@
             let folder = folder.join(number.to_string());
             std::fs::create_dir_all(&folder).map_err(TestbedError::system("a folder"))?;
             let config = config(setup, number, address, &discovery.list());
-            std::fs::write(folder.join("config.json"), config).map_err(TestbedError::system("a file"))?;
+            std::fs::write(folder.join("config.json"), config)
+                .map_err(TestbedError::system("a file"))?;
             let shim = program.with_file_name("libtulipbridge_fault_shim.so");
-            let setup = FrontSetup { number, program: program.clone(), shim, folder, discovery: address };
+            let setup = FrontSetup {
+                number,
+                program: program.clone(),
+                shim,
+                folder,
+                discovery: address,
+            };
             fronts.push(Front::new(setup, started, Rc::clone(&recording)));
         }
         let clients = Rc::new(ClientWorld {
@@ -207,7 +263,15 @@
             shards: setup.servers,
         });
         let server_tasks = RefCell::new(server_tasks);
-        Ok(World { fronts, servers, server_tasks, discovery, clients, recording, started })
+        Ok(World {
+            fronts,
+            servers,
+            server_tasks,
+            discovery,
+            clients,
+            recording,
+            started,
+        })
     }
 
     fn front(&self, entry: &ScheduledFault) -> &Rc<Front> {
@@ -237,7 +301,10 @@
                 let from = self.started.elapsed();
                 sleep(length).await;
                 self.discovery.fault.set(None);
-                let span = Span { from, until: self.started.elapsed() };
+                let span = Span {
+                    from,
+                    until: self.started.elapsed(),
+                };
                 self.recording.borrow_mut().discovery_outages.push(span);
             }
             Fault::ClientsLeave | Fault::ClientsStop | Fault::ClientsBurst => {
@@ -245,11 +312,18 @@
                 sleep(length).await;
                 self.clients.fault.set(None);
             }
-            Fault::AcceptFails | Fault::ConnectFails | Fault::ShortTransfers | Fault::Interrupts => {
+            Fault::AcceptFails
+            | Fault::ConnectFails
+            | Fault::ShortTransfers
+            | Fault::Interrupts => {
                 let rules = entry.fault.shim_rules().unwrap_or_default();
-                self.fronts.iter().for_each(|front| front.set_rules(rules, true));
+                self.fronts
+                    .iter()
+                    .for_each(|front| front.set_rules(rules, true));
                 sleep(length).await;
-                self.fronts.iter().for_each(|front| front.set_rules(rules, false));
+                self.fronts
+                    .iter()
+                    .for_each(|front| front.set_rules(rules, false));
             }
             // In force since before the start.
             Fault::ClockAhead | Fault::ClockBehind => {}
@@ -314,10 +388,15 @@
         sleep(LIST_DELAY).await;
         self.discovery.change(number, "Gone", None);
         sleep(SERVER_GONE).await;
-        let Ok(listener) = TcpListener::bind(address).await else { return };
+        let Ok(listener) = TcpListener::bind(address).await else {
+            return;
+        };
         let started_ms = unix_ms();
         let started_at = self.started.elapsed();
-        self.recording.borrow_mut().starts.push((number, started_at));
+        self.recording
+            .borrow_mut()
+            .starts
+            .push((number, started_at));
         let task = spawn_local(Rc::clone(&self.servers[number]).serve(listener)).abort_handle();
         self.server_tasks.borrow_mut()[number] = (address, task);
         sleep(LIST_DELAY).await;
@@ -330,7 +409,10 @@
     let settings = SETTINGS
         .replace("\"CeilingRate\": 40.0", "\"CeilingRate\": 0.0")
         .replace("\"Shards\": 1,", &format!("\"Shards\": {},", setup.servers))
-        .replace("\"Balancers\": 4", &format!("\"Balancers\": {}", setup.fronts));
+        .replace(
+            "\"Balancers\": 4",
+            &format!("\"Balancers\": {}", setup.fronts),
+        );
     format!(
         r#"{{"name": "soak-{number}", "listen": "127.0.0.1:0", "console": "127.0.0.1:0", "seed": "{:x}",
         "discovery": "{discovery}", "limits": {{"cores": 1.0, "memory_mb": 192, "sockets": 256}},
--- a/crates/testbed/src/soak/server.rs
+++ b/crates/testbed/src/soak/server.rs
@@ -44,15 +44,22 @@
     /// Serves connections until the task is ended.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         loop {
-            let Ok((stream, _)) = listener.accept().await else { continue };
+            let Ok((stream, _)) = listener.accept().await else {
+                continue;
+            };
             let connection = spawn_local(Rc::clone(&self).serve_connection(stream));
-            self.connections.borrow_mut().push(connection.abort_handle());
+            self.connections
+                .borrow_mut()
+                .push(connection.abort_handle());
         }
     }
 
     /// Ends all connections, as the end of its process would.
     pub fn drop_connections(&self) {
-        self.connections.borrow_mut().drain(..).for_each(|connection| connection.abort());
+        self.connections
+            .borrow_mut()
+            .drain(..)
+            .for_each(|connection| connection.abort());
     }
 
     async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
@@ -62,7 +69,8 @@
         while let Some(message) = reader.next().await {
             self.requests.set(self.requests.get() + 1);
             let fault = self.fault.get();
-            let is_turned_away = fault == Some(Fault::ServerRejects) && self.requests.get() % 2 == 0;
+            let is_turned_away =
+                fault == Some(Fault::ServerRejects) && self.requests.get() % 2 == 0;
             self.record(&message, is_turned_away);
             match fault {
                 Some(Fault::ServerHangs) => return std::future::pending().await,
@@ -74,17 +82,26 @@
             let answer = if is_turned_away {
                 "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n".to_owned()
             } else {
-                format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{transaction}", transaction.len())
+                format!(
+                    "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{transaction}",
+                    transaction.len()
+                )
             };
-            if write.write_all(answer.as_bytes()).await.is_err() || fault == Some(Fault::ServerCloses) {
+            if write.write_all(answer.as_bytes()).await.is_err()
+                || fault == Some(Fault::ServerCloses)
+            {
                 return;
             }
         }
     }
 
     fn record(&self, message: &Message, turned_away: bool) {
-        let transaction = message.header("x-txn").and_then(|id| u64::from_str_radix(id, 16).ok());
-        let told = message.header("x-remaining").and_then(|told| told.strip_suffix('u'));
+        let transaction = message
+            .header("x-txn")
+            .and_then(|id| u64::from_str_radix(id, 16).ok());
+        let told = message
+            .header("x-remaining")
+            .and_then(|told| told.strip_suffix('u'));
         let told = told.and_then(|told| told.parse().ok()).unwrap_or(0);
         self.recording.borrow_mut().arrivals.push(Arrival {
             server: self.number,
--- a/crates/testbed/src/soak/wire.rs
+++ b/crates/testbed/src/soak/wire.rs
@@ -21,14 +21,22 @@
 impl Message {
     /// The value of a header, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        let fields = self.head.lines().skip(1).filter_map(|line| line.split_once(':'));
+        let fields = self
+            .head
+            .lines()
+            .skip(1)
+            .filter_map(|line| line.split_once(':'));
         let mut values = fields.filter(|(field, _)| field.eq_ignore_ascii_case(name));
         values.next().map(|(_, value)| value.trim())
     }
 
     /// The status of a response; 0 where it has none.
     pub fn status(&self) -> u16 {
-        self.head.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
+        self.head
+            .split(' ')
+            .nth(1)
+            .and_then(|status| status.parse().ok())
+            .unwrap_or(0)
     }
 }
 
@@ -41,7 +49,10 @@
 impl<S: AsyncRead + Unpin> MessageReader<S> {
     /// Reads from a stream.
     pub fn new(stream: S) -> MessageReader<S> {
-        MessageReader { stream, buffer: Vec::new() }
+        MessageReader {
+            stream,
+            buffer: Vec::new(),
+        }
     }
 
     /// The stream, without what was read of it.
@@ -53,7 +64,11 @@
     pub async fn next(&mut self) -> Option<Message> {
         let mut first_byte_at = (!self.buffer.is_empty()).then(Instant::now);
         let head_length = loop {
-            if let Some(end) = self.buffer.windows(HEAD_END.len()).position(|window| window == HEAD_END) {
+            if let Some(end) = self
+                .buffer
+                .windows(HEAD_END.len())
+                .position(|window| window == HEAD_END)
+            {
                 break end + HEAD_END.len();
             }
             if self.buffer.len() > MAX_HEAD {
@@ -64,9 +79,15 @@
         };
         let head = String::from_utf8_lossy(&self.buffer[..head_length]).into_owned();
         self.buffer.drain(..head_length);
-        let mut message =
-            Message { head, body: Vec::new(), first_byte_at: first_byte_at.unwrap_or_else(Instant::now) };
-        let length = message.header("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
+        let mut message = Message {
+            head,
+            body: Vec::new(),
+            first_byte_at: first_byte_at.unwrap_or_else(Instant::now),
+        };
+        let length = message
+            .header("content-length")
+            .and_then(|length| length.parse().ok())
+            .unwrap_or(0);
         while self.buffer.len() < length {
             self.fill().await?;
         }
--- a/crates/testbed/src/tcp_proxy.rs
+++ b/crates/testbed/src/tcp_proxy.rs
@@ -9,7 +9,8 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// After how long a lost piece is first sent again, as TCP does; each further time takes twice as long.
+/// After how long a lost piece is first sent again, as TCP does; each further time takes twice as
+/// long.
 const RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(200);
 /// The most times that one piece is lost.
 const MAX_RETRANSMITS: usize = 4;
@@ -76,7 +77,11 @@
     }
 }
 
-async fn accept_until_closed(listener: TcpListener, server: SocketAddr, state: watch::Receiver<LinkState>) {
+async fn accept_until_closed(
+    listener: TcpListener,
+    server: SocketAddr,
+    state: watch::Receiver<LinkState>,
+) {
     let mut closed = state.clone();
     loop {
         tokio::select! {
@@ -114,7 +119,12 @@
         let (from_client, to_client) = client.split();
         let (from_upstream, to_upstream) = upstream.split();
         let requests = copy(from_client, to_upstream, state.clone(), Direction::Requests);
-        let responses = copy(from_upstream, to_client, state.clone(), Direction::Responses);
+        let responses = copy(
+            from_upstream,
+            to_client,
+            state.clone(),
+            Direction::Responses,
+        );
         tokio::select! {
             () = wait_reset(state.clone()) => {}
             _ = async { tokio::join!(requests, responses) } => return,
@@ -172,10 +182,13 @@
     }
 }
 
-/// The delay of a piece that is lost a random number of times: the sum of as many timeouts, each twice as long as the
-/// one before.
+/// The delay of a piece that is lost a random number of times: the sum of as many timeouts, each
+/// twice as long as the one before.
 fn retransmit_delay(loss_percent: u8) -> Duration {
     let draws = std::iter::repeat_with(|| fastrand::u8(0..100));
-    let losses = draws.take_while(|draw| *draw < loss_percent).take(MAX_RETRANSMITS).count();
+    let losses = draws
+        .take_while(|draw| *draw < loss_percent)
+        .take(MAX_RETRANSMITS)
+        .count();
     RETRANSMIT_TIMEOUT * ((1 << losses) - 1)
 }
--- a/crates/testbed/src/testbed.rs
+++ b/crates/testbed/src/testbed.rs
@@ -1,7 +1,9 @@
-//! Many processes of the built program: object fronts with stand-ins for chunk servers and discovery, clients of each
-//! front, and a proxy on every link. All are on loopback, with ports that the system chooses.
+//! Many processes of the built program: object fronts with stand-ins for chunk servers and
+//! discovery, clients of each front, and a proxy on every link. All are on loopback, with ports
+//! that the system chooses.
 //!
-//! The parts are tasks on one thread: [`Testbed::start_all`] must be called inside a tokio `LocalSet`.
+//! The parts are tasks on one thread: [`Testbed::start_all`] must be called inside a tokio
+//! `LocalSet`.
 
 mod clients;
 mod config;
@@ -26,7 +28,8 @@
 
 pub use self::clients::{ClientRequest, CLIENT_TIMEOUT};
 pub use self::config::{
-    Sharing, TestbedConfig, MAX_UNITS_PER_REQUEST, UNITS_PER_READ, UNLIMITED_RATE, VOLUME_BURST, VOLUME_RATE,
+    Sharing, TestbedConfig, MAX_UNITS_PER_REQUEST, UNITS_PER_READ, UNLIMITED_RATE, VOLUME_BURST,
+    VOLUME_RATE,
 };
 pub use self::console::ejected_servers;
 pub use self::error::TestbedError;
@@ -44,7 +47,10 @@
 /// The key of the fronts' messages.
 const KEY: &str = "a key of the lab's fronts, and of no others";
 /// The roster that fronts start with.
-const FIRST_ROSTER: RosterVersion = RosterVersion { revision: 1, floor_percent: 10 };
+const FIRST_ROSTER: RosterVersion = RosterVersion {
+    revision: 1,
+    floor_percent: 10,
+};
 /// How a datagram of the fronts' protocol begins.
 const DATAGRAM_PREFIX: [u8; 4] = *b"TBP\x02";
 /// The longest datagram of [`Testbed::send_unauthenticated_datagrams`], in bytes.
@@ -92,14 +98,26 @@
     }
 
     /// All that surrounds the fronts.
-    async fn without_fronts(program: &Path, config: TestbedConfig) -> Result<Testbed, TestbedError> {
+    async fn without_fronts(
+        program: &Path,
+        config: TestbedConfig,
+    ) -> Result<Testbed, TestbedError> {
         let started_at = Instant::now();
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let servers_started_ms = if config.behavior.just_started { now.as_millis() as u64 } else { 0 };
-        let (peer_links, tasks) = PeerLinks::open(if config.has_peers() { config.fronts } else { 0 }).await?;
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        let servers_started_ms = if config.behavior.just_started {
+            now.as_millis() as u64
+        } else {
+            0
+        };
+        let (peer_links, tasks) =
+            PeerLinks::open(if config.has_peers() { config.fronts } else { 0 }).await?;
         let mut testbed = Testbed {
             // Each front has a directory of its own, where a relative path would lead elsewhere.
-            program: program.canonicalize().map_err(TestbedError::system("the program"))?,
+            program: program
+                .canonicalize()
+                .map_err(TestbedError::system("the program"))?,
             directory: create_directory()?,
             config,
             server_links: BTreeMap::new(),
@@ -131,12 +149,18 @@
     async fn start_chunk_server(&mut self, number: usize) -> Result<(), TestbedError> {
         let (listener, address) = listen("a chunk server's socket").await?;
         for front in 0..self.config.fronts {
-            let proxy = TcpProxy::start(address).await.map_err(TestbedError::system("a wire's socket"))?;
+            let proxy = TcpProxy::start(address)
+                .await
+                .map_err(TestbedError::system("a wire's socket"))?;
             self.server_links.insert((front, number), proxy);
         }
         let behavior = Rc::new(Cell::new(self.config.behavior));
         self.server_behaviors.push(Rc::clone(&behavior));
-        let server = ChunkServer { number, behavior, log: self.attempts.clone() };
+        let server = ChunkServer {
+            number,
+            behavior,
+            log: self.attempts.clone(),
+        };
         self.tasks.push(spawn_local(server.serve(listener)));
         Ok(())
     }
@@ -144,10 +168,14 @@
     /// Starts discovery for a front, which lists the proxies of that front, and a proxy to it.
     async fn start_discovery(&mut self, front: usize) -> Result<(), TestbedError> {
         let (listener, address) = listen("the register's socket").await?;
-        let proxy = TcpProxy::start(address).await.map_err(TestbedError::system("a wire's socket"))?;
+        let proxy = TcpProxy::start(address)
+            .await
+            .map_err(TestbedError::system("a wire's socket"))?;
         self.discovery_links.push(proxy);
         let servers = self.server_addresses(front);
-        self.tasks.push(spawn_local(Rc::clone(&self.discovery).serve(listener, servers)));
+        self.tasks.push(spawn_local(
+            Rc::clone(&self.discovery).serve(listener, servers),
+        ));
         Ok(())
     }
 
@@ -203,12 +231,18 @@
 
     /// Where a front's clients connect, if it runs.
     pub fn clients_address(&self, front: usize) -> Option<SocketAddr> {
-        self.fronts[front].borrow().as_ref().map(|running| running.clients)
+        self.fronts[front]
+            .borrow()
+            .as_ref()
+            .map(|running| running.clients)
     }
 
     /// A front's console, if it runs.
     pub fn console_address(&self, front: usize) -> Option<SocketAddr> {
-        self.fronts[front].borrow().as_ref().map(|running| running.console)
+        self.fronts[front]
+            .borrow()
+            .as_ref()
+            .map(|running| running.console)
     }
 
     /// What second processes of a name have logged, once they have ended.
@@ -216,7 +250,8 @@
         &self.duplicate_log
     }
 
-    /// Sends every front datagrams for a while that no front has sent: random bytes, of which some begin as a message.
+    /// Sends every front datagrams for a while that no front has sent: random bytes, of which some
+    /// begin as a message.
     pub async fn send_unauthenticated_datagrams(&self, per_second: u32, duration: Duration) {
         let Ok(socket) = bind().await else { return };
         let deadline = Instant::now() + duration;
@@ -243,7 +278,9 @@
             task.abort();
         }
         // The processes end before their directory is removed.
-        self.fronts.iter().for_each(|front| drop(front.borrow_mut().take()));
+        self.fronts
+            .iter()
+            .for_each(|front| drop(front.borrow_mut().take()));
         self.duplicates.clear();
         // What cannot be removed is left to the system's cleanup of temporary files.
         let _ = std::fs::remove_dir_all(&self.directory);
@@ -252,14 +289,20 @@
 
 /// Creates a temporary directory for the files of a testbed.
 fn create_directory() -> Result<PathBuf, TestbedError> {
-    let name = format!("tulipbridge-lab-{}-{}", std::process::id(), fastrand::u32(..));
+    let name = format!(
+        "tulipbridge-lab-{}-{}",
+        std::process::id(),
+        fastrand::u32(..)
+    );
     let directory = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&directory).map_err(TestbedError::system("a folder"))?;
     Ok(directory)
 }
 
 async fn listen(what: &'static str) -> Result<(TcpListener, SocketAddr), TestbedError> {
-    let listener = TcpListener::bind("127.0.0.1:0").await.map_err(TestbedError::system(what))?;
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .map_err(TestbedError::system(what))?;
     let address = listener.local_addr().map_err(TestbedError::system(what))?;
     Ok((listener, address))
 }
--- a/crates/testbed/src/testbed/clients.rs
+++ b/crates/testbed/src/testbed/clients.rs
@@ -51,14 +51,29 @@
 
 impl RequestMix {
     fn draw(&self, rng: &mut Rng) -> RequestText {
-        let (volume, shard, key) = (rng.usize(0..self.volumes), rng.usize(0..self.shards), rng.u64(..));
+        let (volume, shard, key) = (
+            rng.usize(0..self.volumes),
+            rng.usize(0..self.shards),
+            rng.u64(..),
+        );
         let is_write = self.write_percent > 0 && rng.u8(0..100) < self.write_percent;
         let (start, body, shard) = if is_write {
-            (format!("PUT /b{volume}/{key:016x} HTTP/1.1\r\nContent-Length: 3\r\n"), "new", None)
+            (
+                format!("PUT /b{volume}/{key:016x} HTTP/1.1\r\nContent-Length: 3\r\n"),
+                "new",
+                None,
+            )
         } else {
-            (format!("GET /b{volume}/{key:016x}?versionId={shard}.v HTTP/1.1\r\n"), "", Some(shard))
+            (
+                format!("GET /b{volume}/{key:016x}?versionId={shard}.v HTTP/1.1\r\n"),
+                "",
+                Some(shard),
+            )
         };
-        RequestText { text: format!("{start}Host: lab\r\nConnection: close\r\n\r\n{body}"), shard }
+        RequestText {
+            text: format!("{start}Host: lab\r\nConnection: close\r\n\r\n{body}"),
+            shard,
+        }
     }
 }
 
@@ -99,12 +114,16 @@
     /// Where clients connect, if the front runs and is not paused.
     fn front_address(&self) -> Option<SocketAddr> {
         let process = self.process.borrow();
-        process.as_ref().filter(|process| !process.is_paused).map(|process| process.clients)
+        process
+            .as_ref()
+            .filter(|process| !process.is_paused)
+            .map(|process| process.clients)
     }
 
     /// Sends one request and records how it ends, without waiting for that.
     fn send(&self, address: SocketAddr, request: RequestText) {
-        let (requests, started_at, front) = (Rc::clone(&self.requests), self.started_at, self.front);
+        let (requests, started_at, front) =
+            (Rc::clone(&self.requests), self.started_at, self.front);
         spawn_local(async move {
             let at = started_at.elapsed();
             let exchange = tokio::time::timeout(CLIENT_TIMEOUT, exchange(address, &request.text));
--- a/crates/testbed/src/testbed/config.rs
+++ b/crates/testbed/src/testbed/config.rs
@@ -22,7 +22,8 @@
     Even(u32),
     /// By leases between peers.
     Peers,
-    /// By leases between peers, where the first half has a roster of itself alone, and the second one of all.
+    /// By leases between peers, where the first half has a roster of itself alone, and the second
+    /// one of all.
     HalfUnknown,
 }
 
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Fronts in two zones that share outlier detection of so many chunk servers, with no limit in the way of requests.
-    /// Each server takes `latency` to answer.
+    /// Fronts in two zones that share outlier detection of so many chunk servers, with no limit in
+    /// the way of requests. Each server takes `latency` to answer.
     pub fn with_outlier_detection(
         fronts: usize,
         servers: usize,
@@ -86,7 +87,10 @@
             zones: 2,
             write_percent: 50,
             outlier_detection: true,
-            behavior: ServerBehavior { latency, ..ServerBehavior::default() },
+            behavior: ServerBehavior {
+                latency,
+                ..ServerBehavior::default()
+            },
             ..TestbedConfig::new(fronts, Sharing::Peers, seed)
         }
     }
--- a/crates/testbed/src/testbed/console.rs
+++ b/crates/testbed/src/testbed/console.rs
@@ -45,12 +45,16 @@
     }
 
     /// Waits until the state of a front's outlier detection matches; false if it does not in time.
-    pub async fn wait_for_outlier_status(&self, front: usize, matches: impl Fn(&str) -> bool) -> bool {
+    pub async fn wait_for_outlier_status(
+        &self,
+        front: usize,
+        matches: impl Fn(&str) -> bool,
+    ) -> bool {
         self.wait_for(front, OUTLIERS_PATH, matches).await
     }
 
-    /// Waits until every running front receives heartbeats of all others and issues the leases of its own share;
-    /// false if one does not in time.
+    /// Waits until every running front receives heartbeats of all others and issues the leases of
+    /// its own share; false if one does not in time.
     pub async fn wait_until_joined(&self) -> bool {
         for front in 0..self.config.fronts {
             let own_share = format!("\"banks\":[\"object-{front}\"]");
@@ -68,7 +72,11 @@
     async fn wait_for(&self, front: usize, path: &str, matches: impl Fn(&str) -> bool) -> bool {
         let deadline = Instant::now() + STATE_TIMEOUT;
         while Instant::now() < deadline {
-            if self.get(front, path).await.is_some_and(|status| matches(&status)) {
+            if self
+                .get(front, path)
+                .await
+                .is_some_and(|status| matches(&status))
+            {
                 return true;
             }
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -78,19 +86,29 @@
 
     /// The body of an answer of a front's console; `None` if it does not answer.
     async fn get(&self, front: usize, path: &str) -> Option<String> {
-        let mut stream = TcpStream::connect(self.console_address(front)?).await.ok()?;
+        let mut stream = TcpStream::connect(self.console_address(front)?)
+            .await
+            .ok()?;
         let request = format!("GET {path} HTTP/1.1\r\nHost: lab\r\n\r\n");
         stream.write_all(request.as_bytes()).await.ok()?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await.ok()?;
-        answer.split_once("\r\n\r\n").map(|(_, body)| body.to_owned())
+        answer
+            .split_once("\r\n\r\n")
+            .map(|(_, body)| body.to_owned())
     }
 }
 
 /// The ejected servers in a state of outlier detection, given as JSON.
 pub fn ejected_servers(status: &str) -> Vec<String> {
     let status = simd_json::to_owned_value(&mut status.as_bytes().to_vec()).unwrap_or_default();
-    let servers = status.get("verdicts").and_then(|list| list.as_array()).into_iter().flatten();
+    let servers = status
+        .get("verdicts")
+        .and_then(|list| list.as_array())
+        .into_iter()
+        .flatten();
     let ejected = servers.filter(|server| server.get("out_ms").is_some_and(|ms| !ms.is_null()));
-    ejected.filter_map(|server| server.get("server")?.as_str().map(str::to_owned)).collect()
+    ejected
+        .filter_map(|server| server.get("server")?.as_str().map(str::to_owned))
+        .collect()
 }
--- a/crates/testbed/src/testbed/error.rs
+++ b/crates/testbed/src/testbed/error.rs
@@ -29,6 +29,9 @@
 
     /// A front that is not ready, with the end of its log or the reason.
     pub(crate) fn not_ready(front: usize, log: &str) -> TestbedError {
-        TestbedError::NotReady { front, log: log.to_owned() }
+        TestbedError::NotReady {
+            front,
+            log: log.to_owned(),
+        }
     }
 }
--- a/crates/testbed/src/testbed/faults.rs
+++ b/crates/testbed/src/testbed/faults.rs
@@ -70,7 +70,10 @@
 
 impl TimedAction {
     fn now(action: Action) -> TimedAction {
-        TimedAction { after_ms: 0, action }
+        TimedAction {
+            after_ms: 0,
+            action,
+        }
     }
 
     fn after(after_ms: Millis, action: Action) -> TimedAction {
@@ -83,55 +86,124 @@
     let now = TimedAction::now;
     let after = TimedAction::after;
     match fault {
-        Fault::Cut { from, to } => vec![now(Action::Cut { from: *from, to: *to })],
+        Fault::Cut { from, to } => vec![now(Action::Cut {
+            from: *from,
+            to: *to,
+        })],
         Fault::Partition { side } => vec![now(Action::Partition(side.clone()))],
-        Fault::Heal => vec![now(Action::Partition(Vec::new())), now(Action::HealTcpLinks)],
-        Fault::DatagramFaults { loss_percent: lost, duplication_percent: repeated, max_delay_ms: late } => {
-            let faults =
-                DatagramFaults { loss_percent: *lost, duplication_percent: *repeated, max_delay_ms: *late };
+        Fault::Heal => vec![
+            now(Action::Partition(Vec::new())),
+            now(Action::HealTcpLinks),
+        ],
+        Fault::DatagramFaults {
+            loss_percent: lost,
+            duplication_percent: repeated,
+            max_delay_ms: late,
+        } => {
+            let faults = DatagramFaults {
+                loss_percent: *lost,
+                duplication_percent: *repeated,
+                max_delay_ms: *late,
+            };
             vec![now(Action::SetDatagramFaults(faults))]
         }
-        Fault::Load { front, rate } => vec![now(Action::SetLoad { front: *front, rate: *rate })],
-        Fault::ServerLink { front, server, state } => {
-            vec![now(Action::SetServerLink { front: *front, server: *server, state: *state })]
+        Fault::Load { front, rate } => vec![now(Action::SetLoad {
+            front: *front,
+            rate: *rate,
+        })],
+        Fault::ServerLink {
+            front,
+            server,
+            state,
+        } => {
+            vec![now(Action::SetServerLink {
+                front: *front,
+                server: *server,
+                state: *state,
+            })]
         }
-        Fault::Server { server, latency_ms: takes, failure_percent: failing } => {
+        Fault::Server {
+            server,
+            latency_ms: takes,
+            failure_percent: failing,
+        } => {
             let latency = Duration::from_millis(*takes);
-            vec![now(Action::SetServer { server: *server, latency, failure_percent: *failing })]
+            vec![now(Action::SetServer {
+                server: *server,
+                latency,
+                failure_percent: *failing,
+            })]
         }
         Fault::Pause { front, millis } => {
-            let signal = |signal| Action::Signal { front: *front, signal };
-            vec![now(signal(Signal::SIGSTOP)), after(*millis, signal(Signal::SIGCONT))]
+            let signal = |signal| Action::Signal {
+                front: *front,
+                signal,
+            };
+            vec![
+                now(signal(Signal::SIGSTOP)),
+                after(*millis, signal(Signal::SIGCONT)),
+            ]
         }
-        Fault::Kill { front, restart_after_ms: back } => {
-            let kill = now(Action::End { front: *front, signal: Signal::SIGKILL });
+        Fault::Kill {
+            front,
+            restart_after_ms: back,
+        } => {
+            let kill = now(Action::End {
+                front: *front,
+                signal: Signal::SIGKILL,
+            });
             let start = back.map(|millis| after(millis, Action::Start(*front)));
             [Some(kill), start].into_iter().flatten().collect()
         }
-        Fault::ShutDown { front, restart_after_ms: back } => {
-            let end = now(Action::End { front: *front, signal: Signal::SIGTERM });
+        Fault::ShutDown {
+            front,
+            restart_after_ms: back,
+        } => {
+            let end = now(Action::End {
+                front: *front,
+                signal: Signal::SIGTERM,
+            });
             vec![end, after(*back, Action::Start(*front))]
         }
         Fault::DuplicateProcess { front, millis } => {
-            vec![now(Action::StartDuplicate(*front)), after(*millis, Action::EndDuplicate)]
+            vec![
+                now(Action::StartDuplicate(*front)),
+                after(*millis, Action::EndDuplicate),
+            ]
         }
         Fault::Upgrade { front } => vec![now(Action::Upgrade(*front))],
         Fault::Discovery { front, state } => {
-            vec![now(Action::SetDiscoveryLink { front: *front, state: *state })]
+            vec![now(Action::SetDiscoveryLink {
+                front: *front,
+                state: *state,
+            })]
         }
         Fault::RestartServer { server } => vec![now(Action::RestartServer(*server))],
         Fault::Roster { each, floor } => {
-            // A paused front gets the signal when it resumes; a killed one reads the file when it is started again.
-            let reload = |front| after(*each, Action::Signal { front, signal: Signal::SIGHUP });
-            let write = now(Action::WriteRoster { floor_percent: *floor });
-            std::iter::once(write).chain((0..fronts).map(reload)).collect()
+            // A paused front gets the signal when it resumes; a killed one reads the file when it
+            // is started again.
+            let reload = |front| {
+                after(
+                    *each,
+                    Action::Signal {
+                        front,
+                        signal: Signal::SIGHUP,
+                    },
+                )
+            };
+            let write = now(Action::WriteRoster {
+                floor_percent: *floor,
+            });
+            std::iter::once(write)
+                .chain((0..fronts).map(reload))
+                .collect()
         }
     }
 }
 
 impl Testbed {
-    /// Injects a fault and waits until it is over: also until a paused front has resumed, or a killed one is started
-    /// again, if the fault says when.
+    /// Injects a fault and waits until it is over: also until a paused front has resumed, or a
+    /// killed one is started again, if the fault says when.
     ///
     /// # Errors
     /// If a front does not start again.
@@ -169,7 +241,10 @@
             }
         }
         due.sort_by_key(|(at_ms, _)| *at_ms);
-        for (at_ms, action) in due.into_iter().filter(|(at_ms, _)| *at_ms <= schedule.duration_ms) {
+        for (at_ms, action) in due
+            .into_iter()
+            .filter(|(at_ms, _)| *at_ms <= schedule.duration_ms)
+        {
             tokio::time::sleep_until((started_at + Duration::from_millis(at_ms)).into()).await;
             self.apply(action).await?;
         }
@@ -185,14 +260,25 @@
             Action::HealTcpLinks => self.heal_tcp_links(),
             Action::SetDatagramFaults(faults) => self.peer_links.set_faults(faults),
             Action::SetLoad { front, rate } => self.set_load(front, rate),
-            Action::SetServerLink { front, server, state } => self.set_server_link(front, server, state),
+            Action::SetServerLink {
+                front,
+                server,
+                state,
+            } => self.set_server_link(front, server, state),
             Action::SetDiscoveryLink { front, state } => self.set_discovery_link(front, state),
-            Action::SetServer { server, latency, failure_percent } => {
+            Action::SetServer {
+                server,
+                latency,
+                failure_percent,
+            } => {
                 self.set_server(server, latency, failure_percent);
             }
             Action::RestartServer(server) => {
-                let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-                self.discovery.announce_restart(server, now.as_millis() as u64);
+                let now = SystemTime::now()
+                    .duration_since(UNIX_EPOCH)
+                    .unwrap_or_default();
+                self.discovery
+                    .announce_restart(server, now.as_millis() as u64);
             }
             Action::Signal { front, signal } => self.signal(front, signal),
             Action::End { front, signal } => {
@@ -223,7 +309,8 @@
     }
 
     fn set_server_link(&self, front: Option<usize>, server: usize, state: LinkState) {
-        let fronts = (0..self.config.fronts).filter(|number| front.is_none_or(|front| front == *number));
+        let fronts =
+            (0..self.config.fronts).filter(|number| front.is_none_or(|front| front == *number));
         for link in fronts.filter_map(|front| self.server_links.get(&(front, server))) {
             link.set(state);
         }
@@ -239,7 +326,11 @@
 
     fn set_server(&self, server: usize, latency: Duration, failure_percent: u8) {
         if let Some(behavior) = self.server_behaviors.get(server) {
-            behavior.set(ServerBehavior { latency, failure_percent, ..behavior.get() });
+            behavior.set(ServerBehavior {
+                latency,
+                failure_percent,
+                ..behavior.get()
+            });
         }
     }
 
@@ -254,7 +345,10 @@
 
     fn write_roster(&mut self, floor_percent: u8) -> Result<(), TestbedError> {
         let revision = self.roster.revision + 1;
-        self.roster = RosterVersion { revision, floor_percent: floor_percent.min(MAX_FLOOR_PERCENT) };
+        self.roster = RosterVersion {
+            revision,
+            floor_percent: floor_percent.min(MAX_FLOOR_PERCENT),
+        };
         (0..self.config.fronts).try_for_each(|front| self.rewrite_config(front))
     }
 }
