--- a/crates/testbed/src/testbed/front_config.rs
+++ b/crates/testbed/src/testbed/front_config.rs
@@ -51,20 +51,27 @@
 
     /// Where a front reaches the chunk servers.
     pub(super) fn server_addresses(&self, front: usize) -> Vec<SocketAddr> {
-        (0..self.config.servers).map(|server| self.server_links[&(front, server)].address).collect()
+        (0..self.config.servers)
+            .map(|server| self.server_links[&(front, server)].address)
+            .collect()
     }
 
     fn settings_section(&self) -> String {
         let rate = |key: &str| format!("\"{key}\": {:.1}", self.config.rate);
         let mut settings = SETTINGS.replace("\"CeilingRate\": 40.0", &rate("CeilingRate"));
         if !self.config.limits.is_empty() {
-            // The demand must be within the volume's share, or else that holds back before the limits under test.
+            // The demand must be within the volume's share, or else that holds back before the
+            // limits under test.
             settings = settings.replace("\"Nominal\": 40.0", &rate("Nominal"));
         }
-        let zones: Vec<String> =
-            (0..self.config.zones).map(|zone| format!("\"{}\"", zone_name(zone))).collect();
+        let zones: Vec<String> = (0..self.config.zones)
+            .map(|zone| format!("\"{}\"", zone_name(zone)))
+            .collect();
         let settings = settings.replace("\"zone-a\"", &zones.join(", "));
-        settings.replace("\"Shards\": 1,", &format!("\"Shards\": {},", self.config.servers))
+        settings.replace(
+            "\"Shards\": 1,",
+            &format!("\"Shards\": {},", self.config.servers),
+        )
     }
 
     fn buckets_section(&self) -> String {
@@ -77,7 +84,10 @@
                 r#""b{volume}": {{"volume": "{volume:x}", "plan": "limited", "read": "read", "write": "write", "hosts": {hosts}}}"#
             )
         };
-        (0..self.config.volumes).map(bucket).collect::<Vec<_>>().join(", ")
+        (0..self.config.volumes)
+            .map(bucket)
+            .collect::<Vec<_>>()
+            .join(", ")
     }
 
     /// The section on peers; empty if the front has none.
@@ -86,14 +96,21 @@
             return String::new();
         }
         let listen = match role {
-            Role::Successor { peers: Some(address), .. } => address.to_string(),
+            Role::Successor {
+                peers: Some(address),
+                ..
+            } => address.to_string(),
             _ => ANY_ADDRESS.to_owned(),
         };
         let limits = match self.config.limits {
             "" => String::new(),
             limits => format!(r#", "limits": {limits}"#),
         };
-        let outlier_detection = if self.config.outlier_detection { r#", "verdicts": {}"# } else { "" };
+        let outlier_detection = if self.config.outlier_detection {
+            r#", "verdicts": {}"#
+        } else {
+            ""
+        };
         format!(
             r#""peers": {{"listen": "{listen}", "key_file": "{}", "revision": {}, "floor": 0.{:02},
                 "roster": [{}]{limits}{outlier_detection}}},"#,
@@ -105,11 +122,17 @@
     }
 
     fn roster_section(&self, front: usize) -> String {
-        let knows_half = self.config.sharing == Sharing::HalfUnknown && front < self.config.fronts / 2;
-        let known = if knows_half { self.config.fronts / 2 } else { self.config.fronts };
+        let knows_half =
+            self.config.sharing == Sharing::HalfUnknown && front < self.config.fronts / 2;
+        let known = if knows_half {
+            self.config.fronts / 2
+        } else {
+            self.config.fronts
+        };
         let entry = |peer: usize| {
             let link = self.peer_links.link(front, peer);
-            let address = link.map_or_else(|| NO_ADDRESS.to_owned(), |link| link.address.to_string());
+            let address =
+                link.map_or_else(|| NO_ADDRESS.to_owned(), |link| link.address.to_string());
             let zone = zone_name(peer % self.config.zones);
             format!(r#"{{"name": "object-{peer}", "address": "{address}", "zone": "{zone}"}}"#)
         };
--- a/crates/testbed/src/testbed/front_process.rs
+++ b/crates/testbed/src/testbed/front_process.rs
@@ -67,23 +67,34 @@
 
 impl SpawnedFront {
     /// Starts the program with a front's configuration file and a directory of its own.
-    pub fn spawn(program: &Path, config_file: &Path, directory: &Path) -> Result<SpawnedFront, TestbedError> {
+    pub fn spawn(
+        program: &Path,
+        config_file: &Path,
+        directory: &Path,
+    ) -> Result<SpawnedFront, TestbedError> {
         std::fs::create_dir_all(directory).map_err(TestbedError::system("a front's folder"))?;
         let mut command = Command::new(program);
         command.arg("object").arg(config_file);
         command.current_dir(directory).env("TMPDIR", directory);
         command.stderr(Stdio::piped());
-        let mut child = command.spawn().map_err(TestbedError::system("starting the program"))?;
+        let mut child = command
+            .spawn()
+            .map_err(TestbedError::system("starting the program"))?;
         let (sender, log) = mpsc::channel();
         let errors = child.stderr.take();
         std::thread::spawn(move || {
-            let lines = errors.into_iter().flat_map(|errors| BufReader::new(errors).lines());
+            let lines = errors
+                .into_iter()
+                .flat_map(|errors| BufReader::new(errors).lines());
             for line in lines.map_while(Result::ok) {
                 // Nobody may read the log any more; the front must be able to continue writing.
                 let _ = sender.send(line);
             }
         });
-        Ok(SpawnedFront { child: ChildProcess(child), log })
+        Ok(SpawnedFront {
+            child: ChildProcess(child),
+            log,
+        })
     }
 }
 
@@ -139,7 +150,8 @@
     }
 }
 
-/// The first version of a front that has a second one beside it. If it is dropped, its process is killed.
+/// The first version of a front that has a second one beside it. If it is dropped, its process is
+/// killed.
 pub struct Predecessor {
     pub(super) process: FrontProcess,
     /// The log of the second version.
--- a/crates/testbed/src/testbed/lifecycle.rs
+++ b/crates/testbed/src/testbed/lifecycle.rs
@@ -41,52 +41,73 @@
         Ok(())
     }
 
-    /// Starts a second version of a front at the addresses of the first, shuts the first one down once the second
-    /// accepts clients, and waits until the second receives datagrams of its peers. Nothing happens if the front does
-    /// not run or is paused.
+    /// Starts a second version of a front at the addresses of the first, shuts the first one down
+    /// once the second accepts clients, and waits until the second receives datagrams of its peers.
+    /// Nothing happens if the front does not run or is paused.
     ///
     /// # Errors
     /// If the second version does not start, or does not come to receive datagrams.
     pub async fn upgrade(&mut self, front: usize) -> Result<(), TestbedError> {
-        if self.fronts[front].borrow().as_ref().is_none_or(|running| running.is_paused) {
+        if self.fronts[front]
+            .borrow()
+            .as_ref()
+            .is_none_or(|running| running.is_paused)
+        {
             return Ok(());
         }
         let predecessor = self.start_successor(front).await?;
         self.finish_upgrade(front, predecessor).await
     }
 
-    /// Starts a second version of a front at the addresses of the first. The second is the front from then on, and the
-    /// first is paused, so that it accepts no client.
+    /// Starts a second version of a front at the addresses of the first. The second is the front
+    /// from then on, and the first is paused, so that it accepts no client.
     ///
     /// # Errors
     /// If the front does not run, or the second version does not start.
     pub async fn start_successor(&self, front: usize) -> Result<Predecessor, TestbedError> {
-        let addresses = self.fronts[front].borrow().as_ref().map(|first| (first.clients, first.peers));
+        let addresses = self.fronts[front]
+            .borrow()
+            .as_ref()
+            .map(|first| (first.clients, first.peers));
         let not_running = || TestbedError::not_ready(front, "there is no first one");
         let (clients, peers) = addresses.ok_or_else(not_running)?;
         let role = Role::Successor { clients, peers };
         let spawned = self.spawn(front, role)?;
-        let is_ready =
-            |addresses: &AnnouncedAddresses| addresses.clients.is_some() && addresses.console.is_some();
+        let is_ready = |addresses: &AnnouncedAddresses| {
+            addresses.clients.is_some() && addresses.console.is_some()
+        };
         let Adopted { log, predecessor } = self.adopt(front, role, spawned, is_ready).await?;
         let has_ended = || TestbedError::not_ready(front, "the first one is gone");
         let process = predecessor.ok_or_else(has_ended)?;
         process.child.signal(Signal::SIGSTOP);
-        Ok(Predecessor { process, successor_log: log })
+        Ok(Predecessor {
+            process,
+            successor_log: log,
+        })
     }
 
-    /// Shuts the first version down, and waits until the second one receives datagrams of its peers.
+    /// Shuts the first version down, and waits until the second one receives datagrams of its
+    /// peers.
     ///
     /// # Errors
     /// If it does not.
-    pub async fn finish_upgrade(&self, front: usize, predecessor: Predecessor) -> Result<(), TestbedError> {
-        let Predecessor { mut process, successor_log } = predecessor;
+    pub async fn finish_upgrade(
+        &self,
+        front: usize,
+        predecessor: Predecessor,
+    ) -> Result<(), TestbedError> {
+        let Predecessor {
+            mut process,
+            successor_log,
+        } = predecessor;
         process.child.signal(Signal::SIGTERM);
         process.child.signal(Signal::SIGCONT);
         let deadline = Instant::now() + START_TIMEOUT;
         let mut addresses = AnnouncedAddresses::default();
         while process.peers.is_some() && addresses.peers.is_none() {
-            successor_log.try_iter().for_each(|line| addresses.parse_line(&line));
+            successor_log
+                .try_iter()
+                .for_each(|line| addresses.parse_line(&line));
             if Instant::now() >= deadline {
                 return Err(TestbedError::not_ready(front, "it does not hear its peers"));
             }
@@ -106,12 +127,16 @@
         }
     }
 
-    /// Ends a front with a signal and waits until it has ended. Returns the exit code; `None` if it did not run, or was
-    /// ended by the signal.
+    /// Ends a front with a signal and waits until it has ended. Returns the exit code; `None` if it
+    /// did not run, or was ended by the signal.
     pub async fn terminate(&self, front: usize, signal: Signal) -> Option<i32> {
         self.signal(front, signal);
         loop {
-            let status = self.fronts[front].borrow_mut().as_mut()?.child.exit_status();
+            let status = self.fronts[front]
+                .borrow_mut()
+                .as_mut()?
+                .child
+                .exit_status();
             if let Some(status) = status {
                 *self.fronts[front].borrow_mut() = None;
                 return status.code();
@@ -131,12 +156,24 @@
         let SpawnedFront { child, log } = spawned;
         let addresses = wait_ready(front, &log, is_ready).await?;
         let mut predecessor = None;
-        if let AnnouncedAddresses { clients: Some(clients), console: Some(console), peers } = addresses {
+        if let AnnouncedAddresses {
+            clients: Some(clients),
+            console: Some(console),
+            peers,
+        } = addresses
+        {
             let configured_peers = match role {
                 Role::Successor { peers, .. } => peers,
                 Role::Only | Role::Duplicate => None,
             };
-            let process = FrontProcess { child, clients, console, peers, configured_peers, is_paused: false };
+            let process = FrontProcess {
+                child,
+                clients,
+                console,
+                peers,
+                configured_peers,
+                is_paused: false,
+            };
             predecessor = self.fronts[front].borrow_mut().replace(process);
         }
         if addresses.peers.is_some() {
@@ -151,14 +188,24 @@
         let config_file = self.directory.join(format!("front-{front}{suffix}.json"));
         std::fs::write(&config_file, self.front_config(front, role))
             .map_err(TestbedError::system("a front's file"))?;
-        SpawnedFront::spawn(&self.program, &config_file, &self.directory.join(format!("front-{front}")))
+        SpawnedFront::spawn(
+            &self.program,
+            &config_file,
+            &self.directory.join(format!("front-{front}")),
+        )
     }
 
-    /// Rewrites a front's configuration file with the addresses that it has. The front reads it at its next SIGHUP.
+    /// Rewrites a front's configuration file with the addresses that it has. The front reads it at
+    /// its next SIGHUP.
     pub(super) fn rewrite_config(&self, front: usize) -> Result<(), TestbedError> {
         let running = self.fronts[front].borrow();
-        let Some(running) = running.as_ref() else { return Ok(()) };
-        let role = Role::Successor { clients: running.clients, peers: running.configured_peers };
+        let Some(running) = running.as_ref() else {
+            return Ok(());
+        };
+        let role = Role::Successor {
+            clients: running.clients,
+            peers: running.configured_peers,
+        };
         let config_file: PathBuf = self.directory.join(format!("front-{front}.json"));
         std::fs::write(config_file, self.front_config(front, role))
             .map_err(TestbedError::system("a front's file"))
--- a/crates/testbed/src/testbed/peer_links.rs
+++ b/crates/testbed/src/testbed/peer_links.rs
@@ -1,5 +1,5 @@
-//! The links between fronts: a UDP proxy for each pair and each way, which can be cut, and which loses, duplicates and
-//! delays datagrams.
+//! The links between fronts: a UDP proxy for each pair and each way, which can be cut, and which
+//! loses, duplicates and delays datagrams.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -34,16 +34,29 @@
 }
 
 impl PeerLinks {
-    /// Opens a healthy link for each pair of fronts and each way, and returns the tasks that serve them.
+    /// Opens a healthy link for each pair of fronts and each way, and returns the tasks that serve
+    /// them.
     pub async fn open(fronts: usize) -> Result<(PeerLinks, Vec<JoinHandle<()>>), TestbedError> {
         let (mut links, mut tasks) = (PeerLinks::default(), Vec::new());
         for from in 0..fronts {
             for to in (0..fronts).filter(|to| *to != from) {
-                let socket = bind().await.map_err(TestbedError::system("a link's socket"))?;
-                let address = socket.local_addr().map_err(TestbedError::system("a link's socket"))?;
-                let link = Rc::new(PeerLink { address, is_cut: Cell::default(), target: Cell::default() });
+                let socket = bind()
+                    .await
+                    .map_err(TestbedError::system("a link's socket"))?;
+                let address = socket
+                    .local_addr()
+                    .map_err(TestbedError::system("a link's socket"))?;
+                let link = Rc::new(PeerLink {
+                    address,
+                    is_cut: Cell::default(),
+                    target: Cell::default(),
+                });
                 links.links.insert((from, to), Rc::clone(&link));
-                tasks.push(spawn_local(proxy(Rc::new(socket), link, Rc::clone(&links.faults))));
+                tasks.push(spawn_local(proxy(
+                    Rc::new(socket),
+                    link,
+                    Rc::clone(&links.faults),
+                )));
             }
         }
         Ok((links, tasks))
@@ -61,7 +74,8 @@
         }
     }
 
-    /// Cuts exactly the links between fronts of this side and all others; with no side, heals every link.
+    /// Cuts exactly the links between fronts of this side and all others; with no side, heals every
+    /// link.
     pub fn partition(&self, side: &[usize]) {
         for ((from, to), link) in &self.links {
             link.is_cut.set(side.contains(from) != side.contains(to));
@@ -75,7 +89,12 @@
 
     /// Sets where a front receives datagrams.
     pub fn set_target(&self, front: usize, target: Option<SocketAddr>) {
-        for link in self.links.iter().filter(|((_, to), _)| *to == front).map(|(_, link)| link) {
+        for link in self
+            .links
+            .iter()
+            .filter(|((_, to), _)| *to == front)
+            .map(|(_, link)| link)
+        {
             link.target.set(target);
         }
     }
@@ -91,13 +110,15 @@
     UdpSocket::bind("127.0.0.1:0").await
 }
 
-/// Forwards datagrams of one link without end. What the receiver answers to the proxy's socket goes back to the sender,
-/// as it would between two machines.
+/// Forwards datagrams of one link without end. What the receiver answers to the proxy's socket goes
+/// back to the sender, as it would between two machines.
 async fn proxy(socket: Rc<UdpSocket>, link: Rc<PeerLink>, faults: Rc<Cell<DatagramFaults>>) {
     let mut sender: Option<SocketAddr> = None;
     let mut buffer = vec![0; MAX_DATAGRAM];
     loop {
-        let Ok((length, source)) = socket.recv_from(&mut buffer).await else { continue };
+        let Ok((length, source)) = socket.recv_from(&mut buffer).await else {
+            continue;
+        };
         let target = match link.target.get() {
             Some(target) if source == target => sender,
             target => {
@@ -105,7 +126,9 @@
                 target
             }
         };
-        let (Some(target), false) = (target, link.is_cut.get()) else { continue };
+        let (Some(target), false) = (target, link.is_cut.get()) else {
+            continue;
+        };
         forward(&socket, &link, faults.get(), &buffer[..length], target);
     }
 }
--- a/crates/testbed/tests/golden/rows.rs
+++ b/crates/testbed/tests/golden/rows.rs
@@ -1,4 +1,5 @@
-//! Rows of every kind, with every name of their enums and with their optional fields present and absent.
+//! Rows of every kind, with every name of their enums and with their optional fields present and
+//! absent.
 
 use tulipbridge_testbed::cost::Cost;
 use tulipbridge_testbed::limit_experiments::{
@@ -26,7 +27,10 @@
 }
 
 pub fn fault_case_results() -> Vec<FaultCaseResult> {
-    let usage = WindowUsage { max_units: 1.5, allowed_units: 2.5 };
+    let usage = WindowUsage {
+        max_units: 1.5,
+        allowed_units: 2.5,
+    };
     let result = |case| FaultCaseResult {
         case,
         seed: 1,
@@ -78,8 +82,10 @@
         usual_attempts: 6.5,
         recovered_after_s,
     };
-    let mut rows: Vec<ServerFaultResult> =
-        SERVER_FAULTS.into_iter().map(|fault| result(fault, Some(7.5))).collect();
+    let mut rows: Vec<ServerFaultResult> = SERVER_FAULTS
+        .into_iter()
+        .map(|fault| result(fault, Some(7.5)))
+        .collect();
     rows.push(result(ServerFault::Stopped, None));
     rows
 }
@@ -159,16 +165,40 @@
 pub fn scenarios() -> Vec<outliers::Scenario> {
     use outliers::{FaultyFront, FaultyServer, FrontFault, Scenario, ServerFault};
     let faulty_servers = vec![
-        FaultyServer { from_ms: 2_000, server: 0, fault: ServerFault::Failing(300) },
-        FaultyServer { from_ms: 3_000, server: 1, fault: ServerFault::Zone(1) },
-        FaultyServer { from_ms: 4_000, server: 2, fault: ServerFault::Class(2) },
+        FaultyServer {
+            from_ms: 2_000,
+            server: 0,
+            fault: ServerFault::Failing(300),
+        },
+        FaultyServer {
+            from_ms: 3_000,
+            server: 1,
+            fault: ServerFault::Zone(1),
+        },
+        FaultyServer {
+            from_ms: 4_000,
+            server: 2,
+            fault: ServerFault::Class(2),
+        },
     ];
     let faulty_fronts = [
         None,
-        Some(FaultyFront { front: 0, fault: FrontFault::ReportsAllFailed }),
-        Some(FaultyFront { front: 1, fault: FrontFault::ReportsAllHealthy }),
-        Some(FaultyFront { front: 2, fault: FrontFault::LossyNetwork(200) }),
-        Some(FaultyFront { front: 3, fault: FrontFault::UnreachableServer(4) }),
+        Some(FaultyFront {
+            front: 0,
+            fault: FrontFault::ReportsAllFailed,
+        }),
+        Some(FaultyFront {
+            front: 1,
+            fault: FrontFault::ReportsAllHealthy,
+        }),
+        Some(FaultyFront {
+            front: 2,
+            fault: FrontFault::LossyNetwork(200),
+        }),
+        Some(FaultyFront {
+            front: 3,
+            fault: FrontFault::UnreachableServer(4),
+        }),
     ];
     let scenario = |faulty_front| Scenario {
         faulty_servers: faulty_servers.clone(),
--- a/crates/testbed/tests/soak_checker.rs
+++ b/crates/testbed/tests/soak_checker.rs
@@ -15,7 +15,10 @@
     multiple: 2.0,
     span: Duration::from_secs(2),
 };
-const OK: End = End::Answered { status: 200, body_matches: true };
+const OK: End = End::Answered {
+    status: 200,
+    body_matches: true,
+};
 
 fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
@@ -38,7 +41,15 @@
 /// A request that was sent at 10 s, and its attempts.
 fn recording(class: Class, end: End, arrivals: &[Arrival]) -> Recording {
     let (sent_at, patience, ended_at) = (ms(10_000), ms(1_000), ms(10_100));
-    let request = ClientRequest { transaction: 1, front: 0, class, sent_at, patience, ended_at, end };
+    let request = ClientRequest {
+        transaction: 1,
+        front: 0,
+        class,
+        sent_at,
+        patience,
+        ended_at,
+        end,
+    };
     Recording {
         requests: vec![request],
         arrivals: arrivals.to_vec(),
@@ -59,27 +70,57 @@
 }
 
 fn rules(recording: &Recording) -> Vec<Rule> {
-    check(recording, COLD_START).into_iter().map(|find| find.rule).collect()
+    check(recording, COLD_START)
+        .into_iter()
+        .map(|find| find.rule)
+        .collect()
 }
 
 #[test]
 fn recording_within_the_rules_has_no_finds() {
-    assert_eq!(rules(&recording(Class::Write, OK, &[arrival(10_010, 980)])), []);
+    assert_eq!(
+        rules(&recording(Class::Write, OK, &[arrival(10_010, 980)])),
+        []
+    );
 }
 
 #[test]
 fn each_broken_rule_of_a_request_is_found() {
     let one = [arrival(10_010, 980)];
     let two = [arrival(10_010, 980), arrival(10_050, 940)];
-    let refused = End::Answered { status: 503, body_matches: false };
-    let wrong = End::Answered { status: 200, body_matches: false };
-    assert_eq!(rules(&recording(Class::Read, End::Closed, &[])), [Rule::Lost]);
-    assert_eq!(rules(&recording(Class::Read, End::Silent, &one)), [Rule::Lost]);
-    assert_eq!(rules(&recording(Class::Read, wrong, &one)), [Rule::WrongAnswer]);
+    let refused = End::Answered {
+        status: 503,
+        body_matches: false,
+    };
+    let wrong = End::Answered {
+        status: 200,
+        body_matches: false,
+    };
+    assert_eq!(
+        rules(&recording(Class::Read, End::Closed, &[])),
+        [Rule::Lost]
+    );
+    assert_eq!(
+        rules(&recording(Class::Read, End::Silent, &one)),
+        [Rule::Lost]
+    );
+    assert_eq!(
+        rules(&recording(Class::Read, wrong, &one)),
+        [Rule::WrongAnswer]
+    );
     assert_eq!(rules(&recording(Class::Write, OK, &two)), [Rule::Duplicate]);
-    assert_eq!(rules(&recording(Class::Write, refused, &one)), [Rule::RefusedAndRun]);
-    assert_eq!(rules(&recording(Class::Read, End::Left, &[arrival(10_400, 500)])), [Rule::AfterClientLeft]);
-    assert_eq!(rules(&recording(Class::Read, OK, &[arrival(10_090, 1_200)])), [Rule::DeadlineTooLong]);
+    assert_eq!(
+        rules(&recording(Class::Write, refused, &one)),
+        [Rule::RefusedAndRun]
+    );
+    assert_eq!(
+        rules(&recording(Class::Read, End::Left, &[arrival(10_400, 500)])),
+        [Rule::AfterClientLeft]
+    );
+    assert_eq!(
+        rules(&recording(Class::Read, OK, &[arrival(10_090, 1_200)])),
+        [Rule::DeadlineTooLong]
+    );
 }
 
 #[test]
@@ -105,19 +146,33 @@
 #[test]
 fn faults_of_processes_half_requests_and_cold_servers_are_found() {
     let mut calm = recording(Class::Read, OK, &[arrival(10_010, 980)]);
-    calm.half_requests = vec![HalfRequest { front: 0, sent_at: ms(5_000), ended_at: Some(ms(8_400)) }];
+    calm.half_requests = vec![HalfRequest {
+        front: 0,
+        sent_at: ms(5_000),
+        ended_at: Some(ms(8_400)),
+    }];
     assert_eq!(rules(&calm), [Rule::HalfRequest]);
     calm.half_requests.clear();
     calm.processes[0].exit_code = None;
     assert_eq!(rules(&calm), [Rule::Crash]);
-    calm.processes[0] = ProcessRecord { ended_at: Some(ms(24_500)), violations: 1, ..process() };
+    calm.processes[0] = ProcessRecord {
+        ended_at: Some(ms(24_500)),
+        violations: 1,
+        ..process()
+    };
     assert_eq!(rules(&calm), [Rule::LateExit, Rule::Counted]);
-    calm.processes[0] = ProcessRecord { ready_at: None, ..process() };
+    calm.processes[0] = ProcessRecord {
+        ready_at: None,
+        ..process()
+    };
     assert_eq!(rules(&calm), [Rule::LateReady]);
     calm.processes[0] = process();
     // It bears 8 requests in two seconds at first, and 19 with the allowance.
     calm.starts = vec![(0, ms(12_000))];
-    calm.arrivals.extend((0..22).map(|n| Arrival { transaction: 100 + n, ..arrival(12_000 + n, 1) }));
+    calm.arrivals.extend((0..22).map(|n| Arrival {
+        transaction: 100 + n,
+        ..arrival(12_000 + n, 1)
+    }));
     assert_eq!(rules(&calm), [Rule::ColdServer]);
 }
 
@@ -127,10 +182,16 @@
     for seed in 0..200 {
         let faults = draw(seed);
         let again: Vec<Fault> = draw(seed).iter().map(|entry| entry.fault).collect();
-        assert_eq!(again, faults.iter().map(|entry| entry.fault).collect::<Vec<_>>());
+        assert_eq!(
+            again,
+            faults.iter().map(|entry| entry.fault).collect::<Vec<_>>()
+        );
         assert!((2..=3).contains(&faults.len()));
         let latest_start = faults.iter().map(|entry| entry.from).max();
-        assert!(faults.iter().all(|entry| Some(entry.until) >= latest_start), "seed {seed}");
+        assert!(
+            faults.iter().all(|entry| Some(entry.until) >= latest_start),
+            "seed {seed}"
+        );
         drawn.extend(again);
     }
     assert!(Fault::ALL.iter().all(|fault| drawn.contains(fault)));
--- a/crates/testbed/tests/tcp_proxy.rs
+++ b/crates/testbed/tests/tcp_proxy.rs
@@ -27,7 +27,9 @@
         }
     });
     let proxy = TcpProxy::start(server).await.expect("a proxy");
-    let stream = TcpStream::connect(proxy.address).await.expect("it connects");
+    let stream = TcpStream::connect(proxy.address)
+        .await
+        .expect("it connects");
     (proxy, stream)
 }
 
@@ -52,7 +54,11 @@
                 proxy.set(LinkState::Healthy);
                 assert_eq!(waiting.await.expect("healthy again"), b'x');
             }
-            for state in [LinkState::Delayed(1), LinkState::Lossy(0), LinkState::Throttled(100_000)] {
+            for state in [
+                LinkState::Delayed(1),
+                LinkState::Lossy(0),
+                LinkState::Throttled(100_000),
+            ] {
                 proxy.set(state);
                 assert_eq!(round_trip(&mut stream).await.expect("it passes"), b'x');
             }
@@ -67,10 +73,17 @@
         assert_eq!(round_trip(&mut stream).await.expect("healthy"), b'x');
         proxy.set(LinkState::Reset);
         assert!(stream.read_u8().await.is_err(), "the connection is reset");
-        let mut second = TcpStream::connect(proxy.address).await.expect("it connects");
-        assert!(round_trip(&mut second).await.is_err(), "a new connection is reset");
+        let mut second = TcpStream::connect(proxy.address)
+            .await
+            .expect("it connects");
+        assert!(
+            round_trip(&mut second).await.is_err(),
+            "a new connection is reset"
+        );
         proxy.set(LinkState::Healthy);
-        let mut third = TcpStream::connect(proxy.address).await.expect("it connects");
+        let mut third = TcpStream::connect(proxy.address)
+            .await
+            .expect("it connects");
         assert_eq!(round_trip(&mut third).await.expect("healthy"), b'x');
     });
 }
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,5 +1,6 @@
-//! A toy chunk server that keeps everything in memory. It serves the requests of the platform's front (any path is
-//! stored and read the same way) and of the object API's, so that a newcomer can try both fronts.
+//! A toy chunk server that keeps everything in memory. It serves the requests of the platform's
+//! front (any path is stored and read the same way) and of the object API's, so that a newcomer can
+//! try both fronts.
 //!
 //!     cargo run --example toy_server 127.0.0.1:7101
 
@@ -53,36 +54,57 @@
 type Reply = Response<Full<Bytes>>;
 
 fn main() {
-    let address = std::env::args().nth(1).unwrap_or_else(|| DEFAULT_ADDRESS.to_owned());
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let address = std::env::args()
+        .nth(1)
+        .unwrap_or_else(|| DEFAULT_ADDRESS.to_owned());
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     LocalSet::new().block_on(&runtime, serve(&address));
 }
 
 async fn serve(address: &str) {
-    let listener = TcpListener::bind(address).await.expect("the address is free");
-    println!("toy chunk server on {}", listener.local_addr().expect("bound"));
+    let listener = TcpListener::bind(address)
+        .await
+        .expect("the address is free");
+    println!(
+        "toy chunk server on {}",
+        listener.local_addr().expect("bound")
+    );
     let store = Rc::new(RefCell::new(Store::default()));
     loop {
-        let Ok((stream, _)) = listener.accept().await else { continue };
+        let Ok((stream, _)) = listener.accept().await else {
+            continue;
+        };
         let store = Rc::clone(&store);
         spawn_local(async move {
             let service = service_fn(move |request| answer(Rc::clone(&store), request));
             // An error of one connection concerns its client alone.
-            let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+            let _ = http1::Builder::new()
+                .serve_connection(TokioIo::new(stream), service)
+                .await;
         });
     }
 }
 
-async fn answer(store: Rc<RefCell<Store>>, request: Request<Incoming>) -> Result<Reply, Infallible> {
+async fn answer(
+    store: Rc<RefCell<Store>>,
+    request: Request<Incoming>,
+) -> Result<Reply, Infallible> {
     let (head, body) = request.into_parts();
-    let Ok(body) = body.collect().await else { return Ok(empty(StatusCode::BAD_REQUEST)) };
+    let Ok(body) = body.collect().await else {
+        return Ok(empty(StatusCode::BAD_REQUEST));
+    };
     println!("{} {}", head.method, head.uri);
     let query = head.uri.query().unwrap_or_default();
     let path = head.uri.path().to_owned();
     let body = body.to_bytes();
     let mut store = store.borrow_mut();
     Ok(match (query_field(query, "uploadId"), &head.method) {
-        (Some(id), method) => store.answer_upload(id, method, query_field(query, "partNumber"), body),
+        (Some(id), method) => {
+            store.answer_upload(id, method, query_field(query, "partNumber"), body)
+        }
         (None, &Method::POST) => store.create_upload(path, head.headers),
         (None, &Method::PUT) => store.put(path, head.headers, body),
         (None, &Method::DELETE) => {
@@ -95,17 +117,28 @@
 }
 
 fn query_field<'a>(query: &'a str, name: &str) -> Option<&'a str> {
-    let mut fields = query.split('&').map(|field| field.split_once('=').unwrap_or((field, "")));
-    fields.find(|(field, _)| *field == name).map(|(_, value)| value)
+    let mut fields = query
+        .split('&')
+        .map(|field| field.split_once('=').unwrap_or((field, "")));
+    fields
+        .find(|(field, _)| *field == name)
+        .map(|(_, value)| value)
 }
 
 impl Store {
     fn put(&mut self, path: String, headers: HeaderMap, bytes: Bytes) -> Reply {
-        let mut headers: HeaderMap =
-            headers.into_iter().filter_map(|(name, value)| Some((name?, value))).filter(is_stored).collect();
+        let mut headers: HeaderMap = headers
+            .into_iter()
+            .filter_map(|(name, value)| Some((name?, value)))
+            .filter(is_stored)
+            .collect();
         let tag = entity_tag(&bytes);
         insert(&mut headers, ETAG, &tag);
-        insert(&mut headers, LAST_MODIFIED, &httpdate::fmt_http_date(SystemTime::now()));
+        insert(
+            &mut headers,
+            LAST_MODIFIED,
+            &httpdate::fmt_http_date(SystemTime::now()),
+        );
         println!("stored {path}");
         self.objects.insert(path, Object { bytes, headers });
         let mut reply = empty(StatusCode::OK);
@@ -114,22 +147,32 @@
     }
 
     fn head(&self, path: &str) -> Reply {
-        let Some(object) = self.objects.get(path) else { return empty(StatusCode::NOT_FOUND) };
+        let Some(object) = self.objects.get(path) else {
+            return empty(StatusCode::NOT_FOUND);
+        };
         let mut reply = empty(StatusCode::OK);
-        reply.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(object.bytes.len()));
+        reply
+            .headers_mut()
+            .insert(CONTENT_LENGTH, HeaderValue::from(object.bytes.len()));
         reply.headers_mut().extend(object.headers.clone());
         reply
     }
 
     fn get(&self, path: &str, request_headers: &HeaderMap) -> Reply {
-        let Some(object) = self.objects.get(path) else { return empty(StatusCode::NOT_FOUND) };
+        let Some(object) = self.objects.get(path) else {
+            return empty(StatusCode::NOT_FOUND);
+        };
         let size = object.bytes.len();
         let mut reply = empty(StatusCode::OK);
         match requested_range(request_headers, size) {
             None => *reply.body_mut() = Full::new(object.bytes.clone()),
             Some(range) if range.is_empty() => {
                 *reply.status_mut() = StatusCode::RANGE_NOT_SATISFIABLE;
-                insert(reply.headers_mut(), CONTENT_RANGE, &format!("bytes */{size}"));
+                insert(
+                    reply.headers_mut(),
+                    CONTENT_RANGE,
+                    &format!("bytes */{size}"),
+                );
                 return reply;
             }
             Some(range) => {
@@ -146,15 +189,36 @@
     fn create_upload(&mut self, path: String, headers: HeaderMap) -> Reply {
         self.uploads_created += 1;
         let id = self.uploads_created.to_string();
-        self.uploads.insert(id.clone(), Upload { path, headers, parts: BTreeMap::new() });
-        document("InitiateMultipartUploadResult", &format!("<UploadId>{id}</UploadId>"))
+        self.uploads.insert(
+            id.clone(),
+            Upload {
+                path,
+                headers,
+                parts: BTreeMap::new(),
+            },
+        );
+        document(
+            "InitiateMultipartUploadResult",
+            &format!("<UploadId>{id}</UploadId>"),
+        )
     }
 
-    fn answer_upload(&mut self, id: &str, method: &Method, part: Option<&str>, body: Bytes) -> Reply {
-        let Some(upload) = self.uploads.get_mut(id) else { return empty(StatusCode::NOT_FOUND) };
+    fn answer_upload(
+        &mut self,
+        id: &str,
+        method: &Method,
+        part: Option<&str>,
+        body: Bytes,
+    ) -> Reply {
+        let Some(upload) = self.uploads.get_mut(id) else {
+            return empty(StatusCode::NOT_FOUND);
+        };
         match *method {
             Method::PUT => {
-                upload.parts.insert(part.and_then(|number| number.parse().ok()).unwrap_or(1), body);
+                upload.parts.insert(
+                    part.and_then(|number| number.parse().ok()).unwrap_or(1),
+                    body,
+                );
                 let mut reply = empty(StatusCode::OK);
                 insert(reply.headers_mut(), ETAG, PART_TAG);
                 reply
@@ -169,27 +233,48 @@
     }
 
     fn complete_upload(&mut self, id: &str) -> Reply {
-        let Some(upload) = self.uploads.remove(id) else { return empty(StatusCode::NOT_FOUND) };
-        let bytes: Vec<u8> = upload.parts.values().flat_map(|part| part.to_vec()).collect();
+        let Some(upload) = self.uploads.remove(id) else {
+            return empty(StatusCode::NOT_FOUND);
+        };
+        let bytes: Vec<u8> = upload
+            .parts
+            .values()
+            .flat_map(|part| part.to_vec())
+            .collect();
         let stored = self.put(upload.path, upload.headers, bytes.into());
-        let tag = stored.headers().get(ETAG).and_then(|value| value.to_str().ok()).unwrap_or_default();
-        document("CompleteMultipartUploadResult", &format!("<ETag>{tag}</ETag>"))
+        let tag = stored
+            .headers()
+            .get(ETAG)
+            .and_then(|value| value.to_str().ok())
+            .unwrap_or_default();
+        document(
+            "CompleteMultipartUploadResult",
+            &format!("<ETag>{tag}</ETag>"),
+        )
     }
 }
 
-/// The bytes that a `Range` header selects, empty where they lie past the end; `None` without a header.
+/// The bytes that a `Range` header selects, empty where they lie past the end; `None` without a
+/// header.
 fn requested_range(headers: &HeaderMap, size: usize) -> Option<Range<usize>> {
     let header = headers.get(RANGE)?.to_str().ok()?;
     let (first, last) = header.strip_prefix("bytes=")?.split_once('-')?;
     let range = match first.parse::<usize>() {
-        Ok(first) => first..last.parse().map_or(size, |last: usize| last.saturating_add(1).min(size)),
+        Ok(first) => {
+            first
+                ..last
+                    .parse()
+                    .map_or(size, |last: usize| last.saturating_add(1).min(size))
+        }
         Err(_) => size.saturating_sub(last.parse().unwrap_or(0))..size,
     };
     Some(range)
 }
 
 fn entity_tag(bytes: &[u8]) -> String {
-    let hash = bytes.iter().fold(7u64, |hash, byte| hash.wrapping_mul(31) + u64::from(*byte));
+    let hash = bytes
+        .iter()
+        .fold(7u64, |hash, byte| hash.wrapping_mul(31) + u64::from(*byte));
     format!("\"{hash:x}-{}\"", bytes.len())
 }
 
--- a/src/bin/tulipbridge-adapter/instance.rs
+++ b/src/bin/tulipbridge-adapter/instance.rs
@@ -34,13 +34,17 @@
     pub fn start(index: i64, now: Nanos, row: &[Value]) -> Result<Instance, WireError> {
         let seed = seed(row.get(2))?;
         let site = row.get(3).filter(|value| value.is_object());
-        let site = site.ok_or(WireError::WrongKind { what: "'BootInfo'", expected: "an object" })?;
+        let site = site.ok_or(WireError::WrongKind {
+            what: "'BootInfo'",
+            expected: "an object",
+        })?;
         let classes = names(site, "Services")?;
         let plans = names(site, "Grades")?;
         let zones = array(site, "FailureDomains")?.iter();
         let zones = zones.map(|zone| Ok(string(Some(zone), "zone")?.to_owned()));
         let zones = zones.collect::<Result<_, WireError>>()?;
-        let scheduler = Scheduler::new(settings::read(site)?, seed, now).map_err(WireError::Settings)?;
+        let scheduler =
+            Scheduler::new(settings::read(site)?, seed, now).map_err(WireError::Settings)?;
         Ok(Instance {
             index,
             scheduler,
@@ -61,7 +65,9 @@
         row: &[Value],
         actions: &mut Vec<Value>,
     ) -> Result<(), WireError> {
-        let Some(event) = self.decode(kind, row)? else { return Ok(()) };
+        let Some(event) = self.decode(kind, row)? else {
+            return Ok(());
+        };
         let mut resulting = Vec::new();
         self.scheduler.handle(now, event, &mut resulting);
         for action in resulting {
@@ -70,7 +76,8 @@
         Ok(())
     }
 
-    /// Decodes an event; `None` where it concerns a request or node that is not known, or not the scheduler.
+    /// Decodes an event; `None` where it concerns a request or node that is not known, or not the
+    /// scheduler.
     fn decode(&mut self, kind: EventKind, row: &[Value]) -> Result<Option<Event>, WireError> {
         Ok(match kind {
             EventKind::Endpoints => Some(self.decode_endpoints(row)?),
@@ -101,29 +108,44 @@
         let no_entries = Vec::new();
         let entries = match row.get(4).filter(|value| !value.is_null()) {
             None => &no_entries,
-            Some(value) => value
-                .as_array()
-                .ok_or(WireError::WrongKind { what: "'MembersList'", expected: "an array" })?,
+            Some(value) => value.as_array().ok_or(WireError::WrongKind {
+                what: "'MembersList'",
+                expected: "an array",
+            })?,
         };
-        let nodes = entries.iter().map(|entry| self.decode_node(entry)).collect::<Result<_, _>>()?;
+        let nodes = entries
+            .iter()
+            .map(|entry| self.decode_node(entry))
+            .collect::<Result<_, _>>()?;
         Ok(Event::Endpoints { scope, nodes })
     }
 
     /// `[Target, zone, machine type, Cell, Health, weight, CameUp]`.
     fn decode_node(&mut self, entry: &Value) -> Result<NodeInfo, WireError> {
         let row = entry.as_array();
-        let row =
-            row.ok_or(WireError::WrongKind { what: "an entry of 'MembersList'", expected: "an array" })?;
+        let row = row.ok_or(WireError::WrongKind {
+            what: "an entry of 'MembersList'",
+            expected: "an array",
+        })?;
         let node = self.node_id(string(row.first(), "Target")?);
         let zone = row.get(1).and_then(Value::as_str);
         // Every unknown zone is the one after the last known zone.
-        let zone = self.zones.iter().position(|known| Some(known.as_str()) == zone);
+        let zone = self
+            .zones
+            .iter()
+            .position(|known| Some(known.as_str()) == zone);
         let zone = zone.unwrap_or(self.zones.len());
         let listed = vocabulary::listed(string(row.get(4), "Health")?)?;
         let cell = CellId::try_from(integer(row.get(3), "Cell")?);
         let cell = cell.map_err(|_| WireError::OutOfRange { key: "Cell" })?;
         let started_at = optional_int(row.get(6), "CameUp", 0)?;
-        Ok(NodeInfo { node, zone: zone as u32, cell, listed, started_at })
+        Ok(NodeInfo {
+            node,
+            zone: zone as u32,
+            cell,
+            listed,
+            started_at,
+        })
     }
 
     /// The id of a node, which it gets when it is first named.
@@ -137,7 +159,8 @@
         id
     }
 
-    /// `[event, instance, Ref, Grade, Contract, key, PatienceLeft, volume, Weight, LiesIn, SetSize]`.
+    /// `[event, instance, Ref, Grade, Contract, key, PatienceLeft, volume, Weight, LiesIn,
+    /// SetSize]`.
     fn decode_request(&mut self, row: &[Value]) -> Result<Request, WireError> {
         let name = string(row.get(2), "Ref")?;
         let class = index_of(&self.classes, string(row.get(3), "Grade")?, "Grade")?;
@@ -158,7 +181,8 @@
         Ok(request)
     }
 
-    /// `[event, instance, Ref, SendNo, Target, Disposition, Duration, last, SeenUse, ForeignUnits]`.
+    /// `[event, instance, Ref, SendNo, Target, Disposition, Duration, last, SeenUse,
+    /// ForeignUnits]`.
     fn decode_attempt_ended(&mut self, row: &[Value]) -> Result<Option<Event>, WireError> {
         let request = string(row.get(2), "Ref")?;
         let node = string(row.get(4), "Target")?;
@@ -190,7 +214,13 @@
         Some(match action {
             Action::Send { id, node, timeout } => {
                 self.requests.attempt_sent(id);
-                json!([action::SEND, index, self.requests.name(id), timeout, self.nodes.get(node)])
+                json!([
+                    action::SEND,
+                    index,
+                    self.requests.name(id),
+                    timeout,
+                    self.nodes.get(node)
+                ])
             }
             Action::Reject { id, retry_after } => {
                 let name = self.finish(id);
@@ -224,8 +254,13 @@
 /// A seed of 64 bits, which JSON may hold as a signed or an unsigned integer.
 fn seed(value: Option<&Value>) -> Result<u64, WireError> {
     let value = value.ok_or(WireError::Missing { key: "Nonce64" })?;
-    let seed = value.as_u64().or_else(|| value.as_i64().map(|seed| seed as u64));
-    seed.ok_or(WireError::WrongKind { what: "'Nonce64'", expected: "an integer" })
+    let seed = value
+        .as_u64()
+        .or_else(|| value.as_i64().map(|seed| seed as u64));
+    seed.ok_or(WireError::WrongKind {
+        what: "'Nonce64'",
+        expected: "an integer",
+    })
 }
 
 /// An integer, or a default where it is absent or null.
@@ -245,5 +280,8 @@
 
 fn index_of(names: &[String], name: &str, key: &'static str) -> Result<usize, WireError> {
     let index = names.iter().position(|known| known == name);
-    index.ok_or_else(|| WireError::NotInSettings { key, name: name.to_owned() })
+    index.ok_or_else(|| WireError::NotInSettings {
+        key,
+        name: name.to_owned(),
+    })
 }
--- a/src/bin/tulipbridge-adapter/main.rs
+++ b/src/bin/tulipbridge-adapter/main.rs
@@ -1,5 +1,5 @@
-//! Connects the decision module to a test bench: reads one batch of events a line on standard input, and writes one
-//! line with the resulting actions for each. No decision is made here.
+//! Connects the decision module to a test bench: reads one batch of events a line on standard
+//! input, and writes one line with the resulting actions for each. No decision is made here.
 
 mod error;
 mod instance;
@@ -36,7 +36,10 @@
         line.clear();
         number += 1;
         let length = input.read_until(b'\n', &mut line);
-        let length = length.map_err(|source| AdapterError::Read { line: number, source })?;
+        let length = length.map_err(|source| AdapterError::Read {
+            line: number,
+            source,
+        })?;
         if length == 0 {
             return Ok(());
         }
@@ -44,8 +47,13 @@
             continue;
         }
         let reply = session.process_batch(&mut line);
-        let reply = reply.map_err(|source| AdapterError::Line { line: number, source })?;
-        let written = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
+        let reply = reply.map_err(|source| AdapterError::Line {
+            line: number,
+            source,
+        })?;
+        let written = output
+            .write_all(reply.as_bytes())
+            .and_then(|()| output.flush());
         written.map_err(AdapterError::Write)?;
     }
 }
--- a/src/bin/tulipbridge-adapter/request_registry.rs
+++ b/src/bin/tulipbridge-adapter/request_registry.rs
@@ -30,7 +30,11 @@
         let id = self.next_id;
         self.next_id += 1;
         self.ids.insert(name.to_owned(), id);
-        let request = ActiveRequest { name: name.to_owned(), attempts_in_flight: 0, finished: false };
+        let request = ActiveRequest {
+            name: name.to_owned(),
+            attempts_in_flight: 0,
+            finished: false,
+        };
         self.requests.insert(id, request);
     }
 
@@ -69,7 +73,8 @@
     }
 
     fn remove_if_inactive(&mut self, id: RequestId) {
-        let is_inactive = |request: &ActiveRequest| request.finished && request.attempts_in_flight == 0;
+        let is_inactive =
+            |request: &ActiveRequest| request.finished && request.attempts_in_flight == 0;
         if !self.requests.get(&id).is_some_and(is_inactive) {
             return;
         }
--- a/src/bin/tulipbridge-adapter/session.rs
+++ b/src/bin/tulipbridge-adapter/session.rs
@@ -22,18 +22,29 @@
     pub fn process_batch(&mut self, line: &mut [u8]) -> Result<String, WireError> {
         let value: Value = simd_json::to_owned_value(line).map_err(WireError::Syntax)?;
         let batch = value.as_object();
-        let batch = batch.ok_or(WireError::WrongKind { what: "a batch", expected: "an object" })?;
+        let batch = batch.ok_or(WireError::WrongKind {
+            what: "a batch",
+            expected: "an object",
+        })?;
         let now = integer(batch.get("Moment"), "Moment")?;
         let events = batch.get("events").and_then(Value::as_array);
-        let events = events.ok_or(WireError::WrongKind { what: "'events'", expected: "an array" })?;
+        let events = events.ok_or(WireError::WrongKind {
+            what: "'events'",
+            expected: "an array",
+        })?;
         let mut actions = Vec::new();
         for event in events {
             let row = event.as_array();
-            let row = row.ok_or(WireError::WrongKind { what: "an event", expected: "an array" })?;
+            let row = row.ok_or(WireError::WrongKind {
+                what: "an event",
+                expected: "an array",
+            })?;
             let name = string(row.first(), "event name")?;
             let processed = self.process_event(now, name, row, &mut actions);
-            processed
-                .map_err(|source| WireError::Event { name: name.to_owned(), source: Box::new(source) })?;
+            processed.map_err(|source| WireError::Event {
+                name: name.to_owned(),
+                source: Box::new(source),
+            })?;
         }
         Ok(format!("{}\n", json!({ "do": actions }).encode()))
     }
@@ -49,10 +60,14 @@
         let index = integer(row.get(1), "instance")?;
         let kind = event_kind(name);
         if kind == Some(EventKind::Start) {
-            self.instances.insert(index, Instance::start(index, now, row)?);
+            self.instances
+                .insert(index, Instance::start(index, now, row)?);
             return Ok(());
         }
-        let instance = self.instances.get_mut(&index).ok_or(WireError::UnknownInstance { index })?;
+        let instance = self
+            .instances
+            .get_mut(&index)
+            .ok_or(WireError::UnknownInstance { index })?;
         match kind {
             Some(EventKind::Halt) => {
                 self.instances.remove(&index);
--- a/src/bin/tulipbridge-adapter/vocabulary.rs
+++ b/src/bin/tulipbridge-adapter/vocabulary.rs
@@ -95,5 +95,8 @@
 }
 
 fn unknown(key: &'static str, word: &str) -> WireError {
-    WireError::UnknownWord { key, word: word.to_owned() }
+    WireError::UnknownWord {
+        key,
+        word: word.to_owned(),
+    }
 }
--- a/src/body_budget.rs
+++ b/src/body_budget.rs
@@ -12,7 +12,10 @@
 impl BodyBudget {
     /// A budget of `max_bytes` bytes.
     pub fn new(max_bytes: usize) -> Arc<BodyBudget> {
-        Arc::new(BodyBudget { max_bytes, reserved_bytes: AtomicUsize::new(0) })
+        Arc::new(BodyBudget {
+            max_bytes,
+            reserved_bytes: AtomicUsize::new(0),
+        })
     }
 }
 
@@ -21,8 +24,8 @@
 #[error("the memory for request bodies is in use")]
 pub struct BodyBudgetExhausted;
 
-/// The bytes of one body, reserved in a [`BodyBudget`] until this is dropped. A front keeps it with the payload that
-/// it sends.
+/// The bytes of one body, reserved in a [`BodyBudget`] until this is dropped. A front keeps it with
+/// the payload that it sends.
 pub struct BodyReservation {
     budget: Arc<BodyBudget>,
     bytes: usize,
@@ -33,8 +36,14 @@
     ///
     /// # Errors
     /// [`BodyBudgetExhausted`] where the other bodies leave too little.
-    pub fn acquire(budget: &Arc<BodyBudget>, bytes: usize) -> Result<BodyReservation, BodyBudgetExhausted> {
-        let mut reservation = BodyReservation { budget: Arc::clone(budget), bytes: 0 };
+    pub fn acquire(
+        budget: &Arc<BodyBudget>,
+        bytes: usize,
+    ) -> Result<BodyReservation, BodyBudgetExhausted> {
+        let mut reservation = BodyReservation {
+            budget: Arc::clone(budget),
+            bytes: 0,
+        };
         reservation.grow(bytes)?;
         Ok(reservation)
     }
@@ -45,7 +54,11 @@
     /// [`BodyBudgetExhausted`] where the other bodies leave too little.
     pub fn grow(&mut self, bytes: usize) -> Result<(), BodyBudgetExhausted> {
         let additional = bytes.saturating_sub(self.bytes);
-        let reserved = self.budget.reserved_bytes.fetch_add(additional, Ordering::Relaxed) + additional;
+        let reserved = self
+            .budget
+            .reserved_bytes
+            .fetch_add(additional, Ordering::Relaxed)
+            + additional;
         self.bytes += additional;
         // A single body always fits, so that no long request is rejected for ever.
         if reserved > self.budget.max_bytes && reserved > self.bytes {
@@ -57,6 +70,8 @@
 
 impl Drop for BodyReservation {
     fn drop(&mut self) {
-        self.budget.reserved_bytes.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.budget
+            .reserved_bytes
+            .fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
--- a/src/cli/agent.rs
+++ b/src/cli/agent.rs
@@ -21,12 +21,18 @@
 
 /// Shows the status of all fronts of an agent.
 pub async fn show_status(agent: SocketAddr) -> Result<(), CliError> {
-    println!("{:<24} {:<9} {:>8} {:>7} {:>8}", "NAME", "STATE", "PID", "STARTS", "CRASHES");
+    println!(
+        "{:<24} {:<9} {:>8} {:>7} {:>8}",
+        "NAME", "STATE", "PID", "STARTS", "CRASHES"
+    );
     for front in fetch_fronts(agent).await? {
         let name = string(front.get("name"), "name")?;
         let state = string(front.get("state"), "state")?;
-        let (pid, starts, crashes) =
-            (format_count(&front, "pid"), format_count(&front, "starts"), format_count(&front, "crashes"));
+        let (pid, starts, crashes) = (
+            format_count(&front, "pid"),
+            format_count(&front, "starts"),
+            format_count(&front, "crashes"),
+        );
         println!("{name:<24} {state:<9} {pid:>8} {starts:>7} {crashes:>8}");
     }
     Ok(())
@@ -42,8 +48,8 @@
     run_command(agent, &name, FrontCommand::Resume).await
 }
 
-/// Restarts fronts one after another, each once the one before is ready. Without names these are all fronts that are
-/// not drained.
+/// Restarts fronts one after another, each once the one before is ready. Without names these are
+/// all fronts that are not drained.
 pub async fn restart(agent: SocketAddr, mut names: Vec<String>) -> Result<(), CliError> {
     if names.is_empty() {
         for front in fetch_fronts(agent).await? {
@@ -58,12 +64,19 @@
     Ok(())
 }
 
-/// Has the agent change the desired state of a front, and waits until the front is in the phase that results.
+/// Has the agent change the desired state of a front, and waits until the front is in the phase
+/// that results.
 async fn run_command(agent: SocketAddr, name: &str, command: FrontCommand) -> Result<(), CliError> {
     let phase = command.resulting_phase().name();
     let before = find(fetch_fronts(agent).await?, name);
     let before = before.ok_or_else(|| CliError::NoSuchFront(name.to_owned()))?;
-    fetch(Service::Agent, agent, Method::POST, &format!("/fronts/{name}/{}", command.name())).await?;
+    fetch(
+        Service::Agent,
+        agent,
+        Method::POST,
+        &format!("/fronts/{name}/{}", command.name()),
+    )
+    .await?;
     let started = Instant::now();
     while started.elapsed() < PHASE_TIMEOUT {
         let front = find(fetch_fronts(agent).await?, name);
@@ -76,7 +89,11 @@
         }
         sleep(POLL_INTERVAL).await;
     }
-    Err(CliError::NotInPhase { name: name.to_owned(), phase, seconds: PHASE_TIMEOUT.as_secs() })
+    Err(CliError::NotInPhase {
+        name: name.to_owned(),
+        phase,
+        seconds: PHASE_TIMEOUT.as_secs(),
+    })
 }
 
 async fn fetch_fronts(agent: SocketAddr) -> Result<Vec<Value>, CliError> {
@@ -86,7 +103,9 @@
 }
 
 fn find(fronts: Vec<Value>, name: &str) -> Option<Value> {
-    fronts.into_iter().find(|front| front.get("name").and_then(Value::as_str) == Some(name))
+    fronts
+        .into_iter()
+        .find(|front| front.get("name").and_then(Value::as_str) == Some(name))
 }
 
 fn starts(front: &Value) -> Option<u64> {
@@ -95,5 +114,8 @@
 
 /// The count under `key` as text; a dash where there is none.
 fn format_count(front: &Value, key: &str) -> String {
-    front.get(key).and_then(Value::as_u64).map_or("-".to_owned(), |count| count.to_string())
+    front
+        .get(key)
+        .and_then(Value::as_u64)
+        .map_or("-".to_owned(), |count| count.to_string())
 }
--- a/src/cli/arguments.rs
+++ b/src/cli/arguments.rs
@@ -1,12 +1,13 @@
-//! The arguments of the command line. The doc comments of commands and arguments are the program's help texts.
+//! The arguments of the command line. The doc comments of commands and arguments are the program's
+//! help texts.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 
-/// Runs storage fronts. Without a command: one front of the platform, as BALANCER_CONFIG and its companions
-/// tell.
+/// Runs storage fronts. Without a command: one front of the platform, as BALANCER_CONFIG and its
+/// companions tell.
 #[derive(Parser)]
 #[command(name = "tulipbridge", version)]
 pub struct Arguments {
@@ -50,7 +51,8 @@
         #[arg(short, long, default_value = "table")]
         output: OutputFormat,
     },
-    /// Shows which chunk servers a front holds out with its peers, and which it may come to hold out.
+    /// Shows which chunk servers a front holds out with its peers, and which it may come to hold
+    /// out.
     #[command(name = "verdicts")]
     Ejections {
         /// The front's console.
@@ -60,7 +62,8 @@
         #[arg(short, long, default_value = "table")]
         output: OutputFormat,
     },
-    /// Explains how a chunk server stands: who saw what and when, why it is out, when that lapses, who tries next.
+    /// Explains how a chunk server stands: who saw what and when, why it is out, when that lapses,
+    /// who tries next.
     Explain {
         /// Its name, as discovery has it.
         server: String,
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -13,7 +13,10 @@
 
 /// The longest time for each step of a call.
 const STEP_TIMEOUT: Duration = Duration::from_secs(5);
-const CALL_TIMEOUTS: CallTimeouts = CallTimeouts { connect: STEP_TIMEOUT, response: STEP_TIMEOUT };
+const CALL_TIMEOUTS: CallTimeouts = CallTimeouts {
+    connect: STEP_TIMEOUT,
+    response: STEP_TIMEOUT,
+};
 
 /// The body of the response to a call.
 pub async fn fetch(
@@ -23,12 +26,20 @@
     path: &str,
 ) -> Result<Vec<u8>, CliError> {
     let response = call(address, method, path, String::new(), CALL_TIMEOUTS).await;
-    let response = response.map_err(|source| CliError::NoResponse { service, address, source })?;
+    let response = response.map_err(|source| CliError::NoResponse {
+        service,
+        address,
+        source,
+    })?;
     let status = response.status;
     let body = response.read_all(STEP_TIMEOUT).await?;
     match (service, status) {
         (_, StatusCode::OK) | (Service::Agent, StatusCode::ACCEPTED) => Ok(body),
-        _ => Err(CliError::Rejected { service, address, message: message(service, &body) }),
+        _ => Err(CliError::Rejected {
+            service,
+            address,
+            message: message(service, &body),
+        }),
     }
 }
 
@@ -44,10 +55,12 @@
 
 /// Parses the body of a response.
 pub fn parse(service: Service, mut body: Vec<u8>) -> Result<Value, CliError> {
-    simd_json::to_owned_value(&mut body).map_err(|source| CliError::InvalidResponse { service, source })
+    simd_json::to_owned_value(&mut body)
+        .map_err(|source| CliError::InvalidResponse { service, source })
 }
 
-/// What a front's console returns for `path`. For JSON output it is printed as it is, and `None` returned.
+/// What a front's console returns for `path`. For JSON output it is printed as it is, and `None`
+/// returned.
 pub async fn fetch_from_console(
     console: SocketAddr,
     path: &str,
@@ -64,5 +77,7 @@
 /// The milliseconds under `key` as text in seconds; a dash where there are none.
 pub fn format_seconds(value: &Value, key: &str) -> String {
     let milliseconds = value.get(key).and_then(Value::as_i64);
-    milliseconds.map_or("-".to_owned(), |milliseconds| format!("{:.1} s", milliseconds as f64 / 1e3))
+    milliseconds.map_or("-".to_owned(), |milliseconds| {
+        format!("{:.1} s", milliseconds as f64 / 1e3)
+    })
 }
--- a/src/cli/ejections.rs
+++ b/src/cli/ejections.rs
@@ -1,4 +1,5 @@
-//! The commands `verdicts` and `explain`: the ejections of chunk servers that a front shares with its peers.
+//! The commands `verdicts` and `explain`: the ejections of chunk servers that a front shares with
+//! its peers.
 
 use std::net::SocketAddr;
 
@@ -13,7 +14,9 @@
 
 /// Shows all ejections known to a front; those that are not yet effective are in brackets.
 pub async fn show(console: SocketAddr, output: OutputFormat) -> Result<(), CliError> {
-    let Some(status) = fetch_from_console(console, "/status/verdicts", output).await? else { return Ok(()) };
+    let Some(status) = fetch_from_console(console, "/status/verdicts", output).await? else {
+        return Ok(());
+    };
     println!(
         "{:<20} {:<22} {:>9} {:>9} {:>8}  TRIES",
         "SERVER", "HELD OUT FOR", "SINCE", "LAPSES IN", "ASSENTS"
@@ -29,7 +32,9 @@
         count(&status, "needed")
     );
     if status.get("suspect").and_then(Value::as_bool) == Some(true) {
-        println!("what it sees contradicts its peers, and counts for nothing: look at its own network");
+        println!(
+            "what it sees contradicts its peers, and counts for nothing: look at its own network"
+        );
     }
     Ok(())
 }
@@ -48,10 +53,20 @@
     Ok(())
 }
 
-/// Explains the state of one chunk server: its ejections with their votes, and what each front observes.
-pub async fn explain(server: String, console: SocketAddr, output: OutputFormat) -> Result<(), CliError> {
-    let path = format!("/status/verdicts/{}", utf8_percent_encode(&server, NON_ALPHANUMERIC));
-    let Some(status) = fetch_from_console(console, &path, output).await? else { return Ok(()) };
+/// Explains the state of one chunk server: its ejections with their votes, and what each front
+/// observes.
+pub async fn explain(
+    server: String,
+    console: SocketAddr,
+    output: OutputFormat,
+) -> Result<(), CliError> {
+    let path = format!(
+        "/status/verdicts/{}",
+        utf8_percent_encode(&server, NON_ALPHANUMERIC)
+    );
+    let Some(status) = fetch_from_console(console, &path, output).await? else {
+        return Ok(());
+    };
     let ejections = array(&status, "verdicts")?;
     if !ejections.iter().any(is_effective) {
         println!("{server} is not held out");
@@ -59,7 +74,10 @@
     for ejection in ejections {
         print_explanation(&server, ejection, count(&status, "needed"))?;
     }
-    println!("{:<20} {:>9} {:>6} {:>9}  WHAT EACH FRONT SAW", "FRONT", "ATTEMPTS", "BAD", "TOLD");
+    println!(
+        "{:<20} {:>9} {:>6} {:>9}  WHAT EACH FRONT SAW",
+        "FRONT", "ATTEMPTS", "BAD", "TOLD"
+    );
     for observation in array(&status, "saw").into_iter().flatten() {
         print_observation(observation)?;
     }
@@ -69,11 +87,24 @@
 /// Explains an ejection, effective or proposed, for which `needed` votes are required.
 fn print_explanation(server: &str, ejection: &Value, needed: u64) -> Result<(), JsonError> {
     let scope = string(ejection.get("scope"), "scope")?;
-    let votes: Vec<String> = array(ejection, "assents")?.iter().filter_map(describe_vote).collect();
-    let votes = if votes.is_empty() { "none".to_owned() } else { votes.join(", ") };
+    let votes: Vec<String> = array(ejection, "assents")?
+        .iter()
+        .filter_map(describe_vote)
+        .collect();
+    let votes = if votes.is_empty() {
+        "none".to_owned()
+    } else {
+        votes.join(", ")
+    };
     if is_effective(ejection) {
-        println!("{server} has been held out for {scope} for {}", format_seconds(ejection, "out_ms"));
-        println!("  it lapses in {} unless it is renewed", format_seconds(ejection, "lapses_ms"));
+        println!(
+            "{server} has been held out for {scope} for {}",
+            format_seconds(ejection, "out_ms")
+        );
+        println!(
+            "  it lapses in {} unless it is renewed",
+            format_seconds(ejection, "lapses_ms")
+        );
         let prober = ejection.get("tries").and_then(Value::as_str);
         println!("  {} tries it now", prober.unwrap_or("nobody"));
     } else {
@@ -90,9 +121,18 @@
 
 /// Prints what one front observes of a chunk server.
 fn print_observation(observation: &Value) -> Result<(), JsonError> {
-    let number = |key: &str| observation.get(key).and_then(Value::cast_f64).unwrap_or(0.0);
+    let number = |key: &str| {
+        observation
+            .get(key)
+            .and_then(Value::cast_f64)
+            .unwrap_or(0.0)
+    };
     let counts = observation.get("counts").and_then(Value::as_bool) != Some(false);
-    let remark = if counts { "" } else { "contradicts the others, and does not count" };
+    let remark = if counts {
+        ""
+    } else {
+        "contradicts the others, and does not count"
+    };
     let front = string(observation.get("front"), "front")?;
     let (attempts, bad) = (number("attempts"), number("bad"));
     let age = format_seconds(observation, "age_ms");
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -39,15 +39,24 @@
     match command {
         None => Ok(front::run(Config::from_env()?)?),
         Some(Command::Object { file }) => Ok(object::run(&file)?),
-        Some(Command::Agent { source, prefix, control }) => {
-            Ok(control::agent::run(declaration_source(source, prefix)?, control)?)
-        }
+        Some(Command::Agent {
+            source,
+            prefix,
+            control,
+        }) => Ok(control::agent::run(
+            declaration_source(source, prefix)?,
+            control,
+        )?),
         Some(Command::Status(api)) => on_one_thread(show_status(api.agent)),
         Some(Command::Peers { console, output }) => on_one_thread(peers::show(console, output)),
-        Some(Command::Ejections { console, output }) => on_one_thread(ejections::show(console, output)),
-        Some(Command::Explain { server, console, output }) => {
-            on_one_thread(ejections::explain(server, console, output))
+        Some(Command::Ejections { console, output }) => {
+            on_one_thread(ejections::show(console, output))
         }
+        Some(Command::Explain {
+            server,
+            console,
+            output,
+        }) => on_one_thread(ejections::explain(server, console, output)),
         Some(Command::Drain { name, api }) => on_one_thread(drain(api.agent, name)),
         Some(Command::Resume { name, api }) => on_one_thread(resume(api.agent, name)),
         Some(Command::Restart { names, api }) => on_one_thread(restart(api.agent, names)),
--- a/src/cli/peers.rs
+++ b/src/cli/peers.rs
@@ -12,7 +12,9 @@
 
 /// Shows a front's view of its peers, and which shares of the limits it has.
 pub async fn show(console: SocketAddr, output: OutputFormat) -> Result<(), CliError> {
-    let Some(status) = fetch_from_console(console, "/status/peers", output).await? else { return Ok(()) };
+    let Some(status) = fetch_from_console(console, "/status/peers", output).await? else {
+        return Ok(());
+    };
     println!(
         "{:<20} {:<8} {:<8} {:>10} {:>7} {:>9}  EVIDENCE",
         "PEER", "VERSION", "BELIEF", "SILENT", "LENT", "BORROWED"
@@ -43,7 +45,10 @@
 /// On what the front bases its view of a peer.
 fn evidence(peer: &Value) -> Result<Vec<String>, JsonError> {
     let mut evidence = Vec::new();
-    let heard_by: Vec<&str> = array(peer, "heard_by")?.iter().filter_map(Value::as_str).collect();
+    let heard_by: Vec<&str> = array(peer, "heard_by")?
+        .iter()
+        .filter_map(Value::as_str)
+        .collect();
     if !heard_by.is_empty() {
         evidence.push(format!("heard by {}", heard_by.join(", ")));
     }
@@ -55,9 +60,15 @@
 
 /// The leases that the front issues, and its shares of the limits.
 fn print_limits(status: &Value) -> Result<(), JsonError> {
-    let issued: Vec<&str> = array(status, "banks")?.iter().filter_map(Value::as_str).collect();
+    let issued: Vec<&str> = array(status, "banks")?
+        .iter()
+        .filter_map(Value::as_str)
+        .collect();
     let name = string(status.get("name"), "name")?;
-    println!("this front: {name}, holds the banks of: {}", issued.join(", "));
+    println!(
+        "this front: {name}, holds the banks of: {}",
+        issued.join(", ")
+    );
     // Fronts of earlier versions do not report limits.
     for limit in array(status, "limits").into_iter().flatten() {
         let share = fraction(limit, "part");
@@ -74,7 +85,9 @@
         println!("it has just started, and uses nothing of its own yet");
     }
     if is("other_roster") {
-        println!("other fronts run with another roster of its revision, and it uses no shared limit");
+        println!(
+            "other fronts run with another roster of its revision, and it uses no shared limit"
+        );
     } else if is("standing_back") {
         println!("another process has its name, and it uses no shared limit");
     }
--- a/src/cluster/clock.rs
+++ b/src/cluster/clock.rs
@@ -8,10 +8,11 @@
 
 /// Nanoseconds since the machine started.
 ///
-/// The clock is monotonic and, unlike `CLOCK_MONOTONIC`, also advances while the machine is suspended. A front that was
-/// stopped or suspended therefore sees that its leases have expired.
+/// The clock is monotonic and, unlike `CLOCK_MONOTONIC`, also advances while the machine is
+/// suspended. A front that was stopped or suspended therefore sees that its leases have expired.
 pub(super) fn now() -> Nanos {
-    clock_gettime(ClockId::CLOCK_BOOTTIME).map_or(0, |time| time.tv_sec() * NANOS_PER_SECOND + time.tv_nsec())
+    clock_gettime(ClockId::CLOCK_BOOTTIME)
+        .map_or(0, |time| time.tv_sec() * NANOS_PER_SECOND + time.tv_nsec())
 }
 
 /// A span in whole milliseconds, rounded towards zero.
--- a/src/cluster/config.rs
+++ b/src/cluster/config.rs
@@ -67,7 +67,10 @@
         if limits_config.revision == 0 {
             return Err(ClusterConfigError::RevisionZero);
         }
-        let ejections = value.get("verdicts").map(EjectionConfig::read).transpose()?;
+        let ejections = value
+            .get("verdicts")
+            .map(EjectionConfig::read)
+            .transpose()?;
         limits_config.roster = roster_digest(&limits_config, &roster, ejections);
         limits_config.check().map_err(ClusterConfigError::Limits)?;
         Ok(ClusterConfig {
@@ -88,7 +91,9 @@
     pub(super) fn detector_config(&self) -> Result<Option<DetectorConfig>, DetectorConfigError> {
         let LimitsConfig { me, fronts, .. } = self.limits_config;
         let zone = self.roster.zone(me);
-        self.ejections.map(|ejections| ejections.detector_config(me, fronts, zone)).transpose()
+        self.ejections
+            .map(|ejections| ejections.detector_config(me, fronts, zone))
+            .transpose()
     }
 }
 
@@ -100,7 +105,9 @@
 ) -> Result<LimitsConfig, ClusterConfigError> {
     let me = roster.position(front_name);
     let me = me.ok_or_else(|| ClusterConfigError::NotInRoster(front_name.to_owned()))?;
-    let fronts = PeerId::try_from(roster.members().len()).ok().filter(|fronts| *fronts <= MAX_FRONTS);
+    let fronts = PeerId::try_from(roster.members().len())
+        .ok()
+        .filter(|fronts| *fronts <= MAX_FRONTS);
     let fronts = fronts.ok_or(ClusterConfigError::TooManyFronts)?;
     let mut config = LimitsConfig::new(me as PeerId, fronts, 0);
     config.revision = number_or(value, "revision", 1.0)? as u32;
@@ -112,7 +119,8 @@
     Ok(config)
 }
 
-/// The number under a key of `peers`, which must not be negative, or a default where there is no such key.
+/// The number under a key of `peers`, which must not be negative, or a default where there is no
+/// such key.
 fn number_or(value: &Value, key: &str, default: f64) -> Result<f64, FieldError> {
     if value.get(key).is_none() {
         return Ok(default);
@@ -121,7 +129,8 @@
     number.ok_or_else(|| FieldError::Negative(format!("peers.{key}")))
 }
 
-/// The number of milliseconds under a key of `peers` as nanoseconds, or a default where there is no such key.
+/// The number of milliseconds under a key of `peers` as nanoseconds, or a default where there is no
+/// such key.
 fn millis_or(value: &Value, key: &str, default: Nanos) -> Result<Nanos, FieldError> {
     let millis = number_or(value, key, default as f64 / NANOS_PER_MILLISECOND)?;
     Ok((millis * NANOS_PER_MILLISECOND) as Nanos)
@@ -129,12 +138,22 @@
 
 /// Digest of all that fronts must agree on before they grant each other leases.
 ///
-/// Fronts of different versions compare this digest, so the digested text is part of the protocol and must not change.
-/// It has the outlier detection's settings and the zones in it only where ejections are shared.
+/// Fronts of different versions compare this digest, so the digested text is part of the protocol
+/// and must not change. It has the outlier detection's settings and the zones in it only where
+/// ejections are shared.
 fn roster_digest(limits: &LimitsConfig, roster: &Roster, ejections: Option<EjectionConfig>) -> u64 {
-    let mut text =
-        format!("{}|{}|{}|{:?}", limits.revision, limits.lease_duration, limits.floor, roster.names());
-    if let Some(EjectionConfig { max_ejected_fraction, witnesses }) = ejections {
+    let mut text = format!(
+        "{}|{}|{}|{:?}",
+        limits.revision,
+        limits.lease_duration,
+        limits.floor,
+        roster.names()
+    );
+    if let Some(EjectionConfig {
+        max_ejected_fraction,
+        witnesses,
+    }) = ejections
+    {
         let zones = roster.zones();
         let zone_of_each: Vec<_> = roster.members().iter().map(|member| member.zone).collect();
         text += &format!(
--- a/src/cluster/ejections/config.rs
+++ b/src/cluster/ejections/config.rs
@@ -37,7 +37,10 @@
             None => defaults.witnesses,
             Some(_) => read_witnesses(value, "witnesses")?,
         };
-        Ok(EjectionConfig { max_ejected_fraction, witnesses })
+        Ok(EjectionConfig {
+            max_ejected_fraction,
+            witnesses,
+        })
     }
 
     /// The configuration of the outlier detector of the front `me` among `fronts` fronts.
@@ -66,8 +69,10 @@
 }
 
 fn read_witnesses(value: &Value, key: &str) -> Result<usize, FieldError> {
-    let is_valid = |number: &f64| (MIN_WITNESSES..=MAX_WITNESSES).contains(number) && number.fract() == 0.0;
+    let is_valid =
+        |number: &f64| (MIN_WITNESSES..=MAX_WITNESSES).contains(number) && number.fract() == 0.0;
     let witnesses = fields::number(value, key).filter(is_valid);
-    let witnesses = witnesses.ok_or_else(|| FieldError::CountTooSmall(format!("peers.verdicts.{key}")))?;
+    let witnesses =
+        witnesses.ok_or_else(|| FieldError::CountTooSmall(format!("peers.verdicts.{key}")))?;
     Ok(witnesses as usize)
 }
--- a/src/cluster/ejections/metrics.rs
+++ b/src/cluster/ejections/metrics.rs
@@ -16,10 +16,15 @@
     /// Registers all metrics with the value 0.
     pub fn new(registry: &Metrics) -> EjectionMetrics {
         let gauge = |name: &str, help: &str| IntGauge::new(name, help).expect("the name is valid");
-        let probes =
-            IntCounter::new("app_verdict_trials", "Times that it was this front's turn to try a server");
+        let probes = IntCounter::new(
+            "app_verdict_trials",
+            "Times that it was this front's turn to try a server",
+        );
         let metrics = EjectionMetrics {
-            ejected: gauge("app_verdicts_out", "Chunk servers that this front holds out with its peers"),
+            ejected: gauge(
+                "app_verdicts_out",
+                "Chunk servers that this front holds out with its peers",
+            ),
             suspect: gauge(
                 "app_verdict_suspect",
                 "1 while this front's view contradicts that of its peers, and counts for nothing",
--- a/src/cluster/ejections/mod.rs
+++ b/src/cluster/ejections/mod.rs
@@ -1,8 +1,9 @@
 //! Outlier ejection of chunk servers, decided together with the peers.
 //!
-//! [`Ejections`] connects the state machine [`OutlierDetector`] to the front: it turns inputs of the request tracker
-//! into observations of servers, and the detector's effects into gossip entries and updates for the decision module.
-//! It is only used where the configuration file has `peers.verdicts`.
+//! [`Ejections`] connects the state machine [`OutlierDetector`] to the front: it turns inputs of
+//! the request tracker into observations of servers, and the detector's effects into gossip entries
+//! and updates for the decision module. It is only used where the configuration file has
+//! `peers.verdicts`.
 
 mod config;
 mod metrics;
@@ -11,11 +12,13 @@
 use std::collections::BTreeMap;
 
 use tulipbridge_core::request_tracker::Input;
-use tulipbridge_core::{ClassSet, FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, UpdateScope};
+use tulipbridge_core::{
+    ClassSet, FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, UpdateScope,
+};
 use tulipbridge_membership::{EntryKey, EnvelopeCodec, GossipStore};
 use tulipbridge_outlier_detection::{
-    AttemptObserver, AttemptResult, Class, DetectorConfig, DetectorConfigError, Effect, EjectionTarget,
-    Event, OutlierDetector, SampleQuality, Scope, Server,
+    AttemptObserver, AttemptResult, Class, DetectorConfig, DetectorConfigError, Effect,
+    EjectionTarget, Event, OutlierDetector, SampleQuality, Scope, Server,
 };
 
 pub use self::config::EjectionConfig;
@@ -26,7 +29,8 @@
 
 /// A node of the decision module, as the endpoint list has it.
 struct ListedServer {
-    /// Digest of the name and of the start time: a restarted server is another server to the detector.
+    /// Digest of the name and of the start time: a restarted server is another server to the
+    /// detector.
     server: Server,
     name: String,
     is_up: bool,
@@ -67,7 +71,10 @@
     ///
     /// # Errors
     /// An invalid configuration.
-    pub fn new(config: DetectorConfig, metrics: EjectionMetrics) -> Result<Ejections, DetectorConfigError> {
+    pub fn new(
+        config: DetectorConfig,
+        metrics: EjectionMetrics,
+    ) -> Result<Ejections, DetectorConfigError> {
         Ok(Ejections {
             detector: OutlierDetector::new(config)?,
             observer: AttemptObserver::default(),
@@ -79,7 +86,8 @@
         })
     }
 
-    /// Starts the detector anew with another configuration. The endpoint list stays, all evidence is dropped.
+    /// Starts the detector anew with another configuration. The endpoint list stays, all evidence
+    /// is dropped.
     ///
     /// # Errors
     /// An invalid configuration; then nothing changes.
@@ -94,8 +102,9 @@
         self.detector.config()
     }
 
-    /// Observes an input before the request tracker processes it. Returns whether an evaluation should follow soon: an
-    /// attempt has failed, a probe has ended or, at a timer, which fires often, an attempt is overdue.
+    /// Observes an input before the request tracker processes it. Returns whether an evaluation
+    /// should follow soon: an attempt has failed, a probe has ended or, at a timer, which fires
+    /// often, an attempt is overdue.
     pub fn observe_input(&mut self, now: Nanos, input: &Input) -> bool {
         self.observer.step(now);
         if let Input::Timer(_) = input {
@@ -111,7 +120,8 @@
         needs_evaluation
     }
 
-    /// Whether the detector waits for observations of other fronts, so that the next evaluation should follow soon.
+    /// Whether the detector waits for observations of other fronts, so that the next evaluation
+    /// should follow soon.
     pub fn is_waiting(&self, now: Nanos) -> bool {
         self.detector.is_waiting(now)
     }
@@ -127,7 +137,8 @@
             return;
         }
         if scope != UpdateScope::Update {
-            self.nodes.retain(|node, _| infos.iter().any(|info| info.node == *node));
+            self.nodes
+                .retain(|node, _| infos.iter().any(|info| info.node == *node));
         }
         for info in infos {
             if info.listed == Listed::Removed {
@@ -136,7 +147,14 @@
             }
             let name = name_of(info.node);
             let server = EnvelopeCodec::digest(&format!("{name}|{}", info.started_at));
-            self.nodes.insert(info.node, ListedServer { server, name, is_up: info.listed == Listed::Up });
+            self.nodes.insert(
+                info.node,
+                ListedServer {
+                    server,
+                    name,
+                    is_up: info.listed == Listed::Up,
+                },
+            );
         }
         self.list_changed = true;
     }
@@ -151,14 +169,25 @@
         idempotent: bool,
     ) {
         if let (Some(listed), Ok(class)) = (self.nodes.get(&node), Class::try_from(class)) {
-            self.observer.attempt_sent(now, (key.request, key.attempt), listed.server, class, idempotent);
+            self.observer.attempt_sent(
+                now,
+                (key.request, key.attempt),
+                listed.server,
+                class,
+                idempotent,
+            );
         }
     }
 
     /// The observation of an attempt's server in an input, if any.
     fn attempt_event(&mut self, now: Nanos, input: &Input) -> Option<Event> {
         let (attempt, result) = match input {
-            Input::AttemptEnded { id, attempt, outcome, .. } => ((*id, *attempt), attempt_result(*outcome)),
+            Input::AttemptEnded {
+                id,
+                attempt,
+                outcome,
+                ..
+            } => ((*id, *attempt), attempt_result(*outcome)),
             Input::AttemptTimedOut { id, attempt } | Input::AttemptCancelled { id, attempt } => {
                 ((*id, *attempt), AttemptResult::Cancelled)
             }
@@ -167,9 +196,14 @@
         self.observer.attempt_ended(now, attempt, result)
     }
 
-    /// Has the detector evaluate all observations, this front's and those in `gossip`. `module_now` is the present time
-    /// by the decision module's clock.
-    pub fn evaluate(&mut self, now: Nanos, module_now: Nanos, gossip: &GossipStore) -> EjectionChanges {
+    /// Has the detector evaluate all observations, this front's and those in `gossip`. `module_now`
+    /// is the present time by the decision module's clock.
+    pub fn evaluate(
+        &mut self,
+        now: Nanos,
+        module_now: Nanos,
+        gossip: &GossipStore,
+    ) -> EjectionChanges {
         let mut effects = Vec::new();
         for event in self.take_events(now) {
             self.detector.on(now, gossip, event, &mut effects);
@@ -183,11 +217,16 @@
         changes
     }
 
-    /// The events since the last evaluation: the endpoint list first, then attempts, then those that are overdue.
+    /// The events since the last evaluation: the endpoint list first, then attempts, then those
+    /// that are overdue.
     fn take_events(&mut self, now: Nanos) -> Vec<Event> {
         let mut events = Vec::new();
         if std::mem::take(&mut self.list_changed) {
-            let servers = self.nodes.values().map(|listed| (listed.server, listed.is_up)).collect();
+            let servers = self
+                .nodes
+                .values()
+                .map(|listed| (listed.server, listed.is_up))
+                .collect();
             events.push(Event::Servers(servers));
         }
         events.append(&mut self.pending_events);
@@ -195,14 +234,27 @@
         events
     }
 
-    fn apply_effect(&mut self, now: Nanos, module_now: Nanos, effect: Effect, changes: &mut EjectionChanges) {
+    fn apply_effect(
+        &mut self,
+        now: Nanos,
+        module_now: Nanos,
+        effect: Effect,
+        changes: &mut EjectionChanges,
+    ) {
         match effect {
             Effect::Put(key, value) => changes.entries.push(EntryChange { key, value }),
             Effect::Ejected(target) => log!("verdicts: {} is held out", self.name(target.server)),
             Effect::Readmitted { target, healthy } => {
                 self.observer.readmitted(target.server);
-                let reason = if healthy { "it did well in trials" } else { "the verdict on it has ended" };
-                log!("verdicts: {} is held out no more: {reason}", self.name(target.server));
+                let reason = if healthy {
+                    "it did well in trials"
+                } else {
+                    "the verdict on it has ended"
+                };
+                log!(
+                    "verdicts: {} is held out no more: {reason}",
+                    self.name(target.server)
+                );
             }
             Effect::Probe(server) => changes.updates.extend(self.probe(now, module_now, server)),
             Effect::Suspect(suspect) => self.set_suspect(suspect),
@@ -215,8 +267,13 @@
         self.metrics.probes.inc();
         self.observer.probe_next(server, now + turn);
         let until = module_now + turn;
-        let nodes = self.nodes.iter().filter(|(_, listed)| listed.server == server);
-        nodes.map(|(node, _)| FleetUpdate::Probe { node: *node, until }).collect()
+        let nodes = self
+            .nodes
+            .iter()
+            .filter(|(_, listed)| listed.server == server);
+        nodes
+            .map(|(node, _)| FleetUpdate::Probe { node: *node, until })
+            .collect()
     }
 
     fn set_suspect(&self, suspect: bool) {
@@ -235,7 +292,10 @@
         for (node, listed) in &self.nodes {
             let classes = ejected.get(&listed.server).copied().unwrap_or_default();
             if self.reported.insert(*node, classes).unwrap_or_default() != classes {
-                changes.updates.push(FleetUpdate::Ejection { node: *node, classes });
+                changes.updates.push(FleetUpdate::Ejection {
+                    node: *node,
+                    classes,
+                });
             }
         }
         let nodes = &self.nodes;
@@ -259,7 +319,10 @@
     /// The name of a server, for operators.
     fn name(&self, server: Server) -> String {
         let listed = self.nodes.values().find(|listed| listed.server == server);
-        listed.map_or_else(|| format!("a server that is gone ({server:016x})"), |listed| listed.name.clone())
+        listed.map_or_else(
+            || format!("a server that is gone ({server:016x})"),
+            |listed| listed.name.clone(),
+        )
     }
 }
 
--- a/src/cluster/ejections/status.rs
+++ b/src/cluster/ejections/status.rs
@@ -20,7 +20,10 @@
 
 impl DisplayNames<'_> {
     fn front(&self, peer: PeerId) -> &str {
-        self.fronts.get(usize::from(peer)).copied().unwrap_or_default()
+        self.fronts
+            .get(usize::from(peer))
+            .copied()
+            .unwrap_or_default()
     }
 
     fn scope(&self, scope: Scope) -> String {
@@ -39,7 +42,8 @@
 }
 
 impl Ejections {
-    /// The status of all ejections, or of those of one server; `None` where there is no server of that name.
+    /// The status of all ejections, or of those of one server; `None` where there is no server of
+    /// that name.
     pub fn status(
         &self,
         now: Nanos,
@@ -67,7 +71,10 @@
     }
 
     fn server_named(&self, name: &str) -> Option<Server> {
-        self.nodes.values().find(|listed| listed.name == name).map(|listed| listed.server)
+        self.nodes
+            .values()
+            .find(|listed| listed.name == name)
+            .map(|listed| listed.server)
     }
 
     /// The median response time of each class that has one.
@@ -107,18 +114,20 @@
         })
     }
 
-    /// How long the ejection lasts if no vote is renewed; `None` where there is no quorum. The youngest votes that make
-    /// a quorum count until the oldest of them expires.
+    /// How long the ejection lasts if no vote is renewed; `None` where there is no quorum. The
+    /// youngest votes that make a quorum count until the oldest of them expires.
     fn time_to_readmission(&self, votes: &[Vote]) -> Option<Nanos> {
         let config = self.detector.config();
         let mut ages: Vec<Nanos> = votes.iter().map(|vote| vote.age).collect();
         ages.sort_unstable();
-        ages.get(config.quorum() - 1).map(|age| config.vote_ttl - age)
+        ages.get(config.quorum() - 1)
+            .map(|age| config.vote_ttl - age)
     }
 }
 
 fn votes_json(names: &DisplayNames, votes: &[Vote]) -> Vec<Value> {
-    let vote_json = |vote: &Vote| json!({"front": names.front(vote.front), "age_ms": millis(vote.age)});
+    let vote_json =
+        |vote: &Vote| json!({"front": names.front(vote.front), "age_ms": millis(vote.age)});
     votes.iter().map(vote_json).collect()
 }
 
--- a/src/cluster/errors.rs
+++ b/src/cluster/errors.rs
@@ -1,5 +1,5 @@
-//! Errors of this front's part in the fleet: reading the configuration, joining the peers, reloading, and status
-//! queries. The messages are shown to operators as they are.
+//! Errors of this front's part in the fleet: reading the configuration, joining the peers,
+//! reloading, and status queries. The messages are shown to operators as they are.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/src/cluster/fields.rs
+++ b/src/cluster/fields.rs
@@ -1,7 +1,7 @@
 //! Reads typed values from the JSON under `peers` in a front's configuration file.
 //!
-//! Each error message starts with the path of the offending key in single quotes: the reader of the whole file looks up
-//! the line of the error from that path.
+//! Each error message starts with the path of the offending key in single quotes: the reader of the
+//! whole file looks up the line of the error from that path.
 
 use std::net::SocketAddr;
 
@@ -51,9 +51,18 @@
 ///
 /// # Errors
 /// [`FieldError::NotAnObject`] or [`FieldError::UnknownKey`].
-pub(super) fn check_object(value: &Value, path: &str, known_keys: &[&str]) -> Result<(), FieldError> {
-    let object = value.as_object().ok_or_else(|| FieldError::NotAnObject(path.to_owned()))?;
-    match object.keys().find(|key| !known_keys.contains(&key.as_str())) {
+pub(super) fn check_object(
+    value: &Value,
+    path: &str,
+    known_keys: &[&str],
+) -> Result<(), FieldError> {
+    let object = value
+        .as_object()
+        .ok_or_else(|| FieldError::NotAnObject(path.to_owned()))?;
+    match object
+        .keys()
+        .find(|key| !known_keys.contains(&key.as_str()))
+    {
         Some(unknown) => Err(FieldError::UnknownKey(format!("{path}.{unknown}"))),
         None => Ok(()),
     }
@@ -64,7 +73,9 @@
 /// # Errors
 /// [`FieldError::NotAnArray`], also where there is no value.
 pub(super) fn array<'a>(value: Option<&'a Value>, path: &str) -> Result<&'a [Value], FieldError> {
-    let array = value.and_then(Value::as_array).ok_or_else(|| FieldError::NotAnArray(path.to_owned()))?;
+    let array = value
+        .and_then(Value::as_array)
+        .ok_or_else(|| FieldError::NotAnArray(path.to_owned()))?;
     Ok(array.as_slice())
 }
 
@@ -73,7 +84,9 @@
 /// # Errors
 /// [`FieldError::NotAText`], also where there is no value.
 pub(super) fn text<'a>(value: Option<&'a Value>, path: &str) -> Result<&'a str, FieldError> {
-    value.and_then(Value::as_str).ok_or_else(|| FieldError::NotAText(path.to_owned()))
+    value
+        .and_then(Value::as_str)
+        .ok_or_else(|| FieldError::NotAText(path.to_owned()))
 }
 
 /// The IP address and port at a path.
@@ -82,10 +95,14 @@
 /// [`FieldError::NotAText`] or [`FieldError::NotAnAddress`].
 pub(super) fn address(value: Option<&Value>, path: &str) -> Result<SocketAddr, FieldError> {
     let text = text(value, path)?;
-    text.parse().map_err(|_| FieldError::NotAnAddress { path: path.to_owned(), value: text.to_owned() })
+    text.parse().map_err(|_| FieldError::NotAnAddress {
+        path: path.to_owned(),
+        value: text.to_owned(),
+    })
 }
 
-/// The number under a key of `object`, 0 where it is missing or null; `None` where the value is of another type.
+/// The number under a key of `object`, 0 where it is missing or null; `None` where the value is of
+/// another type.
 pub(super) fn number(object: &Value, key: &str) -> Option<f64> {
     read_number(object, key).ok()
 }
@@ -95,5 +112,7 @@
 /// # Errors
 /// [`FieldError::NotPositive`] with `path`.
 pub(super) fn positive_number(object: &Value, key: &str, path: &str) -> Result<f64, FieldError> {
-    number(object, key).filter(|number| *number > 0.0).ok_or_else(|| FieldError::NotPositive(path.to_owned()))
+    number(object, key)
+        .filter(|number| *number > 0.0)
+        .ok_or_else(|| FieldError::NotPositive(path.to_owned()))
 }
--- a/src/cluster/limits/config.rs
+++ b/src/cluster/limits/config.rs
@@ -1,4 +1,5 @@
-//! The object `peers.limits` of a front's configuration file: fleet-wide limits beside those of the volumes' plans.
+//! The object `peers.limits` of a front's configuration file: fleet-wide limits beside those of the
+//! volumes' plans.
 
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
@@ -9,8 +10,8 @@
 use super::{fraction, LimitDemand, LimitRate, LimitUpdate};
 use crate::cluster::fields::{self, FieldError};
 
-/// Retries that each request demands in advance, where a failed attempt demands 1: a front with traffic then has a
-/// share of the retries before its first failure.
+/// Retries that each request demands in advance, where a failed attempt demands 1: a front with
+/// traffic then has a share of the retries before its first failure.
 const RETRY_RESERVE_PER_REQUEST: f64 = 0.02;
 /// Retries that a failed attempt demands.
 const RETRIES_PER_FAILURE: f64 = 1.0;
@@ -19,7 +20,8 @@
 const WARMING_UP_KEY: &str = "starting_server";
 const IN_FLIGHT_KEY: &str = "out_at_server";
 
-/// The fleet-wide limits of `peers.limits`, beside those of the volumes' plans. Each may be missing.
+/// The fleet-wide limits of `peers.limits`, beside those of the volumes' plans. Each may be
+/// missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ConfiguredLimits {
     retries: Option<LimitRate>,
@@ -34,8 +36,14 @@
     /// # Errors
     /// The first value found that cannot be used.
     pub fn read(value: Option<&Value>) -> Result<ConfiguredLimits, FieldError> {
-        let Some(value) = value else { return Ok(ConfiguredLimits::default()) };
-        fields::check_object(value, "peers.limits", &[RETRIES_KEY, WARMING_UP_KEY, IN_FLIGHT_KEY])?;
+        let Some(value) = value else {
+            return Ok(ConfiguredLimits::default());
+        };
+        fields::check_object(
+            value,
+            "peers.limits",
+            &[RETRIES_KEY, WARMING_UP_KEY, IN_FLIGHT_KEY],
+        )?;
         Ok(ConfiguredLimits {
             retries: read_rate(value, RETRIES_KEY)?,
             warming_up: read_rate(value, WARMING_UP_KEY)?,
@@ -53,8 +61,13 @@
 
     /// The configured limits, each with its label in metrics and on the console.
     pub fn limits(&self) -> impl Iterator<Item = (Limit, &'static str)> {
-        let retries = self.retries.is_some().then_some((Limit::Retries, RETRIES_KEY));
-        let server_load = self.limits_server_load().then_some((Limit::ServerLoad, "servers"));
+        let retries = self
+            .retries
+            .is_some()
+            .then_some((Limit::Retries, RETRIES_KEY));
+        let server_load = self
+            .limits_server_load()
+            .then_some((Limit::ServerLoad, "servers"));
         retries.into_iter().chain(server_load)
     }
 
@@ -63,14 +76,23 @@
         let mut demands = Vec::new();
         if let Input::RequestReceived(request) = input {
             if self.limits_server_load() {
-                demands.push(LimitDemand { limit: Limit::ServerLoad, units: request.units });
+                demands.push(LimitDemand {
+                    limit: Limit::ServerLoad,
+                    units: request.units,
+                });
             }
             if self.retries.is_some() {
-                demands.push(LimitDemand { limit: Limit::Retries, units: RETRY_RESERVE_PER_REQUEST });
+                demands.push(LimitDemand {
+                    limit: Limit::Retries,
+                    units: RETRY_RESERVE_PER_REQUEST,
+                });
             }
         }
         if self.retries.is_some() && is_failed_attempt(input) {
-            demands.push(LimitDemand { limit: Limit::Retries, units: RETRIES_PER_FAILURE });
+            demands.push(LimitDemand {
+                limit: Limit::Retries,
+                units: RETRIES_PER_FAILURE,
+            });
         }
         demands
     }
@@ -81,7 +103,12 @@
     }
 
     /// The updates for a share of a configured limit.
-    pub(super) fn updates(&self, limit: Limit, share: Share, settings: &Settings) -> Vec<LimitUpdate> {
+    pub(super) fn updates(
+        &self,
+        limit: Limit,
+        share: Share,
+        settings: &Settings,
+    ) -> Vec<LimitUpdate> {
         match limit {
             Limit::Retries => self.retries_update(share).into_iter().collect(),
             Limit::ServerLoad => self
@@ -95,23 +122,37 @@
 
     fn retries_update(&self, share: Share) -> Option<LimitUpdate> {
         let rate = self.retries?.scaled(share, 1.0);
-        Some(LimitUpdate { limit: SharedLimit::Retries, rate })
+        Some(LimitUpdate {
+            limit: SharedLimit::Retries,
+            rate,
+        })
     }
 
     fn warming_up_update(&self, share: Share, settings: &Settings) -> Option<LimitUpdate> {
         let rate = self.warming_up?.scaled(share, settings.max_units);
-        Some(LimitUpdate { limit: SharedLimit::WarmingUpNode, rate })
+        Some(LimitUpdate {
+            limit: SharedLimit::WarmingUpNode,
+            rate,
+        })
     }
 
     fn in_flight_update(&self, share: Share) -> Option<LimitUpdate> {
-        let rate = LimitRate { rate: self.in_flight? * fraction(share), burst: 0.0 };
-        Some(LimitUpdate { limit: SharedLimit::InFlightPerNode, rate })
+        let rate = LimitRate {
+            rate: self.in_flight? * fraction(share),
+            burst: 0.0,
+        };
+        Some(LimitUpdate {
+            limit: SharedLimit::InFlightPerNode,
+            rate,
+        })
     }
 }
 
 /// Reads the object of a rate and a burst under a key of `peers.limits`.
 fn read_rate(limits: &Value, key: &str) -> Result<Option<LimitRate>, FieldError> {
-    let Some(value) = limits.get(key) else { return Ok(None) };
+    let Some(value) = limits.get(key) else {
+        return Ok(None);
+    };
     let path = format!("peers.limits.{key}");
     fields::check_object(value, &path, &["rate", "burst"])?;
     let rate = fields::positive_number(value, "rate", &format!("{path}.rate"))?;
@@ -124,7 +165,12 @@
     if limits.get(IN_FLIGHT_KEY).is_none() {
         return Ok(None);
     }
-    fields::positive_number(limits, IN_FLIGHT_KEY, &format!("peers.limits.{IN_FLIGHT_KEY}")).map(Some)
+    fields::positive_number(
+        limits,
+        IN_FLIGHT_KEY,
+        &format!("peers.limits.{IN_FLIGHT_KEY}"),
+    )
+    .map(Some)
 }
 
 /// Whether an input reports that an attempt has failed.
--- a/src/cluster/limits/mod.rs
+++ b/src/cluster/limits/mod.rs
@@ -24,12 +24,19 @@
 }
 
 impl LimitRate {
-    /// A front's share of the limit. The bucket has room for at least one request of size `min_burst`, so that a
-    /// small share is a low rate and not a bound on the size of a request.
+    /// A front's share of the limit. The bucket has room for at least one request of size
+    /// `min_burst`, so that a small share is a low rate and not a bound on the size of a request.
     fn scaled(self, share: Share, min_burst: f64) -> LimitRate {
         let fraction = fraction(share);
-        let burst = if share == 0 { 0.0 } else { (self.burst * fraction).max(min_burst) };
-        LimitRate { rate: self.rate * fraction, burst }
+        let burst = if share == 0 {
+            0.0
+        } else {
+            (self.burst * fraction).max(min_burst)
+        };
+        LimitRate {
+            rate: self.rate * fraction,
+            burst,
+        }
     }
 }
 
@@ -62,9 +69,15 @@
     /// The rate of the share under the plan; `None` where the settings have no such plan.
     fn update(self, volume: VolumeId, settings: &Settings) -> Option<LimitUpdate> {
         let plan = settings.plans.get(self.plan)?;
-        let limit = LimitRate { rate: plan.limit_rate, burst: plan.limit_burst };
+        let limit = LimitRate {
+            rate: plan.limit_rate,
+            burst: plan.limit_burst,
+        };
         let rate = limit.scaled(self.share, settings.max_units);
-        Some(LimitUpdate { limit: SharedLimit::Volume(volume), rate })
+        Some(LimitUpdate {
+            limit: SharedLimit::Volume(volume),
+            rate,
+        })
     }
 }
 
@@ -77,9 +90,13 @@
 }
 
 impl FleetLimits {
-    /// Applies a new configuration. Returns what this front may use of each configured limit now: nothing, until it has
-    /// a share of it.
-    pub fn configure(&mut self, configured: ConfiguredLimits, settings: &Settings) -> Vec<LimitUpdate> {
+    /// Applies a new configuration. Returns what this front may use of each configured limit now:
+    /// nothing, until it has a share of it.
+    pub fn configure(
+        &mut self,
+        configured: ConfiguredLimits,
+        settings: &Settings,
+    ) -> Vec<LimitUpdate> {
         self.configured = configured;
         configured
             .limits()
@@ -97,15 +114,18 @@
         self.shares.get(&limit).copied().unwrap_or(0)
     }
 
-    /// Records the plan of a volume's request. Returns an update of the volume's limit where the plan has changed, as
-    /// it may after a reload.
+    /// Records the plan of a volume's request. Returns an update of the volume's limit where the
+    /// plan has changed, as it may after a reload.
     pub fn volume_requested(
         &mut self,
         volume: VolumeId,
         plan: usize,
         settings: &Settings,
     ) -> Option<LimitUpdate> {
-        let entry = self.volumes.entry(volume).or_insert(VolumeShare { plan, share: 0 });
+        let entry = self
+            .volumes
+            .entry(volume)
+            .or_insert(VolumeShare { plan, share: 0 });
         if entry.plan == plan {
             return None;
         }
@@ -113,13 +133,21 @@
         entry.update(volume, settings)
     }
 
-    /// Sets this front's share of a limit. A volume that has had no request here has no plan yet, and no update.
-    pub fn set_share(&mut self, limit: Limit, share: Share, settings: &Settings) -> Vec<LimitUpdate> {
+    /// Sets this front's share of a limit. A volume that has had no request here has no plan yet,
+    /// and no update.
+    pub fn set_share(
+        &mut self,
+        limit: Limit,
+        share: Share,
+        settings: &Settings,
+    ) -> Vec<LimitUpdate> {
         let Limit::Volume(volume) = limit else {
             self.shares.insert(limit, share);
             return self.configured.updates(limit, share, settings);
         };
-        let Some(entry) = self.volumes.get_mut(&volume) else { return Vec::new() };
+        let Some(entry) = self.volumes.get_mut(&volume) else {
+            return Vec::new();
+        };
         entry.share = share;
         entry.update(volume, settings).into_iter().collect()
     }
@@ -129,7 +157,10 @@
         match limit {
             Limit::Volume(volume) => {
                 self.volumes.remove(&volume);
-                vec![LimitUpdate { limit: SharedLimit::Volume(volume), rate: LimitRate::default() }]
+                vec![LimitUpdate {
+                    limit: SharedLimit::Volume(volume),
+                    rate: LimitRate::default(),
+                }]
             }
             _ => self.set_share(limit, 0, settings),
         }
--- a/src/cluster/metrics.rs
+++ b/src/cluster/metrics.rs
@@ -22,15 +22,27 @@
         let gauge = |name: &str, help: &str| IntGauge::new(name, help).expect("the name is valid");
         let metrics = ClusterMetrics {
             messages: IntCounterVec::new(
-                Opts::new("app_peer_messages", "Messages of peers by what they were worth"),
+                Opts::new(
+                    "app_peer_messages",
+                    "Messages of peers by what they were worth",
+                ),
                 &["worth"],
             )
             .expect("the names are valid"),
             alive: gauge("app_peers_alive", "Peers that are heard"),
-            issuers_held: gauge("app_peer_banks", "Banks of the fleet's limits that this front holds"),
-            standby: gauge("app_peer_standing_back", "1 while another process has this front's name"),
+            issuers_held: gauge(
+                "app_peer_banks",
+                "Banks of the fleet's limits that this front holds",
+            ),
+            standby: gauge(
+                "app_peer_standing_back",
+                "1 while another process has this front's name",
+            ),
             shares: GaugeVec::new(
-                Opts::new("app_peer_part", "This front's part of a limit that the fleet shares"),
+                Opts::new(
+                    "app_peer_part",
+                    "This front's part of a limit that the fleet shares",
+                ),
                 &["limit"],
             )
             .expect("the names are valid"),
@@ -58,7 +70,9 @@
     /// Counts a datagram that could not be decoded.
     pub(super) fn count_undecodable(&self, error: EnvelopeError) {
         self.count(match error {
-            EnvelopeError::NotAMessage | EnvelopeError::TooLong | EnvelopeError::KeyTooShort => "no_message",
+            EnvelopeError::NotAMessage | EnvelopeError::TooLong | EnvelopeError::KeyTooShort => {
+                "no_message"
+            }
             EnvelopeError::Version(_) => "other_version",
             EnvelopeError::Digest => "wrong_digest",
             EnvelopeError::Malformed => "wrong_form",
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -1,8 +1,9 @@
-//! This front among its peers: membership, limits shared by the whole fleet, and fleet-wide outlier ejection.
+//! This front among its peers: membership, limits shared by the whole fleet, and fleet-wide outlier
+//! ejection.
 //!
 //! The state machines have no I/O and live in separate crates (`tulipbridge_membership`,
-//! `tulipbridge_fleet_limits`, `tulipbridge_outlier_detection`). The modules here connect them to a UDP socket, the
-//! clock, the configuration file, the decision module, the metrics and the console.
+//! `tulipbridge_fleet_limits`, `tulipbridge_outlier_detection`). The modules here connect them to a
+//! UDP socket, the clock, the configuration file, the decision module, the metrics and the console.
 
 mod clock;
 pub mod config;
--- a/src/cluster/peers/effects.rs
+++ b/src/cluster/peers/effects.rs
@@ -13,12 +13,17 @@
 use crate::telemetry::log::log;
 
 impl Peers {
-    /// Feeds an event to the limits' coordinator. `source` is where the message of the event came from.
+    /// Feeds an event to the limits' coordinator. `source` is where the message of the event came
+    /// from.
     pub(super) fn update_limits(&self, event: Event, source: Option<SocketAddr>) {
         let mut effects = Vec::new();
         self.note_address_in_use();
-        self.coordinator.borrow_mut().on(clock::now(), event, &mut effects);
-        let updates = self.exchange.with_settings(|settings| self.apply_effects(effects, source, settings));
+        self.coordinator
+            .borrow_mut()
+            .on(clock::now(), event, &mut effects);
+        let updates = self
+            .exchange
+            .with_settings(|settings| self.apply_effects(effects, source, settings));
         for update in updates {
             self.exchange.apply_fleet_update(update);
         }
@@ -27,8 +32,11 @@
     /// While another process has the address, this front counts as one that is just starting.
     pub(super) fn note_address_in_use(&self) {
         if !self.socket.is_bound() {
-            // The event has no effects: nothing changes but the time from which the start is counted.
-            self.coordinator.borrow_mut().on(clock::now(), Event::AddressInUse, &mut Vec::new());
+            // The event has no effects: nothing changes but the time from which the start is
+            // counted.
+            self.coordinator
+                .borrow_mut()
+                .on(clock::now(), Event::AddressInUse, &mut Vec::new());
         }
     }
 
@@ -39,7 +47,10 @@
         source: Option<SocketAddr>,
         settings: &Settings,
     ) -> Vec<FleetUpdate> {
-        effects.into_iter().flat_map(|effect| self.apply_effect(effect, source, settings)).collect()
+        effects
+            .into_iter()
+            .flat_map(|effect| self.apply_effect(effect, source, settings))
+            .collect()
     }
 
     fn apply_effect(
@@ -73,15 +84,23 @@
     }
 
     fn fleet_updates(&self, updates: Vec<LimitUpdate>, at: Nanos) -> Vec<FleetUpdate> {
-        updates.into_iter().map(|update| self.fleet_update(update, at)).collect()
+        updates
+            .into_iter()
+            .map(|update| self.fleet_update(update, at))
+            .collect()
     }
 
-    /// A limit's update for the decision module. `at`, when it takes effect, is by the clock of the state machines here
-    /// and is converted to the decision module's clock.
+    /// A limit's update for the decision module. `at`, when it takes effect, is by the clock of the
+    /// state machines here and is converted to the decision module's clock.
     pub(super) fn fleet_update(&self, update: LimitUpdate, at: Nanos) -> FleetUpdate {
         let LimitUpdate { limit, rate } = update;
         let at = self.exchange.now() - (clock::now() - at);
-        FleetUpdate::SharedLimit { limit, rate: rate.rate, burst: rate.burst, at }
+        FleetUpdate::SharedLimit {
+            limit,
+            rate: rate.rate,
+            burst: rate.burst,
+            at,
+        }
     }
 
     /// Puts a gossip entry of this front, or removes it where there is no value.
@@ -94,7 +113,9 @@
         let mut actions = Vec::new();
         let result = {
             let coordinator = self.coordinator.borrow();
-            self.gossip.borrow_mut().on(clock::now(), coordinator.members(), input, &mut actions)
+            self.gossip
+                .borrow_mut()
+                .on(clock::now(), coordinator.members(), input, &mut actions)
         };
         if let Err(error) = result {
             log!("peers: an entry is not told: {error}");
@@ -111,7 +132,9 @@
             }
             GossipAction::Rejected(error) => self.metrics.count_rejected_gossip(error),
             // The console reads entries on request; only ejections depend on them at once.
-            GossipAction::Changed(..) | GossipAction::Dropped(_) => self.evaluation_due.notify_one(),
+            GossipAction::Changed(..) | GossipAction::Dropped(_) => {
+                self.evaluation_due.notify_one()
+            }
         }
     }
 
--- a/src/cluster/peers/fleet_state.rs
+++ b/src/cluster/peers/fleet_state.rs
@@ -1,4 +1,5 @@
-//! The fleet's state as the exchange consults it: before each input of the request tracker and at each attempt.
+//! The fleet's state as the exchange consults it: before each input of the request tracker and at
+//! each attempt.
 
 use tulipbridge_core::request_tracker::Input;
 use tulipbridge_core::{FleetUpdate, Nanos, NodeId, Request, Semantics, Settings};
@@ -12,8 +13,9 @@
 impl FleetState for Peers {
     fn attempt_sent(&self, key: AttemptKey, node: NodeId, class: usize) {
         if let Some(ejections) = self.ejections.borrow_mut().as_mut() {
-            let semantics =
-                self.exchange.with_settings(|settings| settings.classes.get(class).map(|c| c.semantics));
+            let semantics = self
+                .exchange
+                .with_settings(|settings| settings.classes.get(class).map(|c| c.semantics));
             let idempotent = semantics == Some(Semantics::Idempotent);
             ejections.attempt_sent(clock::now(), key, node, class, idempotent);
         }
@@ -26,7 +28,10 @@
         let mut updates = Vec::new();
         if let Some(request) = volume_limited_request(input, settings) {
             updates.extend(self.volume_update(now, request, settings));
-            demands.push(LimitDemand { limit: Limit::Volume(request.volume), units: request.units });
+            demands.push(LimitDemand {
+                limit: Limit::Volume(request.volume),
+                units: request.units,
+            });
         }
         self.note_address_in_use();
         let effects = self.count_demands(now, demands);
@@ -39,18 +44,31 @@
     /// Passes an input to outlier ejection, where it is shared.
     fn observe_input(&self, now: Nanos, input: &Input) {
         let mut ejections = self.ejections.borrow_mut();
-        let Some(ejections) = ejections.as_mut() else { return };
+        let Some(ejections) = ejections.as_mut() else {
+            return;
+        };
         if ejections.observe_input(now, input) {
             self.evaluation_due.notify_one();
         }
         if let Input::Endpoints { scope, nodes } = input {
-            ejections.update_endpoints(*scope, nodes, |node| self.exchange.transport().server_name(node));
+            ejections.update_endpoints(*scope, nodes, |node| {
+                self.exchange.transport().server_name(node)
+            });
         }
     }
 
-    /// An update of the volume's limit, where the request comes with another plan than the one before.
-    fn volume_update(&self, now: Nanos, request: &Request, settings: &Settings) -> Option<FleetUpdate> {
-        let update = self.limits.borrow_mut().volume_requested(request.volume, request.plan, settings);
+    /// An update of the volume's limit, where the request comes with another plan than the one
+    /// before.
+    fn volume_update(
+        &self,
+        now: Nanos,
+        request: &Request,
+        settings: &Settings,
+    ) -> Option<FleetUpdate> {
+        let update =
+            self.limits
+                .borrow_mut()
+                .volume_requested(request.volume, request.plan, settings);
         update.map(|update| self.fleet_update(update, now))
     }
 
@@ -70,6 +88,12 @@
 
 /// The request of an input, where its plan limits the rate of its volume.
 fn volume_limited_request<'a>(input: &'a Input, settings: &Settings) -> Option<&'a Request> {
-    let Input::RequestReceived(request) = input else { return None };
-    settings.plans.get(request.plan).filter(|plan| plan.limit_rate > 0.0).map(|_| request)
+    let Input::RequestReceived(request) = input else {
+        return None;
+    };
+    settings
+        .plans
+        .get(request.plan)
+        .filter(|plan| plan.limit_rate > 0.0)
+        .map(|_| request)
 }
--- a/src/cluster/peers/mod.rs
+++ b/src/cluster/peers/mod.rs
@@ -1,9 +1,10 @@
 //! This front among its peers.
 //!
-//! [`Peers`] drives the state machines of the fleet with the messages and the time: the leases on fleet-wide limits
-//! with membership ([`LimitCoordinator`]), gossip ([`GossipStore`]) and outlier ejection ([`Ejections`]). Their effects
-//! are sent as messages or become updates for the decision module. Leases are checked before each decision of the
-//! module, so that a front that was stopped for a while uses nothing of a lease that has expired meanwhile.
+//! [`Peers`] drives the state machines of the fleet with the messages and the time: the leases on
+//! fleet-wide limits with membership ([`LimitCoordinator`]), gossip ([`GossipStore`]) and outlier
+//! ejection ([`Ejections`]). Their effects are sent as messages or become updates for the decision
+//! module. Leases are checked before each decision of the module, so that a front that was stopped
+//! for a while uses nothing of a lease that has expired meanwhile.
 //!
 //! It only runs where the configuration file has `peers`.
 
@@ -67,10 +68,12 @@
         registry: &Metrics,
     ) -> Result<Rc<Peers>, JoinError> {
         let socket = PeerSocket::open(config.listen, &config.key_file)?;
-        // The seed of the file would not do: after a restart the front must have another incarnation.
+        // The seed of the file would not do: after a restart the front must have another
+        // incarnation.
         let incarnation = fastrand::Rng::new().u64(1..u64::MAX);
-        let coordinator = LimitCoordinator::new(config.limits_config.clone(), incarnation, clock::now())
-            .map_err(JoinError::Limits)?;
+        let coordinator =
+            LimitCoordinator::new(config.limits_config.clone(), incarnation, clock::now())
+                .map_err(JoinError::Limits)?;
         let metrics = ClusterMetrics::register(registry);
         let ejections = create_ejections(&config, registry)?;
         let peers = Rc::new(Peers {
@@ -102,22 +105,34 @@
         }
     }
 
-    /// Announces to the peers that this front shuts down, so that they need not wait for its leases to expire.
+    /// Announces to the peers that this front shuts down, so that they need not wait for its leases
+    /// to expire.
     pub fn shut_down(&self) {
         self.update_limits(Event::Shutdown, None);
         self.update_limits(Event::HeartbeatDue, None);
     }
 }
 
-fn create_ejections(config: &ClusterConfig, registry: &Metrics) -> Result<Option<Ejections>, JoinError> {
+fn create_ejections(
+    config: &ClusterConfig,
+    registry: &Metrics,
+) -> Result<Option<Ejections>, JoinError> {
     let Some(detector_config) = config.detector_config().map_err(JoinError::Detector)? else {
         return Ok(None);
     };
     let metrics = EjectionMetrics::new(registry);
-    Ejections::new(detector_config, metrics).map(Some).map_err(JoinError::Detector)
+    Ejections::new(detector_config, metrics)
+        .map(Some)
+        .map_err(JoinError::Detector)
 }
 
 fn create_gossip(config: &ClusterConfig, incarnation: Incarnation) -> GossipStore {
     let (me, fronts) = (config.limits_config.me, config.limits_config.fronts);
-    GossipStore::new(me, fronts, incarnation, config.gossip_bytes_per_second, clock::now())
+    GossipStore::new(
+        me,
+        fronts,
+        incarnation,
+        config.gossip_bytes_per_second,
+        clock::now(),
+    )
 }
--- a/src/cluster/peers/reload.rs
+++ b/src/cluster/peers/reload.rs
@@ -52,7 +52,9 @@
 
     fn reload_ejections(&self) {
         let detector_config = self.config.borrow().detector_config();
-        if let (Some(ejections), Ok(Some(new))) = (self.ejections.borrow_mut().as_mut(), detector_config) {
+        if let (Some(ejections), Ok(Some(new))) =
+            (self.ejections.borrow_mut().as_mut(), detector_config)
+        {
             if *ejections.config() != new {
                 // `check` has found the configuration valid.
                 let _ = ejections.reconfigure(new);
@@ -60,13 +62,16 @@
         }
     }
 
-    /// Passes the decision module its share of the configured limits: nothing, where this front has no share.
+    /// Passes the decision module its share of the configured limits: nothing, where this front has
+    /// no share.
     pub(super) fn apply_fleet_limits(&self) {
         let configured = self.config.borrow().fleet_limits;
-        let updates =
-            self.exchange.with_settings(|settings| self.limits.borrow_mut().configure(configured, settings));
+        let updates = self
+            .exchange
+            .with_settings(|settings| self.limits.borrow_mut().configure(configured, settings));
         for update in updates {
-            self.exchange.apply_fleet_update(self.fleet_update(update, clock::now()));
+            self.exchange
+                .apply_fleet_update(self.fleet_update(update, clock::now()));
         }
     }
 }
--- a/src/cluster/peers/status.rs
+++ b/src/cluster/peers/status.rs
@@ -1,5 +1,5 @@
-//! The status of the peers for operators: log lines about changes, gauges, and JSON for the console. The keys of
-//! the JSON are part of the console's interface.
+//! The status of the peers for operators: log lines about changes, gauges, and JSON for the
+//! console. The keys of the JSON are part of the console's interface.
 
 use simd_json::{json, OwnedValue as Value};
 use tulipbridge_core::Nanos;
@@ -21,17 +21,22 @@
         let standby = self.is_standby(&coordinator, now);
         self.log_peer_changes(&coordinator, now);
         self.log_standby_change(&coordinator, standby, now);
-        let is_alive = |peer: &PeerId| coordinator.members().status(now, *peer) == PeerStatus::Alive;
-        self.metrics.alive.set(coordinator.members().others().filter(is_alive).count() as i64);
-        self.metrics.issuers_held.set(coordinator.issuers_held(now).len() as i64);
+        let is_alive =
+            |peer: &PeerId| coordinator.members().status(now, *peer) == PeerStatus::Alive;
+        self.metrics
+            .alive
+            .set(coordinator.members().others().filter(is_alive).count() as i64);
+        self.metrics
+            .issuers_held
+            .set(coordinator.issuers_held(now).len() as i64);
         self.metrics.standby.set(i64::from(standby));
         for (limit, share) in self.configured_shares() {
             self.metrics.set_share(limit, share);
         }
     }
 
-    /// Whether this front uses no fleet-wide limit, because another process has its name or its address or because it
-    /// yields to a conflicting roster.
+    /// Whether this front uses no fleet-wide limit, because another process has its name or its
+    /// address or because it yields to a conflicting roster.
     fn is_standby(&self, coordinator: &LimitCoordinator, now: Nanos) -> bool {
         coordinator.is_standby(now) || !self.socket.is_bound()
     }
@@ -43,7 +48,11 @@
             let status = coordinator.members().status(now, peer);
             let previous = std::mem::replace(&mut logged_status[usize::from(peer)], status);
             if previous != status {
-                log!("peers: {} is {}", config.roster.name(peer), status_name(status));
+                log!(
+                    "peers: {} is {}",
+                    config.roster.name(peer),
+                    status_name(status)
+                );
             }
         }
     }
@@ -84,21 +93,35 @@
         let ejections = ejections.as_ref().ok_or(EjectionStatusError::NotShared)?;
         let config = self.config.borrow();
         let fronts = config.roster.names();
-        let names =
-            DisplayNames { fronts: &fronts, zones: config.roster.zones(), classes: &self.class_names };
+        let names = DisplayNames {
+            fronts: &fronts,
+            zones: config.roster.zones(),
+            classes: &self.class_names,
+        };
         let status = ejections.status(clock::now(), &self.gossip.borrow(), &names, server_name);
-        let unknown = || EjectionStatusError::UnknownServer(server_name.unwrap_or_default().to_owned());
+        let unknown =
+            || EjectionStatusError::UnknownServer(server_name.unwrap_or_default().to_owned());
         status.ok_or_else(unknown)
     }
 
     /// The status of this front and of its peers as JSON.
     pub fn status(&self) -> Value {
-        let (coordinator, config, now) = (self.coordinator.borrow(), self.config.borrow(), clock::now());
+        let (coordinator, config, now) = (
+            self.coordinator.borrow(),
+            self.config.borrow(),
+            clock::now(),
+        );
         let roster = &config.roster;
-        let peers: Vec<Value> =
-            coordinator.members().others().map(|peer| self.peer_json(&coordinator, peer, now)).collect();
-        let issuers: Vec<&str> =
-            coordinator.issuers_held(now).into_iter().map(|issuer| roster.name(issuer)).collect();
+        let peers: Vec<Value> = coordinator
+            .members()
+            .others()
+            .map(|peer| self.peer_json(&coordinator, peer, now))
+            .collect();
+        let issuers: Vec<&str> = coordinator
+            .issuers_held(now)
+            .into_iter()
+            .map(|issuer| roster.name(issuer))
+            .collect();
         let limits: Vec<Value> = self
             .configured_shares()
             .into_iter()
@@ -123,7 +146,11 @@
         let roster = &config.roster;
         let report = coordinator.peer_report(now, peer);
         let version = gossip.get(now, peer, VERSION_KEY);
-        let heard_by: Vec<&str> = report.reachable_from.iter().map(|other| roster.name(*other)).collect();
+        let heard_by: Vec<&str> = report
+            .reachable_from
+            .iter()
+            .map(|other| roster.name(*other))
+            .collect();
         json!({
             "name": roster.name(peer),
             "address": roster.members()[usize::from(peer)].address.to_string(),
--- a/src/cluster/peers/tasks.rs
+++ b/src/cluster/peers/tasks.rs
@@ -1,4 +1,5 @@
-//! The tasks that run for as long as the front: receiving, heartbeats, and the evaluation of ejections.
+//! The tasks that run for as long as the front: receiving, heartbeats, and the evaluation of
+//! ejections.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -44,9 +45,12 @@
         }
     }
 
-    /// Evaluates the observations of all fronts. Returns whether there are new gossip entries of this front.
+    /// Evaluates the observations of all fronts. Returns whether there are new gossip entries of
+    /// this front.
     pub(super) fn evaluate_ejections(&self) -> bool {
-        let Some(EjectionChanges { entries, updates }) = self.ejection_changes() else { return false };
+        let Some(EjectionChanges { entries, updates }) = self.ejection_changes() else {
+            return false;
+        };
         let has_entries = !entries.is_empty();
         for EntryChange { key, value } in entries {
             self.publish(key, value);
@@ -74,8 +78,11 @@
         let mut buffer = vec![0; MAX_MESSAGE_BYTES + 1];
         loop {
             match self.socket.receive(&mut buffer).await {
-                Some(Ok(ReceivedDatagram { length, source })) => self.receive(&buffer[..length], source),
-                // The system reports a peer that is gone, once; an error that persists must not take all of the CPU.
+                Some(Ok(ReceivedDatagram { length, source })) => {
+                    self.receive(&buffer[..length], source)
+                }
+                // The system reports a peer that is gone, once; an error that persists must not
+                // take all of the CPU.
                 Some(Err(_)) => tokio::time::sleep(RECEIVE_RETRY_PAUSE).await,
                 None => self.retry_bind().await,
             }
@@ -86,7 +93,8 @@
     async fn retry_bind(&self) {
         tokio::time::sleep(RECEIVE_RETRY_PAUSE).await;
         let address = self.config.borrow().listen;
-        // Before binding, so that the waiting time of a front that starts is counted from the moment of the bind.
+        // Before binding, so that the waiting time of a front that starts is counted from the
+        // moment of the bind.
         self.note_address_in_use();
         // Where the address is still in use, the receive loop comes back here.
         let _ = self.socket.bind(address);
@@ -100,17 +108,26 @@
         let (from, incarnation) = (envelope.from, envelope.incarnation);
         match envelope.message {
             IncomingMessage::Heartbeat(heartbeat) => {
-                let event = Event::HeartbeatReceived { from, incarnation, heartbeat };
+                let event = Event::HeartbeatReceived {
+                    from,
+                    incarnation,
+                    heartbeat,
+                };
                 self.update_limits(event, Some(source));
             }
             IncomingMessage::Gossip(message) => {
-                self.update_gossip(GossipInput::Received { from, incarnation, message });
+                self.update_gossip(GossipInput::Received {
+                    from,
+                    incarnation,
+                    message,
+                });
             }
         }
     }
 }
 
-/// An interval in nanoseconds with random variation, so that the fronts do not stay in step with each other.
+/// An interval in nanoseconds with random variation, so that the fronts do not stay in step with
+/// each other.
 fn with_jitter(interval: u64) -> u64 {
     let jitter = interval / HEARTBEAT_JITTER_DIVISOR;
     interval - jitter / 2 + fastrand::u64(0..=jitter)
--- a/src/cluster/roster.rs
+++ b/src/cluster/roster.rs
@@ -16,14 +16,15 @@
 pub struct RosterMember {
     /// The front's name, unique in the roster.
     pub name: String,
-    /// Where this front reaches it, unique in the roster. Fronts may reach the same peer at different addresses.
+    /// Where this front reaches it, unique in the roster. Fronts may reach the same peer at
+    /// different addresses.
     pub address: SocketAddr,
     /// The front's zone, as an index into [`Roster::zones`].
     pub zone: Zone,
 }
 
-/// All fronts of the fleet in the order of their names, so that a [`PeerId`] means the same front in every file,
-/// whatever the order of the file.
+/// All fronts of the fleet in the order of their names, so that a [`PeerId`] means the same front
+/// in every file, whatever the order of the file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Roster {
     members: Vec<RosterMember>,
@@ -59,8 +60,12 @@
         if zones.len() > MAX_ZONES {
             return Err(ClusterConfigError::TooManyZones);
         }
-        let zone_number =
-            |name: &String| zones.iter().position(|zone| zone == name).unwrap_or_default() as Zone;
+        let zone_number = |name: &String| {
+            zones
+                .iter()
+                .position(|zone| zone == name)
+                .unwrap_or_default() as Zone
+        };
         let members = entries
             .into_iter()
             .map(|entry| RosterMember {
@@ -77,14 +82,18 @@
         &self.members
     }
 
-    /// The names of the zones, in their order; fronts without a zone are in the zone of the empty name.
+    /// The names of the zones, in their order; fronts without a zone are in the zone of the empty
+    /// name.
     pub fn zones(&self) -> &[String] {
         &self.zones
     }
 
     /// The fronts' names, in their order.
     pub fn names(&self) -> Vec<&str> {
-        self.members.iter().map(|member| member.name.as_str()).collect()
+        self.members
+            .iter()
+            .map(|member| member.name.as_str())
+            .collect()
     }
 
     /// The position of a name.
@@ -102,21 +111,31 @@
 
     /// Where this front reaches a peer; `None` where the roster has no such front.
     pub(super) fn address(&self, peer: PeerId) -> Option<SocketAddr> {
-        self.members.get(usize::from(peer)).map(|member| member.address)
+        self.members
+            .get(usize::from(peer))
+            .map(|member| member.address)
     }
 
     /// The zone of a front, 0 where the roster has no such front.
     pub(super) fn zone(&self, peer: PeerId) -> Zone {
-        self.members.get(usize::from(peer)).map_or(0, |member| member.zone)
+        self.members
+            .get(usize::from(peer))
+            .map_or(0, |member| member.zone)
     }
 }
 
 impl RosterEntry {
-    fn read(value: &Value, index: usize, earlier: &[RosterEntry]) -> Result<RosterEntry, ClusterConfigError> {
+    fn read(
+        value: &Value,
+        index: usize,
+        earlier: &[RosterEntry],
+    ) -> Result<RosterEntry, ClusterConfigError> {
         let name = fields::text(value.get("name"), &entry_path(index, "name"))?.to_owned();
         let address = fields::address(value.get("address"), &entry_path(index, "address"))?;
-        let duplicate =
-            |key: &str, value: String| ClusterConfigError::Duplicate { path: entry_path(index, key), value };
+        let duplicate = |key: &str, value: String| ClusterConfigError::Duplicate {
+            path: entry_path(index, key),
+            value,
+        };
         if earlier.iter().any(|entry| entry.name == name) {
             return Err(duplicate("name", name));
         }
@@ -127,7 +146,11 @@
             None => String::new(),
             zone => fields::text(zone, &entry_path(index, "zone"))?.to_owned(),
         };
-        Ok(RosterEntry { name, address, zone })
+        Ok(RosterEntry {
+            name,
+            address,
+            zone,
+        })
     }
 }
 
--- a/src/cluster/socket.rs
+++ b/src/cluster/socket.rs
@@ -28,8 +28,9 @@
 }
 
 impl PeerSocket {
-    /// Reads the shared key and binds the address. Where another process has the address, such as this front's
-    /// predecessor during an upgrade, the socket stays unbound until [`PeerSocket::bind`] succeeds.
+    /// Reads the shared key and binds the address. Where another process has the address, such as
+    /// this front's predecessor during an upgrade, the socket stays unbound until
+    /// [`PeerSocket::bind`] succeeds.
     ///
     /// # Errors
     /// A key that cannot be read or used, or an address that cannot be bound for any other reason.
@@ -79,12 +80,15 @@
     ///
     /// # Errors
     /// A datagram that is damaged, of another version, or authenticated with another key.
-    pub(super) fn decode(&self, datagram: &[u8]) -> Result<Envelope<IncomingMessage>, EnvelopeError> {
+    pub(super) fn decode(
+        &self,
+        datagram: &[u8],
+    ) -> Result<Envelope<IncomingMessage>, EnvelopeError> {
         self.codec.open(datagram)
     }
 
-    /// Sends a message as this front's. A datagram that the system rejects is lost like any other: later messages
-    /// repeat its content.
+    /// Sends a message as this front's. A datagram that the system rejects is lost like any other:
+    /// later messages repeat its content.
     ///
     /// # Errors
     /// A message that cannot be encoded, for it is too long.
@@ -105,8 +109,14 @@
 }
 
 fn read_key(file: &Path) -> Result<EnvelopeCodec, JoinError> {
-    let key = std::fs::read(file).map_err(|source| JoinError::KeyFile { file: file.to_owned(), source })?;
-    EnvelopeCodec::new(&key).map_err(|source| JoinError::Key { file: file.to_owned(), source })
+    let key = std::fs::read(file).map_err(|source| JoinError::KeyFile {
+        file: file.to_owned(),
+        source,
+    })?;
+    EnvelopeCodec::new(&key).map_err(|source| JoinError::Key {
+        file: file.to_owned(),
+        source,
+    })
 }
 
 fn bind_socket(address: SocketAddr) -> io::Result<UdpSocket> {
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,4 +1,5 @@
-//! Errors of reading and reloading a configuration. The messages are part of the program's interface.
+//! Errors of reading and reloading a configuration. The messages are part of the program's
+//! interface.
 
 use tulipbridge_core::SettingsError;
 
@@ -54,7 +55,10 @@
 impl ConfigError {
     /// Adds the path of the file in which the error was found.
     pub fn in_file(self, path: impl Into<String>) -> ConfigError {
-        ConfigError::InFile { path: path.into(), source: Box::new(self) }
+        ConfigError::InFile {
+            path: path.into(),
+            source: Box::new(self),
+        }
     }
 }
 
--- a/src/config/json.rs
+++ b/src/config/json.rs
@@ -1,4 +1,5 @@
-//! Typed access to JSON values. Every error names the key that is missing or has a value of the wrong kind.
+//! Typed access to JSON values. Every error names the key that is missing or has a value of the
+//! wrong kind.
 
 use std::net::SocketAddr;
 
@@ -77,17 +78,25 @@
 impl JsonError {
     /// The value of `key` is missing or is not of the expected kind.
     pub fn wrong_kind(key: &str, expected: Kind) -> JsonError {
-        JsonError::WrongKind { key: key.to_owned(), expected }
+        JsonError::WrongKind {
+            key: key.to_owned(),
+            expected,
+        }
     }
 
     /// The value of `key` is missing.
     pub fn missing(key: &str) -> JsonError {
-        JsonError::Missing { key: key.to_owned() }
+        JsonError::Missing {
+            key: key.to_owned(),
+        }
     }
 
     /// The string under `key` is none of those allowed.
     pub fn unknown_value(key: &str, value: &str) -> JsonError {
-        JsonError::UnknownValue { key: key.to_owned(), value: value.to_owned() }
+        JsonError::UnknownValue {
+            key: key.to_owned(),
+            value: value.to_owned(),
+        }
     }
 }
 
@@ -124,7 +133,9 @@
 /// [`JsonError::WrongKind`], where the array or one of the names is missing or of another kind.
 pub fn names(parent: &Value, key: &str) -> Result<Vec<String>, JsonError> {
     let entries = array(parent, key)?.iter();
-    entries.map(|entry| string(entry.get("Name"), "Name").map(str::to_owned)).collect()
+    entries
+        .map(|entry| string(entry.get("Name"), "Name").map(str::to_owned))
+        .collect()
 }
 
 /// A required string; `key` names it in the error.
@@ -132,7 +143,9 @@
 /// # Errors
 /// [`JsonError::WrongKind`], where it is missing or not a string.
 pub fn string<'a>(value: Option<&'a Value>, key: &str) -> Result<&'a str, JsonError> {
-    value.and_then(Value::as_str).ok_or_else(|| JsonError::wrong_kind(key, Kind::String))
+    value
+        .and_then(Value::as_str)
+        .ok_or_else(|| JsonError::wrong_kind(key, Kind::String))
 }
 
 /// A required integer; `key` names it in the error.
@@ -140,7 +153,9 @@
 /// # Errors
 /// [`JsonError::WrongKind`], where it is missing or not an integer.
 pub fn integer(value: Option<&Value>, key: &str) -> Result<i64, JsonError> {
-    value.and_then(Value::as_i64).ok_or_else(|| JsonError::wrong_kind(key, Kind::Integer))
+    value
+        .and_then(Value::as_i64)
+        .ok_or_else(|| JsonError::wrong_kind(key, Kind::Integer))
 }
 
 /// An optional number, 0 where it is missing or null; `key` names it in the error.
@@ -151,7 +166,9 @@
     match value {
         None => Ok(0.0),
         Some(value) if value.is_null() => Ok(0.0),
-        Some(value) => value.cast_f64().ok_or_else(|| JsonError::wrong_kind(key, Kind::Number)),
+        Some(value) => value
+            .cast_f64()
+            .ok_or_else(|| JsonError::wrong_kind(key, Kind::Number)),
     }
 }
 
@@ -169,7 +186,11 @@
 /// [`JsonError::WrongKind`], where it is present and not a number.
 pub fn positive_number_or(parent: &Value, key: &str, default: f64) -> Result<f64, JsonError> {
     let configured = number(parent, key)?;
-    Ok(if configured > 0.0 { configured } else { default })
+    Ok(if configured > 0.0 {
+        configured
+    } else {
+        default
+    })
 }
 
 /// The boolean under `key`, false where it is missing or null.
@@ -180,7 +201,9 @@
     match parent.get(key) {
         None => Ok(false),
         Some(value) if value.is_null() => Ok(false),
-        Some(value) => value.as_bool().ok_or_else(|| JsonError::wrong_kind(key, Kind::Boolean)),
+        Some(value) => value
+            .as_bool()
+            .ok_or_else(|| JsonError::wrong_kind(key, Kind::Boolean)),
     }
 }
 
@@ -189,7 +212,10 @@
 /// # Errors
 /// [`JsonError::InvalidAddress`], where the text is no such address.
 pub fn parse_address(key: &str, value: &str) -> Result<SocketAddr, JsonError> {
-    let invalid = |_| JsonError::InvalidAddress { key: key.to_owned(), value: value.to_owned() };
+    let invalid = |_| JsonError::InvalidAddress {
+        key: key.to_owned(),
+        value: value.to_owned(),
+    };
     value.parse().map_err(invalid)
 }
 
@@ -198,6 +224,9 @@
 /// # Errors
 /// [`JsonError::InvalidHex`], where the text is no such number.
 pub fn parse_hex(key: &str, value: &str) -> Result<u64, JsonError> {
-    let invalid = |_| JsonError::InvalidHex { key: key.to_owned(), value: value.to_owned() };
+    let invalid = |_| JsonError::InvalidHex {
+        key: key.to_owned(),
+        value: value.to_owned(),
+    };
     u64::from_str_radix(value, 16).map_err(invalid)
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,5 @@
-//! The configuration of a front: one JSON file, and environment variables that override some of its keys.
+//! The configuration of a front: one JSON file, and environment variables that override some of its
+//! keys.
 
 pub mod error;
 pub mod json;
@@ -87,22 +88,27 @@
         Config::read(&file.content, environment_variable).map_err(|error| error.in_file(file.path))
     }
 
-    /// Reads the file again after a SIGHUP. The environment is as old as the process, so for the address of discovery
-    /// the file now takes precedence over it.
+    /// Reads the file again after a SIGHUP. The environment is as old as the process, so for the
+    /// address of discovery the file now takes precedence over it.
     ///
     /// # Errors
     /// The file cannot be read, or a value in it is missing or invalid.
     pub fn reread_from_env() -> Result<Config, ConfigError> {
         let file = ConfigFile::from_env()?;
-        let variable =
-            |name: &str| (name != DISCOVERY_VARIABLE).then(|| environment_variable(name)).flatten();
+        let variable = |name: &str| {
+            (name != DISCOVERY_VARIABLE)
+                .then(|| environment_variable(name))
+                .flatten()
+        };
         let read = Config::read(&file.content, variable);
         let mut config = read.map_err(|error| error.in_file(&file.path))?;
         let document = json::parse(&file.content).map_err(ConfigError::from);
         let document = document.map_err(|error| error.in_file(&file.path))?;
         if document.get("discovery").is_none() {
             let address = environment_variable(DISCOVERY_VARIABLE);
-            config.discovery = address.map(|address| parse_address("discovery", &address)).transpose()?;
+            config.discovery = address
+                .map(|address| parse_address("discovery", &address))
+                .transpose()?;
         }
         Ok(config)
     }
@@ -111,7 +117,10 @@
     ///
     /// # Errors
     /// The first value that is missing or invalid.
-    pub fn read(json: &[u8], variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+    pub fn read(
+        json: &[u8],
+        variable: impl Fn(&str) -> Option<String>,
+    ) -> Result<Config, ConfigError> {
         let document = json::parse(json)?;
         trace_start(&document);
         let raw_settings = object(&document, "settings")?;
@@ -120,7 +129,10 @@
         let seed = string(document.get("seed"), "seed")?;
         let name = front_name(&document, &variable);
         let peers = read_peers(json, &document, &name)?;
-        let addresses = Addresses { document: &document, variable };
+        let addresses = Addresses {
+            document: &document,
+            variable,
+        };
         Ok(Config {
             peers,
             name,
@@ -131,7 +143,10 @@
             max_descriptors: process_limit(&document, "sockets", DEFAULT_DESCRIPTORS)?,
             memory_bytes: process_limit(&document, "memory_mb", DEFAULT_MEMORY_MIB)?
                 .saturating_mul(BYTES_PER_MIB),
-            known_endpoints: document.get("known").cloned().ok_or_else(|| JsonError::missing("known"))?,
+            known_endpoints: document
+                .get("known")
+                .cloned()
+                .ok_or_else(|| JsonError::missing("known"))?,
             settings: settings::read(raw_settings)?,
             raw_settings: raw_settings.clone(),
             classes: names(raw_settings, "Services")?,
@@ -181,33 +196,58 @@
 
 /// A part of the settings that must be there. [`settings::read`] checks later that it is an object.
 fn required_part<'a>(settings: &'a Value, key: &str) -> Result<&'a Value, JsonError> {
-    settings.get(key).ok_or_else(|| JsonError::wrong_kind(key, Kind::Object))
+    settings
+        .get(key)
+        .ok_or_else(|| JsonError::wrong_kind(key, Kind::Object))
 }
 
 fn front_name(document: &Value, variable: impl Fn(&str) -> Option<String>) -> String {
-    let in_file = || document.get("name").and_then(|name| name.as_str()).map(str::to_owned);
-    variable("BALANCER_NAME").or_else(in_file).unwrap_or_else(|| DEFAULT_NAME.to_owned())
+    let in_file = || {
+        document
+            .get("name")
+            .and_then(|name| name.as_str())
+            .map(str::to_owned)
+    };
+    variable("BALANCER_NAME")
+        .or_else(in_file)
+        .unwrap_or_else(|| DEFAULT_NAME.to_owned())
 }
 
 /// The section on the front's peers, where the file has one.
-fn read_peers(json: &[u8], document: &Value, name: &str) -> Result<Option<ClusterConfig>, ConfigError> {
-    let Some(section) = document.get("peers") else { return Ok(None) };
-    ClusterConfig::read(section, name).map(Some).map_err(|reason| {
-        // Every message names the path of its key in quotes.
-        let message = reason.to_string();
-        let path = message.split('\'').nth(1).unwrap_or_default();
-        ConfigError::Peers { line: line_of(json, path), reason }
-    })
+fn read_peers(
+    json: &[u8],
+    document: &Value,
+    name: &str,
+) -> Result<Option<ClusterConfig>, ConfigError> {
+    let Some(section) = document.get("peers") else {
+        return Ok(None);
+    };
+    ClusterConfig::read(section, name)
+        .map(Some)
+        .map_err(|reason| {
+            // Every message names the path of its key in quotes.
+            let message = reason.to_string();
+            let path = message.split('\'').nth(1).unwrap_or_default();
+            ConfigError::Peers {
+                line: line_of(json, path),
+                reason,
+            }
+        })
 }
 
-/// The line, counted from 1, to which a path such as `peers.roster[1].name` leads; the last part found where a part
-/// is missing.
+/// The line, counted from 1, to which a path such as `peers.roster[1].name` leads; the last part
+/// found where a part is missing.
 fn line_of(json: &[u8], path: &str) -> usize {
     let text = String::from_utf8_lossy(json);
     let mut position = 0;
     for part in path.split('.') {
-        let (key, index) = part.trim_end_matches(']').split_once('[').unwrap_or((part, ""));
-        let Some(found) = text[position..].find(&format!("\"{key}\"")) else { break };
+        let (key, index) = part
+            .trim_end_matches(']')
+            .split_once('[')
+            .unwrap_or((part, ""));
+        let Some(found) = text[position..].find(&format!("\"{key}\"")) else {
+            break;
+        };
         position += found;
         // Entries of a list are objects, each of which opens with a brace.
         for _ in 0..index.parse::<usize>().map_or(0, |index| index + 1) {
@@ -228,13 +268,19 @@
 fn read_writes(settings: &Value, family: &Value) -> Result<Vec<Option<bool>>, JsonError> {
     let writes = family.get("ChangesData").and_then(Value::as_array);
     let classes = array(settings, "Services")?.len();
-    let of_class = |index| writes.and_then(|writes| writes.get(index)).and_then(Value::as_bool);
+    let of_class = |index| {
+        writes
+            .and_then(|writes| writes.get(index))
+            .and_then(Value::as_bool)
+    };
     Ok((0..classes).map(of_class).collect())
 }
 
 fn read_zones(settings: &Value) -> Result<Vec<String>, JsonError> {
     let zones = array(settings, "FailureDomains")?.iter();
-    zones.map(|zone| string(Some(zone), "FailureDomains").map(str::to_owned)).collect()
+    zones
+        .map(|zone| string(Some(zone), "FailureDomains").map(str::to_owned))
+        .collect()
 }
 
 fn read_timeout(limits: &Value, key: &str, default_nanos: f64) -> Result<Duration, JsonError> {
@@ -249,13 +295,21 @@
 }
 
 impl ConfigFile {
-    /// Reads the file that `BALANCER_CONFIG` names, unless it is larger than any valid configuration.
+    /// Reads the file that `BALANCER_CONFIG` names, unless it is larger than any valid
+    /// configuration.
     fn from_env() -> Result<ConfigFile, ConfigError> {
         let path = environment_variable(FILE_VARIABLE).ok_or(ConfigError::FileNotNamed)?;
-        let unreadable = |source| ConfigError::Unreadable { path: path.clone(), source };
+        let unreadable = |source| ConfigError::Unreadable {
+            path: path.clone(),
+            source,
+        };
         let size = std::fs::metadata(&path).map_err(unreadable)?.len();
         if size > MAX_FILE_BYTES {
-            return Err(ConfigError::TooLarge { path, size, limit: MAX_FILE_BYTES });
+            return Err(ConfigError::TooLarge {
+                path,
+                size,
+                limit: MAX_FILE_BYTES,
+            });
         }
         let content = std::fs::read(&path).map_err(unreadable)?;
         Ok(ConfigFile { path, content })
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -1,8 +1,9 @@
 //! Reloads the configuration at SIGHUP.
 //!
-//! The whole file is read again. One that cannot be used changes nothing, is counted in `app_conf_invalid` and logged.
-//! One that can is counted in `app_conf_loaded`: the watch on discovery moves to the new address, and the scheduler
-//! adopts the new settings, in which known classes keep their numbers (see [`RequestTables::reload`]).
+//! The whole file is read again. One that cannot be used changes nothing, is counted in
+//! `app_conf_invalid` and logged. One that can is counted in `app_conf_loaded`: the watch on
+//! discovery moves to the new address, and the scheduler adopts the new settings, in which known
+//! classes keep their numbers (see [`RequestTables::reload`]).
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -39,10 +40,18 @@
 }
 
 impl SettingsReload {
-    /// Applies the configuration that `read` returns, at each SIGHUP, for as long as the program runs.
-    pub async fn follow(mut self, mut hangup: Signal, read: impl Fn() -> Result<Config, ConfigError>) {
+    /// Applies the configuration that `read` returns, at each SIGHUP, for as long as the program
+    /// runs.
+    pub async fn follow(
+        mut self,
+        mut hangup: Signal,
+        read: impl Fn() -> Result<Config, ConfigError>,
+    ) {
         while hangup.recv().await.is_some() {
-            match read().map_err(ReloadError::from).and_then(|config| self.apply(config)) {
+            match read()
+                .map_err(ReloadError::from)
+                .and_then(|config| self.apply(config))
+            {
                 Ok(()) => {
                     self.metrics.conf_loaded.inc();
                     log!("the new configuration is taken");
@@ -68,7 +77,10 @@
         let new_discovery = config.discovery;
         // Changed in a copy: the scheduler may still reject the settings.
         let mut tables = self.tables.borrow().clone();
-        let ReloadedSettings { settings, replaced_classes } = tables.reload(config, &self.metrics);
+        let ReloadedSettings {
+            settings,
+            replaced_classes,
+        } = tables.reload(config, &self.metrics);
         self.exchange.reload_settings(settings, &replaced_classes)?;
         if let (Some(peers), Some(new_peers)) = (&self.peers, new_peers) {
             peers.reload(new_peers);
@@ -76,14 +88,16 @@
         *self.tables.borrow_mut() = tables;
         self.current = new_settings;
         if let Some(address) = new_discovery {
-            self.discovery.send_if_modified(|current| current.replace(address) != Some(address));
+            self.discovery
+                .send_if_modified(|current| current.replace(address) != Some(address));
         }
         Ok(())
     }
 }
 
-/// The path of the first key that the current settings have and the new ones lack. In an array of objects each new
-/// entry must have every key that any current entry has: classes may come and go, but not lose a parameter.
+/// The path of the first key that the current settings have and the new ones lack. In an array of
+/// objects each new entry must have every key that any current entry has: classes may come and go,
+/// but not lose a parameter.
 pub fn missing_key(current: &Value, new: &Value, path: &str) -> Option<String> {
     match (current, new) {
         (Value::Object(current), Value::Object(new)) => current.iter().find_map(|(key, value)| {
@@ -100,7 +114,9 @@
 
 fn missing_key_of_entry(current: &[Value], new: &[Value], path: &str) -> Option<String> {
     let objects = current.iter().filter_map(Value::as_object);
-    let keys: Vec<&str> = objects.flat_map(|object| object.keys().map(String::as_str)).collect();
+    let keys: Vec<&str> = objects
+        .flat_map(|object| object.keys().map(String::as_str))
+        .collect();
     new.iter().enumerate().find_map(|(index, entry)| {
         let object = entry.as_object()?;
         let missing = keys.iter().find(|key| !object.contains_key(**key))?;
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,5 +1,6 @@
-//! Reads the `settings` object, which describes a site, into the scheduler's own types. The simulator's adapter and
-//! the fronts read the same object, so that both schedule by the same parameters.
+//! Reads the `settings` object, which describes a site, into the scheduler's own types. The
+//! simulator's adapter and the fronts read the same object, so that both schedule by the same
+//! parameters.
 
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
@@ -20,7 +21,10 @@
     Ok(Settings {
         initiators: number(value, "Balancers")? as u32,
         classes,
-        plans: array(value, "Grades")?.iter().map(read_plan).collect::<Result<_, _>>()?,
+        plans: array(value, "Grades")?
+            .iter()
+            .map(read_plan)
+            .collect::<Result<_, _>>()?,
         quantum: number(value, "Quantum")? as Nanos,
         warmup_units: number(family, "ColdUnits")?,
         mean_units: number(family, "UnitMean")?,
@@ -31,7 +35,8 @@
         max_attempts: number(limits, "MostTries")? as u32,
         hedging: boolean(limits, "SecondCopies")?,
         cancellation: boolean(limits, "Cancelling")?,
-        // Set also where the simulator does not pass it on to its clients: a rejection says when to retry.
+        // Set also where the simulator does not pass it on to its clients: a rejection says when to
+        // retry.
         max_retry_after: number(limits, "MaxRetryAfter")? as Nanos,
         polls_discovery: value.get("Discovery").and_then(Value::as_str) == Some("on_request"),
         poll_interval: number(rules, "AskEvery")? as Nanos,
@@ -50,7 +55,10 @@
     let mut classes = Vec::new();
     for (index, entry) in array(value, "Services")?.iter().enumerate() {
         let mut class = read_class(entry)?;
-        class.writes = writes.and_then(|writes| writes.get(index)).and_then(Value::as_bool).unwrap_or(false);
+        class.writes = writes
+            .and_then(|writes| writes.get(index))
+            .and_then(Value::as_bool)
+            .unwrap_or(false);
         classes.push(class);
     }
     Ok(classes)
@@ -58,7 +66,9 @@
 
 /// The budget of retries; none where the settings state no ratio.
 fn read_retry_budget(rules: &Value) -> Result<Option<RetryBudget>, JsonError> {
-    let Some(ratio) = rules.get("FurtherRatio").filter(|ratio| !ratio.is_null()) else { return Ok(None) };
+    let Some(ratio) = rules.get("FurtherRatio").filter(|ratio| !ratio.is_null()) else {
+        return Ok(None);
+    };
     Ok(Some(RetryBudget {
         base_allowance: number(rules, "ExtraFree")?,
         ratio: optional_number(Some(ratio), "FurtherRatio")?,
--- a/src/control/agent/command.rs
+++ b/src/control/agent/command.rs
@@ -16,7 +16,11 @@
 impl FrontCommand {
     /// The command with this name in the API.
     pub fn from_name(name: &str) -> Option<FrontCommand> {
-        let all = [FrontCommand::Drain, FrontCommand::Resume, FrontCommand::Restart];
+        let all = [
+            FrontCommand::Drain,
+            FrontCommand::Resume,
+            FrontCommand::Restart,
+        ];
         all.into_iter().find(|command| command.name() == name)
     }
 
--- a/src/control/agent/declaration.rs
+++ b/src/control/agent/declaration.rs
@@ -15,11 +15,17 @@
 /// The pause between two readiness probes of a starting front.
 const PROBE_INTERVAL: Duration = Duration::from_millis(50);
 /// The timeouts of a readiness probe.
-const PROBE_TIMEOUTS: CallTimeouts =
-    CallTimeouts { connect: Duration::from_millis(500), response: Duration::from_millis(500) };
+const PROBE_TIMEOUTS: CallTimeouts = CallTimeouts {
+    connect: Duration::from_millis(500),
+    response: Duration::from_millis(500),
+};
 /// The agent's own variables, which its fronts must not inherit: each has its own configuration.
-const VARIABLES_NOT_INHERITED: [&str; 4] =
-    ["BALANCER_NAME", "BALANCER_LISTEN", "BALANCER_DISCOVERY", "BALANCER_CONFIG"];
+const VARIABLES_NOT_INHERITED: [&str; 4] = [
+    "BALANCER_NAME",
+    "BALANCER_LISTEN",
+    "BALANCER_DISCOVERY",
+    "BALANCER_CONFIG",
+];
 
 /// All declarations, as JSON by the names of their fronts.
 pub type Declarations = BTreeMap<String, Vec<u8>>;
@@ -75,9 +81,18 @@
 
     /// Waits until the front is ready for clients. One whose configuration has no address never is.
     pub async fn wait_until_ready(&self) {
-        let Some(address) = self.listen_address() else { return std::future::pending().await };
+        let Some(address) = self.listen_address() else {
+            return std::future::pending().await;
+        };
         loop {
-            let probe = call(address, Method::GET, "/health/ready", String::new(), PROBE_TIMEOUTS).await;
+            let probe = call(
+                address,
+                Method::GET,
+                "/health/ready",
+                String::new(),
+                PROBE_TIMEOUTS,
+            )
+            .await;
             if probe.is_ok_and(|response| response.status == StatusCode::OK) {
                 return;
             }
--- a/src/control/agent/etcd.rs
+++ b/src/control/agent/etcd.rs
@@ -1,5 +1,6 @@
-//! Declarations of fronts in etcd, through its v3 JSON gateway: the keys under a prefix are listed at a revision and
-//! watched from the next one on, and listed again after a compaction or a lost connection.
+//! Declarations of fronts in etcd, through its v3 JSON gateway: the keys under a prefix are listed
+//! at a revision and watched from the next one on, and listed again after a compaction or a lost
+//! connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,16 +19,19 @@
 use crate::control::json_stream::Message;
 use crate::telemetry::log::log;
 
-const CALL_TIMEOUTS: CallTimeouts =
-    CallTimeouts { connect: Duration::from_secs(2), response: Duration::from_secs(5) };
+const CALL_TIMEOUTS: CallTimeouts = CallTimeouts {
+    connect: Duration::from_secs(2),
+    response: Duration::from_secs(5),
+};
 /// The longest time for the body of a page of the list.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
-/// A watch sends nothing while nothing changes. After this time without a message it is opened again, since its
-/// connection may have died unnoticed.
+/// A watch sends nothing while nothing changes. After this time without a message it is opened
+/// again, since its connection may have died unnoticed.
 const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Keys on one page of the list.
 const PAGE_SIZE: usize = 500;
-/// The pause before the first retry. It doubles with each, until a watch has lasted for [`MAX_BACKOFF`].
+/// The pause before the first retry. It doubles with each, until a watch has lasted for
+/// [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
 /// The longest pause before a retry.
 const MAX_BACKOFF: Duration = Duration::from_secs(10);
@@ -117,7 +121,8 @@
         send(sender, &listing.declarations).await?;
         loop {
             let watch = self.open_watch(listing.revision).await?;
-            // Returns once the watch is idle. Nothing is missed: the next one begins where this one ended.
+            // Returns once the watch is idle. Nothing is missed: the next one begins where this one
+            // ended.
             self.read_watch(watch, &mut listing, sender).await?;
         }
     }
@@ -127,15 +132,22 @@
             "key": STANDARD.encode(&self.prefix), "range_end": STANDARD.encode(range_end(&self.prefix)),
             "start_revision": (revision + 1).to_string(), "progress_notify": true,
         }});
-        let watch = call(self.address, Method::POST, "/v3/watch", request.encode(), CALL_TIMEOUTS).await?;
+        let watch = call(
+            self.address,
+            Method::POST,
+            "/v3/watch",
+            request.encode(),
+            CALL_TIMEOUTS,
+        )
+        .await?;
         match watch.status {
             StatusCode::OK => Ok(watch),
             status => Err(EtcdError::WatchStatus(status)),
         }
     }
 
-    /// Applies the events of a watch to the listing, and sends it after each change, until no message has come for
-    /// [`WATCH_IDLE_TIMEOUT`].
+    /// Applies the events of a watch to the listing, and sends it after each change, until no
+    /// message has come for [`WATCH_IDLE_TIMEOUT`].
     async fn read_watch(
         &self,
         mut watch: CallResponse,
@@ -146,7 +158,9 @@
             let Ok(message) = timeout(WATCH_IDLE_TIMEOUT, watch.next_message()).await else {
                 return Ok(());
             };
-            let Message::Json(line) = message? else { continue };
+            let Message::Json(line) = message? else {
+                continue;
+            };
             let value = json::parse(&line)?;
             let result = watch_result(&value)?;
             if let Some(revision) = header_revision(result) {
@@ -164,7 +178,10 @@
 
     /// Lists all keys under the prefix as of one revision, page by page.
     async fn list(&self) -> Result<Listing, EtcdError> {
-        let mut listing = Listing { declarations: Declarations::new(), revision: 0 };
+        let mut listing = Listing {
+            declarations: Declarations::new(),
+            revision: 0,
+        };
         let mut first_key = self.prefix.as_bytes().to_vec();
         loop {
             let value = self.read_page(&first_key, listing.revision).await?;
@@ -172,11 +189,17 @@
                 listing.revision = header_revision(&value).ok_or(EtcdError::NoRevision)?;
             }
             // The gateway leaves out fields that are empty.
-            let pairs = if value.get("kvs").is_some() { array(&value, "kvs")?.as_slice() } else { &[] };
+            let pairs = if value.get("kvs").is_some() {
+                array(&value, "kvs")?.as_slice()
+            } else {
+                &[]
+            };
             for pair in pairs {
                 let key = decode(pair, "key")?;
                 if let Some(name) = self.front_name(&key) {
-                    listing.declarations.insert(name, decode(pair, "value").unwrap_or_default());
+                    listing
+                        .declarations
+                        .insert(name, decode(pair, "value").unwrap_or_default());
                 }
                 first_key = [key.as_slice(), &[0]].concat();
             }
@@ -193,7 +216,14 @@
             "limit": PAGE_SIZE.to_string(), "revision": revision.to_string(),
         });
         let path = "/v3/kv/range";
-        let response = call(self.address, Method::POST, path, request.encode(), CALL_TIMEOUTS).await?;
+        let response = call(
+            self.address,
+            Method::POST,
+            path,
+            request.encode(),
+            CALL_TIMEOUTS,
+        )
+        .await?;
         let status = response.status;
         let body = response.read_all(BODY_TIMEOUT).await?;
         if status != StatusCode::OK {
@@ -205,7 +235,9 @@
 
     fn apply(&self, event: &Value, declarations: &mut Declarations) -> Result<(), EtcdError> {
         let pair = event.get("kv").ok_or(EtcdError::NoKey)?;
-        let Some(name) = self.front_name(&decode(pair, "key")?) else { return Ok(()) };
+        let Some(name) = self.front_name(&decode(pair, "key")?) else {
+            return Ok(());
+        };
         match event.get("type").and_then(Value::as_str).unwrap_or("PUT") {
             "DELETE" => declarations.remove(&name),
             _ => declarations.insert(name, decode(pair, "value").unwrap_or_default()),
@@ -220,7 +252,10 @@
 }
 
 async fn send(sender: &Sender<Declarations>, declarations: &Declarations) -> Result<(), EtcdError> {
-    sender.send(declarations.clone()).await.map_err(|_| EtcdError::ReceiverClosed)
+    sender
+        .send(declarations.clone())
+        .await
+        .map_err(|_| EtcdError::ReceiverClosed)
 }
 
 /// The content of a message of the watch.
@@ -260,6 +295,11 @@
 
 /// The bytes under `key`, which the gateway writes in base64.
 fn decode(pair: &Value, key: &str) -> Result<Vec<u8>, EtcdError> {
-    let invalid = |source| EtcdError::Base64 { key: key.to_owned(), source };
-    STANDARD.decode(string(pair.get(key), key)?).map_err(invalid)
+    let invalid = |source| EtcdError::Base64 {
+        key: key.to_owned(),
+        source,
+    };
+    STANDARD
+        .decode(string(pair.get(key), key)?)
+        .map_err(invalid)
 }
--- a/src/control/agent/file.rs
+++ b/src/control/agent/file.rs
@@ -14,8 +14,8 @@
 /// How often the file is read.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Sends the declarations of a file, at first and after each change, until the receiver is gone. A file that cannot be
-/// used is logged and changes nothing.
+/// Sends the declarations of a file, at first and after each change, until the receiver is gone. A
+/// file that cannot be used is logged and changes nothing.
 pub async fn follow(path: PathBuf, sender: Sender<Declarations>) {
     let mut last_content = None;
     loop {
@@ -42,5 +42,8 @@
     let value = json::parse(json)?;
     let fronts = value.get("fronts").and_then(|fronts| fronts.as_object());
     let fronts = fronts.ok_or_else(|| JsonError::wrong_kind("fronts", Kind::Object))?;
-    Ok(fronts.iter().map(|(name, front)| (name.clone(), front.encode().into_bytes())).collect())
+    Ok(fronts
+        .iter()
+        .map(|(name, front)| (name.clone(), front.encode().into_bytes()))
+        .collect())
 }
--- a/src/control/agent/fleet.rs
+++ b/src/control/agent/fleet.rs
@@ -29,7 +29,8 @@
 }
 
 impl Fleet {
-    /// Reconciles the fronts with their declarations. An invalid declaration leaves its front as it is.
+    /// Reconciles the fronts with their declarations. An invalid declaration leaves its front as it
+    /// is.
     pub fn apply(&self, declarations: Declarations) {
         self.stop_undeclared(&declarations);
         for (name, json) in declarations {
@@ -109,17 +110,25 @@
 }
 
 impl SupervisedFront {
-    /// Starts a front once the supervisor of a predecessor with the same name has ended: until then its process may
-    /// still answer requests, and has the address.
+    /// Starts a front once the supervisor of a predecessor with the same name has ended: until then
+    /// its process may still answer requests, and has the address.
     fn start(
         name: String,
         declaration: FrontDeclaration,
         predecessor: Option<JoinHandle<()>>,
     ) -> SupervisedFront {
-        let initial = DesiredState { declaration, drained: false, restarts: 0 };
+        let initial = DesiredState {
+            declaration,
+            drained: false,
+            restarts: 0,
+        };
         let (sender, desired) = watch::channel(initial);
         let status = Rc::new(RefCell::new(FrontStatus::new()));
-        let supervisor = Supervisor { name, desired, status: Rc::clone(&status) };
+        let supervisor = Supervisor {
+            name,
+            desired,
+            status: Rc::clone(&status),
+        };
         let task = spawn_local(async move {
             if let Some(predecessor) = predecessor {
                 // A supervisor that panicked has no process either.
@@ -127,6 +136,10 @@
             }
             supervisor.run().await;
         });
-        SupervisedFront { desired: sender, status, supervisor: task }
+        SupervisedFront {
+            desired: sender,
+            status,
+            supervisor: task,
+        }
     }
 }
--- a/src/control/agent/mod.rs
+++ b/src/control/agent/mod.rs
@@ -1,7 +1,7 @@
 //! The agent: runs the fronts that a file or etcd declares.
 //!
-//! It starts fronts that are missing, restarts those that crashed with growing pauses, stops fronts with SIGTERM and
-//! then SIGKILL, and serves an HTTP API for the command line.
+//! It starts fronts that are missing, restarts those that crashed with growing pauses, stops fronts
+//! with SIGTERM and then SIGKILL, and serves an HTTP API for the command line.
 
 pub mod api;
 pub mod command;
@@ -49,7 +49,8 @@
     Etcd(EtcdPrefix),
 }
 
-/// Runs the agent until SIGTERM or SIGINT, and then stops all its fronts. The API is served at `control`.
+/// Runs the agent until SIGTERM or SIGINT, and then stops all its fronts. The API is served at
+/// `control`.
 ///
 /// # Errors
 /// [`AgentError`], where the agent cannot start.
@@ -75,7 +76,9 @@
         }
     });
     let api = AgentApi::new(Rc::clone(&fleet));
-    Listener::new(api, MAX_CONNECTIONS, ListenerState::default()).serve(listener, shutdown).await;
+    Listener::new(api, MAX_CONNECTIONS, ListenerState::default())
+        .serve(listener, shutdown)
+        .await;
     following.abort();
     applying.abort();
     fleet.stop_all().await;
--- a/src/control/agent/supervisor.rs
+++ b/src/control/agent/supervisor.rs
@@ -1,4 +1,5 @@
-//! Supervises the process of one front: starts it, restarts it with growing pauses when it crashes, and stops it.
+//! Supervises the process of one front: starts it, restarts it with growing pauses when it crashes,
+//! and stops it.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -19,7 +20,8 @@
 const MAX_RESTART_PAUSE: Duration = Duration::from_secs(30);
 /// After running for this long, a front that crashes is restarted after the shortest pause again.
 const STABLE_AFTER: Duration = Duration::from_secs(60);
-/// The time between SIGTERM and SIGKILL. A front needs at most 3.4 s to answer the requests it has accepted.
+/// The time between SIGTERM and SIGKILL. A front needs at most 3.4 s to answer the requests it has
+/// accepted.
 pub const STOP_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// The desired state of a front.
@@ -80,7 +82,12 @@
 impl FrontStatus {
     /// The status before the first start.
     pub fn new() -> FrontStatus {
-        FrontStatus { phase: Phase::Waiting, pid: None, starts: 0, crashes: 0 }
+        FrontStatus {
+            phase: Phase::Waiting,
+            pid: None,
+            starts: 0,
+            crashes: 0,
+        }
     }
 
     fn started(&mut self, pid: Option<u32>) {
@@ -137,11 +144,16 @@
             if self.desired.has_changed().is_err() {
                 return;
             }
-            let ProcessEnd::Crashed(reason) = end else { continue };
+            let ProcessEnd::Crashed(reason) = end else {
+                continue;
+            };
             if started.elapsed() >= STABLE_AFTER {
                 pause = MIN_RESTART_PAUSE;
             }
-            log!("front {}: process ended ({reason}), restarting in {pause:?}", self.name);
+            log!(
+                "front {}: process ended ({reason}), restarting in {pause:?}",
+                self.name
+            );
             self.status.borrow_mut().crashed();
             // A change of the desired state takes effect at once.
             if let Ok(Err(_)) = timeout(pause, self.desired.changed()).await {
@@ -186,11 +198,15 @@
     /// Stops a process: SIGTERM, time to answer the requests it has accepted, and SIGKILL.
     async fn stop(&self, child: &mut Child) {
         if let Some(pid) = child.id().and_then(|id| i32::try_from(id).ok()) {
-            // Fails where the process has just ended by itself; the wait below is right for that too.
+            // Fails where the process has just ended by itself; the wait below is right for that
+            // too.
             let _ = kill(Pid::from_raw(pid), Signal::SIGTERM);
         }
         if timeout(STOP_TIMEOUT, child.wait()).await.is_err() {
-            log!("front {}: process still runs {STOP_TIMEOUT:?} after SIGTERM, killing it", self.name);
+            log!(
+                "front {}: process still runs {STOP_TIMEOUT:?} after SIGTERM, killing it",
+                self.name
+            );
             // Fails only where the process has ended meanwhile.
             let _ = child.kill().await;
         }
--- a/src/control/console.rs
+++ b/src/control/console.rs
@@ -1,12 +1,13 @@
-//! The operators' console: a separate HTTP listener, with one call for each connection and every answer within a
-//! second.
+//! The operators' console: a separate HTTP listener, with one call for each connection and every
+//! answer within a second.
 //!
 //! - `GET /status`: 200 while the front accepts clients, 503 before that and while it shuts down.
 //! - `GET /status/metrics`: the metrics, in the Prometheus text format.
 //! - `GET /status/peers`: the front's view of its peers as JSON, where it has any.
-//! - `GET /status/verdicts`, `GET /status/verdicts/ID`: the ejections that the front shares with its peers, and those
-//!   of chunk server ID, as JSON.
-//! - `PUT /maintenance/enter/ID`, `PUT /maintenance/exit/ID`: begins and ends the maintenance of chunk server ID.
+//! - `GET /status/verdicts`, `GET /status/verdicts/ID`: the ejections that the front shares with
+//!   its peers, and those of chunk server ID, as JSON.
+//! - `PUT /maintenance/enter/ID`, `PUT /maintenance/exit/ID`: begins and ends the maintenance of
+//!   chunk server ID.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -39,8 +40,8 @@
 use crate::telemetry::metrics::{GaugeReadings, Metrics};
 use crate::upstream::Upstream;
 
-/// The longest time for a whole call, from the connection to the last byte of the response. The connection is closed
-/// after it.
+/// The longest time for a whole call, from the connection to the last byte of the response. The
+/// connection is closed after it.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 /// The most open connections; one more closes the oldest.
 pub const MAX_CONNECTIONS: usize = 8;
@@ -104,7 +105,11 @@
 impl Console {
     /// A console on the parts of a front.
     pub fn new(parts: ConsoleParts) -> Rc<Console> {
-        Rc::new(Console { parts, open_calls: RefCell::default(), next_call: Cell::new(0) })
+        Rc::new(Console {
+            parts,
+            open_calls: RefCell::default(),
+            next_call: Cell::new(0),
+        })
     }
 
     /// Serves for as long as the program runs.
@@ -139,7 +144,10 @@
                 _ = timeout(CALL_TIMEOUT, connection) => {}
                 () = close.notified() => {}
             }
-            console.open_calls.borrow_mut().retain(|call| call.number != number);
+            console
+                .open_calls
+                .borrow_mut()
+                .retain(|call| call.number != number);
         });
     }
 
@@ -152,22 +160,30 @@
             }
         }
         let close = Rc::new(Notify::new());
-        open_calls.push_back(OpenCall { number, close: Rc::clone(&close) });
+        open_calls.push_back(OpenCall {
+            number,
+            close: Rc::clone(&close),
+        });
         close
     }
 
     async fn answer(&self, request: Request<Incoming>) -> ConsoleResponse {
         let (head, body) = request.into_parts();
-        // Read so that the response does not cross the body on the wire; its content does not matter.
+        // Read so that the response does not cross the body on the wire; its content does not
+        // matter.
         let _ = Limited::new(body, MAX_BODY_BYTES).collect().await;
         let path = head.uri.path();
         match (&head.method, path.strip_prefix("/maintenance/")) {
             (&Method::GET, None) => self.answer_get(path),
             (&Method::PUT, Some(rest)) => self.answer_maintenance(rest).await,
-            (_, Some(_)) => plain(StatusCode::METHOD_NOT_ALLOWED, "maintenance is called with PUT\n"),
-            (_, None) if path == "/status" || path == "/status/metrics" => {
-                plain(StatusCode::METHOD_NOT_ALLOWED, "status is called with GET\n")
-            }
+            (_, Some(_)) => plain(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "maintenance is called with PUT\n",
+            ),
+            (_, None) if path == "/status" || path == "/status/metrics" => plain(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "status is called with GET\n",
+            ),
             _ => no_such_call(),
         }
     }
@@ -201,19 +217,26 @@
             cluster_unhealthy: endpoints.avoided,
         };
         let mut response = plain(StatusCode::OK, self.parts.metrics.render(&readings));
-        response.headers_mut().insert(CONTENT_TYPE, METRICS_CONTENT_TYPE);
+        response
+            .headers_mut()
+            .insert(CONTENT_TYPE, METRICS_CONTENT_TYPE);
         response
     }
 
     /// The `status` of the front's peers, where it has any.
-    fn answer_peers<E: Display>(&self, status: impl FnOnce(&Peers) -> Result<Value, E>) -> ConsoleResponse {
+    fn answer_peers<E: Display>(
+        &self,
+        status: impl FnOnce(&Peers) -> Result<Value, E>,
+    ) -> ConsoleResponse {
         let Some(peers) = &self.parts.peers else {
             return plain(StatusCode::NOT_FOUND, "this front has no peers\n");
         };
         match status(peers) {
             Ok(value) => {
                 let mut response = plain(StatusCode::OK, value.encode());
-                response.headers_mut().insert(CONTENT_TYPE, JSON_CONTENT_TYPE);
+                response
+                    .headers_mut()
+                    .insert(CONTENT_TYPE, JSON_CONTENT_TYPE);
                 response
             }
             Err(error) => plain(StatusCode::NOT_FOUND, format!("{error}\n")),
--- a/src/control/discovery.rs
+++ b/src/control/discovery.rs
@@ -1,5 +1,5 @@
-//! Follows discovery: calls it when [`DiscoveryWatch`] requires it, and passes the endpoint lists of its messages on to
-//! the scheduler.
+//! Follows discovery: calls it when [`DiscoveryWatch`] requires it, and passes the endpoint lists
+//! of its messages on to the scheduler.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -23,7 +23,8 @@
 use crate::telemetry::log::log;
 use crate::upstream::Upstream;
 
-/// The longest time for a connection to discovery to open. The whole call is bounded by [`CALL_TIMEOUT`].
+/// The longest time for a connection to discovery to open. The whole call is bounded by
+/// [`CALL_TIMEOUT`].
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why a watch cannot be opened or read.
@@ -46,7 +47,10 @@
 impl DiscoveryError {
     /// Whether nothing came from discovery at all.
     fn is_silence(&self) -> bool {
-        matches!(self, DiscoveryError::Http(HttpError::ConnectTimeout | HttpError::ResponseTimeout))
+        matches!(
+            self,
+            DiscoveryError::Http(HttpError::ConnectTimeout | HttpError::ResponseTimeout)
+        )
     }
 }
 
@@ -65,10 +69,22 @@
 }
 
 impl Discovery {
-    /// Nothing is followed yet. The first call goes out within `first_call` nanoseconds. `phase`, from 0 to 1, is this
-    /// front's place in the interval over which the fleet's calls are spread.
-    pub fn new(first_call: Nanos, phase: f64, reader: EndpointListReader, readiness: Readiness) -> Discovery {
-        Discovery { first_call, phase, reader, readiness, generation: 0, list_source: None }
+    /// Nothing is followed yet. The first call goes out within `first_call` nanoseconds. `phase`,
+    /// from 0 to 1, is this front's place in the interval over which the fleet's calls are spread.
+    pub fn new(
+        first_call: Nanos,
+        phase: f64,
+        reader: EndpointListReader,
+        readiness: Readiness,
+    ) -> Discovery {
+        Discovery {
+            first_call,
+            phase,
+            reader,
+            readiness,
+            generation: 0,
+            list_source: None,
+        }
     }
 
     /// Passes on the last known endpoint list, which may be old.
@@ -80,7 +96,9 @@
         known: &Value,
         exchange: &Rc<Exchange<Upstream>>,
     ) -> Result<(), EndpointListError> {
-        let update = self.reader.read(known, exchange.transport(), exchange.now())?;
+        let update = self
+            .reader
+            .read(known, exchange.transport(), exchange.now())?;
         self.generation = update.generation;
         exchange.update_endpoints(UpdateScope::Restored, update.nodes);
         Ok(())
@@ -109,13 +127,19 @@
 
     /// Compares the clock of discovery, where a response tells it, with that of this front.
     fn record_time_of_discovery(&self, response: &CallResponse, now: Nanos) {
-        let told = response.date.and_then(|date| date.duration_since(UNIX_EPOCH).ok());
+        let told = response
+            .date
+            .and_then(|date| date.duration_since(UNIX_EPOCH).ok());
         if let Some(told) = told {
-            self.reader.start_times.borrow_mut().discovery_time(now, told.as_nanos() as Nanos);
+            self.reader
+                .start_times
+                .borrow_mut()
+                .discovery_time(now, told.as_nanos() as Nanos);
         }
     }
 
-    /// Handles one message of the watch on `source`. One that cannot be read is logged and otherwise ignored.
+    /// Handles one message of the watch on `source`. One that cannot be read is logged and
+    /// otherwise ignored.
     fn receive(&mut self, message: Message, source: SocketAddr, exchange: &Rc<Exchange<Upstream>>) {
         let now = exchange.now();
         let Message::Json(mut json) = message else {
@@ -125,7 +149,8 @@
             return;
         };
         let value = simd_json::to_owned_value(&mut json).map_err(DiscoveryError::Syntax);
-        let update = value.and_then(|value| Ok(self.reader.read(&value, exchange.transport(), now)?));
+        let update =
+            value.and_then(|value| Ok(self.reader.read(&value, exchange.transport(), now)?));
         match update {
             Ok(update) => {
                 self.reader.start_times.borrow_mut().confirmed(now);
@@ -177,7 +202,8 @@
 impl Follower {
     async fn run(mut self) {
         loop {
-            // Without discovery there is only the last known list, until a configuration names an address.
+            // Without discovery there is only the last known list, until a configuration names an
+            // address.
             let Some(address) = *self.address.borrow() else {
                 self.discovery.readiness.list_confirmed();
                 if self.address.changed().await.is_err() {
@@ -196,7 +222,10 @@
     }
 
     async fn next_activity(&mut self) -> Activity {
-        let due = self.machine.due().map(|due| self.started + Duration::from_nanos(due.max(0) as u64));
+        let due = self
+            .machine
+            .due()
+            .map(|due| self.started + Duration::from_nanos(due.max(0) as u64));
         tokio::select! {
             biased;
             message = next_message(&mut self.watch) => Activity::Message(message),
@@ -207,12 +236,13 @@
         }
     }
 
-    /// Records an activity as the event that it is for the state machine. A watch that has just opened goes to
-    /// `opened`, until the machine adopts it.
+    /// Records an activity as the event that it is for the state machine. A watch that has just
+    /// opened goes to `opened`, until the machine adopts it.
     fn handle(&mut self, activity: Activity, opened: &mut Option<OpenWatch>) -> WatchEvent {
         match activity {
             Activity::Message(Ok(received)) => {
-                self.discovery.receive(received.message, received.source, &self.exchange);
+                self.discovery
+                    .receive(received.message, received.source, &self.exchange);
                 WatchEvent::MessageReceived
             }
             Activity::Message(Err(error)) => {
@@ -224,7 +254,8 @@
                 self.opening = None;
                 match ended {
                     Ok(watch) => {
-                        self.discovery.record_time_of_discovery(&watch.response, self.exchange.now());
+                        self.discovery
+                            .record_time_of_discovery(&watch.response, self.exchange.now());
                         *opened = Some(watch);
                         self.discovery.readiness.watch_opened();
                         WatchEvent::Opened
@@ -234,7 +265,9 @@
                         if error.is_silence() {
                             self.discovery.readiness.call_unanswered();
                         } else {
-                            self.discovery.readiness.call_failed(self.called_at.elapsed());
+                            self.discovery
+                                .readiness
+                                .call_failed(self.called_at.elapsed());
                         }
                         WatchEvent::Failed
                     }
@@ -257,7 +290,9 @@
                 log!("discovery: watch closed: no message in time");
                 self.watch = None;
             }
-            WatchStep::ReportLost => self.exchange.update_endpoints(UpdateScope::Unavailable, Vec::new()),
+            WatchStep::ReportLost => self
+                .exchange
+                .update_endpoints(UpdateScope::Unavailable, Vec::new()),
         }
     }
 
@@ -265,8 +300,13 @@
         // A configuration without an address leaves discovery where it was.
         let address = self.address.borrow().unwrap_or(last_address);
         let list_source = *self.discovery.list_source.get_or_insert(address);
-        // Another instance of discovery may count versions differently: from 0 on it sends everything.
-        let generation = if list_source == address { self.discovery.generation } else { 0 };
+        // Another instance of discovery may count versions differently: from 0 on it sends
+        // everything.
+        let generation = if list_source == address {
+            self.discovery.generation
+        } else {
+            0
+        };
         self.called_at = Instant::now();
         self.opening = Some(Box::pin(open_watch(address, generation)));
     }
@@ -275,11 +315,16 @@
 /// Opens a watch on the changes after a version of the list.
 async fn open_watch(address: SocketAddr, generation: i64) -> Result<OpenWatch, DiscoveryError> {
     let path = format!("/registry/instances?watch=1&after={generation}");
-    let timeouts =
-        CallTimeouts { connect: CONNECT_TIMEOUT, response: Duration::from_nanos(CALL_TIMEOUT as u64) };
+    let timeouts = CallTimeouts {
+        connect: CONNECT_TIMEOUT,
+        response: Duration::from_nanos(CALL_TIMEOUT as u64),
+    };
     let response = call(address, Method::GET, &path, String::new(), timeouts).await?;
     match response.status {
-        StatusCode::OK => Ok(OpenWatch { source: address, response }),
+        StatusCode::OK => Ok(OpenWatch {
+            source: address,
+            response,
+        }),
         status => Err(DiscoveryError::Status(status)),
     }
 }
@@ -289,7 +334,10 @@
     match watch {
         Some(watch) => {
             let message = watch.response.next_message().await?;
-            Ok(WatchMessage { source: watch.source, message })
+            Ok(WatchMessage {
+                source: watch.source,
+                message,
+            })
         }
         None => std::future::pending().await,
     }
--- a/src/control/endpoint_list.rs
+++ b/src/control/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! Reads endpoint lists: the messages of discovery, and the last known list in a front's configuration.
+//! Reads endpoint lists: the messages of discovery, and the last known list in a front's
+//! configuration.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -52,7 +53,8 @@
 }
 
 impl EndpointListReader {
-    /// Reads an update that arrived at `now`. Chunk servers that are new get their number from `upstream`.
+    /// Reads an update that arrived at `now`. Chunk servers that are new get their number from
+    /// `upstream`.
     ///
     /// # Errors
     /// The first value that is missing or invalid.
@@ -63,18 +65,31 @@
         now: Nanos,
     ) -> Result<EndpointUpdate, EndpointListError> {
         let generation = integer(value.get("generation"), "generation")?;
-        let scope = if boolean(value, "reset")? { UpdateScope::Replace } else { UpdateScope::Update };
+        let scope = if boolean(value, "reset")? {
+            UpdateScope::Replace
+        } else {
+            UpdateScope::Update
+        };
         let entries = array(value, "instances")?.iter();
-        let endpoints: Vec<NamedEndpoint> =
-            entries.map(|entry| self.read_endpoint(entry, upstream, now)).collect::<Result<_, _>>()?;
+        let endpoints: Vec<NamedEndpoint> = entries
+            .map(|entry| self.read_endpoint(entry, upstream, now))
+            .collect::<Result<_, _>>()?;
         if scope == UpdateScope::Replace {
-            let names = endpoints.iter().map(|endpoint| endpoint.name.clone()).collect();
+            let names = endpoints
+                .iter()
+                .map(|endpoint| endpoint.name.clone())
+                .collect();
             self.start_times.borrow_mut().list_replaced(&names);
             self.maintenance.replaced(&names);
         }
-        let listed = |endpoint: NamedEndpoint| self.maintenance.listed(&endpoint.name, endpoint.info);
+        let listed =
+            |endpoint: NamedEndpoint| self.maintenance.listed(&endpoint.name, endpoint.info);
         let nodes = endpoints.into_iter().map(listed).collect();
-        Ok(EndpointUpdate { generation, scope, nodes })
+        Ok(EndpointUpdate {
+            generation,
+            scope,
+            nodes,
+        })
     }
 
     fn read_endpoint(
@@ -94,17 +109,36 @@
         };
         let cell = integer(entry.get("cell"), "cell")?;
         let cell = CellId::try_from(cell).map_err(|_| EndpointListError::CellOutOfRange)?;
-        let started_at_ms = entry.get("startedAtMs").and_then(Value::as_i64).unwrap_or(0);
+        let started_at_ms = entry
+            .get("startedAtMs")
+            .and_then(Value::as_i64)
+            .unwrap_or(0);
         let listed_start = started_at_ms.saturating_mul(NANOS_PER_MILLISECOND);
-        let started_at = self.start_times.borrow_mut().listed(&name.to_owned(), now, listed_start);
+        let started_at = self
+            .start_times
+            .borrow_mut()
+            .listed(&name.to_owned(), now, listed_start);
         let node = upstream.locate(name, address, cell);
-        let info = NodeInfo { node, zone, cell, listed, started_at };
-        Ok(NamedEndpoint { name: name.to_owned(), info })
+        let info = NodeInfo {
+            node,
+            zone,
+            cell,
+            listed,
+            started_at,
+        };
+        Ok(NamedEndpoint {
+            name: name.to_owned(),
+            info,
+        })
     }
 
-    /// The number of a zone; all zones that the settings do not name share the first number past theirs.
+    /// The number of a zone; all zones that the settings do not name share the first number past
+    /// theirs.
     fn zone_index(&self, name: Option<&str>) -> u32 {
-        let position = self.zones.iter().position(|zone| Some(zone.as_str()) == name);
+        let position = self
+            .zones
+            .iter()
+            .position(|zone| Some(zone.as_str()) == name);
         position.unwrap_or(self.zones.len()) as u32
     }
 }
--- a/src/control/http_client.rs
+++ b/src/control/http_client.rs
@@ -1,5 +1,5 @@
-//! An HTTP client for control traffic: discovery, etcd, and the API of an agent. Each call opens a connection of its
-//! own. Responses may be read whole or as a stream of JSON messages.
+//! An HTTP client for control traffic: discovery, etcd, and the API of an agent. Each call opens a
+//! connection of its own. Responses may be read whole or as a stream of JSON messages.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
@@ -94,14 +94,22 @@
     timeouts: CallTimeouts,
 ) -> Result<CallResponse, HttpError> {
     let mut connection = Connection::open(address, timeouts.connect).await?;
-    let mut request = Request::builder().method(method).uri(path).header(HOST, address.to_string());
+    let mut request = Request::builder()
+        .method(method)
+        .uri(path)
+        .header(HOST, address.to_string());
     if !body.is_empty() {
         request = request.header(CONTENT_TYPE, "application/json");
     }
-    let request = request.body(Full::new(Bytes::from(body))).map_err(HttpError::InvalidRequest)?;
+    let request = request
+        .body(Full::new(Bytes::from(body)))
+        .map_err(HttpError::InvalidRequest)?;
     let response = timeout(timeouts.response, connection.sender.send_request(request)).await;
     let response = response.map_err(|_| HttpError::ResponseTimeout)??;
-    let date = response.headers().get(DATE).and_then(|date| date.to_str().ok());
+    let date = response
+        .headers()
+        .get(DATE)
+        .and_then(|date| date.to_str().ok());
     Ok(CallResponse {
         status: response.status(),
         date: date.and_then(|date| httpdate::parse_http_date(date).ok()),
@@ -120,18 +128,24 @@
 impl Connection {
     async fn open(address: SocketAddr, within: Duration) -> Result<Connection, HttpError> {
         let connected = timeout(within, TcpStream::connect(address)).await;
-        let stream = connected.map_err(|_| HttpError::ConnectTimeout)?.map_err(HttpError::Connect)?;
+        let stream = connected
+            .map_err(|_| HttpError::ConnectTimeout)?
+            .map_err(HttpError::Connect)?;
         let (sender, connection) = handshake(TokioIo::new(Socket(stream))).await?;
         let task = tokio::task::spawn_local(async move {
             // Its error is also returned to the sender of the request and the reader of the body.
             let _ = connection.await;
         });
-        Ok(Connection { sender, task: ConnectionTask(task) })
+        Ok(Connection {
+            sender,
+            task: ConnectionTask(task),
+        })
     }
 }
 
 impl CallResponse {
-    /// The next message of the stream, however long it takes. The future may be dropped without losing a message.
+    /// The next message of the stream, however long it takes. The future may be dropped without
+    /// losing a message.
     ///
     /// # Errors
     /// The stream has ended or broken off, or the message is too long.
@@ -144,7 +158,8 @@
                 return Err(HttpError::MessageTooLong);
             }
             let frame = self.body.frame().await.ok_or(HttpError::StreamEnded)??;
-            self.messages.push(frame.data_ref().map_or(&[][..], |data| data));
+            self.messages
+                .push(frame.data_ref().map_or(&[][..], |data| data));
         }
     }
 
@@ -153,8 +168,14 @@
     /// # Errors
     /// The body does not arrive in time, breaks off, or is too long.
     pub async fn read_all(mut self, within: Duration) -> Result<Vec<u8>, HttpError> {
-        let body = timeout(within, Limited::new(&mut self.body, MAX_MESSAGE_BYTES).collect()).await;
-        let body = body.map_err(|_| HttpError::BodyTimeout)?.map_err(HttpError::Body)?;
+        let body = timeout(
+            within,
+            Limited::new(&mut self.body, MAX_MESSAGE_BYTES).collect(),
+        )
+        .await;
+        let body = body
+            .map_err(|_| HttpError::BodyTimeout)?
+            .map_err(HttpError::Body)?;
         Ok(body.to_bytes().to_vec())
     }
 }
--- a/src/control/json_stream.rs
+++ b/src/control/json_stream.rs
@@ -1,5 +1,5 @@
-//! Splits a stream of bytes into JSON messages. A message may stand on one line or be indented over many. Empty lines
-//! between messages are keep-alives.
+//! Splits a stream of bytes into JSON messages. A message may stand on one line or be indented over
+//! many. Empty lines between messages are keep-alives.
 
 use bytes::{Buf, BytesMut};
 
@@ -8,7 +8,8 @@
 pub enum Message {
     /// An empty line.
     KeepAlive,
-    /// The bytes of a JSON object or array, or a line that begins like neither, for the receiver to reject.
+    /// The bytes of a JSON object or array, or a line that begins like neither, for the receiver to
+    /// reject.
     Json(BytesMut),
 }
 
@@ -58,7 +59,11 @@
 
     /// Skips white space before a message. Whether a line ended in it.
     fn skip_blank(&mut self) -> bool {
-        let blank = self.buffer.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
+        let blank = self
+            .buffer
+            .iter()
+            .take_while(|byte| byte.is_ascii_whitespace())
+            .count();
         let has_line_end = self.buffer[..blank].contains(&b'\n');
         self.buffer.advance(blank);
         has_line_end
