--- a/src/control/maintenance.rs
+++ b/src/control/maintenance.rs
@@ -1,9 +1,10 @@
-//! Chunk servers in maintenance: changed by calls at the console, kept in a [`MaintenanceFile`] in `$TMPDIR`, and
-//! passed on to the scheduler as draining.
+//! Chunk servers in maintenance: changed by calls at the console, kept in a [`MaintenanceFile`] in
+//! `$TMPDIR`, and passed on to the scheduler as draining.
 //!
-//! Versions of a front that run at the same time share the file. Each reads it at its start and then periodically,
-//! and applies the changes of another. A change that cannot be written holds here at once and is written as soon as the
-//! file can be locked, read and written: see [`UnwrittenChanges`].
+//! Versions of a front that run at the same time share the file. Each reads it at its start and
+//! then periodically, and applies the changes of another. A change that cannot be written holds
+//! here at once and is written as soon as the file can be locked, read and written: see
+//! [`UnwrittenChanges`].
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -49,14 +50,19 @@
     std::env::var_os("TMPDIR").map(PathBuf::from)
 }
 
-/// Waits until the file of the front `name` can be read or is not there, but not for ever: a front that served before
-/// would send to servers in maintenance.
+/// Waits until the file of the front `name` can be read or is not there, but not for ever: a front
+/// that served before would send to servers in maintenance.
 pub async fn wait_until_readable(folder: Option<&Path>, name: &str) {
-    let Some(file) = folder.map(|folder| MaintenanceFile::new(folder, name)) else { return };
+    let Some(file) = folder.map(|folder| MaintenanceFile::new(folder, name)) else {
+        return;
+    };
     let deadline = Instant::now() + READABLE_WAIT;
     while let Err(error) = file.read() {
         if Instant::now() >= deadline {
-            log!("maintenance: cannot read {}: {error}; started without it", file.path().display());
+            log!(
+                "maintenance: cannot read {}: {error}; started without it",
+                file.path().display()
+            );
             return;
         }
         sleep(WRITE_RETRY).await;
@@ -64,8 +70,13 @@
 }
 
 impl Maintenance {
-    /// Starts with the set in the file of the front `name` in `folder`, or an empty one where there is no file.
-    pub fn new(folder: Option<PathBuf>, name: &str, exchange: Rc<Exchange<Upstream>>) -> Rc<Maintenance> {
+    /// Starts with the set in the file of the front `name` in `folder`, or an empty one where there
+    /// is no file.
+    pub fn new(
+        folder: Option<PathBuf>,
+        name: &str,
+        exchange: Rc<Exchange<Upstream>>,
+    ) -> Rc<Maintenance> {
         let maintenance = Rc::new(Maintenance {
             set: RefCell::default(),
             file: folder.map(|folder| MaintenanceFile::new(&folder, name)),
@@ -80,7 +91,9 @@
 
     /// Records an entry of the endpoint list. Returns its state for the scheduler.
     pub fn listed(&self, name: &str, info: NodeInfo) -> NodeInfo {
-        self.set.borrow_mut().endpoint_listed(&name.to_owned(), info)
+        self.set
+            .borrow_mut()
+            .endpoint_listed(&name.to_owned(), info)
     }
 
     /// Records that a whole endpoint list with these names has arrived.
@@ -88,8 +101,8 @@
         self.set.borrow_mut().list_replaced(names);
     }
 
-    /// Puts a server in maintenance: it gets no new requests from now on. Returns once that is written, or has been tried
-    /// for a while; it is tried on after that.
+    /// Puts a server in maintenance: it gets no new requests from now on. Returns once that is
+    /// written, or has been tried for a while; it is tried on after that.
     ///
     /// # Errors
     /// The endpoint list has never named it.
@@ -106,15 +119,23 @@
     /// The endpoint list has never named it.
     pub async fn exit(&self, name: &str) -> Result<(), MaintenanceError> {
         self.sync();
-        let changed = self.set.borrow_mut().exit(&name.to_owned(), self.exchange.now())?;
+        let changed = self
+            .set
+            .borrow_mut()
+            .exit(&name.to_owned(), self.exchange.now())?;
         self.change(name, MaintenanceChange::Exited, changed).await;
         Ok(())
     }
 
-    /// Applies changes by other processes and writes those of this one, for as long as the program runs.
+    /// Applies changes by other processes and writes those of this one, for as long as the program
+    /// runs.
     pub async fn follow(self: Rc<Self>) {
         loop {
-            let pause = if self.unwritten.borrow().is_empty() { POLL_INTERVAL } else { WRITE_RETRY };
+            let pause = if self.unwritten.borrow().is_empty() {
+                POLL_INTERVAL
+            } else {
+                WRITE_RETRY
+            };
             sleep(pause).await;
             self.sync();
             self.write();
@@ -165,12 +186,18 @@
         *self.last_content.borrow_mut() = content;
         match names {
             Some(names) => self.replace(&self.unwritten.borrow().apply_to(names)),
-            None => log!("maintenance: {} cannot be read, and is passed over", file.path().display()),
+            None => log!(
+                "maintenance: {} cannot be read, and is passed over",
+                file.path().display()
+            ),
         }
     }
 
     fn replace(&self, names: &BTreeSet<String>) {
-        let changed = self.set.borrow_mut().replace_set(names, self.exchange.now());
+        let changed = self
+            .set
+            .borrow_mut()
+            .replace_set(names, self.exchange.now());
         self.update_scheduler(changed);
     }
 
@@ -200,7 +227,8 @@
         let content = file.read()?;
         // Where the file is none that can be decoded, this process's set takes its place.
         let written = content.and_then(|content| decode(&content));
-        let written = written.unwrap_or_else(|| self.set.borrow().in_maintenance().cloned().collect());
+        let written =
+            written.unwrap_or_else(|| self.set.borrow().in_maintenance().cloned().collect());
         let names = self.unwritten.borrow().apply_to(written);
         let content = encode(names.iter());
         file.replace(&content)?;
--- a/src/control/maintenance_call.rs
+++ b/src/control/maintenance_call.rs
@@ -30,7 +30,10 @@
             _ => return None,
         };
         let is_id = !id.is_empty() && !id.contains('/');
-        is_id.then(|| MaintenanceCall { action, server: decode_id(id) })
+        is_id.then(|| MaintenanceCall {
+            action,
+            server: decode_id(id),
+        })
     }
 }
 
@@ -45,5 +48,7 @@
 
 /// The id of a chunk server from the path of a call, without percent-encoding.
 pub fn decode_id(id: &str) -> String {
-    percent_encoding::percent_decode_str(id).decode_utf8_lossy().into_owned()
+    percent_encoding::percent_decode_str(id)
+        .decode_utf8_lossy()
+        .into_owned()
 }
--- a/src/control/maintenance_file.rs
+++ b/src/control/maintenance_file.rs
@@ -1,8 +1,10 @@
-//! The file that tells other versions of a front on the same machine which chunk servers are in maintenance.
+//! The file that tells other versions of a front on the same machine which chunk servers are in
+//! maintenance.
 //!
-//! It is replaced as a whole by a rename after the new content is on the disk, so that no reader sees a part of it and a
-//! kill at any moment leaves one of the two. A process that changes the set locks a second file while it reads, changes
-//! and writes, so that concurrent changes are not lost. Nothing here waits for another process.
+//! It is replaced as a whole by a rename after the new content is on the disk, so that no reader
+//! sees a part of it and a kill at any moment leaves one of the two. A process that changes the set
+//! locks a second file while it reads, changes and writes, so that concurrent changes are not lost.
+//! Nothing here waits for another process.
 
 use std::collections::BTreeSet;
 use std::fs::{File, OpenOptions};
@@ -20,7 +22,9 @@
 impl MaintenanceFile {
     /// The file of the front with this name in a folder. It need not exist.
     pub fn new(folder: &Path, front: &str) -> MaintenanceFile {
-        MaintenanceFile { path: folder.join(format!("tulipbridge-{front}-held.json")) }
+        MaintenanceFile {
+            path: folder.join(format!("tulipbridge-{front}-held.json")),
+        }
     }
 
     /// Where the file is.
@@ -51,7 +55,9 @@
         file.sync_all()?;
         std::fs::rename(&next, &self.path)?;
         // Without this the rename itself may be lost with the machine.
-        self.path.parent().map_or(Ok(()), |folder| File::open(folder)?.sync_all())
+        self.path
+            .parent()
+            .map_or(Ok(()), |folder| File::open(folder)?.sync_all())
     }
 
     /// Takes the lock on the set, which the result releases on drop.
@@ -60,7 +66,11 @@
     /// Another process has the lock, or the system cannot lock.
     pub fn lock(&self) -> io::Result<Flock<File>> {
         let path = self.path.with_extension("lock");
-        let file = OpenOptions::new().create(true).truncate(false).write(true).open(path)?;
+        let file = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(path)?;
         Flock::lock(file, FlockArg::LockExclusiveNonblock).map_err(|(_, errno)| errno.into())
     }
 }
@@ -75,5 +85,8 @@
 pub fn decode(content: &[u8]) -> Option<BTreeSet<String>> {
     let value = simd_json::to_owned_value(&mut content.to_vec()).ok()?;
     let names = value.get("held")?.as_array()?;
-    names.iter().map(|name| name.as_str().map(str::to_owned)).collect()
+    names
+        .iter()
+        .map(|name| name.as_str().map(str::to_owned))
+        .collect()
 }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! The control plane: discovery, the operators' console, maintenance, and the agent that runs many fronts.
+//! The control plane: discovery, the operators' console, maintenance, and the agent that runs many
+//! fronts.
 
 pub mod agent;
 pub mod console;
--- a/src/control/readiness.rs
+++ b/src/control/readiness.rs
@@ -18,7 +18,10 @@
     /// A front that starts now; see [`StartupReadiness::new`].
     pub fn new(polls_discovery: bool) -> Readiness {
         let state = StartupReadiness::new(0, polls_discovery);
-        Readiness { started: Instant::now(), state: Rc::new(Cell::new(state)) }
+        Readiness {
+            started: Instant::now(),
+            state: Rc::new(Cell::new(state)),
+        }
     }
 
     /// A watch on discovery has opened.
--- a/src/exchange/attempt_run.rs
+++ b/src/exchange/attempt_run.rs
@@ -21,7 +21,10 @@
 
 /// Runs an attempt to its end. Returns the input for the tracker and the answer, if any.
 pub(super) async fn run_attempt<A>(
-    AttemptKey { request: id, attempt }: AttemptKey,
+    AttemptKey {
+        request: id,
+        attempt,
+    }: AttemptKey,
     running: impl Future<Output = AttemptReport<A>>,
     deadline: Instant,
     mut withdrawal: Withdrawal,
--- a/src/exchange/clock.rs
+++ b/src/exchange/clock.rs
@@ -4,8 +4,8 @@
 
 use tulipbridge_core::Nanos;
 
-/// Unix time in nanoseconds, read once when the clock starts and monotonic from there: a step of the system clock
-/// reorders no events.
+/// Unix time in nanoseconds, read once when the clock starts and monotonic from there: a step of
+/// the system clock reorders no events.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
@@ -15,8 +15,13 @@
 impl Clock {
     /// A clock that starts now.
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), unix_start: unix.as_nanos() as Nanos }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            started: Instant::now(),
+            unix_start: unix.as_nanos() as Nanos,
+        }
     }
 
     /// The present time.
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -1,7 +1,7 @@
-//! The exchange connects the client side and the server side, and is the only place where they meet. It knows
-//! requests, attempts and outcomes, but no wire protocol: a front submits a request with a payload, a [`Transport`]
-//! carries attempts. The [`RequestTracker`], with the decision module in it, decides; the exchange carries its effects
-//! out.
+//! The exchange connects the client side and the server side, and is the only place where they
+//! meet. It knows requests, attempts and outcomes, but no wire protocol: a front submits a request
+//! with a payload, a [`Transport`] carries attempts. The [`RequestTracker`], with the decision
+//! module in it, decides; the exchange carries its effects out.
 
 mod attempt_run;
 mod clock;
@@ -30,8 +30,9 @@
 pub use self::transport::{AttemptReport, Transport};
 pub use self::withdrawal::Withdrawal;
 
-/// A request that the tracker leaves unanswered for this long past its deadline is answered with a failure. This
-/// guards the rule of exactly one final answer against defects, and is well within the slack that clients grant.
+/// A request that the tracker leaves unanswered for this long past its deadline is answered with a
+/// failure. This guards the rule of exactly one final answer against defects, and is well within
+/// the slack that clients grant.
 const OVERDUE_AFTER: Duration = Duration::from_millis(20);
 
 /// The final answer to a request.
@@ -39,7 +40,8 @@
 pub enum FinalResponse<A> {
     /// A server's answer.
     Served(A),
-    /// The request was not executed, or repeating it is harmless; the client may retry after this time.
+    /// The request was not executed, or repeating it is harmless; the client may retry after this
+    /// time.
     Rejected(Duration),
     /// The request may or may not have been executed.
     Failed,
@@ -68,7 +70,8 @@
 
 /// The state that the fronts of a fleet share: limits and ejections.
 pub trait FleetState {
-    /// The updates that the decision module must have before `input`: leases may have expired meanwhile.
+    /// The updates that the decision module must have before `input`: leases may have expired
+    /// meanwhile.
     fn updates_before(&self, input: &Input, settings: &Settings) -> Vec<FleetUpdate>;
 
     /// An attempt of a request of `class` is sent. Must not call the exchange.
@@ -104,7 +107,10 @@
         let clock = Clock::start();
         let tracker = RequestTracker::new(Scheduler::new(settings, seed, clock.now())?);
         Ok(Rc::new(Exchange {
-            core: RefCell::new(Core { tracker, pending: HashMap::new() }),
+            core: RefCell::new(Core {
+                tracker,
+                pending: HashMap::new(),
+            }),
             transport,
             clock,
             stalls: Cell::default(),
@@ -143,7 +149,8 @@
 
     /// The longest deadline of a class.
     pub fn longest_deadline(&self) -> Duration {
-        let longest = self.with_settings(|set| set.classes.iter().map(|class| class.deadline).max());
+        let longest =
+            self.with_settings(|set| set.classes.iter().map(|class| class.deadline).max());
         Duration::from_nanos(longest.unwrap_or(0).max(0) as u64)
     }
 
@@ -157,8 +164,8 @@
         self.process(Input::FleetUpdate(update), None);
     }
 
-    /// Applies new settings to requests from now on; see [`Scheduler::apply_settings`]. `replaced_classes` pairs a new
-    /// class with the old one that it replaces.
+    /// Applies new settings to requests from now on; see [`Scheduler::apply_settings`].
+    /// `replaced_classes` pairs a new class with the old one that it replaces.
     ///
     /// # Errors
     /// When the settings are invalid; then nothing changes.
@@ -167,11 +174,15 @@
         settings: Settings,
         replaced_classes: &[(usize, usize)],
     ) -> Result<(), SettingsError> {
-        self.core.borrow_mut().tracker.decisions_mut().apply_settings(settings, replaced_classes)
+        self.core
+            .borrow_mut()
+            .tracker
+            .decisions_mut()
+            .apply_settings(settings, replaced_classes)
     }
 
-    /// Starts the shutdown: every request, received or still to come, is answered `within` this time, even where its
-    /// client would wait longer.
+    /// Starts the shutdown: every request, received or still to come, is answered `within` this
+    /// time, even where its client would wait longer.
     pub fn begin_shutdown(self: &Rc<Self>, within: Duration) {
         let deadline = self.clock.now() + within.as_nanos() as Nanos;
         self.feed(Input::FleetUpdate(FleetUpdate::Shutdown { deadline }), None);
@@ -192,9 +203,9 @@
         self.feed(Input::Endpoints { scope, nodes }, None);
     }
 
-    /// Submits a request that has just been read and returns its one final answer. `request.id` is assigned here; its
-    /// patience is shortened by the time that this process was held up before it was read. Dropping the future means that
-    /// the client has disconnected.
+    /// Submits a request that has just been read and returns its one final answer. `request.id` is
+    /// assigned here; its patience is shortened by the time that this process was held up before it
+    /// was read. Dropping the future means that the client has disconnected.
     pub async fn submit(
         self: &Rc<Self>,
         mut request: Request,
@@ -237,12 +248,13 @@
         id
     }
 
-    /// Processes an input, with the answer that an attempt brought, if any. Updates of the shared state come first,
-    /// since this process may have been paused and leases may have expired.
+    /// Processes an input, with the answer that an attempt brought, if any. Updates of the shared
+    /// state come first, since this process may have been paused and leases may have expired.
     fn feed(self: &Rc<Self>, input: Input, answer: Option<T::Answer>) {
         let fleet_state = self.fleet_state.borrow().clone();
         if let Some(fleet_state) = fleet_state {
-            let updates = self.with_settings(|settings| fleet_state.updates_before(&input, settings));
+            let updates =
+                self.with_settings(|settings| fleet_state.updates_before(&input, settings));
             for update in updates {
                 self.apply_fleet_update(update);
             }
@@ -269,17 +281,39 @@
         }
     }
 
-    /// Carries out an effect. Nothing in here feeds the tracker, so that inputs and effects keep their order.
+    /// Carries out an effect. Nothing in here feeds the tracker, so that inputs and effects keep
+    /// their order.
     fn carry_out(self: &Rc<Self>, effect: Effect, answer: &mut Option<T::Answer>) {
         match effect {
-            Effect::Send { id, attempt, node, deadline, begin_by } => {
-                self.send(AttemptKey { request: id, attempt }, node, deadline, begin_by);
+            Effect::Send {
+                id,
+                attempt,
+                node,
+                deadline,
+                begin_by,
+            } => {
+                self.send(
+                    AttemptKey {
+                        request: id,
+                        attempt,
+                    },
+                    node,
+                    deadline,
+                    begin_by,
+                );
             }
             Effect::Cancel { id, attempt } => self.with_orders(id, |orders| orders.cancel(attempt)),
-            Effect::Withdraw { id, attempt, outcome } => {
+            Effect::Withdraw {
+                id,
+                attempt,
+                outcome,
+            } => {
                 self.with_orders(id, |orders| orders.withdraw(attempt, outcome));
             }
-            Effect::Answer { id, answer: final_answer } => {
+            Effect::Answer {
+                id,
+                answer: final_answer,
+            } => {
                 self.answer(id, final_response(final_answer, answer.take()));
             }
             Effect::Release(id) => {
@@ -297,11 +331,17 @@
         *self.on_violation.borrow_mut() = Some(observer);
     }
 
-    /// Logs and reports an effect that breaks a rule. It is carried out all the same: what the decisions have recorded
-    /// must stay what happens.
+    /// Logs and reports an effect that breaks a rule. It is carried out all the same: what the
+    /// decisions have recorded must stay what happens.
     fn check(&self, now: Nanos, effect: &Effect) {
-        let Some(violation) = self.monitor.borrow_mut().effect(now, effect) else { return };
-        log!("rule {} broken by request {}: {effect:?}", violation.rule.name(), violation.request);
+        let Some(violation) = self.monitor.borrow_mut().effect(now, effect) else {
+            return;
+        };
+        log!(
+            "rule {} broken by request {}: {effect:?}",
+            violation.rule.name(),
+            violation.request
+        );
         if let Some(observer) = &*self.on_violation.borrow() {
             observer(violation);
         }
@@ -322,7 +362,10 @@
 
     fn answer(&self, id: RequestId, response: FinalResponse<T::Answer>) {
         let mut core = self.core.borrow_mut();
-        let sender = core.pending.get_mut(&id).and_then(|pending| pending.answer.take());
+        let sender = core
+            .pending
+            .get_mut(&id)
+            .and_then(|pending| pending.answer.take());
         drop(core);
         if let Some(sender) = sender {
             // The client may have gone at this very moment.
@@ -338,19 +381,28 @@
         });
     }
 
-    /// Starts an attempt. It ends by itself, at its deadline, or when it is cancelled, whichever is first.
+    /// Starts an attempt. It ends by itself, at its deadline, or when it is cancelled, whichever is
+    /// first.
     fn send(self: &Rc<Self>, key: AttemptKey, node: NodeId, deadline: Nanos, begin_by: Nanos) {
         let begin_by = (begin_by < Nanos::MAX).then_some(begin_by);
-        let limits = BeginLimits { clock: self.clock, begin_by, deadline };
+        let limits = BeginLimits {
+            clock: self.clock,
+            begin_by,
+            deadline,
+        };
         let deadline = self.clock.instant(deadline);
         let core = self.core.borrow();
-        let Some(pending) = core.pending.get(&key.request) else { return };
+        let Some(pending) = core.pending.get(&key.request) else {
+            return;
+        };
         if let Some(fleet_state) = &*self.fleet_state.borrow() {
             fleet_state.attempt_sent(key, node, pending.class);
         }
         let withdrawal = pending.orders.withdrawal(key.attempt, limits);
         let payload = Rc::clone(&pending.payload);
-        let attempt = self.transport.attempt(node, payload, deadline, withdrawal.clone());
+        let attempt = self
+            .transport
+            .attempt(node, payload, deadline, withdrawal.clone());
         let exchange = Rc::clone(self);
         tokio::task::spawn_local(async move {
             let (input, answer) = run_attempt(key, attempt, deadline, withdrawal).await;
@@ -369,7 +421,8 @@
     }
 }
 
-/// A client that waits for its answer. Where it is dropped before, the tracker learns that the client is gone.
+/// A client that waits for its answer. Where it is dropped before, the tracker learns that the
+/// client is gone.
 struct WaitingClient<'a, T: Transport> {
     exchange: &'a Rc<Exchange<T>>,
     id: RequestId,
--- a/src/exchange/transport.rs
+++ b/src/exchange/transport.rs
@@ -22,7 +22,12 @@
 
 impl<A> From<Outcome> for AttemptReport<A> {
     fn from(outcome: Outcome) -> AttemptReport<A> {
-        AttemptReport { outcome, answer: None, observed_use: 0.0, foreign_units: 0.0 }
+        AttemptReport {
+            outcome,
+            answer: None,
+            observed_use: 0.0,
+            foreign_units: 0.0,
+        }
     }
 }
 
@@ -39,8 +44,9 @@
     /// Forgets a server that is gone and has no attempts out: its connections are closed.
     fn forget(&self, node: NodeId);
 
-    /// Makes one attempt, sent at most once. Dropping the future abandons the attempt. One that is withdrawn before
-    /// its first byte is written ends with the outcome of the withdrawal, and nothing is written.
+    /// Makes one attempt, sent at most once. Dropping the future abandons the attempt. One that is
+    /// withdrawn before its first byte is written ends with the outcome of the withdrawal, and
+    /// nothing is written.
     fn attempt(
         &self,
         node: NodeId,
--- a/src/exchange/withdrawal.rs
+++ b/src/exchange/withdrawal.rs
@@ -48,9 +48,14 @@
         self.0.send_replace(Some(NumberedOrder { attempt, order }));
     }
 
-    /// The receiving end for an attempt, which must start to write before `begin_by`, if any, and its deadline.
+    /// The receiving end for an attempt, which must start to write before `begin_by`, if any, and
+    /// its deadline.
     pub fn withdrawal(&self, attempt: u32, limits: BeginLimits) -> Withdrawal {
-        Withdrawal { attempt, limits, orders: self.0.subscribe() }
+        Withdrawal {
+            attempt,
+            limits,
+            orders: self.0.subscribe(),
+        }
     }
 }
 
@@ -77,17 +82,24 @@
 impl Withdrawal {
     /// A withdrawal that never happens.
     pub fn never() -> Withdrawal {
-        let limits = BeginLimits { clock: Clock::start(), begin_by: None, deadline: Nanos::MAX };
+        let limits = BeginLimits {
+            clock: Clock::start(),
+            begin_by: None,
+            deadline: Nanos::MAX,
+        };
         OrderSender::new().withdrawal(0, limits)
     }
 
-    /// Whether the attempt may write its first byte now, on a connection on which `unread_bytes` wait or not.
+    /// Whether the attempt may write its first byte now, on a connection on which `unread_bytes`
+    /// wait or not.
     ///
     /// # Errors
     /// Why it may not.
     pub fn may_begin(&self, unread_bytes: bool) -> Result<(), SendRefusal> {
         let latest = *self.orders.borrow();
-        let order = latest.filter(|latest| latest.attempt == self.attempt).map(|latest| latest.order);
+        let order = latest
+            .filter(|latest| latest.attempt == self.attempt)
+            .map(|latest| latest.order);
         let withdrawn = order.map(|order| match order {
             AttemptOrder::Withdraw(outcome) => outcome,
             // An attempt that is about to be dropped must not start to write.
@@ -109,7 +121,10 @@
 
     /// Returns when the attempt is withdrawn, with the outcome that it ends with.
     pub async fn withdrawn(&mut self) -> Outcome {
-        let begin_by = self.limits.begin_by.map(|begin_by| self.limits.clock.instant(begin_by));
+        let begin_by = self
+            .limits
+            .begin_by
+            .map(|begin_by| self.limits.clock.instant(begin_by));
         loop {
             if let Some(outcome) = self.outcome() {
                 return outcome;
@@ -127,8 +142,16 @@
 
     /// Returns when the attempt is to be dropped.
     pub(super) async fn cancelled(&mut self) {
-        let cancel = Some(NumberedOrder { attempt: self.attempt, order: AttemptOrder::Cancel });
-        if self.orders.wait_for(|order| *order == cancel).await.is_err() {
+        let cancel = Some(NumberedOrder {
+            attempt: self.attempt,
+            order: AttemptOrder::Cancel,
+        });
+        if self
+            .orders
+            .wait_for(|order| *order == cancel)
+            .await
+            .is_err()
+        {
             pending::<()>().await;
         }
     }
--- a/src/front/assembly.rs
+++ b/src/front/assembly.rs
@@ -29,9 +29,9 @@
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::Upstream;
 
-/// File descriptors that are not connections with clients or chunk servers: those of the runtime, the log, the
-/// listeners, discovery, one file, and the console's connections, of which there are at most
-/// [`console::MAX_CONNECTIONS`].
+/// File descriptors that are not connections with clients or chunk servers: those of the runtime,
+/// the log, the listeners, discovery, one file, and the console's connections, of which there are
+/// at most [`console::MAX_CONNECTIONS`].
 const RESERVED_DESCRIPTORS: usize = 24;
 const _: () = assert!(console::MAX_CONNECTIONS <= RESERVED_DESCRIPTORS / 2);
 /// The smallest number of connections, whatever the limits of the process.
@@ -41,8 +41,8 @@
 /// How often expired connections to chunk servers are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long after a signal to shut down changes that could not be written are tried. The process is not killed before
-/// three seconds are over, however short the deadlines.
+/// How long after a signal to shut down changes that could not be written are tried. The process is
+/// not killed before three seconds are over, however short the deadlines.
 const WRITE_CHANGES_WITHIN: Duration = Duration::from_millis(3_000);
 
 /// The parts behind a front.
@@ -64,8 +64,8 @@
 }
 
 impl FrontParts {
-    /// Serves clients until `shutdown` completes, then returns once all that is owed is done: every request answered, every
-    /// change of the operators written.
+    /// Serves clients until `shutdown` completes, then returns once all that is owed is done: every
+    /// request answered, every change of the operators written.
     pub async fn serve<H: Handler>(
         &self,
         handler: H,
@@ -77,15 +77,20 @@
             shutdown.await;
             shutdown_at.set(Instant::now());
         };
-        Listener::new(handler, self.max_clients, self.listener_state.clone()).serve(listener, shutdown).await;
+        Listener::new(handler, self.max_clients, self.listener_state.clone())
+            .serve(listener, shutdown)
+            .await;
         if let Some(peers) = &self.peers {
             peers.shut_down();
         }
-        self.maintenance.written(shutdown_at.get() + WRITE_CHANGES_WITHIN).await;
+        self.maintenance
+            .written(shutdown_at.get() + WRITE_CHANGES_WITHIN)
+            .await;
     }
 }
 
-/// Assembles the parts behind a front, with discovery at the address that `discovery_address` publishes.
+/// Assembles the parts behind a front, with discovery at the address that `discovery_address`
+/// publishes.
 ///
 /// # Errors
 /// The configuration is invalid, or a socket cannot be opened.
@@ -105,7 +110,13 @@
     let peers = join_peers(config, &exchange, &metrics)?;
     let maintenance = Maintenance::new(state_folder(), &config.name, Rc::clone(&exchange));
     let readiness = Readiness::new(config.settings.polls_discovery);
-    start_discovery(config, discovery_address, &exchange, &maintenance, readiness.clone())?;
+    start_discovery(
+        config,
+        discovery_address,
+        &exchange,
+        &maintenance,
+        readiness.clone(),
+    )?;
     spawn_local(Rc::clone(&maintenance).follow());
     spawn_local(sweep(Rc::clone(&exchange)));
     let parts = FrontParts {
@@ -133,14 +144,17 @@
 }
 
 impl ConnectionLimits {
-    /// Divides the descriptors of the process. Memory bounds them too, at one body in each direction. Connections to
-    /// chunk servers are pooled, so that side gets the smaller part.
+    /// Divides the descriptors of the process. Memory bounds them too, at one body in each
+    /// direction. Connections to chunk servers are pooled, so that side gets the smaller part.
     fn new(config: &Config) -> ConnectionLimits {
         let by_descriptors = config.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS);
         let by_memory = config.memory_bytes / (2 * MAX_BODY);
         let connections = by_descriptors.min(by_memory).max(MIN_CONNECTIONS);
         let servers = connections * 2 / 5;
-        ConnectionLimits { clients: connections - servers, servers }
+        ConnectionLimits {
+            clients: connections - servers,
+            servers,
+        }
     }
 }
 
@@ -149,7 +163,9 @@
     exchange: &Rc<Exchange<Upstream>>,
     metrics: &Metrics,
 ) -> Result<Option<Rc<Peers>>, FrontError> {
-    let Some(peers) = config.peers.clone() else { return Ok(None) };
+    let Some(peers) = config.peers.clone() else {
+        return Ok(None);
+    };
     let joined = Peers::join(peers, config.classes.clone(), exchange, metrics);
     joined.map(Some).map_err(FrontError::from)
 }
@@ -168,15 +184,23 @@
         start_times: RefCell::default(),
     };
     let phase = fastrand::Rng::with_seed(config.seed).f64();
-    let mut discovery = Discovery::new(max_first_call_delay(&config.settings), phase, reader, readiness);
-    discovery.restore(&config.known_endpoints, exchange).map_err(FrontError::KnownEndpoints)?;
+    let mut discovery = Discovery::new(
+        max_first_call_delay(&config.settings),
+        phase,
+        reader,
+        readiness,
+    );
+    discovery
+        .restore(&config.known_endpoints, exchange)
+        .map_err(FrontError::KnownEndpoints)?;
     spawn_local(discovery.follow(address, Rc::clone(exchange)));
     Ok(())
 }
 
-/// How long a starting front may wait before it calls discovery. Where lists are pushed, a front is expected to know
-/// from the first moment what discovery has. Where lists are polled, all fronts of a fleet share one discovery, and
-/// those that start together call one after another; but the list that a front starts with may be old.
+/// How long a starting front may wait before it calls discovery. Where lists are pushed, a front is
+/// expected to know from the first moment what discovery has. Where lists are polled, all fronts of
+/// a fleet share one discovery, and those that start together call one after another; but the list
+/// that a front starts with may be old.
 fn max_first_call_delay(settings: &Settings) -> Nanos {
     if settings.polls_discovery {
         FIRST_CALL_SPREAD.min(settings.poll_interval / 2)
--- a/src/front/discovery_address.rs
+++ b/src/front/discovery_address.rs
@@ -9,8 +9,9 @@
 use crate::runtime::{hangup_signal, RuntimeError};
 use crate::telemetry::log::log;
 
-/// Publishes the address of discovery: `initial` at first, and after each SIGHUP what `read` returns. An error of
-/// `read` is logged and changes nothing: it is better to keep serving with the old address.
+/// Publishes the address of discovery: `initial` at first, and after each SIGHUP what `read`
+/// returns. An error of `read` is logged and changes nothing: it is better to keep serving with the
+/// old address.
 ///
 /// # Errors
 /// [`RuntimeError::Signal`].
@@ -27,7 +28,9 @@
                     sender.send_if_modified(|current| current.replace(address) != Some(address));
                 }
                 Ok(None) => log!("the new configuration names no discovery; the old one stays"),
-                Err(error) => log!("the new configuration cannot be used, the old one stays: {error}"),
+                Err(error) => {
+                    log!("the new configuration cannot be used, the old one stays: {error}")
+                }
             }
         }
     });
--- a/src/frontend/body.rs
+++ b/src/frontend/body.rs
@@ -23,11 +23,13 @@
     pub reservation: Arc<BodyReservation>,
 }
 
-/// Reads a request body completely. A slow client may take long for a long body as long as it keeps sending.
+/// Reads a request body completely. A slow client may take long for a long body as long as it keeps
+/// sending.
 ///
 /// # Errors
-/// The status to answer: 413 for a body over [`MAX_REQUEST_BODY`], 503 where `budget` is exhausted, 400 for a body
-/// that is truncated, 408 for one that does not start by `start_by` or pauses for [`BODY_IDLE_TIMEOUT`].
+/// The status to answer: 413 for a body over [`MAX_REQUEST_BODY`], 503 where `budget` is exhausted,
+/// 400 for a body that is truncated, 408 for one that does not start by `start_by` or pauses for
+/// [`BODY_IDLE_TIMEOUT`].
 pub(super) async fn read_body(
     mut body: Incoming,
     start_by: Instant,
@@ -43,7 +45,9 @@
     let mut frame_deadline = start_by;
     loop {
         let frame = timeout_at(frame_deadline, body.frame()).await;
-        let Some(frame) = frame.map_err(|_| StatusCode::REQUEST_TIMEOUT)? else { break };
+        let Some(frame) = frame.map_err(|_| StatusCode::REQUEST_TIMEOUT)? else {
+            break;
+        };
         let frame = frame.map_err(|_| StatusCode::BAD_REQUEST)?;
         if let Ok(data) = frame.into_data() {
             let length = bytes.len() + data.len();
@@ -55,7 +59,10 @@
         }
         frame_deadline = Instant::now() + BODY_IDLE_TIMEOUT;
     }
-    Ok(ReceivedBody { bytes: bytes.freeze(), reservation: Arc::new(reservation) })
+    Ok(ReceivedBody {
+        bytes: bytes.freeze(),
+        reservation: Arc::new(reservation),
+    })
 }
 
 fn status_of(BodyBudgetExhausted: BodyBudgetExhausted) -> StatusCode {
--- a/src/frontend/client_state.rs
+++ b/src/frontend/client_state.rs
@@ -31,8 +31,8 @@
 }
 
 impl ClientState {
-    /// State of a connection that has just been accepted on the file descriptor `socket`. Times are counted from
-    /// `epoch`, the start of the listener.
+    /// State of a connection that has just been accepted on the file descriptor `socket`. Times are
+    /// counted from `epoch`, the start of the listener.
     pub fn new(socket: i32, epoch: Instant) -> Rc<ClientState> {
         Rc::new(ClientState {
             connection: Cell::new(ClientConnection::new(epoch.elapsed().as_nanos() as Nanos)),
@@ -75,24 +75,29 @@
         self.instant(self.connection().connected_at())
     }
 
-    /// Whether closing the idle connection now would lose a request that has arrived, or truncate a response.
+    /// Whether closing the idle connection now would lose a request that has arrived, or truncate a
+    /// response.
     pub fn is_busy(&self) -> bool {
         self.phase() == Phase::Idle && self.has_buffered_bytes()
     }
 
     /// Whether a request is arriving: see [`ClientConnection::is_arriving`].
     pub fn is_arriving(&self) -> bool {
-        self.connection().is_arriving(self.now(), self.has_buffered_bytes())
+        self.connection()
+            .is_arriving(self.now(), self.has_buffered_bytes())
     }
 
     /// Whether the client is still owed a response: see [`ClientConnection::has_pending_work`].
     pub fn has_pending_work(&self) -> bool {
-        self.connection().has_pending_work(self.now(), self.has_buffered_bytes())
+        self.connection()
+            .has_pending_work(self.now(), self.has_buffered_bytes())
     }
 
-    /// Whether the connection may be closed at this moment: see [`ClientConnection::may_close_now`].
+    /// Whether the connection may be closed at this moment: see
+    /// [`ClientConnection::may_close_now`].
     pub fn may_close_now(&self) -> bool {
-        self.connection().may_close_now(self.now(), self.has_buffered_bytes())
+        self.connection()
+            .may_close_now(self.now(), self.has_buffered_bytes())
     }
 
     /// Phase of the state machine.
--- a/src/frontend/connection.rs
+++ b/src/frontend/connection.rs
@@ -27,8 +27,8 @@
 use super::response_body::{OpenRequest, ResponseBody};
 use crate::telemetry::trace;
 
-/// How long after accepting a connection that this side has closed is still drained, at the most. Closing a socket
-/// with unread data resets the connection, and the client could lose the response.
+/// How long after accepting a connection that this side has closed is still drained, at the most.
+/// Closing a socket with unread data resets the connection, and the client could lose the response.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(4);
 /// Draining ends when no data arrives for this long.
 const LINGER_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
@@ -43,14 +43,16 @@
         client: &Rc<ClientState>,
         full: bool,
     ) {
-        // Nagle's algorithm would delay a response that takes two writes; a failure here costs only time.
+        // Nagle's algorithm would delay a response that takes two writes; a failure here costs only
+        // time.
         let _ = stream.set_nodelay(true);
         let (read, write) = stream.into_split();
         let read = Rc::new(RefCell::new(read));
         let socket = FramedSocket::new(Rc::clone(&read), write, Rc::clone(client));
         self.serve_http(socket, client, full).await;
         client.on(ClientEvent::Closing);
-        let deadline = (client.connected_at() + LINGER_TIMEOUT).max(Instant::now() + LINGER_IDLE_TIMEOUT);
+        let deadline =
+            (client.connected_at() + LINGER_TIMEOUT).max(Instant::now() + LINGER_IDLE_TIMEOUT);
         // hyper has dropped its handle, so this one is the last.
         if let Ok(read) = Rc::try_unwrap(read) {
             // Whether the client closes or the deadline passes, the connection ends.
@@ -72,8 +74,9 @@
             .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(TokioIo::new(socket), service);
         tokio::pin!(connection);
-        // Errors of a client's connection concern that client alone; the exchange learns of them as its requests are
-        // dropped. The connection is polled first, so that data that has arrived is read before the state is checked.
+        // Errors of a client's connection concern that client alone; the exchange learns of them as
+        // its requests are dropped. The connection is polled first, so that data that has arrived
+        // is read before the state is checked.
         tokio::select! {
             biased;
             _ = connection.as_mut() => {}
@@ -98,7 +101,12 @@
     }
 
     /// Receives a request completely and has the handler answer it.
-    async fn answer(&self, request: Request<Incoming>, client: &Rc<ClientState>, full: bool) -> Reply {
+    async fn answer(
+        &self,
+        request: Request<Incoming>,
+        client: &Rc<ClientState>,
+        full: bool,
+    ) -> Reply {
         if full {
             return listener_overloaded();
         }
@@ -113,7 +121,10 @@
         if rejection == Some(StatusCode::SERVICE_UNAVAILABLE) {
             return listener_overloaded();
         }
-        let reply = self.handler.answer(with_body(head, received), shutting_down).await;
+        let reply = self
+            .handler
+            .answer(with_body(head, received), shutting_down)
+            .await;
         if rejection.is_some() || client.is_last_request() {
             closing(reply)
         } else {
@@ -121,7 +132,11 @@
         }
     }
 
-    async fn receive_body(&self, body: Incoming, client: &ClientState) -> Result<ReceivedBody, StatusCode> {
+    async fn receive_body(
+        &self,
+        body: Incoming,
+        client: &ClientState,
+    ) -> Result<ReceivedBody, StatusCode> {
         if let Some(status) = client.framing_error() {
             return Err(status);
         }
@@ -147,14 +162,23 @@
     if !trace::is_enabled() {
         return;
     }
-    let length = headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok()).map(str::to_owned);
-    trace::write(simd_json::json!({ "e": "not taken", "status": status.as_u16(), "length": length }));
+    let length = headers
+        .get(CONTENT_LENGTH)
+        .and_then(|value| value.to_str().ok())
+        .map(str::to_owned);
+    trace::write(
+        simd_json::json!({ "e": "not taken", "status": status.as_u16(), "length": length }),
+    );
 }
 
-/// Returns once the listener shuts down and no request is arriving on this connection. A request that is being
-/// answered does not delay it: the connection then closes after that response.
+/// Returns once the listener shuts down and no request is arriving on this connection. A request
+/// that is being answered does not delay it: the connection then closes after that response.
 async fn ready_to_shut_down(client: &ClientState, mut shutting_down: watch::Receiver<bool>) {
-    if shutting_down.wait_for(|shutting_down| *shutting_down).await.is_err() {
+    if shutting_down
+        .wait_for(|shutting_down| *shutting_down)
+        .await
+        .is_err()
+    {
         return std::future::pending().await;
     }
     while client.is_arriving() {
--- a/src/frontend/framed_socket.rs
+++ b/src/frontend/framed_socket.rs
@@ -1,5 +1,5 @@
-//! A client's socket as hyper sees it. Bytes are inspected before hyper reads them, so that hyper and the listener
-//! agree on where a request ends, and the state of each connection is known.
+//! A client's socket as hyper sees it. Bytes are inspected before hyper reads them, so that hyper
+//! and the listener agree on where a request ends, and the state of each connection is known.
 
 use std::cell::RefCell;
 use std::io;
@@ -19,7 +19,8 @@
 
 /// The most bytes of a request head; a longer one is answered 431.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The most bytes sent ahead of a response that are read and discarded; the socket is not read beyond that.
+/// The most bytes sent ahead of a response that are read and discarded; the socket is not read
+/// beyond that.
 const MAX_DISCARDED_BYTES: usize = 8 << 20;
 /// Bytes read from the socket at a time.
 const READ_BUFFER_BYTES: usize = 4096;
@@ -73,11 +74,16 @@
         }
     }
 
-    /// Reads more bytes from the socket into the buffer. Returns their number; 0 is the end of the stream.
+    /// Reads more bytes from the socket into the buffer. Returns their number; 0 is the end of the
+    /// stream.
     fn poll_fill(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
         let mut bytes = [0; READ_BUFFER_BYTES];
         let mut buf = ReadBuf::new(&mut bytes);
-        ready!(socket_io::poll_read((*self.read.borrow()).as_ref(), cx, &mut buf))?;
+        ready!(socket_io::poll_read(
+            (*self.read.borrow()).as_ref(),
+            cx,
+            &mut buf
+        ))?;
         self.buffer.extend_from_slice(buf.filled());
         Poll::Ready(Ok(buf.filled().len()))
     }
@@ -90,12 +96,20 @@
         self.poll_fill(cx).map_ok(|count| count == 0)
     }
 
-    /// Releases the request head to hyper if it is complete, and determines the framing of its body.
+    /// Releases the request head to hyper if it is complete, and determines the framing of its
+    /// body.
     fn parse_head(&mut self) {
         // Empty lines ahead of a request are ignored (RFC 9112, section 2.2).
-        let blank = self.buffer.iter().take_while(|byte| is_line_end(byte)).count();
+        let blank = self
+            .buffer
+            .iter()
+            .take_while(|byte| is_line_end(byte))
+            .count();
         self.buffer.advance(blank);
-        let end = self.buffer.windows(HEAD_END.len()).position(|window| window == HEAD_END);
+        let end = self
+            .buffer
+            .windows(HEAD_END.len())
+            .position(|window| window == HEAD_END);
         let Some(end) = end else {
             if self.buffer.len() >= MAX_HEAD_BYTES {
                 self.fail(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
@@ -124,11 +138,12 @@
         self.state = ReadState::PassThrough;
     }
 
-    /// Releases the body bytes that are in the buffer from `start` on to hyper, where `missing` bytes of the body are
-    /// outstanding. Bytes beyond a complete request mean that its length is wrong: a client sends one request at a
-    /// time.
+    /// Releases the body bytes that are in the buffer from `start` on to hyper, where `missing`
+    /// bytes of the body are outstanding. Bytes beyond a complete request mean that its length is
+    /// wrong: a client sends one request at a time.
     fn release_body(&mut self, missing: u64, start: usize) {
-        let available = (self.buffer.len() - start).min(usize::try_from(missing).unwrap_or(usize::MAX));
+        let available =
+            (self.buffer.len() - start).min(usize::try_from(missing).unwrap_or(usize::MAX));
         self.released = start + available;
         let missing = missing - available as u64;
         if missing > 0 {
@@ -137,7 +152,10 @@
         }
         self.state = ReadState::Complete;
         self.client.on(ClientEvent::RequestReceived);
-        if self.buffer[self.released..].iter().any(|byte| !is_line_end(byte)) {
+        if self.buffer[self.released..]
+            .iter()
+            .any(|byte| !is_line_end(byte))
+        {
             self.client.set_framing_error(StatusCode::BAD_REQUEST);
             self.client.set_last_request();
         }
@@ -148,9 +166,10 @@
         self.response_started && self.client.phase() == Phase::Idle
     }
 
-    /// Reads and discards bytes that come ahead of the response, so that the end of the stream behind them is seen:
-    /// a client that sends data and closes has gone. The connection closes after this response, since such bytes are
-    /// not a request of their own. Returns whether the stream has ended.
+    /// Reads and discards bytes that come ahead of the response, so that the end of the stream
+    /// behind them is seen: a client that sends data and closes has gone. The connection closes
+    /// after this response, since such bytes are not a request of their own. Returns whether the
+    /// stream has ended.
     fn poll_discard(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
         self.buffer.clear();
         if self.discarded >= MAX_DISCARDED_BYTES {
@@ -165,8 +184,8 @@
         Poll::Ready(Ok(false))
     }
 
-    /// Makes progress in the present state: releases bytes, changes the state or reads from the socket. Returns
-    /// whether the stream has ended.
+    /// Makes progress in the present state: releases bytes, changes the state or reads from the
+    /// socket. Returns whether the stream has ended.
     fn poll_advance(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
         match self.state {
             ReadState::Head => {
@@ -229,7 +248,11 @@
 }
 
 impl AsyncWrite for FramedSocket {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let count = ready!(socket_io::poll_write(self.write.as_ref(), cx, buf))?;
         self.response_started |= matches!(self.state, ReadState::Complete) && count > 0;
         Poll::Ready(Ok(count))
--- a/src/frontend/framing.rs
+++ b/src/frontend/framing.rs
@@ -1,7 +1,7 @@
 //! How the body of a request is framed, decided from its head before hyper sees it.
 //!
-//! hyper resolves contradictory lengths silently; another party could then take the tail of a body for a second
-//! request (request smuggling). Such requests are refused here.
+//! hyper resolves contradictory lengths silently; another party could then take the tail of a body
+//! for a second request (request smuggling). Such requests are refused here.
 
 use hyper::StatusCode;
 
@@ -20,14 +20,16 @@
 /// Parses a complete request head, blank line included, for the framing of its body.
 ///
 /// # Errors
-/// The status to answer: 400 for a malformed head or ambiguous framing, 413 for a length that does not fit 64 bits,
-/// 431 for too many header fields.
+/// The status to answer: 400 for a malformed head or ambiguous framing, 413 for a length that does
+/// not fit 64 bits, 431 for too many header fields.
 pub fn body_framing(head: &[u8]) -> Result<BodyFraming, StatusCode> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut request = httparse::Request::new(&mut fields);
     match request.parse(head) {
         Ok(httparse::Status::Complete(length)) if length == head.len() => {}
-        Err(httparse::Error::TooManyHeaders) => return Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE),
+        Err(httparse::Error::TooManyHeaders) => {
+            return Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE)
+        }
         _ => return Err(StatusCode::BAD_REQUEST),
     }
     let lengths = field_values(request.headers, "content-length");
@@ -41,13 +43,21 @@
 }
 
 fn field_values<'a>(headers: &[httparse::Header<'a>], name: &str) -> Vec<&'a [u8]> {
-    headers.iter().filter(|field| field.name.eq_ignore_ascii_case(name)).map(|field| field.value).collect()
+    headers
+        .iter()
+        .filter(|field| field.name.eq_ignore_ascii_case(name))
+        .map(|field| field.value)
+        .collect()
 }
 
 fn content_length(value: &[u8]) -> Result<BodyFraming, StatusCode> {
     if value.is_empty() || !value.iter().all(u8::is_ascii_digit) {
         return Err(StatusCode::BAD_REQUEST);
     }
-    let length = std::str::from_utf8(value).ok().and_then(|digits| digits.parse().ok());
-    length.map(BodyFraming::Length).ok_or(StatusCode::PAYLOAD_TOO_LARGE)
+    let length = std::str::from_utf8(value)
+        .ok()
+        .and_then(|digits| digits.parse().ok());
+    length
+        .map(BodyFraming::Length)
+        .ok_or(StatusCode::PAYLOAD_TOO_LARGE)
 }
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -28,8 +28,8 @@
 use crate::body_budget::BodyBudget;
 use crate::telemetry::log::log;
 
-/// Connections above the limit that are accepted at a time to be answered with a rejection; others wait in the
-/// kernel's queue.
+/// Connections above the limit that are accepted at a time to be answered with a rejection; others
+/// wait in the kernel's queue.
 const REJECTION_SLOTS: usize = 16;
 /// How often connections are checked for timeouts.
 const TIMEOUT_POLL: Duration = Duration::from_millis(100);
@@ -37,8 +37,8 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 /// How long the accept loop waits after an error of `accept`.
 const ACCEPT_ERROR_DELAY: Duration = Duration::from_millis(10);
-/// How many errors of `accept` the end of the listening socket waits out: with the pause after those of resources, no
-/// more than a tenth of the time that a shutdown has.
+/// How many errors of `accept` the end of the listening socket waits out: with the pause after
+/// those of resources, no more than a tenth of the time that a shutdown has.
 const MAX_BACKLOG_ERRORS: usize = 64;
 /// The shortest time between two log lines about the connection limit.
 const FULL_LOG_INTERVAL: Duration = Duration::from_secs(1);
@@ -64,7 +64,8 @@
     /// The response to a request. `shutting_down` is set once the listener has stopped accepting.
     fn answer(&self, request: ReceivedRequest, shutting_down: bool) -> impl Future<Output = Reply>;
 
-    /// The listener shuts down: every request, received or still to come, must be answered `within` this time.
+    /// The listener shuts down: every request, received or still to come, must be answered `within`
+    /// this time.
     fn begin_shutdown(&self, _within: Duration) {}
 
     /// The longest deadline of any request.
@@ -91,7 +92,8 @@
 }
 
 impl<H: Handler> Listener<H> {
-    /// A listener that keeps at most `max_connections` connections and publishes its state in `state`.
+    /// A listener that keeps at most `max_connections` connections and publishes its state in
+    /// `state`.
     pub fn new(handler: H, max_connections: usize, state: ListenerState) -> Rc<Listener<H>> {
         Rc::new(Listener {
             handler,
@@ -104,13 +106,19 @@
             accepting: state.accepting,
             shutting_down: watch::Sender::new(false),
             discard_buffer: RefCell::new(vec![0; DISCARD_BUFFER_BYTES]),
-            body_budget: state.body_budget.unwrap_or_else(|| BodyBudget::new(MAX_REQUEST_BODY)),
+            body_budget: state
+                .body_budget
+                .unwrap_or_else(|| BodyBudget::new(MAX_REQUEST_BODY)),
         })
     }
 
-    /// Serves until `shutdown_signal` completes, then returns once every received request has been answered. Must be
-    /// called inside a tokio `LocalSet`.
-    pub async fn serve(self: &Rc<Self>, listener: TcpListener, shutdown_signal: impl Future<Output = ()>) {
+    /// Serves until `shutdown_signal` completes, then returns once every received request has been
+    /// answered. Must be called inside a tokio `LocalSet`.
+    pub async fn serve(
+        self: &Rc<Self>,
+        listener: TcpListener,
+        shutdown_signal: impl Future<Output = ()>,
+    ) {
         self.accepting.set(true);
         tokio::select! {
             () = self.accept_forever(&listener) => {}
@@ -126,7 +134,8 @@
         let started = self.now();
         let longest_deadline = self.handler.longest_deadline().as_nanos() as Nanos;
         let (mut shutdown, mut step) = GracefulShutdown::new(started, longest_deadline);
-        self.handler.begin_shutdown(duration(shutdown.answer_deadline() - started));
+        self.handler
+            .begin_shutdown(duration(shutdown.answer_deadline() - started));
         loop {
             step = match step {
                 ShutdownStep::Accept(within) => {
@@ -149,14 +158,21 @@
     /// Returns once the state machine of the shutdown finds that nothing is pending, or gives up.
     async fn wait_for_pending_work(&self, shutdown: &mut GracefulShutdown) {
         loop {
-            let pending = self.clients.borrow().values().filter(|client| client.has_pending_work()).count();
+            let pending = self
+                .clients
+                .borrow()
+                .values()
+                .filter(|client| client.has_pending_work())
+                .count();
             let poll = ShutdownEvent::Poll {
                 connections: self.connection_count(),
                 busy: pending.max(self.active_requests.get()),
             };
             match shutdown.on(self.now(), poll) {
                 ShutdownStep::Wait(time) => sleep(duration(time)).await,
-                ShutdownStep::Exit | ShutdownStep::Accept(_) | ShutdownStep::StopAccepting => return,
+                ShutdownStep::Exit | ShutdownStep::Accept(_) | ShutdownStep::StopAccepting => {
+                    return
+                }
             }
         }
     }
@@ -176,16 +192,21 @@
         }
     }
 
-    /// Accepts every connection in the kernel's queue and closes the listening socket. The kernel is queried directly
-    /// until the queue is empty: the runtime learns of a connection later, and one left in the queue would be reset.
-    /// An error of `accept` concerns one connection, or a resource that another one is about to free.
+    /// Accepts every connection in the kernel's queue and closes the listening socket. The kernel
+    /// is queried directly until the queue is empty: the runtime learns of a connection later, and
+    /// one left in the queue would be reset. An error of `accept` concerns one connection, or a
+    /// resource that another one is about to free.
     async fn accept_backlog(self: &Rc<Self>, listener: TcpListener) {
-        let Ok(listener) = listener.into_std() else { return };
+        let Ok(listener) = listener.into_std() else {
+            return;
+        };
         let mut errors_left = MAX_BACKLOG_ERRORS;
         while errors_left > 0 {
             match listener.accept() {
                 Ok((stream, _)) => {
-                    let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
+                    let stream = stream
+                        .set_nonblocking(true)
+                        .and_then(|()| TcpStream::from_std(stream));
                     if let Ok(stream) = stream {
                         self.spawn_connection(stream);
                     }
@@ -247,7 +268,9 @@
         self.clients.borrow_mut().insert(id, Rc::clone(&client));
         let listener = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            listener.serve_until_evicted(id, stream, &client, full).await;
+            listener
+                .serve_until_evicted(id, stream, &client, full)
+                .await;
             listener.clients.borrow_mut().remove(&id);
         });
     }
@@ -279,10 +302,16 @@
     /// Evicts the connection that the limiter can best spare. Returns whether there was one.
     fn evict(&self, idle_only: bool) -> bool {
         let mut clients = self.clients.borrow_mut();
-        let connections = clients.iter().map(|(id, client)| (*id, client.connection()));
+        let connections = clients
+            .iter()
+            .map(|(id, client)| (*id, client.connection()));
         let is_busy = |id| clients[&id].is_busy();
-        let candidate = self.limiter.eviction_candidate(self.now(), idle_only, connections, is_busy);
-        let Some(client) = candidate.and_then(|id| clients.remove(&id)) else { return false };
+        let candidate =
+            self.limiter
+                .eviction_candidate(self.now(), idle_only, connections, is_busy);
+        let Some(client) = candidate.and_then(|id| clients.remove(&id)) else {
+            return false;
+        };
         client.evicted.notify_one();
         true
     }
@@ -290,7 +319,11 @@
     /// Logs the phases of all connections, at most once in [`FULL_LOG_INTERVAL`].
     fn log_full(&self) {
         let now = Instant::now();
-        if self.full_logged_at.get().is_some_and(|logged| now - logged < FULL_LOG_INTERVAL) {
+        if self
+            .full_logged_at
+            .get()
+            .is_some_and(|logged| now - logged < FULL_LOG_INTERVAL)
+        {
             return;
         }
         self.full_logged_at.set(Some(now));
@@ -311,7 +344,10 @@
             let now = self.now();
             let scarce = self.limiter.is_scarce(self.connection_count());
             for client in self.clients.borrow().values() {
-                if client.connection().has_timed_out(now, scarce, || client.is_busy()) {
+                if client
+                    .connection()
+                    .has_timed_out(now, scarce, || client.is_busy())
+                {
                     client.evicted.notify_one();
                 }
             }
@@ -322,7 +358,10 @@
 /// Whether `accept` failed for want of descriptors or memory, which other connections hold.
 fn is_out_of_resources(error: &io::Error) -> bool {
     let code = error.raw_os_error().map(Errno::from_raw);
-    matches!(code, Some(Errno::EMFILE | Errno::ENFILE | Errno::ENOBUFS | Errno::ENOMEM))
+    matches!(
+        code,
+        Some(Errno::EMFILE | Errno::ENFILE | Errno::ENOBUFS | Errno::ENOMEM)
+    )
 }
 
 fn duration(time: Nanos) -> Duration {
--- a/src/frontend/platform/mod.rs
+++ b/src/frontend/platform/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's front: turns requests of the platform's protocol into requests to the exchange, and its answers
-//! into responses.
+//! The platform's front: turns requests of the platform's protocol into requests to the exchange,
+//! and its answers into responses.
 
 mod request_parser;
 mod request_tables;
@@ -31,8 +31,8 @@
 /// Header with the class of a request.
 const CLASS: &str = "x-lane";
 
-/// Headers that are forwarded to the chunk server beside the transaction id. The cookie names the block and the
-/// idempotency key the operation, by which the server recognises a repeated request.
+/// Headers that are forwarded to the chunk server beside the transaction id. The cookie names the
+/// block and the idempotency key the operation, by which the server recognises a repeated request.
 const FORWARDED_HEADERS: [HeaderName; 2] = [COOKIE, HeaderName::from_static("idempotency-key")];
 
 /// The handler for the platform's protocol.
@@ -54,27 +54,38 @@
     }
 
     async fn answer(&self, request: ReceivedRequest, shutting_down: bool) -> Reply {
-        if let Some(reply) =
-            health_check(request.method(), request.uri().path(), &self.readiness, shutting_down)
-        {
+        if let Some(reply) = health_check(
+            request.method(),
+            request.uri().path(),
+            &self.readiness,
+            shutting_down,
+        ) {
             return reply;
         }
         let class = single_value(request.headers(), CLASS).map(str::to_owned);
-        let reply = self.forward(request).await.unwrap_or_else(|rejection| rejection);
+        let reply = self
+            .forward(request)
+            .await
+            .unwrap_or_else(|rejection| rejection);
         self.count_answer(class.as_deref(), reply.status());
         reply
     }
 }
 
 impl PlatformFront {
-    /// A front on an exchange; `tables` has the names that requests may use, and may be reloaded. `readiness` is what the
-    /// health check tells.
+    /// A front on an exchange; `tables` has the names that requests may use, and may be reloaded.
+    /// `readiness` is what the health check tells.
     pub fn new(
         exchange: Rc<Exchange<Upstream>>,
         tables: Rc<RefCell<RequestTables>>,
         readiness: Readiness,
     ) -> PlatformFront {
-        PlatformFront { exchange, tables, readiness, open_transactions: RefCell::default() }
+        PlatformFront {
+            exchange,
+            tables,
+            readiness,
+            open_transactions: RefCell::default(),
+        }
     }
 
     /// Counts a response in the metrics of its class, where the class is known.
@@ -101,7 +112,11 @@
         }
         let _open = OpenTransaction::insert(&self.open_transactions, parsed.transaction_id)
             .ok_or_else(|| plain(StatusCode::CONFLICT, "X-Txn names a request that is open"))?;
-        let id = head.headers.get(TRANSACTION_ID).cloned().unwrap_or(HeaderValue::from_static(""));
+        let id = head
+            .headers
+            .get(TRANSACTION_ID)
+            .cloned()
+            .unwrap_or(HeaderValue::from_static(""));
         let payload = Payload {
             method: head.method,
             target: head.uri,
@@ -109,11 +124,19 @@
             headers: forwarded_headers(&head.headers),
             body,
             accepts: Accepts::Served,
-            metrics: self.tables.borrow().metrics.get(parsed.request.class).cloned(),
+            metrics: self
+                .tables
+                .borrow()
+                .metrics
+                .get(parsed.request.class)
+                .cloned(),
             reservation,
         };
         Ok(match self.exchange.submit(parsed.request, payload).await {
-            FinalResponse::Served(Answer { streamed: Some(rest), .. }) => stream_response(rest),
+            FinalResponse::Served(Answer {
+                streamed: Some(rest),
+                ..
+            }) => stream_response(rest),
             FinalResponse::Served(answer) => Response::new(Either::Left(Full::new(answer.body))),
             FinalResponse::Rejected(retry_after) => rejected(retry_after),
             FinalResponse::Failed => plain(StatusCode::BAD_GATEWAY, "failed"),
@@ -139,7 +162,8 @@
 }
 
 impl OpenTransaction<'_> {
-    /// Opens a transaction; `None` where it is open already, since two requests with one id cannot be distinguished.
+    /// Opens a transaction; `None` where it is open already, since two requests with one id cannot
+    /// be distinguished.
     fn insert(open: &RefCell<HashSet<u64>>, id: u64) -> Option<OpenTransaction<'_>> {
         let inserted = open.borrow_mut().insert(id);
         inserted.then(|| OpenTransaction { open, id })
--- a/src/frontend/platform/request_parser.rs
+++ b/src/frontend/platform/request_parser.rs
@@ -78,7 +78,11 @@
 
 impl RequestTables {
     /// Parses a request head.
-    pub(super) fn parse(&self, method: &Method, headers: &HeaderMap) -> Result<ParsedRequest, RequestError> {
+    pub(super) fn parse(
+        &self,
+        method: &Method,
+        headers: &HeaderMap,
+    ) -> Result<ParsedRequest, RequestError> {
         let value = |name: &str| single_value(headers, name);
         let transaction_id = value(TRANSACTION_ID).and_then(hex_id);
         let transaction_id = transaction_id.ok_or(RequestError::InvalidTransactionId)?;
@@ -91,8 +95,11 @@
         }
         let plan = value(PLAN).ok_or(RequestError::MissingPlan)?;
         let plan = self.plans.find(plan).ok_or(RequestError::UnknownPlan)?;
-        let patience = value(REMAINING).and_then(parse_remaining).ok_or(RequestError::InvalidRemaining)?;
-        let operation = self.parse_operation(value(OPERATION).ok_or(RequestError::MissingOperation)?)?;
+        let patience = value(REMAINING)
+            .and_then(parse_remaining)
+            .ok_or(RequestError::InvalidRemaining)?;
+        let operation =
+            self.parse_operation(value(OPERATION).ok_or(RequestError::MissingOperation)?)?;
         let shard = operation.shard.ok_or(RequestError::InvalidShard)?;
         if shard < 0 && !writes {
             return Err(RequestError::MissingShard);
@@ -106,9 +113,14 @@
             patience,
             units: operation.units.ok_or(RequestError::InvalidUnits)? as f64,
             cell: CellId::try_from(shard).ok(),
-            front_count: operation.front_count.ok_or(RequestError::InvalidFrontCount)? as u32,
+            front_count: operation
+                .front_count
+                .ok_or(RequestError::InvalidFrontCount)? as u32,
         };
-        Ok(ParsedRequest { transaction_id, request })
+        Ok(ParsedRequest {
+            transaction_id,
+            request,
+        })
     }
 
     /// Whether a class writes. Where the configuration leaves it open, the method decides.
@@ -121,12 +133,19 @@
     fn parse_operation(&self, header: &str) -> Result<Operation, RequestError> {
         let mut operation = Operation::default();
         for field in header.split(',') {
-            let (name, value) = field.trim().split_once('=').ok_or(RequestError::MalformedOperation)?;
+            let (name, value) = field
+                .trim()
+                .split_once('=')
+                .ok_or(RequestError::MalformedOperation)?;
             match name {
                 "volume" => operation.volume = hex_id(value),
                 "units" => operation.units = integer_between(value, 1, self.max_units as i64),
-                "shard" => operation.shard = integer_between(value, ANY_SHARD, i64::from(self.shards) - 1),
-                "hosts" => operation.front_count = integer_between(value, 1, i64::from(self.fronts)),
+                "shard" => {
+                    operation.shard = integer_between(value, ANY_SHARD, i64::from(self.shards) - 1)
+                }
+                "hosts" => {
+                    operation.front_count = integer_between(value, 1, i64::from(self.fronts))
+                }
                 _ => {}
             }
         }
@@ -141,22 +160,31 @@
     value.and_then(|value| value.to_str().ok()).map(str::trim)
 }
 
-/// An id of exactly [`ID_DIGITS`] hexadecimal digits. `from_str_radix` alone would accept a sign and fewer digits.
+/// An id of exactly [`ID_DIGITS`] hexadecimal digits. `from_str_radix` alone would accept a sign
+/// and fewer digits.
 fn hex_id(value: &str) -> Option<u64> {
     let is_valid = value.len() == ID_DIGITS && value.bytes().all(|byte| byte.is_ascii_hexdigit());
     u64::from_str_radix(value, 16).ok().filter(|_| is_valid)
 }
 
 fn integer_between(value: &str, min: i64, max: i64) -> Option<i64> {
-    value.parse().ok().filter(|number| (min..=max).contains(number))
+    value
+        .parse()
+        .ok()
+        .filter(|number| (min..=max).contains(number))
 }
 
 /// The block that a request concerns, from its cookies.
 fn block_id(headers: &HeaderMap) -> Result<Option<u64>, RequestError> {
-    let values = headers.get_all(COOKIE).iter().filter_map(|value| value.to_str().ok());
+    let values = headers
+        .get_all(COOKIE)
+        .iter()
+        .filter_map(|value| value.to_str().ok());
     let mut cookies = values.flat_map(|value| value.split(';'));
     let block = cookies.find_map(|cookie| cookie.trim().strip_prefix(BLOCK_COOKIE));
-    block.map(|digits| hex_id(digits).ok_or(RequestError::InvalidBlock)).transpose()
+    block
+        .map(|digits| hex_id(digits).ok_or(RequestError::InvalidBlock))
+        .transpose()
 }
 
 /// Parses a time such as `480m` (milliseconds) or `480000u` (microseconds).
--- a/src/frontend/platform/request_tables.rs
+++ b/src/frontend/platform/request_tables.rs
@@ -1,4 +1,5 @@
-//! The names that requests may use (classes, plans), with the indices that the decision module knows them by.
+//! The names that requests may use (classes, plans), with the indices that the decision module
+//! knows them by.
 
 use tulipbridge_core::settings_reload::VersionedTable;
 use tulipbridge_core::{Class, Plan, Settings};
@@ -11,12 +12,13 @@
 pub struct RequestClass {
     /// The class for the decision module.
     pub class: Class,
-    /// Whether its requests write; `None` where the configuration leaves it open and the method decides.
+    /// Whether its requests write; `None` where the configuration leaves it open and the method
+    /// decides.
     pub writes: Option<bool>,
 }
 
-/// The tables of the request parser. A request that no chunk server could execute is rejected by them and causes no
-/// load on any server.
+/// The tables of the request parser. A request that no chunk server could execute is rejected by
+/// them and causes no load on any server.
 #[derive(Clone)]
 pub struct RequestTables {
     /// Classes.
@@ -42,7 +44,8 @@
 }
 
 impl RequestTables {
-    /// The tables of a configuration; classes and plans keep its order, which is that of the decision module.
+    /// The tables of a configuration; classes and plans keep its order, which is that of the
+    /// decision module.
     pub fn new(config: &Config, metrics: &Metrics) -> RequestTables {
         let mut tables = RequestTables {
             classes: VersionedTable::new(class_entries(config)),
@@ -64,25 +67,48 @@
         self.fronts = config.settings.initiators;
         self.max_units = config.settings.max_units;
         self.add_class_metrics(metrics);
-        let classes = self.classes.values().into_iter().map(|entry| entry.class).collect();
-        let settings = Settings { classes, plans: self.plans.values(), ..config.settings };
-        ReloadedSettings { settings, replaced_classes }
+        let classes = self
+            .classes
+            .values()
+            .into_iter()
+            .map(|entry| entry.class)
+            .collect();
+        let settings = Settings {
+            classes,
+            plans: self.plans.values(),
+            ..config.settings
+        };
+        ReloadedSettings {
+            settings,
+            replaced_classes,
+        }
     }
 
     /// Creates the metrics of classes that are new, starting at 0.
     fn add_class_metrics(&mut self, metrics: &Metrics) {
         for class in self.metrics.len()..self.classes.len() {
-            self.metrics.push(metrics.class(self.classes.name(class).unwrap_or_default()));
+            self.metrics
+                .push(metrics.class(self.classes.name(class).unwrap_or_default()));
         }
     }
 }
 
 fn class_entries(config: &Config) -> Vec<(String, RequestClass)> {
-    let classes = config.settings.classes.iter().cloned().zip(config.class_writes.iter().copied());
+    let classes = config
+        .settings
+        .classes
+        .iter()
+        .cloned()
+        .zip(config.class_writes.iter().copied());
     let classes = classes.map(|(class, writes)| RequestClass { class, writes });
     config.classes.iter().cloned().zip(classes).collect()
 }
 
 fn plan_entries(config: &Config) -> Vec<(String, Plan)> {
-    config.plans.iter().cloned().zip(config.settings.plans.iter().cloned()).collect()
+    config
+        .plans
+        .iter()
+        .cloned()
+        .zip(config.settings.plans.iter().cloned())
+        .collect()
 }
--- a/src/frontend/platform/streaming.rs
+++ b/src/frontend/platform/streaming.rs
@@ -13,8 +13,8 @@
 use crate::telemetry::trace;
 use crate::upstream::StreamedBody;
 
-/// Parts of a body that are buffered between chunk server and client; the server is read no faster than the client
-/// reads.
+/// Parts of a body that are buffered between chunk server and client; the server is read no faster
+/// than the client reads.
 const BUFFERED_PARTS: usize = 2;
 
 /// How a streamed body ended.
@@ -35,15 +35,18 @@
     }
 }
 
-/// A response that streams a body from a chunk server. It has the length that the server announced, if any, so that a
-/// client can recognise a truncated body. Where the server's connection fails, so does the client's.
+/// A response that streams a body from a chunk server. It has the length that the server announced,
+/// if any, so that a client can recognise a truncated body. Where the server's connection fails, so
+/// does the client's.
 pub(super) fn stream_response(streamed: StreamedBody) -> Reply {
     let (sender, body) = Channel::new(BUFFERED_PARTS);
     let length = streamed.length;
     tokio::task::spawn_local(copy_body(streamed, sender));
     let mut reply = Response::new(Either::Right(body));
     if let Some(length) = length {
-        reply.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(length));
+        reply
+            .headers_mut()
+            .insert(CONTENT_LENGTH, HeaderValue::from(length));
     }
     reply
 }
@@ -86,8 +89,12 @@
         }
     }
     loop {
-        let Some(frame) = streamed.body.frame().await else { return StreamEnd::Complete };
-        let Ok(frame) = frame else { return StreamEnd::ServerFailed };
+        let Some(frame) = streamed.body.frame().await else {
+            return StreamEnd::Complete;
+        };
+        let Ok(frame) = frame else {
+            return StreamEnd::ServerFailed;
+        };
         // Trailers are not forwarded.
         if let Ok(data) = frame.into_data() {
             *bytes_passed += data.len();
--- a/src/frontend/replies.rs
+++ b/src/frontend/replies.rs
@@ -1,4 +1,5 @@
-//! Responses that every front gives: plain text, rejections with a retry time, and closing the connection.
+//! Responses that every front gives: plain text, rejections with a retry time, and closing the
+//! connection.
 
 use std::io;
 use std::time::Duration;
@@ -24,8 +25,8 @@
     reply
 }
 
-/// The response to a health check; `None` for any other request. A front that starts or shuts down is alive but not
-/// ready.
+/// The response to a health check; `None` for any other request. A front that starts or shuts down
+/// is alive but not ready.
 pub(crate) fn health_check(
     method: &Method,
     path: &str,
@@ -60,6 +61,8 @@
 
 /// Closes the connection after this response.
 pub(super) fn closing(mut reply: Reply) -> Reply {
-    reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    reply
+        .headers_mut()
+        .insert(CONNECTION, HeaderValue::from_static("close"));
     reply
 }
--- a/src/frontend/response_body.rs
+++ b/src/frontend/response_body.rs
@@ -10,7 +10,8 @@
 
 use super::client_state::ClientState;
 
-/// A response body that keeps its request counted as open until hyper has read it completely or dropped it.
+/// A response body that keeps its request counted as open until hyper has read it completely or
+/// dropped it.
 pub struct ResponseBody<B> {
     body: B,
     _open: OpenRequest,
@@ -53,7 +54,10 @@
     /// Counts a request of `client` in `active_requests` for as long as the value lives.
     pub fn new(client: &Rc<ClientState>, active_requests: &Rc<Cell<usize>>) -> OpenRequest {
         active_requests.set(active_requests.get() + 1);
-        OpenRequest { client: Rc::clone(client), active_requests: Rc::clone(active_requests) }
+        OpenRequest {
+            client: Rc::clone(client),
+            active_requests: Rc::clone(active_requests),
+        }
     }
 }
 
--- a/src/frontend/socket.rs
+++ b/src/frontend/socket.rs
@@ -25,13 +25,17 @@
     LocalAddress(#[from] std::io::Error),
 }
 
-/// Opens a listening socket and logs its address; port 0 chooses a free port. `SO_REUSEPORT` lets a new version of
-/// the process listen at the same address while the old one still serves.
+/// Opens a listening socket and logs its address; port 0 chooses a free port. `SO_REUSEPORT` lets a
+/// new version of the process listen at the same address while the old one still serves.
 ///
 /// # Errors
 /// The socket cannot be opened or bound.
 pub async fn listen(address: SocketAddr) -> Result<TcpListener, ListenError> {
-    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
+    let socket = if address.is_ipv4() {
+        TcpSocket::new_v4()
+    } else {
+        TcpSocket::new_v6()
+    };
     let bound = socket.and_then(|socket| {
         socket.set_reuseaddr(true)?;
         socket.set_reuseport(true)?;
--- a/src/object/answer.rs
+++ b/src/object/answer.rs
@@ -19,22 +19,39 @@
     /// The answer where it is a success.
     ///
     /// # Errors
-    /// The error that the chunk server found. `not_found_code` is the code for a 404 that has none of its own.
+    /// The error that the chunk server found. `not_found_code` is the code for a 404 that has none
+    /// of its own.
     pub(super) fn into_success(self, not_found_code: &'static str) -> Result<Answer, ApiError> {
         let (status, default_code, message) = match self.status {
             status if status.is_success() => return Ok(self),
             StatusCode::NOT_MODIFIED => return Err(ApiError::NotModified(self.headers)),
-            StatusCode::RANGE_NOT_SATISFIABLE => return Err(ApiError::InvalidRange(self.unsatisfied_size())),
-            StatusCode::NOT_FOUND => (self.status, not_found_code, "It is not there."),
-            StatusCode::PRECONDITION_FAILED => {
-                (self.status, "PreconditionFailed", "A condition of the request does not hold.")
+            StatusCode::RANGE_NOT_SATISFIABLE => {
+                return Err(ApiError::InvalidRange(self.unsatisfied_size()))
             }
-            StatusCode::CONFLICT => (self.status, "OperationAborted", "Another operation is in its way."),
-            _ => (StatusCode::BAD_REQUEST, "InvalidRequest", "The node does not accept it."),
+            StatusCode::NOT_FOUND => (self.status, not_found_code, "It is not there."),
+            StatusCode::PRECONDITION_FAILED => (
+                self.status,
+                "PreconditionFailed",
+                "A condition of the request does not hold.",
+            ),
+            StatusCode::CONFLICT => (
+                self.status,
+                "OperationAborted",
+                "Another operation is in its way.",
+            ),
+            _ => (
+                StatusCode::BAD_REQUEST,
+                "InvalidRequest",
+                "The node does not accept it.",
+            ),
         };
         let document: Option<ErrorDocument> = xml::read(&self.body);
         let code = document.map_or_else(|| default_code.to_owned(), |document| document.code);
-        Err(ApiError::Request { status, code, message })
+        Err(ApiError::Request {
+            status,
+            code,
+            message,
+        })
     }
 
     /// The size of the object in `Content-Range: bytes */SIZE`.
@@ -45,7 +62,11 @@
 
     /// The version id for clients: the shard and the chunk server's own id.
     pub(super) fn version_id(&self) -> Result<HeaderValue, ApiError> {
-        let own = self.headers.get(VERSION_ID).and_then(|value| value.to_str().ok()).unwrap_or_default();
+        let own = self
+            .headers
+            .get(VERSION_ID)
+            .and_then(|value| value.to_str().ok())
+            .unwrap_or_default();
         HeaderValue::try_from(format!("{}.{own}", self.cell)).map_err(|_| ApiError::OutcomeUnknown)
     }
 }
--- a/src/object/config.rs
+++ b/src/object/config.rs
@@ -87,7 +87,8 @@
     pub volume: u64,
     /// The number of its plan.
     pub plan: usize,
-    /// The number of the class for requests that may be repeated: reads, and deletions, which are idempotent.
+    /// The number of the class for requests that may be repeated: reads, and deletions, which are
+    /// idempotent.
     pub read_class: usize,
     /// The number of the class for requests that must not run twice.
     pub write_class: usize,
@@ -108,7 +109,10 @@
             Ok(content) => content,
             Err(source) => return Err(ConfigError::Unreadable { path, source }),
         };
-        Config::read(&content).map_err(|error| ConfigError::InFile { path, source: Box::new(error) })
+        Config::read(&content).map_err(|error| ConfigError::InFile {
+            path,
+            source: Box::new(error),
+        })
     }
 
     /// Reads a configuration from its JSON text.
@@ -119,12 +123,17 @@
         // The environment is for the platform's front only.
         let base = config::Config::read(json, |_| None)?;
         let document = json::parse(json)?;
-        let entries = document.get("buckets").and_then(|buckets| buckets.as_object());
+        let entries = document
+            .get("buckets")
+            .and_then(|buckets| buckets.as_object());
         let entries = entries.ok_or_else(|| JsonError::wrong_kind("buckets", Kind::Object))?;
         let mut buckets = HashMap::new();
         for (name, entry) in entries {
             let bucket = Bucket::read(entry, &base);
-            let in_bucket = |source| ConfigError::Bucket { name: name.clone(), source };
+            let in_bucket = |source| ConfigError::Bucket {
+                name: name.clone(),
+                source,
+            };
             buckets.insert(name.clone(), bucket.map_err(in_bucket)?);
         }
         Ok(Config { base, buckets })
@@ -136,7 +145,8 @@
         let volume = string(entry.get("volume"), "volume")?;
         let read = index_of(entry, "read", &base.classes)?;
         let write = index_of(entry, "write", &base.classes)?;
-        // A write repeated after an uncertain outcome could store twice; the settings must not allow it.
+        // A write repeated after an uncertain outcome could store twice; the settings must not
+        // allow it.
         if base.settings.classes[write].semantics == Semantics::Idempotent {
             return Err(BucketError::RepeatableWrites);
         }
@@ -158,5 +168,8 @@
 fn index_of(entry: &Value, key: &str, names: &[String]) -> Result<usize, BucketError> {
     let name = string(entry.get(key), key)?;
     let position = names.iter().position(|other| other == name);
-    position.ok_or_else(|| BucketError::NotInSettings { key: key.to_owned(), name: name.to_owned() })
+    position.ok_or_else(|| BucketError::NotInSettings {
+        key: key.to_owned(),
+        name: name.to_owned(),
+    })
 }
--- a/src/object/delete.rs
+++ b/src/object/delete.rs
@@ -13,11 +13,14 @@
 use crate::upstream::Answer;
 
 impl FrontState {
-    /// DeleteObject: one version, or all copies of the object. Deleting what does not exist is a success.
+    /// DeleteObject: one version, or all copies of the object. Deleting what does not exist is a
+    /// success.
     pub(super) async fn delete(self: &Rc<Self>, request: ObjectRequest) -> Result<Reply, ApiError> {
         match request.version()? {
             Some(version) if version.own.is_empty() => {
-                return Err(ApiError::not_implemented("The node that holds this keeps no versions."));
+                return Err(ApiError::not_implemented(
+                    "The node that holds this keeps no versions.",
+                ));
             }
             Some(version) => {
                 let node = NodeRequest {
--- a/src/object/error.rs
+++ b/src/object/error.rs
@@ -38,7 +38,11 @@
 impl ApiError {
     /// An error in the request.
     pub fn request(status: StatusCode, code: &str, message: &'static str) -> ApiError {
-        ApiError::Request { status, code: code.to_owned(), message }
+        ApiError::Request {
+            status,
+            code: code.to_owned(),
+            message,
+        }
     }
 
     /// 400 `InvalidArgument`.
@@ -53,13 +57,19 @@
 
     /// 404 `NoSuchUpload`.
     pub fn no_such_upload() -> ApiError {
-        ApiError::request(StatusCode::NOT_FOUND, "NoSuchUpload", "The upload does not exist, or has ended.")
+        ApiError::request(
+            StatusCode::NOT_FOUND,
+            "NoSuchUpload",
+            "The upload does not exist, or has ended.",
+        )
     }
 
     /// The error for a request body that the listener refused with `status`.
     pub fn rejected_body(status: StatusCode) -> ApiError {
         let (code, message) = match status {
-            StatusCode::PAYLOAD_TOO_LARGE => ("EntityTooLarge", "A body holds at most 64 KiB; send parts."),
+            StatusCode::PAYLOAD_TOO_LARGE => {
+                ("EntityTooLarge", "A body holds at most 64 KiB; send parts.")
+            }
             StatusCode::REQUEST_TIMEOUT => ("RequestTimeout", "The body does not come."),
             _ => ("IncompleteBody", "The body breaks off, or does not fit."),
         };
@@ -68,11 +78,17 @@
 
     /// Whether the error means that the object or upload does not exist.
     pub fn is_not_found(&self) -> bool {
-        matches!(self, ApiError::Request { status: StatusCode::NOT_FOUND, .. })
+        matches!(
+            self,
+            ApiError::Request {
+                status: StatusCode::NOT_FOUND,
+                ..
+            }
+        )
     }
 
-    /// The same error for a request that changes nothing: one whose outcome is unknown may simply be repeated, here
-    /// after `retry_after`.
+    /// The same error for a request that changes nothing: one whose outcome is unknown may simply
+    /// be repeated, here after `retry_after`.
     pub fn of_read(self, retry_after: Duration) -> ApiError {
         match self {
             ApiError::OutcomeUnknown => ApiError::SlowDown(retry_after),
@@ -117,13 +133,19 @@
         }
     }
 
-    /// The response to a request for `resource` with the id `request_id`. A response to HEAD has no body.
+    /// The response to a request for `resource` with the id `request_id`. A response to HEAD has no
+    /// body.
     pub fn into_reply(self, resource: &str, request_id: &str, is_head: bool) -> Reply {
         if let ApiError::NotModified(answer_headers) = &self {
             return not_modified(answer_headers);
         }
         let message = self.to_string();
-        let error = xml::Error { code: self.code(), message: &message, resource, request_id };
+        let error = xml::Error {
+            code: self.code(),
+            message: &message,
+            resource,
+            request_id,
+        };
         let mut reply = document(self.status(), "Error", &error);
         reply.headers_mut().extend(self.header());
         if is_head {
--- a/src/object/front.rs
+++ b/src/object/front.rs
@@ -57,9 +57,16 @@
 
 impl ObjectFront {
     /// A front on an exchange. `readiness` is what the health check tells.
-    pub fn new(exchange: Rc<Exchange<Upstream>>, config: Config, readiness: Readiness) -> ObjectFront {
+    pub fn new(
+        exchange: Rc<Exchange<Upstream>>,
+        config: Config,
+        readiness: Readiness,
+    ) -> ObjectFront {
         let settings = &config.base.settings;
-        let deadlines = settings.classes.iter().map(|class| Duration::from_nanos(class.deadline as u64));
+        let deadlines = settings
+            .classes
+            .iter()
+            .map(|class| Duration::from_nanos(class.deadline as u64));
         let state = Rc::new(FrontState {
             exchange,
             shards: config.base.shards,
@@ -76,7 +83,9 @@
 impl FrontState {
     async fn serve(self: &Rc<Self>, request: ReceivedRequest) -> Result<Reply, ApiError> {
         let (head, body) = request.into_parts();
-        let body = body.and_then(check_length).map_err(ApiError::rejected_body)?;
+        let body = body
+            .and_then(check_length)
+            .map_err(ApiError::rejected_body)?;
         let request = self.parse(&head.method, &head.uri, head.headers)?;
         match request.operation(&head.method)? {
             Operation::GetObject => self.get(request).await,
--- a/src/object/get.rs
+++ b/src/object/get.rs
@@ -8,8 +8,8 @@
 use http_body_util::channel::{Channel, Sender};
 use http_body_util::{Either, Full};
 use hyper::header::{
-    HeaderMap, HeaderValue, ACCEPT_RANGES, CONTENT_LENGTH, CONTENT_RANGE, ETAG, IF_MATCH, LAST_MODIFIED,
-    RANGE,
+    HeaderMap, HeaderValue, ACCEPT_RANGES, CONTENT_LENGTH, CONTENT_RANGE, ETAG, IF_MATCH,
+    LAST_MODIFIED, RANGE,
 };
 use hyper::{Method, StatusCode};
 use tulipbridge_core::CellId;
@@ -24,7 +24,8 @@
 use crate::limits::MAX_BODY;
 use crate::upstream::Answer;
 
-/// Headers of a chunk server's answer that describe an object, besides those with metadata of the user.
+/// Headers of a chunk server's answer that describe an object, besides those with metadata of the
+/// user.
 const DESCRIBING_HEADERS: [&str; 8] = [
     "content-type",
     "cache-control",
@@ -70,12 +71,17 @@
     /// GetObject. An object larger than one piece is streamed.
     pub(super) async fn get(self: &Rc<Self>, request: ObjectRequest) -> Result<Reply, ApiError> {
         let source = self.read_source(&request).await?;
-        let range =
-            request.headers.get(RANGE).and_then(|value| value.to_str().ok()).and_then(ByteRange::parse);
+        let range = request
+            .headers
+            .get(RANGE)
+            .and_then(|value| value.to_str().ok())
+            .and_then(ByteRange::parse);
         let piece = self.first_piece(&request, &source, range).await?;
         let size = piece.range.size;
         let selected = match range {
-            Some(range) => range.within(size).ok_or(ApiError::InvalidRange(Some(size)))?,
+            Some(range) => range
+                .within(size)
+                .ok_or(ApiError::InvalidRange(Some(size)))?,
             None => 0..size,
         };
         // A chunk server that returned another range than the one requested cannot be used.
@@ -83,14 +89,23 @@
         if received.start != selected.start || received.end > selected.end {
             return Err(ApiError::OutcomeUnknown);
         }
-        let mut reply = empty(if range.is_some() { StatusCode::PARTIAL_CONTENT } else { StatusCode::OK });
+        let mut reply = empty(if range.is_some() {
+            StatusCode::PARTIAL_CONTENT
+        } else {
+            StatusCode::OK
+        });
         let headers = reply.headers_mut();
         describe(&piece.answer, source.version_id.clone(), headers)?;
-        headers.insert(CONTENT_LENGTH, HeaderValue::from(selected.end - selected.start));
+        headers.insert(
+            CONTENT_LENGTH,
+            HeaderValue::from(selected.end - selected.start),
+        );
         if range.is_some() {
             let value = format!("bytes {}-{}/{size}", selected.start, selected.end - 1);
-            headers
-                .insert(CONTENT_RANGE, HeaderValue::try_from(value).map_err(|_| ApiError::OutcomeUnknown)?);
+            headers.insert(
+                CONTENT_RANGE,
+                HeaderValue::try_from(value).map_err(|_| ApiError::OutcomeUnknown)?,
+            );
         }
         *reply.body_mut() = if received.end == selected.end {
             Either::Left(Full::new(piece.answer.body))
@@ -104,11 +119,25 @@
     async fn read_source(self: &Rc<Self>, request: &ObjectRequest) -> Result<ReadSource, ApiError> {
         let VersionId { cell, own } = match request.version()? {
             Some(version) => version,
-            None => VersionId { cell: self.find_shard(request).await?, own: String::new() },
+            None => VersionId {
+                cell: self.find_shard(request).await?,
+                own: String::new(),
+            },
+        };
+        let query = if own.is_empty() {
+            own
+        } else {
+            format!("versionId={}", encode_query_value(&own))
         };
-        let query = if own.is_empty() { own } else { format!("versionId={}", encode_query_value(&own)) };
-        let version_id = request.query.get("versionId").and_then(|id| HeaderValue::try_from(id).ok());
-        Ok(ReadSource { cell, query, version_id })
+        let version_id = request
+            .query
+            .get("versionId")
+            .and_then(|id| HeaderValue::try_from(id).ok());
+        Ok(ReadSource {
+            cell,
+            query,
+            version_id,
+        })
     }
 
     /// A request of average size to the shard of `source`.
@@ -142,11 +171,15 @@
             Some(ByteRange::Last(count)) => {
                 // A request for the last byte returns the size, and so the start of such a range.
                 let last_byte = "bytes=-1".to_owned();
-                let piece = self.read_piece(request, source, last_byte, request.conditions()).await?;
+                let piece = self
+                    .read_piece(request, source, last_byte, request.conditions())
+                    .await?;
                 piece_range(piece.range.size.saturating_sub(count), None)
             }
         };
-        let piece = self.read_piece(request, source, first_range, request.conditions()).await;
+        let piece = self
+            .read_piece(request, source, first_range, request.conditions())
+            .await;
         if range.is_none() && matches!(piece, Err(ApiError::InvalidRange(Some(0)))) {
             return self.read_empty(request, source).await;
         }
@@ -154,14 +187,24 @@
     }
 
     /// Reads an empty object: no range of it is valid, and the client has not requested one.
-    async fn read_empty(&self, request: &ObjectRequest, source: &ReadSource) -> Result<Piece, ApiError> {
+    async fn read_empty(
+        &self,
+        request: &ObjectRequest,
+        source: &ReadSource,
+    ) -> Result<Piece, ApiError> {
         let node = self.read_request(request, source, Method::GET, request.conditions());
         let answer = self.send(request, node).await?.into_success("NoSuchKey")?;
-        Ok(Piece { answer, range: ContentRange { bytes: 0..0, size: 0 } })
+        Ok(Piece {
+            answer,
+            range: ContentRange {
+                bytes: 0..0,
+                size: 0,
+            },
+        })
     }
 
-    /// Reads a range of at most [`MAX_PIECE_BYTES`] bytes. A chunk server that does not support ranges returns the
-    /// whole object, from which the range is cut.
+    /// Reads a range of at most [`MAX_PIECE_BYTES`] bytes. A chunk server that does not support
+    /// ranges returns the whole object, from which the range is cut.
     async fn read_piece(
         &self,
         request: &ObjectRequest,
@@ -169,7 +212,10 @@
         range: String,
         mut headers: HeaderMap,
     ) -> Result<Piece, ApiError> {
-        headers.insert(RANGE, HeaderValue::try_from(&range).map_err(|_| ApiError::OutcomeUnknown)?);
+        headers.insert(
+            RANGE,
+            HeaderValue::try_from(&range).map_err(|_| ApiError::OutcomeUnknown)?,
+        );
         let node = self.read_request(request, source, Method::GET, headers);
         let answer = self.send(request, node).await?.into_success("NoSuchKey")?;
         if answer.status == StatusCode::PARTIAL_CONTENT {
@@ -179,8 +225,9 @@
         }
     }
 
-    /// Streams the rest of an object, up to `end`, after its first piece. Every piece is a request with a deadline of
-    /// its own. Where one fails the response is cut off, and its length shows the client that it is truncated.
+    /// Streams the rest of an object, up to `end`, after its first piece. Every piece is a request
+    /// with a deadline of its own. Where one fails the response is cut off, and its length shows
+    /// the client that it is truncated.
     fn stream(
         self: &Rc<Self>,
         request: ObjectRequest,
@@ -190,7 +237,9 @@
     ) -> Channel<Bytes, io::Error> {
         let (sender, body) = Channel::new(PIECES_READ_AHEAD);
         let front = Rc::clone(self);
-        tokio::task::spawn_local(async move { front.send_pieces(request, source, first, end, sender).await });
+        tokio::task::spawn_local(async move {
+            front.send_pieces(request, source, first, end, sender).await
+        });
         body
     }
 
@@ -214,7 +263,10 @@
         while sender.send_data(bytes).await.is_ok() && position < end {
             request.deadline = Instant::now() + self.deadlines[request.bucket.read_class];
             let range = piece_range(position, Some(end - 1));
-            match self.read_piece(&request, &source, range, headers.clone()).await {
+            match self
+                .read_piece(&request, &source, range, headers.clone())
+                .await
+            {
                 Ok(next) if next.range.bytes.start == position && next.range.size == size => {
                     position = next.range.bytes.end;
                     bytes = next.answer.body;
@@ -242,14 +294,17 @@
             (Some((_, cell)), _) => Ok(cell),
             // The object may be at a shard that did not answer.
             (None, Some(error)) => Err(error.of_read(self.deadlines[request.bucket.read_class])),
-            (None, None) => {
-                Err(ApiError::request(StatusCode::NOT_FOUND, "NoSuchKey", "No shard holds the key."))
-            }
+            (None, None) => Err(ApiError::request(
+                StatusCode::NOT_FOUND,
+                "NoSuchKey",
+                "No shard holds the key.",
+            )),
         }
     }
 }
 
-/// A `Range` header of at most [`MAX_PIECE_BYTES`] bytes from `first` on, and no further than `last`.
+/// A `Range` header of at most [`MAX_PIECE_BYTES`] bytes from `first` on, and no further than
+/// `last`.
 fn piece_range(first: u64, last: Option<u64>) -> String {
     let last_of_piece = first.saturating_add(MAX_PIECE_BYTES - 1);
     let last = last.map_or(last_of_piece, |last| last.min(last_of_piece));
@@ -258,8 +313,13 @@
 
 /// The piece in a 206 answer, whose range and length must agree.
 fn partial_piece(answer: Answer) -> Result<Piece, ApiError> {
-    let range = answer.headers.get(CONTENT_RANGE).and_then(|value| value.to_str().ok());
-    let range = range.and_then(ContentRange::parse).ok_or(ApiError::OutcomeUnknown)?;
+    let range = answer
+        .headers
+        .get(CONTENT_RANGE)
+        .and_then(|value| value.to_str().ok());
+    let range = range
+        .and_then(ContentRange::parse)
+        .ok_or(ApiError::OutcomeUnknown)?;
     if range.bytes.end - range.bytes.start != answer.body.len() as u64 {
         return Err(ApiError::OutcomeUnknown);
     }
@@ -275,19 +335,29 @@
     let within = ByteRange::parse(requested).and_then(|range| range.within(size));
     let bytes = within.ok_or(ApiError::InvalidRange(Some(size)))?;
     answer.body = answer.body.slice(bytes.start as usize..bytes.end as usize);
-    Ok(Piece { answer, range: ContentRange { bytes, size } })
+    Ok(Piece {
+        answer,
+        range: ContentRange { bytes, size },
+    })
 }
 
 /// When an object was modified; the Unix epoch where the answer has no date.
 fn modified_at(answer: &Answer) -> SystemTime {
-    let value = answer.headers.get(LAST_MODIFIED).and_then(|value| value.to_str().ok());
+    let value = answer
+        .headers
+        .get(LAST_MODIFIED)
+        .and_then(|value| value.to_str().ok());
     let time = value.and_then(|value| httpdate::parse_http_date(value).ok());
     time.unwrap_or(SystemTime::UNIX_EPOCH)
 }
 
-/// Adds the headers that describe an object. A chunk server that does not name the version has read the one that was
-/// requested.
-fn describe(answer: &Answer, requested: Option<HeaderValue>, to: &mut HeaderMap) -> Result<(), ApiError> {
+/// Adds the headers that describe an object. A chunk server that does not name the version has read
+/// the one that was requested.
+fn describe(
+    answer: &Answer,
+    requested: Option<HeaderValue>,
+    to: &mut HeaderMap,
+) -> Result<(), ApiError> {
     to.extend(select_headers(&answer.headers, &DESCRIBING_HEADERS));
     to.insert(ACCEPT_RANGES, HeaderValue::from_static("bytes"));
     let version_id = match requested.filter(|_| !answer.headers.contains_key(VERSION_ID)) {
--- a/src/object/mod.rs
+++ b/src/object/mod.rs
@@ -1,8 +1,10 @@
-//! The object API's front: objects with ranges and multipart uploads over HTTP, on the same exchange and so under the
-//! same decisions as the platform's front. It speaks the same API to the chunk servers.
+//! The object API's front: objects with ranges and multipart uploads over HTTP, on the same
+//! exchange and so under the same decisions as the platform's front. It speaks the same API to the
+//! chunk servers.
 //!
-//! Fronts share no state about objects, so every id that a client sends back contains the shard: a version id is
-//! `SHARD.VERSION` and an upload id `SHARD.TOKEN.UPLOAD`, with the chunk server's own id at the end.
+//! Fronts share no state about objects, so every id that a client sends back contains the shard: a
+//! version id is `SHARD.VERSION` and an upload id `SHARD.TOKEN.UPLOAD`, with the chunk server's own
+//! id at the end.
 
 mod answer;
 mod config;
@@ -71,7 +73,8 @@
     let shutdown = shutdown_signal()?;
     let peers = SharedPeers::default();
     let joined = Rc::clone(&peers);
-    let discovery_address = watch_discovery_address(config.base.discovery, move || reload(&file, &joined))?;
+    let discovery_address =
+        watch_discovery_address(config.base.discovery, move || reload(&file, &joined))?;
     config.base.settings.check().map_err(FrontError::from)?;
     wait_until_readable(state_folder().as_deref(), &config.base.name).await;
     let listener = listen(config.base.listen).await?;
@@ -82,7 +85,8 @@
     Ok(())
 }
 
-/// Reads the configuration again. The peers take over their section of it, and the caller the address of discovery.
+/// Reads the configuration again. The peers take over their section of it, and the caller the
+/// address of discovery.
 fn reload(file: &Path, peers: &SharedPeers) -> Result<Option<SocketAddr>, ObjectFrontError> {
     let base = Config::from_file(file)?.base;
     if let Some(peers) = &*peers.borrow() {
--- a/src/object/multipart.rs
+++ b/src/object/multipart.rs
@@ -1,6 +1,6 @@
-//! Multipart uploads. An upload lives on the chunk server that opened it. Its id contains that server's shard, and a
-//! token that is stored with the object: by it a front recognises an object that a completion of unknown outcome has
-//! made.
+//! Multipart uploads. An upload lives on the chunk server that opened it. Its id contains that
+//! server's shard, and a token that is stored with the object: by it a front recognises an object
+//! that a completion of unknown outcome has made.
 
 use std::time::Instant;
 
@@ -50,9 +50,11 @@
         let token = parts.next().unwrap_or_default();
         let own = parts.next().unwrap_or_default();
         match cell {
-            Some(cell) if !token.is_empty() && !own.is_empty() => {
-                Ok(UploadId { cell, token: token.to_owned(), own: own.to_owned() })
-            }
+            Some(cell) if !token.is_empty() && !own.is_empty() => Ok(UploadId {
+                cell,
+                token: token.to_owned(),
+                own: own.to_owned(),
+            }),
             _ => Err(ApiError::no_such_upload()),
         }
     }
@@ -64,7 +66,11 @@
 
     /// A request to the shard of the upload.
     fn node_request(&self, class: usize, method: Method, query: String) -> NodeRequest {
-        NodeRequest { cell: Some(self.cell), query, ..NodeRequest::new(class, method) }
+        NodeRequest {
+            cell: Some(self.cell),
+            query,
+            ..NodeRequest::new(class, method)
+        }
     }
 }
 
@@ -88,16 +94,28 @@
             key: request.key,
             upload_id: format!("{}.{token}.{}", answer.cell, opened.upload_id),
         };
-        Ok(document(StatusCode::OK, "InitiateMultipartUploadResult", &result))
+        Ok(document(
+            StatusCode::OK,
+            "InitiateMultipartUploadResult",
+            &result,
+        ))
     }
 
-    /// UploadPart, to the shard of the upload and no other. While its chunk server drains, the part waits for the one
-    /// that takes over the shard, and is rejected once where none does in time.
-    pub(super) async fn upload_part(&self, request: ObjectRequest, body: Bytes) -> Result<Reply, ApiError> {
+    /// UploadPart, to the shard of the upload and no other. While its chunk server drains, the part
+    /// waits for the one that takes over the shard, and is rejected once where none does in time.
+    pub(super) async fn upload_part(
+        &self,
+        request: ObjectRequest,
+        body: Bytes,
+    ) -> Result<Reply, ApiError> {
         let upload = UploadId::of(&request)?;
-        let number = request.query.get("partNumber").and_then(|number| number.parse::<u32>().ok());
+        let number = request
+            .query
+            .get("partNumber")
+            .and_then(|number| number.parse::<u32>().ok());
         let number = number.filter(|number| (1..=MAX_PART_NUMBER).contains(number));
-        let number = number.ok_or_else(|| ApiError::invalid_argument("A part number is from 1 to 10000."))?;
+        let number = number
+            .ok_or_else(|| ApiError::invalid_argument("A part number is from 1 to 10000."))?;
         let query = format!("partNumber={number}&{}", upload.query());
         let mut node = NodeRequest {
             units: self.units(&request.bucket, body.len()),
@@ -107,7 +125,10 @@
         if let Some(checksum) = request.headers.get("content-md5") {
             node.headers.insert("content-md5", checksum.clone());
         }
-        let answer = self.send(&request, node).await?.into_success("NoSuchUpload")?;
+        let answer = self
+            .send(&request, node)
+            .await?
+            .into_success("NoSuchUpload")?;
         let mut reply = empty(StatusCode::OK);
         copy_header(&answer.headers, &ETAG, reply.headers_mut());
         Ok(reply)
@@ -126,8 +147,12 @@
             }
         }
         let node = upload.node_request(request.bucket.read_class, Method::GET, query);
-        let answer = self.send(&request, node).await?.into_success("NoSuchUpload")?;
-        let mut parts: xml::ListPartsResult = xml::read(&answer.body).ok_or(ApiError::OutcomeUnknown)?;
+        let answer = self
+            .send(&request, node)
+            .await?
+            .into_success("NoSuchUpload")?;
+        let mut parts: xml::ListPartsResult =
+            xml::read(&answer.body).ok_or(ApiError::OutcomeUnknown)?;
         parts.upload_id.clone_from(&request.query["uploadId"]);
         parts.bucket = request.bucket_name;
         parts.key = request.key;
@@ -138,13 +163,15 @@
     pub(super) async fn abort_upload(&self, request: ObjectRequest) -> Result<Reply, ApiError> {
         let upload = UploadId::of(&request)?;
         let node = upload.node_request(request.bucket.read_class, Method::DELETE, upload.query());
-        self.send(&request, node).await?.into_success("NoSuchUpload")?;
+        self.send(&request, node)
+            .await?
+            .into_success("NoSuchUpload")?;
         Ok(empty(StatusCode::NO_CONTENT))
     }
 
-    /// CompleteMultipartUpload, at most once for each upload. The state of the upload is read first, since a
-    /// completion through another front may have an unknown outcome. One through this front whose outcome is unknown
-    /// delays the next until it can no longer be executed.
+    /// CompleteMultipartUpload, at most once for each upload. The state of the upload is read
+    /// first, since a completion through another front may have an unknown outcome. One through
+    /// this front whose outcome is unknown delays the next until it can no longer be executed.
     pub(super) async fn complete_upload(
         &self,
         request: ObjectRequest,
@@ -160,7 +187,8 @@
             Err(error) => return Err(error.of_read(self.deadlines[write_class])),
         }
         let upload_id = request.query["uploadId"].clone();
-        // A chunk server may still execute what it received in time, so the claim lasts twice the deadline.
+        // A chunk server may still execute what it received in time, so the claim lasts twice the
+        // deadline.
         self.claim_completion(&upload_id, request.deadline + self.deadlines[write_class])?;
         let node = NodeRequest {
             body,
@@ -171,11 +199,12 @@
         if !matches!(result, Err(ApiError::OutcomeUnknown)) {
             self.release_completion(&upload_id);
         }
-        self.completion_reply(&request, &upload, &upload_id, result).await
+        self.completion_reply(&request, &upload, &upload_id, result)
+            .await
     }
 
-    /// The response to a completion by the chunk server's answer. Where that leaves open whether the object was made,
-    /// the state of the upload is read again.
+    /// The response to a completion by the chunk server's answer. Where that leaves open whether
+    /// the object was made, the state of the upload is read again.
     async fn completion_reply(
         &self,
         request: &ObjectRequest,
@@ -187,8 +216,11 @@
         let error = match result {
             Ok(answer) => match answer.into_success("NoSuchUpload") {
                 Ok(answer) => {
-                    let result: Option<xml::CompleteMultipartUploadResult> = xml::read(&answer.body);
-                    let etag = result.map(|result| result.etag).ok_or(ApiError::OutcomeUnknown)?;
+                    let result: Option<xml::CompleteMultipartUploadResult> =
+                        xml::read(&answer.body);
+                    let etag = result
+                        .map(|result| result.etag)
+                        .ok_or(ApiError::OutcomeUnknown)?;
                     return completion_document(request, etag, &answer);
                 }
                 // Another front may have completed the upload meanwhile.
@@ -208,8 +240,8 @@
         }
     }
 
-    /// Claims the completion of an upload for as long as it may be executed. The claim remains where the client goes,
-    /// since the attempt goes on.
+    /// Claims the completion of an upload for as long as it may be executed. The claim remains
+    /// where the client goes, since the attempt goes on.
     ///
     /// # Errors
     /// [`ApiError::SlowDown`] where another completion through this front may still be executed.
@@ -228,8 +260,8 @@
         self.pending_completions.borrow_mut().remove(upload_id);
     }
 
-    /// Reads the state of an upload from its chunk server: it is open while its parts can be listed, and completed
-    /// where the object has its token.
+    /// Reads the state of an upload from its chunk server: it is open while its parts can be
+    /// listed, and completed where the object has its token.
     async fn upload_state(
         &self,
         request: &ObjectRequest,
@@ -244,7 +276,9 @@
         }
         let node = upload.node_request(class, Method::HEAD, String::new());
         match self.send(request, node).await?.into_success("NoSuchKey") {
-            Ok(head) if has_token(&head, &upload.token) => Ok(UploadState::Completed(Box::new(head))),
+            Ok(head) if has_token(&head, &upload.token) => {
+                Ok(UploadState::Completed(Box::new(head)))
+            }
             Ok(_) => Ok(UploadState::Unknown),
             Err(error) if error.is_not_found() => Ok(UploadState::Unknown),
             Err(error) => Err(error),
@@ -254,30 +288,53 @@
 
 /// Checks the list of parts in a request to complete an upload.
 fn check_parts(body: &[u8]) -> Result<(), ApiError> {
-    let malformed =
-        || ApiError::request(StatusCode::BAD_REQUEST, "MalformedXML", "The list of parts is malformed.");
+    let malformed = || {
+        ApiError::request(
+            StatusCode::BAD_REQUEST,
+            "MalformedXML",
+            "The list of parts is malformed.",
+        )
+    };
     let list: xml::CompleteMultipartUpload = xml::read(body).ok_or_else(malformed)?;
     if list.parts.is_empty() {
         return Err(malformed());
     }
-    if !list.parts.windows(2).all(|pair| pair[0].part_number < pair[1].part_number) {
+    if !list
+        .parts
+        .windows(2)
+        .all(|pair| pair[0].part_number < pair[1].part_number)
+    {
         let message = "The parts are not in ascending order.";
-        return Err(ApiError::request(StatusCode::BAD_REQUEST, "InvalidPartOrder", message));
+        return Err(ApiError::request(
+            StatusCode::BAD_REQUEST,
+            "InvalidPartOrder",
+            message,
+        ));
     }
     Ok(())
 }
 
 fn has_token(head: &Answer, token: &str) -> bool {
-    head.headers.get(UPLOAD_TOKEN).is_some_and(|value| value == token)
+    head.headers
+        .get(UPLOAD_TOKEN)
+        .is_some_and(|value| value == token)
 }
 
 /// The response to a completion whose object exists already.
 fn completed_reply(request: &ObjectRequest, head: &Answer) -> Result<Reply, ApiError> {
-    let etag = head.headers.get(ETAG).and_then(|value| value.to_str().ok()).unwrap_or_default();
+    let etag = head
+        .headers
+        .get(ETAG)
+        .and_then(|value| value.to_str().ok())
+        .unwrap_or_default();
     completion_document(request, etag.to_owned(), head)
 }
 
-fn completion_document(request: &ObjectRequest, etag: String, answer: &Answer) -> Result<Reply, ApiError> {
+fn completion_document(
+    request: &ObjectRequest,
+    etag: String,
+    answer: &Answer,
+) -> Result<Reply, ApiError> {
     let result = xml::CompleteMultipartUploadResult {
         location: request.path.clone(),
         bucket: request.bucket_name.clone(),
--- a/src/object/node_request.rs
+++ b/src/object/node_request.rs
@@ -56,7 +56,11 @@
 
 impl FrontState {
     /// Sends a request to a chunk server through the exchange.
-    pub(super) async fn send(&self, request: &ObjectRequest, node: NodeRequest) -> Result<Answer, ApiError> {
+    pub(super) async fn send(
+        &self,
+        request: &ObjectRequest,
+        node: NodeRequest,
+    ) -> Result<Answer, ApiError> {
         let remaining = request.deadline.saturating_duration_since(Instant::now());
         let patience = remaining.min(self.deadlines[node.class]);
         let core_request = core::Request {
@@ -72,7 +76,8 @@
         };
         let payload = Payload {
             target: target(&request.path, &node.query)?,
-            // Every request to a chunk server is a separate transaction, as the retry of a client is.
+            // Every request to a chunk server is a separate transaction, as the retry of a client
+            // is.
             id: random_id()?,
             method: node.method,
             headers: node.headers,
@@ -104,7 +109,10 @@
             };
             tasks.spawn_local(async move {
                 let answer = front.send(&request, node).await;
-                ShardResult { cell, result: answer.and_then(|answer| answer.into_success("NoSuchKey")) }
+                ShardResult {
+                    cell,
+                    result: answer.and_then(|answer| answer.into_success("NoSuchKey")),
+                }
             });
         }
         let mut results = Vec::new();
@@ -128,8 +136,14 @@
 }
 
 fn target(path: &str, query: &str) -> Result<Uri, ApiError> {
-    let target = if query.is_empty() { path.to_owned() } else { format!("{path}?{query}") };
-    target.parse().map_err(|_| ApiError::invalid_argument("The path is malformed."))
+    let target = if query.is_empty() {
+        path.to_owned()
+    } else {
+        format!("{path}?{query}")
+    };
+    target
+        .parse()
+        .map_err(|_| ApiError::invalid_argument("The path is malformed."))
 }
 
 fn random_id() -> Result<HeaderValue, ApiError> {
--- a/src/object/range.rs
+++ b/src/object/range.rs
@@ -2,8 +2,8 @@
 
 use std::ops::Range;
 
-/// The byte range of a `Range` header. Only a single range is supported; a header with several is ignored, as the
-/// standard allows.
+/// The byte range of a `Range` header. Only a single range is supported; a header with several is
+/// ignored, as the standard allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ByteRange {
     /// From the first position to the last one, inclusive, or to the end.
@@ -13,7 +13,8 @@
 }
 
 impl ByteRange {
-    /// Parses a `Range` header; `None` where it is not a valid byte range, which the standard requires to ignore.
+    /// Parses a `Range` header; `None` where it is not a valid byte range, which the standard
+    /// requires to ignore.
     pub fn parse(header: &str) -> Option<ByteRange> {
         let (first, last) = header.trim().strip_prefix("bytes=")?.split_once('-')?;
         let (first, last) = (first.trim(), last.trim());
@@ -31,7 +32,9 @@
     /// The bytes of an object of this size that are in the range; `None` where there are none.
     pub fn within(self, size: u64) -> Option<Range<u64>> {
         let bytes = match self {
-            ByteRange::From(first, last) => first..last.map_or(size, |last| last.saturating_add(1).min(size)),
+            ByteRange::From(first, last) => {
+                first..last.map_or(size, |last| last.saturating_add(1).min(size))
+            }
             ByteRange::Last(count) => size.saturating_sub(count)..size,
         };
         (!bytes.is_empty()).then_some(bytes)
@@ -54,13 +57,17 @@
 }
 
 impl ContentRange {
-    /// Parses `bytes FIRST-LAST/SIZE`; `None` where the header has another form or the range exceeds the size.
+    /// Parses `bytes FIRST-LAST/SIZE`; `None` where the header has another form or the range
+    /// exceeds the size.
     pub fn parse(header: &str) -> Option<ContentRange> {
         let (range, size) = header.trim().strip_prefix("bytes ")?.split_once('/')?;
         let (first, last) = range.split_once('-')?;
         let first: u64 = first.parse().ok()?;
         let last: u64 = last.parse().ok()?;
         let size: u64 = size.parse().ok()?;
-        (first <= last && last < size).then_some(ContentRange { bytes: first..last + 1, size })
+        (first <= last && last < size).then_some(ContentRange {
+            bytes: first..last + 1,
+            size,
+        })
     }
 }
--- a/src/object/replies.rs
+++ b/src/object/replies.rs
@@ -21,8 +21,12 @@
 pub(super) fn document<T: serde::Serialize>(status: StatusCode, root: &str, value: &T) -> Reply {
     let text = xml::write(root, value).unwrap_or_default();
     let mut reply = empty(status);
-    reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/xml"));
-    reply.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(text.len()));
+    reply
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/xml"));
+    reply
+        .headers_mut()
+        .insert(CONTENT_LENGTH, HeaderValue::from(text.len()));
     *reply.body_mut() = Either::Left(Full::from(text));
     reply
 }
--- a/src/object/request.rs
+++ b/src/object/request.rs
@@ -4,7 +4,8 @@
 use std::time::Instant;
 
 use hyper::header::{
-    HeaderMap, HeaderName, CONTENT_ENCODING, IF_MATCH, IF_MODIFIED_SINCE, IF_NONE_MATCH, IF_UNMODIFIED_SINCE,
+    HeaderMap, HeaderName, CONTENT_ENCODING, IF_MATCH, IF_MODIFIED_SINCE, IF_NONE_MATCH,
+    IF_UNMODIFIED_SINCE,
 };
 use hyper::{Method, StatusCode, Uri};
 use percent_encoding::percent_decode_str;
@@ -43,7 +44,12 @@
     "if-none-match",
 ];
 /// Headers that make a read conditional.
-const CONDITIONS: [HeaderName; 4] = [IF_MATCH, IF_NONE_MATCH, IF_MODIFIED_SINCE, IF_UNMODIFIED_SINCE];
+const CONDITIONS: [HeaderName; 4] = [
+    IF_MATCH,
+    IF_NONE_MATCH,
+    IF_MODIFIED_SINCE,
+    IF_UNMODIFIED_SINCE,
+];
 
 /// An operation of the API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -89,7 +95,11 @@
         uri: &Uri,
         headers: HeaderMap,
     ) -> Result<ObjectRequest, ApiError> {
-        let (bucket_name, key) = uri.path().trim_start_matches('/').split_once('/').unwrap_or_default();
+        let (bucket_name, key) = uri
+            .path()
+            .trim_start_matches('/')
+            .split_once('/')
+            .unwrap_or_default();
         if key.is_empty() {
             return Err(ApiError::not_implemented(
                 "Buckets are declared in the front's file; only objects are served.",
@@ -106,7 +116,11 @@
         let query = parse_query(uri.query().unwrap_or_default())?;
         reject_unsupported(&headers)?;
         let is_write = matches!(*method, Method::PUT | Method::POST);
-        let class = if is_write { bucket.write_class } else { bucket.read_class };
+        let class = if is_write {
+            bucket.write_class
+        } else {
+            bucket.read_class
+        };
         Ok(ObjectRequest {
             bucket: bucket.clone(),
             bucket_name,
@@ -126,23 +140,35 @@
 fn parse_query(query: &str) -> Result<HashMap<String, String>, ApiError> {
     let fields = query.split('&').filter(|field| !field.is_empty());
     let fields = fields.map(|field| field.split_once('=').unwrap_or((field, "")));
-    let query: HashMap<_, _> = fields.map(|(name, value)| (decode(name), decode(value))).collect();
+    let query: HashMap<_, _> = fields
+        .map(|(name, value)| (decode(name), decode(value)))
+        .collect();
     let is_known = |name: &String| {
         KNOWN_QUERY_FIELDS.contains(&name.as_str()) || name.starts_with(SIGNATURE_QUERY_PREFIX)
     };
     if !query.keys().all(is_known) {
-        return Err(ApiError::not_implemented("A part of the query is not served."));
+        return Err(ApiError::not_implemented(
+            "A part of the query is not served.",
+        ));
     }
     Ok(query)
 }
 
 fn reject_unsupported(headers: &HeaderMap) -> Result<(), ApiError> {
     // Such bodies hold signatures between the chunks, which must not be stored as data.
-    let hash = headers.get("x-amz-content-sha256").map_or(&b""[..], |value| value.as_bytes());
-    let encoding = headers.get(CONTENT_ENCODING).map_or(&b""[..], |value| value.as_bytes());
-    let has_signed_chunks = encoding.windows(SIGNED_CHUNKS.len()).any(|window| window == SIGNED_CHUNKS);
+    let hash = headers
+        .get("x-amz-content-sha256")
+        .map_or(&b""[..], |value| value.as_bytes());
+    let encoding = headers
+        .get(CONTENT_ENCODING)
+        .map_or(&b""[..], |value| value.as_bytes());
+    let has_signed_chunks = encoding
+        .windows(SIGNED_CHUNKS.len())
+        .any(|window| window == SIGNED_CHUNKS);
     if hash.starts_with(b"STREAMING-") || has_signed_chunks {
-        return Err(ApiError::not_implemented("Bodies signed chunk by chunk are not served."));
+        return Err(ApiError::not_implemented(
+            "Bodies signed chunk by chunk are not served.",
+        ));
     }
     if headers.contains_key("x-amz-copy-source") {
         return Err(ApiError::not_implemented("Copies are not served."));
@@ -180,17 +206,23 @@
 
     /// The headers that make a read conditional.
     pub fn conditions(&self) -> HeaderMap {
-        let present =
-            CONDITIONS.iter().filter_map(|name| Some((name.clone(), self.headers.get(name)?.clone())));
+        let present = CONDITIONS
+            .iter()
+            .filter_map(|name| Some((name.clone(), self.headers.get(name)?.clone())));
         present.collect()
     }
 
     /// The version that the request names, if any.
     pub fn version(&self) -> Result<Option<VersionId>, ApiError> {
-        let Some(id) = self.query.get("versionId") else { return Ok(None) };
+        let Some(id) = self.query.get("versionId") else {
+            return Ok(None);
+        };
         let version = id.split_once('.').and_then(|(cell, own)| {
             let cell = cell.parse().ok()?;
-            Some(VersionId { cell, own: own.to_owned() })
+            Some(VersionId {
+                cell,
+                own: own.to_owned(),
+            })
         });
         let invalid = || ApiError::invalid_argument("The version id is none of this deployment's.");
         version.map(Some).ok_or_else(invalid)
@@ -199,8 +231,11 @@
 
 /// The headers with one of the `names` or with [`METADATA_PREFIX`].
 pub(super) fn select_headers(headers: &HeaderMap, names: &[&str]) -> HeaderMap {
-    let is_selected =
-        |name: &HeaderName| names.contains(&name.as_str()) || name.as_str().starts_with(METADATA_PREFIX);
+    let is_selected = |name: &HeaderName| {
+        names.contains(&name.as_str()) || name.as_str().starts_with(METADATA_PREFIX)
+    };
     let selected = headers.iter().filter(|(name, _)| is_selected(name));
-    selected.map(|(name, value)| (name.clone(), value.clone())).collect()
+    selected
+        .map(|(name, value)| (name.clone(), value.clone()))
+        .collect()
 }
--- a/src/object/xml.rs
+++ b/src/object/xml.rs
@@ -119,9 +119,15 @@
     let body = quick_xml::se::to_string_with_root(root, value).ok()?;
     let document = match root {
         "Error" => body,
-        _ => body.replacen(&format!("<{root}>"), &format!("<{root} xmlns=\"{NAMESPACE}\">"), 1),
+        _ => body.replacen(
+            &format!("<{root}>"),
+            &format!("<{root} xmlns=\"{NAMESPACE}\">"),
+            1,
+        ),
     };
-    Some(format!("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n{document}"))
+    Some(format!(
+        "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n{document}"
+    ))
 }
 
 /// Parses a document; `None` where it is malformed.
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -20,8 +20,12 @@
 ///
 /// # Errors
 /// Those of the program, and [`RuntimeError::Start`].
-pub fn on_one_thread<E: From<RuntimeError>>(program: impl Future<Output = Result<(), E>>) -> Result<(), E> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+pub fn on_one_thread<E: From<RuntimeError>>(
+    program: impl Future<Output = Result<(), E>>,
+) -> Result<(), E> {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(RuntimeError::Start)?;
     LocalSet::new().block_on(&runtime, program)
 }
--- a/src/socket_io.rs
+++ b/src/socket_io.rs
@@ -1,8 +1,9 @@
 //! Reading and writing TCP sockets without a conclusion from a short transfer.
 //!
-//! The runtime takes a read or write of fewer bytes than asked for as the sign that the socket's buffer is empty or full,
-//! and waits for the next event. Where the system transfers less for any other reason, that event never comes. Here only
-//! the system's own answer that the call would block ends a transfer, and an interrupted call is repeated.
+//! The runtime takes a read or write of fewer bytes than asked for as the sign that the socket's
+//! buffer is empty or full, and waits for the next event. Where the system transfers less for any
+//! other reason, that event never comes. Here only the system's own answer that the call would
+//! block ends a transfer, and an interrupted call is repeated.
 
 use std::io;
 use std::os::fd::AsRawFd;
@@ -15,10 +16,20 @@
 use tokio::net::TcpStream;
 
 /// Reads from a socket; see [`AsyncRead::poll_read`].
-pub fn poll_read(stream: &TcpStream, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+pub fn poll_read(
+    stream: &TcpStream,
+    cx: &mut Context<'_>,
+    buf: &mut ReadBuf<'_>,
+) -> Poll<io::Result<()>> {
     loop {
         ready!(stream.poll_read_ready(cx))?;
-        let read = || Ok(recv(stream.as_raw_fd(), buf.initialize_unfilled(), MsgFlags::MSG_DONTWAIT)?);
+        let read = || {
+            Ok(recv(
+                stream.as_raw_fd(),
+                buf.initialize_unfilled(),
+                MsgFlags::MSG_DONTWAIT,
+            )?)
+        };
         match stream.try_io(Interest::READABLE, read) {
             Ok(count) => {
                 buf.advance(count);
@@ -43,7 +54,8 @@
     }
 }
 
-/// Whether bytes, or the end of the stream, wait on a socket. A socket in error has nothing that could be read.
+/// Whether bytes, or the end of the stream, wait on a socket. A socket in error has nothing that
+/// could be read.
 pub fn has_unread_bytes(socket: i32) -> bool {
     peek(socket).is_ok()
 }
@@ -61,16 +73,24 @@
 /// Looks at the next byte. An interrupted look has seen nothing and is repeated.
 fn peek(socket: i32) -> Result<usize, Errno> {
     loop {
-        let result = recv(socket, &mut [0], MsgFlags::MSG_PEEK | MsgFlags::MSG_DONTWAIT);
+        let result = recv(
+            socket,
+            &mut [0],
+            MsgFlags::MSG_PEEK | MsgFlags::MSG_DONTWAIT,
+        );
         if result != Err(Errno::EINTR) {
             return result;
         }
     }
 }
 
-/// After the first kind the socket's readiness is cleared, so that the next turn waits for an event.
+/// After the first kind the socket's readiness is cleared, so that the next turn waits for an
+/// event.
 fn must_repeat(error: &io::Error) -> bool {
-    matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
+    matches!(
+        error.kind(),
+        io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
+    )
 }
 
 /// A TCP socket with these transfers, for use by hyper.
@@ -78,13 +98,21 @@
 pub struct Socket(pub TcpStream);
 
 impl AsyncRead for Socket {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         poll_read(&self.0, cx, buf)
     }
 }
 
 impl AsyncWrite for Socket {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         poll_write(&self.0, cx, buf)
     }
 
--- a/src/telemetry/log.rs
+++ b/src/telemetry/log.rs
@@ -13,8 +13,8 @@
 /// Lines that were dropped since the last one that was written.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Writes a log line. Where whoever reads the log does not keep up, the line is dropped and counted: a front must not
-/// wait for its log.
+/// Writes a log line. Where whoever reads the log does not keep up, the line is dropped and
+/// counted: a front must not wait for its log.
 pub fn line(text: Arguments<'_>) {
     if !is_writable() {
         DROPPED.fetch_add(1, Ordering::Relaxed);
@@ -22,7 +22,9 @@
     }
     let dropped = DROPPED.swap(0, Ordering::Relaxed);
     if dropped > 0 {
-        write(format!("log: {dropped} lines were dropped, as nobody read them"));
+        write(format!(
+            "log: {dropped} lines were dropped, as nobody read them"
+        ));
         return line(text);
     }
     let mut line = text.to_string().into_bytes();
@@ -30,8 +32,8 @@
     write(line);
 }
 
-/// Writes a line of the trace whole, however long it is and however long that takes: a trace is for analysis, and off
-/// in service.
+/// Writes a line of the trace whole, however long it is and however long that takes: a trace is for
+/// analysis, and off in service.
 pub(super) fn trace_line(text: String) {
     write(text);
 }
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -1,5 +1,5 @@
-//! The metrics of a front, in the Prometheus text format. Counters are incremented where their events happen. Gauges
-//! are read from the front's state at each scrape.
+//! The metrics of a front, in the Prometheus text format. Counters are incremented where their
+//! events happen. Gauges are read from the front's state at each scrape.
 
 use prometheus::core::Collector;
 use prometheus::{Encoder, IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder};
@@ -79,10 +79,15 @@
     /// Never: the names are valid and differ.
     pub fn new() -> Metrics {
         let registry = Registry::new();
-        let transactions =
-            Opts::new("app_transactions", "Requests by class and how they ended; attempts written whole");
+        let transactions = Opts::new(
+            "app_transactions",
+            "Requests by class and how they ended; attempts written whole",
+        );
         let transactions = IntCounterVec::new(transactions, &["group", "state"]).expect(VALID_NAME);
-        let violations = Opts::new("app_invariant_violations", "Rules broken by this process's decisions");
+        let violations = Opts::new(
+            "app_invariant_violations",
+            "Rules broken by this process's decisions",
+        );
         let violations = IntCounterVec::new(violations, &["rule"]).expect(VALID_NAME);
         for rule in Rule::ALL {
             violations.with_label_values(&[rule.name()]);
@@ -90,7 +95,11 @@
         Metrics {
             violations: registered(&registry, violations),
             transactions: registered(&registry, transactions),
-            sends: counter(&registry, "app_sends", "Attempts written whole to chunk servers"),
+            sends: counter(
+                &registry,
+                "app_sends",
+                "Attempts written whole to chunk servers",
+            ),
             active_requests: gauge(&registry, "app_current", "Requests taken and not yet ended"),
             cluster_size: gauge(&registry, "app_cluster_size", "Chunk servers in the list"),
             cluster_unhealthy: gauge(
@@ -98,8 +107,16 @@
                 "app_cluster_unhealthy",
                 "Chunk servers in the list that are avoided",
             ),
-            conf_loaded: counter(&registry, "app_conf_loaded", "Configuration files taken at SIGHUP"),
-            conf_invalid: counter(&registry, "app_conf_invalid", "Configuration files turned down at SIGHUP"),
+            conf_loaded: counter(
+                &registry,
+                "app_conf_loaded",
+                "Configuration files taken at SIGHUP",
+            ),
+            conf_invalid: counter(
+                &registry,
+                "app_conf_invalid",
+                "Configuration files turned down at SIGHUP",
+            ),
             registry,
         }
     }
@@ -114,10 +131,13 @@
     /// # Panics
     /// Where a metric of its name is registered already.
     pub fn register(&self, collector: impl Collector + 'static) {
-        self.registry.register(Box::new(collector)).expect(UNIQUE_NAME);
+        self.registry
+            .register(Box::new(collector))
+            .expect(UNIQUE_NAME);
     }
 
-    /// The metrics of a class. They are part of every scrape from now on, at 0 until something is counted.
+    /// The metrics of a class. They are part of every scrape from now on, at 0 until something is
+    /// counted.
     pub fn class(&self, name: &str) -> ClassMetrics {
         let counter = |state: &str| self.transactions.with_label_values(&[name, state]);
         ClassMetrics {
@@ -135,7 +155,8 @@
         set(&self.cluster_size, readings.cluster_size);
         set(&self.cluster_unhealthy, readings.cluster_unhealthy);
         let mut text = Vec::new();
-        // Writing to memory fails only for malformed metrics, and those registered here are well-formed.
+        // Writing to memory fails only for malformed metrics, and those registered here are
+        // well-formed.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         text
     }
@@ -150,7 +171,9 @@
 }
 
 fn registered<C: Collector + Clone + 'static>(registry: &Registry, collector: C) -> C {
-    registry.register(Box::new(collector.clone())).expect(UNIQUE_NAME);
+    registry
+        .register(Box::new(collector.clone()))
+        .expect(UNIQUE_NAME);
     collector
 }
 
--- a/src/telemetry/trace.rs
+++ b/src/telemetry/trace.rs
@@ -1,8 +1,9 @@
-//! The decision trace: the scheduler's inputs and effects as JSON, one object a line on standard error, for analysis
-//! across a fleet. It is off unless the environment variable [`VARIABLE`] is 1, and then costs one look at a flag.
+//! The decision trace: the scheduler's inputs and effects as JSON, one object a line on standard
+//! error, for analysis across a fleet. It is off unless the environment variable [`VARIABLE`] is 1,
+//! and then costs one look at a flag.
 //!
-//! Each line has `t` (Unix time in seconds), `e` (the kind of event) and the fields of that kind. Keys and values are
-//! a stable format: they do not follow the names in the code.
+//! Each line has `t` (Unix time in seconds), `e` (the kind of event) and the fields of that kind.
+//! Keys and values are a stable format: they do not follow the names in the code.
 
 use std::sync::OnceLock;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -11,7 +12,8 @@
 use simd_json::{json, OwnedValue as Value};
 use tulipbridge_core::request_tracker::{Effect, FinalAnswer, Input};
 use tulipbridge_core::{
-    FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, SharedLimit, UpdateScope,
+    FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, SharedLimit,
+    UpdateScope,
 };
 
 /// The environment variable that enables the trace.
@@ -25,7 +27,9 @@
 
 /// Writes one line with the fields of `object` and the time.
 pub fn write(mut object: Value) {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     // Fails only where the value is not an object, and all callers pass one.
     let _ = object.insert("t", now.as_secs_f64());
     crate::telemetry::log::trace_line(object.encode());
@@ -37,7 +41,13 @@
         Input::RequestReceived(request) => request_received(request),
         Input::ClientGone(id) => json!({ "e": "left", "id": id }),
         Input::Overdue(id) => json!({ "e": "overdue", "id": id }),
-        Input::AttemptEnded { id, attempt, outcome, observed_use: seen_use, .. } => json!({
+        Input::AttemptEnded {
+            id,
+            attempt,
+            outcome,
+            observed_use: seen_use,
+            ..
+        } => json!({
             "e": "ended", "id": id, "attempt": attempt, "outcome": outcome_name(*outcome), "use": seen_use,
         }),
         Input::AttemptTimedOut { id, attempt } => {
@@ -59,10 +69,14 @@
 /// Traces an effect before it is carried out. `name` returns the names of chunk servers.
 pub fn effect(effect: &Effect, name: impl Fn(NodeId) -> String) {
     let event = match effect {
-        Effect::Send { id, attempt, node, .. } => {
+        Effect::Send {
+            id, attempt, node, ..
+        } => {
             json!({ "e": "send", "id": id, "attempt": attempt, "node": name(*node) })
         }
-        Effect::Withdraw { id, attempt, .. } => json!({ "e": "withdraw", "id": id, "attempt": attempt }),
+        Effect::Withdraw { id, attempt, .. } => {
+            json!({ "e": "withdraw", "id": id, "attempt": attempt })
+        }
         Effect::Cancel { id, attempt } => json!({ "e": "stop", "id": id, "attempt": attempt }),
         Effect::Answer { id, answer } => final_answer(*id, answer),
         Effect::Subscribe => json!({ "e": "subscribe" }),
@@ -84,7 +98,9 @@
 
 fn fleet_update(update: &FleetUpdate, name: impl Fn(NodeId) -> String) -> Value {
     match update {
-        FleetUpdate::SharedLimit { limit, rate, burst, .. } => {
+        FleetUpdate::SharedLimit {
+            limit, rate, burst, ..
+        } => {
             json!({ "e": "limit", "of": limit_name(*limit), "rate": *rate, "burst": *burst })
         }
         FleetUpdate::Ejection { node, classes } => {
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -1,4 +1,5 @@
-//! One connection to a chunk server: the socket that records its traffic, and the handle that the pool keeps.
+//! One connection to a chunk server: the socket that records its traffic, and the handle that the
+//! pool keeps.
 
 use std::os::fd::AsRawFd;
 use std::pin::{pin, Pin};
@@ -52,24 +53,38 @@
 }
 
 impl PooledConnection {
-    /// Performs the HTTP handshake on a stream to the address `address_epoch` of a server of shard `cell`.
+    /// Performs the HTTP handshake on a stream to the address `address_epoch` of a server of shard
+    /// `cell`.
     pub async fn handshake(
         stream: TcpStream,
         address_epoch: u32,
         cell: CellId,
         slot: OpenSlot,
     ) -> Option<PooledConnection> {
-        // Nagle's algorithm would delay a request that takes two writes; a failure here costs only time.
+        // Nagle's algorithm would delay a request that takes two writes; a failure here costs only
+        // time.
         let _ = stream.set_nodelay(true);
         let wire = Rc::new(WireState::default());
         let socket = stream.as_raw_fd();
         let io = TokioIo::new(ObservedStream::new(stream, Rc::clone(&wire)));
-        let (sender, connection) = Builder::new().max_buf_size(MAX_BUFFER_BYTES).handshake(io).await.ok()?;
+        let (sender, connection) = Builder::new()
+            .max_buf_size(MAX_BUFFER_BYTES)
+            .handshake(io)
+            .await
+            .ok()?;
         let task = tokio::task::spawn_local(async move {
             // An error of the connection shows in the attempt that it carries.
             let _ = connection.await;
         });
-        Some(PooledConnection { sender, task, socket, wire, address_epoch, cell, _slot: slot })
+        Some(PooledConnection {
+            sender,
+            task,
+            socket,
+            wire,
+            address_epoch,
+            cell,
+            _slot: slot,
+        })
     }
 
     /// Whether the connection is open and idle, as far as has been read from it.
@@ -79,8 +94,8 @@
             && !self.task.is_finished()
     }
 
-    /// Whether the connection is open and no bytes wait on its socket: unsolicited bytes would be mistaken for the next
-    /// response.
+    /// Whether the connection is open and no bytes wait on its socket: unsolicited bytes would be
+    /// mistaken for the next response.
     pub fn is_quiet(&self) -> bool {
         self.is_open() && socket_io::is_quiet(self.socket)
     }
@@ -95,17 +110,28 @@
         deadline: Instant,
         withdrawal: &Withdrawal,
     ) -> Result<AttemptReport<Answer>, Execution> {
-        self.sender.ready().await.map_err(|_| Execution::NotStarted)?;
+        self.sender
+            .ready()
+            .await
+            .map_err(|_| Execution::NotStarted)?;
         let wire = Rc::clone(&self.wire);
         let mut request = build_request(payload, deadline);
-        wire.begin_request(payload.body.len(), payload.metrics.clone(), withdrawal.clone());
+        wire.begin_request(
+            payload.body.len(),
+            payload.metrics.clone(),
+            withdrawal.clone(),
+        );
         // An informational response ahead of the final one is ignored.
         let responses = wire.response_counter();
         on_informational(&mut request, move |_| {
             responses.fetch_add(1, Ordering::Relaxed);
         });
         let response = async {
-            let response = self.sender.send_request(request).await.map_err(|_| wire.execution())?;
+            let response = self
+                .sender
+                .send_request(request)
+                .await
+                .map_err(|_| wire.execution())?;
             if !wire.connection().is_reading_response() {
                 return Err(wire.execution());
             }
@@ -132,7 +158,8 @@
     let mut request = Request::new(Full::new(payload.body.clone()));
     *request.method_mut() = payload.method.clone();
     *request.uri_mut() = payload.target.clone();
-    let remaining = remaining_for_server(deadline.saturating_duration_since(Instant::now())).as_micros();
+    let remaining =
+        remaining_for_server(deadline.saturating_duration_since(Instant::now())).as_micros();
     let headers = request.headers_mut();
     headers.clone_from(&payload.headers);
     headers.insert(HOST, HOST_NAME);
@@ -143,8 +170,8 @@
     request
 }
 
-/// The time that a server is told: less than what is left by what a request takes to the server and this process may be
-/// late, and at least half of it.
+/// The time that a server is told: less than what is left by what a request takes to the server and
+/// this process may be late, and at least half of it.
 fn remaining_for_server(left: Duration) -> Duration {
     left.saturating_sub(REMAINING_MARGIN).max(left / 2)
 }
@@ -178,7 +205,11 @@
 }
 
 impl AsyncWrite for ObservedStream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<std::io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<std::io::Result<usize>> {
         if !self.wire.may_write(self.stream.as_raw_fd()) {
             return Poll::Ready(Err(std::io::ErrorKind::ConnectionReset.into()));
         }
--- a/src/upstream/connections.rs
+++ b/src/upstream/connections.rs
@@ -35,14 +35,21 @@
 
 impl Connections {
     /// No servers and no connections; see [`super::Upstream::new`].
-    pub fn new(dial_timeout: Duration, server_idle_timeout: Duration, max_connections: usize) -> Connections {
+    pub fn new(
+        dial_timeout: Duration,
+        server_idle_timeout: Duration,
+        max_connections: usize,
+    ) -> Connections {
         let idle_timeout = server_idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION);
         Connections {
             dial_timeout,
             epoch: Instant::now(),
             open: OpenConnections::default(),
             servers: RefCell::default(),
-            pool: RefCell::new(ConnectionPool::new(idle_timeout.as_nanos() as Nanos, max_connections)),
+            pool: RefCell::new(ConnectionPool::new(
+                idle_timeout.as_nanos() as Nanos,
+                max_connections,
+            )),
         }
     }
 
@@ -65,13 +72,18 @@
 
     /// The name of a server in discovery; empty for an unknown one.
     pub fn server_name(&self, node: NodeId) -> String {
-        self.servers.borrow().get(node).map_or_else(String::new, |server| server.name.clone())
+        self.servers
+            .borrow()
+            .get(node)
+            .map_or_else(String::new, |server| server.name.clone())
     }
 
     /// Name and address of a server for logs; empty for an unknown one.
     pub fn display_name(&self, node: NodeId) -> String {
         let servers = self.servers.borrow();
-        servers.get(node).map_or_else(String::new, |server| format!("{} at {}", server.name, server.address))
+        servers.get(node).map_or_else(String::new, |server| {
+            format!("{} at {}", server.name, server.address)
+        })
     }
 
     /// Removes a server and closes its idle connections.
@@ -103,7 +115,9 @@
                     connection = self.take_pooled(node);
                     match connection {
                         Some(_) => AttemptEvent::PooledConnectionFound,
-                        None => AttemptEvent::NoPooledConnection { may_open: self.may_open(node) },
+                        None => AttemptEvent::NoPooledConnection {
+                            may_open: self.may_open(node),
+                        },
                     }
                 }
                 AttemptStep::Dial => tokio::select! {
@@ -119,7 +133,10 @@
                 },
                 AttemptStep::Send => match connection.take() {
                     Some(connection) => {
-                        match self.send(node, connection, payload, deadline, &withdrawal).await {
+                        match self
+                            .send(node, connection, payload, deadline, &withdrawal)
+                            .await
+                        {
                             Ok(report) => {
                                 attempt.on(AttemptEvent::Answered(report.outcome));
                                 return report;
@@ -154,7 +171,11 @@
             _ => AttemptEvent::ConnectionBroke(execution),
         })?;
         // A streamed body keeps its connection until it is complete.
-        match report.answer.as_mut().and_then(|answer| answer.streamed.as_mut()) {
+        match report
+            .answer
+            .as_mut()
+            .and_then(|answer| answer.streamed.as_mut())
+        {
             Some(streamed) => {
                 let pool = Rc::clone(self);
                 streamed.keep_connection(move || {
@@ -173,7 +194,10 @@
 
     /// Takes an idle connection to a server from the pool.
     fn take_pooled(&self, node: NodeId) -> Option<PooledConnection> {
-        self.pool.borrow_mut().take(node, self.now(), PooledConnection::is_quiet).0
+        self.pool
+            .borrow_mut()
+            .take(node, self.now(), PooledConnection::is_quiet)
+            .0
     }
 
     /// Returns a connection to the pool.
@@ -181,19 +205,29 @@
         // Unsolicited bytes on its socket are checked for when it is next used.
         let is_open = connection.is_open();
         let address_epoch = connection.address_epoch;
-        self.pool.borrow_mut().release(node, address_epoch, connection, self.now(), is_open);
+        self.pool
+            .borrow_mut()
+            .release(node, address_epoch, connection, self.now(), is_open);
     }
 
-    /// Whether a connection to a server may be opened. At the limit this closes the connection that has been idle
-    /// longest.
+    /// Whether a connection to a server may be opened. At the limit this closes the connection that
+    /// has been idle longest.
     fn may_open(&self, node: NodeId) -> bool {
         let is_known = self.servers.borrow().get(node).is_some();
-        is_known && !matches!(self.pool.borrow_mut().capacity(self.open.count()), Capacity::Exhausted)
+        is_known
+            && !matches!(
+                self.pool.borrow_mut().capacity(self.open.count()),
+                Capacity::Exhausted
+            )
     }
 
     /// Opens a connection to a server; `None` where this fails or takes longer than the timeout.
     async fn dial(self: &Rc<Self>, node: NodeId) -> Option<PooledConnection> {
-        let (address, cell) = self.servers.borrow().get(node).map(|server| (server.address, server.cell))?;
+        let (address, cell) = self
+            .servers
+            .borrow()
+            .get(node)
+            .map(|server| (server.address, server.cell))?;
         let address_epoch = self.pool.borrow().address_epoch(node)?;
         let slot = self.open.acquire();
         if trace::is_enabled() {
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,5 +1,5 @@
-//! The chunk-server side: attempts over HTTP/1.1, a bounded pool of connections, and the mapping of responses to
-//! outcomes.
+//! The chunk-server side: attempts over HTTP/1.1, a bounded pool of connections, and the mapping of
+//! responses to outcomes.
 
 pub mod connection;
 mod connections;
@@ -27,15 +27,22 @@
 }
 
 impl Upstream {
-    /// A transport that knows no chunk server yet. `server_idle_timeout` is when the servers close an idle
-    /// connection; a request written at that moment would be lost, so connections are closed well before.
-    /// `max_connections` limits all connections together.
-    pub fn new(dial_timeout: Duration, server_idle_timeout: Duration, max_connections: usize) -> Upstream {
+    /// A transport that knows no chunk server yet. `server_idle_timeout` is when the servers close
+    /// an idle connection; a request written at that moment would be lost, so connections are
+    /// closed well before. `max_connections` limits all connections together.
+    pub fn new(
+        dial_timeout: Duration,
+        server_idle_timeout: Duration,
+        max_connections: usize,
+    ) -> Upstream {
         let connections = Connections::new(dial_timeout, server_idle_timeout, max_connections);
-        Upstream { connections: Rc::new(connections) }
+        Upstream {
+            connections: Rc::new(connections),
+        }
     }
 
-    /// Sets the address and shard of a chunk server. Returns its number, which it gets when it is first named.
+    /// Sets the address and shard of a chunk server. Returns its number, which it gets when it is
+    /// first named.
     pub fn locate(&self, name: &str, address: SocketAddr, cell: CellId) -> NodeId {
         self.connections.locate(name, address, cell)
     }
@@ -71,6 +78,10 @@
         withdrawal: Withdrawal,
     ) -> impl Future<Output = AttemptReport<Answer>> + 'static {
         let connections = Rc::clone(&self.connections);
-        async move { connections.attempt(node, &payload, deadline, withdrawal).await }
+        async move {
+            connections
+                .attempt(node, &payload, deadline, withdrawal)
+                .await
+        }
     }
 }
--- a/src/upstream/payload.rs
+++ b/src/upstream/payload.rs
@@ -55,8 +55,8 @@
     pub streamed: Option<StreamedBody>,
 }
 
-/// A long body that is still arriving, with its connection. It is read only as fast as the client reads, so that
-/// a few parts of it are buffered at most. Dropping it closes the connection.
+/// A long body that is still arriving, with its connection. It is read only as fast as the client
+/// reads, so that a few parts of it are buffered at most. Dropping it closes the connection.
 pub struct StreamedBody {
     /// The part of the body that has arrived already.
     pub first: Bytes,
@@ -71,7 +71,12 @@
 impl StreamedBody {
     /// A body that does not own its connection yet.
     pub(super) fn new(first: Bytes, body: Incoming, length: Option<u64>) -> StreamedBody {
-        StreamedBody { first, body, length, release_connection: None }
+        StreamedBody {
+            first,
+            body,
+            length,
+            release_connection: None,
+        }
     }
 
     /// Keeps the connection that the body arrives on, as the closure that returns it to its pool.
@@ -89,6 +94,8 @@
 
 impl std::fmt::Debug for StreamedBody {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("StreamedBody").field("length", &self.length).finish_non_exhaustive()
+        f.debug_struct("StreamedBody")
+            .field("length", &self.length)
+            .finish_non_exhaustive()
     }
 }
--- a/src/upstream/response.rs
+++ b/src/upstream/response.rs
@@ -22,12 +22,12 @@
 /// Header with the units that the server has served the volume through other fronts.
 const FOREIGN_UNITS: HeaderName = HeaderName::from_static("x-served-elsewhere");
 
-/// Reads a response with its body. A served response whose body is long, or of unknown length, is streamed where the
-/// front accepts that.
+/// Reads a response with its body. A served response whose body is long, or of unknown length, is
+/// streamed where the front accepts that.
 ///
 /// # Errors
-/// [`Execution::MayHaveRun`] for a response whose framing is ambiguous, that is too long or truncated: the request may
-/// have been executed, and there is nothing valid to answer with.
+/// [`Execution::MayHaveRun`] for a response whose framing is ambiguous, that is too long or
+/// truncated: the request may have been executed, and there is nothing valid to answer with.
 pub(super) async fn read_response(
     response: Response<Incoming>,
     accepts: Accepts,
@@ -57,8 +57,8 @@
     Ok(AttemptReport { answer, ..report })
 }
 
-/// Answers with a body that is streamed. One of unknown length is buffered first, up to [`MAX_BODY`] bytes; where it
-/// ends within them it is answered like any other.
+/// Answers with a body that is streamed. One of unknown length is buffered first, up to
+/// [`MAX_BODY`] bytes; where it ends within them it is answered like any other.
 async fn read_streamed(
     head: Parts,
     mut body: Incoming,
@@ -80,7 +80,13 @@
 }
 
 fn answer_with(head: Parts, cell: CellId, body: Bytes, streamed: Option<StreamedBody>) -> Answer {
-    Answer { cell, status: head.status, headers: head.headers, body, streamed }
+    Answer {
+        cell,
+        status: head.status,
+        headers: head.headers,
+        body,
+        streamed,
+    }
 }
 
 /// The outcome and the reported load in a response head.
@@ -99,10 +105,14 @@
     let rejected = headers.get(REJECTED).is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => Outcome::Served,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => Outcome::Rejected,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => {
+            Outcome::Rejected
+        }
         // These two concern the server's load, not the request.
         StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS => Outcome::Error,
-        status if accepts == Accepts::Object && (200..=499).contains(&status.as_u16()) => Outcome::Served,
+        status if accepts == Accepts::Object && (200..=499).contains(&status.as_u16()) => {
+            Outcome::Served
+        }
         _ => Outcome::Error,
     }
 }
--- a/src/upstream/server_table.rs
+++ b/src/upstream/server_table.rs
@@ -39,8 +39,12 @@
 
     /// Sets the address and shard of a server, adding it where its name is new.
     pub fn locate(&mut self, name: &str, address: SocketAddr, cell: CellId) -> Located {
-        let Some(&id) = self.ids.get(name) else { return Located::Added(self.add(name, address, cell)) };
-        let Some(server) = self.servers.get_mut(&id) else { return Located::Unchanged(id) };
+        let Some(&id) = self.ids.get(name) else {
+            return Located::Added(self.add(name, address, cell));
+        };
+        let Some(server) = self.servers.get_mut(&id) else {
+            return Located::Unchanged(id);
+        };
         server.cell = cell;
         if server.address == address {
             return Located::Unchanged(id);
@@ -53,7 +57,14 @@
         let id = self.next_id;
         self.next_id += 1;
         self.ids.insert(name.to_owned(), id);
-        self.servers.insert(id, Server { name: name.to_owned(), address, cell });
+        self.servers.insert(
+            id,
+            Server {
+                name: name.to_owned(),
+                address,
+                cell,
+            },
+        );
         id
     }
 
--- a/src/upstream/wire_state.rs
+++ b/src/upstream/wire_state.rs
@@ -1,5 +1,6 @@
-//! What has been written to and read from a connection to a chunk server. The errors of hyper do not show whether the
-//! last byte of a request was written, which decides whether the request may have been executed.
+//! What has been written to and read from a connection to a chunk server. The errors of hyper do
+//! not show whether the last byte of a request was written, which decides whether the request may
+//! have been executed.
 
 use std::cell::{Cell, RefCell};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,9 +17,9 @@
 use crate::socket_io::has_unread_bytes;
 use crate::telemetry::metrics::ClassMetrics;
 
-/// The longest time from the first byte of a response to its last. A server has a response complete before it sends
-/// it; waiting longer for the rest would leave no time for another attempt. It is shorter than the silence after which
-/// the decision module suspects the server, which this is not.
+/// The longest time from the first byte of a response to its last. A server has a response complete
+/// before it sends it; waiting longer for the rest would leave no time for another attempt. It is
+/// shorter than the silence after which the decision module suspects the server, which this is not.
 const STALL_TIMEOUT: Duration = Duration::from_millis(100);
 const HEAD_END: &[u8; 4] = b"\r\n\r\n";
 
@@ -61,7 +62,12 @@
     }
 
     /// Starts a request whose body has `body_length` bytes.
-    pub fn begin_request(&self, body_length: usize, metrics: Option<ClassMetrics>, withdrawal: Withdrawal) {
+    pub fn begin_request(
+        &self,
+        body_length: usize,
+        metrics: Option<ClassMetrics>,
+        withdrawal: Withdrawal,
+    ) {
         *self.metrics.borrow_mut() = metrics;
         *self.withdrawal.borrow_mut() = Some(withdrawal);
         self.on(ConnectionEvent::RequestAssigned);
@@ -70,7 +76,8 @@
         self.responses_started.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The counter to increment at each informational (1xx) response. hyper calls back from a `Send` context.
+    /// The counter to increment at each informational (1xx) response. hyper calls back from a
+    /// `Send` context.
     pub(super) fn response_counter(&self) -> Arc<AtomicU64> {
         Arc::clone(&self.responses_started)
     }
@@ -105,14 +112,17 @@
         self.responses_started.load(Ordering::Relaxed) == response
     }
 
-    /// Whether bytes of the present request may be written to `socket`. A request that was withdrawn is not started.
-    /// The socket is checked first: bytes that wait there cannot be the response to a request that is not written, and
-    /// where the server has closed the connection, nothing of the request need be risked on it.
+    /// Whether bytes of the present request may be written to `socket`. A request that was
+    /// withdrawn is not started. The socket is checked first: bytes that wait there cannot be the
+    /// response to a request that is not written, and where the server has closed the connection,
+    /// nothing of the request need be risked on it.
     pub(super) fn may_write(&self, socket: i32) -> bool {
         let mut connection = self.connection.get();
         let unread_bytes = has_unread_bytes(socket);
         let withdrawal = self.withdrawal.borrow();
-        let refusal = withdrawal.as_ref().and_then(|withdrawal| withdrawal.may_begin(unread_bytes).err());
+        let refusal = withdrawal
+            .as_ref()
+            .and_then(|withdrawal| withdrawal.may_begin(unread_bytes).err());
         let withdrawn = refusal.is_some_and(|refusal| refusal != SendRefusal::UnreadBytes);
         let may_write = connection.may_write(unread_bytes, withdrawn);
         self.connection.set(connection);
@@ -126,7 +136,8 @@
         }
         let head_bytes = self.match_head_end(bytes);
         let body_bytes = bytes.len() - head_bytes;
-        self.body_left.set(self.body_left.get().saturating_sub(body_bytes));
+        self.body_left
+            .set(self.body_left.get().saturating_sub(body_bytes));
         let head_complete = self.head_end_matched.get() == HEAD_END.len();
         let last = head_complete && self.body_left.get() == 0;
         if last {
@@ -143,7 +154,11 @@
         let mut head_bytes = 0;
         while matched < HEAD_END.len() && head_bytes < bytes.len() {
             let byte = bytes[head_bytes];
-            matched = if byte == HEAD_END[matched] { matched + 1 } else { usize::from(byte == b'\r') };
+            matched = if byte == HEAD_END[matched] {
+                matched + 1
+            } else {
+                usize::from(byte == b'\r')
+            };
             head_bytes += 1;
         }
         self.head_end_matched.set(matched);
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,5 @@
-//! The adapter as its users run it: standard output has replies only, and a malformed line ends it with one message.
+//! The adapter as its users run it: standard output has replies only, and a malformed line ends it
+//! with one message.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -14,7 +15,12 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    adapter.stdin.take().expect("a pipe").write_all(input.as_bytes()).expect("it reads");
+    adapter
+        .stdin
+        .take()
+        .expect("a pipe")
+        .write_all(input.as_bytes())
+        .expect("it reads");
     adapter.wait_with_output().expect("it ends")
 }
 
@@ -47,6 +53,10 @@
         assert_eq!(message.lines().count(), 1, "{line}: {message}");
         assert!(message.contains("line 2"), "{line}: {message}");
         assert!(!message.contains("panicked"), "{line}: {message}");
-        assert_eq!(String::from_utf8_lossy(&output.stdout), EMPTY_REPLY, "{line}: only complete replies");
+        assert_eq!(
+            String::from_utf8_lossy(&output.stdout),
+            EMPTY_REPLY,
+            "{line}: only complete replies"
+        );
     }
 }
--- a/tests/agent/etcd.rs
+++ b/tests/agent/etcd.rs
@@ -36,7 +36,9 @@
             std::thread::sleep(Duration::from_millis(1));
         };
         stream.set_nonblocking(false).expect("settable");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("settable");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("settable");
         EtcdCall::read(stream)
     }
 }
@@ -56,10 +58,16 @@
             let count = stream.read(&mut buffer).expect("a request");
             received.extend_from_slice(&buffer[..count]);
             let text = String::from_utf8_lossy(&received).into_owned();
-            let Some((head, body)) = text.split_once("\r\n\r\n") else { continue };
+            let Some((head, body)) = text.split_once("\r\n\r\n") else {
+                continue;
+            };
             if body.len() >= content_length(head) {
                 let path = head.split(' ').nth(1).expect("a path").to_owned();
-                return EtcdCall { stream, path, body: body.to_owned() };
+                return EtcdCall {
+                    stream,
+                    path,
+                    body: body.to_owned(),
+                };
             }
         }
     }
@@ -67,18 +75,27 @@
     /// Checks the path of the call, and that its body contains all these fields.
     pub fn assert_request(&self, path: &str, fields: &[&str]) {
         assert_eq!(self.path, path);
-        assert!(fields.iter().all(|field| self.body.contains(field)), "{fields:?} in {}", self.body);
+        assert!(
+            fields.iter().all(|field| self.body.contains(field)),
+            "{fields:?} in {}",
+            self.body
+        );
     }
 
     /// Sends a whole response.
     pub fn respond(mut self, body: &str) {
-        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        let head = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         self.stream.write_all(head.as_bytes()).expect("written");
     }
 
     /// Begins a response that is a stream of messages.
     pub fn begin_stream(&mut self) {
-        self.stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").expect("written");
+        self.stream
+            .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            .expect("written");
     }
 
     /// Sends a message of the stream, on a line of its own.
@@ -104,5 +121,8 @@
 /// The key of a front with its declaration, as the gateway has it.
 pub fn key_value(name: &str, declaration: &str) -> String {
     let key = encode(&format!("{PREFIX}{name}"));
-    format!(r#"{{"key":"{key}","value":"{}","mod_revision":"4"}}"#, encode(declaration))
+    format!(
+        r#"{{"key":"{key}","value":"{}","mod_revision":"4"}}"#,
+        encode(declaration)
+    )
 }
--- a/tests/cluster/config.rs
+++ b/tests/cluster/config.rs
@@ -15,13 +15,17 @@
 
 #[test]
 fn peer_ids_follow_the_order_of_names() {
-    let config = read(VALID).expect("the configuration is valid").limits_config;
+    let config = read(VALID)
+        .expect("the configuration is valid")
+        .limits_config;
     assert_eq!((config.me, config.fronts, config.revision), (1, 2, 1));
 }
 
 #[test]
 fn roster_digest_covers_names_but_not_addresses() {
-    let config = read(VALID).expect("the configuration is valid").limits_config;
+    let config = read(VALID)
+        .expect("the configuration is valid")
+        .limits_config;
     let other_address = read(&VALID.replace("127.0.0.1:3", "127.0.0.1:9")).expect("it is valid");
     assert_eq!(other_address.limits_config, config);
     let other_name = read(&VALID.replace("\"a\"", "\"c\"")).expect("it is valid");
@@ -37,18 +41,36 @@
             "'peers.roster[0].address' here is no address",
         ),
         ("\"a\"", "\"b\"", "'peers.roster[1].name' b is there twice"),
-        ("127.0.0.1:3", "127.0.0.1:2", "'peers.roster[1].address' 127.0.0.1:2 is there twice"),
-        ("\"b\", \"address\"", "\"c\", \"address\"", "'peers.roster' does not name this front, b"),
+        (
+            "127.0.0.1:3",
+            "127.0.0.1:2",
+            "'peers.roster[1].address' 127.0.0.1:2 is there twice",
+        ),
+        (
+            "\"b\", \"address\"",
+            "\"c\", \"address\"",
+            "'peers.roster' does not name this front, b",
+        ),
         (
             "\"listen\"",
             "\"floor\": 2, \"listen\"",
             "'peers': a floor of 2000000 millionths is more than the whole",
         ),
-        ("\"listen\"", "\"beat\": 2, \"listen\"", "'peers.beat' is not known"),
-        ("\"listen\"", "\"revision\": 0, \"listen\"", "'peers.revision' counts from 1"),
+        (
+            "\"listen\"",
+            "\"beat\": 2, \"listen\"",
+            "'peers.beat' is not known",
+        ),
+        (
+            "\"listen\"",
+            "\"revision\": 0, \"listen\"",
+            "'peers.revision' counts from 1",
+        ),
         ("\"k\"", "7", "'peers.key_file' must be a text"),
     ] {
-        let error = read(&VALID.replacen(from, to, 1)).err().map(|error| error.to_string());
+        let error = read(&VALID.replacen(from, to, 1))
+            .err()
+            .map(|error| error.to_string());
         assert_eq!(error.as_deref(), Some(message), "{to}");
     }
 }
--- a/tests/cluster/ejection_config.rs
+++ b/tests/cluster/ejection_config.rs
@@ -11,9 +11,21 @@
 
 #[test]
 fn missing_keys_have_defaults() {
-    assert_eq!(read("{}"), Ok(EjectionConfig { max_ejected_fraction: 0.5, witnesses: 2 }));
+    assert_eq!(
+        read("{}"),
+        Ok(EjectionConfig {
+            max_ejected_fraction: 0.5,
+            witnesses: 2
+        })
+    );
     let text = r#"{"most_out": 0.25, "witnesses": 3}"#;
-    assert_eq!(read(text), Ok(EjectionConfig { max_ejected_fraction: 0.25, witnesses: 3 }));
+    assert_eq!(
+        read(text),
+        Ok(EjectionConfig {
+            max_ejected_fraction: 0.25,
+            witnesses: 3
+        })
+    );
 }
 
 #[test]
@@ -21,10 +33,22 @@
     for (text, message) in [
         ("[]", "'peers.verdicts' must be an object"),
         (r#"{"most": 1}"#, "'peers.verdicts.most' is not known"),
-        (r#"{"most_out": 1}"#, "'peers.verdicts.most_out' must be a part from 0 to under 1"),
-        (r#"{"most_out": "x"}"#, "'peers.verdicts.most_out' must be a part from 0 to under 1"),
-        (r#"{"witnesses": 1}"#, "'peers.verdicts.witnesses' must be a whole number of 2 or more"),
-        (r#"{"witnesses": 2.5}"#, "'peers.verdicts.witnesses' must be a whole number of 2 or more"),
+        (
+            r#"{"most_out": 1}"#,
+            "'peers.verdicts.most_out' must be a part from 0 to under 1",
+        ),
+        (
+            r#"{"most_out": "x"}"#,
+            "'peers.verdicts.most_out' must be a part from 0 to under 1",
+        ),
+        (
+            r#"{"witnesses": 1}"#,
+            "'peers.verdicts.witnesses' must be a whole number of 2 or more",
+        ),
+        (
+            r#"{"witnesses": 2.5}"#,
+            "'peers.verdicts.witnesses' must be a whole number of 2 or more",
+        ),
     ] {
         let error = read(text).err().map(|error| error.to_string());
         assert_eq!(error.as_deref(), Some(message), "{text}");
--- a/tests/cluster/main.rs
+++ b/tests/cluster/main.rs
@@ -1,4 +1,5 @@
-//! The configuration of a front's peers, and the limits that the decision module is given by it. No process is started.
+//! The configuration of a front's peers, and the limits that the decision module is given by it. No
+//! process is started.
 
 mod config;
 mod ejection_config;
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,5 +1,6 @@
-//! Races, forced: one side ends something at the very moment at which it is still owed something on that connection.
-//! The program runs, and the other parties delay a byte, a response or the program itself until it is at that point.
+//! Races, forced: one side ends something at the very moment at which it is still owed something on
+//! that connection. The program runs, and the other parties delay a byte, a response or the program
+//! itself until it is at that point.
 
 #[macro_use]
 mod scenario;
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Golden output of the program for operators and other programs: error messages, trace events, responses of the
-//! console and the maintenance file. Refactoring must not change any of it; a change here is a change for users, and
-//! belongs in CHANGELOG.md.
+//! Golden output of the program for operators and other programs: error messages, trace events,
+//! responses of the console and the maintenance file. Refactoring must not change any of it; a
+//! change here is a change for users, and belongs in CHANGELOG.md.
 
 #[path = "golden/edits.rs"]
 mod edits;
@@ -33,16 +33,23 @@
 
 /// Runs a front on the edited configuration. Returns its exit code and its error message.
 fn rejection_output(kind: FrontKind, edit: &Edit) -> String {
-    assert!(CONFIG.contains(edit.from), "{}: no {} in the file", edit.name, edit.from);
+    assert!(
+        CONFIG.contains(edit.from),
+        "{}: no {} in the file",
+        edit.name,
+        edit.from
+    );
     let folder = Folder::new();
     let file = folder.configuration(&CONFIG.replacen(edit.from, edit.to, 1));
     exit_summary(&folder, &run_to_end(front(kind, &file)))
 }
 
-/// The exit code and the error message, without the lines of sockets opened before, whose ports the system chose.
+/// The exit code and the error message, without the lines of sockets opened before, whose ports the
+/// system chose.
 fn exit_summary(folder: &Folder, output: &Output) -> String {
     let stderr = folder.masked(&String::from_utf8_lossy(&output.stderr));
-    let is_of_socket = |line: &str| line.contains("listening on 127.0.0.1:") || line.starts_with("peers at ");
+    let is_of_socket =
+        |line: &str| line.contains("listening on 127.0.0.1:") || line.starts_with("peers at ");
     let lines: Vec<&str> = stderr.lines().filter(|line| !is_of_socket(line)).collect();
     assert_eq!(lines.len(), 1, "one line has the error: {stderr}");
     format!("{:?} {}", output.status.code(), lines[0])
@@ -52,15 +59,22 @@
 fn invalid_configurations_report_their_errors() {
     let mut actual = String::new();
     for edit in REJECTED_BY_BOTH {
-        let (object, platform) =
-            (rejection_output(FrontKind::Object, edit), rejection_output(FrontKind::Platform, edit));
+        let (object, platform) = (
+            rejection_output(FrontKind::Object, edit),
+            rejection_output(FrontKind::Platform, edit),
+        );
         let _ = writeln!(actual, "{}: {object}", edit.name);
         if platform != object {
             let _ = writeln!(actual, "{} (platform): {platform}", edit.name);
         }
     }
     for edit in REJECTED_BY_OBJECT {
-        let _ = writeln!(actual, "{}: {}", edit.name, rejection_output(FrontKind::Object, edit));
+        let _ = writeln!(
+            actual,
+            "{}: {}",
+            edit.name,
+            rejection_output(FrontKind::Object, edit)
+        );
     }
     insta::assert_snapshot!(actual);
 }
@@ -75,9 +89,21 @@
     let without_file = exit_summary(&folder, &run_to_end(program()));
     let _ = writeln!(actual, "no file named: {without_file}");
     for (name, variable, value) in [
-        ("file that is not there", "BALANCER_CONFIG", folder.path().join("nothing").display().to_string()),
-        ("file that is a folder", "BALANCER_CONFIG", folder.path().display().to_string()),
-        ("file too large", "BALANCER_CONFIG", large.display().to_string()),
+        (
+            "file that is not there",
+            "BALANCER_CONFIG",
+            folder.path().join("nothing").display().to_string(),
+        ),
+        (
+            "file that is a folder",
+            "BALANCER_CONFIG",
+            folder.path().display().to_string(),
+        ),
+        (
+            "file too large",
+            "BALANCER_CONFIG",
+            large.display().to_string(),
+        ),
         ("listen", "BALANCER_LISTEN", "nowhere".to_owned()),
         ("console", "BALANCER_CONSOLE", "nowhere".to_owned()),
         ("discovery", "BALANCER_DISCOVERY", "nowhere".to_owned()),
@@ -85,11 +111,19 @@
     ] {
         let mut command = front(FrontKind::Platform, &file);
         command.env(variable, value);
-        let _ = writeln!(actual, "{name}: {}", exit_summary(&folder, &run_to_end(command)));
+        let _ = writeln!(
+            actual,
+            "{name}: {}",
+            exit_summary(&folder, &run_to_end(command))
+        );
     }
     for (name, path) in [("object, not there", "nothing"), ("object, a folder", "")] {
         let command = front(FrontKind::Object, &folder.path().join(path));
-        let _ = writeln!(actual, "{name}: {}", exit_summary(&folder, &run_to_end(command)));
+        let _ = writeln!(
+            actual,
+            "{name}: {}",
+            exit_summary(&folder, &run_to_end(command))
+        );
     }
     insta::assert_snapshot!(actual);
 }
@@ -99,13 +133,21 @@
     let mut command = program();
     command.args(arguments);
     let output = run_to_end(command);
-    let (stdout, stderr) = (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
+    let (stdout, stderr) = (
+        String::from_utf8_lossy(&output.stdout),
+        String::from_utf8_lossy(&output.stderr),
+    );
     let text = format!("{stdout}{stderr}").replace(env!("CARGO_PKG_VERSION"), "VERSION");
-    format!("$ tulipbridge {}\n{:?}\n{text}\n", arguments.join(" "), output.status.code())
+    format!(
+        "$ tulipbridge {}\n{:?}\n{text}\n",
+        arguments.join(" "),
+        output.status.code()
+    )
 }
 
-const SUBCOMMANDS: [&str; 9] =
-    ["object", "agent", "status", "drain", "peers", "verdicts", "explain", "resume", "restart"];
+const SUBCOMMANDS: [&str; 9] = [
+    "object", "agent", "status", "drain", "peers", "verdicts", "explain", "resume", "restart",
+];
 
 #[test]
 fn commands_print_their_help() {
@@ -146,7 +188,10 @@
         &["explain", "s-0"],
         &["explain", "s-0", "--console", UNREACHABLE],
     ];
-    let actual: String = lines.iter().map(|arguments| command_line(arguments)).collect();
+    let actual: String = lines
+        .iter()
+        .map(|arguments| command_line(arguments))
+        .collect();
     insta::assert_snapshot!(actual);
 }
 
@@ -165,7 +210,9 @@
 
 /// The value of a key in a trace event; empty where it has none.
 fn value<'a>(line: &'a str, key: &str) -> &'a str {
-    let Some((_, rest)) = line.split_once(&format!("\"{key}\":")) else { return "" };
+    let Some((_, rest)) = line.split_once(&format!("\"{key}\":")) else {
+        return "";
+    };
     &rest[..rest.find([',', '}']).unwrap_or(rest.len())]
 }
 
@@ -176,7 +223,10 @@
         let kind = ["e", "outcome", "verdict", "scope", "end"].map(|key| value(line, key));
         kinds.entry(kind.to_vec()).or_insert(line);
     }
-    kinds.values().map(|line| without_values(line, &["t", "ms", "wait_ms", "use"]) + "\n").collect()
+    kinds
+        .values()
+        .map(|line| without_values(line, &["t", "ms", "wait_ms", "use"]) + "\n")
+        .collect()
 }
 
 #[test]
@@ -187,10 +237,15 @@
     // A request that is served with a response long enough to be streamed.
     let mut client = traced.send_read(1, REMAINING_MILLIS);
     let mut upstream = traced.wait_for_request(0);
-    let head = format!("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {BODY_BYTES}\r\n\r\n");
-    upstream.write_all(&[head.as_bytes(), &[b'x'; BODY_BYTES]].concat()).expect("sent");
+    let head =
+        format!("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {BODY_BYTES}\r\n\r\n");
+    upstream
+        .write_all(&[head.as_bytes(), &[b'x'; BODY_BYTES]].concat())
+        .expect("sent");
     read_head(&mut client);
-    client.read_exact(&mut [0; BODY_BYTES]).expect("the whole body");
+    client
+        .read_exact(&mut [0; BODY_BYTES])
+        .expect("the whole body");
     traced.front.wait_for_line(r#""e":"passed""#);
     // A request whose client disconnects while it is in flight.
     let client = traced.send_read(2, REMAINING_MILLIS);
@@ -210,7 +265,9 @@
     traced.front.wait_for_line(r#""e":"note""#);
     // A request with too large a body.
     let mut client = TcpStream::connect(traced.front.clients).expect("it takes connections");
-    client.write_all(b"PUT /api HTTP/1.1\r\nHost: t\r\nContent-Length: 99999999999\r\n\r\n").expect("sent");
+    client
+        .write_all(b"PUT /api HTTP/1.1\r\nHost: t\r\nContent-Length: 99999999999\r\n\r\n")
+        .expect("sent");
     traced.front.wait_for_line(r#""e":"not taken""#);
     // The endpoint list is updated, then replaced.
     traced.send_endpoints(false, "Gone");
@@ -240,13 +297,29 @@
         Outcome::NotSent,
     ] {
         trace::input(
-            &Input::AttemptEnded { id, attempt, outcome, observed_use: 1.5, foreign_units: 0.0 },
+            &Input::AttemptEnded {
+                id,
+                attempt,
+                outcome,
+                observed_use: 1.5,
+                foreign_units: 0.0,
+            },
             name,
         );
     }
-    for scope in [UpdateScope::Update, UpdateScope::Replace, UpdateScope::Restored, UpdateScope::Unavailable]
-    {
-        trace::input(&Input::Endpoints { scope, nodes: Vec::new() }, name);
+    for scope in [
+        UpdateScope::Update,
+        UpdateScope::Replace,
+        UpdateScope::Restored,
+        UpdateScope::Unavailable,
+    ] {
+        trace::input(
+            &Input::Endpoints {
+                scope,
+                nodes: Vec::new(),
+            },
+            name,
+        );
     }
     for limit in [
         SharedLimit::Volume(0x1f),
@@ -255,17 +328,32 @@
         SharedLimit::InFlightPerNode,
     ] {
         trace::input(
-            &Input::FleetUpdate(FleetUpdate::SharedLimit { limit, rate: 2.5, burst: 4.0, at: 0 }),
+            &Input::FleetUpdate(FleetUpdate::SharedLimit {
+                limit,
+                rate: 2.5,
+                burst: 4.0,
+                at: 0,
+            }),
             name,
         );
     }
     for classes in [ClassSet::NONE, ClassSet::NONE.with(1), ClassSet::ALL] {
-        trace::input(&Input::FleetUpdate(FleetUpdate::Ejection { node: 3, classes }), name);
+        trace::input(
+            &Input::FleetUpdate(FleetUpdate::Ejection { node: 3, classes }),
+            name,
+        );
     }
-    trace::input(&Input::FleetUpdate(FleetUpdate::Probe { node: 3, until: 0 }), name);
+    trace::input(
+        &Input::FleetUpdate(FleetUpdate::Probe { node: 3, until: 0 }),
+        name,
+    );
     trace::input(&Input::Overdue(id), name);
     trace::input(&Input::Timer(1), name);
-    for answer in [FinalAnswer::Served, FinalAnswer::Rejected(1_500_000), FinalAnswer::Failed] {
+    for answer in [
+        FinalAnswer::Served,
+        FinalAnswer::Rejected(1_500_000),
+        FinalAnswer::Failed,
+    ] {
         trace::effect(&Effect::Answer { id, answer }, name);
     }
     trace::effect(&Effect::Release(id), name);
@@ -279,7 +367,9 @@
     }
     let mut command = Command::new(std::env::current_exe().expect("this program"));
     command.args(["--exact", "trace_event_vocabulary", "--nocapture"]);
-    command.env(TRACE_WRITER_VARIABLE, "1").env("TULIPBRIDGE_TRACE", "1");
+    command
+        .env(TRACE_WRITER_VARIABLE, "1")
+        .env("TULIPBRIDGE_TRACE", "1");
     let output = run_to_end(command);
     assert!(output.status.success());
     let output = String::from_utf8(output.stderr).expect("text");
@@ -292,7 +382,10 @@
 fn answer(front: &Front, method: &str, path: &str) -> String {
     let answer = front.request(method, path);
     let body = without_values(answer.body.trim_end(), &["boot"]);
-    format!("{method} {path}\n{} [{}]\n{body}\n\n", answer.status, answer.content_type)
+    format!(
+        "{method} {path}\n{} [{}]\n{body}\n\n",
+        answer.status, answer.content_type
+    )
 }
 
 /// The metrics of a front, with their values replaced by `_`.
@@ -318,10 +411,15 @@
 
 #[test]
 fn metrics_have_names_help_types_and_labels() {
-    let actual = [("object", FrontKind::Object), ("platform", FrontKind::Platform)].map(|(name, kind)| {
+    let actual = [
+        ("object", FrontKind::Object),
+        ("platform", FrontKind::Platform),
+    ]
+    .map(|(name, kind)| {
         let folder = Folder::new();
         let mut front = isolated_front(kind, &folder);
-        // The metrics of messages and of shares exist after the first message and the first heartbeat.
+        // The metrics of messages and of shares exist after the first message and the first
+        // heartbeat.
         let peers = front.wait_for_line("peers at ");
         let peers = peers.rsplit(' ').next().expect("an address");
         let unknown_peer = UdpSocket::bind("127.0.0.1:0").expect("a free port");
@@ -354,7 +452,10 @@
         ("PUT", "/status/peers"),
         ("GET", "/nothing"),
     ];
-    let actual: String = calls.iter().map(|(method, path)| answer(&front, method, path)).collect();
+    let actual: String = calls
+        .iter()
+        .map(|(method, path)| answer(&front, method, path))
+        .collect();
     insta::assert_snapshot!(actual);
 }
 
@@ -364,7 +465,10 @@
     let file = folder.configuration(&edited(&[("\"peers\": {", "\"others\": {")]));
     let front = Front::start(front(FrontKind::Object, &file));
     let paths = ["/status/peers", "/status/verdicts", "/status/verdicts/s-0"];
-    let actual: String = paths.iter().map(|path| answer(&front, "GET", path)).collect();
+    let actual: String = paths
+        .iter()
+        .map(|path| answer(&front, "GET", path))
+        .collect();
     insta::assert_snapshot!(actual);
 }
 
@@ -374,7 +478,12 @@
     let front = isolated_front(FrontKind::Object, &folder);
     let console = front.console.to_string();
     let mut actual = String::new();
-    for arguments in [&["peers"][..], &["verdicts"], &["explain", "s-0"], &["explain", "s-9"]] {
+    for arguments in [
+        &["peers"][..],
+        &["verdicts"],
+        &["explain", "s-0"],
+        &["explain", "s-9"],
+    ] {
         for output in ["table", "json"] {
             let arguments = [arguments, &["--output", output, "--console", &console]].concat();
             actual += &command_line(&arguments).replace(&console, "CONSOLE");
@@ -383,7 +492,8 @@
     insta::assert_snapshot!(without_values(&actual, &["boot"]));
 }
 
-/// The first line that contains a text, with its numbers replaced by `_` and its columns separated by one space.
+/// The first line that contains a text, with its numbers replaced by `_` and its columns separated
+/// by one space.
 fn line_with(output: &str, text: &str) -> String {
     let line = output.lines().find(|line| line.contains(text));
     let line = line.unwrap_or_else(|| panic!("no line with {text} in {output}"));
@@ -402,27 +512,37 @@
 
 /// A line up to the end of a text; the whole line where it does not contain the text.
 fn up_to<'a>(line: &'a str, text: &str) -> &'a str {
-    line.find(text).map_or(line, |start| &line[..start + text.len()])
+    line.find(text)
+        .map_or(line, |start| &line[..start + text.len()])
 }
 
 /// Runs a command, concurrently with the lab's tasks, until its output contains all of these texts.
 async fn wait_for_output(arguments: &[&str], texts: &[&str]) -> String {
     let deadline = Instant::now() + TIMEOUT;
     loop {
-        let arguments: Vec<String> = arguments.iter().map(|argument| (*argument).to_owned()).collect();
+        let arguments: Vec<String> = arguments
+            .iter()
+            .map(|argument| (*argument).to_owned())
+            .collect();
         let run = move || command_line(&arguments.iter().map(String::as_str).collect::<Vec<_>>());
         let actual = tokio::task::spawn_blocking(run).await.expect("it runs");
         if texts.iter().all(|text| actual.contains(text)) {
             return actual;
         }
-        assert!(Instant::now() < deadline, "not all of {texts:?} are in {actual}");
+        assert!(
+            Instant::now() < deadline,
+            "not all of {texts:?} are in {actual}"
+        );
     }
 }
 
 /// The status of an ejected server, without names and times.
 async fn ejection_status() -> String {
     let testbed = fleet_with_silent_server().await;
-    let console = testbed.console_address(0).expect("it has a console").to_string();
+    let console = testbed
+        .console_address(0)
+        .expect("it has a console")
+        .to_string();
     let (verdicts, peers) = (RefCell::default(), RefCell::default());
     let is_complete = |status: &str| {
         *verdicts.borrow_mut() = read_json(status);
@@ -436,21 +556,31 @@
         *peers.borrow_mut() = read_json(status);
         status.matches("\"heard_by\":[\"").count() == 2 && !status.contains("\"told_ms\":null")
     };
-    assert!(testbed.wait_for_peers(0, all_reachable).await, "all hear each other");
+    assert!(
+        testbed.wait_for_peers(0, all_reachable).await,
+        "all hear each other"
+    );
     let (verdicts, peers) = (verdicts.into_inner(), peers.into_inner());
     let verdict = complete_ejection(&verdicts).expect("there is one");
     let mut actual = format!("verdict: {}\n", shape(&verdict));
     let _ = writeln!(actual, "median: {}", shape(&verdicts["medians"][0]));
     let _ = writeln!(actual, "peer: {}", shape(&peers["peers"][0]));
     let _ = writeln!(actual, "belief: {}", peers["peers"][0]["belief"]);
-    let texts =
-        ["has been held out for ", " s unless it is renewed", " tries it now", "assents (", "ATTEMPTS"];
+    let texts = [
+        "has been held out for ",
+        " s unless it is renewed",
+        " tries it now",
+        "assents (",
+        "ATTEMPTS",
+    ];
     let explained = wait_for_output(&["explain", "s-1", "--console", &console], &texts).await;
     for text in texts {
         let line = line_with(&explained, text);
         // The scope of the ejection, the voters and the probing front differ between runs.
         let line = up_to(up_to(&line, "held out for"), "needed):");
-        let line = line.strip_suffix("tries it now").map_or(line, |_| "SOMEBODY tries it now");
+        let line = line
+            .strip_suffix("tries it now")
+            .map_or(line, |_| "SOMEBODY tries it now");
         let _ = writeln!(actual, "explain: {line}");
     }
     let texts = ["EVIDENCE", "heard by ", "this front: "];
@@ -465,7 +595,10 @@
 
 #[test]
 fn status_of_an_ejected_server() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     let actual = tokio::task::LocalSet::new().block_on(&runtime, ejection_status());
     insta::assert_snapshot!(actual);
 }
@@ -476,7 +609,9 @@
 /// The metric of how many listed servers a front avoids.
 fn avoided_servers(front: &Front) -> String {
     let metrics = front.request("GET", "/status/metrics").body;
-    let line = metrics.lines().find(|line| line.starts_with("app_cluster_unhealthy "));
+    let line = metrics
+        .lines()
+        .find(|line| line.starts_with("app_cluster_unhealthy "));
     line.expect("the figure is there").to_owned()
 }
 
@@ -484,21 +619,35 @@
 fn maintenance_file_has_its_name_and_content() {
     let folder = Folder::new();
     let front = isolated_front(FrontKind::Object, &folder);
-    let content =
-        || std::fs::read_to_string(folder.path().join(MAINTENANCE_FILE)).expect("the file is there");
-    assert!(!folder.path().join(MAINTENANCE_FILE).exists(), "nothing is written before the first call");
+    let content = || {
+        std::fs::read_to_string(folder.path().join(MAINTENANCE_FILE)).expect("the file is there")
+    };
+    assert!(
+        !folder.path().join(MAINTENANCE_FILE).exists(),
+        "nothing is written before the first call"
+    );
     for (path, bytes) in [
         ("/maintenance/enter/s-1", r#"{"held":["s-1"]}"#),
         ("/maintenance/enter/s-0", r#"{"held":["s-0","s-1"]}"#),
         ("/maintenance/exit/s-1", r#"{"held":["s-0"]}"#),
         ("/maintenance/exit/s-0", r#"{"held":[]}"#),
     ] {
-        assert_eq!(front.request("PUT", path).status, "HTTP/1.1 200 OK", "{path}");
+        assert_eq!(
+            front.request("PUT", path).status,
+            "HTTP/1.1 200 OK",
+            "{path}"
+        );
         assert_eq!(content(), bytes, "{path}");
     }
     let mut names: Vec<String> = std::fs::read_dir(folder.path())
         .expect("the folder is there")
-        .map(|entry| entry.expect("readable").file_name().into_string().expect("text"))
+        .map(|entry| {
+            entry
+                .expect("readable")
+                .file_name()
+                .into_string()
+                .expect("text")
+        })
         .filter(|name| name.starts_with("tulipbridge-"))
         .collect();
     names.sort();
@@ -514,7 +663,11 @@
     ] {
         let folder = Folder::new();
         std::fs::write(folder.path().join(MAINTENANCE_FILE), bytes).expect("written");
-        assert_eq!(avoided_servers(&isolated_front(FrontKind::Object, &folder)), expected, "{bytes}");
+        assert_eq!(
+            avoided_servers(&isolated_front(FrontKind::Object, &folder)),
+            expected,
+            "{bytes}"
+        );
     }
 }
 
@@ -524,6 +677,9 @@
     std::fs::write(folder.path().join(MAINTENANCE_FILE), r#"{"held":["s-1","#).expect("written");
     let mut front = isolated_front(FrontKind::Object, &folder);
     let output = folder.masked(&front.wait_for_line("maintenance: "));
-    assert_eq!(output, format!("maintenance: FOLDER/{MAINTENANCE_FILE} cannot be read, and is passed over"));
+    assert_eq!(
+        output,
+        format!("maintenance: FOLDER/{MAINTENANCE_FILE} cannot be read, and is passed over")
+    );
     assert_eq!(avoided_servers(&front), "app_cluster_unhealthy 0");
 }
