--- a/tests/golden/program.rs
+++ b/tests/golden/program.rs
@@ -5,7 +5,8 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// A configuration that is valid for both kinds of front: three peers, two chunk servers, two buckets.
+/// A configuration that is valid for both kinds of front: three peers, two chunk servers, two
+/// buckets.
 pub const CONFIG: &str = include_str!("front.json");
 /// How long the program may take for anything before the test has failed.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
@@ -44,7 +45,10 @@
     pub fn new() -> Folder {
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let number = COUNT.fetch_add(1, Ordering::Relaxed);
-        let path = std::env::temp_dir().join(format!("tulipbridge-golden-{}-{number}", std::process::id()));
+        let path = std::env::temp_dir().join(format!(
+            "tulipbridge-golden-{}-{number}",
+            std::process::id()
+        ));
         std::fs::create_dir_all(&path).expect("a folder");
         std::fs::write(path.join("peers.key"), "a key for the golden tests").expect("written");
         Folder(path)
@@ -83,8 +87,8 @@
     command
 }
 
-/// The program as a front of this kind with this file, run in the file's folder: paths in it are relative, so that it
-/// has the same bytes on each run.
+/// The program as a front of this kind with this file, run in the file's folder: paths in it are
+/// relative, so that it has the same bytes on each run.
 pub fn front(kind: FrontKind, file: &Path) -> Command {
     let mut command = program();
     command.current_dir(file.parent().expect("a file is in a folder"));
@@ -97,7 +101,11 @@
 
 /// Runs a command that should exit by itself; one that does not is killed, and the test fails.
 pub fn run_to_end(mut command: Command) -> Output {
-    let mut child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("it starts");
+    let mut child = command
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped())
+        .spawn()
+        .expect("it starts");
     let deadline = Instant::now() + TIMEOUT;
     while matches!(child.try_wait(), Ok(None)) {
         if Instant::now() > deadline {
--- a/tests/golden/running.rs
+++ b/tests/golden/running.rs
@@ -21,12 +21,26 @@
 impl Front {
     /// Starts a front and waits until it has both its sockets.
     pub fn start(mut command: Command) -> Front {
-        let mut child = command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn().expect("it starts");
+        let mut child = command
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("it starts");
         let pipe = BufReader::new(child.stderr.take().expect("a pipe"));
         let (sender, log) = channel();
-        std::thread::spawn(move || pipe.lines().map_while(Result::ok).try_for_each(|line| sender.send(line)));
+        std::thread::spawn(move || {
+            pipe.lines()
+                .map_while(Result::ok)
+                .try_for_each(|line| sender.send(line))
+        });
         let unknown: SocketAddr = ([0, 0, 0, 0], 0).into();
-        let mut front = Front { child, log, log_lines: Vec::new(), clients: unknown, console: unknown };
+        let mut front = Front {
+            child,
+            log,
+            log_lines: Vec::new(),
+            clients: unknown,
+            console: unknown,
+        };
         front.clients = address(&front.wait_for_line("listening on "));
         front.console = address(&front.wait_for_line("console on "));
         front
@@ -41,7 +55,8 @@
             }
             let left = deadline.saturating_duration_since(Instant::now());
             let line = self.log.recv_timeout(left);
-            let line = line.unwrap_or_else(|_| panic!("no line with {text} in {:#?}", self.log_lines));
+            let line =
+                line.unwrap_or_else(|_| panic!("no line with {text} in {:#?}", self.log_lines));
             self.log_lines.push(line);
         }
     }
@@ -62,7 +77,10 @@
             if texts.iter().all(|text| metrics.contains(text)) {
                 return;
             }
-            assert!(Instant::now() < deadline, "not all of {texts:?} are in {metrics}");
+            assert!(
+                Instant::now() < deadline,
+                "not all of {texts:?} are in {metrics}"
+            );
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -70,7 +88,11 @@
     /// Sends SIGTERM, waits for the exit, and reads the rest of the log. Returns the exit code.
     pub fn terminate(&mut self) -> Option<i32> {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill").args(["-TERM", &pid]).status().expect("kill").success());
+        assert!(Command::new("kill")
+            .args(["-TERM", &pid])
+            .status()
+            .expect("kill")
+            .success());
         let code = self.child.wait().expect("it ends").code();
         self.log_lines.extend(self.log.iter());
         code
@@ -104,13 +126,24 @@
     let status = lines.next().unwrap_or_default().to_owned();
     let content_type = lines.filter_map(|line| line.split_once(": "));
     let content_type = content_type.filter(|(name, _)| name.eq_ignore_ascii_case("content-type"));
-    let content_type = content_type.map(|(_, value)| value.to_owned()).next().unwrap_or_default();
-    Answer { status, content_type, body: body.to_owned() }
+    let content_type = content_type
+        .map(|(_, value)| value.to_owned())
+        .next()
+        .unwrap_or_default();
+    Answer {
+        status,
+        content_type,
+        body: body.to_owned(),
+    }
 }
 
 /// The address at the end of a line.
 fn address(line: &str) -> SocketAddr {
-    let address = line.trim().rsplit(' ').next().and_then(|address| address.parse().ok());
+    let address = line
+        .trim()
+        .rsplit(' ')
+        .next()
+        .and_then(|address| address.parse().ok());
     address.unwrap_or_else(|| panic!("no address: {line}"))
 }
 
@@ -131,7 +164,10 @@
                 return stream;
             }
             Err(error) => {
-                assert!(error.kind() == ErrorKind::WouldBlock && Instant::now() < deadline, "{error}")
+                assert!(
+                    error.kind() == ErrorKind::WouldBlock && Instant::now() < deadline,
+                    "{error}"
+                )
             }
         }
         std::thread::sleep(Duration::from_millis(1));
--- a/tests/golden/traced.rs
+++ b/tests/golden/traced.rs
@@ -20,21 +20,36 @@
         let file = folder.configuration(&edited(&[
             ("127.0.0.1:7101", &address(&server)),
             // Nothing is sent to the other server.
-            ("\"cell\": 1, \"lifecycle\": \"Ready\"", "\"cell\": 1, \"lifecycle\": \"Draining\""),
+            (
+                "\"cell\": 1, \"lifecycle\": \"Ready\"",
+                "\"cell\": 1, \"lifecycle\": \"Draining\"",
+            ),
             // The only fleet-wide limit left delays no first attempt.
-            (", \"starting_server\": {\"rate\": 8, \"burst\": 11}, \"out_at_server\": 64", ""),
+            (
+                ", \"starting_server\": {\"rate\": 8, \"burst\": 11}, \"out_at_server\": 64",
+                "",
+            ),
             // A read waits until its client's deadline.
             ("\"Deadline\": 750000000", "\"Deadline\": 10000000000"),
             // Discovery is called soon after the start.
             ("\"AskEvery\": 10000000000", "\"AskEvery\": 1000000000"),
         ]));
         let mut command = front(FrontKind::Platform, &file);
-        command.env("TULIPBRIDGE_TRACE", "1").env("BALANCER_DISCOVERY", address(&discovery));
+        command
+            .env("TULIPBRIDGE_TRACE", "1")
+            .env("BALANCER_DISCOVERY", address(&discovery));
         let front = Front::start(command);
         let mut watch = accept(&discovery);
         read_head(&mut watch);
-        watch.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").expect("sent");
-        TracedFront { front, server, watch, folder }
+        watch
+            .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            .expect("sent");
+        TracedFront {
+            front,
+            server,
+            watch,
+            folder,
+        }
     }
 
     /// Sends an update of the draining server from discovery.
@@ -59,12 +74,15 @@
 
     /// A text with the values that differ between runs replaced.
     pub fn masked(&self, text: &str) -> String {
-        self.folder.masked(text).replace(&address(&self.server), "SERVER")
+        self.folder
+            .masked(text)
+            .replace(&address(&self.server), "SERVER")
     }
 
     /// Waits until the request with this id is at the server, and returns its connection.
     pub fn wait_for_request(&mut self, id: u64) -> TcpStream {
-        self.front.wait_for_line(&format!(r#""e":"send","id":{id},"#));
+        self.front
+            .wait_for_line(&format!(r#""e":"send","id":{id},"#));
         let mut upstream = accept(&self.server);
         read_head(&mut upstream);
         upstream
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -1,9 +1,10 @@
-//! Golden bytes of whole datagrams between fronts, and the numbers by which fronts find that they agree: the digest of
-//! their roster and those of servers.
+//! Golden bytes of whole datagrams between fronts, and the numbers by which fronts find that they
+//! agree: the digest of their roster and those of servers.
 //!
-//! Fronts of two versions run side by side during an upgrade, so the bytes and the numbers are a contract: names of
-//! types and fields may change, these may not. The expected ones were worked out from the format by an encoder of its
-//! own, not copied from a run. What is inside a datagram is pinned field by field in the crates' own `golden.rs`.
+//! Fronts of two versions run side by side during an upgrade, so the bytes and the numbers are a
+//! contract: names of types and fields may change, these may not. The expected ones were worked out
+//! from the format by an encoder of its own, not copied from a run. What is inside a datagram is
+//! pinned field by field in the crates' own `golden.rs`.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
@@ -23,8 +24,9 @@
     Delta, EntryKey, Envelope, EnvelopeCodec, GossipEntry, GossipMessage, GossipStore, PeerState,
 };
 
-/// A copy of the private message type of the program: the order of the variants is part of the format.
-/// `program_sends_and_receives_the_golden_format` checks this copy against the running program.
+/// A copy of the private message type of the program: the order of the variants is part of the
+/// format. `program_sends_and_receives_the_golden_format` checks this copy against the running
+/// program.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Message {
     Heartbeat(Box<Heartbeat>),
@@ -48,14 +50,21 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Checks that a message is encoded as exactly this datagram, and that decoding returns an equal message.
+/// Checks that a message is encoded as exactly this datagram, and that decoding returns an equal
+/// message.
 fn assert_golden(message: &Message, expected: &str) {
-    let datagram = codec().seal(0x0203, 0x1122_3344_5566_7788, message).expect("the datagram is short");
+    let datagram = codec()
+        .seal(0x0203, 0x1122_3344_5566_7788, message)
+        .expect("the datagram is short");
     assert_eq!(hex(&datagram), expected);
     let envelope = codec().open::<Message>(&datagram);
     assert_eq!(
         envelope,
-        Ok(Envelope { from: 0x0203, incarnation: 0x1122_3344_5566_7788, message: message.clone() })
+        Ok(Envelope {
+            from: 0x0203,
+            incarnation: 0x1122_3344_5566_7788,
+            message: message.clone()
+        })
     );
 }
 
@@ -68,7 +77,10 @@
         shutting_down: true,
         reachable: vec![9],
     };
-    let volume = Lease { limit: Limit::Volume(131), share: 132 };
+    let volume = Lease {
+        limit: Limit::Volume(131),
+        share: 132,
+    };
     let heartbeat = Heartbeat {
         roster: 0x8877_6655_4433_2211,
         revision: 257,
@@ -78,14 +90,21 @@
         claims: vec![1, 2],
         votes: vec![3],
         settled: vec![4, 640, 6],
-        demands: vec![Demand { limit: Limit::ServerLoad, milli_units_per_second: 150 }],
+        demands: vec![Demand {
+            limit: Limit::ServerLoad,
+            milli_units_per_second: 150,
+        }],
         grant_in_use: Some((302, 303)),
-        grant: LeaseGrant { number: 400, duration: -2_500, leases: vec![volume] },
+        grant: LeaseGrant {
+            number: 400,
+            duration: -2_500,
+            leases: vec![volume],
+        },
     };
     assert_golden(
         &Message::Heartbeat(Box::new(heartbeat)),
         concat!(
-            "54425002",                                                         // the letters TBP, version
+            "54425002",             // the letters TBP, version
             "0302",                 // the sender's peer id, low byte first
             "8877665544332211",     // the sender's incarnation, low byte first
             "00",                   // message variant: Heartbeat
@@ -113,8 +132,19 @@
 #[test]
 fn gossip_datagram() {
     let key = EntryKey { kind: 200, id: 500 };
-    let entry = GossipEntry { key, version: 131, age_ms: 60_000, value: Some(vec![0x00, 0xff]) };
-    let delta = Delta { origin: 4, incarnation: 303, after: 5, to: 8, entries: vec![entry] };
+    let entry = GossipEntry {
+        key,
+        version: 131,
+        age_ms: 60_000,
+        value: Some(vec![0x00, 0xff]),
+    };
+    let delta = Delta {
+        origin: 4,
+        incarnation: 303,
+        after: 5,
+        to: 8,
+        entries: vec![entry],
+    };
     let gossip = GossipMessage {
         echo: Some((900, -5)),
         knows: vec![(513, 6, 302)],
@@ -124,7 +154,7 @@
     assert_golden(
         &Message::Gossip(gossip),
         concat!(
-            "54425002",                                                         // the letters TBP, version
+            "54425002",                   // the letters TBP, version
             "0302",                       // the sender's peer id, low byte first
             "8877665544332211",           // the sender's incarnation, low byte first
             "01",                         // message variant: Gossip
@@ -146,7 +176,10 @@
         {{"name": "a", "address": "127.0.0.1:3", "zone": "west"}}]}}"#
     );
     let value = simd_json::to_owned_value(&mut peers.into_bytes()).expect("it is JSON");
-    ClusterConfig::read(&value, "a").expect("the peers can be read").limits_config.roster
+    ClusterConfig::read(&value, "a")
+        .expect("the peers can be read")
+        .limits_config
+        .roster
 }
 
 #[test]
@@ -159,43 +192,78 @@
 #[test]
 fn roster_digest_with_ejections() {
     // The digested text has the names of a type and its fields in it: they are part of the format.
-    let digested_text =
-        r#"7|3000000000|250000|["a", "b"]|Config { most_out: 0.25, witnesses: 3 }|["east", "west"]|[1, 0]"#;
+    let digested_text = r#"7|3000000000|250000|["a", "b"]|Config { most_out: 0.25, witnesses: 3 }|["east", "west"]|[1, 0]"#;
     assert_eq!(EnvelopeCodec::digest(digested_text), 0x9a5d_abd6_94d8_0079);
-    assert_eq!(roster_digest(r#""verdicts": {"most_out": 0.25, "witnesses": 3},"#), 0x9a5d_abd6_94d8_0079);
+    assert_eq!(
+        roster_digest(r#""verdicts": {"most_out": 0.25, "witnesses": 3},"#),
+        0x9a5d_abd6_94d8_0079
+    );
 }
 
 /// A server of the endpoint list.
 fn server(node: usize, started_at: i64) -> NodeInfo {
-    NodeInfo { node, zone: 0, cell: 0, listed: Listed::Up, started_at }
+    NodeInfo {
+        node,
+        zone: 0,
+        cell: 0,
+        listed: Listed::Up,
+        started_at,
+    }
 }
 
 #[test]
 fn server_ids_in_entries() {
-    // A server's id is the digest of its name and its start time, which all fronts get from discovery.
+    // A server's id is the digest of its name and its start time, which all fronts get from
+    // discovery.
     assert_eq!(EnvelopeCodec::digest("s-1|77000000"), 0x6a76_f700_4058_78ab);
     let config = tulipbridge_outlier_detection::DetectorConfig::new(0, 3, 0);
-    let mut ejections =
-        Ejections::new(config, EjectionMetrics::new(&Metrics::new())).expect("the configuration is valid");
+    let mut ejections = Ejections::new(config, EjectionMetrics::new(&Metrics::new()))
+        .expect("the configuration is valid");
     let servers = [server(0, 1), server(1, 77_000_000), server(2, 3)];
     ejections.update_endpoints(UpdateScope::Replace, &servers, |node| format!("s-{node}"));
     for id in 0..60 {
         let node = id as usize % servers.len();
-        let outcome = if node == 1 { Outcome::Error } else { Outcome::Served };
-        ejections.attempt_sent(0, AttemptKey { request: id, attempt: 0 }, node, 0, true);
+        let outcome = if node == 1 {
+            Outcome::Error
+        } else {
+            Outcome::Served
+        };
+        ejections.attempt_sent(
+            0,
+            AttemptKey {
+                request: id,
+                attempt: 0,
+            },
+            node,
+            0,
+            true,
+        );
         ejections.observe_input(
             1_000,
-            &Input::AttemptEnded { id, attempt: 0, outcome, observed_use: 0.0, foreign_units: 0.0 },
+            &Input::AttemptEnded {
+                id,
+                attempt: 0,
+                outcome,
+                observed_use: 0.0,
+                foreign_units: 0.0,
+            },
         );
     }
     let changes = ejections.evaluate(2_000, 0, &GossipStore::new(0, 3, 1, 100_000, 0));
     let keys: Vec<EntryKey> = changes.entries.iter().map(|change| change.key).collect();
-    assert_eq!(keys, [EntryKey { kind: 2, id: 0x6a76_f700_4058_78ab }]);
+    assert_eq!(
+        keys,
+        [EntryKey {
+            kind: 2,
+            id: 0x6a76_f700_4058_78ab
+        }]
+    );
 }
 
 /// How long the program may take for anything here.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// The incarnation of the peer that the test plays; the program is peer 0 and the played peer is peer 1.
+/// The incarnation of the peer that the test plays; the program is peer 0 and the played peer is
+/// peer 1.
 const PEER_INCARNATION: u64 = 77;
 
 /// The program as the front `alpha`, with a peer `beta` that the test plays.
@@ -208,7 +276,8 @@
 
 impl Program {
     fn start(beta: SocketAddr) -> Program {
-        let folder = std::env::temp_dir().join(format!("tulipbridge-golden-{}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("tulipbridge-golden-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let key = folder.join("key");
         std::fs::write(&key, KEY).expect("written");
@@ -225,13 +294,22 @@
         let file = folder.join("front.json");
         std::fs::write(&file, config).expect("written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_tulipbridge"));
-        command.env("BALANCER_CONFIG", &file).stdin(Stdio::null()).stdout(Stdio::null());
-        let mut child = command.stderr(Stdio::piped()).spawn().expect("the program starts");
+        command
+            .env("BALANCER_CONFIG", &file)
+            .stdin(Stdio::null())
+            .stdout(Stdio::null());
+        let mut child = command
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("the program starts");
         let mut log = BufReader::new(child.stderr.take().expect("a pipe"));
         let (mut console, mut peers, mut output) = (None, None, String::new());
         while console.is_none() || peers.is_none() {
             let mut line = String::new();
-            assert!(log.read_line(&mut line).expect("a line of the log") > 0, "it ended: {output}");
+            assert!(
+                log.read_line(&mut line).expect("a line of the log") > 0,
+                "it ended: {output}"
+            );
             console = console.or_else(|| address_after("console on ", &line));
             peers = peers.or_else(|| address_after("peers at ", &line));
             output += &line;
@@ -239,7 +317,12 @@
         // Later output is read and discarded, so that the pipe never fills.
         std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
         let (console, peers) = (console.expect("found"), peers.expect("found"));
-        Program { child, folder, console, peers }
+        Program {
+            child,
+            folder,
+            console,
+            peers,
+        }
     }
 
     /// The console's status of the peers.
@@ -248,7 +331,9 @@
         let request = b"GET /status/peers HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n";
         stream.write_all(request).expect("the request goes out");
         let mut response = String::new();
-        stream.read_to_string(&mut response).expect("the answer comes");
+        stream
+            .read_to_string(&mut response)
+            .expect("the answer comes");
         response
     }
 }
@@ -262,20 +347,29 @@
 }
 
 fn address_after(prefix: &str, line: &str) -> Option<SocketAddr> {
-    line.rsplit_once(prefix).and_then(|(_, address)| address.trim().parse().ok())
+    line.rsplit_once(prefix)
+        .and_then(|(_, address)| address.trim().parse().ok())
 }
 
-/// Receives the next datagram of the program, which must equal the golden encoding of its message byte for byte.
+/// Receives the next datagram of the program, which must equal the golden encoding of its message
+/// byte for byte.
 fn receive_envelope(socket: &UdpSocket) -> Envelope<Message> {
     let mut bytes = vec![0; 65_536];
     let length = socket.recv(&mut bytes).expect("the program sends");
     let datagram = &bytes[..length];
-    let envelope = codec().open::<Message>(datagram).expect("the envelope is valid");
-    let variant =
-        if matches!(envelope.message, Message::Heartbeat(_)) { HEARTBEAT_VARIANT } else { GOSSIP_VARIANT };
+    let envelope = codec()
+        .open::<Message>(datagram)
+        .expect("the envelope is valid");
+    let variant = if matches!(envelope.message, Message::Heartbeat(_)) {
+        HEARTBEAT_VARIANT
+    } else {
+        GOSSIP_VARIANT
+    };
     assert_eq!(datagram[MESSAGE_OFFSET], variant);
     assert_eq!(envelope.from, 0);
-    let encoded = codec().seal(envelope.from, envelope.incarnation, &envelope.message).expect("it is short");
+    let encoded = codec()
+        .seal(envelope.from, envelope.incarnation, &envelope.message)
+        .expect("it is short");
     assert_eq!(hex(&encoded), hex(datagram));
     envelope
 }
@@ -283,39 +377,83 @@
 /// A heartbeat of the peer that acknowledges one of the program.
 fn heartbeat_reply(heartbeat: &Heartbeat, incarnation: u64, sent_at: i64) -> Message {
     let echo = Some((incarnation, heartbeat.state.sent_at));
-    let state = PeerState { sent_at, echo, ..PeerState::default() };
+    let state = PeerState {
+        sent_at,
+        echo,
+        ..PeerState::default()
+    };
     let (roster, revision) = (heartbeat.roster, heartbeat.revision);
-    Message::Heartbeat(Box::new(Heartbeat { roster, revision, state, ..Heartbeat::default() }))
+    Message::Heartbeat(Box::new(Heartbeat {
+        roster,
+        revision,
+        state,
+        ..Heartbeat::default()
+    }))
 }
 
 /// Gossip of the peer with the entry of its program version.
 fn version_gossip(heartbeat: &Heartbeat, incarnation: u64) -> Message {
     let key = EntryKey { kind: 0, id: 0 };
-    let entry = GossipEntry { key, version: 1, age_ms: 0, value: Some(b"golden".to_vec()) };
-    let delta = Delta { origin: 1, incarnation: PEER_INCARNATION, after: 0, to: 1, entries: vec![entry] };
+    let entry = GossipEntry {
+        key,
+        version: 1,
+        age_ms: 0,
+        value: Some(b"golden".to_vec()),
+    };
+    let delta = Delta {
+        origin: 1,
+        incarnation: PEER_INCARNATION,
+        after: 0,
+        to: 1,
+        entries: vec![entry],
+    };
     let echo = Some((incarnation, heartbeat.state.sent_at));
-    Message::Gossip(GossipMessage { echo, knows: Vec::new(), requests_missing: false, deltas: vec![delta] })
+    Message::Gossip(GossipMessage {
+        echo,
+        knows: Vec::new(),
+        requests_missing: false,
+        deltas: vec![delta],
+    })
 }
 
 #[test]
 fn program_sends_and_receives_the_golden_format() {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
-    socket.set_read_timeout(Some(TIMEOUT)).expect("it can time out");
+    socket
+        .set_read_timeout(Some(TIMEOUT))
+        .expect("it can time out");
     let program = Program::start(socket.local_addr().expect("it has an address"));
     let send = |message: &Message| {
-        let datagram = codec().seal(1, PEER_INCARNATION, message).expect("it is short");
-        socket.send_to(&datagram, program.peers).expect("it goes out");
+        let datagram = codec()
+            .seal(1, PEER_INCARNATION, message)
+            .expect("it is short");
+        socket
+            .send_to(&datagram, program.peers)
+            .expect("it goes out");
     };
     let deadline = Instant::now() + TIMEOUT;
     let (mut heartbeats_received, mut first_delta) = (0, None);
-    // The program gossips only after a heartbeat of the peer, and shows the version only after the gossip with it.
+    // The program gossips only after a heartbeat of the peer, and shows the version only after the
+    // gossip with it.
     while first_delta.is_none() || !program.status().contains(r#""version":"golden""#) {
-        assert!(Instant::now() < deadline, "delta: {first_delta:?}, status: {}", program.status());
-        let Envelope { incarnation, message, .. } = receive_envelope(&socket);
+        assert!(
+            Instant::now() < deadline,
+            "delta: {first_delta:?}, status: {}",
+            program.status()
+        );
+        let Envelope {
+            incarnation,
+            message,
+            ..
+        } = receive_envelope(&socket);
         match message {
             Message::Heartbeat(heartbeat) => {
                 heartbeats_received += 1;
-                send(&heartbeat_reply(&heartbeat, incarnation, heartbeats_received));
+                send(&heartbeat_reply(
+                    &heartbeat,
+                    incarnation,
+                    heartbeats_received,
+                ));
                 send(&version_gossip(&heartbeat, incarnation));
             }
             Message::Gossip(gossip) => {
@@ -326,8 +464,16 @@
     }
     // The program's own first entry is its version, under the key 0 of the kind 0.
     let (incarnation, delta) = first_delta.expect("entries came");
-    let [entry] = &delta.entries[..] else { panic!("one item: {delta:?}") };
-    assert_eq!((delta.incarnation, delta.after, delta.to), (incarnation, 0, 1));
+    let [entry] = &delta.entries[..] else {
+        panic!("one item: {delta:?}")
+    };
+    assert_eq!(
+        (delta.incarnation, delta.after, delta.to),
+        (incarnation, 0, 1)
+    );
     assert_eq!((entry.key, entry.version), (EntryKey { kind: 0, id: 0 }, 1));
-    assert_eq!(entry.value.as_deref(), Some(env!("CARGO_PKG_VERSION").as_bytes()));
+    assert_eq!(
+        entry.value.as_deref(),
+        Some(env!("CARGO_PKG_VERSION").as_bytes())
+    );
 }
--- a/tests/invariants_map.rs
+++ b/tests/invariants_map.rs
@@ -1,4 +1,5 @@
-//! The map of rules and paths in the docs: each test that it names exists, and each open cell is listed.
+//! The map of rules and paths in the docs: each test that it names exists, and each open cell is
+//! listed.
 
 use std::path::Path;
 
@@ -19,7 +20,9 @@
 
 /// The cells of the table, by row: the number of the rule first.
 fn rows() -> impl Iterator<Item = Vec<&'static str>> {
-    let rows = MAP.lines().filter(|line| line.starts_with("| ") && line[2..].starts_with(char::is_numeric));
+    let rows = MAP
+        .lines()
+        .filter(|line| line.starts_with("| ") && line[2..].starts_with(char::is_numeric));
     rows.map(|row| row.trim_matches('|').split('|').map(str::trim).collect())
 }
 
@@ -33,9 +36,14 @@
     }
     let mut checked = 0;
     for cell in rows().flatten() {
-        let names = cell.split('`').skip(1).step_by(2).filter(|name| name.matches('_').count() >= 3);
+        let names = cell
+            .split('`')
+            .skip(1)
+            .step_by(2)
+            .filter(|name| name.matches('_').count() >= 3);
         for name in names {
-            let is_there = text.contains(&format!("fn {name}(")) || text.contains(&format!("    {name}: "));
+            let is_there =
+                text.contains(&format!("fn {name}(")) || text.contains(&format!("    {name}: "));
             assert!(is_there, "no test {name}");
             checked += 1;
         }
@@ -45,9 +53,16 @@
 
 #[test]
 fn each_open_cell_is_listed() {
-    let columns: Vec<&str> =
-        MAP.lines().find(|line| line.starts_with("| rule")).expect("a head").split('|').collect();
-    let open = MAP.split("## Open cells").nth(1).expect("a list of open cells");
+    let columns: Vec<&str> = MAP
+        .lines()
+        .find(|line| line.starts_with("| rule"))
+        .expect("a head")
+        .split('|')
+        .collect();
+    let open = MAP
+        .split("## Open cells")
+        .nth(1)
+        .expect("a list of open cells");
     let mut found = 0;
     for row in rows() {
         let number = row[0].split('.').next().expect("a number");
@@ -59,7 +74,8 @@
             }
         }
     }
-    let listed =
-        open.lines().filter(|line| line.starts_with("- ") && line[2..].starts_with(char::is_numeric));
+    let listed = open
+        .lines()
+        .filter(|line| line.starts_with("- ") && line[2..].starts_with(char::is_numeric));
     assert_eq!(listed.count(), found, "a listed cell is open no more");
 }
--- a/tests/json_stream.rs
+++ b/tests/json_stream.rs
@@ -22,7 +22,10 @@
     let flat = r#"{"generation":1,"instances":[{"instanceId":"s-{1}","zone":"a \"quoted\\"},{}]}"#;
     let indented = flat.replace(',', ",\n    ").replace("[{", "[\r\n\r\n  {\n");
     for piece_length in [1, 2, 7, 1000] {
-        assert_eq!(read_messages(&format!("{flat}\n{flat}\n"), piece_length), [flat, flat]);
+        assert_eq!(
+            read_messages(&format!("{flat}\n{flat}\n"), piece_length),
+            [flat, flat]
+        );
         assert_eq!(
             read_messages(&format!("{indented}\n\n{indented}\r\n{flat}"), piece_length),
             [&indented, &indented, flat]
@@ -43,5 +46,8 @@
 
 #[test]
 fn line_that_is_not_json_ends_with_its_line() {
-    assert_eq!(read_messages("what?\n{\"a\":1}\n}\n[2]\n", 3), ["what?", "{\"a\":1}", "}", "[2]"]);
+    assert_eq!(
+        read_messages("what?\n{\"a\":1}\n}\n[2]\n", 3),
+        ["what?", "{\"a\":1}", "}", "[2]"]
+    );
 }
--- a/tests/object_config.rs
+++ b/tests/object_config.rs
@@ -15,9 +15,19 @@
 #[test]
 fn errors_in_the_peers_section_name_line_and_path() {
     let config = Config::read(FILE_WITH_PEERS.as_bytes()).expect("it holds");
-    assert_eq!(config.base.peers.map(|p| (p.limits_config.me, p.limits_config.fronts)), Some((0, 3)));
+    assert_eq!(
+        config
+            .base
+            .peers
+            .map(|p| (p.limits_config.me, p.limits_config.fronts)),
+        Some((0, 3))
+    );
     for (from, to, message) in [
-        ("127.0.0.1:7402", "nowhere", "line 11: 'peers.roster[1].address' nowhere is no address"),
+        (
+            "127.0.0.1:7402",
+            "nowhere",
+            "line 11: 'peers.roster[1].address' nowhere is no address",
+        ),
         (
             "\"object-1\", \"address\"",
             "\"object-9\", \"address\"",
@@ -26,18 +36,25 @@
         ("\"floor\"", "\"flor\"", "line 8: 'peers.flor' is not known"),
     ] {
         let read = Config::read(FILE_WITH_PEERS.replacen(from, to, 1).as_bytes());
-        let error = read.err().map(|error| error.to_string()).unwrap_or_default();
+        let error = read
+            .err()
+            .map(|error| error.to_string())
+            .unwrap_or_default();
         assert!(error.starts_with(message), "{error}");
     }
 }
 
 #[test]
 fn repeatable_class_for_writes_and_plan_of_another_kind_are_rejected() {
-    for (from, to) in
-        [("\"write\": \"form-submit\"", "\"write\": \"form-read\""), ("\"plan\": \"normal\"", "\"plan\": 3")]
-    {
+    for (from, to) in [
+        ("\"write\": \"form-submit\"", "\"write\": \"form-read\""),
+        ("\"plan\": \"normal\"", "\"plan\": 3"),
+    ] {
         let read = Config::read(FILE.replacen(from, to, 1).as_bytes());
         let error = read.err().map(|error| error.to_string());
-        assert!(error.is_some_and(|error| error.starts_with("bucket formularios: ")), "{to}");
+        assert!(
+            error.is_some_and(|error| error.starts_with("bucket formularios: ")),
+            "{to}"
+        );
     }
 }
--- a/tests/scenario/clients.rs
+++ b/tests/scenario/clients.rs
@@ -34,7 +34,13 @@
 
 impl Clients {
     pub fn new(front: Front, address: SocketAddr) -> Clients {
-        Clients { front, address, by_name: HashMap::new(), crowd: Vec::new(), requests: 0 }
+        Clients {
+            front,
+            address,
+            by_name: HashMap::new(),
+            crowd: Vec::new(),
+            requests: 0,
+        }
     }
 
     /// Which front the clients speak to.
@@ -46,12 +52,17 @@
     pub fn is_front_ready(&self) -> bool {
         let mut connection = Connection::open(self.address);
         connection.write(b"GET /health/ready HTTP/1.1\r\nHost: t\r\n\r\n");
-        connection.read_message().is_ok_and(|response| response.start_line.contains("200"))
+        connection
+            .read_message()
+            .is_ok_and(|response| response.start_line.contains("200"))
     }
 
     /// Connects a client that reads slowly.
     pub fn connect_slowly(&mut self, name: &str) {
-        let client = Client { connection: Connection::open_slow(self.address), sent_head: false };
+        let client = Client {
+            connection: Connection::open_slow(self.address),
+            sent_head: false,
+        };
         self.by_name.insert(name.to_owned(), client);
     }
 
@@ -63,13 +74,17 @@
             None => self.request(script),
         };
         let address = self.address;
-        let connect = || Client { connection: Connection::open(address), sent_head: false };
+        let connect = || Client {
+            connection: Connection::open(address),
+            sent_head: false,
+        };
         let client = self.by_name.entry(name.to_owned()).or_insert_with(connect);
         client.sent_head = script.starts_with("HEAD");
         client.connection.write(&request);
     }
 
-    /// `METHOD PATH NAME:VALUE .. | BODY`; the headers of the platform are added where the script has none.
+    /// `METHOD PATH NAME:VALUE .. | BODY`; the headers of the platform are added where the script
+    /// has none.
     fn request(&self, script: &str) -> Vec<u8> {
         let (line, body) = script.split_once(" | ").unwrap_or((script, ""));
         let body = spelled_body(body);
@@ -78,33 +93,48 @@
         let path = words.next().expect("a path");
         let mut headers: Vec<(String, String)> = Vec::new();
         if self.front == Front::Platform {
-            headers.extend(DEFAULT_HEADERS.map(|(name, value)| (name.to_owned(), value.to_owned())));
+            headers
+                .extend(DEFAULT_HEADERS.map(|(name, value)| (name.to_owned(), value.to_owned())));
             headers.push(("X-Txn".to_owned(), format!("{:016x}", self.requests)));
         }
         for (name, value) in words.filter_map(|word| word.split_once(':')) {
             let (name, value) = match name {
-                "shard" => ("X-IO", format!("volume=00000003b4d60021,units=2,shard={value},hosts=1")),
+                "shard" => (
+                    "X-IO",
+                    format!("volume=00000003b4d60021,units=2,shard={value},hosts=1"),
+                ),
                 _ => (name, value.replace('~', " ")),
             };
             headers.retain(|(present, _)| present != name);
             headers.push((name.to_owned(), value));
         }
-        let headers: String = headers.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
+        let headers: String = headers
+            .iter()
+            .map(|(name, value)| format!("{name}: {value}\r\n"))
+            .collect();
         let length = body.len();
-        let head =
-            format!("{method} {path} HTTP/1.1\r\nHost: t\r\n{headers}Content-Length: {length}\r\n\r\n");
+        let head = format!(
+            "{method} {path} HTTP/1.1\r\nHost: t\r\n{headers}Content-Length: {length}\r\n\r\n"
+        );
         [head.as_bytes(), &body].concat()
     }
 
-    /// Where the client has been rejected, waits as long as it was told and sends the same request again.
+    /// Where the client has been rejected, waits as long as it was told and sends the same request
+    /// again.
     pub fn retry_if_rejected(&mut self, name: &str, script: &str) {
         let connection = self.connection(name);
         if !connection.is_readable() {
             return;
         }
-        let response = connection.read_message().expect("a response before the end of the connection");
-        let retry_after = response.headers.get("retry-after").and_then(|seconds| seconds.parse::<f64>().ok());
-        let retry_after = retry_after.unwrap_or_else(|| panic!("{} has no Retry-After", response.start_line));
+        let response = connection
+            .read_message()
+            .expect("a response before the end of the connection");
+        let retry_after = response
+            .headers
+            .get("retry-after")
+            .and_then(|seconds| seconds.parse::<f64>().ok());
+        let retry_after =
+            retry_after.unwrap_or_else(|| panic!("{} has no Retry-After", response.start_line));
         pause(Duration::from_secs_f64(retry_after));
         self.close(name);
         // The transaction id is free again once the request was rejected.
@@ -119,7 +149,11 @@
             return client.connection.read_message().ok();
         }
         let mut response = client.connection.read_head_response().ok()?;
-        let length = response.headers.get("content-length").cloned().unwrap_or_default();
+        let length = response
+            .headers
+            .get("content-length")
+            .cloned()
+            .unwrap_or_default();
         response.start_line.push_str(&format!(" of {length}"));
         Some(response)
     }
@@ -136,7 +170,11 @@
 
     /// Closes the connection of a client with a reset.
     pub fn reset(&mut self, name: &str) {
-        self.by_name.remove(name).expect("a client").connection.reset();
+        self.by_name
+            .remove(name)
+            .expect("a client")
+            .connection
+            .reset();
     }
 
     /// Opens connections of the crowd; each sends `request`, where it is not empty, and gets a 200.
@@ -147,7 +185,11 @@
             if !request.is_empty() {
                 connection.write(&request);
                 let response = connection.read_message().expect("a response");
-                assert!(response.start_line.contains("200"), "{}", response.start_line);
+                assert!(
+                    response.start_line.contains("200"),
+                    "{}",
+                    response.start_line
+                );
             }
             self.crowd.push(connection);
         }
@@ -164,7 +206,11 @@
         let mut closed = 0;
         while closed < count && Instant::now() < deadline {
             pause(CROWD_POLL);
-            closed = self.crowd.iter_mut().filter_map(|client| client.is_readable().then_some(())).count();
+            closed = self
+                .crowd
+                .iter_mut()
+                .filter_map(|client| client.is_readable().then_some(()))
+                .count();
         }
         closed >= count
     }
--- a/tests/scenario/connection.rs
+++ b/tests/scenario/connection.rs
@@ -6,7 +6,9 @@
 use std::os::fd::AsRawFd;
 use std::time::Instant;
 
-use nix::sys::socket::{connect, setsockopt, socket, sockopt, AddressFamily, SockFlag, SockType, SockaddrIn};
+use nix::sys::socket::{
+    connect, setsockopt, socket, sockopt, AddressFamily, SockFlag, SockType, SockaddrIn,
+};
 
 use super::{pause, POLL, STEP_TIMEOUT};
 
@@ -32,8 +34,13 @@
 
 impl Connection {
     pub fn new(stream: TcpStream) -> Connection {
-        stream.set_read_timeout(Some(STEP_TIMEOUT)).expect("settable");
-        Connection { stream, buffer: Vec::new() }
+        stream
+            .set_read_timeout(Some(STEP_TIMEOUT))
+            .expect("settable");
+        Connection {
+            stream,
+            buffer: Vec::new(),
+        }
     }
 
     pub fn open(address: SocketAddr) -> Connection {
@@ -42,10 +49,17 @@
 
     /// A connection whose receive buffer is small.
     pub fn open_slow(address: SocketAddr) -> Connection {
-        let socket =
-            socket(AddressFamily::Inet, SockType::Stream, SockFlag::empty(), None).expect("a socket");
+        let socket = socket(
+            AddressFamily::Inet,
+            SockType::Stream,
+            SockFlag::empty(),
+            None,
+        )
+        .expect("a socket");
         setsockopt(&socket, sockopt::RcvBuf, &SMALL_RECEIVE_BUFFER).expect("settable");
-        let SocketAddr::V4(address) = address else { panic!("{address} is of IPv4") };
+        let SocketAddr::V4(address) = address else {
+            panic!("{address} is of IPv4")
+        };
         connect(socket.as_raw_fd(), &SockaddrIn::from(address)).expect("it accepts connections");
         Connection::new(TcpStream::from(socket))
     }
@@ -79,26 +93,36 @@
         let mut lines = head.lines();
         let start_line = lines.next().unwrap_or_default().replace(" HTTP/1.1", "");
         let fields = lines.filter_map(|line| line.split_once(':'));
-        let headers: HashMap<_, _> =
-            fields.map(|(name, value)| (name.to_lowercase(), value.trim().to_owned())).collect();
+        let headers: HashMap<_, _> = fields
+            .map(|(name, value)| (name.to_lowercase(), value.trim().to_owned()))
+            .collect();
         let length = match body_length {
             BodyLength::Zero => 0,
-            BodyLength::ContentLength => {
-                headers.get("content-length").and_then(|length| length.parse().ok()).unwrap_or(0)
-            }
+            BodyLength::ContentLength => headers
+                .get("content-length")
+                .and_then(|length| length.parse().ok())
+                .unwrap_or(0),
         };
         while self.buffer.len() < head_length + length {
             self.fill()?;
         }
         let body = self.buffer[head_length..head_length + length].to_vec();
         self.buffer.drain(..head_length + length);
-        Ok(Message { start_line, headers, body })
+        Ok(Message {
+            start_line,
+            headers,
+            body,
+        })
     }
 
     /// Reads until the buffer has a complete head. Returns its length.
     fn read_head(&mut self) -> std::io::Result<usize> {
         loop {
-            if let Some(end) = self.buffer.windows(HEAD_END.len()).position(|window| window == HEAD_END) {
+            if let Some(end) = self
+                .buffer
+                .windows(HEAD_END.len())
+                .position(|window| window == HEAD_END)
+            {
                 return Ok(end + HEAD_END.len());
             }
             self.fill()?;
@@ -117,7 +141,10 @@
 
     /// Closes the connection with a reset.
     pub fn reset(self) {
-        let linger = nix::libc::linger { l_onoff: 1, l_linger: 0 };
+        let linger = nix::libc::linger {
+            l_onoff: 1,
+            l_linger: 0,
+        };
         setsockopt(&self.stream, sockopt::Linger, &linger).expect("settable");
     }
 }
--- a/tests/scenario/discovery.rs
+++ b/tests/scenario/discovery.rs
@@ -43,7 +43,9 @@
 
     /// Refuses connections.
     pub fn go_down(&mut self) {
-        self.down_address = std::mem::replace(&mut self.listener, listen_anywhere()).local_addr().ok();
+        self.down_address = std::mem::replace(&mut self.listener, listen_anywhere())
+            .local_addr()
+            .ok();
         self.watch = None;
     }
 
@@ -87,15 +89,21 @@
     pub fn send_event(&mut self, entry: &str, indented: bool) {
         self.generation += 1;
         let generation = self.generation;
-        let event = format!("{{\"generation\":{generation},\"reset\":false,\"instances\":[{entry}]}}\n");
         let event =
-            if indented { event.replace(',', ",\n    ").replace(":[{", ": [\n  {\n    ") } else { event };
+            format!("{{\"generation\":{generation},\"reset\":false,\"instances\":[{entry}]}}\n");
+        let event = if indented {
+            event
+                .replace(',', ",\n    ")
+                .replace(":[{", ": [\n  {\n    ")
+        } else {
+            event
+        };
         let watch = self.watch.as_mut().expect("a watch");
         watch.write(format!("{:x}\r\n{event}\r\n", event.len()).as_bytes());
     }
 
-    /// Sends an event that never completes, byte by byte, until the front subscribes again; that subscription is
-    /// answered.
+    /// Sends an event that never completes, byte by byte, until the front subscribes again; that
+    /// subscription is answered.
     pub fn drip(&mut self, transcript: &mut Transcript) {
         let mut watch = self.watch.take().expect("a watch");
         let deadline = Instant::now() + STEP_TIMEOUT;
@@ -105,7 +113,10 @@
                 self.receive_subscription(subscription, transcript);
                 return self.answer_latest();
             }
-            assert!(Instant::now() < deadline, "the watch is taken for one that works");
+            assert!(
+                Instant::now() < deadline,
+                "the watch is taken for one that works"
+            );
             watch.write(&[b"1\r\n", &[byte][..], b"\r\n"].concat());
             pause(DRIP_INTERVAL);
         }
--- a/tests/scenario/front_process.rs
+++ b/tests/scenario/front_process.rs
@@ -40,8 +40,8 @@
 }
 
 impl FrontProcess {
-    /// Starts a front. In its configuration the first text of each of the `edits` is replaced by the second. With
-    /// `faults` it runs under the fault shim, with these rules at first.
+    /// Starts a front. In its configuration the first text of each of the `edits` is replaced by
+    /// the second. With `faults` it runs under the fault shim, with these rules at first.
     pub fn start(
         front: Front,
         servers: &[Server],
@@ -49,11 +49,18 @@
         edits: &[(&str, &str)],
         faults: Option<&str>,
     ) -> FrontProcess {
-        let folder = format!("tulipbridge-{}-{}", std::process::id(), discovery.address().port());
+        let folder = format!(
+            "tulipbridge-{}-{}",
+            std::process::id(),
+            discovery.address().port()
+        );
         let folder = std::env::temp_dir().join(folder);
         std::fs::create_dir_all(&folder).expect("a folder");
-        let config =
-            edits.iter().fold(config(servers, discovery), |config, (from, to)| edit(&config, from, to));
+        let config = edits
+            .iter()
+            .fold(config(servers, discovery), |config, (from, to)| {
+                edit(&config, from, to)
+            });
         std::fs::write(folder.join(CONFIG_FILE), &config).expect("written");
         if let Some(rules) = faults {
             write_rules(&folder, rules);
@@ -82,7 +89,8 @@
         self.process.wait().expect("it ends");
         let (process, log, address, console) =
             spawn(self.front, &self.folder, self.discovery, self.uses_faults);
-        (self.process, self.log, self.address, self.console) = (process, Some(log), address, console);
+        (self.process, self.log, self.address, self.console) =
+            (process, Some(log), address, console);
     }
 
     /// Replaces the rules of the fault shim.
@@ -98,7 +106,11 @@
     /// Takes the lock on the file of servers in maintenance.
     pub fn lock_held_file(&mut self) {
         let path = self.folder.join(HELD_FILE).with_extension("lock");
-        let file = OpenOptions::new().create(true).truncate(false).write(true).open(path);
+        let file = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(path);
         let lock = Flock::lock(file.expect("opened"), FlockArg::LockExclusive);
         self.held_file_lock = Some(lock.expect("locked"));
     }
@@ -111,7 +123,9 @@
     /// Sends a signal, such as `HUP`.
     pub fn signal(&self, name: &str) {
         let process_id = self.process.id().to_string();
-        let status = Command::new("kill").args([format!("-{name}"), process_id]).status();
+        let status = Command::new("kill")
+            .args([format!("-{name}"), process_id])
+            .status();
         assert!(status.expect("kill").success());
     }
 
@@ -132,19 +146,22 @@
         self.reload(&config)
     }
 
-    /// Reloads the configuration with the first `from` replaced by `to`. An edit that the front refuses is not the
-    /// base of the next.
+    /// Reloads the configuration with the first `from` replaced by `to`. An edit that the front
+    /// refuses is not the base of the next.
     pub fn reload_with_edit(&mut self, from: &str, to: &str) -> Option<String> {
         let config = edit(&self.config, from, to);
         let result = self.reload(&config);
-        if result.as_deref().is_some_and(|line| line.contains("is taken")) {
+        if result
+            .as_deref()
+            .is_some_and(|line| line.contains("is taken"))
+        {
             self.config = config;
         }
         result
     }
 
-    /// Writes the file, sends SIGHUP and waits for the front to log the result. Returns that line without the name of
-    /// the file; `None` where the log is closed.
+    /// Writes the file, sends SIGHUP and waits for the front to log the result. Returns that line
+    /// without the name of the file; `None` where the log is closed.
     pub fn reload(&mut self, config: &str) -> Option<String> {
         std::fs::write(self.folder.join(CONFIG_FILE), config).expect("written");
         self.signal("HUP");
@@ -156,7 +173,10 @@
                 return None;
             }
         }
-        let message = line.trim().split_once("] ").map_or(line.trim(), |(_, message)| message);
+        let message = line
+            .trim()
+            .split_once("] ")
+            .map_or(line.trim(), |(_, message)| message);
         // The path of the file, which differs from run to run, follows the colon.
         Some(message.split(": /").next().unwrap_or(message).to_owned())
     }
@@ -179,7 +199,8 @@
     }
 }
 
-/// Starts the program in its folder. Returns the process, its log, and the addresses for clients and of the console.
+/// Starts the program in its folder. Returns the process, its log, and the addresses for clients
+/// and of the console.
 fn spawn(
     front: Front,
     folder: &Path,
@@ -189,17 +210,22 @@
     let file = folder.join(CONFIG_FILE);
     let mut command = Command::new(env!("CARGO_BIN_EXE_tulipbridge"));
     match front {
-        Front::Platform => {
-            command.env("BALANCER_CONFIG", &file).env("BALANCER_DISCOVERY", discovery.to_string())
-        }
+        Front::Platform => command
+            .env("BALANCER_CONFIG", &file)
+            .env("BALANCER_DISCOVERY", discovery.to_string()),
         Front::Object => command.arg("object").arg(&file),
     };
     command.env("TMPDIR", folder);
     if uses_faults {
-        command.env("LD_PRELOAD", shim()).env(RULES_VARIABLE, folder.join(RULES_FILE));
+        command
+            .env("LD_PRELOAD", shim())
+            .env(RULES_VARIABLE, folder.join(RULES_FILE));
     }
-    let mut process =
-        command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn().expect("the program starts");
+    let mut process = command
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped())
+        .spawn()
+        .expect("the program starts");
     let mut log = BufReader::new(process.stderr.take().expect("a pipe"));
     let address = read_address(&mut log, "listening on ");
     let console = read_address(&mut log, "console on ");
@@ -222,8 +248,11 @@
 }
 
 fn config(servers: &[Server], discovery: &Discovery) -> String {
-    let entries: Vec<String> =
-        servers.iter().enumerate().map(|(index, server)| server.entry(index, "Ready")).collect();
+    let entries: Vec<String> = servers
+        .iter()
+        .enumerate()
+        .map(|(index, server)| server.entry(index, "Ready"))
+        .collect();
     let config = format!(
         r#"{{"name":"t","listen":"127.0.0.1:0","console":"127.0.0.1:0","discovery":"{}","seed":"8c1f30d27a5be964",
         "limits":{{"cores":1.0,"memory_mb":192,"sockets":256}},
@@ -245,8 +274,14 @@
     let mut line = String::new();
     while !line.contains(prefix) {
         line.clear();
-        assert!(log.read_line(&mut line).expect("the log is readable") > 0, "no line with '{prefix}'");
+        assert!(
+            log.read_line(&mut line).expect("the log is readable") > 0,
+            "no line with '{prefix}'"
+        );
     }
-    let address = line.trim().rsplit_once(prefix).and_then(|(_, address)| address.parse().ok());
+    let address = line
+        .trim()
+        .rsplit_once(prefix)
+        .and_then(|(_, address)| address.parse().ok());
     address.unwrap_or_else(|| panic!("no address after '{prefix}': {line}"))
 }
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -1,45 +1,60 @@
-//! A small language for what happens on the sockets of a front. The test plays every other party: clients `c1`, `c2`
-//! .., chunk servers `s0`, `s1` .. (by shard) and discovery `d`. Each line is a step; steps are taken in order:
+//! A small language for what happens on the sockets of a front. The test plays every other party:
+//! clients `c1`, `c2` .., chunk servers `s0`, `s1` .. (by shard) and discovery `d`. Each line is a
+//! step; steps are taken in order:
 //!
-//! - `send c1 GET /path Name:value .. | body`: a request (`shard:0` and the like make X-IO; `raw` sends bytes)
-//! - `send c1 until s0 GET /path ..`: the same from a client that retries after a 503 with Retry-After, until its
-//!   request is at the server
+//! - `send c1 GET /path Name:value .. | body`: a request (`shard:0` and the like make X-IO; `raw`
+//!   sends bytes)
+//! - `send c1 until s0 GET /path ..`: the same from a client that retries after a 503 with
+//!   Retry-After, until its request is at the server
 //! - `expect s0`: the next request at the server; `expect c1`: the next response at the client
 //! - `expect s0 cookie`: the same, and the value of that header
-//! - `expect s0 told-at-most 800`: the next request, and whether it tells the server at most so many milliseconds
-//! - `flood d 3000`: so many messages on the watch that are no lists, each of which the front logs; nobody reads the log
+//! - `expect s0 told-at-most 800`: the next request, and whether it tells the server at most so
+//!   many milliseconds
+//! - `flood d 3000`: so many messages on the watch that are no lists, each of which the front logs;
+//!   nobody reads the log
 //! - `expect s0 left`: the front closes the connection of the oldest request at the server
-//! - `send s0 200 Name:value .. | body`: answers the oldest request at the server (`part` truncates the body; `raw`
-//!   sends bytes, and the connection is not used any more; `unasked` sends bytes on connections without a request)
-//! - `crowd 300`: as many connections, silent or each sending what follows and getting a 200; `expect crowd`: the front
-//!   has closed all of them (`expect crowd 18`: at least as many)
+//! - `send s0 200 Name:value .. | body`: answers the oldest request at the server (`part` truncates
+//!   the body; `raw` sends bytes, and the connection is not used any more; `unasked` sends bytes on
+//!   connections without a request)
+//! - `crowd 300`: as many connections, silent or each sending what follows and getting a 200;
+//!   `expect crowd`: the front has closed all of them (`expect crowd 18`: at least as many)
 //! - `expect d`, `send d Ready 0`: a subscription to discovery, and an event for a server
-//! - `reload`: SIGHUP, with discovery at another address in the file; `reload TEXT`: with that as the file; each waits
-//!   until the front has logged the result, and shows it
+//! - `reload`: SIGHUP, with discovery at another address in the file; `reload TEXT`: with that as
+//!   the file; each waits until the front has logged the result, and shows it
 //! - `retune FROM => TO`: SIGHUP, with the first FROM in the file replaced by TO
-//! - `send console GET /status/metrics app_conf`: a call at the console, and its answer (with a text: only the metrics
-//!   that contain it)
-//! - `close c1`: closes a client, a server's oldest request, discovery's watch, the front's log; `close front`: SIGTERM
-//! - `wait 50`: milliseconds; `wait front`: until the process has ended; `wait shut`: until it accepts no connections
-//! - `settings FROM => TO`, ahead of all other lines: the front starts with the first FROM in its file replaced by TO
-//! - `faults RULE; RULE`: system calls of the front fail by these rules of the fault shim from now on, or already at its
-//!   start if ahead of all other lines; `faults none`: no more
-//! - `restart`: the front is killed and started again, with the same file and folder; its clients have to connect anew
+//! - `send console GET /status/metrics app_conf`: a call at the console, and its answer (with a
+//!   text: only the metrics that contain it)
+//! - `close c1`: closes a client, a server's oldest request, discovery's watch, the front's log;
+//!   `close front`: SIGTERM
+//! - `wait 50`: milliseconds; `wait front`: until the process has ended; `wait shut`: until it
+//!   accepts no connections
+//! - `settings FROM => TO`, ahead of all other lines: the front starts with the first FROM in its
+//!   file replaced by TO
+//! - `faults RULE; RULE`: system calls of the front fail by these rules of the fault shim from now
+//!   on, or already at its start if ahead of all other lines; `faults none`: no more
+//! - `restart`: the front is killed and started again, with the same file and folder; its clients
+//!   have to connect anew
 //! - `await held TEXT`: until the front's file of servers in maintenance holds that text
 //! - `lock held`, `unlock held`: another process has the lock on that file, or gives it back
 //! - `await ready`: until the front answers `GET /health/ready` with 200
-//! - `load s0 500 at-most 9 PUT /path ..`: for so many milliseconds a client of its own sends that request again and
-//!   again, and what reaches the server is answered with 200 (`at-least` alike)
+//! - `load s0 500 at-most 9 PUT /path ..`: for so many milliseconds a client of its own sends that
+//!   request again and again, and what reaches the server is answered with 200 (`at-least` alike)
 //! - `send d started 0 AGE`: an event that the server has started so many milliseconds ago
-//! - `signal HUP`: sends any signal to the front; `STOP` and `CONT` pause it while other things happen
+//! - `signal HUP`: sends any signal to the front; `STOP` and `CONT` pause it while other things
+//!   happen
 //! - `slow c1`: connects a client that reads slowly
 //! - `await app_cluster_unhealthy 1`: until the console shows that line among the metrics
-//! - `half-close c1`, `reset c1`, `reset s0`, `reset d`: ends the sending of a client; closes a connection with a reset
+//! - `half-close c1`, `reset c1`, `reset s0`, `reset d`: ends the sending of a client; closes a
+//!   connection with a reset
 //! - `end s0`, `break s0`: closes the connection of the oldest `raw` answer, or resets it
-//! - `full s0`: connections to the server are not established; `free s0`: they are again, waiting ones included
-//! - `call d`: discovery accepts a subscription and does not answer it; `answer d`: it answers the oldest of these
-//! - `drip d`: an event that never completes, byte by byte, until the front subscribes again; that call is answered
-//! - `send d indented Ready 0`: an event over many lines; `down d`, `up d`: discovery refuses connections, or accepts
+//! - `full s0`: connections to the server are not established; `free s0`: they are again, waiting
+//!   ones included
+//! - `call d`: discovery accepts a subscription and does not answer it; `answer d`: it answers the
+//!   oldest of these
+//! - `drip d`: an event that never completes, byte by byte, until the front subscribes again; that
+//!   call is answered
+//! - `send d indented Ready 0`: an event over many lines; `down d`, `up d`: discovery refuses
+//!   connections, or accepts
 //! - `within 5700 STEP`: a step that must complete within that time, in milliseconds
 //!
 //! The result is a transcript, kept as a snapshot.
@@ -71,7 +86,8 @@
 /// How often conditions that take many system calls are checked.
 const CROWD_POLL: Duration = Duration::from_millis(5);
 
-/// Tests of a scenario each, against the snapshot of its transcript. The file that uses it imports [`run`] and [`Front`].
+/// Tests of a scenario each, against the snapshot of its transcript. The file that uses it imports
+/// [`run`] and [`Front`].
 macro_rules! scenarios {
     ($($name:ident: $front:ident, $servers:literal, $script:literal;)*) => {
         $(#[test]
@@ -93,12 +109,19 @@
 
 /// Runs a scenario with this number of chunk servers. Returns its transcript.
 pub fn run(front: Front, servers: usize, script: &str) -> String {
-    let lines = || script.lines().map(str::trim).filter(|line| !line.is_empty());
+    let lines = || {
+        script
+            .lines()
+            .map(str::trim)
+            .filter(|line| !line.is_empty())
+    };
     let is_preparation = |line: &&str| line.starts_with("settings ") || line.starts_with("faults ");
     let preparation = || lines().take_while(is_preparation);
     let edits = preparation().filter_map(|line| line.strip_prefix("settings ")?.split_once(" => "));
     let edits: Vec<(&str, &str)> = edits.collect();
-    let faults = preparation().filter_map(|line| line.strip_prefix("faults ")).next();
+    let faults = preparation()
+        .filter_map(|line| line.strip_prefix("faults "))
+        .next();
     let uses_faults = lines().any(|line| line.starts_with("faults "));
     let preparation_lines = preparation().count();
     let faults = uses_faults.then(|| faults.unwrap_or(NO_FAULTS));
@@ -118,12 +141,23 @@
 }
 
 impl Scenario {
-    fn start(front: Front, servers: usize, edits: &[(&str, &str)], faults: Option<&str>) -> Scenario {
+    fn start(
+        front: Front,
+        servers: usize,
+        edits: &[(&str, &str)],
+        faults: Option<&str>,
+    ) -> Scenario {
         let servers: Vec<Server> = (0..servers).map(|_| Server::new()).collect();
         let discovery = Discovery::new();
         let process = FrontProcess::start(front, &servers, &discovery, edits, faults);
         let clients = Clients::new(front, process.address);
-        Scenario { front: process, clients, servers, discovery, transcript: Transcript::new(front) }
+        Scenario {
+            front: process,
+            clients,
+            servers,
+            discovery,
+            transcript: Transcript::new(front),
+        }
     }
 
     fn step(&mut self, line: &str) {
@@ -156,10 +190,16 @@
                 self.show_reload(result);
             }
             "signal" => self.front.signal(party),
-            "crowd" => self.clients.open_crowd(party.parse().expect("a number"), rest),
+            "crowd" => self
+                .clients
+                .open_crowd(party.parse().expect("a number"), rest),
             "slow" => self.clients.connect_slowly(party),
             "half-close" => {
-                self.clients.connection(party).stream.shutdown(Shutdown::Write).expect("it is open");
+                self.clients
+                    .connection(party)
+                    .stream
+                    .shutdown(Shutdown::Write)
+                    .expect("it is open");
             }
             "end" => drop(self.server(party).take_raw_answered()),
             "break" => self.server(party).take_raw_answered().reset(),
@@ -206,7 +246,8 @@
         };
         let (state, index) = rest.split_once(' ').expect("a state and a server");
         let index: usize = index.parse().expect("a server");
-        self.discovery.send_event(&self.servers[index].entry(index, state), indented);
+        self.discovery
+            .send_event(&self.servers[index].entry(index, state), indented);
     }
 
     /// `METHOD PATH [TEXT]`.
@@ -217,10 +258,17 @@
         let answer = self.front.call_console(method, path);
         let body = String::from_utf8_lossy(&answer.body);
         let lines: Vec<&str> = match words.next() {
-            Some(text) => body.lines().filter(|line| line.contains(text) && !line.starts_with('#')).collect(),
+            Some(text) => body
+                .lines()
+                .filter(|line| line.contains(text) && !line.starts_with('#'))
+                .collect(),
             None => body.lines().collect(),
         };
-        self.transcript.line(format_args!("console < {} | {}", answer.start_line, lines.join(" / ")));
+        self.transcript.line(format_args!(
+            "console < {} | {}",
+            answer.start_line,
+            lines.join(" / ")
+        ));
     }
 
     /// Sends a request, and again after each rejection, until it arrives at the server.
@@ -234,7 +282,10 @@
             self.clients.retry_if_rejected(client, request);
             pause(POLL);
         }
-        panic!("{client} was always rejected; so far:\n{}", self.transcript.text);
+        panic!(
+            "{client} was always rejected; so far:\n{}",
+            self.transcript.text
+        );
     }
 
     fn expect(&mut self, party: &str, rest: &str) {
@@ -246,11 +297,14 @@
             ("crowd", _) => {
                 let count = rest.parse().unwrap_or(self.clients.crowd_size());
                 let closed = self.clients.is_crowd_closed(count);
-                self.transcript.line(format_args!("crowd: {count} closed: {closed}"));
+                self.transcript
+                    .line(format_args!("crowd: {count} closed: {closed}"));
             }
             (_, Some(_)) if rest == "left" => self.expect_abandoned(party),
             (_, Some(_)) if rest.starts_with("told-at-most ") => {
-                let limit = rest.rsplit_once(' ').and_then(|(_, limit)| limit.parse().ok());
+                let limit = rest
+                    .rsplit_once(' ')
+                    .and_then(|(_, limit)| limit.parse().ok());
                 self.expect_told(party, limit.expect("a time"));
             }
             (_, Some(_)) => {
@@ -258,7 +312,8 @@
                 self.transcript.message(party, &request);
                 if !rest.is_empty() {
                     let value = request.headers.get(rest);
-                    self.transcript.line(format_args!("{party} < {rest}: {value:?}"));
+                    self.transcript
+                        .line(format_args!("{party} < {rest}: {value:?}"));
                 }
             }
             (_, None) => match self.clients.receive(party) {
@@ -272,17 +327,27 @@
     fn expect_told(&mut self, server: &str, limit_ms: u64) {
         let request = self.receive_at(server);
         self.transcript.message(server, &request);
-        let told = request.headers.get("x-remaining").and_then(|told| told.strip_suffix('u'));
-        let told_ms = told.and_then(|told| told.parse::<u64>().ok()).expect("a time") / 1_000;
+        let told = request
+            .headers
+            .get("x-remaining")
+            .and_then(|told| told.strip_suffix('u'));
+        let told_ms = told
+            .and_then(|told| told.parse::<u64>().ok())
+            .expect("a time")
+            / 1_000;
         eprintln!("told {told_ms} ms, at most {limit_ms}");
-        self.transcript.line(format_args!("{server} told at most {limit_ms}: {}", told_ms <= limit_ms));
+        self.transcript.line(format_args!(
+            "{server} told at most {limit_ms}: {}",
+            told_ms <= limit_ms
+        ));
     }
 
     /// The front closes the connection of a server's oldest request.
     fn expect_abandoned(&mut self, server: &str) {
         let result = self.server(server).take_oldest().read_message();
         let is_closed = result.is_err_and(|error| error.kind() != ErrorKind::WouldBlock);
-        self.transcript.line(format_args!("{server} left alone: {is_closed}"));
+        self.transcript
+            .line(format_args!("{server} left alone: {is_closed}"));
     }
 
     /// Waits for a complete request at a server, on any of its connections.
@@ -294,7 +359,10 @@
             }
             pause(POLL);
         }
-        panic!("no request came to {server}; so far:\n{}", self.transcript.text);
+        panic!(
+            "no request came to {server}; so far:\n{}",
+            self.transcript.text
+        );
     }
 
     fn close(&mut self, party: &str) {
@@ -325,7 +393,10 @@
             "shut" => {
                 let deadline = Instant::now() + STEP_TIMEOUT;
                 while TcpStream::connect(self.front.address).is_ok() {
-                    assert!(Instant::now() < deadline, "it goes on accepting connections");
+                    assert!(
+                        Instant::now() < deadline,
+                        "it goes on accepting connections"
+                    );
                     pause(CROWD_POLL);
                 }
             }
@@ -340,13 +411,21 @@
         let took = started.elapsed().as_millis();
         // `--nocapture` shows how much of its limit a step takes.
         eprintln!("{took} ms of {limit}: {step}");
-        assert!(took < limit, "'{step}' took {took} ms; so far:\n{}", self.transcript.text);
+        assert!(
+            took < limit,
+            "'{step}' took {took} ms; so far:\n{}",
+            self.transcript.text
+        );
     }
 
     fn await_ready(&mut self) {
         let deadline = Instant::now() + STEP_TIMEOUT;
         while !self.clients.is_front_ready() {
-            assert!(Instant::now() < deadline, "the front is not ready; so far:\n{}", self.transcript.text);
+            assert!(
+                Instant::now() < deadline,
+                "the front is not ready; so far:\n{}",
+                self.transcript.text
+            );
             pause(CROWD_POLL);
         }
     }
@@ -354,7 +433,10 @@
     fn await_held(&self, expected: &str) {
         let deadline = Instant::now() + STEP_TIMEOUT;
         while !self.front.held_file().contains(expected) {
-            assert!(Instant::now() < deadline, "the file does not hold {expected}");
+            assert!(
+                Instant::now() < deadline,
+                "the file does not hold {expected}"
+            );
             pause(CROWD_POLL);
         }
     }
@@ -362,9 +444,15 @@
     /// `SERVER MILLISECONDS at-most|at-least COUNT REQUEST`.
     fn load(&mut self, server: &str, rest: &str) {
         let mut words = rest.splitn(4, ' ');
-        let time = words.next().and_then(|time| time.parse().ok()).expect("a time");
+        let time = words
+            .next()
+            .and_then(|time| time.parse().ok())
+            .expect("a time");
         let bound = words.next().expect("a bound");
-        let count: usize = words.next().and_then(|count| count.parse().ok()).expect("a number");
+        let count: usize = words
+            .next()
+            .and_then(|count| count.parse().ok())
+            .expect("a number");
         let request = words.next().expect("a request");
         let deadline = Instant::now() + Duration::from_millis(time);
         let mut received = 0;
@@ -381,20 +469,31 @@
             }
         }
         self.clients.close(LOAD_CLIENT);
-        let holds = if bound == "at-most" { received <= count } else { received >= count };
+        let holds = if bound == "at-most" {
+            received <= count
+        } else {
+            received >= count
+        };
         eprintln!("{received} requests in {time} ms, {bound} {count}");
-        self.transcript.line(format_args!("{server}: {bound} {count}: {holds}"));
+        self.transcript
+            .line(format_args!("{server}: {bound} {count}: {holds}"));
     }
 
     fn await_metric(&self, expected: &str) {
         let deadline = Instant::now() + STEP_TIMEOUT;
         loop {
             let metrics = self.front.call_console("GET", "/status/metrics").body;
-            if String::from_utf8_lossy(&metrics).lines().any(|line| line == expected) {
+            if String::from_utf8_lossy(&metrics)
+                .lines()
+                .any(|line| line == expected)
+            {
                 return;
             }
             let so_far = &self.transcript.text;
-            assert!(Instant::now() < deadline, "no metric was '{expected}'; so far:\n{so_far}");
+            assert!(
+                Instant::now() < deadline,
+                "no metric was '{expected}'; so far:\n{so_far}"
+            );
             pause(CROWD_POLL);
         }
     }
@@ -404,7 +503,8 @@
         let result = if file.is_empty() {
             let old = self.discovery.address();
             self.discovery.move_elsewhere();
-            self.front.reload_with_discovery(old, self.discovery.address())
+            self.front
+                .reload_with_discovery(old, self.discovery.address())
         } else {
             self.front.reload(file)
         };
--- a/tests/scenario/server.rs
+++ b/tests/scenario/server.rs
@@ -43,7 +43,10 @@
 
     /// The entry of the server with this index after a start `age_ms` milliseconds ago.
     pub fn entry_started(&self, index: usize, age_ms: u64) -> String {
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_millis() as u64;
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .expect("a clock")
+            .as_millis() as u64;
         self.entry_with_start(index, "Ready", now - age_ms)
     }
 
@@ -81,7 +84,9 @@
             connection.write(&unescape(raw));
             self.raw_answered.push(connection);
         } else if let Some(raw) = script.strip_prefix("unasked ") {
-            self.idle.iter_mut().for_each(|connection| connection.write(&unescape(raw)));
+            self.idle
+                .iter_mut()
+                .for_each(|connection| connection.write(&unescape(raw)));
         } else {
             self.answer_with_status(script);
         }
@@ -112,17 +117,23 @@
         }
     }
 
-    /// Keeps further connections from being established: the queue of the socket holds one, and that place is taken.
+    /// Keeps further connections from being established: the queue of the socket holds one, and
+    /// that place is taken.
     pub fn fill_backlog(&mut self) {
         listen(&self.listener, Backlog::new(0).expect("a length")).expect("settable");
         let address = self.listener.local_addr().expect("bound");
-        self.fillers.push(TcpStream::connect(address).expect("the place is free"));
+        self.fillers
+            .push(TcpStream::connect(address).expect("the place is free"));
     }
 
     /// Lets connections be established again, those that wait included.
     pub fn free_backlog(&mut self) {
         listen(&self.listener, Backlog::new(BACKLOG).expect("a length")).expect("settable");
-        let fillers: Vec<_> = self.fillers.iter().filter_map(|filler| filler.local_addr().ok()).collect();
+        let fillers: Vec<_> = self
+            .fillers
+            .iter()
+            .filter_map(|filler| filler.local_addr().ok())
+            .collect();
         while let Some(connection) = try_accept(&self.listener) {
             let peer = connection.stream.peer_addr();
             if !peer.is_ok_and(|peer| fillers.contains(&peer)) {
--- a/tests/scenario/transcript.rs
+++ b/tests/scenario/transcript.rs
@@ -30,13 +30,18 @@
 
 impl Transcript {
     pub fn new(front: Front) -> Transcript {
-        Transcript { front, text: String::new(), variables: HashMap::new() }
+        Transcript {
+            front,
+            text: String::new(),
+            variables: HashMap::new(),
+        }
     }
 
     /// Replaces `$NAME` by the value of each variable.
     pub fn substitute(&self, line: &str) -> String {
-        let replace =
-            |line: String, (name, value): (&&str, &String)| line.replace(&format!("${name}"), value);
+        let replace = |line: String, (name, value): (&&str, &String)| {
+            line.replace(&format!("${name}"), value)
+        };
         self.variables.iter().fold(line.to_owned(), replace)
     }
 
@@ -73,7 +78,11 @@
         }
         // The time depends on what was measured.
         let is_positive = value.parse().is_ok_and(|seconds: f64| seconds > 0.0);
-        Some(if name == "retry-after" && is_positive { "some".to_owned() } else { value.clone() })
+        Some(if name == "retry-after" && is_positive {
+            "some".to_owned()
+        } else {
+            value.clone()
+        })
     }
 
     fn keep_variables(&mut self, message: &Message, body: &str) {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings at the start of a front: invalid ones are rejected with one message and exit code 2, and those at the
-//! limits of the valid range are served.
+//! Settings at the start of a front: invalid ones are rejected with one message and exit code 2,
+//! and those at the limits of the valid range are served.
 
 use std::io::{BufRead, BufReader};
 use std::path::PathBuf;
@@ -21,11 +21,19 @@
 }
 
 const INVALID: [Edit; 12] = [
-    edit("semantics", "\"Semantics\": \"idempotent\"", "\"Semantics\": \"sometimes\""),
+    edit(
+        "semantics",
+        "\"Semantics\": \"idempotent\"",
+        "\"Semantics\": \"sometimes\"",
+    ),
     edit("deadline", "\"Deadline\": 750000000", "\"Deadline\": 0"),
     edit("aim", "\"Aim\": 120000000", "\"Aim\": -1"),
     edit("points", "\"Points\": 3.0", "\"Points\": -3.0"),
-    edit("classes", "\"Services\": [", "\"Services\": [], \"Others\": ["),
+    edit(
+        "classes",
+        "\"Services\": [",
+        "\"Services\": [], \"Others\": [",
+    ),
     edit("plans", "\"Grades\": [", "\"Grades\": [], \"Others\": ["),
     edit("zones", "\"FailureDomains\"", "\"Domains\""),
     edit("fronts", "\"Balancers\": 3", "\"Balancers\": 0"),
@@ -39,11 +47,23 @@
     edit("no zones", "[\"edificio-a\", \"edificio-b\"]", "[]"),
     edit("no shares", "\"Parts\": 1.0", "\"Parts\": 0.0"),
     edit("no nominal rate", "\"Nominal\": 3.6", "\"Nominal\": 0.0"),
-    edit("a short window", "\"Window\": 5000000000", "\"Window\": 1000000"),
+    edit(
+        "a short window",
+        "\"Window\": 5000000000",
+        "\"Window\": 1000000",
+    ),
     edit("no window", "\"Window\": 5000000000", "\"Window\": 0"),
-    edit("deadlines of a few milliseconds", "\"Deadline\": 750000000", "\"Deadline\": 3000000"),
+    edit(
+        "deadlines of a few milliseconds",
+        "\"Deadline\": 750000000",
+        "\"Deadline\": 3000000",
+    ),
     edit("no slow start", "\"Cold\": 17000000000", "\"Cold\": 0"),
-    edit("no poll interval", "\"AskEvery\": 10000000000", "\"AskEvery\": 0"),
+    edit(
+        "no poll interval",
+        "\"AskEvery\": 10000000000",
+        "\"AskEvery\": 0",
+    ),
 ];
 
 /// A front that has been started on edited settings.
@@ -54,7 +74,11 @@
 
 impl StartedFront {
     fn start(edit: &Edit) -> StartedFront {
-        assert!(SETTINGS.contains(edit.from), "no {} in the settings", edit.from);
+        assert!(
+            SETTINGS.contains(edit.from),
+            "no {} in the settings",
+            edit.from
+        );
         let settings = SETTINGS.replace(edit.from, edit.to);
         let config = format!(
             r#"{{"name":"t","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":192,"sockets":256}},
@@ -67,8 +91,14 @@
         std::fs::write(&file, config).expect("written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_tulipbridge"));
         command.env("BALANCER_CONFIG", &file);
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-        StartedFront { process: command.spawn().expect("the program starts"), file }
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped());
+        StartedFront {
+            process: command.spawn().expect("the program starts"),
+            file,
+        }
     }
 
     fn remove_file(file: PathBuf) {
@@ -97,10 +127,23 @@
         let mut first_line = String::new();
         let mut log = BufReader::new(process.stderr.take().expect("a pipe"));
         log.read_line(&mut first_line).expect("a first line");
-        assert!(first_line.contains("listening on"), "{}: {first_line}", edit.name);
+        assert!(
+            first_line.contains("listening on"),
+            "{}: {first_line}",
+            edit.name
+        );
         let pid = process.id().to_string();
-        assert!(Command::new("kill").args(["-TERM", &pid]).status().expect("kill").success());
-        assert_eq!(process.wait().expect("it ends").code(), Some(0), "{}", edit.name);
+        assert!(Command::new("kill")
+            .args(["-TERM", &pid])
+            .status()
+            .expect("kill")
+            .success());
+        assert_eq!(
+            process.wait().expect("it ends").code(),
+            Some(0),
+            "{}",
+            edit.name
+        );
         StartedFront::remove_file(file);
     }
 }
--- a/tests/settings_reload.rs
+++ b/tests/settings_reload.rs
@@ -15,8 +15,18 @@
     );
     assert_eq!(missing_key(&before, &fine, "settings"), None);
     let lacks = json(r#"{"Limits":{},"Services":[{"Name":"b","Deadline":5}]}"#);
-    assert_eq!(missing_key(&before, &lacks, "settings"), Some("settings.Limits.MostTries".to_owned()));
-    let lacks = json(r#"{"Limits":{"MostTries":2},"Services":[{"Name":"b","Deadline":5},{"Name":"c"}]}"#);
-    assert_eq!(missing_key(&before, &lacks, "settings"), Some("settings.Services[1].Deadline".to_owned()));
-    assert_eq!(missing_key(&before, &json("{}"), "settings"), Some("settings.Limits".to_owned()));
+    assert_eq!(
+        missing_key(&before, &lacks, "settings"),
+        Some("settings.Limits.MostTries".to_owned())
+    );
+    let lacks =
+        json(r#"{"Limits":{"MostTries":2},"Services":[{"Name":"b","Deadline":5},{"Name":"c"}]}"#);
+    assert_eq!(
+        missing_key(&before, &lacks, "settings"),
+        Some("settings.Services[1].Deadline".to_owned())
+    );
+    assert_eq!(
+        missing_key(&before, &json("{}"), "settings"),
+        Some("settings.Limits".to_owned())
+    );
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -12,6 +12,9 @@
 
 /// Runs a test on the current thread, with the tasks of its fleet beside it.
 pub fn run_local(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     LocalSet::new().block_on(&runtime, test);
 }
--- a/tests/system_faults.rs
+++ b/tests/system_faults.rs
@@ -1,5 +1,5 @@
-//! Fronts whose system calls fail as Linux documents it, and whose machine's clock is wrong. The fault shim makes the
-//! calls fail.
+//! Fronts whose system calls fail as Linux documents it, and whose machine's clock is wrong. The
+//! fault shim makes the calls fail.
 
 #[macro_use]
 mod scenario;
--- a/tests/unit/framing.rs
+++ b/tests/unit/framing.rs
@@ -10,8 +10,14 @@
 #[test]
 fn a_body_is_framed_by_its_length_or_in_chunks() {
     assert_eq!(framing_of(""), Ok(BodyFraming::Length(0)));
-    assert_eq!(framing_of("content-length: 12\r\n"), Ok(BodyFraming::Length(12)));
-    assert_eq!(framing_of("Transfer-Encoding: chunked\r\n"), Ok(BodyFraming::Chunked));
+    assert_eq!(
+        framing_of("content-length: 12\r\n"),
+        Ok(BodyFraming::Length(12))
+    );
+    assert_eq!(
+        framing_of("Transfer-Encoding: chunked\r\n"),
+        Ok(BodyFraming::Chunked)
+    );
 }
 
 #[test]
@@ -29,7 +35,14 @@
         "Content-Length : 3\r\n",
         "\n",
     ] {
-        assert_eq!(framing_of(fields), Err(StatusCode::BAD_REQUEST), "{fields:?}");
+        assert_eq!(
+            framing_of(fields),
+            Err(StatusCode::BAD_REQUEST),
+            "{fields:?}"
+        );
     }
-    assert_eq!(framing_of("Content-Length: 99999999999999999999\r\n"), Err(StatusCode::PAYLOAD_TOO_LARGE));
+    assert_eq!(
+        framing_of("Content-Length: 99999999999999999999\r\n"),
+        Err(StatusCode::PAYLOAD_TOO_LARGE)
+    );
 }
--- a/tests/unit/range.rs
+++ b/tests/unit/range.rs
@@ -18,9 +18,17 @@
         ("bytes=9-18446744073709551615", Some(9..10)),
     ];
     for (header, expected) in cases {
-        assert_eq!(ByteRange::parse(header).expect(header).within(SIZE), expected, "{header}");
+        assert_eq!(
+            ByteRange::parse(header).expect(header).within(SIZE),
+            expected,
+            "{header}"
+        );
     }
-    assert_eq!(ByteRange::parse("bytes=0-").expect("valid").within(0), None, "an empty object has no bytes");
+    assert_eq!(
+        ByteRange::parse("bytes=0-").expect("valid").within(0),
+        None,
+        "an empty object has no bytes"
+    );
 }
 
 #[test]
@@ -40,8 +48,20 @@
 
 #[test]
 fn a_content_range_must_lie_within_the_size() {
-    assert_eq!(ContentRange::parse("bytes 0-4/10"), Some(ContentRange { bytes: 0..5, size: SIZE }));
-    for header in ["bytes */10", "bytes 4-2/10", "bytes 0-10/10", "bytes 0-4/*", ""] {
+    assert_eq!(
+        ContentRange::parse("bytes 0-4/10"),
+        Some(ContentRange {
+            bytes: 0..5,
+            size: SIZE
+        })
+    );
+    for header in [
+        "bytes */10",
+        "bytes 4-2/10",
+        "bytes 0-10/10",
+        "bytes 0-4/*",
+        "",
+    ] {
         assert_eq!(ContentRange::parse(header), None, "{header}");
     }
 }
--- a/tests/unit/upstream.rs
+++ b/tests/unit/upstream.rs
@@ -35,21 +35,29 @@
 }
 
 /// Accepts a connection in a thread and answers its first request with `body`.
-fn answer_one_request(listener: TcpListener, body: &'static str) -> std::thread::JoinHandle<TcpStream> {
+fn answer_one_request(
+    listener: TcpListener,
+    body: &'static str,
+) -> std::thread::JoinHandle<TcpStream> {
     std::thread::spawn(move || {
         let mut stream = listener.accept().expect("a connection").0;
         let length = stream.read(&mut [0; 4096]).expect("a request");
         assert!(length > 0, "the client sent a request");
-        stream.write_all(response(body).as_bytes()).expect("written");
+        stream
+            .write_all(response(body).as_bytes())
+            .expect("written");
         stream
     })
 }
 
-/// The unsolicited bytes are in the socket's buffer before the runtime has been notified of them, so only a look at the
-/// socket itself at the moment of reuse finds them.
+/// The unsolicited bytes are in the socket's buffer before the runtime has been notified of them,
+/// so only a look at the socket itself at the moment of reuse finds them.
 #[test]
 fn unsolicited_bytes_are_not_the_next_response() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     let bodies = tokio::task::LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let upstream = Upstream::new(Duration::from_secs(1), Duration::from_secs(30), 8);
@@ -57,41 +65,67 @@
         let payload = Rc::new(read_request());
         let deadline = Instant::now() + Duration::from_secs(10);
         let server = answer_one_request(listener.try_clone().expect("another handle"), "good");
-        let first = upstream.attempt(node, Rc::clone(&payload), deadline, Withdrawal::never()).await;
+        let first = upstream
+            .attempt(node, Rc::clone(&payload), deadline, Withdrawal::never())
+            .await;
         let mut stream = server.join().expect("it answered");
-        stream.write_all(response("copy").as_bytes()).expect("written");
+        stream
+            .write_all(response("copy").as_bytes())
+            .expect("written");
         let server = answer_one_request(listener, "well");
-        let second = upstream.attempt(node, payload, deadline, Withdrawal::never()).await;
+        let second = upstream
+            .attempt(node, payload, deadline, Withdrawal::never())
+            .await;
         drop(server);
         [first, second].map(|report| report.answer.map(|answer| answer.body))
     });
-    assert_eq!(bodies, [Some(Bytes::from_static(b"good")), Some(Bytes::from_static(b"well"))]);
+    assert_eq!(
+        bodies,
+        [
+            Some(Bytes::from_static(b"good")),
+            Some(Bytes::from_static(b"well"))
+        ]
+    );
 }
 
-/// A history that the model checker found: a server sends bytes before a request, and they are read after the request
-/// has been written.
+/// A history that the model checker found: a server sends bytes before a request, and they are read
+/// after the request has been written.
 #[test]
 fn nothing_is_written_where_unread_bytes_wait() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
         for server_closes in [false, true] {
-            let stream = tokio::net::TcpStream::connect(address).await.expect("connected");
+            let stream = tokio::net::TcpStream::connect(address)
+                .await
+                .expect("connected");
             let (mut server, _) = listener.accept().expect("a connection");
             if server_closes {
                 drop(server);
             } else {
-                server.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
+                server
+                    .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+                    .expect("written");
             }
-            stream.readable().await.expect("what the server sent is there");
+            stream
+                .readable()
+                .await
+                .expect("what the server sent is there");
             let wire = Rc::new(WireState::default());
             wire.begin_request(0, None, Withdrawal::never());
             let mut observed = ObservedStream::new(stream, Rc::clone(&wire));
             let request = b"GET /api HTTP/1.1\r\n\r\n";
             let written = poll_fn(|cx| Pin::new(&mut observed).poll_write(cx, request)).await;
             assert!(written.is_err(), "the server closes: {server_closes}");
-            assert_eq!(wire.execution(), Execution::NotStarted, "so the next connection gets the request");
+            assert_eq!(
+                wire.execution(),
+                Execution::NotStarted,
+                "so the next connection gets the request"
+            );
         }
     });
 }
