--- a/crates/core/src/ejection.rs
+++ b/crates/core/src/ejection.rs
@@ -4,7 +4,7 @@
 
 use std::hash::{Hash, Hasher};
 
-use crate::interface::{CellId, ClassSet, Listed, Nanos, NodeId, Request, Semantics};
+use crate::interface::{ClassSet, Listed, Nanos, NodeId, Request, Semantics, ShardId};
 use crate::state::{LiveRequest, Node, Scheduler};
 
 /// Timely results in a row of this front that readmit a server here: as many as successful probes
@@ -111,8 +111,8 @@
             return false;
         }
         let accepts = |node: &Node| !node.ejection.is_ejected(class);
-        match live.request.cell {
-            Some(cell) => self.up_nodes(cell).any(|(_, node)| accepts(node)),
+        match live.request.shard {
+            Some(shard) => self.up_nodes(shard).any(|(_, node)| accepts(node)),
             None => self
                 .nodes
                 .values()
@@ -121,7 +121,7 @@
     }
 
     /// The shard of a server that is to be probed, for a request that may be the probe.
-    pub(crate) fn cell_to_probe(&self, request: &Request) -> Option<CellId> {
+    pub(crate) fn shard_to_probe(&self, request: &Request) -> Option<ShardId> {
         if !self.may_probe(request) {
             return None;
         }
@@ -130,7 +130,7 @@
         let is_due = |node: &&Node| {
             node.ejection.is_probe_due(self.now) && node.listed == Listed::Up && has_capacity(node)
         };
-        self.nodes.values().find(is_due).map(|node| node.cell)
+        self.nodes.values().find(is_due).map(|node| node.shard)
     }
 
     /// Whether a request may be a probe: only if it may be repeated.
--- a/crates/core/src/interface/endpoints.rs
+++ b/crates/core/src/interface/endpoints.rs
@@ -1,6 +1,6 @@
 //! The endpoint list: the chunk servers and their states.
 
-use crate::interface::{CellId, Nanos, NodeId};
+use crate::interface::{Nanos, NodeId, ShardId};
 
 /// The state of a chunk server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -21,7 +21,7 @@
     /// Its zone.
     pub zone: u32,
     /// The shard that it holds.
-    pub cell: CellId,
+    pub shard: ShardId,
     /// Its state.
     pub listed: Listed,
     /// When it last started; 0 is long ago.
--- a/crates/core/src/interface/mod.rs
+++ b/crates/core/src/interface/mod.rs
@@ -27,4 +27,4 @@
 /// A piece of data.
 pub type KeyId = u64;
 /// A shard. The chunk server that holds it may be replaced; the shard stays.
-pub type CellId = u32;
+pub type ShardId = u32;
--- a/crates/core/src/interface/request.rs
+++ b/crates/core/src/interface/request.rs
@@ -1,6 +1,6 @@
 //! A client's request.
 
-use crate::interface::{CellId, KeyId, Nanos, RequestId, VolumeId};
+use crate::interface::{KeyId, Nanos, RequestId, ShardId, VolumeId};
 
 /// A client's request.
 #[derive(Clone, Debug)]
@@ -20,7 +20,7 @@
     /// Its work in units.
     pub units: f64,
     /// The shard that holds its data; `None` for a new object.
-    pub cell: Option<CellId>,
+    pub shard: Option<ShardId>,
     /// The number of fronts through which its volume works.
     pub front_count: u32,
 }
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -21,7 +21,7 @@
     /// Those of one zone.
     Zone,
     /// Those of one shard.
-    Cell,
+    Shard,
 }
 
 /// A request class.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -53,7 +53,7 @@
 //! };
 //! let mut scheduler = Scheduler::new(settings, 7, 0).expect("valid settings");
 //! let mut actions = Vec::new();
-//! let node = NodeInfo { node: 0, zone: 0, cell: 4, listed: Listed::Up, started_at: 0 };
+//! let node = NodeInfo { node: 0, zone: 0, shard: 4, listed: Listed::Up, started_at: 0 };
 //! scheduler.handle(0, Event::Endpoints { scope: UpdateScope::Restored, nodes: vec![node] }, &mut actions);
 //! let request = Request {
 //!     id: 1,
@@ -63,7 +63,7 @@
 //!     key: Some(3),
 //!     patience: 1000 * ms,
 //!     units: 2.0,
-//!     cell: Some(4),
+//!     shard: Some(4),
 //!     front_count: 1,
 //! };
 //! scheduler.handle(ms, Event::Request(request), &mut actions);
--- a/crates/core/src/policy/admission.rs
+++ b/crates/core/src/policy/admission.rs
@@ -38,8 +38,8 @@
         let draw = self.random.f64();
         let has_credit =
             |node: &Node| node.is_up() && node.is_healthy() && node.admission_credit >= 1.0;
-        let is_credited = match request.cell {
-            Some(cell) => self.preferred_node(cell).is_some_and(has_credit),
+        let is_credited = match request.shard {
+            Some(shard) => self.preferred_node(shard).is_some_and(has_credit),
             None => self.nodes.values().any(has_credit),
         };
         if is_credited {
--- a/crates/core/src/policy/discovery.rs
+++ b/crates/core/src/policy/discovery.rs
@@ -73,7 +73,7 @@
         );
         let jitter = 2.0 * self.random.f64() - 1.0;
         // A new server is taken to serve what its shard's other servers serve.
-        let members = self.cells.get(&info.cell).into_iter().flatten();
+        let members = self.shards.get(&info.shard).into_iter().flatten();
         let warm_rate = members
             .map(|id| self.nodes[id].warm_rate)
             .fold(0.0, f64::max);
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -132,11 +132,11 @@
         } else {
             self.on_failure(id, at, outcome, actions);
         }
-        let cell = self.nodes[&at].cell;
-        self.dispatch(cell, actions);
+        let shard = self.nodes[&at].shard;
+        self.dispatch(shard, actions);
         if let Some(next) = self
-            .next_cell_for_key(request.key)
-            .filter(|next| *next != cell)
+            .next_shard_for_key(request.key)
+            .filter(|next| *next != shard)
         {
             self.dispatch(next, actions);
         }
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -2,7 +2,7 @@
 //! queue.
 
 use super::{admission, value, Actions, SECOND};
-use crate::interface::{Action, CellId, Nanos, NodeId, Request, RequestId, Semantics};
+use crate::interface::{Action, Nanos, NodeId, Request, RequestId, Semantics, ShardId};
 use crate::state::{mean, weighted_choice, LiveRequest, Node, Scheduler, SentAttempt};
 
 /// The weight is multiplied by this power of a server's speed relative to the mean, within a bound.
@@ -24,23 +24,25 @@
         let Some(live) = self.live.get(&id) else {
             return;
         };
-        let cell = live.cell.or_else(|| self.choose_cell(draw, &live.request));
-        let queue_length = self.join_queue(id, cell);
+        let shard = live
+            .shard
+            .or_else(|| self.choose_shard(draw, &live.request));
+        let queue_length = self.join_queue(id, shard);
         // Without any listed server a new object waits for one outside of the queues.
-        let Some(cell) = cell else { return };
+        let Some(shard) = shard else { return };
         if queue_length > QUEUE_MAX_REQUESTS {
             self.give_up(id, actions);
         }
-        self.dispatch(cell, actions);
+        self.dispatch(shard, actions);
     }
 
     /// Sends from a shard's queue while its servers have capacity.
-    pub(super) fn dispatch(&mut self, cell: CellId, actions: &mut Actions) {
-        if self.queues.get(&cell).is_none_or(Vec::is_empty) {
+    pub(super) fn dispatch(&mut self, shard: ShardId, actions: &mut Actions) {
+        if self.queues.get(&shard).is_none_or(Vec::is_empty) {
             return;
         }
-        for at in self.nodes_by_preference(cell) {
-            while let Some(id) = self.take_next(cell, at) {
+        for at in self.nodes_by_preference(shard) {
+            while let Some(id) = self.take_next(shard, at) {
                 self.send(id, at, actions);
             }
         }
@@ -48,14 +50,14 @@
 
     pub(super) fn dispatch_all(&mut self, actions: &mut Actions) {
         let waiting = self.queues.iter().filter(|(_, queue)| !queue.is_empty());
-        for cell in waiting.map(|(cell, _)| *cell).collect::<Vec<_>>() {
-            self.dispatch(cell, actions);
+        for shard in waiting.map(|(shard, _)| *shard).collect::<Vec<_>>() {
+            self.dispatch(shard, actions);
         }
     }
 
     /// Takes the request that a server should get now: of the highest score, then of the earliest
     /// objective.
-    fn take_next(&mut self, cell: CellId, at: NodeId) -> Option<RequestId> {
+    fn take_next(&mut self, shard: ShardId, at: NodeId) -> Option<RequestId> {
         let node = &self.nodes[&at];
         let has_capacity = node.has_capacity(node.window.max(1.0), self.now);
         let is_open = if node.is_healthy() {
@@ -66,7 +68,7 @@
         if !is_open {
             return None;
         }
-        let queued = self.queues[&cell]
+        let queued = self.queues[&shard]
             .iter()
             .map(|id| &self.live[id])
             .enumerate();
@@ -77,7 +79,7 @@
             |a: &(f64, Nanos, _), b: &(f64, Nanos, _)| a.0 > b.0 || (a.0 == b.0 && a.1 < b.1);
         let (_, _, index) =
             scored.reduce(|best, next| if precedes(&next, &best) { next } else { best })?;
-        self.queues.get_mut(&cell).map(|queue| queue.remove(index))
+        self.queues.get_mut(&shard).map(|queue| queue.remove(index))
     }
 
     /// Whether the rules allow this request at this server now, and whether it is worth the
@@ -168,20 +170,20 @@
 
     /// While one server of a shard replaces another both are listed, and the old one is warm and
     /// preferred.
-    pub(super) fn nodes_by_preference(&self, cell: CellId) -> Vec<NodeId> {
-        let mut nodes: Vec<(NodeId, &Node)> = self.up_nodes(cell).collect();
+    pub(super) fn nodes_by_preference(&self, shard: ShardId) -> Vec<NodeId> {
+        let mut nodes: Vec<(NodeId, &Node)> = self.up_nodes(shard).collect();
         nodes.sort_by_key(|entry| (!entry.1.ejection.is_probe_due(self.now), preference(entry)));
         nodes.iter().map(|(id, _)| *id).collect()
     }
 
-    pub(super) fn preferred_node(&self, cell: CellId) -> Option<&Node> {
-        self.up_nodes(cell)
+    pub(super) fn preferred_node(&self, shard: ShardId) -> Option<&Node> {
+        self.up_nodes(shard)
             .min_by_key(preference)
             .map(|(_, node)| node)
     }
 
     /// Chooses the shard of a new object by weight, among servers with free capacity.
-    pub(super) fn choose_cell(&self, draw: f64, request: &Request) -> Option<CellId> {
+    pub(super) fn choose_shard(&self, draw: f64, request: &Request) -> Option<ShardId> {
         let accepts = |node: &Node| !node.ejection.is_ejected(request.class);
         let fits =
             |n: &Node| n.has_capacity(n.window, self.now) && self.warmup_quota(n) >= request.units;
@@ -190,12 +192,12 @@
             self.choose_among(draw, is_free)
                 .or_else(|| self.choose_among(draw, accepts))
         };
-        self.cell_to_probe(request)
+        self.shard_to_probe(request)
             .or_else(choose_usual)
             .or_else(|| self.choose_among(draw, |_| true))
     }
 
-    fn choose_among(&self, draw: f64, is_eligible: impl Fn(&Node) -> bool) -> Option<CellId> {
+    fn choose_among(&self, draw: f64, is_eligible: impl Fn(&Node) -> bool) -> Option<ShardId> {
         let nodes = || {
             self.nodes
                 .values()
@@ -206,7 +208,7 @@
         weighted_choice(
             draw,
             &nodes()
-                .map(|node| (node.cell, weight(node)))
+                .map(|node| (node.shard, weight(node)))
                 .collect::<Vec<_>>(),
         )
     }
@@ -217,17 +219,17 @@
         for id in self.live_ids(|live| self.waits_in_vain(live)) {
             let draw = self.random.f64();
             let live = self.live.get(&id).filter(|live| live.queued);
-            let cell = live.and_then(|live| self.choose_cell(draw, &live.request));
-            if let Some(cell) = cell.filter(|cell| self.move_to_cell(id, *cell)) {
-                self.dispatch(cell, actions);
+            let shard = live.and_then(|live| self.choose_shard(draw, &live.request));
+            if let Some(shard) = shard.filter(|shard| self.move_to_shard(id, *shard)) {
+                self.dispatch(shard, actions);
             }
         }
     }
 
     fn waits_in_vain(&self, live: &LiveRequest) -> bool {
-        let node = live.cell.and_then(|cell| self.preferred_node(cell));
+        let node = live.shard.and_then(|shard| self.preferred_node(shard));
         let is_available = |n: &Node| n.is_healthy() && !n.ejection.is_ejected(live.request.class);
-        let is_new_object = live.request.cell.is_none() && live.possible_execution.is_none();
+        let is_new_object = live.request.shard.is_none() && live.possible_execution.is_none();
         live.queued && is_new_object && !node.is_some_and(is_available)
     }
 }
--- a/crates/core/src/policy/retry.rs
+++ b/crates/core/src/policy/retry.rs
@@ -31,7 +31,7 @@
             return;
         }
         // A new object that found no connection has cost no server anything.
-        let is_free = outcome == Outcome::NotExecuted && live.request.cell.is_none();
+        let is_free = outcome == Outcome::NotExecuted && live.request.shard.is_none();
         let is_overloaded = self.admitted_fraction() < 1.0 && !is_free;
         let is_late = outcome == Outcome::TimedOut && self.now >= self.answer_due_at(live);
         if outcome == Outcome::NotSent || is_late || is_overloaded || !self.may_retry(live, None) {
@@ -42,8 +42,8 @@
         let pause = latency * RETRY_PAUSE_LATENCY_FRACTION * (0.5 + self.random.f64());
         if let Some(live) = self.live.get_mut(&id) {
             live.not_before = self.now + pause as Nanos;
-            if live.possible_execution.is_none() && live.request.cell.is_none() {
-                live.cell = None;
+            if live.possible_execution.is_none() && live.request.shard.is_none() {
+                live.shard = None;
             }
         }
         self.enqueue(id, actions);
@@ -74,7 +74,7 @@
         let is_in_group = |at: NodeId| match class.group {
             Group::All => true,
             Group::Zone => self.nodes[&at].zone == self.nodes[&first.node].zone,
-            Group::Cell => self.nodes[&at].cell == self.nodes[&first.node].cell,
+            Group::Shard => self.nodes[&at].shard == self.nodes[&first.node].shard,
         };
         match class.semantics {
             Semantics::Idempotent => true,
@@ -130,7 +130,7 @@
     /// When a client's retry may help, spread over the upper half so that clients do not return at
     /// once.
     fn retry_after(&self, live: &LiveRequest, draw: f64) -> Nanos {
-        let wait = match live.cell.and_then(|cell| self.preferred_node(cell)) {
+        let wait = match live.shard.and_then(|shard| self.preferred_node(shard)) {
             Some(node) if node.is_healthy() => {
                 RETRY_AFTER_LATENCY_RATIO * node.fast_latency.unwrap_or(0.0)
             }
@@ -154,7 +154,7 @@
         if is_unsent && self.now >= live.received_at + unsent_time - self.deadline_margin() {
             return true;
         }
-        let Some(node) = live.cell.and_then(|cell| self.preferred_node(cell)) else {
+        let Some(node) = live.shard.and_then(|shard| self.preferred_node(shard)) else {
             return self.now > live.objective_at;
         };
         let is_limited = is_unsent && !self.volume_limit_allows(&live.request);
--- a/crates/core/src/state/bookkeeping.rs
+++ b/crates/core/src/state/bookkeeping.rs
@@ -1,7 +1,7 @@
 //! Records what happens to requests, attempts and limits.
 
 use crate::interface::{
-    CellId, Class, FleetUpdate, KeyId, Nanos, NodeId, Outcome, Request, RequestId, Semantics,
+    Class, FleetUpdate, KeyId, Nanos, NodeId, Outcome, Request, RequestId, Semantics, ShardId,
     SharedLimit, VolumeId,
 };
 use crate::mutations::{mutated, Mutation};
@@ -48,7 +48,7 @@
         live.finished = true;
         if live.queued {
             live.queued = false;
-            let queue = live.cell.and_then(|cell| self.queues.get_mut(&cell));
+            let queue = live.shard.and_then(|shard| self.queues.get_mut(&shard));
             if let Some(queue) = queue.filter(|_| !mutated(Mutation::FinishedStaysQueued)) {
                 queue.retain(|queued| *queued != id);
             }
@@ -98,37 +98,37 @@
     }
 
     /// The shard of the request that is next in a key's order.
-    pub(crate) fn next_cell_for_key(&self, key: Option<KeyId>) -> Option<CellId> {
+    pub(crate) fn next_shard_for_key(&self, key: Option<KeyId>) -> Option<ShardId> {
         let queue = self.key_queues.get(&key?)?;
-        self.live.get(queue.requests.front()?)?.cell
+        self.live.get(queue.requests.front()?)?.shard
     }
 
     /// Lets a request wait in a shard's queue, or outside of the queues for a shard. Returns the
     /// queue's length.
-    pub(crate) fn join_queue(&mut self, id: RequestId, cell: Option<CellId>) -> usize {
+    pub(crate) fn join_queue(&mut self, id: RequestId, shard: Option<ShardId>) -> usize {
         if let Some(live) = self.live.get_mut(&id) {
-            live.cell = cell;
+            live.shard = shard;
             live.queued = true;
         }
-        let Some(cell) = cell else { return 0 };
-        let queue = self.queues.entry(cell).or_default();
+        let Some(shard) = shard else { return 0 };
+        let queue = self.queues.entry(shard).or_default();
         queue.push(id);
         queue.len()
     }
 
     /// Moves a waiting request to another shard's queue; false if it waits there already.
-    pub(crate) fn move_to_cell(&mut self, id: RequestId, cell: CellId) -> bool {
+    pub(crate) fn move_to_shard(&mut self, id: RequestId, shard: ShardId) -> bool {
         let Some(live) = self.live.get_mut(&id) else {
             return false;
         };
-        let old = live.cell.replace(cell);
-        if old == Some(cell) {
+        let old = live.shard.replace(shard);
+        if old == Some(shard) {
             return false;
         }
         if let Some(queue) = old.and_then(|old| self.queues.get_mut(&old)) {
             queue.retain(|queued| *queued != id);
         }
-        self.queues.entry(cell).or_default().push(id);
+        self.queues.entry(shard).or_default().push(id);
         true
     }
 
--- a/crates/core/src/state/fingerprint.rs
+++ b/crates/core/src/state/fingerprint.rs
@@ -15,7 +15,7 @@
             id.hash(h);
             node.fingerprint(now, h);
         }
-        (&self.cells, &self.queues).hash(h);
+        (&self.shards, &self.queues).hash(h);
         for (id, live) in &self.live {
             id.hash(h);
             live.fingerprint(now, h);
@@ -57,7 +57,7 @@
 impl Node {
     fn fingerprint<H: Hasher>(&self, now: Nanos, h: &mut H) {
         (
-            self.cell,
+            self.shard,
             self.zone,
             self.listed,
             self.health,
@@ -109,7 +109,7 @@
 impl LiveRequest {
     fn fingerprint<H: Hasher>(&self, now: Nanos, h: &mut H) {
         (
-            self.cell,
+            self.shard,
             now - self.received_at,
             now - self.objective_at,
             now - self.deadline_at,
--- a/crates/core/src/state/node.rs
+++ b/crates/core/src/state/node.rs
@@ -4,7 +4,7 @@
 
 use crate::ejection::EjectionState;
 use crate::fleet_limits::NodeLimits;
-use crate::interface::{CellId, Listed, Nanos, NodeInfo, RequestId};
+use crate::interface::{Listed, Nanos, NodeInfo, RequestId, ShardId};
 use crate::state::statistics::{Rate, SlidingMinimum};
 
 /// Whether a chunk server is trusted, whatever the kind of failure.
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug)]
 pub struct Node {
     /// The shard it holds.
-    pub cell: CellId,
+    pub shard: ShardId,
     /// Its zone.
     pub zone: u32,
     /// Its state in the endpoint list.
@@ -137,7 +137,7 @@
     /// A server of which only the entry in the endpoint list is known.
     pub fn new(info: &NodeInfo, now: Nanos, window: f64, limits: NodeLimits) -> Node {
         Node {
-            cell: info.cell,
+            shard: info.shard,
             zone: info.zone,
             listed: info.listed,
             started_at: 0,
--- a/crates/core/src/state/node_table.rs
+++ b/crates/core/src/state/node_table.rs
@@ -2,16 +2,16 @@
 
 use std::collections::BTreeSet;
 
-use crate::interface::{CellId, Listed, NodeId, NodeInfo};
+use crate::interface::{Listed, NodeId, NodeInfo, ShardId};
 use crate::mutations::{mutated, Mutation};
 use crate::state::{Node, Scheduler};
 
 impl Scheduler {
     /// The chunk servers that are listed up for a shard.
-    pub(crate) fn up_nodes(&self, cell: CellId) -> impl Iterator<Item = (NodeId, &Node)> {
+    pub(crate) fn up_nodes(&self, shard: ShardId) -> impl Iterator<Item = (NodeId, &Node)> {
         let members = self
-            .cells
-            .get(&cell)
+            .shards
+            .get(&shard)
             .into_iter()
             .flatten()
             .map(|id| (*id, &self.nodes[id]));
@@ -23,7 +23,7 @@
     /// Applies the shard, zone and state of an entry of the endpoint list. A new chunk server gets
     /// the given window.
     pub(crate) fn upsert_node(&mut self, info: &NodeInfo, window: f64) -> &mut Node {
-        self.assign_cell(info.node, info.cell);
+        self.assign_shard(info.node, info.shard);
         let (now, limits) = (self.now, &self.fleet_limits);
         let new_node = || Node::new(info, now, window, limits.node_limits(now));
         let node = self.nodes.entry(info.node).or_insert_with(new_node);
@@ -42,19 +42,19 @@
     }
 
     /// Keeps the index by shard; a chunk server may move to another shard.
-    fn assign_cell(&mut self, id: NodeId, cell: CellId) {
-        self.queues.entry(cell).or_default();
+    fn assign_shard(&mut self, id: NodeId, shard: ShardId) {
+        self.queues.entry(shard).or_default();
         let old = self
             .nodes
             .get_mut(&id)
-            .map(|node| std::mem::replace(&mut node.cell, cell));
+            .map(|node| std::mem::replace(&mut node.shard, shard));
         if let Some(members) = old
-            .filter(|old| *old != cell)
-            .and_then(|old| self.cells.get_mut(&old))
+            .filter(|old| *old != shard)
+            .and_then(|old| self.shards.get_mut(&old))
         {
             members.retain(|member| *member != id);
         }
-        let members = self.cells.entry(cell).or_default();
+        let members = self.shards.entry(shard).or_default();
         if !members.contains(&id) {
             members.push(id);
         }
@@ -90,7 +90,7 @@
             if let Some(members) = self
                 .nodes
                 .remove(id)
-                .and_then(|node| self.cells.get_mut(&node.cell))
+                .and_then(|node| self.shards.get_mut(&node.shard))
             {
                 members.retain(|member| member != id);
             }
--- a/crates/core/src/state/request.rs
+++ b/crates/core/src/state/request.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::interface::{CellId, Nanos, NodeId, Request, RequestId};
+use crate::interface::{Nanos, NodeId, Request, RequestId, ShardId};
 
 /// The first attempt that may have been executed.
 #[derive(Clone, Copy, Debug)]
@@ -19,7 +19,7 @@
     /// The request as received.
     pub request: Request,
     /// The shard it goes to; absent while a new object has none.
-    pub cell: Option<CellId>,
+    pub shard: Option<ShardId>,
     /// When it was received.
     pub received_at: Nanos,
     /// Until then an answer meets the latency objective.
@@ -48,7 +48,7 @@
     /// A request received at `now`, with the time left to its latency objective.
     pub fn new(request: Request, now: Nanos, objective: Nanos, max_attempts: u32) -> LiveRequest {
         LiveRequest {
-            cell: request.cell,
+            shard: request.shard,
             received_at: now,
             objective_at: now + objective,
             deadline_at: now + request.patience,
--- a/crates/core/src/state/scheduler.rs
+++ b/crates/core/src/state/scheduler.rs
@@ -4,7 +4,7 @@
 
 use crate::fleet_limits::FleetLimits;
 use crate::interface::{
-    CellId, KeyId, Listed, Nanos, NodeId, RequestId, Settings, SettingsError, VolumeId,
+    KeyId, Listed, Nanos, NodeId, RequestId, Settings, SettingsError, ShardId, VolumeId,
 };
 use crate::state::{Admission, ClientPatience, KeyQueue, LiveRequest, Node, RateLimit, Volume};
 
@@ -22,10 +22,10 @@
     pub(crate) started: bool,
     pub(crate) nodes: BTreeMap<NodeId, Node>,
     /// The chunk servers of each shard, also those that were removed from the endpoint list.
-    pub(crate) cells: BTreeMap<CellId, Vec<NodeId>>,
+    pub(crate) shards: BTreeMap<ShardId, Vec<NodeId>>,
     /// The servers that the next tick visits.
     pub(crate) active_nodes: BTreeSet<NodeId>,
-    pub(crate) queues: BTreeMap<CellId, Vec<RequestId>>,
+    pub(crate) queues: BTreeMap<ShardId, Vec<RequestId>>,
     pub(crate) live: BTreeMap<RequestId, LiveRequest>,
     pub(crate) volumes: BTreeMap<VolumeId, Volume>,
     /// Volume limits assigned by the fleet, in place of an even part.
@@ -73,7 +73,7 @@
             now,
             started: false,
             nodes: BTreeMap::new(),
-            cells: BTreeMap::new(),
+            shards: BTreeMap::new(),
             active_nodes: BTreeSet::new(),
             queues: BTreeMap::new(),
             live: BTreeMap::new(),
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -18,7 +18,7 @@
     let mut front = TestFront::new(settings(), 2);
     for (id, class) in [(1, 0), (2, 1)] {
         assert_eq!(
-            sends(&front.submit(request(id, class, Some(id as CellId - 1)))).len(),
+            sends(&front.submit(request(id, class, Some(id as ShardId - 1)))).len(),
             1
         );
     }
@@ -129,7 +129,7 @@
     // here.
     let mut waits = Vec::new();
     for id in 0..600 {
-        let mut actions = front.submit(request(id, 0, Some((id % 3) as CellId)));
+        let mut actions = front.submit(request(id, 0, Some((id % 3) as ShardId)));
         for (id, at) in sends(&actions) {
             actions = front.end_attempt(id, 0, at, Outcome::Rejected, MS);
         }
@@ -157,14 +157,14 @@
     let mut front = TestFront::new(settings, 10);
     for id in 0..10 {
         assert_eq!(
-            sends(&front.submit(request(id, 0, Some(id as CellId)))).len(),
+            sends(&front.submit(request(id, 0, Some(id as ShardId)))).len(),
             1
         );
     }
     front.advance(300 * MS);
     let rejected_at_once = (10..40).filter(|id| {
         rejected(
-            &front.submit(request(*id, 0, Some((id % 10) as CellId))),
+            &front.submit(request(*id, 0, Some((id % 10) as ShardId))),
             *id,
         )
     });
--- a/crates/core/tests/assigned_limits.rs
+++ b/crates/core/tests/assigned_limits.rs
@@ -92,7 +92,7 @@
     for id in 0..200 {
         // Each fails at once, and every other rule allows a retry.
         let mut actions = front.advance(30 * MS);
-        actions.extend(front.submit(request(id, 0, Some(id as CellId % 2))));
+        actions.extend(front.submit(request(id, 0, Some(id as ShardId % 2))));
         for attempt in 0..3 {
             let Some((_, node)) = sends(&actions).into_iter().find(|(r, _)| *r == id) else {
                 break;
@@ -124,7 +124,7 @@
     let start = NodeInfo {
         node: 1,
         zone: 0,
-        cell: 7,
+        shard: 7,
         listed: Listed::Up,
         started_at,
     };
--- a/crates/core/tests/attempt_withdrawal.rs
+++ b/crates/core/tests/attempt_withdrawal.rs
@@ -33,7 +33,7 @@
         key: None,
         patience: 1_000_000_000,
         units: 1.0,
-        cell: None,
+        shard: None,
         front_count: 1,
     };
     let mut effects = Vec::new();
@@ -71,7 +71,7 @@
     NodeInfo {
         node,
         zone: 0,
-        cell: 0,
+        shard: 0,
         listed,
         started_at: 0,
     }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -42,7 +42,7 @@
         initiators: 2,
         classes: vec![
             class(Semantics::Idempotent, Group::All),
-            class(Semantics::Deduplicated, Group::Cell),
+            class(Semantics::Deduplicated, Group::Shard),
             class(Semantics::AtMostOnce, Group::All),
             ordered,
             class(Semantics::Deduplicated, Group::Zone),
@@ -78,13 +78,13 @@
     NodeInfo {
         node,
         zone: (node % 2) as u32,
-        cell: node as CellId,
+        shard: node as ShardId,
         listed,
         started_at,
     }
 }
 
-pub fn request(id: RequestId, class: usize, cell: Option<CellId>) -> Request {
+pub fn request(id: RequestId, class: usize, shard: Option<ShardId>) -> Request {
     Request {
         id,
         class,
@@ -93,7 +93,7 @@
         key: Some(id),
         patience: S,
         units: 2.0,
-        cell,
+        shard,
         front_count: 1,
     }
 }
@@ -166,9 +166,9 @@
     }
 
     /// Runs `count` requests at a server one after another, each answered after `took`.
-    pub fn warm(&mut self, first: RequestId, count: u64, cell: usize, took: Nanos) {
+    pub fn warm(&mut self, first: RequestId, count: u64, shard: usize, took: Nanos) {
         for id in first..first + count {
-            let sent = self.submit(request(id, 0, Some(cell as CellId)));
+            let sent = self.submit(request(id, 0, Some(shard as ShardId)));
             let sent = if sends(&sent).is_empty() {
                 self.advance(500 * MS)
             } else {
@@ -176,11 +176,11 @@
             };
             assert_eq!(
                 sends(&sent),
-                vec![(id, cell)],
+                vec![(id, shard)],
                 "a healthy server takes request {id}"
             );
             self.now += took;
-            self.end_attempt(id, 0, cell, Outcome::Served, took);
+            self.end_attempt(id, 0, shard, Outcome::Served, took);
         }
     }
 }
--- a/crates/core/tests/ejection.rs
+++ b/crates/core/tests/ejection.rs
@@ -15,13 +15,13 @@
 fn servers_used(
     front: &mut TestFront,
     class: usize,
-    cell: Option<CellId>,
+    shard: Option<ShardId>,
     outcome: impl Fn(NodeId) -> Outcome,
 ) -> Vec<NodeId> {
     let first = front.now as RequestId;
     let (mut nodes, mut attempts) = (Vec::new(), HashMap::new());
     for step in 0..200 {
-        let mut due = sends(&front.submit(request(first + step, class, cell)));
+        let mut due = sends(&front.submit(request(first + step, class, shard)));
         due.extend(sends(&front.advance(10 * MS)));
         while let Some((id, node)) = due.pop() {
             nodes.push(node);
@@ -60,7 +60,7 @@
 fn front_with_two_servers_of_a_shard() -> TestFront {
     let mut front = warm_front(3);
     let mut second = node(1, Listed::Up, 0);
-    second.cell = 0;
+    second.shard = 0;
     front.event(Event::Endpoints {
         scope: UpdateScope::Update,
         nodes: vec![second],
--- a/crates/core/tests/hundred_fronts.rs
+++ b/crates/core/tests/hundred_fronts.rs
@@ -35,7 +35,7 @@
     let started = NodeInfo {
         node: NODES,
         zone: 0,
-        cell: 0,
+        shard: 0,
         listed: Listed::Up,
         started_at,
     };
@@ -57,8 +57,8 @@
         }
         for _ in 0..8 {
             let front = random.usize(0..FRONTS);
-            let cell = random.usize(0..NODES) as CellId;
-            sent.extend(fleet.submit(front, request(next_id, 0, Some(cell))));
+            let shard = random.usize(0..NODES) as ShardId;
+            sent.extend(fleet.submit(front, request(next_id, 0, Some(shard))));
             next_id += 1;
         }
         sent.extend(fleet.tick((now == started_at).then_some(&replacement[..])));
@@ -209,9 +209,9 @@
         .for_each(|class| class.late_value = 0.1);
     let mut front = TestFront::new(settings, 5);
     front.warm(0, 8, 0, 20 * MS);
-    for (id, cell) in [(100, 1), (101, 2), (102, 1)] {
-        if !sends(&front.submit(request(id, 0, Some(cell)))).is_empty() {
-            front.end_attempt(id, 0, cell as NodeId, Outcome::Rejected, MS);
+    for (id, shard) in [(100, 1), (101, 2), (102, 1)] {
+        if !sends(&front.submit(request(id, 0, Some(shard)))).is_empty() {
+            front.end_attempt(id, 0, shard as NodeId, Outcome::Rejected, MS);
         }
     }
     // Far more is requested of one of them than it may be sent.
--- a/crates/core/tests/invariants.rs
+++ b/crates/core/tests/invariants.rs
@@ -172,7 +172,7 @@
             Some(random.u32(0..NODES as u32 + 1)),
         );
         if random.u32(0..4) == 0 {
-            request.cell = None;
+            request.shard = None;
         }
         request.plan = random.usize(0..2);
         request.volume = request.plan as u64 * 10 + random.u64(0..2);
@@ -449,7 +449,7 @@
                 let is_in_group = match class.group {
                     Group::All => true,
                     Group::Zone => attempt.node % 2 == at % 2,
-                    Group::Cell => attempt.node == at,
+                    Group::Shard => attempt.node == at,
                 };
                 assert!(
                     is_in_group && self.front.now <= attempt.sent_at + class.window,
@@ -457,9 +457,9 @@
                 );
             }
         }
-        if let Some(cell) = tracked.request.cell {
+        if let Some(shard) = tracked.request.shard {
             assert_eq!(
-                cell as usize, at,
+                shard as usize, at,
                 "sent to a server that does not hold its data"
             );
         }
--- a/crates/core/tests/large_fleet.rs
+++ b/crates/core/tests/large_fleet.rs
@@ -13,7 +13,7 @@
     front.advance(3 * S);
     assert_eq!(front.scheduler.nodes_per_tick(), 0);
     for id in 0..5 {
-        front.submit(request(id, 0, Some(id as CellId)));
+        front.submit(request(id, 0, Some(id as ShardId)));
     }
     front.advance(10 * MS);
     assert_eq!(front.scheduler.nodes_per_tick(), 5);
--- a/crates/core/tests/maintenance.rs
+++ b/crates/core/tests/maintenance.rs
@@ -10,7 +10,7 @@
     NodeInfo {
         node,
         zone: 0,
-        cell: 3,
+        shard: 3,
         listed,
         started_at,
     }
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -32,7 +32,7 @@
 struct ClientTry {
     at: Nanos,
     front: usize,
-    cell: CellId,
+    shard: ShardId,
     number: u32,
 }
 
@@ -92,11 +92,11 @@
         for _ in 0..count {
             let front = self.random.usize(0..FRONTS);
             // The first server gets as many requests as two others.
-            let cell = self.random.usize(0..=NODES) % NODES;
+            let shard = self.random.usize(0..=NODES) % NODES;
             self.tries.push(ClientTry {
                 at: self.now,
                 front,
-                cell: cell as CellId,
+                shard: shard as ShardId,
                 number: 1,
             });
         }
@@ -115,7 +115,7 @@
             self.attempts.push(0);
             let event = Event::Request(Request {
                 volume: id % 20,
-                ..request(id, 0, Some(client_try.cell))
+                ..request(id, 0, Some(client_try.shard))
             });
             self.handle(client_try.front, event);
         }
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -63,7 +63,7 @@
     let replacement = NodeInfo {
         node: 1,
         zone: 0,
-        cell: 0,
+        shard: 0,
         listed: Listed::Up,
         started_at: front.now,
     };
@@ -82,8 +82,8 @@
 #[test]
 fn requests_wait_while_no_server_is_listed_and_are_answered_in_time() {
     let mut front = TestFront::new(settings(), 0);
-    for (id, cell) in [(1, None), (2, Some(3))] {
-        let actions = front.submit(request(id, 0, cell));
+    for (id, shard) in [(1, None), (2, Some(3))] {
+        let actions = front.submit(request(id, 0, shard));
         assert!(sends(&actions).is_empty() && !rejected(&actions, id));
     }
     front.event(Event::Endpoints {
@@ -148,7 +148,7 @@
     let mut front = TestFront::new(settings(), 2);
     let with_key = |id| Request {
         key: Some(9),
-        ..request(id, 3, Some((id % 2) as CellId))
+        ..request(id, 3, Some((id % 2) as ShardId))
     };
     assert_eq!(sends(&front.submit(with_key(1))).len(), 1);
     assert!(sends(&front.submit(with_key(2))).is_empty());
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -82,7 +82,7 @@
     front.now -= 50 * MS;
     front.advance(100 * MS);
     let moved = NodeInfo {
-        cell: 1,
+        shard: 1,
         ..node(0, Listed::Up, 0)
     };
     front.event(Event::Endpoints {
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -70,7 +70,7 @@
     let started = NodeInfo {
         node: NODES,
         zone: 0,
-        cell: 0,
+        shard: 0,
         listed: Listed::Up,
         started_at,
     };
@@ -95,11 +95,11 @@
         due_requests += 0.01 * NODES as f64 * FULL_CAPACITY / settings.mean_units * use_ratio;
         while due_requests >= 1.0 {
             due_requests -= 1.0;
-            let (front, cell) = (
+            let (front, shard) = (
                 random.usize(0..front_count),
-                random.usize(0..NODES) as CellId,
+                random.usize(0..NODES) as ShardId,
             );
-            sent.extend(fleet.submit(front, request(next_id, 0, Some(cell))));
+            sent.extend(fleet.submit(front, request(next_id, 0, Some(shard))));
             next_id += 1;
         }
         sent.extend(fleet.tick((now == started_at).then_some(&replacement[..])));
--- a/crates/model-checker/src/configs/requests.rs
+++ b/crates/model-checker/src/configs/requests.rs
@@ -1,6 +1,6 @@
 //! Configurations of the request model.
 
-use tulipbridge_core::{CellId, Nanos};
+use tulipbridge_core::{Nanos, ShardId};
 
 use super::settings::{settings, settings_with_attempts, READ, SUBMIT};
 use crate::model::ModelSummary;
@@ -39,7 +39,7 @@
 const CLIENT_TIMEOUT: Nanos = 120 * MS;
 /// Number of requests in the large configuration.
 const LARGE_REQUESTS: usize = 300;
-/// Number of nodes, and of cells, in the large configuration.
+/// Number of nodes, and of shards, in the large configuration.
 const LARGE_NODES: usize = 14;
 
 /// All that can be explored, the smallest first.
@@ -91,7 +91,7 @@
             faults: ATTEMPT_FAULTS,
             watch_updates: vec![
                 WatchUpdate::NodeDraining(0),
-                WatchUpdate::CellTakenOver(2, 0),
+                WatchUpdate::ShardTakenOver(2, 0),
                 WatchUpdate::NodeRemoved(0),
             ],
             ..base(
@@ -211,11 +211,11 @@
         watch_updates: vec![
             WatchUpdate::NodeDraining(3),
             WatchUpdate::WatchLost,
-            WatchUpdate::CellTakenOver(14, 3),
+            WatchUpdate::ShardTakenOver(14, 3),
             WatchUpdate::NodeRemoved(3),
             WatchUpdate::AddressChanged(5),
             WatchUpdate::NodeDraining(7),
-            WatchUpdate::CellTakenOver(15, 7),
+            WatchUpdate::ShardTakenOver(15, 7),
             WatchUpdate::NodeRemoved(7),
         ],
         max_faults: 100,
@@ -230,11 +230,11 @@
     })
 }
 
-/// Every third request of the large configuration is a submit, every other one goes to a cell.
+/// Every third request of the large configuration is a submit, every other one goes to a shard.
 fn large_request(index: usize) -> ClientRequest {
     let class = if index % 3 == 2 { SUBMIT } else { READ };
-    let cell = (index % LARGE_NODES) as CellId;
-    request(class, (index % 2 == 0).then_some(cell))
+    let shard = (index % LARGE_NODES) as ShardId;
+    request(class, (index % 2 == 0).then_some(shard))
 }
 
 /// Configurations that are known to violate a property, for the reason in the roadmap. They are not
@@ -265,7 +265,7 @@
     ]
 }
 
-/// A read of the first cell.
+/// A read of the first shard.
 fn read() -> ClientRequest {
     request(READ, Some(0))
 }
@@ -275,10 +275,10 @@
     request(SUBMIT, None)
 }
 
-fn request(class: usize, cell: Option<CellId>) -> ClientRequest {
+fn request(class: usize, shard: Option<ShardId>) -> ClientRequest {
     ClientRequest {
         class,
-        cell,
+        shard,
         timeout: CLIENT_TIMEOUT,
     }
 }
--- a/crates/model-checker/src/policy.rs
+++ b/crates/model-checker/src/policy.rs
@@ -5,7 +5,7 @@
 use std::hash::{Hash, Hasher};
 
 use tulipbridge_core::request_tracker::Decisions;
-use tulipbridge_core::{Action, CellId, Event, Nanos, Outcome, RequestId, Scheduler, Settings};
+use tulipbridge_core::{Action, Event, Nanos, Outcome, RequestId, Scheduler, Settings, ShardId};
 
 use crate::recovery;
 
@@ -83,10 +83,10 @@
     }
 
     /// Whether a policy at rest recovers once responses are good: see [`recovery::recovers`].
-    pub fn recovers(&self, now: Nanos, cells: &[CellId]) -> bool {
+    pub fn recovers(&self, now: Nanos, shards: &[ShardId]) -> bool {
         match self {
             PolicyUnderTest::Scheduler(scheduler) => {
-                recovery::recovers(Scheduler::clone(scheduler), now, cells)
+                recovery::recovers(Scheduler::clone(scheduler), now, shards)
             }
             PolicyUnderTest::Unrestricted(_) => true,
         }
--- a/crates/model-checker/src/recovery.rs
+++ b/crates/model-checker/src/recovery.rs
@@ -2,7 +2,7 @@
 //! operation.
 
 use tulipbridge_core::{
-    Action, CellId, Event, Nanos, NodeId, Outcome, Request, RequestId, Scheduler,
+    Action, Event, Nanos, NodeId, Outcome, Request, RequestId, Scheduler, ShardId,
 };
 
 use crate::time::MS;
@@ -13,7 +13,7 @@
 const OBSERVATION_TIME: Nanos = 500 * MS;
 /// Interval between two events of the scheduler's timer.
 const TICK: Nanos = 10 * MS;
-/// A read of each cell arrives once in this many ticks.
+/// A read of each shard arrives once in this many ticks.
 const TICKS_BETWEEN_READS: Nanos = 5;
 /// How long the client of a read waits.
 const READ_TIMEOUT: Nanos = 120 * MS;
@@ -31,7 +31,7 @@
 
 /// Whether a scheduler at rest has recovered after [`RECOVERY_TIME`] of reads that are all served
 /// within a tick: from then on it must send each read at once, without queueing or rejecting it.
-pub fn recovers(mut scheduler: Scheduler, mut now: Nanos, cells: &[CellId]) -> bool {
+pub fn recovers(mut scheduler: Scheduler, mut now: Nanos, shards: &[ShardId]) -> bool {
     let started_at = now;
     let mut last_id = FIRST_ID;
     let mut actions = Vec::new();
@@ -42,15 +42,15 @@
             scheduler.handle(now, served(&attempt, now), &mut actions);
         }
         scheduler.handle(now, Event::Timer(TIMER_COOKIE), &mut actions);
-        let cells_to_read = if tick % TICKS_BETWEEN_READS == 0 {
-            cells
+        let shards_to_read = if tick % TICKS_BETWEEN_READS == 0 {
+            shards
         } else {
             &[]
         };
-        for &cell in cells_to_read {
+        for &shard in shards_to_read {
             last_id += 1;
             let actions_before = actions.len();
-            scheduler.handle(now, Event::Request(read(last_id, cell)), &mut actions);
+            scheduler.handle(now, Event::Request(read(last_id, shard)), &mut actions);
             let must_be_sent = now - started_at > RECOVERY_TIME;
             if must_be_sent && !is_sent(last_id, &actions[actions_before..]) {
                 return false;
@@ -75,7 +75,7 @@
         .any(|action| matches!(action, Action::Send { id: sent, .. } if *sent == id))
 }
 
-fn read(id: RequestId, cell: CellId) -> Request {
+fn read(id: RequestId, shard: ShardId) -> Request {
     Request {
         id,
         class: 0,
@@ -84,7 +84,7 @@
         key: None,
         patience: READ_TIMEOUT,
         units: 2.0,
-        cell: Some(cell),
+        shard: Some(shard),
         front_count: 1,
     }
 }
--- a/crates/model-checker/src/request_model/checks.rs
+++ b/crates/model-checker/src/request_model/checks.rs
@@ -1,7 +1,7 @@
 //! The properties that the request model checks.
 
 use tulipbridge_core::request_tracker::FinalAnswer;
-use tulipbridge_core::{CellId, Listed, Nanos, NodeId, RequestId, Semantics};
+use tulipbridge_core::{Listed, Nanos, NodeId, RequestId, Semantics, ShardId};
 
 use super::effects::ResponseOrigin;
 use super::state::{ClientState, NodeState};
@@ -144,12 +144,12 @@
             return;
         }
         let is_warm = |node: &&NodeState| node.listed == Listed::Up && node.started_at == 0;
-        let cells: Vec<CellId> = self
+        let shards: Vec<ShardId> = self
             .nodes
             .iter()
             .filter(is_warm)
-            .map(|node| node.cell)
+            .map(|node| node.shard)
             .collect();
-        self.violations.does_not_recover |= !self.tracker.decisions().recovers(self.now, &cells);
+        self.violations.does_not_recover |= !self.tracker.decisions().recovers(self.now, &shards);
     }
 }
--- a/crates/model-checker/src/request_model/mod.rs
+++ b/crates/model-checker/src/request_model/mod.rs
@@ -19,7 +19,7 @@
 
 use tulipbridge_core::connection_pool::ConnectionPool;
 use tulipbridge_core::request_tracker::{Input, RequestTracker};
-use tulipbridge_core::{CellId, Listed, Nanos, NodeId, Request, RequestId, Settings, UpdateScope};
+use tulipbridge_core::{Listed, Nanos, NodeId, Request, RequestId, Settings, ShardId, UpdateScope};
 
 use crate::model::{Model, ModelSummary};
 use crate::policy::{PolicyKind, PolicyUnderTest};
@@ -40,8 +40,8 @@
 pub struct ClientRequest {
     /// Index of the request's class in the settings.
     pub class: usize,
-    /// The cell that holds its data, if only one does.
-    pub cell: Option<CellId>,
+    /// The shard that holds its data, if only one does.
+    pub shard: Option<ShardId>,
     /// How long the client waits for the answer.
     pub timeout: Nanos,
 }
@@ -53,8 +53,8 @@
     NodeDraining(NodeId),
     /// A node is removed from the endpoint list.
     NodeRemoved(NodeId),
-    /// A node that has just started serves a cell from now on.
-    CellTakenOver(NodeId, CellId),
+    /// A node that has just started serves a shard from now on.
+    ShardTakenOver(NodeId, ShardId),
     /// The address of a node changes.
     AddressChanged(NodeId),
     /// The watch broke.
@@ -97,7 +97,7 @@
     pub requests: Vec<ClientRequest>,
     /// Whether a client sends its request only after the one before has its answer or has left.
     pub sequential: bool,
-    /// Number of nodes that are up at the start, each with a cell of its own.
+    /// Number of nodes that are up at the start, each with a shard of its own.
     pub nodes: usize,
     /// The updates that discovery reports, in this order.
     pub watch_updates: Vec<WatchUpdate>,
@@ -128,9 +128,9 @@
 
     fn initial_state(&self) -> State {
         let policy = PolicyUnderTest::new(self.policy, &self.settings, START);
-        let new_node = |cell| NodeState {
+        let new_node = |shard| NodeState {
             listed: Listed::Up,
-            cell,
+            shard,
             started_at: 0,
             forgotten: false,
         };
@@ -147,7 +147,7 @@
             clients: vec![ClientState::NotStarted; self.requests.len()],
             executions: vec![0; self.requests.len()],
             timers: Vec::new(),
-            nodes: (0..self.nodes as CellId).map(new_node).collect(),
+            nodes: (0..self.nodes as ShardId).map(new_node).collect(),
             violations: Violations::default(),
         };
         for node in 0..self.nodes {
@@ -199,7 +199,7 @@
     fn request(&self, client: usize, id: RequestId) -> Request {
         let ClientRequest {
             class,
-            cell,
+            shard,
             timeout,
         } = self.requests[client];
         Request {
@@ -210,7 +210,7 @@
             key: Some(client as u64),
             patience: timeout,
             units: 2.0,
-            cell,
+            shard,
             front_count: 1,
         }
     }
--- a/crates/model-checker/src/request_model/state.rs
+++ b/crates/model-checker/src/request_model/state.rs
@@ -7,7 +7,7 @@
 use tulipbridge_core::connection_pool::ConnectionPool;
 use tulipbridge_core::request_tracker::{FinalAnswer, RequestTracker};
 use tulipbridge_core::server_connection::ServerConnection;
-use tulipbridge_core::{CellId, Listed, Nanos, NodeId, NodeInfo, Outcome, RequestId};
+use tulipbridge_core::{Listed, Nanos, NodeId, NodeInfo, Outcome, RequestId, ShardId};
 
 use crate::policy::PolicyUnderTest;
 use crate::properties::Violations;
@@ -123,7 +123,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct NodeState {
     pub listed: Listed,
-    pub cell: CellId,
+    pub shard: ShardId,
     pub started_at: Nanos,
     /// The front has forgotten it.
     pub forgotten: bool,
@@ -188,7 +188,7 @@
         NodeInfo {
             node,
             zone: node as u32 % 2,
-            cell: state.cell,
+            shard: state.shard,
             listed: state.listed,
             started_at: state.started_at,
         }
@@ -218,7 +218,7 @@
             (self.age(timer.due), timer.cookie).hash(hasher);
         }
         for node in &self.nodes {
-            (node.listed, node.cell, node.forgotten).hash(hasher);
+            (node.listed, node.shard, node.forgotten).hash(hasher);
         }
     }
 }
--- a/crates/model-checker/src/request_model/transitions.rs
+++ b/crates/model-checker/src/request_model/transitions.rs
@@ -2,7 +2,7 @@
 
 use tulipbridge_core::attempt::AttemptEvent;
 use tulipbridge_core::request_tracker::Input;
-use tulipbridge_core::{CellId, Listed, Nanos, NodeId, Outcome, RequestId, UpdateScope};
+use tulipbridge_core::{Listed, Nanos, NodeId, Outcome, RequestId, ShardId, UpdateScope};
 
 use super::effects::ResponseOrigin;
 use super::state::{AttemptKey, ClientState, ConnectionId, NodeState};
@@ -179,8 +179,8 @@
                 self.nodes[node].listed = Listed::Removed;
                 self.report_node(model, node);
             }
-            WatchUpdate::CellTakenOver(node, cell) => {
-                self.start_node(node, cell);
+            WatchUpdate::ShardTakenOver(node, shard) => {
+                self.start_node(node, shard);
                 self.report_node(model, node);
             }
             WatchUpdate::AddressChanged(node) => {
@@ -191,10 +191,10 @@
         }
     }
 
-    fn start_node(&mut self, node: NodeId, cell: CellId) {
+    fn start_node(&mut self, node: NodeId, shard: ShardId) {
         let started = NodeState {
             listed: Listed::Up,
-            cell,
+            shard,
             started_at: self.now,
             forgotten: false,
         };
--- a/src/bin/tulipbridge-adapter/instance.rs
+++ b/src/bin/tulipbridge-adapter/instance.rs
@@ -136,13 +136,13 @@
             .position(|known| Some(known.as_str()) == zone);
         let zone = zone.unwrap_or(self.zones.len());
         let listed = vocabulary::listed(string(row.get(4), "Health")?)?;
-        let cell = CellId::try_from(integer(row.get(3), "Cell")?);
-        let cell = cell.map_err(|_| WireError::OutOfRange { key: "Cell" })?;
+        let shard = ShardId::try_from(integer(row.get(3), "Cell")?);
+        let shard = shard.map_err(|_| WireError::OutOfRange { key: "Cell" })?;
         let started_at = optional_int(row.get(6), "CameUp", 0)?;
         Ok(NodeInfo {
             node,
             zone: zone as u32,
-            cell,
+            shard,
             listed,
             started_at,
         })
@@ -165,7 +165,7 @@
         let name = string(row.get(2), "Ref")?;
         let class = index_of(&self.classes, string(row.get(3), "Grade")?, "Grade")?;
         let plan = index_of(&self.plans, string(row.get(4), "Contract")?, "Contract")?;
-        let cell = optional_int(row.get(9), "LiesIn", ANY_SHARD)?;
+        let shard = optional_int(row.get(9), "LiesIn", ANY_SHARD)?;
         let request = Request {
             id: self.requests.next_id(),
             class,
@@ -174,7 +174,7 @@
             key: row.get(5).and_then(Value::as_str).map(stable_hash),
             patience: integer(row.get(6), "PatienceLeft")?,
             units: optional_number(row.get(8), "Weight")?,
-            cell: CellId::try_from(cell).ok(),
+            shard: ShardId::try_from(shard).ok(),
             front_count: optional_number(row.get(10), "SetSize")? as u32,
         };
         self.requests.add(name);
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -85,7 +85,7 @@
         group: match entry.get("Group").and_then(Value::as_str) {
             Some("all") => Group::All,
             Some("zone") => Group::Zone,
-            _ => Group::Cell,
+            _ => Group::Shard,
         },
         window: number(entry, "Window")? as Nanos,
         keep_order: boolean(entry, "KeepOrder")?,
--- a/src/control/endpoint_list.rs
+++ b/src/control/endpoint_list.rs
@@ -7,7 +7,7 @@
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
 use tulipbridge_core::server_start_times::ServerStartTimes;
-use tulipbridge_core::{CellId, Listed, Nanos, NodeInfo, UpdateScope};
+use tulipbridge_core::{Listed, Nanos, NodeInfo, ShardId, UpdateScope};
 
 use crate::config::json::{array, boolean, integer, parse_address, string, JsonError};
 use crate::control::maintenance::Maintenance;
@@ -21,9 +21,9 @@
     /// A value is missing or invalid.
     #[error(transparent)]
     Json(#[from] JsonError),
-    /// The number of a cell is too large.
+    /// The number of a shard is too large.
     #[error("'cell' is out of range")]
-    CellOutOfRange,
+    ShardOutOfRange,
 }
 
 /// An endpoint list, or changes to one.
@@ -107,8 +107,8 @@
             // In any other state, known or not, a server must not get new work.
             _ => Listed::Draining,
         };
-        let cell = integer(entry.get("cell"), "cell")?;
-        let cell = CellId::try_from(cell).map_err(|_| EndpointListError::CellOutOfRange)?;
+        let shard = integer(entry.get("cell"), "cell")?;
+        let shard = ShardId::try_from(shard).map_err(|_| EndpointListError::ShardOutOfRange)?;
         let started_at_ms = entry
             .get("startedAtMs")
             .and_then(Value::as_i64)
@@ -118,11 +118,11 @@
             .start_times
             .borrow_mut()
             .listed(&name.to_owned(), now, listed_start);
-        let node = upstream.locate(name, address, cell);
+        let node = upstream.locate(name, address, shard);
         let info = NodeInfo {
             node,
             zone,
-            cell,
+            shard,
             listed,
             started_at,
         };
--- a/src/frontend/platform/request_parser.rs
+++ b/src/frontend/platform/request_parser.rs
@@ -3,7 +3,7 @@
 use hyper::header::{HeaderMap, COOKIE};
 use hyper::Method;
 use tulipbridge_core as core;
-use tulipbridge_core::{CellId, Nanos};
+use tulipbridge_core::{Nanos, ShardId};
 
 use super::request_tables::RequestTables;
 use super::{CLASS, TRANSACTION_ID};
@@ -112,7 +112,7 @@
             key: block_id(headers)?,
             patience,
             units: operation.units.ok_or(RequestError::InvalidUnits)? as f64,
-            cell: CellId::try_from(shard).ok(),
+            shard: ShardId::try_from(shard).ok(),
             front_count: operation
                 .front_count
                 .ok_or(RequestError::InvalidFrontCount)? as u32,
--- a/src/object/answer.rs
+++ b/src/object/answer.rs
@@ -67,6 +67,6 @@
             .get(VERSION_ID)
             .and_then(|value| value.to_str().ok())
             .unwrap_or_default();
-        HeaderValue::try_from(format!("{}.{own}", self.cell)).map_err(|_| ApiError::OutcomeUnknown)
+        HeaderValue::try_from(format!("{}.{own}", self.shard)).map_err(|_| ApiError::OutcomeUnknown)
     }
 }
--- a/src/object/delete.rs
+++ b/src/object/delete.rs
@@ -24,7 +24,7 @@
             }
             Some(version) => {
                 let node = NodeRequest {
-                    cell: Some(version.cell),
+                    shard: Some(version.shard),
                     query: format!("versionId={}", encode_query_value(&version.own)),
                     units: self.mean_units,
                     ..NodeRequest::new(request.bucket.read_class, Method::DELETE)
--- a/src/object/get.rs
+++ b/src/object/get.rs
@@ -12,7 +12,7 @@
     LAST_MODIFIED, RANGE,
 };
 use hyper::{Method, StatusCode};
-use tulipbridge_core::CellId;
+use tulipbridge_core::ShardId;
 
 use super::error::ApiError;
 use super::front_state::FrontState;
@@ -43,7 +43,7 @@
 
 /// Where an object is read from.
 struct ReadSource {
-    cell: CellId,
+    shard: ShardId,
     /// Query that names the version; empty for the latest.
     query: String,
     /// The version id as the client gave it.
@@ -117,10 +117,10 @@
 
     /// The shard and version that a request reads.
     async fn read_source(self: &Rc<Self>, request: &ObjectRequest) -> Result<ReadSource, ApiError> {
-        let VersionId { cell, own } = match request.version()? {
+        let VersionId { shard, own } = match request.version()? {
             Some(version) => version,
             None => VersionId {
-                cell: self.find_shard(request).await?,
+                shard: self.find_shard(request).await?,
                 own: String::new(),
             },
         };
@@ -134,7 +134,7 @@
             .get("versionId")
             .and_then(|id| HeaderValue::try_from(id).ok());
         Ok(ReadSource {
-            cell,
+            shard,
             query,
             version_id,
         })
@@ -149,7 +149,7 @@
         headers: HeaderMap,
     ) -> NodeRequest {
         NodeRequest {
-            cell: Some(source.cell),
+            shard: Some(source.shard),
             query: source.query.clone(),
             headers,
             units: self.mean_units,
@@ -280,18 +280,18 @@
     }
 
     /// Finds the shard with the latest version of an object by asking all of them.
-    async fn find_shard(self: &Rc<Self>, request: &ObjectRequest) -> Result<CellId, ApiError> {
-        let mut latest: Option<(SystemTime, CellId)> = None;
+    async fn find_shard(self: &Rc<Self>, request: &ObjectRequest) -> Result<ShardId, ApiError> {
+        let mut latest: Option<(SystemTime, ShardId)> = None;
         let mut failure = None;
         for shard in self.send_to_all_shards(request, Method::HEAD).await {
             match shard.result {
-                Ok(answer) => latest = latest.max(Some((modified_at(&answer), shard.cell))),
+                Ok(answer) => latest = latest.max(Some((modified_at(&answer), shard.shard))),
                 Err(error) if error.is_not_found() => {}
                 Err(error) => failure = Some(error),
             }
         }
         match (latest, failure) {
-            (Some((_, cell)), _) => Ok(cell),
+            (Some((_, shard)), _) => Ok(shard),
             // The object may be at a shard that did not answer.
             (None, Some(error)) => Err(error.of_read(self.deadlines[request.bucket.read_class])),
             (None, None) => Err(ApiError::request(
--- a/src/object/multipart.rs
+++ b/src/object/multipart.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use hyper::header::{HeaderName, HeaderValue, ETAG};
 use hyper::{Method, StatusCode};
-use tulipbridge_core::CellId;
+use tulipbridge_core::ShardId;
 
 use super::error::ApiError;
 use super::front_state::FrontState;
@@ -27,7 +27,7 @@
 
 /// An upload id of this front.
 struct UploadId {
-    cell: CellId,
+    shard: ShardId,
     token: String,
     /// The chunk server's own id.
     own: String,
@@ -46,12 +46,12 @@
     fn of(request: &ObjectRequest) -> Result<UploadId, ApiError> {
         let id = request.query.get("uploadId").map_or("", String::as_str);
         let mut parts = id.splitn(3, '.');
-        let cell = parts.next().and_then(|cell| cell.parse().ok());
+        let shard = parts.next().and_then(|shard| shard.parse().ok());
         let token = parts.next().unwrap_or_default();
         let own = parts.next().unwrap_or_default();
-        match cell {
-            Some(cell) if !token.is_empty() && !own.is_empty() => Ok(UploadId {
-                cell,
+        match shard {
+            Some(shard) if !token.is_empty() && !own.is_empty() => Ok(UploadId {
+                shard,
                 token: token.to_owned(),
                 own: own.to_owned(),
             }),
@@ -67,7 +67,7 @@
     /// A request to the shard of the upload.
     fn node_request(&self, class: usize, method: Method, query: String) -> NodeRequest {
         NodeRequest {
-            cell: Some(self.cell),
+            shard: Some(self.shard),
             query,
             ..NodeRequest::new(class, method)
         }
@@ -92,7 +92,7 @@
         let result = xml::InitiateMultipartUploadResult {
             bucket: request.bucket_name,
             key: request.key,
-            upload_id: format!("{}.{token}.{}", answer.cell, opened.upload_id),
+            upload_id: format!("{}.{token}.{}", answer.shard, opened.upload_id),
         };
         Ok(document(
             StatusCode::OK,
--- a/src/object/node_request.rs
+++ b/src/object/node_request.rs
@@ -10,7 +10,7 @@
 use percent_encoding::{utf8_percent_encode, NON_ALPHANUMERIC};
 use tokio::task::JoinSet;
 use tulipbridge_core as core;
-use tulipbridge_core::CellId;
+use tulipbridge_core::ShardId;
 
 use super::config::Bucket;
 use super::error::ApiError;
@@ -23,7 +23,7 @@
 pub(super) struct NodeRequest {
     pub class: usize,
     /// The shard that must serve it; `None` leaves the choice to the decision module.
-    pub cell: Option<CellId>,
+    pub shard: Option<ShardId>,
     pub method: Method,
     /// Query without the question mark, encoded; empty for none.
     pub query: String,
@@ -38,7 +38,7 @@
     pub fn new(class: usize, method: Method) -> NodeRequest {
         NodeRequest {
             class,
-            cell: None,
+            shard: None,
             method,
             query: String::new(),
             headers: HeaderMap::new(),
@@ -50,7 +50,7 @@
 
 /// The result of a request at one shard.
 pub(super) struct ShardResult {
-    pub cell: CellId,
+    pub shard: ShardId,
     pub result: Result<Answer, ApiError>,
 }
 
@@ -71,7 +71,7 @@
             key: Some(key_hash(request)),
             patience: patience.as_nanos() as i64,
             units: node.units.clamp(1.0, self.max_units),
-            cell: node.cell,
+            shard: node.shard,
             front_count: request.bucket.front_count,
         };
         let payload = Payload {
@@ -100,17 +100,17 @@
         method: Method,
     ) -> Vec<ShardResult> {
         let mut tasks = JoinSet::new();
-        for cell in 0..self.shards {
+        for shard in 0..self.shards {
             let front = Rc::clone(self);
             let request = request.clone();
             let node = NodeRequest {
-                cell: Some(cell),
+                shard: Some(shard),
                 ..NodeRequest::new(request.bucket.read_class, method.clone())
             };
             tasks.spawn_local(async move {
                 let answer = front.send(&request, node).await;
                 ShardResult {
-                    cell,
+                    shard,
                     result: answer.and_then(|answer| answer.into_success("NoSuchKey")),
                 }
             });
--- a/src/object/request.rs
+++ b/src/object/request.rs
@@ -9,7 +9,7 @@
 };
 use hyper::{Method, StatusCode, Uri};
 use percent_encoding::percent_decode_str;
-use tulipbridge_core::CellId;
+use tulipbridge_core::ShardId;
 
 use super::error::ApiError;
 use super::front_state::FrontState;
@@ -82,7 +82,7 @@
 
 /// A version id: the shard that stores the version, and the chunk server's own id for it.
 pub(super) struct VersionId {
-    pub cell: CellId,
+    pub shard: ShardId,
     /// Empty where the chunk server keeps no versions.
     pub own: String,
 }
@@ -217,10 +217,10 @@
         let Some(id) = self.query.get("versionId") else {
             return Ok(None);
         };
-        let version = id.split_once('.').and_then(|(cell, own)| {
-            let cell = cell.parse().ok()?;
+        let version = id.split_once('.').and_then(|(shard, own)| {
+            let shard = shard.parse().ok()?;
             Some(VersionId {
-                cell,
+                shard,
                 own: own.to_owned(),
             })
         });
--- a/src/telemetry/trace.rs
+++ b/src/telemetry/trace.rs
@@ -91,7 +91,7 @@
     json!({
         "e": "asked", "id": request.id, "class": request.class, "plan": request.plan,
         "volume": format!("{:x}", request.volume), "units": request.units,
-        "cell": request.cell.map_or(-1, i64::from), "patience_ms": milliseconds(request.patience),
+        "cell": request.shard.map_or(-1, i64::from), "patience_ms": milliseconds(request.patience),
         "hosts": request.front_count,
     })
 }
@@ -128,7 +128,7 @@
         Listed::Removed => "removed",
     };
     json!({
-        "node": name(info.node), "cell": info.cell, "listed": listed, "came_up": info.started_at as f64 / 1e9,
+        "node": name(info.node), "cell": info.shard, "listed": listed, "came_up": info.started_at as f64 / 1e9,
     })
 }
 
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -19,7 +19,7 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 use tulipbridge_core::server_connection::{ConnectionEvent, Execution, ServerConnection};
-use tulipbridge_core::CellId;
+use tulipbridge_core::ShardId;
 
 use super::open_connections::OpenSlot;
 use super::payload::{Answer, Payload};
@@ -48,17 +48,17 @@
     pub wire: Rc<WireState>,
     /// Which of its server's addresses it leads to.
     pub address_epoch: u32,
-    cell: CellId,
+    shard: ShardId,
     _slot: OpenSlot,
 }
 
 impl PooledConnection {
     /// Performs the HTTP handshake on a stream to the address `address_epoch` of a server of shard
-    /// `cell`.
+    /// `shard`.
     pub async fn handshake(
         stream: TcpStream,
         address_epoch: u32,
-        cell: CellId,
+        shard: ShardId,
         slot: OpenSlot,
     ) -> Option<PooledConnection> {
         // Nagle's algorithm would delay a request that takes two writes; a failure here costs only
@@ -82,7 +82,7 @@
             socket,
             wire,
             address_epoch,
-            cell,
+            shard,
             _slot: slot,
         })
     }
@@ -135,7 +135,7 @@
             if !wire.connection().is_reading_response() {
                 return Err(wire.execution());
             }
-            let report = read_response(response, payload.accepts, self.cell).await?;
+            let report = read_response(response, payload.accepts, self.shard).await?;
             wire.on(ConnectionEvent::ResponseComplete);
             Ok(report)
         };
--- a/src/upstream/connections.rs
+++ b/src/upstream/connections.rs
@@ -10,7 +10,7 @@
 use tulipbridge_core::attempt::{Attempt, AttemptEvent, AttemptStep};
 use tulipbridge_core::connection_pool::{Capacity, ConnectionPool};
 use tulipbridge_core::server_connection::{ConnectionEvent, Execution};
-use tulipbridge_core::{CellId, Nanos, NodeId};
+use tulipbridge_core::{Nanos, NodeId, ShardId};
 
 use super::connection::PooledConnection;
 use super::open_connections::OpenConnections;
@@ -54,8 +54,8 @@
     }
 
     /// Sets the address and shard of a server; see [`super::Upstream::locate`].
-    pub fn locate(&self, name: &str, address: SocketAddr, cell: CellId) -> NodeId {
-        let located = self.servers.borrow_mut().locate(name, address, cell);
+    pub fn locate(&self, name: &str, address: SocketAddr, shard: ShardId) -> NodeId {
+        let located = self.servers.borrow_mut().locate(name, address, shard);
         match located {
             Located::Added(id) => {
                 self.pool.borrow_mut().add(id);
@@ -223,11 +223,11 @@
 
     /// Opens a connection to a server; `None` where this fails or takes longer than the timeout.
     async fn dial(self: &Rc<Self>, node: NodeId) -> Option<PooledConnection> {
-        let (address, cell) = self
+        let (address, shard) = self
             .servers
             .borrow()
             .get(node)
-            .map(|server| (server.address, server.cell))?;
+            .map(|server| (server.address, server.shard))?;
         let address_epoch = self.pool.borrow().address_epoch(node)?;
         let slot = self.open.acquire();
         if trace::is_enabled() {
@@ -235,6 +235,6 @@
             trace::write(json!({ "e": "dial", "node": name, "open": self.open.count() }));
         }
         let stream = tokio::time::timeout(self.dial_timeout, TcpStream::connect(address)).await;
-        PooledConnection::handshake(stream.ok()?.ok()?, address_epoch, cell, slot).await
+        PooledConnection::handshake(stream.ok()?.ok()?, address_epoch, shard, slot).await
     }
 }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use tulipbridge_core::{CellId, NodeId};
+use tulipbridge_core::{NodeId, ShardId};
 
 use self::connections::Connections;
 use crate::exchange::{AttemptReport, Transport, Withdrawal};
@@ -43,8 +43,8 @@
 
     /// Sets the address and shard of a chunk server. Returns its number, which it gets when it is
     /// first named.
-    pub fn locate(&self, name: &str, address: SocketAddr, cell: CellId) -> NodeId {
-        self.connections.locate(name, address, cell)
+    pub fn locate(&self, name: &str, address: SocketAddr, shard: ShardId) -> NodeId {
+        self.connections.locate(name, address, shard)
     }
 
     /// The name of a chunk server in discovery, the same at every front; empty for an unknown one.
--- a/src/upstream/payload.rs
+++ b/src/upstream/payload.rs
@@ -6,7 +6,7 @@
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, StatusCode, Uri};
-use tulipbridge_core::CellId;
+use tulipbridge_core::ShardId;
 
 use crate::body_budget::BodyReservation;
 use crate::telemetry::metrics::ClassMetrics;
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 pub struct Answer {
     /// The shard of the server.
-    pub cell: CellId,
+    pub shard: ShardId,
     /// Status.
     pub status: StatusCode,
     /// Headers.
--- a/src/upstream/response.rs
+++ b/src/upstream/response.rs
@@ -7,7 +7,7 @@
 use hyper::http::response::Parts;
 use hyper::{Response, StatusCode};
 use tulipbridge_core::server_connection::Execution;
-use tulipbridge_core::{CellId, Outcome};
+use tulipbridge_core::{Outcome, ShardId};
 
 use super::payload::{Accepts, Answer, StreamedBody};
 use crate::exchange::AttemptReport;
@@ -31,7 +31,7 @@
 pub(super) async fn read_response(
     response: Response<Incoming>,
     accepts: Accepts,
-    cell: CellId,
+    shard: ShardId,
 ) -> Result<AttemptReport<Answer>, Execution> {
     let report = read_head(&response, accepts);
     let headers = response.headers();
@@ -46,13 +46,13 @@
     let served = report.outcome == Outcome::Served;
     let (head, body) = response.into_parts();
     let answer = if (length_unknown || too_long_to_buffer) && served && accepts == Accepts::Served {
-        Some(read_streamed(head, body, size.exact(), cell).await?)
+        Some(read_streamed(head, body, size.exact(), shard).await?)
     } else if too_long_to_buffer {
         return Err(Execution::MayHaveRun);
     } else {
         let body = Limited::new(body, MAX_BODY).collect().await;
         let body = body.map_err(|_| Execution::MayHaveRun)?.to_bytes();
-        served.then(|| answer_with(head, cell, body, None))
+        served.then(|| answer_with(head, shard, body, None))
     };
     Ok(AttemptReport { answer, ..report })
 }
@@ -63,12 +63,12 @@
     head: Parts,
     mut body: Incoming,
     length: Option<u64>,
-    cell: CellId,
+    shard: ShardId,
 ) -> Result<Answer, Execution> {
     let mut first = BytesMut::new();
     while length.is_none() && first.len() <= MAX_BODY {
         let Some(frame) = body.frame().await else {
-            return Ok(answer_with(head, cell, first.freeze(), None));
+            return Ok(answer_with(head, shard, first.freeze(), None));
         };
         let frame = frame.map_err(|_| Execution::MayHaveRun)?;
         if let Ok(data) = frame.into_data() {
@@ -76,12 +76,12 @@
         }
     }
     let streamed = StreamedBody::new(first.freeze(), body, length);
-    Ok(answer_with(head, cell, Bytes::new(), Some(streamed)))
+    Ok(answer_with(head, shard, Bytes::new(), Some(streamed)))
 }
 
-fn answer_with(head: Parts, cell: CellId, body: Bytes, streamed: Option<StreamedBody>) -> Answer {
+fn answer_with(head: Parts, shard: ShardId, body: Bytes, streamed: Option<StreamedBody>) -> Answer {
     Answer {
-        cell,
+        shard,
         status: head.status,
         headers: head.headers,
         body,
--- a/src/upstream/server_table.rs
+++ b/src/upstream/server_table.rs
@@ -3,13 +3,13 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use tulipbridge_core::{CellId, NodeId};
+use tulipbridge_core::{NodeId, ShardId};
 
 /// A chunk server.
 pub(super) struct Server {
     pub name: String,
     pub address: SocketAddr,
-    pub cell: CellId,
+    pub shard: ShardId,
 }
 
 /// What [`ServerTable::locate`] has changed.
@@ -38,14 +38,14 @@
     }
 
     /// Sets the address and shard of a server, adding it where its name is new.
-    pub fn locate(&mut self, name: &str, address: SocketAddr, cell: CellId) -> Located {
+    pub fn locate(&mut self, name: &str, address: SocketAddr, shard: ShardId) -> Located {
         let Some(&id) = self.ids.get(name) else {
-            return Located::Added(self.add(name, address, cell));
+            return Located::Added(self.add(name, address, shard));
         };
         let Some(server) = self.servers.get_mut(&id) else {
             return Located::Unchanged(id);
         };
-        server.cell = cell;
+        server.shard = shard;
         if server.address == address {
             return Located::Unchanged(id);
         }
@@ -53,7 +53,7 @@
         Located::AddressChanged(id)
     }
 
-    fn add(&mut self, name: &str, address: SocketAddr, cell: CellId) -> NodeId {
+    fn add(&mut self, name: &str, address: SocketAddr, shard: ShardId) -> NodeId {
         let id = self.next_id;
         self.next_id += 1;
         self.ids.insert(name.to_owned(), id);
@@ -62,7 +62,7 @@
             Server {
                 name: name.to_owned(),
                 address,
-                cell,
+                shard,
             },
         );
         id
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -205,7 +205,7 @@
     NodeInfo {
         node,
         zone: 0,
-        cell: 0,
+        shard: 0,
         listed: Listed::Up,
         started_at,
     }
