--- a/crates/core/src/interface/mod.rs
+++ b/crates/core/src/interface/mod.rs
@@ -7,24 +7,16 @@
 mod endpoints;
 mod events;
 mod fleet;
+mod ids;
 mod request;
 mod settings;
 
 pub use endpoints::{Listed, NodeInfo, UpdateScope};
 pub use events::{Action, Event, Outcome};
 pub use fleet::{ClassSet, FleetUpdate, SharedLimit};
+pub use ids::{KeyId, NodeId, RequestId, ShardId, VolumeId};
 pub use request::Request;
 pub use settings::{Class, Group, Plan, RetryBudget, Semantics, Settings, SettingsError};
 
 /// A time or a duration in nanoseconds.
 pub type Nanos = i64;
-/// A client request, unique during the life of one front.
-pub type RequestId = u64;
-/// A chunk server, numbered in the order in which the front first heard of it.
-pub type NodeId = usize;
-/// A volume.
-pub type VolumeId = u64;
-/// A piece of data.
-pub type KeyId = u64;
-/// A shard. The chunk server that holds it may be replaced; the shard stays.
-pub type ShardId = u32;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! ```
 //! use tulipbridge_core::{Action, Class, Event, Group, Listed, NodeInfo, Plan, Request, Scheduler, Semantics, Settings};
-//! use tulipbridge_core::UpdateScope;
+//! use tulipbridge_core::{KeyId, NodeId, RequestId, ShardId, UpdateScope, VolumeId};
 //!
 //! let ms = 1_000_000;
 //! let settings = Settings {
@@ -53,21 +53,21 @@
 //! };
 //! let mut scheduler = Scheduler::new(settings, 7, 0).expect("valid settings");
 //! let mut actions = Vec::new();
-//! let node = NodeInfo { node: 0, zone: 0, shard: 4, listed: Listed::Up, started_at: 0 };
+//! let node = NodeInfo { node: NodeId(0), zone: 0, shard: ShardId(4), listed: Listed::Up, started_at: 0 };
 //! scheduler.handle(0, Event::Endpoints { scope: UpdateScope::Restored, nodes: vec![node] }, &mut actions);
 //! let request = Request {
-//!     id: 1,
+//!     id: RequestId(1),
 //!     class: 0,
 //!     plan: 0,
-//!     volume: 9,
-//!     key: Some(3),
+//!     volume: VolumeId(9),
+//!     key: Some(KeyId(3)),
 //!     patience: 1000 * ms,
 //!     units: 2.0,
-//!     shard: Some(4),
+//!     shard: Some(ShardId(4)),
 //!     front_count: 1,
 //! };
 //! scheduler.handle(ms, Event::Request(request), &mut actions);
-//! assert!(actions.contains(&Action::Send { id: 1, node: 0, timeout: 0 }));
+//! assert!(actions.contains(&Action::Send { id: RequestId(1), node: NodeId(0), timeout: 0 }));
 //! ```
 
 pub mod attempt;
--- a/crates/core/src/request_tracker.rs
+++ b/crates/core/src/request_tracker.rs
@@ -63,15 +63,16 @@
         RequestTracker {
             decisions,
             requests: BTreeMap::new(),
-            next_id: 0,
+            next_id: RequestId(0),
             actions: Vec::new(),
         }
     }
 
     /// An id for a new request, unique within this tracker.
     pub fn allocate_id(&mut self) -> RequestId {
-        self.next_id += 1;
-        self.next_id - 1
+        let id = self.next_id;
+        self.next_id = RequestId(id.0 + 1);
+        id
     }
 
     /// Requests without a final answer, or with attempts in flight.
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -18,7 +18,7 @@
     let mut front = TestFront::new(settings(), 2);
     for (id, class) in [(1, 0), (2, 1)] {
         assert_eq!(
-            sends(&front.submit(request(id, class, Some(id as ShardId - 1)))).len(),
+            sends(&front.submit(request(id, class, Some(id as u32 - 1)))).len(),
             1
         );
     }
@@ -38,7 +38,7 @@
     for id in 100..120 {
         front.submit(request(id, 0, Some(0)));
         front.now += 60 * MS;
-        front.event(Event::ClientGone(id));
+        front.event(Event::ClientGone(RequestId(id)));
         front.end_attempt(id, 0, 0, Outcome::Served, 60 * MS);
     }
     // The server is full; requests that wait longer than clients typically stay are rejected before
@@ -65,7 +65,7 @@
         let leaves = id % 5 == 0;
         if leaves {
             front.now += after;
-            front.event(Event::ClientGone(id));
+            front.event(Event::ClientGone(RequestId(id)));
         }
         actions.extend(front.advance(60 * MS - if leaves { after } else { 0 }));
         for id in [id, id + 1] {
@@ -84,15 +84,21 @@
     front.warm(0, 3, 0, 20 * MS);
     for (id, class, is_cancelled) in [(100, 0, true), (101, 2, false)] {
         front.submit(request(id, class, Some(0)));
-        let actions = front.event(Event::ClientGone(id));
+        let actions = front.event(Event::ClientGone(RequestId(id)));
         assert_eq!(
-            actions.contains(&Action::Cancel { id, attempt: 0 }),
+            actions.contains(&Action::Cancel {
+                id: RequestId(id),
+                attempt: 0
+            }),
             is_cancelled
         );
         assert!(
             !front
-                .event(Event::ClientGone(id))
-                .contains(&Action::Cancel { id, attempt: 0 }),
+                .event(Event::ClientGone(RequestId(id)))
+                .contains(&Action::Cancel {
+                    id: RequestId(id),
+                    attempt: 0
+                }),
             "only once"
         );
     }
@@ -129,7 +135,7 @@
     // here.
     let mut waits = Vec::new();
     for id in 0..600 {
-        let mut actions = front.submit(request(id, 0, Some((id % 3) as ShardId)));
+        let mut actions = front.submit(request(id, 0, Some((id % 3) as u32)));
         for (id, at) in sends(&actions) {
             actions = front.end_attempt(id, 0, at, Outcome::Rejected, MS);
         }
@@ -157,17 +163,13 @@
     let mut front = TestFront::new(settings, 10);
     for id in 0..10 {
         assert_eq!(
-            sends(&front.submit(request(id, 0, Some(id as ShardId)))).len(),
+            sends(&front.submit(request(id, 0, Some(id as u32)))).len(),
             1
         );
     }
     front.advance(300 * MS);
-    let rejected_at_once = (10..40).filter(|id| {
-        rejected(
-            &front.submit(request(*id, 0, Some((id % 10) as ShardId))),
-            *id,
-        )
-    });
+    let rejected_at_once =
+        (10..40).filter(|id| rejected(&front.submit(request(*id, 0, Some((id % 10) as u32))), *id));
     let rejected = rejected_at_once.count();
     assert!(
         rejected >= 20,
@@ -202,7 +204,7 @@
     let mut actions = Vec::new();
     for id in [1, 2] {
         let mut ordered = request(id, 3, Some(0));
-        ordered.key = Some(9);
+        ordered.key = Some(KeyId(9));
         actions.extend(front.submit(ordered));
     }
     assert_eq!(sends(&actions), vec![(1, 0)]);
--- a/crates/core/tests/assigned_limits.rs
+++ b/crates/core/tests/assigned_limits.rs
@@ -16,12 +16,14 @@
 }
 
 /// The units sent within a time in which a request comes every 10 ms.
-fn units_sent(front: &mut TestFront, first: RequestId, time: Nanos) -> f64 {
+fn units_sent(front: &mut TestFront, first: u64, time: Nanos) -> f64 {
     let mut units = 0.0;
     for step in 0..time / (10 * MS) {
-        let id = first + step as RequestId;
+        let id = first + step as u64;
         let mut limited = request(id, 0, Some(0));
-        (limited.plan, limited.volume, limited.front_count) = (0, 77, 4);
+        limited.plan = 0;
+        limited.volume = VolumeId(77);
+        limited.front_count = 4;
         let mut actions = front.submit(limited);
         actions.extend(front.advance(10 * MS));
         for (id, node) in sends(&actions) {
@@ -34,7 +36,7 @@
 
 fn assign_volume_limit(front: &mut TestFront, rate: f64, burst: f64, at: Nanos) {
     front.event(Event::FleetUpdate(FleetUpdate::SharedLimit {
-        limit: SharedLimit::Volume(77),
+        limit: SharedLimit::Volume(VolumeId(77)),
         rate,
         burst,
         at,
@@ -92,7 +94,7 @@
     for id in 0..200 {
         // Each fails at once, and every other rule allows a retry.
         let mut actions = front.advance(30 * MS);
-        actions.extend(front.submit(request(id, 0, Some(id as ShardId % 2))));
+        actions.extend(front.submit(request(id, 0, Some(id as u32 % 2))));
         for attempt in 0..3 {
             let Some((_, node)) = sends(&actions).into_iter().find(|(r, _)| *r == id) else {
                 break;
@@ -122,9 +124,9 @@
     // The server starts after the limit was assigned.
     let started_at = front.now;
     let start = NodeInfo {
-        node: 1,
+        node: NodeId(1),
         zone: 0,
-        shard: 7,
+        shard: ShardId(7),
         listed: Listed::Up,
         started_at,
     };
@@ -157,7 +159,7 @@
 }
 
 /// Answers all attempts in flight, and those sent meanwhile.
-fn answer_all(front: &mut TestFront, mut out: Vec<(RequestId, NodeId)>) {
+fn answer_all(front: &mut TestFront, mut out: Vec<(u64, usize)>) {
     while !out.is_empty() {
         let ends: Vec<Action> = out
             .iter()
@@ -172,7 +174,7 @@
 fn requests_in_flight_keep_to_the_assigned_limit_and_below_one_it_paces() {
     let mut front = TestFront::new(settings(), 1);
     front.warm(0, 4, 0, 20 * MS);
-    let submit_six = |front: &mut TestFront, first: RequestId| -> Vec<(RequestId, NodeId)> {
+    let submit_six = |front: &mut TestFront, first: u64| -> Vec<(u64, usize)> {
         let submitted = (first..first + 6)
             .flat_map(|id| front.submit(request(id, 0, Some(0))))
             .collect::<Vec<_>>();
--- a/crates/core/tests/attempt_withdrawal.rs
+++ b/crates/core/tests/attempt_withdrawal.rs
@@ -4,7 +4,10 @@
 use tulipbridge_core::attempt::{Attempt, AttemptEvent, AttemptStep};
 use tulipbridge_core::request_tracker::{Decisions, Effect, Input, RequestTracker};
 use tulipbridge_core::server_connection::{ConnectionEvent, Execution, ServerConnection};
-use tulipbridge_core::{Action, Event, Listed, Nanos, NodeInfo, Outcome, Request, UpdateScope};
+use tulipbridge_core::{
+    Action, Event, Listed, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, ShardId,
+    UpdateScope, VolumeId,
+};
 
 /// Sends each request to server 0, and returns the queued actions with the next event.
 #[derive(Default)]
@@ -15,7 +18,7 @@
         if let Event::Request(request) = event {
             actions.push(Action::Send {
                 id: request.id,
-                node: 0,
+                node: NodeId(0),
                 timeout: 0,
             });
         }
@@ -29,7 +32,7 @@
         id: tracker.allocate_id(),
         class: 0,
         plan: 0,
-        volume: 1,
+        volume: VolumeId(1),
         key: None,
         patience: 1_000_000_000,
         units: 1.0,
@@ -42,9 +45,9 @@
         matches!(
             effects[..],
             [Effect::Send {
-                id: 0,
+                id: RequestId(0),
                 attempt: 0,
-                node: 0,
+                node: NodeId(0),
                 ..
             }]
         ),
@@ -58,7 +61,7 @@
     tracker.on(1, input, &mut effects);
     let outcomes = effects.into_iter().filter_map(|e| match e {
         Effect::Withdraw {
-            id: 0,
+            id: RequestId(0),
             attempt: 0,
             outcome,
         } => Some(outcome),
@@ -69,9 +72,9 @@
 
 fn node_info(node: usize, listed: Listed) -> NodeInfo {
     NodeInfo {
-        node,
+        node: NodeId(node),
         zone: 0,
-        shard: 0,
+        shard: ShardId(0),
         listed,
         started_at: 0,
     }
@@ -80,11 +83,17 @@
 #[test]
 fn an_unstarted_attempt_is_withdrawn_when_its_client_leaves_or_is_overdue() {
     assert_eq!(
-        withdrawals(&mut tracker_with_one_attempt(), Input::ClientGone(0)),
+        withdrawals(
+            &mut tracker_with_one_attempt(),
+            Input::ClientGone(RequestId(0))
+        ),
         [Outcome::NotSent]
     );
     assert_eq!(
-        withdrawals(&mut tracker_with_one_attempt(), Input::Overdue(0)),
+        withdrawals(
+            &mut tracker_with_one_attempt(),
+            Input::Overdue(RequestId(0))
+        ),
         [Outcome::NotSent]
     );
 }
@@ -93,7 +102,7 @@
 fn a_final_answer_withdraws_an_unstarted_attempt() {
     let mut tracker = tracker_with_one_attempt();
     tracker.decisions_mut().0.push(Action::Reject {
-        id: 0,
+        id: RequestId(0),
         retry_after: 0,
     });
     assert_eq!(
--- a/crates/core/tests/client_patience.rs
+++ b/crates/core/tests/client_patience.rs
@@ -7,7 +7,7 @@
 
 /// Runs reads one after another, each answered after `took`. Returns the longest wait until an
 /// attempt was sent, and the number of rejected reads.
-fn run_reads(front: &mut TestFront, first: RequestId, count: u64, took: Nanos) -> (Nanos, usize) {
+fn run_reads(front: &mut TestFront, first: u64, count: u64, took: Nanos) -> (Nanos, usize) {
     let (mut longest, mut rejections) = (0, 0);
     for id in first..first + count {
         let received_at = front.now;
@@ -27,11 +27,11 @@
 }
 
 /// Runs reads whose clients leave after `age`.
-fn abandon_reads(front: &mut TestFront, first: RequestId, count: u64, age: Nanos) {
+fn abandon_reads(front: &mut TestFront, first: u64, count: u64, age: Nanos) {
     for id in first..first + count {
         let actions = front.submit(request(id, 0, Some(0)));
         front.now += age;
-        let end_actions = front.event(Event::ClientGone(id));
+        let end_actions = front.event(Event::ClientGone(RequestId(id)));
         if end_actions
             .iter()
             .any(|a| matches!(a, Action::Cancel { .. }))
--- a/crates/core/tests/common/fleet.rs
+++ b/crates/core/tests/common/fleet.rs
@@ -11,8 +11,8 @@
 #[derive(Clone, Copy)]
 pub struct FleetSend {
     pub front: usize,
-    pub id: RequestId,
-    pub node: NodeId,
+    pub id: u64,
+    pub node: usize,
 }
 
 /// The fronts and their clock.
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! The settings of a small site and a front that is driven by scripted events. The figures are made
-//! up.
+//! up. The builders take plain numbers for ids, so that a test reads without conversions.
 #![allow(dead_code)]
 
 pub mod fleet;
@@ -74,26 +74,26 @@
     }
 }
 
-pub fn node(node: NodeId, listed: Listed, started_at: Nanos) -> NodeInfo {
+pub fn node(node: usize, listed: Listed, started_at: Nanos) -> NodeInfo {
     NodeInfo {
-        node,
+        node: NodeId(node),
         zone: (node % 2) as u32,
-        shard: node as ShardId,
+        shard: ShardId(node as u32),
         listed,
         started_at,
     }
 }
 
-pub fn request(id: RequestId, class: usize, shard: Option<ShardId>) -> Request {
+pub fn request(id: u64, class: usize, shard: Option<u32>) -> Request {
     Request {
-        id,
+        id: RequestId(id),
         class,
         plan: 0,
-        volume: 1,
-        key: Some(id),
+        volume: VolumeId(1),
+        key: Some(KeyId(id)),
         patience: S,
         units: 2.0,
-        shard,
+        shard: shard.map(ShardId),
         front_count: 1,
     }
 }
@@ -155,9 +155,9 @@
     /// Ends an attempt; the request is finished if it was served.
     pub fn end_attempt(
         &mut self,
-        id: RequestId,
+        id: u64,
         attempt: u32,
-        node: NodeId,
+        node: usize,
         outcome: Outcome,
         took: Nanos,
     ) -> Vec<Action> {
@@ -166,9 +166,9 @@
     }
 
     /// Runs `count` requests at a server one after another, each answered after `took`.
-    pub fn warm(&mut self, first: RequestId, count: u64, shard: usize, took: Nanos) {
+    pub fn warm(&mut self, first: u64, count: u64, shard: usize, took: Nanos) {
         for id in first..first + count {
-            let sent = self.submit(request(id, 0, Some(shard as ShardId)));
+            let sent = self.submit(request(id, 0, Some(shard as u32)));
             let sent = if sends(&sent).is_empty() {
                 self.advance(500 * MS)
             } else {
@@ -187,17 +187,17 @@
 
 /// The end of an attempt, without figures on the use by other fronts.
 pub fn ended(
-    id: RequestId,
+    id: u64,
     attempt: u32,
-    node: NodeId,
+    node: usize,
     outcome: Outcome,
     took: Nanos,
     last: bool,
 ) -> Event {
     Event::AttemptEnded {
-        id,
+        id: RequestId(id),
         attempt,
-        node,
+        node: NodeId(node),
         outcome,
         took,
         last,
@@ -207,22 +207,22 @@
 }
 
 /// The attempts sent, as request and server.
-pub fn sends(actions: &[Action]) -> Vec<(RequestId, NodeId)> {
+pub fn sends(actions: &[Action]) -> Vec<(u64, usize)> {
     let place = |a: &Action| match a {
-        Action::Send { id, node, .. } => Some((*id, *node)),
+        Action::Send { id, node, .. } => Some((id.0, node.0)),
         _ => None,
     };
     actions.iter().filter_map(place).collect()
 }
 
 /// Whether a request was rejected.
-pub fn rejected(actions: &[Action], id: RequestId) -> bool {
+pub fn rejected(actions: &[Action], id: u64) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Reject { id: r, .. } if *r == id))
+        .any(|a| matches!(a, Action::Reject { id: r, .. } if r.0 == id))
 }
 
 /// Whether a request was failed.
-pub fn failed(actions: &[Action], id: RequestId) -> bool {
-    actions.contains(&Action::Fail(id))
+pub fn failed(actions: &[Action], id: u64) -> bool {
+    actions.contains(&Action::Fail(RequestId(id)))
 }
--- a/crates/core/tests/congestion.rs
+++ b/crates/core/tests/congestion.rs
@@ -79,14 +79,14 @@
     let mut settings = settings();
     settings.plans[0].reserve_rate = 1e6;
     let mut front = TestFront::new(settings, 1);
-    let flood = |front: &mut TestFront, from: RequestId| {
+    let flood = |front: &mut TestFront, from: u64| {
         (from..from + 60)
             .map(|id| sends(&front.submit(request(id, 0, Some(0)))).len())
             .sum::<usize>()
     };
     let first = flood(&mut front, 0);
     assert!((2..=8).contains(&first), "several at first, not {first}");
-    let mut out: Vec<RequestId> = (0..first as u64).collect();
+    let mut out: Vec<u64> = (0..first as u64).collect();
     let mut next = 1000;
     for _ in 0..300 {
         front.now += 10 * MS;
@@ -122,7 +122,7 @@
     }
     front.advance(20 * MS);
     // The clock does not advance meanwhile, so that no period ends.
-    let choose_server_0 = |front: &mut TestFront, from: RequestId| {
+    let choose_server_0 = |front: &mut TestFront, from: u64| {
         let mut hits = 0;
         for id in from..from + 300 {
             let at = sends(&front.submit(request(id, 0, None)))[0].1;
--- a/crates/core/tests/ejection.rs
+++ b/crates/core/tests/ejection.rs
@@ -15,10 +15,10 @@
 fn servers_used(
     front: &mut TestFront,
     class: usize,
-    shard: Option<ShardId>,
-    outcome: impl Fn(NodeId) -> Outcome,
-) -> Vec<NodeId> {
-    let first = front.now as RequestId;
+    shard: Option<u32>,
+    outcome: impl Fn(usize) -> Outcome,
+) -> Vec<usize> {
+    let first = front.now as u64;
     let (mut nodes, mut attempts) = (Vec::new(), HashMap::new());
     for step in 0..200 {
         let mut due = sends(&front.submit(request(first + step, class, shard)));
@@ -39,20 +39,20 @@
     nodes
 }
 
-fn served(_: NodeId) -> Outcome {
+fn served(_: usize) -> Outcome {
     Outcome::Served
 }
 
-fn eject(front: &mut TestFront, node: NodeId, out: ClassSet) {
+fn eject(front: &mut TestFront, node: usize, out: ClassSet) {
     front.event(Event::FleetUpdate(FleetUpdate::Ejection {
-        node,
+        node: NodeId(node),
         classes: out,
     }));
 }
 
 fn warm_front(nodes: usize) -> TestFront {
     let mut front = TestFront::new(settings(), nodes);
-    (0..nodes).for_each(|n| front.warm(10 * n as RequestId, 4, n, 2 * MS));
+    (0..nodes).for_each(|n| front.warm(10 * n as u64, 4, n, 2 * MS));
     front
 }
 
@@ -60,7 +60,7 @@
 fn front_with_two_servers_of_a_shard() -> TestFront {
     let mut front = warm_front(3);
     let mut second = node(1, Listed::Up, 0);
-    second.shard = 0;
+    second.shard = ShardId(0);
     front.event(Event::Endpoints {
         scope: UpdateScope::Update,
         nodes: vec![second],
@@ -145,7 +145,10 @@
     let mut front = front_with_two_servers_of_a_shard();
     eject(&mut front, 0, ClassSet::ALL);
     let until = front.now + 500 * MS;
-    front.event(Event::FleetUpdate(FleetUpdate::Probe { node: 0, until }));
+    front.event(Event::FleetUpdate(FleetUpdate::Probe {
+        node: NodeId(0),
+        until,
+    }));
     // A request that may be executed only once is no probe.
     let once = front.submit(request(9_000, AT_MOST_ONCE, Some(0)));
     assert_eq!(sends(&once), [(9_000, 1)]);
@@ -158,14 +161,20 @@
         "one probe only"
     );
     let until = front.now;
-    front.event(Event::FleetUpdate(FleetUpdate::Probe { node: 0, until }));
+    front.event(Event::FleetUpdate(FleetUpdate::Probe {
+        node: NodeId(0),
+        until,
+    }));
     assert!(
         !servers_used(&mut front, 0, Some(0), served).contains(&0),
         "its deadline has passed"
     );
     // An idempotent new object may be the probe.
     let until = front.now + 500 * MS;
-    front.event(Event::FleetUpdate(FleetUpdate::Probe { node: 0, until }));
+    front.event(Event::FleetUpdate(FleetUpdate::Probe {
+        node: NodeId(0),
+        until,
+    }));
     assert_eq!(sends(&front.submit(request(9_002, 0, None))), [(9_002, 0)]);
 }
 
--- a/crates/core/tests/health.rs
+++ b/crates/core/tests/health.rs
@@ -16,7 +16,7 @@
         a,
         Action::Log {
             text: "node is silent",
-            node: 0
+            node: NodeId(0)
         }
     )));
     let mut sent = 0;
@@ -38,7 +38,7 @@
         a,
         Action::Log {
             text: "node answers again",
-            node: 0
+            node: NodeId(0)
         }
     )));
     let mut again = 0;
--- a/crates/core/tests/hundred_fronts.rs
+++ b/crates/core/tests/hundred_fronts.rs
@@ -33,9 +33,9 @@
     let (mut recent, mut units) = (VecDeque::new(), 0.0);
     let started_at = 110 * S;
     let started = NodeInfo {
-        node: NODES,
+        node: NodeId(NODES),
         zone: 0,
-        shard: 0,
+        shard: ShardId(0),
         listed: Listed::Up,
         started_at,
     };
@@ -57,7 +57,7 @@
         }
         for _ in 0..8 {
             let front = random.usize(0..FRONTS);
-            let shard = random.usize(0..NODES) as ShardId;
+            let shard = random.usize(0..NODES) as u32;
             sent.extend(fleet.submit(front, request(next_id, 0, Some(shard))));
             next_id += 1;
         }
@@ -211,7 +211,7 @@
     front.warm(0, 8, 0, 20 * MS);
     for (id, shard) in [(100, 1), (101, 2), (102, 1)] {
         if !sends(&front.submit(request(id, 0, Some(shard)))).is_empty() {
-            front.end_attempt(id, 0, shard as NodeId, Outcome::Rejected, MS);
+            front.end_attempt(id, 0, shard as usize, Outcome::Rejected, MS);
         }
     }
     // Far more is requested of one of them than it may be sent.
@@ -310,7 +310,7 @@
         for served in due {
             sent.extend(fleet.serve(served.attempt, now - served.sent_at));
         }
-        let first_id = 3 * step as RequestId;
+        let first_id = 3 * step as u64;
         for id in first_id..first_id + 3 {
             let front = random.usize(0..FRONTS);
             sent.extend(fleet.submit(front, request(id, 2, None)));
--- a/crates/core/tests/invariant_monitor.rs
+++ b/crates/core/tests/invariant_monitor.rs
@@ -10,7 +10,7 @@
 /// Classes of the settings.
 const IDEMPOTENT: usize = 0;
 const AT_MOST_ONCE: usize = 2;
-const NODE: NodeId = 0;
+const NODE: usize = 0;
 
 /// A monitor that has seen a server in service and the request 1 of a class.
 fn monitor(class: usize) -> InvariantMonitor {
@@ -32,9 +32,9 @@
 
 fn send(monitor: &mut InvariantMonitor, attempt: u32) -> Option<Rule> {
     let effect = Effect::Send {
-        id: 1,
+        id: RequestId(1),
         attempt,
-        node: NODE,
+        node: NodeId(NODE),
         deadline: S,
         begin_by: Nanos::MAX,
     };
@@ -43,12 +43,24 @@
 
 fn answer(monitor: &mut InvariantMonitor, answer: FinalAnswer) -> Option<Rule> {
     monitor
-        .effect(0, &Effect::Answer { id: 1, answer })
+        .effect(
+            0,
+            &Effect::Answer {
+                id: RequestId(1),
+                answer,
+            },
+        )
         .map(|violation| violation.rule)
 }
 
 fn time_out(monitor: &mut InvariantMonitor, attempt: u32) {
-    monitor.input(&Input::AttemptTimedOut { id: 1, attempt }, &settings());
+    monitor.input(
+        &Input::AttemptTimedOut {
+            id: RequestId(1),
+            attempt,
+        },
+        &settings(),
+    );
 }
 
 #[test]
@@ -71,7 +83,7 @@
     assert_eq!(send(&mut second_answer, 0), Some(Rule::NothingAfterTheEnd));
 
     let mut client_gone = monitor(IDEMPOTENT);
-    client_gone.input(&Input::ClientGone(1), &settings());
+    client_gone.input(&Input::ClientGone(RequestId(1)), &settings());
     assert_eq!(send(&mut client_gone, 0), Some(Rule::NothingAfterTheEnd));
 
     let mut draining = monitor(IDEMPOTENT);
--- a/crates/core/tests/invariants.rs
+++ b/crates/core/tests/invariants.rs
@@ -13,7 +13,7 @@
 
 /// An attempt with the outcome that it will have.
 struct Attempt {
-    node: NodeId,
+    node: usize,
     sent_at: Nanos,
     ends_at: Nanos,
     outcome: Outcome,
@@ -74,16 +74,16 @@
     front: TestFront,
     settings: Settings,
     random: fastrand::Rng,
-    requests: BTreeMap<RequestId, TrackedRequest>,
+    requests: BTreeMap<u64, TrackedRequest>,
     listed: Vec<ListEntry>,
     listed_at: Vec<Nanos>,
     sent: Vec<VecDeque<TimedUnits>>,
     served: Vec<ServedUnits>,
-    limit_buckets: BTreeMap<VolumeId, Bucket>,
+    limit_buckets: BTreeMap<u64, Bucket>,
     settles_at: BTreeMap<KeyId, Nanos>,
     retries_sent: Vec<Nanos>,
     requests_received: Vec<Nanos>,
-    next_id: RequestId,
+    next_id: u64,
     silent: Vec<bool>,
 }
 
@@ -134,7 +134,7 @@
             let actions = self.front.event(Event::Timer(1));
             self.apply(actions);
         }
-        let due: Vec<(RequestId, usize)> = self
+        let due: Vec<(u64, usize)> = self
             .requests
             .iter()
             .flat_map(|(id, tracked)| {
@@ -175,12 +175,12 @@
             request.shard = None;
         }
         request.plan = random.usize(0..2);
-        request.volume = request.plan as u64 * 10 + random.u64(0..2);
+        request.volume = VolumeId(request.plan as u64 * 10 + random.u64(0..2));
         request.front_count = 1;
         request.key = if random.u32(0..8) == 0 {
             None
         } else {
-            Some(random.u64(0..12))
+            Some(KeyId(random.u64(0..12)))
         };
         request.units = f64::from(random.u32(1..8));
         request.patience = if random.u32(0..5) == 0 {
@@ -247,12 +247,12 @@
         self.apply(actions);
     }
 
-    fn node_info(&self, id: NodeId) -> NodeInfo {
+    fn node_info(&self, id: usize) -> NodeInfo {
         node(id, self.listed[id].listed, self.listed[id].started_at)
     }
 
     fn random_client_leaves(&mut self) {
-        let open: Vec<RequestId> = self
+        let open: Vec<u64> = self
             .requests
             .iter()
             .filter(|(_, tracked)| !tracked.answered)
@@ -266,7 +266,7 @@
             tracked.answered = true;
             tracked.answers = 1;
         }
-        let actions = self.front.event(Event::ClientGone(id));
+        let actions = self.front.event(Event::ClientGone(RequestId(id)));
         self.apply(actions);
     }
 
@@ -287,7 +287,7 @@
         self.apply(actions);
     }
 
-    fn finish_attempt(&mut self, id: RequestId, index: usize) {
+    fn finish_attempt(&mut self, id: u64, index: usize) {
         let now = self.front.now;
         let Some(tracked) = self.requests.get_mut(&id) else {
             return;
@@ -330,15 +330,15 @@
     fn apply(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send { id, node, .. } => self.record_send(id, node),
-                Action::Reject { id, .. } => self.record_answer(id, true),
-                Action::Fail(id) => self.record_answer(id, false),
+                Action::Send { id, node, .. } => self.record_send(id.0, node.0),
+                Action::Reject { id, .. } => self.record_answer(id.0, true),
+                Action::Fail(id) => self.record_answer(id.0, false),
                 _ => {}
             }
         }
     }
 
-    fn record_answer(&mut self, id: RequestId, rejected: bool) {
+    fn record_answer(&mut self, id: u64, rejected: bool) {
         let class = &self.settings.classes;
         let Some(tracked) = self.requests.get_mut(&id) else {
             panic!("rule 1: an answer for an unknown request")
@@ -379,7 +379,7 @@
         });
     }
 
-    fn record_send(&mut self, id: RequestId, at: NodeId) {
+    fn record_send(&mut self, id: u64, at: usize) {
         let now = self.front.now;
         let Some(tracked) = self.requests.get(&id) else {
             panic!("rule 1: sent for an unknown request")
@@ -407,7 +407,7 @@
         }
     }
 
-    fn random_outcome(&mut self, id: RequestId, silent: bool) -> (Outcome, Nanos) {
+    fn random_outcome(&mut self, id: u64, silent: bool) -> (Outcome, Nanos) {
         let tracked = &self.requests[&id];
         let time_left = (tracked.at + tracked.request.patience - self.front.now).max(0);
         let latency = self.random.i64(1..60) * MS;
@@ -429,7 +429,7 @@
         }
     }
 
-    fn check_semantics(&self, id: RequestId, at: NodeId) {
+    fn check_semantics(&self, id: u64, at: usize) {
         let tracked = &self.requests[&id];
         let class = &self.settings.classes[tracked.request.class];
         if !self.settings.hedging {
@@ -459,7 +459,7 @@
         }
         if let Some(shard) = tracked.request.shard {
             assert_eq!(
-                shard as usize, at,
+                shard.0 as usize, at,
                 "sent to a server that does not hold its data"
             );
         }
@@ -469,7 +469,7 @@
         );
     }
 
-    fn check_slow_start(&mut self, at: NodeId, units: f64) {
+    fn check_slow_start(&mut self, at: usize, units: f64) {
         let (now, up) = (self.front.now, self.listed[at].started_at);
         let sent = &mut self.sent[at];
         sent.push_back(TimedUnits { at: now, units });
@@ -497,7 +497,7 @@
         );
     }
 
-    fn check_limit(&mut self, id: RequestId) {
+    fn check_limit(&mut self, id: u64) {
         let tracked = &self.requests[&id];
         let plan = &self.settings.plans[tracked.request.plan];
         if plan.limit_rate <= 0.0 || !tracked.attempts.is_empty() {
@@ -510,7 +510,7 @@
         };
         let bucket = self
             .limit_buckets
-            .entry(tracked.request.volume)
+            .entry(tracked.request.volume.0)
             .or_insert(full);
         let accrued = (now - bucket.updated_at) as f64 / 1e9 * plan.limit_rate;
         bucket.level = (bucket.level + accrued).min(plan.limit_burst) - tracked.request.units;
@@ -522,7 +522,7 @@
         );
     }
 
-    fn check_order(&self, id: RequestId) {
+    fn check_order(&self, id: u64) {
         let tracked = &self.requests[&id];
         let (ORDERED_CLASS, Some(key)) = (tracked.request.class, tracked.request.key) else {
             return;
@@ -544,7 +544,7 @@
         );
     }
 
-    fn check_retry_budget(&mut self, id: RequestId) {
+    fn check_retry_budget(&mut self, id: u64) {
         let Some(budget) = &self.settings.retry_budget else {
             return;
         };
--- a/crates/core/tests/large_fleet.rs
+++ b/crates/core/tests/large_fleet.rs
@@ -13,12 +13,12 @@
     front.advance(3 * S);
     assert_eq!(front.scheduler.nodes_per_tick(), 0);
     for id in 0..5 {
-        front.submit(request(id, 0, Some(id as ShardId)));
+        front.submit(request(id, 0, Some(id as u32)));
     }
     front.advance(10 * MS);
     assert_eq!(front.scheduler.nodes_per_tick(), 5);
     for id in 0..5 {
-        front.end_attempt(id, 0, id as NodeId, Outcome::Served, 20 * MS);
+        front.end_attempt(id, 0, id as usize, Outcome::Served, 20 * MS);
     }
     front.advance(10 * S);
     assert_eq!(front.scheduler.nodes_per_tick(), 0);
--- a/crates/core/tests/maintenance.rs
+++ b/crates/core/tests/maintenance.rs
@@ -4,13 +4,13 @@
 use std::collections::BTreeSet;
 
 use tulipbridge_core::maintenance::{MaintenanceError, MaintenanceSet};
-use tulipbridge_core::{Listed, Nanos, NodeInfo};
+use tulipbridge_core::{Listed, Nanos, NodeId, NodeInfo, ShardId};
 
 fn entry(node: usize, listed: Listed, started_at: Nanos) -> NodeInfo {
     NodeInfo {
-        node,
+        node: NodeId(node),
         zone: 0,
-        shard: 3,
+        shard: ShardId(3),
         listed,
         started_at,
     }
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -20,7 +20,7 @@
 /// An attempt in a server's queue.
 struct Job {
     front: usize,
-    id: RequestId,
+    id: u64,
     attempt: u32,
     sent_at: Nanos,
     remaining_work: f64,
@@ -32,7 +32,7 @@
 struct ClientTry {
     at: Nanos,
     front: usize,
-    shard: ShardId,
+    shard: u32,
     number: u32,
 }
 
@@ -96,7 +96,7 @@
             self.tries.push(ClientTry {
                 at: self.now,
                 front,
-                shard: shard as ShardId,
+                shard: shard as u32,
                 number: 1,
             });
         }
@@ -107,14 +107,14 @@
             .partition(|client_try| client_try.at <= now);
         self.tries = later;
         for client_try in due {
-            let id = self.requests.len() as RequestId;
+            let id = self.requests.len() as u64;
             self.requests.push(ClientTry {
                 at: now,
                 ..client_try
             });
             self.attempts.push(0);
             let event = Event::Request(Request {
-                volume: id % 20,
+                volume: VolumeId(id % 20),
                 ..request(id, 0, Some(client_try.shard))
             });
             self.handle(client_try.front, event);
@@ -133,6 +133,7 @@
             for action in std::mem::take(&mut actions) {
                 match action {
                     Action::Send { id, node, .. } => {
+                        let (id, node) = (id.0, node.0);
                         let attempt = self.attempts[id as usize];
                         self.attempts[id as usize] += 1;
                         if self.queues[node].len() >= QUEUE_MAX {
@@ -149,7 +150,7 @@
                             self.queues[node].push_back(job);
                         }
                     }
-                    Action::Reject { id, retry_after } => self.retry_client(id, retry_after),
+                    Action::Reject { id, retry_after } => self.retry_client(id.0, retry_after),
                     _ => {}
                 }
             }
@@ -162,7 +163,7 @@
 
     /// A rejected client tries again after the retry-after or a wait of its own, whichever is
     /// longer.
-    fn retry_client(&mut self, id: RequestId, retry_after: Nanos) {
+    fn retry_client(&mut self, id: u64, retry_after: Nanos) {
         let last = self.requests[id as usize];
         if last.number < TRIES_MAX {
             let at = self.now + retry_after.max(50 * MS);
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -61,9 +61,9 @@
 fn a_warm_server_is_preferred_while_its_replacement_starts() {
     let mut front = TestFront::new(settings(), 1);
     let replacement = NodeInfo {
-        node: 1,
+        node: NodeId(1),
         zone: 0,
-        shard: 0,
+        shard: ShardId(0),
         listed: Listed::Up,
         started_at: front.now,
     };
@@ -108,7 +108,9 @@
         nodes: vec![node(0, Listed::Removed, 0)],
     });
     assert!(
-        !front.advance(5 * S / 10).contains(&Action::ForgetNode(0)),
+        !front
+            .advance(5 * S / 10)
+            .contains(&Action::ForgetNode(NodeId(0))),
         "one is in flight"
     );
     front.end_attempt(100, 0, 0, Outcome::Served, 20 * MS);
@@ -116,7 +118,7 @@
     assert_eq!(
         actions
             .iter()
-            .filter(|a| **a == Action::ForgetNode(0))
+            .filter(|a| **a == Action::ForgetNode(NodeId(0)))
             .count(),
         1
     );
@@ -147,12 +149,12 @@
 fn the_order_of_a_key_holds_until_an_attempt_has_settled() {
     let mut front = TestFront::new(settings(), 2);
     let with_key = |id| Request {
-        key: Some(9),
-        ..request(id, 3, Some((id % 2) as ShardId))
+        key: Some(KeyId(9)),
+        ..request(id, 3, Some((id % 2) as u32))
     };
     assert_eq!(sends(&front.submit(with_key(1))).len(), 1);
     assert!(sends(&front.submit(with_key(2))).is_empty());
-    front.event(Event::ClientGone(1));
+    front.event(Event::ClientGone(RequestId(1)));
     assert!(
         sends(&front.advance(50 * MS)).is_empty(),
         "the first may still be executed"
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -68,9 +68,9 @@
     let mut idle_at = 0;
     let started_at = 110 * S;
     let started = NodeInfo {
-        node: NODES,
+        node: NodeId(NODES),
         zone: 0,
-        shard: 0,
+        shard: ShardId(0),
         listed: Listed::Up,
         started_at,
     };
@@ -95,10 +95,7 @@
         due_requests += 0.01 * NODES as f64 * FULL_CAPACITY / settings.mean_units * use_ratio;
         while due_requests >= 1.0 {
             due_requests -= 1.0;
-            let (front, shard) = (
-                random.usize(0..front_count),
-                random.usize(0..NODES) as ShardId,
-            );
+            let (front, shard) = (random.usize(0..front_count), random.usize(0..NODES) as u32);
             sent.extend(fleet.submit(front, request(next_id, 0, Some(shard))));
             next_id += 1;
         }
@@ -160,8 +157,8 @@
     settings: Settings,
     fleet: Fleet,
     random: fastrand::Rng,
-    next_id: RequestId,
-    sent_at: BTreeMap<RequestId, Nanos>,
+    next_id: u64,
+    sent_at: BTreeMap<u64, Nanos>,
     in_flight: VecDeque<(Nanos, FleetSend)>,
     idle_at: Nanos,
     /// The times of sends within the overload span.
--- a/crates/model-checker/src/configs/requests.rs
+++ b/crates/model-checker/src/configs/requests.rs
@@ -1,6 +1,6 @@
 //! Configurations of the request model.
 
-use tulipbridge_core::{Nanos, ShardId};
+use tulipbridge_core::{Nanos, NodeId, ShardId};
 
 use super::settings::{settings, settings_with_attempts, READ, SUBMIT};
 use crate::model::ModelSummary;
@@ -90,9 +90,9 @@
             max_faults: 1,
             faults: ATTEMPT_FAULTS,
             watch_updates: vec![
-                WatchUpdate::NodeDraining(0),
-                WatchUpdate::ShardTakenOver(2, 0),
-                WatchUpdate::NodeRemoved(0),
+                WatchUpdate::NodeDraining(NodeId(0)),
+                WatchUpdate::ShardTakenOver(NodeId(2), ShardId(0)),
+                WatchUpdate::NodeRemoved(NodeId(0)),
             ],
             ..base(
                 "module-drain",
@@ -104,7 +104,10 @@
         RequestModel {
             max_faults: 1,
             faults: ATTEMPT_FAULTS,
-            watch_updates: vec![WatchUpdate::NodeDraining(0), WatchUpdate::NodeRemoved(0)],
+            watch_updates: vec![
+                WatchUpdate::NodeDraining(NodeId(0)),
+                WatchUpdate::NodeRemoved(NodeId(0)),
+            ],
             ..base(
                 "drain",
                 "a node drains and goes while a submit is anywhere",
@@ -142,7 +145,10 @@
             max_faults: 1,
             sequential: true,
             settings: settings_with_attempts(1),
-            watch_updates: vec![WatchUpdate::AddressChanged(0), WatchUpdate::NodeRemoved(0)],
+            watch_updates: vec![
+                WatchUpdate::AddressChanged(NodeId(0)),
+                WatchUpdate::NodeRemoved(NodeId(0)),
+            ],
             ..base(
                 "move",
                 "a node changes its address, and goes, about two reads",
@@ -209,14 +215,14 @@
         settings: settings_with_attempts(3),
         nodes: LARGE_NODES,
         watch_updates: vec![
-            WatchUpdate::NodeDraining(3),
+            WatchUpdate::NodeDraining(NodeId(3)),
             WatchUpdate::WatchLost,
-            WatchUpdate::ShardTakenOver(14, 3),
-            WatchUpdate::NodeRemoved(3),
-            WatchUpdate::AddressChanged(5),
-            WatchUpdate::NodeDraining(7),
-            WatchUpdate::ShardTakenOver(15, 7),
-            WatchUpdate::NodeRemoved(7),
+            WatchUpdate::ShardTakenOver(NodeId(14), ShardId(3)),
+            WatchUpdate::NodeRemoved(NodeId(3)),
+            WatchUpdate::AddressChanged(NodeId(5)),
+            WatchUpdate::NodeDraining(NodeId(7)),
+            WatchUpdate::ShardTakenOver(NodeId(15), ShardId(7)),
+            WatchUpdate::NodeRemoved(NodeId(7)),
         ],
         max_faults: 100,
         max_clock_steps: 250,
@@ -233,7 +239,7 @@
 /// Every third request of the large configuration is a submit, every other one goes to a shard.
 fn large_request(index: usize) -> ClientRequest {
     let class = if index % 3 == 2 { SUBMIT } else { READ };
-    let shard = (index % LARGE_NODES) as ShardId;
+    let shard = ShardId((index % LARGE_NODES) as u32);
     request(class, (index % 2 == 0).then_some(shard))
 }
 
@@ -267,7 +273,7 @@
 
 /// A read of the first shard.
 fn read() -> ClientRequest {
-    request(READ, Some(0))
+    request(READ, Some(ShardId(0)))
 }
 
 /// A submit, which any node takes.
--- a/crates/model-checker/src/recovery.rs
+++ b/crates/model-checker/src/recovery.rs
@@ -2,7 +2,7 @@
 //! operation.
 
 use tulipbridge_core::{
-    Action, Event, Nanos, NodeId, Outcome, Request, RequestId, Scheduler, ShardId,
+    Action, Event, Nanos, NodeId, Outcome, Request, RequestId, Scheduler, ShardId, VolumeId,
 };
 
 use crate::time::MS;
@@ -18,7 +18,7 @@
 /// How long the client of a read waits.
 const READ_TIMEOUT: Nanos = 120 * MS;
 /// Identifiers of the reads are above this, and so above those of the history.
-const FIRST_ID: RequestId = RequestId::MAX / 2;
+const FIRST_ID: RequestId = RequestId(u64::MAX / 2);
 /// Cookie of the scheduler's timer.
 const TIMER_COOKIE: u64 = 1;
 
@@ -48,7 +48,7 @@
             &[]
         };
         for &shard in shards_to_read {
-            last_id += 1;
+            last_id.0 += 1;
             let actions_before = actions.len();
             scheduler.handle(now, Event::Request(read(last_id, shard)), &mut actions);
             let must_be_sent = now - started_at > RECOVERY_TIME;
@@ -80,7 +80,7 @@
         id,
         class: 0,
         plan: 0,
-        volume: 1,
+        volume: VolumeId(1),
         key: None,
         patience: READ_TIMEOUT,
         units: 2.0,
--- a/crates/model-checker/src/request_model/checks.rs
+++ b/crates/model-checker/src/request_model/checks.rs
@@ -35,7 +35,7 @@
         node: NodeId,
         attempt_deadline: Nanos,
     ) {
-        let node = &self.nodes[node];
+        let node = &self.nodes[node.0];
         self.violations.sent_to_draining_node |= node.listed != Listed::Up;
         self.violations.node_forgotten_in_use |= node.forgotten;
         let request = self.tracker.requests().get(&id);
@@ -120,7 +120,7 @@
         let to_forgotten_node = self
             .pool
             .idle_connections()
-            .any(|(node, _)| self.nodes[node].forgotten);
+            .any(|(node, _)| self.nodes[node.0].forgotten);
         self.violations.node_forgotten_in_use |= to_forgotten_node;
     }
 
--- a/crates/model-checker/src/request_model/connections.rs
+++ b/crates/model-checker/src/request_model/connections.rs
@@ -125,7 +125,7 @@
                 .iter()
                 .any(|client| client.waits_for(key.request));
             self.violations.sent_without_client |= !client_waits;
-            self.violations.sent_to_draining_node |= self.nodes[node].listed != Listed::Up;
+            self.violations.sent_to_draining_node |= self.nodes[node.0].listed != Listed::Up;
             self.count_connection_written(key);
         }
         if last {
--- a/crates/model-checker/src/request_model/effects.rs
+++ b/crates/model-checker/src/request_model/effects.rs
@@ -97,7 +97,7 @@
     fn forget_node(&mut self, node: NodeId) {
         let in_use = self.attempts.values().any(|attempt| attempt.node == node);
         self.violations.node_forgotten_in_use |= in_use;
-        self.nodes[node].forgotten = true;
+        self.nodes[node.0].forgotten = true;
         for (id, _) in self.pool.remove(node) {
             self.close(id);
         }
--- a/crates/model-checker/src/request_model/mod.rs
+++ b/crates/model-checker/src/request_model/mod.rs
@@ -19,7 +19,9 @@
 
 use tulipbridge_core::connection_pool::ConnectionPool;
 use tulipbridge_core::request_tracker::{Input, RequestTracker};
-use tulipbridge_core::{Listed, Nanos, NodeId, Request, RequestId, Settings, ShardId, UpdateScope};
+use tulipbridge_core::{
+    KeyId, Listed, Nanos, NodeId, Request, RequestId, Settings, ShardId, UpdateScope, VolumeId,
+};
 
 use crate::model::{Model, ModelSummary};
 use crate::policy::{PolicyKind, PolicyUnderTest};
@@ -147,13 +149,15 @@
             clients: vec![ClientState::NotStarted; self.requests.len()],
             executions: vec![0; self.requests.len()],
             timers: Vec::new(),
-            nodes: (0..self.nodes as ShardId).map(new_node).collect(),
+            nodes: (0..self.nodes as u32).map(ShardId).map(new_node).collect(),
             violations: Violations::default(),
         };
         for node in 0..self.nodes {
-            state.pool.add(node);
+            state.pool.add(NodeId(node));
         }
-        let nodes = (0..self.nodes).map(|node| state.node_info(node)).collect();
+        let nodes = (0..self.nodes)
+            .map(|node| state.node_info(NodeId(node)))
+            .collect();
         state.feed(
             self,
             Input::Endpoints {
@@ -206,8 +210,8 @@
             id,
             class,
             plan: 0,
-            volume: 1,
-            key: Some(client as u64),
+            volume: VolumeId(1),
+            key: Some(KeyId(client as u64)),
             patience: timeout,
             units: 2.0,
             shard,
--- a/crates/model-checker/src/request_model/state.rs
+++ b/crates/model-checker/src/request_model/state.rs
@@ -177,17 +177,17 @@
 
     /// The client of a request: identifiers are allocated in the order in which clients send.
     pub(super) fn client_of(&self, id: RequestId) -> Option<usize> {
-        usize::try_from(id)
+        usize::try_from(id.0)
             .ok()
             .filter(|client| *client < self.clients.len())
     }
 
     /// A node as discovery lists it.
     pub(super) fn node_info(&self, node: NodeId) -> NodeInfo {
-        let state = &self.nodes[node];
+        let state = &self.nodes[node.0];
         NodeInfo {
             node,
-            zone: node as u32 % 2,
+            zone: node.0 as u32 % 2,
             shard: state.shard,
             listed: state.listed,
             started_at: state.started_at,
--- a/crates/model-checker/src/request_model/step_generation.rs
+++ b/crates/model-checker/src/request_model/step_generation.rs
@@ -4,7 +4,7 @@
 
 use tulipbridge_core::attempt::Attempt;
 use tulipbridge_core::request_tracker::InFlightRequest;
-use tulipbridge_core::{Action, Listed, Nanos, RequestId, Semantics};
+use tulipbridge_core::{Action, Listed, Nanos, NodeId, RequestId, Semantics};
 
 use super::state::{AttemptKey, ClientState, Connection, ConnectionId, Written};
 use super::{Fault, RequestModel, State, Step, OVERDUE_GRACE};
@@ -193,9 +193,12 @@
             return;
         };
         for (node, node_state) in state.nodes.iter().enumerate() {
-            let in_use = state.attempts.values().any(|attempt| attempt.node == node);
+            let in_use = state
+                .attempts
+                .values()
+                .any(|attempt| attempt.node == NodeId(node));
             if node_state.listed == Listed::Removed && !node_state.forgotten && !in_use {
-                steps.push(Step::Decision(Action::ForgetNode(node)));
+                steps.push(Step::Decision(Action::ForgetNode(NodeId(node))));
             }
         }
         for (&id, request) in state.tracker.requests() {
@@ -230,7 +233,7 @@
             if attempts_left {
                 steps.push(Step::Decision(Action::Send {
                     id,
-                    node: 0,
+                    node: NodeId(0),
                     timeout: 0,
                 }));
             }
@@ -243,7 +246,7 @@
                 if node_state.listed == Listed::Up {
                     steps.push(Step::Decision(Action::Send {
                         id,
-                        node,
+                        node: NodeId(node),
                         timeout: 0,
                     }));
                 }
--- a/crates/model-checker/src/request_model/transitions.rs
+++ b/crates/model-checker/src/request_model/transitions.rs
@@ -172,11 +172,11 @@
                 self.feed(model, lost);
             }
             WatchUpdate::NodeDraining(node) => {
-                self.nodes[node].listed = Listed::Draining;
+                self.nodes[node.0].listed = Listed::Draining;
                 self.report_node(model, node);
             }
             WatchUpdate::NodeRemoved(node) => {
-                self.nodes[node].listed = Listed::Removed;
+                self.nodes[node.0].listed = Listed::Removed;
                 self.report_node(model, node);
             }
             WatchUpdate::ShardTakenOver(node, shard) => {
@@ -198,10 +198,10 @@
             started_at: self.now,
             forgotten: false,
         };
-        if node == self.nodes.len() {
+        if node == NodeId(self.nodes.len()) {
             self.nodes.push(started);
         } else {
-            self.nodes[node] = started;
+            self.nodes[node.0] = started;
         }
         self.pool.add(node);
     }
--- a/crates/model-checker/tests/golden.rs
+++ b/crates/model-checker/tests/golden.rs
@@ -15,7 +15,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-use tulipbridge_core::Action;
+use tulipbridge_core::{Action, NodeId, RequestId};
 use tulipbridge_model_checker::configs::{self, Config};
 use tulipbridge_model_checker::explore::{random_walk, Report};
 use tulipbridge_model_checker::history::History;
@@ -103,25 +103,28 @@
 fn every_action() -> Vec<Action> {
     vec![
         Action::Send {
-            id: 1,
-            node: 2,
+            id: RequestId(1),
+            node: NodeId(2),
             timeout: 3,
         },
-        Action::Cancel { id: 1, attempt: 2 },
+        Action::Cancel {
+            id: RequestId(1),
+            attempt: 2,
+        },
         Action::Reject {
-            id: 1,
+            id: RequestId(1),
             retry_after: 2,
         },
-        Action::Fail(1),
+        Action::Fail(RequestId(1)),
         Action::SetTimer {
             after: 1,
             cookie: 2,
         },
         Action::Subscribe,
-        Action::ForgetNode(1),
+        Action::ForgetNode(NodeId(1)),
         Action::Log {
             text: "a text",
-            node: 1,
+            node: NodeId(1),
         },
     ]
 }
@@ -146,13 +149,13 @@
         Step::UnreadableResponse(1),
         Step::ServerError(1),
         Step::ServerRejects(1),
-        Step::AttemptDropped(1, 2),
-        Step::AttemptWithdrawn(1, 2),
+        Step::AttemptDropped(RequestId(1), 2),
+        Step::AttemptWithdrawn(RequestId(1), 2),
         Step::WatchUpdated(1),
         Step::ClockAdvances,
         Step::FrontStalls,
         Step::TimerDue(1),
-        Step::AttemptTimesOut(1, 2),
+        Step::AttemptTimesOut(RequestId(1), 2),
         Step::DialTimesOut(1),
         Step::RequestOverdue(1),
     ];
--- a/src/bin/tulipbridge-adapter/instance.rs
+++ b/src/bin/tulipbridge-adapter/instance.rs
@@ -136,7 +136,7 @@
             .position(|known| Some(known.as_str()) == zone);
         let zone = zone.unwrap_or(self.zones.len());
         let listed = vocabulary::listed(string(row.get(4), "Health")?)?;
-        let shard = ShardId::try_from(integer(row.get(3), "Cell")?);
+        let shard = u32::try_from(integer(row.get(3), "Cell")?).map(ShardId);
         let shard = shard.map_err(|_| WireError::OutOfRange { key: "Cell" })?;
         let started_at = optional_int(row.get(6), "CameUp", 0)?;
         Ok(NodeInfo {
@@ -155,8 +155,8 @@
         }
         let id = self.nodes.len();
         self.nodes.push(name.to_owned());
-        self.node_ids.insert(name.to_owned(), id);
-        id
+        self.node_ids.insert(name.to_owned(), NodeId(id));
+        NodeId(id)
     }
 
     /// `[event, instance, Ref, Grade, Contract, key, PatienceLeft, volume, Weight, LiesIn,
@@ -170,11 +170,15 @@
             id: self.requests.next_id(),
             class,
             plan,
-            volume: row.get(7).and_then(Value::as_str).map_or(0, stable_hash),
-            key: row.get(5).and_then(Value::as_str).map(stable_hash),
+            volume: VolumeId(row.get(7).and_then(Value::as_str).map_or(0, stable_hash)),
+            key: row
+                .get(5)
+                .and_then(Value::as_str)
+                .map(stable_hash)
+                .map(KeyId),
             patience: integer(row.get(6), "PatienceLeft")?,
             units: optional_number(row.get(8), "Weight")?,
-            shard: ShardId::try_from(shard).ok(),
+            shard: u32::try_from(shard).ok().map(ShardId),
             front_count: optional_number(row.get(10), "SetSize")? as u32,
         };
         self.requests.add(name);
@@ -219,7 +223,7 @@
                     index,
                     self.requests.name(id),
                     timeout,
-                    self.nodes.get(node)
+                    self.nodes.get(node.0)
                 ])
             }
             Action::Reject { id, retry_after } => {
@@ -236,7 +240,7 @@
             Action::SetTimer { after, cookie } => json!([action::SET_TIMER, index, after, cookie]),
             Action::Subscribe => json!([action::SUBSCRIBE, index, true]),
             Action::Log { text, node } => {
-                let target = self.nodes.get(node).map_or("", String::as_str);
+                let target = self.nodes.get(node.0).map_or("", String::as_str);
                 json!([action::LOG, index, format!("{text} {target}")])
             }
             Action::ForgetNode(_) => return None,
--- a/src/bin/tulipbridge-adapter/request_registry.rs
+++ b/src/bin/tulipbridge-adapter/request_registry.rs
@@ -28,7 +28,7 @@
     /// Adds a request under [`RequestRegistry::next_id`].
     pub fn add(&mut self, name: &str) {
         let id = self.next_id;
-        self.next_id += 1;
+        self.next_id.0 += 1;
         self.ids.insert(name.to_owned(), id);
         let request = ActiveRequest {
             name: name.to_owned(),
--- a/src/cluster/ejections/mod.rs
+++ b/src/cluster/ejections/mod.rs
@@ -171,7 +171,7 @@
         if let (Some(listed), Ok(class)) = (self.nodes.get(&node), Class::try_from(class)) {
             self.observer.attempt_sent(
                 now,
-                (key.request, key.attempt),
+                (key.request.0, key.attempt),
                 listed.server,
                 class,
                 idempotent,
@@ -187,9 +187,9 @@
                 attempt,
                 outcome,
                 ..
-            } => ((*id, *attempt), attempt_result(*outcome)),
+            } => ((id.0, *attempt), attempt_result(*outcome)),
             Input::AttemptTimedOut { id, attempt } | Input::AttemptCancelled { id, attempt } => {
-                ((*id, *attempt), AttemptResult::Cancelled)
+                ((id.0, *attempt), AttemptResult::Cancelled)
             }
             _ => return None,
         };
--- a/src/cluster/limits/mod.rs
+++ b/src/cluster/limits/mod.rs
@@ -145,20 +145,23 @@
             self.shares.insert(limit, share);
             return self.configured.updates(limit, share, settings);
         };
-        let Some(entry) = self.volumes.get_mut(&volume) else {
+        let Some(entry) = self.volumes.get_mut(&VolumeId(volume)) else {
             return Vec::new();
         };
         entry.share = share;
-        entry.update(volume, settings).into_iter().collect()
+        entry
+            .update(VolumeId(volume), settings)
+            .into_iter()
+            .collect()
     }
 
     /// Drops a limit without recent demand: this front may use nothing of it.
     pub fn forget(&mut self, limit: Limit, settings: &Settings) -> Vec<LimitUpdate> {
         match limit {
             Limit::Volume(volume) => {
-                self.volumes.remove(&volume);
+                self.volumes.remove(&VolumeId(volume));
                 vec![LimitUpdate {
-                    limit: SharedLimit::Volume(volume),
+                    limit: SharedLimit::Volume(VolumeId(volume)),
                     rate: LimitRate::default(),
                 }]
             }
--- a/src/cluster/peers/fleet_state.rs
+++ b/src/cluster/peers/fleet_state.rs
@@ -29,7 +29,7 @@
         if let Some(request) = volume_limited_request(input, settings) {
             updates.extend(self.volume_update(now, request, settings));
             demands.push(LimitDemand {
-                limit: Limit::Volume(request.volume),
+                limit: Limit::Volume(request.volume.0),
                 units: request.units,
             });
         }
--- a/src/control/endpoint_list.rs
+++ b/src/control/endpoint_list.rs
@@ -108,7 +108,7 @@
             _ => Listed::Draining,
         };
         let shard = integer(entry.get("cell"), "cell")?;
-        let shard = ShardId::try_from(shard).map_err(|_| EndpointListError::ShardOutOfRange)?;
+        let shard = u32::try_from(shard).map_err(|_| EndpointListError::ShardOutOfRange)?;
         let started_at_ms = entry
             .get("startedAtMs")
             .and_then(Value::as_i64)
@@ -118,11 +118,11 @@
             .start_times
             .borrow_mut()
             .listed(&name.to_owned(), now, listed_start);
-        let node = upstream.locate(name, address, shard);
+        let node = upstream.locate(name, address, ShardId(shard));
         let info = NodeInfo {
             node,
             zone,
-            shard,
+            shard: ShardId(shard),
             listed,
             started_at,
         };
--- a/src/frontend/platform/request_parser.rs
+++ b/src/frontend/platform/request_parser.rs
@@ -3,7 +3,7 @@
 use hyper::header::{HeaderMap, COOKIE};
 use hyper::Method;
 use tulipbridge_core as core;
-use tulipbridge_core::{Nanos, ShardId};
+use tulipbridge_core::{KeyId, Nanos, RequestId, ShardId, VolumeId};
 
 use super::request_tables::RequestTables;
 use super::{CLASS, TRANSACTION_ID};
@@ -105,14 +105,14 @@
             return Err(RequestError::MissingShard);
         }
         let request = core::Request {
-            id: 0,
+            id: RequestId(0),
             class,
             plan,
-            volume: operation.volume.ok_or(RequestError::InvalidVolume)?,
-            key: block_id(headers)?,
+            volume: VolumeId(operation.volume.ok_or(RequestError::InvalidVolume)?),
+            key: block_id(headers)?.map(KeyId),
             patience,
             units: operation.units.ok_or(RequestError::InvalidUnits)? as f64,
-            shard: ShardId::try_from(shard).ok(),
+            shard: u32::try_from(shard).ok().map(ShardId),
             front_count: operation
                 .front_count
                 .ok_or(RequestError::InvalidFrontCount)? as u32,
--- a/src/object/multipart.rs
+++ b/src/object/multipart.rs
@@ -46,7 +46,9 @@
     fn of(request: &ObjectRequest) -> Result<UploadId, ApiError> {
         let id = request.query.get("uploadId").map_or("", String::as_str);
         let mut parts = id.splitn(3, '.');
-        let shard = parts.next().and_then(|shard| shard.parse().ok());
+        let shard = parts
+            .next()
+            .and_then(|shard| shard.parse().ok().map(ShardId));
         let token = parts.next().unwrap_or_default();
         let own = parts.next().unwrap_or_default();
         match shard {
--- a/src/object/node_request.rs
+++ b/src/object/node_request.rs
@@ -10,7 +10,7 @@
 use percent_encoding::{utf8_percent_encode, NON_ALPHANUMERIC};
 use tokio::task::JoinSet;
 use tulipbridge_core as core;
-use tulipbridge_core::ShardId;
+use tulipbridge_core::{KeyId, RequestId, ShardId, VolumeId};
 
 use super::config::Bucket;
 use super::error::ApiError;
@@ -64,11 +64,11 @@
         let remaining = request.deadline.saturating_duration_since(Instant::now());
         let patience = remaining.min(self.deadlines[node.class]);
         let core_request = core::Request {
-            id: 0,
+            id: RequestId(0),
             class: node.class,
             plan: request.bucket.plan,
-            volume: request.bucket.volume,
-            key: Some(key_hash(request)),
+            volume: VolumeId(request.bucket.volume),
+            key: Some(KeyId(key_hash(request))),
             patience: patience.as_nanos() as i64,
             units: node.units.clamp(1.0, self.max_units),
             shard: node.shard,
@@ -104,13 +104,13 @@
             let front = Rc::clone(self);
             let request = request.clone();
             let node = NodeRequest {
-                shard: Some(shard),
+                shard: Some(ShardId(shard)),
                 ..NodeRequest::new(request.bucket.read_class, method.clone())
             };
             tasks.spawn_local(async move {
                 let answer = front.send(&request, node).await;
                 ShardResult {
-                    shard,
+                    shard: ShardId(shard),
                     result: answer.and_then(|answer| answer.into_success("NoSuchKey")),
                 }
             });
--- a/src/object/request.rs
+++ b/src/object/request.rs
@@ -218,7 +218,7 @@
             return Ok(None);
         };
         let version = id.split_once('.').and_then(|(shard, own)| {
-            let shard = shard.parse().ok()?;
+            let shard = shard.parse().ok().map(ShardId)?;
             Some(VersionId {
                 shard,
                 own: own.to_owned(),
--- a/src/telemetry/trace.rs
+++ b/src/telemetry/trace.rs
@@ -39,8 +39,8 @@
 pub fn input(input: &Input, name: impl Fn(NodeId) -> String) {
     let event = match input {
         Input::RequestReceived(request) => request_received(request),
-        Input::ClientGone(id) => json!({ "e": "left", "id": id }),
-        Input::Overdue(id) => json!({ "e": "overdue", "id": id }),
+        Input::ClientGone(id) => json!({ "e": "left", "id": id.0 }),
+        Input::Overdue(id) => json!({ "e": "overdue", "id": id.0 }),
         Input::AttemptEnded {
             id,
             attempt,
@@ -48,13 +48,13 @@
             observed_use: seen_use,
             ..
         } => json!({
-            "e": "ended", "id": id, "attempt": attempt, "outcome": outcome_name(*outcome), "use": seen_use,
+            "e": "ended", "id": id.0, "attempt": attempt, "outcome": outcome_name(*outcome), "use": seen_use,
         }),
         Input::AttemptTimedOut { id, attempt } => {
-            json!({ "e": "ended", "id": id, "attempt": attempt, "outcome": "time_up" })
+            json!({ "e": "ended", "id": id.0, "attempt": attempt, "outcome": "time_up" })
         }
         Input::AttemptCancelled { id, attempt } => {
-            json!({ "e": "ended", "id": id, "attempt": attempt, "outcome": "stopped" })
+            json!({ "e": "ended", "id": id.0, "attempt": attempt, "outcome": "stopped" })
         }
         Input::Endpoints { scope, nodes } => json!({
             "e": "fleet", "scope": scope_name(*scope), "entries": nodes.len(),
@@ -72,12 +72,12 @@
         Effect::Send {
             id, attempt, node, ..
         } => {
-            json!({ "e": "send", "id": id, "attempt": attempt, "node": name(*node) })
+            json!({ "e": "send", "id": id.0, "attempt": attempt, "node": name(*node) })
         }
         Effect::Withdraw { id, attempt, .. } => {
-            json!({ "e": "withdraw", "id": id, "attempt": attempt })
+            json!({ "e": "withdraw", "id": id.0, "attempt": attempt })
         }
-        Effect::Cancel { id, attempt } => json!({ "e": "stop", "id": id, "attempt": attempt }),
+        Effect::Cancel { id, attempt } => json!({ "e": "stop", "id": id.0, "attempt": attempt }),
         Effect::Answer { id, answer } => final_answer(*id, answer),
         Effect::Subscribe => json!({ "e": "subscribe" }),
         Effect::ForgetNode(node) => json!({ "e": "forget", "node": name(*node) }),
@@ -89,9 +89,9 @@
 
 fn request_received(request: &Request) -> Value {
     json!({
-        "e": "asked", "id": request.id, "class": request.class, "plan": request.plan,
-        "volume": format!("{:x}", request.volume), "units": request.units,
-        "cell": request.shard.map_or(-1, i64::from), "patience_ms": milliseconds(request.patience),
+        "e": "asked", "id": request.id.0, "class": request.class, "plan": request.plan,
+        "volume": format!("{:x}", request.volume.0), "units": request.units,
+        "cell": request.shard.map_or(-1, |shard| i64::from(shard.0)), "patience_ms": milliseconds(request.patience),
         "hosts": request.front_count,
     })
 }
@@ -113,11 +113,11 @@
 
 fn final_answer(id: RequestId, answer: &FinalAnswer) -> Value {
     match answer {
-        FinalAnswer::Served => json!({ "e": "answer", "id": id, "verdict": "served" }),
+        FinalAnswer::Served => json!({ "e": "answer", "id": id.0, "verdict": "served" }),
         FinalAnswer::Rejected(wait) => {
-            json!({ "e": "answer", "id": id, "verdict": "refused", "wait_ms": milliseconds(*wait) })
+            json!({ "e": "answer", "id": id.0, "verdict": "refused", "wait_ms": milliseconds(*wait) })
         }
-        FinalAnswer::Failed => json!({ "e": "answer", "id": id, "verdict": "failed" }),
+        FinalAnswer::Failed => json!({ "e": "answer", "id": id.0, "verdict": "failed" }),
     }
 }
 
@@ -128,7 +128,7 @@
         Listed::Removed => "removed",
     };
     json!({
-        "node": name(info.node), "cell": info.shard, "listed": listed, "came_up": info.started_at as f64 / 1e9,
+        "node": name(info.node), "cell": info.shard.0, "listed": listed, "came_up": info.started_at as f64 / 1e9,
     })
 }
 
--- a/src/upstream/server_table.rs
+++ b/src/upstream/server_table.rs
@@ -55,7 +55,7 @@
 
     fn add(&mut self, name: &str, address: SocketAddr, shard: ShardId) -> NodeId {
         let id = self.next_id;
-        self.next_id += 1;
+        self.next_id.0 += 1;
         self.ids.insert(name.to_owned(), id);
         self.servers.insert(
             id,
--- a/tests/cluster/limits.rs
+++ b/tests/cluster/limits.rs
@@ -6,6 +6,7 @@
 use tulipbridge_fleet_limits::{Limit, FULL_SHARE};
 
 use crate::json;
+use tulipbridge_core::VolumeId;
 
 const ALL: &str = r#"{"further_attempts": {"rate": 20, "burst": 8}, "out_at_server": 64,
     "starting_server": {"rate": 30, "burst": 40}}"#;
@@ -33,20 +34,20 @@
     faster.limit_rate *= 3.0;
     settings.plans.push(faster);
     let mut limits = FleetLimits::default();
-    let volume = |rate, burst| update(SharedLimit::Volume(7), rate, burst);
+    let volume = |rate, burst| update(SharedLimit::Volume(VolumeId(7)), rate, burst);
     assert_eq!(
         limits.set_share(Limit::Volume(7), FULL_SHARE, &settings),
         [],
         "it has had no request"
     );
-    assert_eq!(limits.volume_requested(7, 0, &settings), None);
+    assert_eq!(limits.volume_requested(VolumeId(7), 0, &settings), None);
     assert_eq!(
         limits.set_share(Limit::Volume(7), FULL_SHARE / 4, &settings),
         [volume(10.0, 6.0)]
     );
-    assert_eq!(limits.volume_requested(7, 0, &settings), None);
+    assert_eq!(limits.volume_requested(VolumeId(7), 0, &settings), None);
     assert_eq!(
-        limits.volume_requested(7, 1, &settings),
+        limits.volume_requested(VolumeId(7), 1, &settings),
         Some(volume(30.0, 6.0))
     );
     assert_eq!(
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -23,7 +23,9 @@
 
 use tulipbridge::telemetry::trace;
 use tulipbridge_core::request_tracker::{Effect, FinalAnswer, Input};
-use tulipbridge_core::{ClassSet, FleetUpdate, Outcome, SharedLimit, UpdateScope};
+use tulipbridge_core::{
+    ClassSet, FleetUpdate, NodeId, Outcome, RequestId, SharedLimit, UpdateScope, VolumeId,
+};
 
 use edits::{Edit, REJECTED_BY_BOTH, REJECTED_BY_OBJECT};
 use fleet::{complete_ejection, fleet_with_silent_server, read_json, shape};
@@ -298,7 +300,7 @@
     ] {
         trace::input(
             &Input::AttemptEnded {
-                id,
+                id: RequestId(id),
                 attempt,
                 outcome,
                 observed_use: 1.5,
@@ -322,7 +324,7 @@
         );
     }
     for limit in [
-        SharedLimit::Volume(0x1f),
+        SharedLimit::Volume(VolumeId(0x1f)),
         SharedLimit::Retries,
         SharedLimit::WarmingUpNode,
         SharedLimit::InFlightPerNode,
@@ -339,24 +341,36 @@
     }
     for classes in [ClassSet::NONE, ClassSet::NONE.with(1), ClassSet::ALL] {
         trace::input(
-            &Input::FleetUpdate(FleetUpdate::Ejection { node: 3, classes }),
+            &Input::FleetUpdate(FleetUpdate::Ejection {
+                node: NodeId(3),
+                classes,
+            }),
             name,
         );
     }
     trace::input(
-        &Input::FleetUpdate(FleetUpdate::Probe { node: 3, until: 0 }),
+        &Input::FleetUpdate(FleetUpdate::Probe {
+            node: NodeId(3),
+            until: 0,
+        }),
         name,
     );
-    trace::input(&Input::Overdue(id), name);
+    trace::input(&Input::Overdue(RequestId(id)), name);
     trace::input(&Input::Timer(1), name);
     for answer in [
         FinalAnswer::Served,
         FinalAnswer::Rejected(1_500_000),
         FinalAnswer::Failed,
     ] {
-        trace::effect(&Effect::Answer { id, answer }, name);
+        trace::effect(
+            &Effect::Answer {
+                id: RequestId(id),
+                answer,
+            },
+            name,
+        );
     }
-    trace::effect(&Effect::Release(id), name);
+    trace::effect(&Effect::Release(RequestId(id)), name);
 }
 
 /// Events go to standard error, so a child process of this test writes them.
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -19,6 +19,7 @@
 use tulipbridge::request_tracker::Input;
 use tulipbridge::telemetry::metrics::Metrics;
 use tulipbridge::{Listed, NodeInfo, Outcome, UpdateScope};
+use tulipbridge_core::{NodeId, RequestId, ShardId};
 use tulipbridge_fleet_limits::{Demand, Heartbeat, Lease, LeaseGrant, Limit};
 use tulipbridge_membership::{
     Delta, EntryKey, Envelope, EnvelopeCodec, GossipEntry, GossipMessage, GossipStore, PeerState,
@@ -203,9 +204,9 @@
 /// A server of the endpoint list.
 fn server(node: usize, started_at: i64) -> NodeInfo {
     NodeInfo {
-        node,
+        node: NodeId(node),
         zone: 0,
-        shard: 0,
+        shard: ShardId(0),
         listed: Listed::Up,
         started_at,
     }
@@ -231,17 +232,17 @@
         ejections.attempt_sent(
             0,
             AttemptKey {
-                request: id,
+                request: RequestId(id),
                 attempt: 0,
             },
-            node,
+            NodeId(node),
             0,
             true,
         );
         ejections.observe_input(
             1_000,
             &Input::AttemptEnded {
-                id,
+                id: RequestId(id),
                 attempt: 0,
                 outcome,
                 observed_use: 0.0,
