--- a/src/frontend/body.rs
+++ b/src/frontend/body.rs
@@ -39,9 +39,11 @@
     if announced > MAX_REQUEST_BODY as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
-    let announced_bytes = usize::try_from(announced).unwrap_or(usize::MAX);
-    let mut reservation = BodyReservation::acquire(budget, announced_bytes).map_err(status_of)?;
-    let mut bytes = BytesMut::with_capacity(usize::try_from(announced).unwrap_or(0).min(MAX_BODY));
+    // The check above makes the length fit.
+    let announced = announced as usize;
+    let mut reservation = BodyReservation::acquire(budget, announced).map_err(status_of)?;
+    // A client may announce a long body and send none, so only a usual one gets its buffer at once.
+    let mut bytes = BytesMut::with_capacity(announced.min(MAX_BODY));
     let mut frame_deadline = start_by;
     loop {
         let frame = timeout_at(frame_deadline, body.frame()).await;
@@ -65,6 +67,7 @@
     })
 }
 
+/// The status of a request whose body finds no memory.
 fn status_of(BodyBudgetExhausted: BodyBudgetExhausted) -> StatusCode {
     StatusCode::SERVICE_UNAVAILABLE
 }
--- a/src/frontend/connection.rs
+++ b/src/frontend/connection.rs
@@ -1,9 +1,9 @@
 //! Serving one client connection: HTTP/1.1 by hyper, and closing without losing the last response.
 
-use std::cell::RefCell;
+use std::cell::Cell;
 use std::convert::Infallible;
-use std::io;
 use std::rc::Rc;
+use std::sync::Arc;
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -13,103 +13,127 @@
 use hyper::service::service_fn;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use tokio::net::tcp::OwnedReadHalf;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
-use tokio::time::{timeout, timeout_at, Instant};
 use tulipbridge_core::client_connection::ClientEvent;
 
 use super::body::{read_body, ReceivedBody};
 use super::client_state::ClientState;
-use super::framed_socket::{FramedSocket, MAX_HEAD_BYTES};
-use super::listener::{Handler, Listener};
+use super::connection_table::{Admission, Registration};
+use super::framed_socket::FramedSocket;
+use super::lingering_close::LingeringClose;
+use super::listener::Handler;
 use super::replies::{closing, listener_overloaded, Reply};
+use super::request_framer::MAX_HEAD_BYTES;
 use super::response_body::{OpenRequest, ResponseBody};
+use crate::body_budget::BodyBudget;
+use crate::socket_io::disable_nagle;
 use crate::telemetry::trace;
 
-/// How long after accepting a connection that this side has closed is still drained, at the most.
-/// Closing a socket with unread data resets the connection, and the client could lose the response.
-const LINGER_TIMEOUT: Duration = Duration::from_secs(4);
-/// Draining ends when no data arrives for this long.
-const LINGER_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often a listener that shuts down checks whether a request that was arriving is complete.
 const ARRIVAL_POLL: Duration = Duration::from_millis(5);
 
-impl<H: Handler> Listener<H> {
-    /// Serves a connection until it is closed. With `full`, every request on it is rejected.
-    pub(super) async fn serve_connection(
-        self: &Rc<Self>,
-        stream: TcpStream,
-        client: &Rc<ClientState>,
-        full: bool,
-    ) {
-        // Nagle's algorithm would delay a response that takes two writes; a failure here costs only
-        // time.
-        let _ = stream.set_nodelay(true);
+/// Serves the connections of a listener, whose tasks share it.
+pub(super) struct ConnectionService<H> {
+    handler: H,
+    active_requests: Rc<Cell<usize>>,
+    body_budget: Arc<BodyBudget>,
+    /// Set once no more connections are accepted.
+    shutting_down: watch::Sender<bool>,
+    lingering_close: LingeringClose,
+}
+
+impl<H: Handler> ConnectionService<H> {
+    /// A service by `handler` that counts the open requests in `active_requests` and takes the
+    /// memory for bodies from `body_budget`.
+    pub(super) fn new(
+        handler: H,
+        active_requests: Rc<Cell<usize>>,
+        body_budget: Arc<BodyBudget>,
+    ) -> Rc<ConnectionService<H>> {
+        Rc::new(ConnectionService {
+            handler,
+            active_requests,
+            body_budget,
+            shutting_down: watch::Sender::new(false),
+            lingering_close: LingeringClose::new(),
+        })
+    }
+
+    /// The handler of the requests.
+    pub(super) fn handler(&self) -> &H {
+        &self.handler
+    }
+
+    /// The number of requests whose responses are not complete.
+    pub(super) fn active_requests(&self) -> usize {
+        self.active_requests.get()
+    }
+
+    /// Closes each connection after its present response, or at once where it has none.
+    pub(super) fn close_idle_connections(&self) {
+        self.shutting_down.send_replace(true);
+    }
+
+    /// Serves a connection until it is closed, or evicted while nothing is under way on it.
+    pub(super) async fn serve_until_evicted(&self, stream: TcpStream, registration: &Registration) {
+        tokio::select! {
+            biased;
+            () = registration.closed_by_eviction() => {}
+            () = self.serve(stream, registration) => {}
+        }
+    }
+
+    /// Serves a connection until it is closed.
+    async fn serve(&self, stream: TcpStream, registration: &Registration) {
+        disable_nagle(&stream);
+        let client = registration.client();
         let (read, write) = stream.into_split();
-        let read = Rc::new(RefCell::new(read));
+        let read = Rc::new(read);
         let socket = FramedSocket::new(Rc::clone(&read), write, Rc::clone(client));
-        self.serve_http(socket, client, full).await;
+        self.serve_http(socket, client, registration.admission())
+            .await;
         client.on(ClientEvent::Closing);
-        let deadline =
-            (client.connected_at() + LINGER_TIMEOUT).max(Instant::now() + LINGER_IDLE_TIMEOUT);
-        // hyper has dropped its handle, so this one is the last.
-        if let Ok(read) = Rc::try_unwrap(read) {
-            // Whether the client closes or the deadline passes, the connection ends.
-            let _ = timeout_at(deadline, self.drain(read.into_inner())).await;
-        }
+        self.lingering_close
+            .drain(&read, client.connected_at())
+            .await;
     }
 
     /// Runs HTTP/1.1 on a socket until the client closes it, or the listener shuts down.
-    async fn serve_http(&self, socket: FramedSocket, client: &Rc<ClientState>, full: bool) {
+    async fn serve_http(
+        &self,
+        socket: FramedSocket,
+        client: &Rc<ClientState>,
+        admission: Admission,
+    ) {
         let service = service_fn(|request| async move {
             let open = OpenRequest::new(client, &self.active_requests);
-            let reply = self.answer(request, client, full).await;
+            let reply = match admission {
+                Admission::Served => self.answer(request, client).await,
+                Admission::Rejected => listener_overloaded(),
+            };
             Ok::<_, Infallible>(reply.map(|body| ResponseBody::new(body, open)))
         });
-        let shutting_down = self.shutting_down.subscribe();
         let connection = http1::Builder::new()
-            .keep_alive(!full)
+            .keep_alive(admission == Admission::Served)
             .header_read_timeout(None)
             .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(TokioIo::new(socket), service);
         tokio::pin!(connection);
-        // Errors of a client's connection concern that client alone; the exchange learns of them as
-        // its requests are dropped. The connection is polled first, so that data that has arrived
-        // is read before the state is checked.
+        // The connection is polled first, so that data that has arrived is read before the state is
+        // checked.
         tokio::select! {
             biased;
-            _ = connection.as_mut() => {}
-            () = ready_to_shut_down(client, shutting_down) => {
+            result = connection.as_mut() => ignore_connection_error(result),
+            () = ready_to_shut_down(client, self.shutting_down.subscribe()) => {
                 connection.as_mut().graceful_shutdown();
-                let _ = connection.await;
-            }
-        }
-    }
-
-    /// Reads and discards data until the client closes the connection or stops sending.
-    async fn drain(&self, read: OwnedReadHalf) {
-        while let Ok(Ok(())) = timeout(LINGER_IDLE_TIMEOUT, read.readable()).await {
-            match read.try_read(&mut self.discard_buffer.borrow_mut()) {
-                Ok(0) => return,
-                Ok(_) => {}
-                Err(why) if why.kind() == io::ErrorKind::WouldBlock => {}
-                Err(_) => return,
+                ignore_connection_error(connection.await);
             }
-            tokio::task::yield_now().await;
         }
     }
 
     /// Receives a request completely and has the handler answer it.
-    async fn answer(
-        &self,
-        request: Request<Incoming>,
-        client: &Rc<ClientState>,
-        full: bool,
-    ) -> Reply {
-        if full {
-            return listener_overloaded();
-        }
+    async fn answer(&self, request: Request<Incoming>, client: &ClientState) -> Reply {
         let (head, body) = request.into_parts();
         let received = self.receive_body(body, client).await;
         if let Err(status) = &received {
@@ -121,10 +145,8 @@
         if rejection == Some(StatusCode::SERVICE_UNAVAILABLE) {
             return listener_overloaded();
         }
-        let reply = self
-            .handler
-            .answer(with_body(head, received), shutting_down)
-            .await;
+        let request = with_body(head, received);
+        let reply = self.handler.answer(request, shutting_down).await;
         if rejection.is_some() || client.is_last_request() {
             closing(reply)
         } else {
@@ -132,6 +154,10 @@
         }
     }
 
+    /// Receives a request body completely.
+    ///
+    /// # Errors
+    /// The status to answer: that of a framing error, or of [`read_body`].
     async fn receive_body(
         &self,
         body: Incoming,
@@ -146,6 +172,10 @@
     }
 }
 
+/// An error of a connection concerns its client alone; the exchange is notified as the requests on
+/// the connection are dropped.
+fn ignore_connection_error(_: hyper::Result<()>) {}
+
 /// A request with its body; the reservation of the body's memory travels in the extensions.
 fn with_body(
     mut head: hyper::http::request::Parts,
@@ -158,6 +188,8 @@
     Request::from_parts(head, body)
 }
 
+/// Traces a request that is rejected with `status` because of its body, with the length that its
+/// headers announce.
 fn trace_rejected_body(status: StatusCode, headers: &HeaderMap) {
     if !trace::is_enabled() {
         return;
@@ -174,15 +206,12 @@
 /// Returns once the listener shuts down and no request is arriving on this connection. A request
 /// that is being answered does not delay it: the connection then closes after that response.
 async fn ready_to_shut_down(client: &ClientState, mut shutting_down: watch::Receiver<bool>) {
-    if shutting_down
-        .wait_for(|shutting_down| *shutting_down)
-        .await
-        .is_err()
-    {
+    let begun = shutting_down.wait_for(|shutting_down| *shutting_down).await;
+    if begun.is_err() {
         return std::future::pending().await;
     }
     while client.is_arriving() {
-        // Data in the socket's buffer causes no notification, so the state is polled as well.
-        let _ = timeout(ARRIVAL_POLL, client.changed.notified()).await;
+        // Data in the socket's buffer causes no event, so the state is polled as well.
+        client.wait_for_event(ARRIVAL_POLL).await;
     }
 }
--- /dev/null
+++ b/src/frontend/connection_table.rs
@@ -0,0 +1,209 @@
+//! The open connections of a listener: their registration, the limit on their number, and which of
+//! them are evicted.
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::os::fd::RawFd;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::time::Instant;
+use tulipbridge_core::client_connection::Phase;
+use tulipbridge_core::connection_limiter::{Accept, ConnectionLimiter};
+
+use super::client_state::ClientState;
+use super::clock::ListenerClock;
+use crate::telemetry::log::log;
+
+/// Connections above the limit that are accepted at a time to be answered with a rejection; others
+/// wait in the kernel's queue.
+const REJECTION_SLOTS: usize = 16;
+/// The shortest time between two log lines about the connection limit.
+const FULL_LOG_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Key of a connection in the table of its listener; never used twice.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct ConnectionId(u64);
+
+/// Which connections may be evicted for a new one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum EvictionScope {
+    /// Idle connections alone.
+    IdleOnly,
+    /// Every connection without an open request.
+    Any,
+}
+
+/// What the requests on an accepted connection get.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Admission {
+    /// The handler's answers.
+    Served,
+    /// A rejection each: the listener has no capacity for the connection.
+    Rejected,
+}
+
+/// The open connections of a listener. No borrow of them leaves this module, and none is held
+/// across an `await`.
+pub(super) struct ConnectionTable {
+    limiter: ConnectionLimiter,
+    clock: ListenerClock,
+    open: RefCell<OpenConnections>,
+}
+
+/// The part of a table that changes.
+#[derive(Default)]
+struct OpenConnections {
+    clients: HashMap<ConnectionId, Rc<ClientState>>,
+    /// How many connections were ever registered, which is also the next id.
+    registered: u64,
+    /// When the log last named the connection limit.
+    full_logged_at: Option<Instant>,
+}
+
+impl ConnectionTable {
+    /// A table of at most `max_connections` connections.
+    pub(super) fn new(max_connections: usize, clock: ListenerClock) -> Rc<ConnectionTable> {
+        Rc::new(ConnectionTable {
+            limiter: ConnectionLimiter::new(max_connections, REJECTION_SLOTS),
+            clock,
+            open: RefCell::default(),
+        })
+    }
+
+    /// The number of open connections.
+    pub(super) fn len(&self) -> usize {
+        self.open.borrow().clients.len()
+    }
+
+    /// The number of connections that the process must not exit over.
+    pub(super) fn pending_work(&self) -> usize {
+        let open = self.open.borrow();
+        let pending = open
+            .clients
+            .values()
+            .filter(|client| client.has_pending_work());
+        pending.count()
+    }
+
+    /// The next step before one more connection is accepted: see [`ConnectionLimiter::accept`].
+    pub(super) fn next_step(&self, previous: Option<(Accept, bool)>) -> Accept {
+        self.limiter.accept(self.len(), previous)
+    }
+
+    /// Registers a connection that has just been accepted on the file descriptor `socket`.
+    pub(super) fn register(self: &Rc<Self>, socket: RawFd) -> Registration {
+        let client = ClientState::new(socket, self.clock);
+        let mut open = self.open.borrow_mut();
+        let id = ConnectionId(open.registered);
+        open.registered += 1;
+        let admission = if self.limiter.is_full(open.clients.len()) {
+            open.log_full();
+            Admission::Rejected
+        } else {
+            Admission::Served
+        };
+        open.clients.insert(id, Rc::clone(&client));
+        Registration {
+            table: Rc::clone(self),
+            id,
+            client,
+            admission,
+        }
+    }
+
+    /// Evicts the connection that the limiter can best spare. Returns whether there was one.
+    pub(super) fn evict(&self, scope: EvictionScope) -> bool {
+        let idle_only = scope == EvictionScope::IdleOnly;
+        let mut open = self.open.borrow_mut();
+        let clients = &mut open.clients;
+        let connections = clients
+            .iter()
+            .map(|(id, client)| (id.0, client.connection()));
+        let is_busy = |id| clients[&ConnectionId(id)].is_busy();
+        let candidate =
+            self.limiter
+                .eviction_candidate(self.clock.now(), idle_only, connections, is_busy);
+        let Some(client) = candidate.and_then(|id| clients.remove(&ConnectionId(id))) else {
+            return false;
+        };
+        client.evict();
+        true
+    }
+
+    /// Evicts the connections whose timeouts have passed. They stay registered until their tasks
+    /// end.
+    pub(super) fn evict_timed_out(&self) {
+        let now = self.clock.now();
+        let connections_are_scarce = self.limiter.is_scarce(self.len());
+        for client in self.open.borrow().clients.values() {
+            if client.has_timed_out(now, connections_are_scarce) {
+                client.evict();
+            }
+        }
+    }
+}
+
+impl OpenConnections {
+    /// Logs how many connections are in each phase, at most once in [`FULL_LOG_INTERVAL`].
+    fn log_full(&mut self) {
+        let now = Instant::now();
+        if self
+            .full_logged_at
+            .is_some_and(|logged| now - logged < FULL_LOG_INTERVAL)
+        {
+            return;
+        }
+        self.full_logged_at = Some(now);
+        let mut counts: Vec<(Phase, usize)> = Vec::new();
+        for phase in self.clients.values().map(|client| client.phase()) {
+            match counts.iter_mut().find(|(counted, _)| *counted == phase) {
+                Some((_, count)) => *count += 1,
+                None => counts.push((phase, 1)),
+            }
+        }
+        log!("no place for another client: {counts:?}");
+    }
+}
+
+/// A connection in a [`ConnectionTable`], owned by the task that serves it. Dropping it removes the
+/// connection from the table.
+pub(super) struct Registration {
+    table: Rc<ConnectionTable>,
+    id: ConnectionId,
+    client: Rc<ClientState>,
+    admission: Admission,
+}
+
+impl Registration {
+    /// The state of the connection.
+    pub(super) fn client(&self) -> &Rc<ClientState> {
+        &self.client
+    }
+
+    /// What the requests on the connection get.
+    pub(super) fn admission(&self) -> Admission {
+        self.admission
+    }
+
+    /// Returns once the connection is evicted and may be closed. One on which data has arrived
+    /// since its eviction is registered again.
+    pub(super) async fn closed_by_eviction(&self) {
+        loop {
+            self.client.evicted().await;
+            if self.client.may_close_now() {
+                return;
+            }
+            let mut open = self.table.open.borrow_mut();
+            open.clients
+                .entry(self.id)
+                .or_insert_with(|| Rc::clone(&self.client));
+        }
+    }
+}
+
+impl Drop for Registration {
+    fn drop(&mut self) {
+        self.table.open.borrow_mut().clients.remove(&self.id);
+    }
+}
--- a/src/frontend/framing.rs
+++ b/src/frontend/framing.rs
@@ -1,7 +1,7 @@
 //! How the body of a request is framed, decided from its head before hyper sees it.
 //!
 //! hyper resolves contradictory lengths silently; another party could then take the tail of a body
-//! for a second request (request smuggling). Such requests are refused here.
+//! for a second request (request smuggling). Such requests are rejected here.
 
 use hyper::StatusCode;
 
@@ -42,6 +42,7 @@
     }
 }
 
+/// The values of all header fields with this name, in any case.
 fn field_values<'a>(headers: &[httparse::Header<'a>], name: &str) -> Vec<&'a [u8]> {
     headers
         .iter()
@@ -50,6 +51,8 @@
         .collect()
 }
 
+/// The framing by the value of a `Content-Length` field: decimal digits alone, where `parse` would
+/// accept a sign.
 fn content_length(value: &[u8]) -> Result<BodyFraming, StatusCode> {
     if value.is_empty() || !value.iter().all(u8::is_ascii_digit) {
         return Err(StatusCode::BAD_REQUEST);
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -1,11 +1,9 @@
-//! The accept loop of a front: admission and eviction of client connections, and graceful shutdown.
+//! The accept loop of a front, and its graceful shutdown.
 
-use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
+use std::cell::Cell;
 use std::future::Future;
 use std::io::{self, ErrorKind};
 use std::os::fd::AsRawFd;
-use std::pin::pin;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,38 +12,31 @@
 use hyper::{Request, StatusCode};
 use nix::errno::Errno;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::watch;
-use tokio::task::yield_now;
-use tokio::time::{sleep, timeout, Instant};
-use tulipbridge_core::client_connection::Phase;
-use tulipbridge_core::connection_limiter::{Accept, ConnectionLimiter};
+use tokio::task::{spawn_local, yield_now};
+use tokio::time::{sleep, timeout};
+use tulipbridge_core::connection_limiter::Accept;
 use tulipbridge_core::graceful_shutdown::{GracefulShutdown, ShutdownEvent, ShutdownStep};
 use tulipbridge_core::Nanos;
 
 use super::body::MAX_REQUEST_BODY;
-use super::client_state::ClientState;
+use super::clock::{duration, ListenerClock};
+use super::connection::ConnectionService;
+use super::connection_table::{ConnectionTable, EvictionScope};
 use super::replies::Reply;
 use crate::body_budget::BodyBudget;
 use crate::telemetry::log::log;
 
-/// Connections above the limit that are accepted at a time to be answered with a rejection; others
-/// wait in the kernel's queue.
-const REJECTION_SLOTS: usize = 16;
 /// How often connections are checked for timeouts.
 const TIMEOUT_POLL: Duration = Duration::from_millis(100);
 /// How long the accept loop waits where no connection can be evicted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 /// How long the accept loop waits after an error of `accept`.
 const ACCEPT_ERROR_DELAY: Duration = Duration::from_millis(10);
-/// How many errors of `accept` the end of the listening socket waits out: with the pause after
+/// How many errors of `accept` are tolerated while the backlog is emptied: with the delay after
 /// those of resources, no more than a tenth of the time that a shutdown has.
 const MAX_BACKLOG_ERRORS: usize = 64;
-/// The shortest time between two log lines about the connection limit.
-const FULL_LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// Size of the buffer that data of closing connections is discarded into.
-const DISCARD_BUFFER_BYTES: usize = 64 * 1024;
 
-/// A request with its complete body, or the status that the body was refused with.
+/// A request with its complete body, or the status that the body is rejected with.
 pub type ReceivedRequest = Request<Result<Bytes, StatusCode>>;
 
 /// State of a listener that is shared with the admin console.
@@ -72,103 +63,94 @@
     fn longest_deadline(&self) -> Duration;
 }
 
-/// Key of a connection in the table of its listener.
-type ConnectionId = u64;
-
 /// Accepts client connections and passes their requests to a [`Handler`].
+///
+/// Every connection is served by a task of its own, which holds the connection's registration in
+/// the table and ends with the connection. The shutdown waits for the tasks with pending work; the
+/// others end with the `LocalSet` that they run on.
 pub struct Listener<H> {
-    pub(super) handler: H,
-    limiter: ConnectionLimiter,
-    /// Origin of the times given to the state machines.
-    epoch: Instant,
-    clients: RefCell<HashMap<ConnectionId, Rc<ClientState>>>,
-    next_connection: Cell<ConnectionId>,
-    full_logged_at: Cell<Option<Instant>>,
-    pub(super) active_requests: Rc<Cell<usize>>,
+    clock: ListenerClock,
+    connections: Rc<ConnectionTable>,
+    service: Rc<ConnectionService<H>>,
     accepting: Rc<Cell<bool>>,
-    pub(super) shutting_down: watch::Sender<bool>,
-    pub(super) discard_buffer: RefCell<Vec<u8>>,
-    pub(super) body_budget: Arc<BodyBudget>,
 }
 
 impl<H: Handler> Listener<H> {
     /// A listener that keeps at most `max_connections` connections and publishes its state in
     /// `state`.
-    pub fn new(handler: H, max_connections: usize, state: ListenerState) -> Rc<Listener<H>> {
-        Rc::new(Listener {
-            handler,
-            limiter: ConnectionLimiter::new(max_connections, REJECTION_SLOTS),
-            epoch: Instant::now(),
-            clients: RefCell::default(),
-            next_connection: Cell::new(0),
-            full_logged_at: Cell::new(None),
-            active_requests: state.active_requests,
+    pub fn new(handler: H, max_connections: usize, state: ListenerState) -> Listener<H> {
+        let clock = ListenerClock::start();
+        let body_budget = state
+            .body_budget
+            .unwrap_or_else(|| BodyBudget::new(MAX_REQUEST_BODY));
+        Listener {
+            clock,
+            connections: ConnectionTable::new(max_connections, clock),
+            service: ConnectionService::new(handler, state.active_requests, body_budget),
             accepting: state.accepting,
-            shutting_down: watch::Sender::new(false),
-            discard_buffer: RefCell::new(vec![0; DISCARD_BUFFER_BYTES]),
-            body_budget: state
-                .body_budget
-                .unwrap_or_else(|| BodyBudget::new(MAX_REQUEST_BODY)),
-        })
+        }
     }
 
     /// Serves until `shutdown_signal` completes, then returns once every received request has been
     /// answered. Must be called inside a tokio `LocalSet`.
-    pub async fn serve(
-        self: &Rc<Self>,
-        listener: TcpListener,
-        shutdown_signal: impl Future<Output = ()>,
-    ) {
+    pub async fn serve(&self, socket: TcpListener, shutdown_signal: impl Future<Output = ()>) {
         self.accepting.set(true);
         tokio::select! {
-            () = self.accept_forever(&listener) => {}
-            () = self.close_timed_out() => {}
+            () = self.accept_forever(&socket) => {}
+            () = self.evict_timed_out_forever() => {}
             () = shutdown_signal => {}
         }
         self.accepting.set(false);
-        self.shut_down(listener).await;
+        self.shut_down(socket).await;
     }
 
     /// Carries out the steps of a graceful shutdown.
-    async fn shut_down(self: &Rc<Self>, listener: TcpListener) {
-        let started = self.now();
-        let longest_deadline = self.handler.longest_deadline().as_nanos() as Nanos;
-        let (mut shutdown, mut step) = GracefulShutdown::new(started, longest_deadline);
-        self.handler
-            .begin_shutdown(duration(shutdown.answer_deadline() - started));
-        loop {
-            step = match step {
-                ShutdownStep::Accept(within) => {
-                    let accepted = timeout(duration(within), self.accept_one(&listener)).await;
-                    let event = match accepted {
-                        Ok(()) => ShutdownEvent::Accepted,
-                        Err(_) => ShutdownEvent::AcceptTimedOut,
-                    };
-                    shutdown.on(self.now(), event)
-                }
-                ShutdownStep::StopAccepting => break,
-                ShutdownStep::Wait(_) | ShutdownStep::Exit => return,
-            };
+    async fn shut_down(&self, socket: TcpListener) {
+        let started = self.clock.now();
+        let longest_deadline = self.service.handler().longest_deadline().as_nanos() as Nanos;
+        let (mut shutdown, first_step) = GracefulShutdown::new(started, longest_deadline);
+        let answer_within = duration(shutdown.answer_deadline() - started);
+        self.service.handler().begin_shutdown(answer_within);
+        let last_step = self
+            .accept_late_clients(&socket, &mut shutdown, first_step)
+            .await;
+        if last_step != ShutdownStep::StopAccepting {
+            return;
         }
-        self.accept_backlog(listener).await;
-        self.shutting_down.send_replace(true);
+        self.accept_backlog(socket).await;
+        self.service.close_idle_connections();
         self.wait_for_pending_work(&mut shutdown).await;
     }
 
+    /// Accepts connections for as long as the steps of the shutdown, from `step` on, require it.
+    /// Returns the first other step.
+    async fn accept_late_clients(
+        &self,
+        socket: &TcpListener,
+        shutdown: &mut GracefulShutdown,
+        mut step: ShutdownStep,
+    ) -> ShutdownStep {
+        while let ShutdownStep::Accept(within) = step {
+            let event = match timeout(duration(within), self.accept_one(socket)).await {
+                Ok(()) => ShutdownEvent::Accepted,
+                Err(_) => ShutdownEvent::AcceptTimedOut,
+            };
+            step = shutdown.on(self.clock.now(), event);
+        }
+        step
+    }
+
     /// Returns once the state machine of the shutdown finds that nothing is pending, or gives up.
     async fn wait_for_pending_work(&self, shutdown: &mut GracefulShutdown) {
         loop {
-            let pending = self
-                .clients
-                .borrow()
-                .values()
-                .filter(|client| client.has_pending_work())
-                .count();
             let poll = ShutdownEvent::Poll {
-                connections: self.connection_count(),
-                busy: pending.max(self.active_requests.get()),
+                connections: self.connections.len(),
+                busy: self
+                    .connections
+                    .pending_work()
+                    .max(self.service.active_requests()),
             };
-            match shutdown.on(self.now(), poll) {
+            match shutdown.on(self.clock.now(), poll) {
                 ShutdownStep::Wait(time) => sleep(duration(time)).await,
                 ShutdownStep::Exit | ShutdownStep::Accept(_) | ShutdownStep::StopAccepting => {
                     return
@@ -177,18 +159,10 @@
         }
     }
 
-    /// Time since the epoch of this listener.
-    fn now(&self) -> Nanos {
-        self.epoch.elapsed().as_nanos() as Nanos
-    }
-
-    fn connection_count(&self) -> usize {
-        self.clients.borrow().len()
-    }
-
-    async fn accept_forever(self: &Rc<Self>, listener: &TcpListener) {
+    /// Accepts connections until it is dropped.
+    async fn accept_forever(&self, socket: &TcpListener) {
         loop {
-            self.accept_one(listener).await;
+            self.accept_one(socket).await;
         }
     }
 
@@ -196,25 +170,22 @@
     /// is queried directly until the queue is empty: the runtime learns of a connection later, and
     /// one left in the queue would be reset. An error of `accept` concerns one connection, or a
     /// resource that another one is about to free.
-    async fn accept_backlog(self: &Rc<Self>, listener: TcpListener) {
-        let Ok(listener) = listener.into_std() else {
+    async fn accept_backlog(&self, socket: TcpListener) {
+        let Ok(socket) = socket.into_std() else {
             return;
         };
         let mut errors_left = MAX_BACKLOG_ERRORS;
         while errors_left > 0 {
-            match listener.accept() {
+            match socket.accept() {
                 Ok((stream, _)) => {
-                    let stream = stream
-                        .set_nonblocking(true)
-                        .and_then(|()| TcpStream::from_std(stream));
-                    if let Ok(stream) = stream {
+                    if let Ok(stream) = into_nonblocking(stream) {
                         self.spawn_connection(stream);
                     }
                 }
-                Err(why) if why.kind() == ErrorKind::WouldBlock => return,
-                Err(why) => {
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return,
+                Err(error) => {
                     errors_left -= 1;
-                    if is_out_of_resources(&why) {
+                    if is_out_of_resources(&error) {
                         sleep(ACCEPT_RETRY_DELAY).await;
                     }
                 }
@@ -223,14 +194,16 @@
         log!("cannot accept: the socket closes with connections in its queue");
     }
 
-    async fn accept_one(self: &Rc<Self>, listener: &TcpListener) {
+    /// Accepts one connection as soon as there is capacity for it, or handles one error of
+    /// `accept`.
+    async fn accept_one(&self, socket: &TcpListener) {
         self.ensure_capacity().await;
-        match listener.accept().await {
+        match socket.accept().await {
             Ok((stream, _)) => self.spawn_connection(stream),
             // Waiting lets other connections close. Any other error is over with this call.
-            Err(why) => {
-                log!("cannot accept: {why}");
-                if is_out_of_resources(&why) {
+            Err(error) => {
+                log!("cannot accept: {error}");
+                if is_out_of_resources(&error) {
                     sleep(ACCEPT_ERROR_DELAY).await;
                 } else {
                     yield_now().await;
@@ -241,120 +214,48 @@
 
     /// Returns once the limiter admits another connection, evicting one where it requires that.
     async fn ensure_capacity(&self) {
-        let mut eviction = None;
+        let mut previous = None;
         loop {
-            let next = self.limiter.accept(self.connection_count(), eviction);
-            match next {
+            let step = self.connections.next_step(previous);
+            let scope = match step {
                 Accept::Now => return,
-                Accept::EvictIdle => eviction = Some((next, self.evict(true))),
-                Accept::EvictAny => eviction = Some((next, self.evict(false))),
+                Accept::EvictIdle => EvictionScope::IdleOnly,
+                Accept::EvictAny => EvictionScope::Any,
                 Accept::Wait => {
                     sleep(ACCEPT_RETRY_DELAY).await;
-                    eviction = None;
+                    previous = None;
+                    continue;
                 }
-            }
+            };
+            let evicted = self.connections.evict(scope);
+            previous = Some((step, evicted));
         }
     }
 
     /// Registers an accepted connection and serves it in a new task.
-    fn spawn_connection(self: &Rc<Self>, stream: TcpStream) {
-        let client = ClientState::new(stream.as_raw_fd(), self.epoch);
-        let id = self.next_connection.get();
-        self.next_connection.set(id + 1);
-        let full = self.limiter.is_full(self.connection_count());
-        if full {
-            self.log_full();
-        }
-        self.clients.borrow_mut().insert(id, Rc::clone(&client));
-        let listener = Rc::clone(self);
-        tokio::task::spawn_local(async move {
-            listener
-                .serve_until_evicted(id, stream, &client, full)
-                .await;
-            listener.clients.borrow_mut().remove(&id);
+    fn spawn_connection(&self, stream: TcpStream) {
+        let registration = self.connections.register(stream.as_raw_fd());
+        let service = Rc::clone(&self.service);
+        spawn_local(async move {
+            service.serve_until_evicted(stream, &registration).await;
         });
     }
 
-    /// Serves a connection until it ends, or is evicted while nothing is under way on it.
-    async fn serve_until_evicted(
-        self: &Rc<Self>,
-        id: ConnectionId,
-        stream: TcpStream,
-        client: &Rc<ClientState>,
-        full: bool,
-    ) {
-        let mut connection = pin!(self.serve_connection(stream, client, full));
-        loop {
-            tokio::select! {
-                biased;
-                () = client.evicted.notified() => {
-                    if client.may_close_now() {
-                        return;
-                    }
-                    // Data has arrived since the eviction, so the connection is registered again.
-                    self.clients.borrow_mut().entry(id).or_insert_with(|| Rc::clone(client));
-                }
-                () = connection.as_mut() => return,
-            }
-        }
-    }
-
-    /// Evicts the connection that the limiter can best spare. Returns whether there was one.
-    fn evict(&self, idle_only: bool) -> bool {
-        let mut clients = self.clients.borrow_mut();
-        let connections = clients
-            .iter()
-            .map(|(id, client)| (*id, client.connection()));
-        let is_busy = |id| clients[&id].is_busy();
-        let candidate =
-            self.limiter
-                .eviction_candidate(self.now(), idle_only, connections, is_busy);
-        let Some(client) = candidate.and_then(|id| clients.remove(&id)) else {
-            return false;
-        };
-        client.evicted.notify_one();
-        true
-    }
-
-    /// Logs the phases of all connections, at most once in [`FULL_LOG_INTERVAL`].
-    fn log_full(&self) {
-        let now = Instant::now();
-        if self
-            .full_logged_at
-            .get()
-            .is_some_and(|logged| now - logged < FULL_LOG_INTERVAL)
-        {
-            return;
-        }
-        self.full_logged_at.set(Some(now));
-        let mut counts: Vec<(Phase, usize)> = Vec::new();
-        for phase in self.clients.borrow().values().map(|client| client.phase()) {
-            match counts.iter_mut().find(|(counted, _)| *counted == phase) {
-                Some((_, count)) => *count += 1,
-                None => counts.push((phase, 1)),
-            }
-        }
-        log!("no place for another client: {counts:?}");
-    }
-
-    /// Evicts connections whose timeouts have passed, for ever.
-    async fn close_timed_out(&self) {
+    /// Evicts connections whose timeouts have passed, until it is dropped.
+    async fn evict_timed_out_forever(&self) {
         loop {
             sleep(TIMEOUT_POLL).await;
-            let now = self.now();
-            let scarce = self.limiter.is_scarce(self.connection_count());
-            for client in self.clients.borrow().values() {
-                if client
-                    .connection()
-                    .has_timed_out(now, scarce, || client.is_busy())
-                {
-                    client.evicted.notify_one();
-                }
-            }
+            self.connections.evict_timed_out();
         }
     }
 }
 
+/// Registers a socket that was accepted without the runtime with the runtime.
+fn into_nonblocking(stream: std::net::TcpStream) -> io::Result<TcpStream> {
+    stream.set_nonblocking(true)?;
+    TcpStream::from_std(stream)
+}
+
 /// Whether `accept` failed for want of descriptors or memory, which other connections hold.
 fn is_out_of_resources(error: &io::Error) -> bool {
     let code = error.raw_os_error().map(Errno::from_raw);
@@ -363,7 +264,3 @@
         Some(Errno::EMFILE | Errno::ENFILE | Errno::ENOBUFS | Errno::ENOMEM)
     )
 }
-
-fn duration(time: Nanos) -> Duration {
-    Duration::from_nanos(time.max(0) as u64)
-}
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,12 +1,16 @@
 //! The client side: accepting connections, framing requests, and the platform's protocol.
 
-pub mod body;
-pub mod client_state;
+mod body;
+mod client_state;
+mod clock;
 mod connection;
-pub mod framed_socket;
+mod connection_table;
+mod framed_socket;
 pub mod framing;
+mod lingering_close;
 pub mod listener;
 pub mod platform;
 pub mod replies;
-pub mod response_body;
+mod request_framer;
+mod response_body;
 pub mod socket;
--- a/src/frontend/platform/mod.rs
+++ b/src/frontend/platform/mod.rs
@@ -4,19 +4,22 @@
 mod request_parser;
 mod request_tables;
 mod streaming;
+mod transactions;
 
 use std::cell::RefCell;
-use std::collections::HashSet;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 
+use bytes::Bytes;
 use http_body_util::{Either, Full};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, COOKIE};
+use hyper::http::request::Parts;
 use hyper::{Method, Response, StatusCode};
 
 use self::request_parser::single_value;
 use self::streaming::stream_response;
+use self::transactions::OpenTransactions;
 use super::listener::{Handler, ReceivedRequest};
 use super::replies::{health_check, plain, rejected, Reply};
 use crate::body_budget::BodyReservation;
@@ -24,7 +27,7 @@
 use crate::exchange::{Exchange, FinalResponse};
 use crate::upstream::{Accepts, Answer, Payload, Upstream};
 
-pub use self::request_tables::{ReloadedSettings, RequestClass, RequestTables};
+pub use self::request_tables::{ReloadedSettings, RequestTables};
 
 /// Header with the transaction id of a request.
 const TRANSACTION_ID: &str = "x-txn";
@@ -38,10 +41,10 @@
 /// The handler for the platform's protocol.
 pub struct PlatformFront {
     exchange: Rc<Exchange<Upstream>>,
+    /// Replaced by a reload of the configuration; borrowed for single statements.
     tables: Rc<RefCell<RequestTables>>,
     readiness: Readiness,
-    /// Transaction ids of the requests that are being answered.
-    open_transactions: RefCell<HashSet<u64>>,
+    open_transactions: OpenTransactions,
 }
 
 impl Handler for PlatformFront {
@@ -84,15 +87,15 @@
             exchange,
             tables,
             readiness,
-            open_transactions: RefCell::default(),
+            open_transactions: OpenTransactions::default(),
         }
     }
 
     /// Counts a response in the metrics of its class, where the class is known.
     fn count_answer(&self, class: Option<&str>, status: StatusCode) {
         let tables = self.tables.borrow();
-        let class = class.and_then(|name| tables.classes.find(name));
-        if let Some(metrics) = class.and_then(|class| tables.metrics.get(class)) {
+        let class = class.and_then(|name| tables.class_index(name));
+        if let Some(metrics) = class.and_then(|class| tables.class_metrics(class)) {
             metrics.count_answer(status.as_u16());
         }
     }
@@ -102,45 +105,48 @@
     /// # Errors
     /// The response to a request that is malformed, or whose transaction is already open.
     async fn forward(&self, request: ReceivedRequest) -> Result<Reply, Reply> {
-        let (mut head, body) = request.into_parts();
+        let (head, body) = request.into_parts();
         let body = body.map_err(|status| plain(status, "the request is not taken"))?;
-        let reservation = head.extensions.remove::<Arc<BodyReservation>>();
         let parsed = self.tables.borrow().parse(&head.method, &head.headers);
         let parsed = parsed.map_err(|error| plain(StatusCode::BAD_REQUEST, error.to_string()))?;
         if head.method == Method::GET && !body.is_empty() {
             return Err(plain(StatusCode::BAD_REQUEST, "a read has no body"));
         }
-        let _open = OpenTransaction::insert(&self.open_transactions, parsed.transaction_id)
+        let _transaction = self
+            .open_transactions
+            .open(parsed.transaction_id)
             .ok_or_else(|| plain(StatusCode::CONFLICT, "X-Txn names a request that is open"))?;
-        let id = head
-            .headers
-            .get(TRANSACTION_ID)
-            .cloned()
-            .unwrap_or(HeaderValue::from_static(""));
-        let payload = Payload {
-            method: head.method,
-            target: head.uri,
-            id,
+        let payload = self.payload(head, body, parsed.request.class);
+        let response = self.exchange.submit(parsed.request, payload).await;
+        Ok(into_reply(response))
+    }
+
+    /// What the chunk server gets of a request.
+    fn payload(&self, mut head: Parts, body: Bytes, class: usize) -> Payload {
+        let id = head.headers.get(TRANSACTION_ID).cloned();
+        Payload {
+            id: id.unwrap_or(HeaderValue::from_static("")),
             headers: forwarded_headers(&head.headers),
             body,
             accepts: Accepts::Served,
-            metrics: self
-                .tables
-                .borrow()
-                .metrics
-                .get(parsed.request.class)
-                .cloned(),
-            reservation,
-        };
-        Ok(match self.exchange.submit(parsed.request, payload).await {
-            FinalResponse::Served(Answer {
-                streamed: Some(rest),
-                ..
-            }) => stream_response(rest),
-            FinalResponse::Served(answer) => Response::new(Either::Left(Full::new(answer.body))),
-            FinalResponse::Rejected(retry_after) => rejected(retry_after),
-            FinalResponse::Failed => plain(StatusCode::BAD_GATEWAY, "failed"),
-        })
+            metrics: self.tables.borrow().class_metrics(class).cloned(),
+            reservation: head.extensions.remove::<Arc<BodyReservation>>(),
+            method: head.method,
+            target: head.uri,
+        }
+    }
+}
+
+/// The response to the client by the exchange's final answer.
+fn into_reply(response: FinalResponse<Answer>) -> Reply {
+    match response {
+        FinalResponse::Served(Answer {
+            streamed: Some(rest),
+            ..
+        }) => stream_response(rest),
+        FinalResponse::Served(answer) => Response::new(Either::Left(Full::new(answer.body))),
+        FinalResponse::Rejected(retry_after) => rejected(retry_after),
+        FinalResponse::Failed => plain(StatusCode::BAD_GATEWAY, "failed"),
     }
 }
 
@@ -154,24 +160,3 @@
     }
     forwarded
 }
-
-/// Keeps a transaction id in the set of open ones until it is dropped.
-struct OpenTransaction<'a> {
-    open: &'a RefCell<HashSet<u64>>,
-    id: u64,
-}
-
-impl OpenTransaction<'_> {
-    /// Opens a transaction; `None` where it is open already, since two requests with one id cannot
-    /// be distinguished.
-    fn insert(open: &RefCell<HashSet<u64>>, id: u64) -> Option<OpenTransaction<'_>> {
-        let inserted = open.borrow_mut().insert(id);
-        inserted.then(|| OpenTransaction { open, id })
-    }
-}
-
-impl Drop for OpenTransaction<'_> {
-    fn drop(&mut self) {
-        self.open.borrow_mut().remove(&self.id);
-    }
-}
--- a/src/frontend/platform/request_parser.rs
+++ b/src/frontend/platform/request_parser.rs
@@ -5,7 +5,7 @@
 use tulipbridge_core as core;
 use tulipbridge_core::{KeyId, Nanos, RequestId, ShardId, VolumeId};
 
-use super::request_tables::RequestTables;
+use super::request_tables::{OperationLimits, RequestTables};
 use super::{CLASS, TRANSACTION_ID};
 
 /// Header with the plan of a request.
@@ -18,9 +18,11 @@
 const BLOCK_COOKIE: &str = "block=";
 /// Digits of an id in hexadecimal.
 const ID_DIGITS: usize = 16;
-/// The longest remaining time, an hour; a longer one is shortened to it.
+/// The longest remaining time in nanoseconds, an hour; a longer one is shortened to it.
 const MAX_REMAINING_NANOS: f64 = 3.6e12;
+/// Factor of a remaining time in milliseconds.
 const NANOS_PER_MILLISECOND: f64 = 1e6;
+/// Factor of a remaining time in microseconds.
 const NANOS_PER_MICROSECOND: f64 = 1e3;
 /// Value of the field `shard` where the front may choose the shard.
 const ANY_SHARD: i64 = -1;
@@ -78,32 +80,31 @@
 
 impl RequestTables {
     /// Parses a request head.
+    ///
+    /// # Errors
+    /// Where a header is missing or invalid. The headers are checked in a fixed order, and the
+    /// first fault is returned.
     pub(super) fn parse(
         &self,
         method: &Method,
         headers: &HeaderMap,
     ) -> Result<ParsedRequest, RequestError> {
-        let value = |name: &str| single_value(headers, name);
-        let transaction_id = value(TRANSACTION_ID).and_then(hex_id);
-        let transaction_id = transaction_id.ok_or(RequestError::InvalidTransactionId)?;
-        let class = value(CLASS).ok_or(RequestError::MissingClass)?;
-        let class = self.classes.find(class).ok_or(RequestError::UnknownClass)?;
+        let transaction_id = single_value(headers, TRANSACTION_ID)
+            .and_then(hex_id)
+            .ok_or(RequestError::InvalidTransactionId)?;
+        let class = self.parse_class(headers)?;
         let writes = self.writes(class, method);
         let expected_method = if writes { Method::PUT } else { Method::GET };
         if *method != expected_method {
             return Err(RequestError::WrongMethod);
         }
-        let plan = value(PLAN).ok_or(RequestError::MissingPlan)?;
-        let plan = self.plans.find(plan).ok_or(RequestError::UnknownPlan)?;
-        let patience = value(REMAINING)
+        let plan = self.parse_plan(headers)?;
+        let patience = single_value(headers, REMAINING)
             .and_then(parse_remaining)
             .ok_or(RequestError::InvalidRemaining)?;
-        let operation =
-            self.parse_operation(value(OPERATION).ok_or(RequestError::MissingOperation)?)?;
-        let shard = operation.shard.ok_or(RequestError::InvalidShard)?;
-        if shard < 0 && !writes {
-            return Err(RequestError::MissingShard);
-        }
+        let operation = single_value(headers, OPERATION).ok_or(RequestError::MissingOperation)?;
+        let operation = Operation::parse(operation, self.operation_limits())?;
+        let shard = operation.shard(writes)?;
         let request = core::Request {
             id: RequestId(0),
             class,
@@ -112,7 +113,7 @@
             key: block_id(headers)?.map(KeyId),
             patience,
             units: operation.units.ok_or(RequestError::InvalidUnits)? as f64,
-            shard: u32::try_from(shard).ok().map(ShardId),
+            shard,
             front_count: operation
                 .front_count
                 .ok_or(RequestError::InvalidFrontCount)? as u32,
@@ -123,14 +124,23 @@
         })
     }
 
-    /// Whether a class writes. Where the configuration leaves it open, the method decides.
-    fn writes(&self, class: usize, method: &Method) -> bool {
-        let configured = self.classes.get(class).and_then(|entry| entry.writes);
-        configured.unwrap_or(*method == Method::PUT)
+    /// The class that the headers name.
+    fn parse_class(&self, headers: &HeaderMap) -> Result<usize, RequestError> {
+        let name = single_value(headers, CLASS).ok_or(RequestError::MissingClass)?;
+        self.class_index(name).ok_or(RequestError::UnknownClass)
     }
 
+    /// The plan that the headers name.
+    fn parse_plan(&self, headers: &HeaderMap) -> Result<usize, RequestError> {
+        let name = single_value(headers, PLAN).ok_or(RequestError::MissingPlan)?;
+        self.plan_index(name).ok_or(RequestError::UnknownPlan)
+    }
+}
+
+impl Operation {
     /// Parses `name=value` fields separated by commas; unknown names are ignored.
-    fn parse_operation(&self, header: &str) -> Result<Operation, RequestError> {
+    fn parse(header: &str, limits: OperationLimits) -> Result<Operation, RequestError> {
+        let last_shard = i64::from(limits.shards) - 1;
         let mut operation = Operation::default();
         for field in header.split(',') {
             let (name, value) = field
@@ -139,18 +149,26 @@
                 .ok_or(RequestError::MalformedOperation)?;
             match name {
                 "volume" => operation.volume = hex_id(value),
-                "units" => operation.units = integer_between(value, 1, self.max_units as i64),
-                "shard" => {
-                    operation.shard = integer_between(value, ANY_SHARD, i64::from(self.shards) - 1)
-                }
+                "units" => operation.units = integer_between(value, 1, limits.max_units as i64),
+                "shard" => operation.shard = integer_between(value, ANY_SHARD, last_shard),
                 "hosts" => {
-                    operation.front_count = integer_between(value, 1, i64::from(self.fronts))
+                    operation.front_count = integer_between(value, 1, i64::from(limits.fronts));
                 }
                 _ => {}
             }
         }
         Ok(operation)
     }
+
+    /// The shard that must serve the operation; `None` where the front may choose it, which it may
+    /// for writes alone.
+    fn shard(&self, writes: bool) -> Result<Option<ShardId>, RequestError> {
+        let shard = self.shard.ok_or(RequestError::InvalidShard)?;
+        if shard < 0 && !writes {
+            return Err(RequestError::MissingShard);
+        }
+        Ok(u32::try_from(shard).ok().map(ShardId))
+    }
 }
 
 /// The value of a header that is present exactly once; one that is repeated would be ambiguous.
@@ -167,6 +185,7 @@
     u64::from_str_radix(value, 16).ok().filter(|_| is_valid)
 }
 
+/// An integer from `min` to `max`, both inclusive.
 fn integer_between(value: &str, min: i64, max: i64) -> Option<i64> {
     value
         .parse()
@@ -189,11 +208,11 @@
 
 /// Parses a time such as `480m` (milliseconds) or `480000u` (microseconds).
 fn parse_remaining(value: &str) -> Option<Nanos> {
-    let (number, nanos_per_unit) = match (value.strip_suffix('m'), value.strip_suffix('u')) {
-        (Some(number), _) => (number, NANOS_PER_MILLISECOND),
-        (_, Some(number)) => (number, NANOS_PER_MICROSECOND),
-        _ => return None,
+    let nanos = if let Some(milliseconds) = value.strip_suffix('m') {
+        milliseconds.parse::<f64>().ok()? * NANOS_PER_MILLISECOND
+    } else {
+        let microseconds = value.strip_suffix('u')?;
+        microseconds.parse::<f64>().ok()? * NANOS_PER_MICROSECOND
     };
-    let nanos = number.parse::<f64>().ok()? * nanos_per_unit;
     (nanos.is_finite() && nanos >= 0.0).then_some(nanos.min(MAX_REMAINING_NANOS) as Nanos)
 }
--- a/src/frontend/platform/request_tables.rs
+++ b/src/frontend/platform/request_tables.rs
@@ -1,6 +1,7 @@
 //! The names that requests may use (classes, plans), with the indices that the decision module
 //! knows them by.
 
+use hyper::Method;
 use tulipbridge_core::settings_reload::VersionedTable;
 use tulipbridge_core::{Class, Plan, Settings};
 
@@ -9,24 +10,33 @@
 
 /// A class as requests name it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RequestClass {
+struct RequestClass {
     /// The class for the decision module.
-    pub class: Class,
+    class: Class,
     /// Whether its requests write; `None` where the configuration leaves it open and the method
     /// decides.
-    pub writes: Option<bool>,
+    writes: Option<bool>,
 }
 
 /// The tables of the request parser. A request that no chunk server could execute is rejected by
 /// them and causes no load on any server.
 #[derive(Clone)]
 pub struct RequestTables {
-    /// Classes.
-    pub classes: VersionedTable<RequestClass>,
-    /// Plans.
-    pub plans: VersionedTable<Plan>,
+    classes: VersionedTable<RequestClass>,
+    plans: VersionedTable<Plan>,
     /// Metrics of each class, in the order of `classes`.
-    pub metrics: Vec<ClassMetrics>,
+    metrics: Vec<ClassMetrics>,
+    /// Number of shards.
+    shards: u32,
+    /// The largest number of fronts that a volume's requests may come through.
+    fronts: u32,
+    /// The most units of a request.
+    max_units: f64,
+}
+
+/// The values that the fields of an operation may have.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct OperationLimits {
     /// Number of shards.
     pub shards: u32,
     /// The largest number of fronts that a volume's requests may come through.
@@ -84,6 +94,37 @@
         }
     }
 
+    /// The number that the decision module knows a class by.
+    pub(super) fn class_index(&self, name: &str) -> Option<usize> {
+        self.classes.find(name)
+    }
+
+    /// The number that the decision module knows a plan by.
+    pub(super) fn plan_index(&self, name: &str) -> Option<usize> {
+        self.plans.find(name)
+    }
+
+    /// The metrics of a class.
+    pub(super) fn class_metrics(&self, class: usize) -> Option<&ClassMetrics> {
+        self.metrics.get(class)
+    }
+
+    /// Whether requests of a class with this method write. Where the configuration leaves it open,
+    /// the method decides.
+    pub(super) fn writes(&self, class: usize, method: &Method) -> bool {
+        let configured = self.classes.get(class).and_then(|entry| entry.writes);
+        configured.unwrap_or(*method == Method::PUT)
+    }
+
+    /// The values that the fields of an operation may have.
+    pub(super) fn operation_limits(&self) -> OperationLimits {
+        OperationLimits {
+            shards: self.shards,
+            fronts: self.fronts,
+            max_units: self.max_units,
+        }
+    }
+
     /// Creates the metrics of classes that are new, starting at 0.
     fn add_class_metrics(&mut self, metrics: &Metrics) {
         for class in self.metrics.len()..self.classes.len() {
@@ -93,6 +134,7 @@
     }
 }
 
+/// The classes of a configuration by their names, in its order.
 fn class_entries(config: &Config) -> Vec<(String, RequestClass)> {
     let classes = config
         .settings
@@ -104,6 +146,7 @@
     config.classes.iter().cloned().zip(classes).collect()
 }
 
+/// The plans of a configuration by their names, in its order.
 fn plan_entries(config: &Config) -> Vec<(String, Plan)> {
     config
         .plans
--- a/src/frontend/platform/streaming.rs
+++ b/src/frontend/platform/streaming.rs
@@ -1,13 +1,14 @@
 //! Streaming a long body from a chunk server to the client.
 
 use std::io;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 use bytes::Bytes;
 use http_body_util::channel::{Channel, Sender};
 use http_body_util::{BodyExt, Either};
 use hyper::header::{HeaderValue, CONTENT_LENGTH};
 use hyper::Response;
+use tokio::task::spawn_local;
 
 use crate::frontend::replies::Reply;
 use crate::telemetry::trace;
@@ -21,15 +22,16 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StreamEnd {
     Complete,
-    ClientGone,
+    ClientClosed,
     ServerFailed,
 }
 
 impl StreamEnd {
+    /// The name in the decision trace, whose format is stable.
     fn trace_name(self) -> &'static str {
         match self {
             StreamEnd::Complete => "whole",
-            StreamEnd::ClientGone => "left by the client",
+            StreamEnd::ClientClosed => "left by the client",
             StreamEnd::ServerFailed => "broken off by the chunk server",
         }
     }
@@ -38,10 +40,13 @@
 /// A response that streams a body from a chunk server. It has the length that the server announced,
 /// if any, so that a client can recognise a truncated body. Where the server's connection fails, so
 /// does the client's.
+///
+/// The task that copies the body ends with the body, with the server's connection, or at the first
+/// part that the client no longer takes.
 pub(super) fn stream_response(streamed: StreamedBody) -> Reply {
     let (sender, body) = Channel::new(BUFFERED_PARTS);
     let length = streamed.length;
-    tokio::task::spawn_local(copy_body(streamed, sender));
+    spawn_local(BodyCopy::new(streamed, sender).run());
     let mut reply = Response::new(Either::Right(body));
     if let Some(length) = length {
         reply
@@ -51,56 +56,77 @@
     reply
 }
 
-/// Copies a body to the client and returns its connection to the pool where it was complete.
-async fn copy_body(mut streamed: StreamedBody, mut sender: Sender<Bytes, io::Error>) {
-    let started = Instant::now();
-    let mut bytes_passed = 0;
-    let end = copy_frames(&mut streamed, &mut sender, &mut bytes_passed).await;
-    if end == StreamEnd::ServerFailed {
-        sender.abort(io::ErrorKind::ConnectionReset.into());
-    } else {
-        drop(sender);
-    }
-    if trace::is_enabled() {
-        trace::write(simd_json::json!({
-            "e": "passed",
-            "bytes": bytes_passed,
-            "of": streamed.length,
-            "ms": started.elapsed().as_secs_f64() * 1e3,
-            "end": end.trace_name(),
-        }));
-    }
-    if end == StreamEnd::Complete {
-        streamed.done();
-    }
+/// A body on its way from a chunk server to the client.
+struct BodyCopy {
+    streamed: StreamedBody,
+    sender: Sender<Bytes, io::Error>,
+    bytes_forwarded: usize,
 }
 
-/// Copies the parts of a body, counting their bytes in `bytes_passed`.
-async fn copy_frames(
-    streamed: &mut StreamedBody,
-    sender: &mut Sender<Bytes, io::Error>,
-    bytes_passed: &mut usize,
-) -> StreamEnd {
-    let first = std::mem::take(&mut streamed.first);
-    if !first.is_empty() {
-        *bytes_passed += first.len();
-        if sender.send_data(first).await.is_err() {
-            return StreamEnd::ClientGone;
+impl BodyCopy {
+    /// A copy that has forwarded nothing yet.
+    fn new(streamed: StreamedBody, sender: Sender<Bytes, io::Error>) -> BodyCopy {
+        BodyCopy {
+            streamed,
+            sender,
+            bytes_forwarded: 0,
+        }
+    }
+
+    /// Copies the body to the client and returns its connection to the pool where it was complete.
+    async fn run(mut self) {
+        let started = Instant::now();
+        let end = self.forward_all().await;
+        let trace_event = trace::is_enabled().then(|| self.trace_event(end, started.elapsed()));
+        if end == StreamEnd::ServerFailed {
+            self.sender.abort(io::ErrorKind::ConnectionReset.into());
+        } else {
+            drop(self.sender);
+        }
+        if let Some(event) = trace_event {
+            trace::write(event);
+        }
+        if end == StreamEnd::Complete {
+            self.streamed.done();
         }
     }
-    loop {
-        let Some(frame) = streamed.body.frame().await else {
-            return StreamEnd::Complete;
-        };
-        let Ok(frame) = frame else {
-            return StreamEnd::ServerFailed;
-        };
-        // Trailers are not forwarded.
-        if let Ok(data) = frame.into_data() {
-            *bytes_passed += data.len();
-            if sender.send_data(data).await.is_err() {
-                return StreamEnd::ClientGone;
+
+    /// Forwards the parts of the body one after another.
+    async fn forward_all(&mut self) -> StreamEnd {
+        let first = std::mem::take(&mut self.streamed.first);
+        if !first.is_empty() && !self.forward(first).await {
+            return StreamEnd::ClientClosed;
+        }
+        loop {
+            let Some(frame) = self.streamed.body.frame().await else {
+                return StreamEnd::Complete;
+            };
+            let Ok(frame) = frame else {
+                return StreamEnd::ServerFailed;
+            };
+            // Trailers are not forwarded.
+            if let Ok(data) = frame.into_data() {
+                if !self.forward(data).await {
+                    return StreamEnd::ClientClosed;
+                }
             }
         }
     }
+
+    /// Forwards one part. Returns whether the client still takes the body.
+    async fn forward(&mut self, data: Bytes) -> bool {
+        self.bytes_forwarded += data.len();
+        self.sender.send_data(data).await.is_ok()
+    }
+
+    /// The event of the decision trace at the end of the body, after the time `took`.
+    fn trace_event(&self, end: StreamEnd, took: Duration) -> simd_json::OwnedValue {
+        simd_json::json!({
+            "e": "passed",
+            "bytes": self.bytes_forwarded,
+            "of": self.streamed.length,
+            "ms": took.as_secs_f64() * 1e3,
+            "end": end.trace_name(),
+        })
+    }
 }
--- a/src/frontend/replies.rs
+++ b/src/frontend/replies.rs
@@ -12,6 +12,10 @@
 
 use crate::control::readiness::Readiness;
 
+/// Path of the health check that says whether new requests may be sent here.
+const READY_PATH: &str = "/health/ready";
+/// Path of the health check that says whether the process answers at all.
+const LIVE_PATH: &str = "/health/live";
 /// `Retry-After` of a rejection by the listener itself.
 const REJECTION_RETRY_AFTER: Duration = Duration::from_millis(250);
 
@@ -33,14 +37,15 @@
     readiness: &Readiness,
     shutting_down: bool,
 ) -> Option<Reply> {
-    match (method, path) {
-        (&Method::GET, "/health/ready") if shutting_down => {
-            Some(plain(StatusCode::SERVICE_UNAVAILABLE, "leaving"))
-        }
-        (&Method::GET, "/health/ready") if !readiness.is_ready() => {
+    if method != Method::GET {
+        return None;
+    }
+    match path {
+        READY_PATH if shutting_down => Some(plain(StatusCode::SERVICE_UNAVAILABLE, "leaving")),
+        READY_PATH if !readiness.is_ready() => {
             Some(plain(StatusCode::SERVICE_UNAVAILABLE, "starting"))
         }
-        (&Method::GET, "/health/ready" | "/health/live") => Some(plain(StatusCode::OK, "ok")),
+        READY_PATH | LIVE_PATH => Some(plain(StatusCode::OK, "ok")),
         _ => None,
     }
 }
--- a/src/socket_io.rs
+++ b/src/socket_io.rs
@@ -6,7 +6,7 @@
 //! block ends a transfer, and an interrupted call is repeated.
 
 use std::io;
-use std::os::fd::AsRawFd;
+use std::os::fd::{AsRawFd, RawFd};
 use std::pin::Pin;
 use std::task::{ready, Context, Poll};
 
@@ -54,24 +54,30 @@
     }
 }
 
+/// Disables Nagle's algorithm, which would delay a message that takes two writes. A failure costs
+/// only time, so it is not reported.
+pub fn disable_nagle(stream: &TcpStream) {
+    stream.set_nodelay(true).ok();
+}
+
 /// Whether bytes, or the end of the stream, wait on a socket. A socket in error has nothing that
 /// could be read.
-pub fn has_unread_bytes(socket: i32) -> bool {
+pub fn has_unread_bytes(socket: RawFd) -> bool {
     peek(socket).is_ok()
 }
 
 /// Whether bytes wait on a socket that is not at its end.
-pub fn has_unread_data(socket: i32) -> bool {
+pub fn has_unread_data(socket: RawFd) -> bool {
     peek(socket).is_ok_and(|count| count > 0)
 }
 
 /// Whether a socket is open and nothing waits on it.
-pub fn is_quiet(socket: i32) -> bool {
+pub fn is_quiet(socket: RawFd) -> bool {
     peek(socket) == Err(Errno::EAGAIN)
 }
 
 /// Looks at the next byte. An interrupted look has seen nothing and is repeated.
-fn peek(socket: i32) -> Result<usize, Errno> {
+fn peek(socket: RawFd) -> Result<usize, Errno> {
     loop {
         let result = recv(
             socket,
@@ -84,8 +90,8 @@
     }
 }
 
-/// After the first kind the socket's readiness is cleared, so that the next turn waits for an
-/// event.
+/// Whether a transfer that failed with `error` is attempted again. Where the call would block, the
+/// runtime has cleared the socket's readiness, so the next attempt waits for an event.
 fn must_repeat(error: &io::Error) -> bool {
     matches!(
         error.kind(),
