--- a/src/object/delete.rs
+++ b/src/object/delete.rs
@@ -4,45 +4,61 @@
 
 use hyper::{Method, StatusCode};
 
+use super::answer::NotFound;
 use super::error::ApiError;
-use super::front_state::FrontState;
-use super::node_request::{encode_query_value, NodeRequest};
 use super::replies::empty;
-use super::request::ObjectRequest;
+use super::request::{ObjectRequest, VersionId};
+use super::server_client::ServerClient;
+use super::server_request::ServerRequest;
 use crate::frontend::replies::Reply;
 use crate::upstream::Answer;
 
-impl FrontState {
-    /// DeleteObject: one version, or all copies of the object. Deleting what does not exist is a
-    /// success.
-    pub(super) async fn delete(self: &Rc<Self>, request: ObjectRequest) -> Result<Reply, ApiError> {
-        match request.version()? {
-            Some(version) if version.own.is_empty() => {
-                return Err(ApiError::not_implemented(
-                    "The node that holds this keeps no versions.",
-                ));
-            }
-            Some(version) => {
-                let node = NodeRequest {
-                    shard: Some(version.shard),
-                    query: format!("versionId={}", encode_query_value(&version.own)),
-                    units: self.mean_units,
-                    ..NodeRequest::new(request.bucket.read_class, Method::DELETE)
-                };
-                let answer = self.send(&request, node).await;
-                check_deleted(answer.and_then(|answer| answer.into_success("NoSuchKey")))?;
-            }
-            // Older copies at other shards would become visible once the latest is deleted.
-            None => {
-                for shard in self.send_to_all_shards(&request, Method::DELETE).await {
-                    check_deleted(shard.result)?;
-                }
-            }
-        }
-        Ok(empty(StatusCode::NO_CONTENT))
+/// DeleteObject: one version, or all copies of the object. Deleting what does not exist is a
+/// success.
+pub(super) async fn delete(
+    client: &Rc<ServerClient>,
+    request: ObjectRequest,
+) -> Result<Reply, ApiError> {
+    match request.version()? {
+        Some(version) => delete_version(client, &request, &version).await?,
+        None => delete_all_copies(client, &request).await?,
     }
+    Ok(empty(StatusCode::NO_CONTENT))
 }
 
+/// Deletes one version, at the shard that stores it.
+async fn delete_version(
+    client: &ServerClient,
+    request: &ObjectRequest,
+    version: &VersionId,
+) -> Result<(), ApiError> {
+    let Some(query) = version.query() else {
+        return Err(ApiError::not_implemented(
+            "The node that holds this keeps no versions.",
+        ));
+    };
+    let server_request = ServerRequest {
+        shard: Some(version.shard),
+        query,
+        units: client.mean_units(),
+        ..ServerRequest::new(request.bucket.read_class, Method::DELETE)
+    };
+    let answer = client.send(request, server_request).await;
+    check_deleted(answer.and_then(|answer| answer.into_success(NotFound::Key)))
+}
+
+/// Deletes the object at every shard: older copies would become visible once the latest is deleted.
+async fn delete_all_copies(
+    client: &Rc<ServerClient>,
+    request: &ObjectRequest,
+) -> Result<(), ApiError> {
+    for answer in client.send_to_all_shards(request, Method::DELETE).await {
+        check_deleted(answer.result)?;
+    }
+    Ok(())
+}
+
+/// Turns the error that the object does not exist into a success.
 fn check_deleted(result: Result<Answer, ApiError>) -> Result<(), ApiError> {
     match result {
         Ok(_) => Ok(()),
--- a/src/object/error.rs
+++ b/src/object/error.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use http_body_util::{Either, Full};
-use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_RANGE, ETAG, RETRY_AFTER};
+use hyper::header::{HeaderMap, HeaderValue, CONTENT_RANGE, ETAG, RETRY_AFTER};
 use hyper::StatusCode;
 
 use super::replies::{copy_header, document, empty};
@@ -64,7 +64,7 @@
         )
     }
 
-    /// The error for a request body that the listener refused with `status`.
+    /// The error for a request body that the listener rejected with `status`.
     pub fn rejected_body(status: StatusCode) -> ApiError {
         let (code, message) = match status {
             StatusCode::PAYLOAD_TOO_LARGE => {
@@ -88,7 +88,7 @@
     }
 
     /// The same error for a request that changes nothing: one whose outcome is unknown may simply
-    /// be repeated, here after `retry_after`.
+    /// be retried, here after `retry_after`.
     pub fn of_read(self, retry_after: Duration) -> ApiError {
         match self {
             ApiError::OutcomeUnknown => ApiError::SlowDown(retry_after),
@@ -96,6 +96,7 @@
         }
     }
 
+    /// The status of the response.
     fn status(&self) -> StatusCode {
         match self {
             ApiError::Request { status, .. } => *status,
@@ -117,19 +118,20 @@
         }
     }
 
-    /// The header that goes with the error, if any.
-    fn header(&self) -> Option<(HeaderName, HeaderValue)> {
+    /// Adds the header that belongs to the error, if any.
+    fn add_header(&self, headers: &mut HeaderMap) {
         match self {
             ApiError::InvalidRange(Some(size)) => {
-                let range = HeaderValue::try_from(format!("bytes */{size}"));
-                range.ok().map(|range| (CONTENT_RANGE, range))
+                if let Ok(range) = HeaderValue::try_from(format!("bytes */{size}")) {
+                    headers.insert(CONTENT_RANGE, range);
+                }
             }
             ApiError::SlowDown(retry_after) => {
-                // Clients of this API read whole seconds, and 0 would be no delay.
+                // Clients of this API read integral seconds, and 0 would be no delay.
                 let seconds = retry_after.as_secs_f64().ceil().max(1.0) as u64;
-                Some((RETRY_AFTER, HeaderValue::from(seconds)))
+                headers.insert(RETRY_AFTER, HeaderValue::from(seconds));
             }
-            _ => None,
+            _ => {}
         }
     }
 
@@ -147,7 +149,7 @@
             request_id,
         };
         let mut reply = document(self.status(), "Error", &error);
-        reply.headers_mut().extend(self.header());
+        self.add_header(reply.headers_mut());
         if is_head {
             *reply.body_mut() = Either::Left(Full::default());
         }
@@ -155,6 +157,7 @@
     }
 }
 
+/// 304 with the entity tag of the chunk server's answer.
 fn not_modified(answer_headers: &HeaderMap) -> Reply {
     let mut reply = empty(StatusCode::NOT_MODIFIED);
     copy_header(answer_headers, &ETAG, reply.headers_mut());
--- a/src/object/mod.rs
+++ b/src/object/mod.rs
@@ -7,17 +7,24 @@
 //! id at the end.
 
 mod answer;
+mod complete_upload;
 mod config;
 mod delete;
 mod error;
 mod front;
-mod front_state;
 mod get;
-mod multipart;
-mod node_request;
+mod locate;
+mod object_read;
+mod pending_completions;
+mod piece;
+mod put;
 pub mod range;
 mod replies;
 mod request;
+mod server_client;
+mod server_request;
+mod upload_id;
+mod uploads;
 mod xml;
 
 use std::cell::RefCell;
@@ -69,6 +76,7 @@
     on_one_thread(serve(config, file.to_owned()))
 }
 
+/// Assembles the parts of a front and serves until the signal to shut down.
 async fn serve(config: Config, file: PathBuf) -> Result<(), ObjectFrontError> {
     let shutdown = shutdown_signal()?;
     let peers = SharedPeers::default();
--- a/src/object/range.rs
+++ b/src/object/range.rs
@@ -1,5 +1,6 @@
 //! Byte ranges in requests (`Range`) and answers (`Content-Range`), as of RFC 9110, section 14.
 
+use std::fmt;
 use std::ops::Range;
 
 /// The byte range of a `Range` header. Only a single range is supported; a header with several is
@@ -17,7 +18,8 @@
     /// requires to ignore.
     pub fn parse(header: &str) -> Option<ByteRange> {
         let (first, last) = header.trim().strip_prefix("bytes=")?.split_once('-')?;
-        let (first, last) = (first.trim(), last.trim());
+        let first = first.trim();
+        let last = last.trim();
         if first.is_empty() {
             return digits(last).map(ByteRange::Last);
         }
@@ -41,6 +43,17 @@
     }
 }
 
+/// Writes the value of a `Range` header, which [`ByteRange::parse`] reads.
+impl fmt::Display for ByteRange {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ByteRange::From(first, Some(last)) => write!(formatter, "bytes={first}-{last}"),
+            ByteRange::From(first, None) => write!(formatter, "bytes={first}-"),
+            ByteRange::Last(count) => write!(formatter, "bytes=-{count}"),
+        }
+    }
+}
+
 /// A number of decimal digits alone; `parse` would accept a sign.
 fn digits(text: &str) -> Option<u64> {
     let only_digits = text.bytes().all(|byte| byte.is_ascii_digit());
@@ -52,7 +65,7 @@
 pub struct ContentRange {
     /// The bytes of the object.
     pub bytes: Range<u64>,
-    /// The size of the whole object.
+    /// The size of the complete object.
     pub size: u64,
 }
 
--- a/src/object/request.rs
+++ b/src/object/request.rs
@@ -1,37 +1,65 @@
 //! Requests of the object API: parsing, and the operation that each requests.
 
 use std::collections::HashMap;
+use std::rc::Rc;
 use std::time::Instant;
 
 use hyper::header::{
-    HeaderMap, HeaderName, CONTENT_ENCODING, IF_MATCH, IF_MODIFIED_SINCE, IF_NONE_MATCH,
-    IF_UNMODIFIED_SINCE,
+    HeaderMap, HeaderName, HeaderValue, CONTENT_ENCODING, IF_MATCH, IF_MODIFIED_SINCE,
+    IF_NONE_MATCH, IF_UNMODIFIED_SINCE,
 };
 use hyper::{Method, StatusCode, Uri};
 use percent_encoding::percent_decode_str;
 use tulipbridge_core::ShardId;
 
 use super::error::ApiError;
-use super::front_state::FrontState;
+use super::server_client::ServerClient;
+use super::server_request::query_field;
 use super::Bucket;
 
 /// Prefix of the headers with metadata of the user.
 pub(super) const METADATA_PREFIX: &str = "x-amz-meta-";
+/// Names of the query fields of the API.
+pub(super) mod query_names {
+    /// Selects the operations on all uploads of an object.
+    pub const UPLOADS: &str = "uploads";
+    /// Names an upload.
+    pub const UPLOAD_ID: &str = "uploadId";
+    /// Number of the part that is uploaded.
+    pub const PART_NUMBER: &str = "partNumber";
+    /// Names a version of an object.
+    pub const VERSION_ID: &str = "versionId";
+    /// The largest number of parts in a page.
+    pub const MAX_PARTS: &str = "max-parts";
+    /// The part number after which a page starts.
+    pub const PART_NUMBER_MARKER: &str = "part-number-marker";
+    /// Name of the operation, which some clients add; ignored.
+    pub const OPERATION: &str = "x-id";
+    /// Encoding of keys in lists; ignored.
+    pub const ENCODING_TYPE: &str = "encoding-type";
+}
+
 /// Query fields that may be present; only some of them have an effect.
 const KNOWN_QUERY_FIELDS: [&str; 8] = [
-    "uploads",
-    "uploadId",
-    "partNumber",
-    "versionId",
-    "max-parts",
-    "part-number-marker",
-    "x-id",
-    "encoding-type",
+    query_names::UPLOADS,
+    query_names::UPLOAD_ID,
+    query_names::PART_NUMBER,
+    query_names::VERSION_ID,
+    query_names::MAX_PARTS,
+    query_names::PART_NUMBER_MARKER,
+    query_names::OPERATION,
+    query_names::ENCODING_TYPE,
 ];
 /// Prefix of the query fields of signatures, which are ignored.
 const SIGNATURE_QUERY_PREFIX: &str = "X-Amz-";
 /// Content encoding of bodies that hold a signature between the chunks.
 const SIGNED_CHUNKS: &[u8] = b"aws-chunked";
+/// Header with the hash of the body, or with the kind of its signature.
+const CONTENT_HASH: HeaderName = HeaderName::from_static("x-amz-content-sha256");
+/// Start of the [`CONTENT_HASH`] of bodies that hold a signature between the chunks.
+const SIGNED_CHUNKS_HASH: &[u8] = b"STREAMING-";
+/// Header that names the object to copy.
+const COPY_SOURCE: HeaderName = HeaderName::from_static("x-amz-copy-source");
 /// Headers that are stored with an object, besides those with [`METADATA_PREFIX`].
 const STORED_HEADERS: [&str; 8] = [
     "content-type",
@@ -70,6 +98,7 @@
 pub(super) struct ObjectRequest {
     pub bucket: Bucket,
     pub bucket_name: String,
+    /// Name of the object in its bucket, decoded.
     pub key: String,
     /// The path as it was received, percent-encoded.
     pub path: String,
@@ -87,8 +116,33 @@
     pub own: String,
 }
 
-impl FrontState {
+impl VersionId {
+    /// The query that names the version to its chunk server; `None` where that keeps no versions.
+    pub fn query(&self) -> Option<String> {
+        let has_versions = !self.own.is_empty();
+        has_versions.then(|| query_field(query_names::VERSION_ID, &self.own))
+    }
+}
+
+/// Parses requests for the buckets of a front.
+pub(super) struct RequestParser {
+    /// Buckets by name.
+    buckets: HashMap<String, Bucket>,
+    /// Knows the deadlines of the classes.
+    client: Rc<ServerClient>,
+}
+
+impl RequestParser {
+    /// A parser for these buckets, by name, whose requests `client` sends.
+    pub(super) fn new(buckets: HashMap<String, Bucket>, client: Rc<ServerClient>) -> RequestParser {
+        RequestParser { buckets, client }
+    }
+
     /// Parses a request head.
+    ///
+    /// # Errors
+    /// The path names no object of a known bucket, or the request uses a part of the API that is
+    /// not supported.
     pub(super) fn parse(
         &self,
         method: &Method,
@@ -106,13 +160,7 @@
             ));
         }
         let bucket_name = decode(bucket_name);
-        let bucket = self.buckets.get(&bucket_name).ok_or_else(|| {
-            ApiError::request(
-                StatusCode::NOT_FOUND,
-                "NoSuchBucket",
-                "The bucket is not declared at this front.",
-            )
-        })?;
+        let bucket = self.find_bucket(&bucket_name)?;
         let query = parse_query(uri.query().unwrap_or_default())?;
         reject_unsupported(&headers)?;
         let is_write = matches!(*method, Method::PUT | Method::POST);
@@ -128,15 +176,31 @@
             path: uri.path().to_owned(),
             query,
             headers,
-            deadline: Instant::now() + self.deadlines[class],
+            deadline: Instant::now() + self.client.deadline(class),
+        })
+    }
+
+    /// The bucket with this name.
+    fn find_bucket(&self, name: &str) -> Result<&Bucket, ApiError> {
+        self.buckets.get(name).ok_or_else(|| {
+            ApiError::request(
+                StatusCode::NOT_FOUND,
+                "NoSuchBucket",
+                "The bucket is not declared at this front.",
+            )
         })
     }
 }
 
+/// Decodes percent-encoded text; bytes that are no UTF-8 are replaced.
 fn decode(text: &str) -> String {
     percent_decode_str(text).decode_utf8_lossy().into_owned()
 }
 
+/// Decodes the fields of a query. One without `=` has an empty value.
+///
+/// # Errors
+/// `NotImplemented` for a field that the API does not have.
 fn parse_query(query: &str) -> Result<HashMap<String, String>, ApiError> {
     let fields = query.split('&').filter(|field| !field.is_empty());
     let fields = fields.map(|field| field.split_once('=').unwrap_or((field, "")));
@@ -154,33 +218,40 @@
     Ok(query)
 }
 
+/// Rejects requests that use a part of the API that is not supported.
 fn reject_unsupported(headers: &HeaderMap) -> Result<(), ApiError> {
-    // Such bodies hold signatures between the chunks, which must not be stored as data.
-    let hash = headers
-        .get("x-amz-content-sha256")
-        .map_or(&b""[..], |value| value.as_bytes());
-    let encoding = headers
-        .get(CONTENT_ENCODING)
-        .map_or(&b""[..], |value| value.as_bytes());
-    let has_signed_chunks = encoding
-        .windows(SIGNED_CHUNKS.len())
-        .any(|window| window == SIGNED_CHUNKS);
-    if hash.starts_with(b"STREAMING-") || has_signed_chunks {
+    if has_signed_chunks(headers) {
         return Err(ApiError::not_implemented(
             "Bodies signed chunk by chunk are not served.",
         ));
     }
-    if headers.contains_key("x-amz-copy-source") {
+    if headers.contains_key(COPY_SOURCE) {
         return Err(ApiError::not_implemented("Copies are not served."));
     }
     Ok(())
 }
 
+/// Whether the body holds signatures between its chunks, which must not be stored as data.
+fn has_signed_chunks(headers: &HeaderMap) -> bool {
+    let hash = header_bytes(headers, &CONTENT_HASH);
+    let encoding = header_bytes(headers, &CONTENT_ENCODING);
+    let mut encodings = encoding.windows(SIGNED_CHUNKS.len());
+    hash.starts_with(SIGNED_CHUNKS_HASH) || encodings.any(|window| window == SIGNED_CHUNKS)
+}
+
+/// The value of a header, empty where it is absent.
+fn header_bytes<'a>(headers: &'a HeaderMap, name: &HeaderName) -> &'a [u8] {
+    headers.get(name).map_or(&[], HeaderValue::as_bytes)
+}
+
 impl ObjectRequest {
     /// The operation that the method and the query select.
+    ///
+    /// # Errors
+    /// `MethodNotAllowed` where they select none.
     pub fn operation(&self, method: &Method) -> Result<Operation, ApiError> {
-        let has_upload_id = self.query.contains_key("uploadId");
-        let has_uploads = self.query.contains_key("uploads");
+        let has_upload_id = self.query.contains_key(query_names::UPLOAD_ID);
+        let has_uploads = self.query.contains_key(query_names::UPLOADS);
         match (method, has_upload_id, has_uploads) {
             (&Method::GET, false, false) => Ok(Operation::GetObject),
             (&Method::HEAD, false, false) => Ok(Operation::HeadObject),
@@ -199,6 +270,11 @@
         }
     }
 
+    /// The value of a query field, where it is present.
+    pub fn query_value(&self, name: &str) -> Option<&str> {
+        self.query.get(name).map(String::as_str)
+    }
+
     /// The headers that are stored with the object.
     pub fn stored_headers(&self) -> HeaderMap {
         select_headers(&self.headers, &STORED_HEADERS)
@@ -213,8 +289,11 @@
     }
 
     /// The version that the request names, if any.
+    ///
+    /// # Errors
+    /// `InvalidArgument` where the id is none of this front's.
     pub fn version(&self) -> Result<Option<VersionId>, ApiError> {
-        let Some(id) = self.query.get("versionId") else {
+        let Some(id) = self.query_value(query_names::VERSION_ID) else {
             return Ok(None);
         };
         let version = id.split_once('.').and_then(|(shard, own)| {
--- a/src/object/server_client.rs
+++ b/src/object/server_client.rs
@@ -1,87 +1,97 @@
-//! Requests to chunk servers on behalf of an API request. One API request may take several of them.
+//! Sends requests to the chunk servers through the exchange.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
-use bytes::Bytes;
-use hyper::header::{HeaderMap, HeaderValue};
+use hyper::header::HeaderValue;
 use hyper::{Method, Uri};
-use percent_encoding::{utf8_percent_encode, NON_ALPHANUMERIC};
 use tokio::task::JoinSet;
 use tulipbridge_core as core;
-use tulipbridge_core::{KeyId, RequestId, ShardId, VolumeId};
+use tulipbridge_core::{KeyId, RequestId, Settings, ShardId, VolumeId};
 
+use super::answer::NotFound;
 use super::config::Bucket;
 use super::error::ApiError;
-use super::front_state::FrontState;
 use super::request::ObjectRequest;
-use crate::exchange::FinalResponse;
-use crate::upstream::{Accepts, Answer, Payload};
-
-/// A request to a chunk server, for the path of the API request.
-pub(super) struct NodeRequest {
-    pub class: usize,
-    /// The shard that must serve it; `None` leaves the choice to the decision module.
-    pub shard: Option<ShardId>,
-    pub method: Method,
-    /// Query without the question mark, encoded; empty for none.
-    pub query: String,
-    pub headers: HeaderMap,
-    pub body: Bytes,
-    /// Size of the request in units of the bucket.
-    pub units: f64,
-}
+use super::server_request::ServerRequest;
+use crate::exchange::{Exchange, FinalResponse};
+use crate::upstream::{Accepts, Answer, Payload, Upstream};
 
-impl NodeRequest {
-    /// A request of one unit to any shard, without query, headers and body.
-    pub fn new(class: usize, method: Method) -> NodeRequest {
-        NodeRequest {
-            class,
-            shard: None,
-            method,
-            query: String::new(),
-            headers: HeaderMap::new(),
-            body: Bytes::new(),
-            units: 1.0,
-        }
-    }
+/// Sends requests to the chunk servers. Shared by the operations and by the tasks that stream
+/// objects.
+pub(super) struct ServerClient {
+    exchange: Rc<Exchange<Upstream>>,
+    /// Number of shards.
+    shards: u32,
+    /// Deadlines by class.
+    deadlines: Vec<Duration>,
+    /// Mean units of a request, assumed where the size is not known.
+    mean_units: f64,
+    /// The most units of a request.
+    max_units: f64,
 }
 
-/// The result of a request at one shard.
-pub(super) struct ShardResult {
+/// The answer of one shard to a request that is sent to all.
+pub(super) struct ShardAnswer {
     pub shard: ShardId,
     pub result: Result<Answer, ApiError>,
 }
 
-impl FrontState {
-    /// Sends a request to a chunk server through the exchange.
+impl ServerClient {
+    /// A client that sends through `exchange`, to this number of shards.
+    pub(super) fn new(
+        exchange: Rc<Exchange<Upstream>>,
+        shards: u32,
+        settings: &Settings,
+    ) -> Rc<ServerClient> {
+        let deadlines = settings
+            .classes
+            .iter()
+            .map(|class| Duration::from_nanos(class.deadline as u64));
+        Rc::new(ServerClient {
+            exchange,
+            shards,
+            deadlines: deadlines.collect(),
+            mean_units: settings.mean_units,
+            max_units: settings.max_units.max(1.0),
+        })
+    }
+
+    /// The exchange that the requests are sent through.
+    pub(super) fn exchange(&self) -> &Rc<Exchange<Upstream>> {
+        &self.exchange
+    }
+
+    /// How long a request of `class` may take.
+    pub(super) fn deadline(&self, class: usize) -> Duration {
+        self.deadlines[class]
+    }
+
+    /// Mean units of a request, for one whose size is not known.
+    pub(super) fn mean_units(&self) -> f64 {
+        self.mean_units
+    }
+
+    /// Sends a request to a chunk server on behalf of `request`.
+    ///
+    /// # Errors
+    /// [`ApiError::SlowDown`] where it was not executed, [`ApiError::OutcomeUnknown`] where it may
+    /// have been. A status of the chunk server is no error here.
     pub(super) async fn send(
         &self,
         request: &ObjectRequest,
-        node: NodeRequest,
+        server_request: ServerRequest,
     ) -> Result<Answer, ApiError> {
-        let remaining = request.deadline.saturating_duration_since(Instant::now());
-        let patience = remaining.min(self.deadlines[node.class]);
-        let core_request = core::Request {
-            id: RequestId(0),
-            class: node.class,
-            plan: request.bucket.plan,
-            volume: VolumeId(request.bucket.volume),
-            key: Some(KeyId(key_hash(request))),
-            patience: patience.as_nanos() as i64,
-            units: node.units.clamp(1.0, self.max_units),
-            shard: node.shard,
-            front_count: request.bucket.front_count,
-        };
+        let core_request = self.core_request(request, &server_request);
         let payload = Payload {
-            target: target(&request.path, &node.query)?,
+            target: target(&request.path, &server_request.query)?,
             // Every request to a chunk server is a separate transaction, as the retry of a client
             // is.
-            id: random_id()?,
-            method: node.method,
-            headers: node.headers,
-            body: node.body,
+            id: random_transaction_id()?,
+            method: server_request.method,
+            headers: server_request.headers,
+            body: server_request.body,
             accepts: Accepts::Object,
             metrics: None,
             reservation: None,
@@ -93,39 +103,60 @@
         }
     }
 
-    /// Sends the same request to every shard at once, with one unit and without headers.
+    /// The request as the decision module schedules it. It has the time that is left of the API
+    /// request's, up to the deadline of its own class.
+    fn core_request(
+        &self,
+        request: &ObjectRequest,
+        server_request: &ServerRequest,
+    ) -> core::Request {
+        let remaining = request.deadline.saturating_duration_since(Instant::now());
+        let patience = remaining.min(self.deadlines[server_request.class]);
+        core::Request {
+            id: RequestId(0),
+            class: server_request.class,
+            plan: request.bucket.plan,
+            volume: VolumeId(request.bucket.volume),
+            key: Some(KeyId(key_hash(request))),
+            patience: patience.as_nanos() as i64,
+            units: server_request.units.clamp(1.0, self.max_units),
+            shard: server_request.shard,
+            front_count: request.bucket.front_count,
+        }
+    }
+
+    /// Sends the same request to every shard at once, with one unit and without headers. Returns
+    /// once all have answered; the requests are cancelled where the caller is dropped before.
     pub(super) async fn send_to_all_shards(
         self: &Rc<Self>,
         request: &ObjectRequest,
         method: Method,
-    ) -> Vec<ShardResult> {
+    ) -> Vec<ShardAnswer> {
         let mut tasks = JoinSet::new();
-        for shard in 0..self.shards {
-            let front = Rc::clone(self);
+        for shard in (0..self.shards).map(ShardId) {
+            let client = Rc::clone(self);
             let request = request.clone();
-            let node = NodeRequest {
-                shard: Some(ShardId(shard)),
-                ..NodeRequest::new(request.bucket.read_class, method.clone())
+            let server_request = ServerRequest {
+                shard: Some(shard),
+                ..ServerRequest::new(request.bucket.read_class, method.clone())
             };
             tasks.spawn_local(async move {
-                let answer = front.send(&request, node).await;
-                ShardResult {
-                    shard: ShardId(shard),
-                    result: answer.and_then(|answer| answer.into_success("NoSuchKey")),
-                }
+                let answer = client.send(&request, server_request).await;
+                let result = answer.and_then(|answer| answer.into_success(NotFound::Key));
+                ShardAnswer { shard, result }
             });
         }
-        let mut results = Vec::new();
-        while let Some(result) = tasks.join_next().await {
-            results.extend(result.ok());
+        let mut answers = Vec::new();
+        while let Some(answer) = tasks.join_next().await {
+            answers.extend(answer.ok());
         }
-        results
+        answers
     }
+}
 
-    /// Units that a body of `bytes` bytes counts.
-    pub(super) fn units(&self, bucket: &Bucket, bytes: usize) -> f64 {
-        (bytes as f64 / bucket.unit_bytes).ceil()
-    }
+/// Units that a body of `bytes` bytes counts in a bucket.
+pub(super) fn body_units(bucket: &Bucket, bytes: usize) -> f64 {
+    (bytes as f64 / bucket.unit_bytes).ceil()
 }
 
 /// A stable hash of the object's name, by which the decision module recognises it.
@@ -135,6 +166,7 @@
     hasher.finish()
 }
 
+/// The request target of a path and a query, both encoded. The query may be empty.
 fn target(path: &str, query: &str) -> Result<Uri, ApiError> {
     let target = if query.is_empty() {
         path.to_owned()
@@ -146,12 +178,8 @@
         .map_err(|_| ApiError::invalid_argument("The path is malformed."))
 }
 
-fn random_id() -> Result<HeaderValue, ApiError> {
+/// The id of a new transaction, in the form of the platform's protocol.
+fn random_transaction_id() -> Result<HeaderValue, ApiError> {
     let id = format!("{:016x}", fastrand::u64(..));
     HeaderValue::try_from(id).map_err(|_| ApiError::OutcomeUnknown)
 }
-
-/// Percent-encodes a value for a query.
-pub(super) fn encode_query_value(text: &str) -> String {
-    utf8_percent_encode(text, NON_ALPHANUMERIC).to_string()
-}
--- a/src/object/server_request.rs
+++ b/src/object/server_request.rs
@@ -1,27 +1,45 @@
-//! State of the object API's handler.
+//! Requests to chunk servers on behalf of an API request. One API request may take several of them.
 
-use std::cell::RefCell;
-use std::collections::HashMap;
-use std::rc::Rc;
-use std::time::{Duration, Instant};
+use std::borrow::Cow;
 
-use super::config::Bucket;
-use crate::exchange::Exchange;
-use crate::upstream::Upstream;
+use bytes::Bytes;
+use hyper::header::HeaderMap;
+use hyper::Method;
+use percent_encoding::{utf8_percent_encode, NON_ALPHANUMERIC};
+use tulipbridge_core::ShardId;
 
-/// State of the handler, shared with the tasks that stream objects.
-pub(super) struct FrontState {
-    pub(super) exchange: Rc<Exchange<Upstream>>,
-    /// Buckets by name.
-    pub(super) buckets: HashMap<String, Bucket>,
-    /// Number of shards.
-    pub(super) shards: u32,
-    /// Deadlines by class.
-    pub(super) deadlines: Vec<Duration>,
-    /// Mean units of a request, assumed where the size is not known.
-    pub(super) mean_units: f64,
-    /// The most units of a request.
-    pub(super) max_units: f64,
-    /// Upload ids whose completion runs or may still run, and until when.
-    pub(super) pending_completions: RefCell<HashMap<String, Instant>>,
+/// A request to a chunk server, for the path of the API request.
+pub(super) struct ServerRequest {
+    /// Class by which the decision module schedules it.
+    pub class: usize,
+    /// The shard that must serve it; `None` leaves the choice to the decision module.
+    pub shard: Option<ShardId>,
+    pub method: Method,
+    /// Query without the question mark, encoded; empty for none.
+    pub query: String,
+    pub headers: HeaderMap,
+    pub body: Bytes,
+    /// Size of the request in units of the bucket.
+    pub units: f64,
+}
+
+impl ServerRequest {
+    /// A request of one unit to any shard, without query, headers and body.
+    pub fn new(class: usize, method: Method) -> ServerRequest {
+        ServerRequest {
+            class,
+            shard: None,
+            method,
+            query: String::new(),
+            headers: HeaderMap::new(),
+            body: Bytes::new(),
+            units: 1.0,
+        }
+    }
+}
+
+/// A query field with its value encoded.
+pub(super) fn query_field(name: &str, value: &str) -> String {
+    let value = Cow::from(utf8_percent_encode(value, NON_ALPHANUMERIC));
+    format!("{name}={value}")
 }
--- /dev/null
+++ b/src/object/upload_id.rs
@@ -0,0 +1,59 @@
+//! The upload ids that this front gives to clients.
+
+use hyper::Method;
+use tulipbridge_core::ShardId;
+
+use super::error::ApiError;
+use super::request::{query_names, ObjectRequest};
+use super::server_request::{query_field, ServerRequest};
+
+/// An upload id of this front, `SHARD.TOKEN.OWN`.
+pub(super) struct UploadId {
+    pub shard: ShardId,
+    /// Is stored with the object that the upload makes.
+    pub token: String,
+    /// The chunk server's own id, which may contain dots.
+    pub own: String,
+    /// The id as the client gave it.
+    pub text: String,
+}
+
+impl UploadId {
+    /// The upload id of a request.
+    ///
+    /// # Errors
+    /// `NoSuchUpload` where the id is none of this front's.
+    pub fn of(request: &ObjectRequest) -> Result<UploadId, ApiError> {
+        let id = request.query_value(query_names::UPLOAD_ID);
+        id.and_then(UploadId::parse)
+            .ok_or_else(ApiError::no_such_upload)
+    }
+
+    /// Parses an id; `None` where a part of it is missing or invalid.
+    fn parse(id: &str) -> Option<UploadId> {
+        let mut parts = id.splitn(3, '.');
+        let shard = parts.next()?.parse().ok().map(ShardId)?;
+        let token = parts.next().filter(|token| !token.is_empty())?;
+        let own = parts.next().filter(|own| !own.is_empty())?;
+        Some(UploadId {
+            shard,
+            token: token.to_owned(),
+            own: own.to_owned(),
+            text: id.to_owned(),
+        })
+    }
+
+    /// The query that names the upload to its chunk server.
+    pub fn query(&self) -> String {
+        query_field(query_names::UPLOAD_ID, &self.own)
+    }
+
+    /// A request to the shard of the upload.
+    pub fn server_request(&self, class: usize, method: Method, query: String) -> ServerRequest {
+        ServerRequest {
+            shard: Some(self.shard),
+            query,
+            ..ServerRequest::new(class, method)
+        }
+    }
+}
