--- a/src/cli/agent.rs
+++ b/src/cli/agent.rs
@@ -4,14 +4,12 @@
 use std::time::Duration;
 
 use hyper::Method;
-use simd_json::prelude::*;
-use simd_json::OwnedValue as Value;
 use tokio::time::{sleep, Instant};
 
 use crate::cli::client::{fetch, parse};
 use crate::cli::error::{CliError, Service};
-use crate::config::json::{array, string};
 use crate::control::agent::command::FrontCommand;
+use crate::control::agent::status::{FleetStatusMessage, FrontStatusMessage};
 use crate::control::agent::supervisor::Phase;
 
 /// The longest time for a front to reach the phase that a command requires.
@@ -26,13 +24,10 @@
         "NAME", "STATE", "PID", "STARTS", "CRASHES"
     );
     for front in fetch_fronts(agent).await? {
-        let name = string(front.get("name"), "name")?;
-        let state = string(front.get("state"), "state")?;
-        let (pid, starts, crashes) = (
-            format_count(&front, "pid"),
-            format_count(&front, "starts"),
-            format_count(&front, "crashes"),
-        );
+        let FrontStatusMessage { name, state, .. } = &front;
+        let pid = format_count(front.pid);
+        let starts = format_count(front.starts);
+        let crashes = format_count(front.crashes);
         println!("{name:<24} {state:<9} {pid:>8} {starts:>7} {crashes:>8}");
     }
     Ok(())
@@ -53,8 +48,8 @@
 pub async fn restart(agent: SocketAddr, mut names: Vec<String>) -> Result<(), CliError> {
     if names.is_empty() {
         for front in fetch_fronts(agent).await? {
-            if string(front.get("state"), "state")? != Phase::Drained.name() {
-                names.push(string(front.get("name"), "name")?.to_owned());
+            if front.state != Phase::Drained.name() {
+                names.push(front.name);
             }
         }
     }
@@ -82,8 +77,8 @@
         let front = find(fetch_fronts(agent).await?, name);
         let front = front.ok_or_else(|| CliError::NoLongerDeclared(name.to_owned()))?;
         // A front that is to restart is ready at first too.
-        let has_restarted = command != FrontCommand::Restart || starts(&front) != starts(&before);
-        if has_restarted && front.get("state").and_then(Value::as_str) == Some(phase) {
+        let has_restarted = command != FrontCommand::Restart || front.starts != before.starts;
+        if has_restarted && front.state == phase {
             println!("{name} is {phase}");
             return Ok(());
         }
@@ -96,26 +91,19 @@
     })
 }
 
-async fn fetch_fronts(agent: SocketAddr) -> Result<Vec<Value>, CliError> {
+/// The status of all fronts of an agent.
+async fn fetch_fronts(agent: SocketAddr) -> Result<Vec<FrontStatusMessage>, CliError> {
     let body = fetch(Service::Agent, agent, Method::GET, "/fronts").await?;
-    let value = parse(Service::Agent, body)?;
-    Ok(array(&value, "fronts")?.clone())
+    let status: FleetStatusMessage = parse(Service::Agent, body)?;
+    Ok(status.fronts)
 }
 
-fn find(fronts: Vec<Value>, name: &str) -> Option<Value> {
-    fronts
-        .into_iter()
-        .find(|front| front.get("name").and_then(Value::as_str) == Some(name))
+/// The status of the front `name`.
+fn find(fronts: Vec<FrontStatusMessage>, name: &str) -> Option<FrontStatusMessage> {
+    fronts.into_iter().find(|front| front.name == name)
 }
 
-fn starts(front: &Value) -> Option<u64> {
-    front.get("starts").and_then(Value::as_u64)
-}
-
-/// The count under `key` as text; a dash where there is none.
-fn format_count(front: &Value, key: &str) -> String {
-    front
-        .get(key)
-        .and_then(Value::as_u64)
-        .map_or("-".to_owned(), |count| count.to_string())
+/// A count as text; a dash where there is none.
+fn format_count(count: Option<u64>) -> String {
+    count.map_or("-".to_owned(), |count| count.to_string())
 }
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -4,15 +4,16 @@
 use std::time::Duration;
 
 use hyper::{Method, StatusCode};
-use simd_json::prelude::*;
-use simd_json::OwnedValue as Value;
+use serde::de::DeserializeOwned;
 
 use crate::cli::arguments::OutputFormat;
 use crate::cli::error::{CliError, Service};
 use crate::control::http_client::{call, CallTimeouts};
+use crate::control::json_object;
 
 /// The longest time for each step of a call.
 const STEP_TIMEOUT: Duration = Duration::from_secs(5);
+/// The timeouts of a call until its response begins.
 const CALL_TIMEOUTS: CallTimeouts = CallTimeouts {
     connect: STEP_TIMEOUT,
     response: STEP_TIMEOUT,
@@ -53,19 +54,18 @@
     }
 }
 
-/// Parses the body of a response.
-pub fn parse(service: Service, mut body: Vec<u8>) -> Result<Value, CliError> {
-    simd_json::to_owned_value(&mut body)
-        .map_err(|source| CliError::InvalidResponse { service, source })
+/// Decodes the JSON object in the body of a response.
+pub fn parse<T: DeserializeOwned>(service: Service, mut body: Vec<u8>) -> Result<T, CliError> {
+    json_object::parse(&mut body).map_err(|source| CliError::InvalidResponse { service, source })
 }
 
 /// What a front's console returns for `path`. For JSON output it is printed as it is, and `None`
 /// returned.
-pub async fn fetch_from_console(
+pub async fn fetch_from_console<T: DeserializeOwned>(
     console: SocketAddr,
     path: &str,
     output: OutputFormat,
-) -> Result<Option<Value>, CliError> {
+) -> Result<Option<T>, CliError> {
     let body = fetch(Service::Console, console, Method::GET, path).await?;
     if output == OutputFormat::Json {
         println!("{}", String::from_utf8_lossy(&body));
@@ -74,9 +74,8 @@
     parse(Service::Console, body).map(Some)
 }
 
-/// The milliseconds under `key` as text in seconds; a dash where there are none.
-pub fn format_seconds(value: &Value, key: &str) -> String {
-    let milliseconds = value.get(key).and_then(Value::as_i64);
+/// A duration in milliseconds as text in seconds; a dash where there is none.
+pub fn format_seconds(milliseconds: Option<i64>) -> String {
     milliseconds.map_or("-".to_owned(), |milliseconds| {
         format!("{:.1} s", milliseconds as f64 / 1e3)
     })
--- a/src/cli/ejections.rs
+++ b/src/cli/ejections.rs
@@ -4,34 +4,101 @@
 use std::net::SocketAddr;
 
 use percent_encoding::{utf8_percent_encode, NON_ALPHANUMERIC};
-use simd_json::prelude::*;
-use simd_json::OwnedValue as Value;
+use serde::Deserialize;
 
 use crate::cli::arguments::OutputFormat;
 use crate::cli::client::{fetch_from_console, format_seconds};
 use crate::cli::error::CliError;
-use crate::config::json::{array, string, JsonError};
+
+/// The part of the response to `GET /status/verdicts` that is shown.
+#[derive(Deserialize)]
+struct EjectionsStatus {
+    /// The name of the front.
+    name: String,
+    /// Ejections, effective or proposed.
+    #[serde(rename = "verdicts")]
+    ejections: Vec<EjectionStatus>,
+    /// How many chunk servers there are.
+    #[serde(rename = "servers", default)]
+    server_count: u64,
+    /// The most chunk servers for whose ejection this front may vote.
+    #[serde(rename = "most_assents", default)]
+    max_votes: u64,
+    /// How many votes an ejection requires.
+    #[serde(rename = "needed", default)]
+    quorum: u64,
+    /// Whether what this front observes contradicts its peers.
+    #[serde(rename = "suspect", default)]
+    is_suspect: bool,
+    /// What each front observes; only in the status of a single server.
+    #[serde(rename = "saw")]
+    observations: Option<Vec<ObservationStatus>>,
+}
+
+/// An ejection of a chunk server, effective or proposed.
+#[derive(Deserialize)]
+struct EjectionStatus {
+    server: String,
+    /// Which requests it concerns.
+    scope: String,
+    /// How long it has been effective, in milliseconds; `None` where it is only proposed.
+    #[serde(rename = "out_ms")]
+    ejected_ms: Option<i64>,
+    /// How long it lasts if no vote is renewed, in milliseconds.
+    #[serde(rename = "lapses_ms")]
+    expires_in_ms: Option<i64>,
+    /// The name of the front that probes the server.
+    #[serde(rename = "tries")]
+    prober: Option<String>,
+    #[serde(rename = "assents")]
+    votes: Vec<VoteStatus>,
+}
+
+/// The vote of a front for an ejection.
+#[derive(Deserialize)]
+struct VoteStatus {
+    front: String,
+    age_ms: Option<i64>,
+}
+
+/// What a front observes of a chunk server.
+#[derive(Deserialize)]
+struct ObservationStatus {
+    front: String,
+    #[serde(default)]
+    attempts: f64,
+    #[serde(rename = "bad", default)]
+    failures: f64,
+    age_ms: Option<i64>,
+    /// Whether it counts: it does not where it contradicts those of the other fronts.
+    counts: Option<bool>,
+}
+
+impl EjectionStatus {
+    /// Whether the server is ejected, rather than proposed for ejection.
+    fn is_effective(&self) -> bool {
+        self.ejected_ms.is_some()
+    }
+}
 
 /// Shows all ejections known to a front; those that are not yet effective are in brackets.
 pub async fn show(console: SocketAddr, output: OutputFormat) -> Result<(), CliError> {
-    let Some(status) = fetch_from_console(console, "/status/verdicts", output).await? else {
+    let status = fetch_from_console(console, "/status/verdicts", output).await?;
+    let Some(status): Option<EjectionsStatus> = status else {
         return Ok(());
     };
     println!(
         "{:<20} {:<22} {:>9} {:>9} {:>8}  TRIES",
         "SERVER", "HELD OUT FOR", "SINCE", "LAPSES IN", "ASSENTS"
     );
-    for ejection in array(&status, "verdicts")? {
-        print_row(ejection)?;
+    for ejection in &status.ejections {
+        print_row(ejection);
     }
     println!(
         "this front: {}; {} servers, of which it may assent to hold out {}; a verdict needs {} fronts",
-        string(status.get("name"), "name")?,
-        count(&status, "servers"),
-        count(&status, "most_assents"),
-        count(&status, "needed")
+        status.name, status.server_count, status.max_votes, status.quorum
     );
-    if status.get("suspect").and_then(Value::as_bool) == Some(true) {
+    if status.is_suspect {
         println!(
             "what it sees contradicts its peers, and counts for nothing: look at its own network"
         );
@@ -39,18 +106,23 @@
     Ok(())
 }
 
-fn print_row(ejection: &Value) -> Result<(), JsonError> {
-    let scope = string(ejection.get("scope"), "scope")?;
-    let (scope, lapses) = match is_effective(ejection) {
-        true => (scope.to_owned(), format_seconds(ejection, "lapses_ms")),
-        false => (format!("({scope})"), "-".to_owned()),
+/// Prints the row of an ejection.
+fn print_row(ejection: &EjectionStatus) {
+    let server = &ejection.server;
+    let scope = if ejection.is_effective() {
+        ejection.scope.clone()
+    } else {
+        format!("({})", ejection.scope)
     };
-    let server = string(ejection.get("server"), "server")?;
-    let since = format_seconds(ejection, "out_ms");
-    let votes = array(ejection, "assents")?.len();
-    let prober = ejection.get("tries").and_then(Value::as_str).unwrap_or("-");
-    println!("{server:<20} {scope:<22} {since:>9} {lapses:>9} {votes:>8}  {prober}");
-    Ok(())
+    let since = format_seconds(ejection.ejected_ms);
+    let expires_in = if ejection.is_effective() {
+        format_seconds(ejection.expires_in_ms)
+    } else {
+        format_seconds(None)
+    };
+    let votes = ejection.votes.len();
+    let prober = ejection.prober.as_deref().unwrap_or("-");
+    println!("{server:<20} {scope:<22} {since:>9} {expires_in:>9} {votes:>8}  {prober}");
 }
 
 /// Explains the state of one chunk server: its ejections with their votes, and what each front
@@ -60,91 +132,67 @@
     console: SocketAddr,
     output: OutputFormat,
 ) -> Result<(), CliError> {
-    let path = format!(
-        "/status/verdicts/{}",
-        utf8_percent_encode(&server, NON_ALPHANUMERIC)
-    );
-    let Some(status) = fetch_from_console(console, &path, output).await? else {
+    let encoded_server = utf8_percent_encode(&server, NON_ALPHANUMERIC);
+    let path = format!("/status/verdicts/{encoded_server}");
+    let status = fetch_from_console(console, &path, output).await?;
+    let Some(status): Option<EjectionsStatus> = status else {
         return Ok(());
     };
-    let ejections = array(&status, "verdicts")?;
-    if !ejections.iter().any(is_effective) {
+    if !status.ejections.iter().any(EjectionStatus::is_effective) {
         println!("{server} is not held out");
     }
-    for ejection in ejections {
-        print_explanation(&server, ejection, count(&status, "needed"))?;
+    for ejection in &status.ejections {
+        print_explanation(&server, ejection, status.quorum);
     }
     println!(
         "{:<20} {:>9} {:>6} {:>9}  WHAT EACH FRONT SAW",
         "FRONT", "ATTEMPTS", "BAD", "TOLD"
     );
-    for observation in array(&status, "saw").into_iter().flatten() {
-        print_observation(observation)?;
+    for observation in status.observations.iter().flatten() {
+        print_observation(observation);
     }
     Ok(())
 }
 
-/// Explains an ejection, effective or proposed, for which `needed` votes are required.
-fn print_explanation(server: &str, ejection: &Value, needed: u64) -> Result<(), JsonError> {
-    let scope = string(ejection.get("scope"), "scope")?;
-    let votes: Vec<String> = array(ejection, "assents")?
-        .iter()
-        .filter_map(describe_vote)
-        .collect();
-    let votes = if votes.is_empty() {
-        "none".to_owned()
-    } else {
-        votes.join(", ")
-    };
-    if is_effective(ejection) {
-        println!(
-            "{server} has been held out for {scope} for {}",
-            format_seconds(ejection, "out_ms")
-        );
-        println!(
-            "  it lapses in {} unless it is renewed",
-            format_seconds(ejection, "lapses_ms")
-        );
-        let prober = ejection.get("tries").and_then(Value::as_str);
-        println!("  {} tries it now", prober.unwrap_or("nobody"));
+/// Explains an ejection, effective or proposed, for which `quorum` votes are required.
+fn print_explanation(server: &str, ejection: &EjectionStatus, quorum: u64) {
+    let scope = &ejection.scope;
+    if ejection.is_effective() {
+        let since = format_seconds(ejection.ejected_ms);
+        let expires_in = format_seconds(ejection.expires_in_ms);
+        let prober = ejection.prober.as_deref().unwrap_or("nobody");
+        println!("{server} has been held out for {scope} for {since}");
+        println!("  it lapses in {expires_in} unless it is renewed");
+        println!("  {prober} tries it now");
     } else {
         println!("{server} may come to be held out for {scope}");
     }
-    println!("  assents ({needed} are needed): {votes}");
-    Ok(())
+    let votes = format_votes(&ejection.votes);
+    println!("  assents ({quorum} are needed): {votes}");
 }
 
-fn describe_vote(vote: &Value) -> Option<String> {
-    let front = vote.get("front")?.as_str()?;
-    Some(format!("{front} {} ago", format_seconds(vote, "age_ms")))
+/// The votes for an ejection as text.
+fn format_votes(votes: &[VoteStatus]) -> String {
+    if votes.is_empty() {
+        return "none".to_owned();
+    }
+    let votes: Vec<String> = votes
+        .iter()
+        .map(|vote| format!("{} {} ago", vote.front, format_seconds(vote.age_ms)))
+        .collect();
+    votes.join(", ")
 }
 
 /// Prints what one front observes of a chunk server.
-fn print_observation(observation: &Value) -> Result<(), JsonError> {
-    let number = |key: &str| {
-        observation
-            .get(key)
-            .and_then(Value::cast_f64)
-            .unwrap_or(0.0)
-    };
-    let counts = observation.get("counts").and_then(Value::as_bool) != Some(false);
-    let remark = if counts {
-        ""
-    } else {
+fn print_observation(observation: &ObservationStatus) {
+    let front = &observation.front;
+    let attempts = observation.attempts;
+    let failures = observation.failures;
+    let age = format_seconds(observation.age_ms);
+    let remark = if observation.counts == Some(false) {
         "contradicts the others, and does not count"
+    } else {
+        ""
     };
-    let front = string(observation.get("front"), "front")?;
-    let (attempts, bad) = (number("attempts"), number("bad"));
-    let age = format_seconds(observation, "age_ms");
-    println!("{front:<20} {attempts:>9.1} {bad:>6.1} {age:>9}  {remark}");
-    Ok(())
-}
-
-/// Whether a server is ejected, rather than proposed for ejection.
-fn is_effective(ejection: &Value) -> bool {
-    ejection.get("out_ms").and_then(Value::as_i64).is_some()
-}
-
-fn count(status: &Value, key: &str) -> u64 {
-    status.get(key).and_then(Value::as_u64).unwrap_or(0)
+    println!("{front:<20} {attempts:>9.1} {failures:>6.1} {age:>9}  {remark}");
 }
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 
 use crate::config::error::ConfigError;
-use crate::config::json::JsonError;
 use crate::control::agent::AgentError;
 use crate::control::http_client::HttpError;
+use crate::control::json_object::JsonObjectError;
 use crate::front::error::FrontError;
 use crate::object::ObjectFrontError;
 use crate::runtime::RuntimeError;
@@ -73,17 +73,14 @@
         /// The body of its response.
         message: String,
     },
-    /// The response is not JSON.
+    /// The response is not JSON, or a value in it is missing or invalid.
     #[error("the {service}'s answer: {source}")]
     InvalidResponse {
         /// The service.
         service: Service,
-        /// Where it is not JSON.
-        source: simd_json::Error,
+        /// What is wrong with the response.
+        source: JsonObjectError,
     },
-    /// A value of the response is missing or invalid.
-    #[error(transparent)]
-    Json(#[from] JsonError),
     /// The agent has no front of this name.
     #[error("no such front: {0}")]
     NoSuchFront(String),
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -35,6 +35,7 @@
     }
 }
 
+/// Carries out a command; without one, runs a front of the platform.
 fn run(command: Option<Command>) -> Result<(), CliError> {
     match command {
         None => Ok(front::run(Config::from_env()?)?),
@@ -63,6 +64,7 @@
     }
 }
 
+/// Where the agent is to find the declarations.
 fn declaration_source(source: DeclarationSource, prefix: String) -> Result<Source, CliError> {
     match (source.file, source.etcd) {
         (Some(file), _) => Ok(Source::File(file)),
--- a/src/cli/peers.rs
+++ b/src/cli/peers.rs
@@ -2,100 +2,138 @@
 
 use std::net::SocketAddr;
 
-use simd_json::prelude::*;
-use simd_json::OwnedValue as Value;
+use serde::Deserialize;
 
 use crate::cli::arguments::OutputFormat;
 use crate::cli::client::fetch_from_console;
 use crate::cli::error::CliError;
-use crate::config::json::{array, string, JsonError};
+
+/// The part of the response to `GET /status/peers` that is shown. Fronts of earlier versions leave
+/// some of it out.
+#[derive(Deserialize)]
+struct PeersStatus {
+    name: String,
+    peers: Vec<PeerStatus>,
+    /// The names of the fronts whose leases this front issues.
+    #[serde(rename = "banks")]
+    issuers: Vec<String>,
+    #[serde(default)]
+    limits: Vec<LimitStatus>,
+    #[serde(default)]
+    just_started: bool,
+    /// Whether other fronts have another roster of the same revision.
+    #[serde(rename = "other_roster", default)]
+    has_conflicting_roster: bool,
+    #[serde(rename = "standing_back", default)]
+    is_standby: bool,
+    /// Whether every front in the roster is known to have adopted it.
+    #[serde(rename = "settled", default)]
+    is_settled: bool,
+}
+
+/// A front's view of one of its peers.
+#[derive(Deserialize)]
+struct PeerStatus {
+    name: String,
+    #[serde(rename = "belief")]
+    status: String,
+    version: Option<String>,
+    /// The time since the peer was last heard, in milliseconds.
+    silent_ms: Option<i64>,
+    /// The names of the fronts that hear the peer.
+    heard_by: Vec<String>,
+    /// The incarnation of a second process with the peer's name.
+    #[serde(rename = "second_process")]
+    conflicting: Option<String>,
+    /// The fraction of the limits that this front grants to the peer.
+    #[serde(rename = "lent", default)]
+    granted: f64,
+    /// The fraction of the limits that this front leases from the peer.
+    #[serde(rename = "borrowed", default)]
+    leased: f64,
+}
+
+/// A front's share of one limit.
+#[derive(Deserialize)]
+struct LimitStatus {
+    limit: String,
+    #[serde(rename = "part", default)]
+    share: f64,
+}
 
 /// Shows a front's view of its peers, and which shares of the limits it has.
 pub async fn show(console: SocketAddr, output: OutputFormat) -> Result<(), CliError> {
-    let Some(status) = fetch_from_console(console, "/status/peers", output).await? else {
+    let status = fetch_from_console(console, "/status/peers", output).await?;
+    let Some(status): Option<PeersStatus> = status else {
         return Ok(());
     };
     println!(
         "{:<20} {:<8} {:<8} {:>10} {:>7} {:>9}  EVIDENCE",
         "PEER", "VERSION", "BELIEF", "SILENT", "LENT", "BORROWED"
     );
-    for peer in array(&status, "peers")? {
-        print_peer(peer)?;
+    for peer in &status.peers {
+        print_peer(peer);
     }
-    print_limits(&status)?;
+    print_limits(&status);
     print_conditions(&status);
     Ok(())
 }
 
-fn print_peer(peer: &Value) -> Result<(), JsonError> {
-    let name = string(peer.get("name"), "name")?;
-    let peer_status = string(peer.get("belief"), "belief")?;
-    let silent = peer.get("silent_ms").and_then(Value::as_i64);
-    let silent = silent.map_or("-".to_owned(), |milliseconds| format!("{milliseconds} ms"));
-    let evidence = evidence(peer)?;
-    let (granted, borrowed) = (fraction(peer, "lent"), fraction(peer, "borrowed"));
-    let version = peer.get("version").and_then(Value::as_str).unwrap_or("-");
+/// Prints the row of a peer.
+fn print_peer(peer: &PeerStatus) {
+    let silent = match peer.silent_ms {
+        Some(milliseconds) => format!("{milliseconds} ms"),
+        None => "-".to_owned(),
+    };
     println!(
-        "{name:<20} {version:<8} {peer_status:<8} {silent:>10} {granted:>7.3} {borrowed:>9.3}  {}",
-        evidence.join("; ")
+        "{:<20} {:<8} {:<8} {silent:>10} {:>7.3} {:>9.3}  {}",
+        peer.name,
+        peer.version.as_deref().unwrap_or("-"),
+        peer.status,
+        peer.granted,
+        peer.leased,
+        evidence(peer).join("; ")
     );
-    Ok(())
 }
 
 /// On what the front bases its view of a peer.
-fn evidence(peer: &Value) -> Result<Vec<String>, JsonError> {
+fn evidence(peer: &PeerStatus) -> Vec<String> {
     let mut evidence = Vec::new();
-    let heard_by: Vec<&str> = array(peer, "heard_by")?
-        .iter()
-        .filter_map(Value::as_str)
-        .collect();
-    if !heard_by.is_empty() {
-        evidence.push(format!("heard by {}", heard_by.join(", ")));
+    if !peer.heard_by.is_empty() {
+        evidence.push(format!("heard by {}", peer.heard_by.join(", ")));
     }
-    if let Some(incarnation) = peer.get("second_process").and_then(Value::as_str) {
+    if let Some(incarnation) = &peer.conflicting {
         evidence.push(format!("a second process has its name: boot {incarnation}"));
     }
-    Ok(evidence)
+    evidence
 }
 
-/// The leases that the front issues, and its shares of the limits.
-fn print_limits(status: &Value) -> Result<(), JsonError> {
-    let issued: Vec<&str> = array(status, "banks")?
-        .iter()
-        .filter_map(Value::as_str)
-        .collect();
-    let name = string(status.get("name"), "name")?;
+/// Prints the leases that the front issues, and its shares of the limits.
+fn print_limits(status: &PeersStatus) {
     println!(
-        "this front: {name}, holds the banks of: {}",
-        issued.join(", ")
+        "this front: {}, holds the banks of: {}",
+        status.name,
+        status.issuers.join(", ")
     );
-    // Fronts of earlier versions do not report limits.
-    for limit in array(status, "limits").into_iter().flatten() {
-        let share = fraction(limit, "part");
-        let name = string(limit.get("limit"), "limit")?.replace('_', " ");
-        println!("its part of the limit on {name}: {share:.3}");
+    for limit in &status.limits {
+        let name = limit.limit.replace('_', " ");
+        println!("its part of the limit on {name}: {:.3}", limit.share);
     }
-    Ok(())
 }
 
-/// The conditions under which the front uses less than its shares.
-fn print_conditions(status: &Value) {
-    let is = |key: &str| status.get(key).and_then(Value::as_bool) == Some(true);
-    if is("just_started") {
+/// Prints the conditions under which the front uses less than its shares.
+fn print_conditions(status: &PeersStatus) {
+    if status.just_started {
         println!("it has just started, and uses nothing of its own yet");
     }
-    if is("other_roster") {
+    if status.has_conflicting_roster {
         println!(
             "other fronts run with another roster of its revision, and it uses no shared limit"
         );
-    } else if is("standing_back") {
+    } else if status.is_standby {
         println!("another process has its name, and it uses no shared limit");
     }
-    if !is("settled") {
+    if !status.is_settled {
         println!("not every front in the roster is known to have taken it: floors only");
     }
 }
-
-fn fraction(value: &Value, key: &str) -> f64 {
-    value.get(key).and_then(Value::cast_f64).unwrap_or(0.0)
-}
--- a/src/control/agent/api.rs
+++ b/src/control/agent/api.rs
@@ -8,7 +8,6 @@
 
 use http_body_util::{Either, Full};
 use hyper::{Method, Response, StatusCode};
-use simd_json::prelude::*;
 
 use crate::control::agent::command::FrontCommand;
 use crate::control::agent::fleet::Fleet;
@@ -27,6 +26,15 @@
         AgentApi { fleet }
     }
 
+    /// The status of all fronts.
+    fn show_fronts(&self) -> Reply {
+        match simd_json::serde::to_vec(&self.fleet.status()) {
+            Ok(json) => Response::new(Either::Left(Full::from(json))),
+            Err(error) => plain(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
+        }
+    }
+
+    /// Passes a command on to a front.
     fn command_front(&self, name: &str, command: &str) -> Reply {
         if !self.fleet.contains(name) {
             return plain(StatusCode::NOT_FOUND, "no such front");
@@ -34,7 +42,7 @@
         let Some(command) = FrontCommand::from_name(command) else {
             return plain(StatusCode::NOT_FOUND, "no such command");
         };
-        self.fleet.change(name, |desired| command.apply(desired));
+        self.fleet.command(name, command);
         plain(StatusCode::ACCEPTED, "ok")
     }
 }
@@ -51,10 +59,7 @@
         let path = request.uri().path().to_owned();
         let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
         match (request.method(), segments.as_slice()) {
-            (&Method::GET, ["fronts"]) => {
-                let status = self.fleet.status().encode().into_bytes();
-                Response::new(Either::Left(Full::from(status)))
-            }
+            (&Method::GET, ["fronts"]) => self.show_fronts(),
             (&Method::POST, ["fronts", name, command]) => self.command_front(name, command),
             _ => plain(StatusCode::NOT_FOUND, "no such thing"),
         }
--- a/src/control/agent/declaration.rs
+++ b/src/control/agent/declaration.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use hyper::{Method, StatusCode};
-use simd_json::prelude::*;
+use serde::Deserialize;
 use tokio::process::{Child, Command};
 use tokio::time::sleep;
 
-use crate::config::json::{self, string, JsonError};
 use crate::control::http_client::{call, CallTimeouts};
+use crate::control::json_object::{self, JsonObjectError};
 
 /// The pause between two readiness probes of a starting front.
 const PROBE_INTERVAL: Duration = Duration::from_millis(50);
@@ -31,7 +31,8 @@
 pub type Declarations = BTreeMap<String, Vec<u8>>;
 
 /// Which kind of front to run.
-#[derive(Clone, Copy, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
+#[serde(try_from = "String")]
 pub enum FrontKind {
     /// A front of the platform.
     Platform,
@@ -39,8 +40,25 @@
     Object,
 }
 
+/// The name of a kind of front that this version does not know.
+#[derive(Debug, thiserror::Error)]
+#[error("{0} is not known")]
+pub struct UnknownFrontKind(String);
+
+impl TryFrom<String> for FrontKind {
+    type Error = UnknownFrontKind;
+
+    fn try_from(name: String) -> Result<FrontKind, UnknownFrontKind> {
+        match name.as_str() {
+            "platform" => Ok(FrontKind::Platform),
+            "object" => Ok(FrontKind::Object),
+            _ => Err(UnknownFrontKind(name)),
+        }
+    }
+}
+
 /// The declaration of one front.
-#[derive(Clone, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct FrontDeclaration {
     kind: FrontKind,
     /// The path of its configuration file.
@@ -52,15 +70,8 @@
     ///
     /// # Errors
     /// The text is not JSON, or a value is missing or invalid.
-    pub fn read(json: &[u8]) -> Result<FrontDeclaration, JsonError> {
-        let value = json::parse(json)?;
-        let kind = match string(value.get("kind"), "kind")? {
-            "platform" => FrontKind::Platform,
-            "object" => FrontKind::Object,
-            other => return Err(JsonError::unknown_value("kind", other)),
-        };
-        let config = string(value.get("config"), "config")?.to_owned();
-        Ok(FrontDeclaration { kind, config })
+    pub fn read(json: &[u8]) -> Result<FrontDeclaration, JsonObjectError> {
+        json_object::parse(&mut json.to_vec())
     }
 
     /// Starts a process of this program that runs the front.
@@ -100,9 +111,18 @@
         }
     }
 
+    /// The address that the configuration of the front has for clients; `None` where the file
+    /// cannot be read or has none.
     fn listen_address(&self) -> Option<SocketAddr> {
-        let content = std::fs::read(&self.config).ok()?;
-        let value = json::parse(&content).ok()?;
-        string(value.get("listen"), "listen").ok()?.parse().ok()
+        let mut content = std::fs::read(&self.config).ok()?;
+        let front: ListeningFront = json_object::parse(&mut content).ok()?;
+        front.listen.parse().ok()
     }
 }
+
+/// The part of a front's configuration file that the agent reads.
+#[derive(Deserialize)]
+struct ListeningFront {
+    /// The address on which the front accepts clients.
+    listen: String,
+}
--- a/src/control/agent/file.rs
+++ b/src/control/agent/file.rs
@@ -1,19 +1,30 @@
 //! Declarations of fronts in a file.
 
+use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::time::Duration;
 
+use serde::Deserialize;
 use simd_json::prelude::*;
+use simd_json::OwnedValue as Value;
 use tokio::sync::mpsc::Sender;
 use tokio::time::sleep;
 
-use crate::config::json::{self, JsonError, Kind};
 use crate::control::agent::declaration::Declarations;
+use crate::control::json_object::{self, JsonObjectError};
 use crate::telemetry::log::log;
 
 /// How often the file is read.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
+/// The content of the file.
+#[derive(Deserialize)]
+struct DeclarationFile {
+    /// The declarations by the names of their fronts. Each is decoded by itself, so that an invalid
+    /// one does not affect the others.
+    fronts: BTreeMap<String, Value>,
+}
+
 /// Sends the declarations of a file, at first and after each change, until the receiver is gone. A
 /// file that cannot be used is logged and changes nothing.
 pub async fn follow(path: PathBuf, sender: Sender<Declarations>) {
@@ -38,12 +49,14 @@
     }
 }
 
-fn read(json: &[u8]) -> Result<Declarations, JsonError> {
-    let value = json::parse(json)?;
-    let fronts = value.get("fronts").and_then(|fronts| fronts.as_object());
-    let fronts = fronts.ok_or_else(|| JsonError::wrong_kind("fronts", Kind::Object))?;
-    Ok(fronts
-        .iter()
-        .map(|(name, front)| (name.clone(), front.encode().into_bytes()))
-        .collect())
+/// The declarations in the content of a file.
+fn read(content: &[u8]) -> Result<Declarations, JsonObjectError> {
+    // The parser decodes strings in place, so it needs a copy to write to.
+    let file: DeclarationFile = json_object::parse(&mut content.to_vec())?;
+    let declarations = file
+        .fronts
+        .into_iter()
+        .map(|(name, front)| (name, front.encode().into_bytes()))
+        .collect();
+    Ok(declarations)
 }
--- a/src/control/agent/fleet.rs
+++ b/src/control/agent/fleet.rs
@@ -2,111 +2,124 @@
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
-use std::rc::Rc;
 
-use simd_json::{json, OwnedValue as Value};
 use tokio::sync::watch;
-use tokio::task::{spawn_local, JoinHandle};
+use tokio::task::{spawn_local, JoinError, JoinHandle};
 
+use crate::control::agent::command::FrontCommand;
 use crate::control::agent::declaration::{Declarations, FrontDeclaration};
+use crate::control::agent::status::{FleetStatusMessage, FrontStatusMessage};
 use crate::control::agent::supervisor::{DesiredState, FrontStatus, Supervisor};
 use crate::telemetry::log::log;
 
+/// The fronts of an agent.
+#[derive(Default)]
+pub struct Fleet {
+    members: RefCell<Members>,
+}
+
+/// The fronts by their names.
+#[derive(Default)]
+struct Members {
+    /// The fronts that are declared.
+    declared: BTreeMap<String, SupervisedFront>,
+    /// The supervisors of fronts that are no longer declared, while their processes end.
+    stopping: BTreeMap<String, JoinHandle<()>>,
+}
+
 /// A front that is declared.
 struct SupervisedFront {
     /// Dropping it stops the front and ends its supervisor.
     desired: watch::Sender<DesiredState>,
-    status: Rc<RefCell<FrontStatus>>,
+    status: watch::Receiver<FrontStatus>,
     supervisor: JoinHandle<()>,
 }
 
-/// The fronts of an agent by their names.
-#[derive(Default)]
-pub struct Fleet {
-    fronts: RefCell<BTreeMap<String, SupervisedFront>>,
-    /// Supervisors of fronts that are no longer declared, while their processes end.
-    stopping: RefCell<BTreeMap<String, JoinHandle<()>>>,
-}
-
 impl Fleet {
     /// Reconciles the fronts with their declarations. An invalid declaration leaves its front as it
     /// is.
     pub fn apply(&self, declarations: Declarations) {
-        self.stop_undeclared(&declarations);
+        let mut members = self.members.borrow_mut();
+        members.stop_undeclared(&declarations);
         for (name, json) in declarations {
             match FrontDeclaration::read(&json) {
-                Ok(declaration) => self.apply_one(name, declaration),
+                Ok(declaration) => members.declare(name, declaration),
                 Err(error) => log!("front {name}: {error}"),
             }
         }
     }
 
-    fn stop_undeclared(&self, declarations: &Declarations) {
-        let mut fronts = self.fronts.borrow_mut();
-        let mut stopping = self.stopping.borrow_mut();
-        stopping.retain(|_, supervisor| !supervisor.is_finished());
-        let is_undeclared = |name: &&String| !declarations.contains_key(*name);
-        let undeclared: Vec<String> = fronts.keys().filter(is_undeclared).cloned().collect();
-        for name in undeclared {
-            if let Some(front) = fronts.remove(&name) {
-                stopping.insert(name, front.supervisor);
-            }
-        }
-    }
-
-    fn apply_one(&self, name: String, declaration: FrontDeclaration) {
-        let mut fronts = self.fronts.borrow_mut();
-        match fronts.get(&name) {
-            Some(front) => {
-                front.desired.send_if_modified(|desired| {
-                    let changed = desired.declaration != declaration;
-                    desired.declaration = declaration;
-                    changed
-                });
-            }
-            None => {
-                let predecessor = self.stopping.borrow_mut().remove(&name);
-                let front = SupervisedFront::start(name.clone(), declaration, predecessor);
-                fronts.insert(name, front);
-            }
-        }
-    }
-
-    /// Changes the desired state of a front; nothing where there is no front of this name.
-    pub fn change(&self, name: &str, change: impl FnOnce(&mut DesiredState)) {
-        if let Some(front) = self.fronts.borrow().get(name) {
-            front.desired.send_modify(change);
+    /// Has a front carry out a command; nothing where there is no front of this name.
+    pub fn command(&self, name: &str, command: FrontCommand) {
+        if let Some(front) = self.members.borrow().declared.get(name) {
+            front.desired.send_modify(|desired| command.apply(desired));
         }
     }
 
     /// Whether a front of this name is declared.
     pub fn contains(&self, name: &str) -> bool {
-        self.fronts.borrow().contains_key(name)
+        self.members.borrow().declared.contains_key(name)
     }
 
-    /// The status of all fronts, as the API returns it.
-    pub fn status(&self) -> Value {
-        let fronts = self.fronts.borrow();
-        let rows = fronts.iter().map(|(name, front)| {
-            let FrontStatus { phase, pid, starts, crashes } = front.status.borrow().clone();
-            json!({
-                "name": name.as_str(), "state": phase.name(), "pid": pid, "starts": starts, "crashes": crashes,
-            })
-        });
-        json!({ "fronts": rows.collect::<Vec<_>>() })
+    /// The status of all fronts.
+    pub fn status(&self) -> FleetStatusMessage {
+        let members = self.members.borrow();
+        let fronts = members
+            .declared
+            .iter()
+            .map(|(name, front)| FrontStatusMessage::new(name, &front.status.borrow()))
+            .collect();
+        FleetStatusMessage { fronts }
     }
 
     /// Stops all fronts at the same time, and waits until they have ended.
     pub async fn stop_all(&self) {
-        let fronts = std::mem::take(&mut *self.fronts.borrow_mut());
-        // Drops the senders of all desired states before the first wait.
-        let mut supervisors: Vec<_> = fronts.into_values().map(|front| front.supervisor).collect();
-        supervisors.extend(std::mem::take(&mut *self.stopping.borrow_mut()).into_values());
+        let supervisors = self.members.take().into_supervisors();
         for supervisor in supervisors {
-            // A supervisor that panicked has dropped its process, which kills it.
-            let _ = supervisor.await;
+            ignore_panicked_supervisor(supervisor.await);
+        }
+    }
+}
+
+impl Members {
+    /// Stops the fronts that are no longer declared.
+    fn stop_undeclared(&mut self, declarations: &Declarations) {
+        self.stopping
+            .retain(|_, supervisor| !supervisor.is_finished());
+        let undeclared: Vec<String> = self
+            .declared
+            .keys()
+            .filter(|name| !declarations.contains_key(*name))
+            .cloned()
+            .collect();
+        for name in undeclared {
+            if let Some(front) = self.declared.remove(&name) {
+                self.stopping.insert(name, front.supervisor);
+            }
         }
     }
+
+    /// Starts a front, or changes the declaration of one that is supervised already.
+    fn declare(&mut self, name: String, declaration: FrontDeclaration) {
+        if let Some(front) = self.declared.get(&name) {
+            front.desired.send_if_modified(|desired| {
+                let changed = desired.declaration != declaration;
+                desired.declaration = declaration;
+                changed
+            });
+            return;
+        }
+        let predecessor = self.stopping.remove(&name);
+        let front = SupervisedFront::start(name.clone(), declaration, predecessor);
+        self.declared.insert(name, front);
+    }
+
+    /// The supervisors of all fronts. Those of declared fronts have begun to stop them.
+    fn into_supervisors(self) -> Vec<JoinHandle<()>> {
+        let declared = self.declared.into_values().map(|front| front.supervisor);
+        let stopping = self.stopping.into_values();
+        declared.chain(stopping).collect()
+    }
 }
 
 impl SupervisedFront {
@@ -117,29 +130,22 @@
         declaration: FrontDeclaration,
         predecessor: Option<JoinHandle<()>>,
     ) -> SupervisedFront {
-        let initial = DesiredState {
-            declaration,
-            drained: false,
-            restarts: 0,
-        };
-        let (sender, desired) = watch::channel(initial);
-        let status = Rc::new(RefCell::new(FrontStatus::new()));
-        let supervisor = Supervisor {
-            name,
-            desired,
-            status: Rc::clone(&status),
-        };
+        let (desired, desired_receiver) = watch::channel(DesiredState::new(declaration));
+        let (status_sender, status) = watch::channel(FrontStatus::default());
+        let supervisor = Supervisor::new(name, desired_receiver, status_sender);
         let task = spawn_local(async move {
             if let Some(predecessor) = predecessor {
-                // A supervisor that panicked has no process either.
-                let _ = predecessor.await;
+                ignore_panicked_supervisor(predecessor.await);
             }
             supervisor.run().await;
         });
         SupervisedFront {
-            desired: sender,
+            desired,
             status,
             supervisor: task,
         }
     }
 }
+
+/// Ignores that a supervisor panicked: it has dropped its process, which kills it.
+fn ignore_panicked_supervisor(_outcome: Result<(), JoinError>) {}
--- a/src/control/agent/mod.rs
+++ b/src/control/agent/mod.rs
@@ -9,26 +9,28 @@
 pub mod etcd;
 pub mod file;
 pub mod fleet;
+pub mod status;
 pub mod supervisor;
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
 
-use tokio::sync::mpsc;
-use tokio::task::spawn_local;
+use tokio::sync::mpsc::{self, Receiver, Sender};
+use tokio::task::JoinSet;
 
 use crate::control::agent::api::AgentApi;
+use crate::control::agent::declaration::Declarations;
 use crate::control::agent::etcd::EtcdPrefix;
 use crate::control::agent::fleet::Fleet;
 use crate::frontend::listener::{Listener, ListenerState};
 use crate::frontend::socket::{listen, ListenError};
 use crate::runtime::{on_one_thread, shutdown_signal, RuntimeError};
 
-/// The most connections to the agent; the command line needs one at a time.
+/// The most connections with clients of the API; the command line needs one at a time.
 const MAX_CONNECTIONS: usize = 32;
-/// Sets of declarations that may wait to be applied.
-const DECLARATION_QUEUE: usize = 8;
+/// The most sets of declarations that wait to be applied.
+const DECLARATION_QUEUE_CAPACITY: usize = 8;
 
 /// Why the agent cannot start.
 #[derive(Debug, thiserror::Error)]
@@ -58,29 +60,36 @@
     on_one_thread(serve(source, control))
 }
 
+/// Serves the API and applies the declarations until a signal ends the agent.
 async fn serve(source: Source, control: SocketAddr) -> Result<(), AgentError> {
     let listener = listen(control).await?;
     let shutdown = shutdown_signal()?;
     let fleet = Rc::new(Fleet::default());
-    let (sender, mut declared) = mpsc::channel(DECLARATION_QUEUE);
-    let following = spawn_local(async move {
-        match source {
-            Source::File(path) => file::follow(path, sender).await,
-            Source::Etcd(prefix) => prefix.follow(sender).await,
-        }
-    });
-    let applied_to = Rc::clone(&fleet);
-    let applying = spawn_local(async move {
-        while let Some(declarations) = declared.recv().await {
-            applied_to.apply(declarations);
-        }
-    });
+    let (sender, declared) = mpsc::channel(DECLARATION_QUEUE_CAPACITY);
+    let mut tasks = JoinSet::new();
+    tasks.spawn_local(follow(source, sender));
+    tasks.spawn_local(apply(declared, Rc::clone(&fleet)));
     let api = AgentApi::new(Rc::clone(&fleet));
     Listener::new(api, MAX_CONNECTIONS, ListenerState::default())
         .serve(listener, shutdown)
         .await;
-    following.abort();
-    applying.abort();
+    // Before the fronts are stopped, so that none is started again.
+    tasks.shutdown().await;
     fleet.stop_all().await;
     Ok(())
 }
+
+/// Sends all declarations, at first and after each change, until the receiver is gone.
+async fn follow(source: Source, sender: Sender<Declarations>) {
+    match source {
+        Source::File(path) => file::follow(path, sender).await,
+        Source::Etcd(prefix) => prefix.follow(sender).await,
+    }
+}
+
+/// Applies declarations to the fleet for as long as any arrive.
+async fn apply(mut declared: Receiver<Declarations>, fleet: Rc<Fleet>) {
+    while let Some(declarations) = declared.recv().await {
+        fleet.apply(declarations);
+    }
+}
--- a/src/control/agent/supervisor.rs
+++ b/src/control/agent/supervisor.rs
@@ -1,10 +1,12 @@
 //! Supervises the process of one front: starts it, restarts it with growing pauses when it crashes,
 //! and stops it.
 
-use std::cell::RefCell;
-use std::rc::Rc;
+use std::future::pending;
+use std::io;
+use std::process::ExitStatus;
 use std::time::Duration;
 
+use nix::errno::Errno;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use tokio::process::Child;
@@ -35,10 +37,22 @@
     pub restarts: u64,
 }
 
+impl DesiredState {
+    /// The state of a front that was just declared.
+    pub fn new(declaration: FrontDeclaration) -> DesiredState {
+        DesiredState {
+            declaration,
+            drained: false,
+            restarts: 0,
+        }
+    }
+}
+
 /// The phases of a front.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
     /// No process has been started yet.
+    #[default]
     Waiting,
     /// The process runs, but is not ready for clients.
     Starting,
@@ -66,8 +80,8 @@
     }
 }
 
-/// The actual state of a front.
-#[derive(Clone, Debug)]
+/// The actual state of a front; by default that before the first start.
+#[derive(Clone, Debug, Default)]
 pub struct FrontStatus {
     /// Its phase.
     pub phase: Phase,
@@ -80,34 +94,20 @@
 }
 
 impl FrontStatus {
-    /// The status before the first start.
-    pub fn new() -> FrontStatus {
-        FrontStatus {
-            phase: Phase::Waiting,
-            pid: None,
-            starts: 0,
-            crashes: 0,
-        }
-    }
-
-    fn started(&mut self, pid: Option<u32>) {
+    /// Records that a process was started.
+    fn record_start(&mut self, pid: Option<u32>) {
         self.phase = Phase::Starting;
         self.pid = pid;
         self.starts += 1;
     }
 
-    fn crashed(&mut self) {
+    /// Records that a process crashed, or could not be started.
+    fn record_crash(&mut self) {
         self.phase = Phase::Crashed;
         self.crashes += 1;
     }
 }
 
-impl Default for FrontStatus {
-    fn default() -> FrontStatus {
-        FrontStatus::new()
-    }
-}
-
 /// How a process ended.
 enum ProcessEnd {
     /// It was stopped, since another state is desired.
@@ -116,17 +116,41 @@
     Crashed(String),
 }
 
+impl ProcessEnd {
+    /// The end of a process that exited by itself.
+    fn from_exit(exit: io::Result<ExitStatus>) -> ProcessEnd {
+        let reason = match exit {
+            Ok(status) => status.to_string(),
+            Err(error) => error.to_string(),
+        };
+        ProcessEnd::Crashed(reason)
+    }
+}
+
 /// Supervises one front.
 pub struct Supervisor {
     /// The name of the front.
-    pub name: String,
+    name: String,
     /// Its desired state. The supervisor ends when the sender is dropped.
-    pub desired: watch::Receiver<DesiredState>,
-    /// Its actual state.
-    pub status: Rc<RefCell<FrontStatus>>,
+    desired: watch::Receiver<DesiredState>,
+    /// Publishes its actual state.
+    status: watch::Sender<FrontStatus>,
 }
 
 impl Supervisor {
+    /// A supervisor of the front `name`, which is not running yet.
+    pub fn new(
+        name: String,
+        desired: watch::Receiver<DesiredState>,
+        status: watch::Sender<FrontStatus>,
+    ) -> Supervisor {
+        Supervisor {
+            name,
+            desired,
+            status,
+        }
+    }
+
     /// Keeps the front in its desired state, until the sender of that is dropped.
     pub async fn run(mut self) {
         let mut pause = MIN_RESTART_PAUSE;
@@ -154,7 +178,7 @@
                 "front {}: process ended ({reason}), restarting in {pause:?}",
                 self.name
             );
-            self.status.borrow_mut().crashed();
+            self.status.send_modify(FrontStatus::record_crash);
             // A change of the desired state takes effect at once.
             if let Ok(Err(_)) = timeout(pause, self.desired.changed()).await {
                 return;
@@ -163,8 +187,9 @@
         }
     }
 
+    /// Publishes a phase.
     fn set_phase(&self, phase: Phase) {
-        self.status.borrow_mut().phase = phase;
+        self.status.send_modify(|status| status.phase = phase);
     }
 
     /// Runs one process until it ends, or another state is desired.
@@ -173,42 +198,46 @@
             Ok(child) => child,
             Err(error) => return ProcessEnd::Crashed(error.to_string()),
         };
-        self.status.borrow_mut().started(child.id());
-        let status = Rc::clone(&self.status);
-        let follow_readiness = async {
-            desired.declaration.wait_until_ready().await;
-            status.borrow_mut().phase = Phase::Ready;
-            std::future::pending::<()>().await;
-        };
+        let pid = child.id();
+        self.status.send_modify(|status| status.record_start(pid));
         let end = tokio::select! {
-            exit = child.wait() => {
-                ProcessEnd::Crashed(exit.map_or_else(|error| error.to_string(), |code| code.to_string()))
-            }
+            exit = child.wait() => ProcessEnd::from_exit(exit),
             _ = self.desired.wait_for(|now_desired| now_desired != desired) => ProcessEnd::Stopped,
-            () = follow_readiness => ProcessEnd::Stopped,
+            () = publish_readiness(&desired.declaration, &self.status) => ProcessEnd::Stopped,
         };
         if let ProcessEnd::Stopped = end {
             self.set_phase(Phase::Stopping);
             self.stop(&mut child).await;
         }
-        self.status.borrow_mut().pid = None;
+        self.status.send_modify(|status| status.pid = None);
         end
     }
 
     /// Stops a process: SIGTERM, time to answer the requests it has accepted, and SIGKILL.
     async fn stop(&self, child: &mut Child) {
         if let Some(pid) = child.id().and_then(|id| i32::try_from(id).ok()) {
-            // Fails where the process has just ended by itself; the wait below is right for that
-            // too.
-            let _ = kill(Pid::from_raw(pid), Signal::SIGTERM);
+            ignore_ended_process(kill(Pid::from_raw(pid), Signal::SIGTERM));
         }
         if timeout(STOP_TIMEOUT, child.wait()).await.is_err() {
             log!(
                 "front {}: process still runs {STOP_TIMEOUT:?} after SIGTERM, killing it",
                 self.name
             );
-            // Fails only where the process has ended meanwhile.
-            let _ = child.kill().await;
+            ignore_killed_process(child.kill().await);
         }
     }
 }
+
+/// Publishes that a front is ready, once it is. Never completes.
+async fn publish_readiness(declaration: &FrontDeclaration, status: &watch::Sender<FrontStatus>) {
+    declaration.wait_until_ready().await;
+    status.send_modify(|status| status.phase = Phase::Ready);
+    pending::<()>().await;
+}
+
+/// Ignores that a process could not be signalled: it has just ended by itself, and whoever waits
+/// for its end sees that.
+fn ignore_ended_process(_outcome: Result<(), Errno>) {}
+
+/// Ignores that a process could not be killed: it has ended meanwhile.
+fn ignore_killed_process(_outcome: io::Result<()>) {}
--- /dev/null
+++ b/src/control/console/mod.rs
@@ -0,0 +1,235 @@
+//! The operators' console: a separate HTTP listener, with one call for each connection and every
+//! answer within a second.
+//!
+//! - `GET /status`: 200 while the front accepts clients, 503 before that and while it shuts down.
+//! - `GET /status/metrics`: the metrics, in the Prometheus text format.
+//! - `GET /status/peers`: the front's view of its peers as JSON, where it has any.
+//! - `GET /status/verdicts`, `GET /status/verdicts/ID`: the ejections that the front shares with
+//!   its peers, and those of chunk server ID, as JSON.
+//! - `PUT /maintenance/enter/ID`, `PUT /maintenance/exit/ID`: begins and ends the maintenance of
+//!   chunk server ID.
+
+mod connections;
+mod responses;
+mod route;
+
+use std::convert::Infallible;
+use std::fmt::Display;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use http_body_util::{BodyExt, Limited};
+use hyper::body::Incoming;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Request, StatusCode};
+use hyper_util::rt::TokioIo;
+use simd_json::prelude::*;
+use simd_json::OwnedValue as Value;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::{sleep, timeout};
+
+use crate::cluster::peers::Peers;
+use crate::control::console::connections::Connections;
+use crate::control::console::responses::{
+    json, method_not_allowed, metrics, not_found, plain, ConsoleResponse,
+};
+use crate::control::console::route::Route;
+use crate::control::maintenance::Maintenance;
+use crate::control::maintenance_call::{MaintenanceAction, MaintenanceCall};
+use crate::exchange::Exchange;
+use crate::frontend::listener::ListenerState;
+use crate::socket_io::Socket;
+use crate::telemetry::log::log;
+use crate::telemetry::metrics::{GaugeReadings, Metrics};
+use crate::upstream::Upstream;
+
+/// The longest time for a call, from the connection to the last byte of the response. The
+/// connection is closed after it.
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
+/// The most open connections; one more closes the oldest.
+pub const MAX_CONNECTIONS: usize = 8;
+/// The most bytes of a request's body that are read. No call needs a body.
+const MAX_BODY_BYTES: usize = 4096;
+/// The pause after a connection could not be accepted.
+const ACCEPT_RETRY: Duration = Duration::from_millis(10);
+/// The response to anything that is no call of the console.
+const UNKNOWN_CALL: &str =
+    "no such call: GET /status, GET /status/metrics, PUT /maintenance/enter/ID or exit/ID\n";
+/// The response to a path for maintenance that has no valid action or id.
+const MAINTENANCE_USAGE: &str = "maintenance is /maintenance/enter/ID or /maintenance/exit/ID\n";
+
+/// Why the console cannot be opened.
+#[derive(Debug, thiserror::Error)]
+pub enum ConsoleError {
+    /// Its address cannot be used.
+    #[error("cannot open the console on {address}: {source}")]
+    Open {
+        /// The configured address.
+        address: SocketAddr,
+        /// The system's reason.
+        source: io::Error,
+    },
+    /// The address of the socket cannot be read.
+    #[error(transparent)]
+    LocalAddress(io::Error),
+}
+
+/// The parts of a front that the console reads and changes.
+pub struct ConsoleParts {
+    /// Whether the front accepts clients, and how many requests are in progress.
+    pub listener_state: ListenerState,
+    /// The front's metrics.
+    pub metrics: Rc<Metrics>,
+    /// Owns the scheduler.
+    pub exchange: Rc<Exchange<Upstream>>,
+    /// The chunk servers in maintenance.
+    pub maintenance: Rc<Maintenance>,
+    /// The front's peers, where it has any.
+    pub peers: Option<Rc<Peers>>,
+}
+
+/// The console of a front.
+pub struct Console {
+    parts: ConsoleParts,
+}
+
+impl Console {
+    /// A console on the parts of a front.
+    pub fn new(parts: ConsoleParts) -> Rc<Console> {
+        Rc::new(Console { parts })
+    }
+
+    /// Serves for as long as the program runs.
+    pub async fn serve(self: Rc<Self>, listener: TcpListener) {
+        let mut connections = Connections::default();
+        loop {
+            match listener.accept().await {
+                Ok((stream, _)) => connections.spawn(Rc::clone(&self).serve_call(stream)),
+                Err(error) => {
+                    log!("console: cannot accept: {error}");
+                    sleep(ACCEPT_RETRY).await;
+                }
+            }
+        }
+    }
+
+    /// Serves the one call of a connection.
+    async fn serve_call(self: Rc<Self>, stream: TcpStream) {
+        ignore_delayed_segments(stream.set_nodelay(true));
+        let console = &self;
+        let service = service_fn(move |request| async move {
+            let response = console.answer(request).await;
+            Ok::<_, Infallible>(response)
+        });
+        let connection = http1::Builder::new()
+            .keep_alive(false)
+            .serve_connection(TokioIo::new(Socket(stream)), service);
+        if let Ok(outcome) = timeout(CALL_TIMEOUT, connection).await {
+            ignore_disconnected_operator(outcome);
+        }
+    }
+
+    /// Carries out a call.
+    async fn answer(&self, request: Request<Incoming>) -> ConsoleResponse {
+        let (head, body) = request.into_parts();
+        // So that the response does not cross the body on the wire.
+        ignore_body(Limited::new(body, MAX_BODY_BYTES).collect().await);
+        match Route::parse(&head.method, head.uri.path()) {
+            Route::Status => self.show_status(),
+            Route::Metrics => self.show_metrics(),
+            Route::Peers => self.show_peers(|peers| Ok::<_, Infallible>(peers.status())),
+            Route::Ejections => self.show_peers(|peers| peers.ejection_status(None)),
+            Route::EjectionsOf(server) => {
+                self.show_peers(|peers| peers.ejection_status(Some(&server)))
+            }
+            Route::Maintenance(call) => self.change_maintenance(call).await,
+            Route::InvalidMaintenance => not_found(MAINTENANCE_USAGE),
+            Route::MaintenanceNeedsPut => method_not_allowed("maintenance is called with PUT\n"),
+            Route::StatusNeedsGet => method_not_allowed("status is called with GET\n"),
+            Route::Unknown => not_found(UNKNOWN_CALL),
+        }
+    }
+
+    /// Whether the front accepts clients.
+    fn show_status(&self) -> ConsoleResponse {
+        if self.parts.listener_state.accepting.get() {
+            plain(StatusCode::OK, "taking clients\n")
+        } else {
+            plain(StatusCode::SERVICE_UNAVAILABLE, "not taking clients\n")
+        }
+    }
+
+    /// The metrics, with the gauges as of now.
+    fn show_metrics(&self) -> ConsoleResponse {
+        let endpoints = self.parts.exchange.endpoint_counts();
+        let readings = GaugeReadings {
+            current: self.parts.listener_state.active_requests.get(),
+            cluster_size: endpoints.listed,
+            cluster_unhealthy: endpoints.avoided,
+        };
+        metrics(self.parts.metrics.render(&readings))
+    }
+
+    /// The `status` of the front's peers, where it has any.
+    fn show_peers<E: Display>(
+        &self,
+        status: impl FnOnce(&Peers) -> Result<Value, E>,
+    ) -> ConsoleResponse {
+        let Some(peers) = &self.parts.peers else {
+            return not_found("this front has no peers\n");
+        };
+        match status(peers) {
+            Ok(value) => json(value.encode()),
+            Err(error) => not_found(format!("{error}\n")),
+        }
+    }
+
+    /// Begins or ends the maintenance of a chunk server.
+    async fn change_maintenance(&self, call: MaintenanceCall) -> ConsoleResponse {
+        let MaintenanceCall { action, server } = call;
+        let changed = match action {
+            MaintenanceAction::Enter => self.parts.maintenance.enter(&server).await,
+            MaintenanceAction::Exit => self.parts.maintenance.exit(&server).await,
+        };
+        if let Err(error) = changed {
+            return not_found(format!("{error}: {server}\n"));
+        }
+        // Operators search the log for these words.
+        let change = match action {
+            MaintenanceAction::Enter => "held out by hand",
+            MaintenanceAction::Exit => "let back in",
+        };
+        log!("console: chunk server {server} {change}");
+        plain(StatusCode::OK, format!("{action} {server}\n"))
+    }
+}
+
+/// Ignores that a socket delays small segments: the response is slower then, not wrong.
+fn ignore_delayed_segments(_outcome: io::Result<()>) {}
+
+/// Ignores that a connection broke off: there is nobody to tell.
+fn ignore_disconnected_operator(_outcome: Result<(), hyper::Error>) {}
+
+/// Ignores the body of a request, and that it is too long or broke off: no call needs one.
+fn ignore_body<T, E>(_body: Result<T, E>) {}
+
+/// Opens the console's socket and logs its address.
+///
+/// # Errors
+/// The address cannot be used.
+pub fn listen(address: SocketAddr) -> Result<TcpListener, ConsoleError> {
+    let listener = bind(address).map_err(|source| ConsoleError::Open { address, source })?;
+    let address = listener.local_addr().map_err(ConsoleError::LocalAddress)?;
+    log!("console on {address}");
+    Ok(listener)
+}
+
+/// A listener at `address`.
+fn bind(address: SocketAddr) -> io::Result<TcpListener> {
+    let listener = std::net::TcpListener::bind(address)?;
+    listener.set_nonblocking(true)?;
+    TcpListener::from_std(listener)
+}
--- a/src/control/endpoint_list.rs
+++ b/src/control/endpoint_list.rs
@@ -1,7 +1,6 @@
 //! Reads endpoint lists: the messages of discovery, and the last known list in a front's
 //! configuration.
 
-use std::cell::RefCell;
 use std::rc::Rc;
 
 use simd_json::prelude::*;
@@ -13,6 +12,7 @@
 use crate::control::maintenance::Maintenance;
 use crate::upstream::Upstream;
 
+/// Nanoseconds per millisecond, the unit of the list's times.
 const NANOS_PER_MILLISECOND: i64 = 1_000_000;
 
 /// Why an endpoint list cannot be used.
@@ -45,21 +45,41 @@
 /// Reads endpoint lists for one front.
 pub struct EndpointListReader {
     /// The names of the zones, in the order of the settings.
-    pub zones: Vec<String>,
+    zones: Vec<String>,
     /// The chunk servers in maintenance, which the scheduler sees as draining.
-    pub maintenance: Rc<Maintenance>,
-    /// When the servers started.
-    pub start_times: RefCell<ServerStartTimes<String>>,
+    maintenance: Rc<Maintenance>,
+    /// When the chunk servers started.
+    start_times: ServerStartTimes<String>,
 }
 
 impl EndpointListReader {
+    /// Reads lists whose zones are numbered in the order of `zones`.
+    pub fn new(zones: Vec<String>, maintenance: Rc<Maintenance>) -> EndpointListReader {
+        EndpointListReader {
+            zones,
+            maintenance,
+            start_times: ServerStartTimes::new(),
+        }
+    }
+
+    /// Records that discovery has confirmed at `now` that the list is current.
+    pub fn confirmed(&mut self, now: Nanos) {
+        self.start_times.confirmed(now);
+    }
+
+    /// Records that discovery's clock showed `server_time` at `now`, both in nanoseconds since the
+    /// Unix epoch.
+    pub fn record_server_time(&mut self, now: Nanos, server_time: Nanos) {
+        self.start_times.discovery_time(now, server_time);
+    }
+
     /// Reads an update that arrived at `now`. Chunk servers that are new get their number from
     /// `upstream`.
     ///
     /// # Errors
     /// The first value that is missing or invalid.
     pub fn read(
-        &self,
+        &mut self,
         value: &Value,
         upstream: &Upstream,
         now: Nanos,
@@ -79,12 +99,13 @@
                 .iter()
                 .map(|endpoint| endpoint.name.clone())
                 .collect();
-            self.start_times.borrow_mut().list_replaced(&names);
+            self.start_times.list_replaced(&names);
             self.maintenance.replaced(&names);
         }
-        let listed =
-            |endpoint: NamedEndpoint| self.maintenance.listed(&endpoint.name, endpoint.info);
-        let nodes = endpoints.into_iter().map(listed).collect();
+        let nodes = endpoints
+            .into_iter()
+            .map(|endpoint| self.maintenance.listed(&endpoint.name, endpoint.info))
+            .collect();
         Ok(EndpointUpdate {
             generation,
             scope,
@@ -92,8 +113,9 @@
         })
     }
 
+    /// Reads one entry of an update.
     fn read_endpoint(
-        &self,
+        &mut self,
         entry: &Value,
         upstream: &Upstream,
         now: Nanos,
@@ -101,12 +123,7 @@
         let name = string(entry.get("instanceId"), "instanceId")?;
         let address = parse_address("hostPort", string(entry.get("hostPort"), "hostPort")?)?;
         let zone = self.zone_index(entry.get("zone").and_then(Value::as_str));
-        let listed = match string(entry.get("lifecycle"), "lifecycle")? {
-            "Ready" => Listed::Up,
-            "Gone" => Listed::Removed,
-            // In any other state, known or not, a server must not get new work.
-            _ => Listed::Draining,
-        };
+        let listed = listed_state(string(entry.get("lifecycle"), "lifecycle")?);
         let shard = integer(entry.get("cell"), "cell")?;
         let shard = u32::try_from(shard).map_err(|_| EndpointListError::ShardOutOfRange)?;
         let started_at_ms = entry
@@ -114,10 +131,7 @@
             .and_then(Value::as_i64)
             .unwrap_or(0);
         let listed_start = started_at_ms.saturating_mul(NANOS_PER_MILLISECOND);
-        let started_at = self
-            .start_times
-            .borrow_mut()
-            .listed(&name.to_owned(), now, listed_start);
+        let started_at = self.start_times.listed(&name.to_owned(), now, listed_start);
         let node = upstream.locate(name, address, ShardId(shard));
         let info = NodeInfo {
             node,
@@ -142,3 +156,13 @@
         position.unwrap_or(self.zones.len()) as u32
     }
 }
+
+/// The state of a chunk server for the scheduler, by its state in discovery. In a state that this
+/// version does not know, a server must not get new work.
+fn listed_state(lifecycle: &str) -> Listed {
+    match lifecycle {
+        "Ready" => Listed::Up,
+        "Gone" => Listed::Removed,
+        _ => Listed::Draining,
+    }
+}
--- a/src/control/http_client.rs
+++ b/src/control/http_client.rs
@@ -1,5 +1,6 @@
 //! An HTTP client for control traffic: discovery, etcd, and the API of an agent. Each call opens a
-//! connection of its own. Responses may be read whole or as a stream of JSON messages.
+//! connection of its own. Responses may be read in one piece or as a
+//! stream of JSON messages.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
@@ -9,16 +10,16 @@
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{handshake, SendRequest};
 use hyper::header::{CONTENT_TYPE, DATE, HOST};
-use hyper::{Method, Request, StatusCode};
+use hyper::{HeaderMap, Method, Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
-use tokio::task::JoinHandle;
+use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::timeout;
 
 use crate::control::json_stream::{Message, MessageReader};
 use crate::socket_io::Socket;
 
-/// The longest message of a stream, and the longest whole body, in bytes.
+/// The longest message of a stream, and the longest body that is read in one piece, in bytes.
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
 /// Why a call failed.
@@ -66,7 +67,7 @@
 pub struct CallResponse {
     /// The status of the response.
     pub status: StatusCode,
-    /// The time at which the response was made, where it tells that.
+    /// The time at which the response was made, where it has that.
     pub date: Option<SystemTime>,
     body: Incoming,
     messages: MessageReader,
@@ -104,21 +105,24 @@
     let request = request
         .body(Full::new(Bytes::from(body)))
         .map_err(HttpError::InvalidRequest)?;
-    let response = timeout(timeouts.response, connection.sender.send_request(request)).await;
-    let response = response.map_err(|_| HttpError::ResponseTimeout)??;
-    let date = response
-        .headers()
-        .get(DATE)
-        .and_then(|date| date.to_str().ok());
+    let response = timeout(timeouts.response, connection.sender.send_request(request))
+        .await
+        .map_err(|_| HttpError::ResponseTimeout)??;
     Ok(CallResponse {
         status: response.status(),
-        date: date.and_then(|date| httpdate::parse_http_date(date).ok()),
+        date: date(response.headers()),
         body: response.into_body(),
         messages: MessageReader::default(),
         _task: connection.task,
     })
 }
 
+/// The time in the `Date` header, where it is valid.
+fn date(headers: &HeaderMap) -> Option<SystemTime> {
+    let date = headers.get(DATE)?.to_str().ok()?;
+    httpdate::parse_http_date(date).ok()
+}
+
 /// A connection that is ready for one request.
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -126,16 +130,14 @@
 }
 
 impl Connection {
+    /// Connects to `address`.
     async fn open(address: SocketAddr, within: Duration) -> Result<Connection, HttpError> {
         let connected = timeout(within, TcpStream::connect(address)).await;
         let stream = connected
             .map_err(|_| HttpError::ConnectTimeout)?
             .map_err(HttpError::Connect)?;
         let (sender, connection) = handshake(TokioIo::new(Socket(stream))).await?;
-        let task = tokio::task::spawn_local(async move {
-            // Its error is also returned to the sender of the request and the reader of the body.
-            let _ = connection.await;
-        });
+        let task = spawn_local(async move { ignore_reported_error(connection.await) });
         Ok(Connection {
             sender,
             task: ConnectionTask(task),
@@ -143,6 +145,10 @@
     }
 }
 
+/// Ignores the error of a connection: the sender of the request and the reader of the body get it
+/// too.
+fn ignore_reported_error(_outcome: Result<(), hyper::Error>) {}
+
 impl CallResponse {
     /// The next message of the stream, however long it takes. The future may be dropped without
     /// losing a message.
@@ -158,22 +164,20 @@
                 return Err(HttpError::MessageTooLong);
             }
             let frame = self.body.frame().await.ok_or(HttpError::StreamEnded)??;
-            self.messages
-                .push(frame.data_ref().map_or(&[][..], |data| data));
+            if let Some(data) = frame.data_ref() {
+                self.messages.push(data);
+            }
         }
     }
 
-    /// The whole body.
+    /// The complete body.
     ///
     /// # Errors
     /// The body does not arrive in time, breaks off, or is too long.
     pub async fn read_all(mut self, within: Duration) -> Result<Vec<u8>, HttpError> {
-        let body = timeout(
-            within,
-            Limited::new(&mut self.body, MAX_MESSAGE_BYTES).collect(),
-        )
-        .await;
-        let body = body
+        let body = Limited::new(&mut self.body, MAX_MESSAGE_BYTES).collect();
+        let body = timeout(within, body)
+            .await
             .map_err(|_| HttpError::BodyTimeout)?
             .map_err(HttpError::Body)?;
         Ok(body.to_bytes().to_vec())
--- a/src/control/maintenance_file.rs
+++ b/src/control/maintenance_file.rs
@@ -1,7 +1,7 @@
 //! The file that tells other versions of a front on the same machine which chunk servers are in
 //! maintenance.
 //!
-//! It is replaced as a whole by a rename after the new content is on the disk, so that no reader
+//! It is replaced atomically by a rename after the new content is on the disk, so that no reader
 //! sees a part of it and a kill at any moment leaves one of the two. A process that changes the set
 //! locks a second file while it reads, changes and writes, so that concurrent changes are not lost.
 //! Nothing here waits for another process.
@@ -12,7 +12,9 @@
 use std::path::{Path, PathBuf};
 
 use nix::fcntl::{Flock, FlockArg};
-use simd_json::prelude::*;
+use serde::{Deserialize, Serialize};
+
+use crate::control::json_object;
 
 /// The file of one front.
 pub struct MaintenanceFile {
@@ -75,18 +77,28 @@
     }
 }
 
+/// The content of the file.
+#[derive(Serialize, Deserialize)]
+struct Content<Names> {
+    /// The names of the servers in maintenance.
+    #[serde(rename = "held")]
+    names: Names,
+}
+
 /// The content of the file for a set of server names.
+///
+/// # Panics
+/// Never: any list of strings can be encoded.
 pub fn encode<'a>(names: impl Iterator<Item = &'a String>) -> Vec<u8> {
-    let names: Vec<&String> = names.collect();
-    simd_json::json!({ "held": names }).encode().into_bytes()
+    let content = Content {
+        names: names.collect::<Vec<&String>>(),
+    };
+    simd_json::serde::to_vec(&content).expect("a list of strings can be encoded")
 }
 
 /// The server names in the content of a file; `None` where it is not a valid one.
 pub fn decode(content: &[u8]) -> Option<BTreeSet<String>> {
-    let value = simd_json::to_owned_value(&mut content.to_vec()).ok()?;
-    let names = value.get("held")?.as_array()?;
-    names
-        .iter()
-        .map(|name| name.as_str().map(str::to_owned))
-        .collect()
+    // The parser decodes strings in place, so it needs a copy to write to.
+    let content: Content<BTreeSet<String>> = json_object::parse(&mut content.to_vec()).ok()?;
+    Some(content.names)
 }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -6,6 +6,7 @@
 pub mod discovery;
 pub mod endpoint_list;
 pub mod http_client;
+pub mod json_object;
 pub mod json_stream;
 pub mod maintenance;
 pub mod maintenance_call;
--- a/src/control/readiness.rs
+++ b/src/control/readiness.rs
@@ -50,10 +50,12 @@
         self.state.get().is_ready(self.now())
     }
 
+    /// The time since the front started, in nanoseconds.
     fn now(&self) -> Nanos {
         self.started.elapsed().as_nanos() as Nanos
     }
 
+    /// Applies a change to the shared state.
     fn update(&self, change: impl FnOnce(&mut StartupReadiness)) {
         let mut state = self.state.get();
         change(&mut state);
--- a/src/front/assembly.rs
+++ b/src/front/assembly.rs
@@ -1,6 +1,6 @@
 //! Assembles the parts behind a front and starts their background tasks.
 
-use std::cell::{Cell, RefCell};
+use std::cell::Cell;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 use crate::cluster::peers::Peers;
 use crate::config::Config;
 use crate::control::console::{self, Console, ConsoleParts};
-use crate::control::discovery::Discovery;
+use crate::control::discovery::{Discovery, FirstCall};
 use crate::control::endpoint_list::EndpointListReader;
 use crate::control::maintenance::{state_folder, Maintenance};
 use crate::control::readiness::Readiness;
@@ -158,6 +158,7 @@
     }
 }
 
+/// Joins the peers, where the configuration names any.
 fn join_peers(
     config: &Config,
     exchange: &Rc<Exchange<Upstream>>,
@@ -178,22 +179,16 @@
     maintenance: &Rc<Maintenance>,
     readiness: Readiness,
 ) -> Result<(), FrontError> {
-    let reader = EndpointListReader {
-        zones: config.zones.clone(),
-        maintenance: Rc::clone(maintenance),
-        start_times: RefCell::default(),
-    };
-    let phase = fastrand::Rng::with_seed(config.seed).f64();
-    let mut discovery = Discovery::new(
-        max_first_call_delay(&config.settings),
-        phase,
-        reader,
-        readiness,
-    );
+    let reader = EndpointListReader::new(config.zones.clone(), Rc::clone(maintenance));
+    let mut discovery = Discovery::new(reader, readiness);
     discovery
         .restore(&config.known_endpoints, exchange)
         .map_err(FrontError::KnownEndpoints)?;
-    spawn_local(discovery.follow(address, Rc::clone(exchange)));
+    let first_call = FirstCall {
+        max_delay: max_first_call_delay(&config.settings),
+        phase: fastrand::Rng::with_seed(config.seed).f64(),
+    };
+    spawn_local(discovery.follow(first_call, address, Rc::clone(exchange)));
     Ok(())
 }
 
@@ -217,11 +212,11 @@
     }
 }
 
+/// Opens the console and serves it in the background.
 fn start_console(address: SocketAddr, parts: &FrontParts) -> Result<(), FrontError> {
     let listener = console::listen(address)?;
     let console = Console::new(ConsoleParts {
-        accepting: Rc::clone(&parts.listener_state.accepting),
-        active_requests: Rc::clone(&parts.listener_state.active_requests),
+        listener_state: parts.listener_state.clone(),
         metrics: Rc::clone(&parts.metrics),
         exchange: Rc::clone(&parts.exchange),
         maintenance: Rc::clone(&parts.maintenance),
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -27,6 +27,7 @@
     on_one_thread(serve(config))
 }
 
+/// Serves clients until a signal ends the front.
 async fn serve(config: Config) -> Result<(), FrontError> {
     // Before anything else, so that no signal arrives unhandled.
     let shutdown = shutdown_signal()?;
