--- a/src/config/json.rs
+++ b/src/config/json.rs
@@ -21,7 +21,7 @@
     /// An integer.
     #[error("an integer")]
     Integer,
-    /// A number, whole or not.
+    /// A number, integer or not.
     #[error("a number")]
     Number,
     /// A boolean.
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -33,9 +33,13 @@
 const DEFAULT_DESCRIPTORS: f64 = 1024.0;
 /// Memory that a process may use, in MiB, unless the file has a limit.
 const DEFAULT_MEMORY_MIB: f64 = 192.0;
+/// Bytes per MiB, the unit of the file's limit on memory.
 const BYTES_PER_MIB: usize = 1 << 20;
-/// Timeouts in nanoseconds, unless the settings have them.
+/// The longest time for a connection to a chunk server to open, in nanoseconds, unless the settings
+/// have it.
 const DEFAULT_DIAL_TIMEOUT_NANOS: f64 = 250e6;
+/// The time after which chunk servers close an idle connection, in nanoseconds, unless the settings
+/// have it.
 const DEFAULT_IDLE_CLOSE_NANOS: f64 = 30e9;
 
 /// The configuration of a front.
@@ -160,6 +164,7 @@
     }
 }
 
+/// The value of an environment variable, where it is set to valid Unicode.
 fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
@@ -171,6 +176,7 @@
 }
 
 impl<F: Fn(&str) -> Option<String>> Addresses<'_, F> {
+    /// The address in `variable` or under `key`, one of which must have it.
     fn required(&self, variable: &str, key: &str) -> Result<SocketAddr, JsonError> {
         match (self.variable)(variable) {
             Some(address) => parse_address(key, &address),
@@ -178,6 +184,7 @@
         }
     }
 
+    /// The address in `variable` or under `key`, where either has it.
     fn optional(&self, variable: &str, key: &str) -> Result<Option<SocketAddr>, JsonError> {
         match ((self.variable)(variable), self.document.get(key)) {
             (None, None) => Ok(None),
@@ -189,8 +196,7 @@
 /// Writes the settings to the decision trace, where that is on.
 fn trace_start(document: &Value) {
     if trace::is_enabled() {
-        let settings = document.get("settings").cloned();
-        trace::write(simd_json::json!({ "e": "start", "settings": settings }));
+        trace::start(document.get("settings"));
     }
 }
 
@@ -201,6 +207,7 @@
         .ok_or_else(|| JsonError::wrong_kind(key, Kind::Object))
 }
 
+/// The name of the front.
 fn front_name(document: &Value, variable: impl Fn(&str) -> Option<String>) -> String {
     let in_file = || {
         document
@@ -265,6 +272,7 @@
     }
 }
 
+/// Whether each class writes, where the settings have that.
 fn read_writes(settings: &Value, family: &Value) -> Result<Vec<Option<bool>>, JsonError> {
     let writes = family.get("ChangesData").and_then(Value::as_array);
     let classes = array(settings, "Services")?.len();
@@ -276,6 +284,7 @@
     Ok((0..classes).map(of_class).collect())
 }
 
+/// The names of the zones, in the order of the settings.
 fn read_zones(settings: &Value) -> Result<Vec<String>, JsonError> {
     let zones = array(settings, "FailureDomains")?.iter();
     zones
@@ -283,6 +292,7 @@
         .collect()
 }
 
+/// A timeout under `limits` in the settings, or its default, which is in nanoseconds too.
 fn read_timeout(limits: &Value, key: &str, default_nanos: f64) -> Result<Duration, JsonError> {
     let nanos = positive_number_or(limits, key, default_nanos)?;
     Ok(Duration::from_nanos(nanos as u64))
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -1,6 +1,6 @@
 //! Reloads the configuration at SIGHUP.
 //!
-//! The whole file is read again. One that cannot be used changes nothing, is counted in
+//! The file is read again. One that cannot be used changes nothing, is counted in
 //! `app_conf_invalid` and logged. One that can is counted in `app_conf_loaded`: the watch on
 //! discovery moves to the new address, and the scheduler adopts the new settings, in which known
 //! classes keep their numbers (see [`RequestTables::reload`]).
@@ -48,10 +48,10 @@
         read: impl Fn() -> Result<Config, ConfigError>,
     ) {
         while hangup.recv().await.is_some() {
-            match read()
+            let outcome = read()
                 .map_err(ReloadError::from)
-                .and_then(|config| self.apply(config))
-            {
+                .and_then(|config| self.apply(config));
+            match outcome {
                 Ok(()) => {
                     self.metrics.conf_loaded.inc();
                     log!("the new configuration is taken");
@@ -112,6 +112,8 @@
     }
 }
 
+/// The path of the first key that some entry of the current array has and an entry of the new one
+/// lacks.
 fn missing_key_of_entry(current: &[Value], new: &[Value], path: &str) -> Option<String> {
     let objects = current.iter().filter_map(Value::as_object);
     let keys: Vec<&str> = objects
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -76,6 +76,7 @@
     }))
 }
 
+/// A class of requests. Whether it writes is not part of its entry.
 fn read_class(entry: &Value) -> Result<Class, JsonError> {
     Ok(Class {
         latency_objective: number(entry, "Aim")? as Nanos,
@@ -95,6 +96,7 @@
     })
 }
 
+/// What a repetition of a request of the class does.
 fn read_semantics(entry: &Value) -> Result<Semantics, JsonError> {
     match string(entry.get("Semantics"), "Semantics")? {
         "idempotent" => Ok(Semantics::Idempotent),
@@ -104,6 +106,7 @@
     }
 }
 
+/// A plan of volumes.
 fn read_plan(entry: &Value) -> Result<Plan, JsonError> {
     Ok(Plan {
         limit_rate: number(entry, "CeilingRate")?,
--- a/src/telemetry/log.rs
+++ b/src/telemetry/log.rs
@@ -32,7 +32,7 @@
     write(line);
 }
 
-/// Writes a line of the trace whole, however long it is and however long that takes: a trace is for
+/// Writes a line of the trace, however long it is and however long that takes: a trace is for
 /// analysis, and off in service.
 pub(super) fn trace_line(text: String) {
     write(text);
@@ -46,13 +46,17 @@
     poll(&mut descriptors, PollTimeout::ZERO) != Ok(0)
 }
 
+/// Writes a line to standard error.
 fn write(line: impl Into<Vec<u8>>) {
     let mut bytes = line.into();
     bytes.push(b'\n');
-    // Unlike `eprintln`, ignores errors: a front must survive a closed log.
-    let _ = std::io::stderr().write_all(&bytes);
+    ignore_closed_log(std::io::stderr().write_all(&bytes));
 }
 
+/// Ignores that standard error cannot be written to, at which `eprintln` would panic: a front must
+/// survive a closed log.
+fn ignore_closed_log(_outcome: std::io::Result<()>) {}
+
 /// Writes a log line, formatted as by `format`.
 macro_rules! log {
     ($($text:tt)*) => { $crate::telemetry::log::line(format_args!($($text)*)) };
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -6,7 +6,9 @@
 
 use tulipbridge_core::invariant_monitor::Rule;
 
+/// Why a metric can be created.
 const VALID_NAME: &str = "the name is valid";
+/// Why a metric can be registered.
 const UNIQUE_NAME: &str = "the name is registered once";
 
 /// The metrics of one class of requests.
@@ -155,21 +157,26 @@
         set(&self.cluster_size, readings.cluster_size);
         set(&self.cluster_unhealthy, readings.cluster_unhealthy);
         let mut text = Vec::new();
-        // Writing to memory fails only for malformed metrics, and those registered here are
-        // well-formed.
-        let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
+        ignore_malformed_metrics(TextEncoder::new().encode(&self.registry.gather(), &mut text));
         text
     }
 }
 
+/// Ignores that metrics cannot be encoded: writing to memory fails only for malformed metrics, and
+/// those registered here are well-formed.
+fn ignore_malformed_metrics(_outcome: prometheus::Result<()>) {}
+
+/// A new counter, registered and at 0.
 fn counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
     registered(registry, IntCounter::new(name, help).expect(VALID_NAME))
 }
 
+/// A new gauge, registered and at 0.
 fn gauge(registry: &Registry, name: &str, help: &str) -> IntGauge {
     registered(registry, IntGauge::new(name, help).expect(VALID_NAME))
 }
 
+/// Registers a metric.
 fn registered<C: Collector + Clone + 'static>(registry: &Registry, collector: C) -> C {
     registry
         .register(Box::new(collector.clone()))
@@ -177,6 +184,7 @@
     collector
 }
 
+/// Sets a gauge to a count.
 fn set(gauge: &IntGauge, value: usize) {
     gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
 }
