--- a/crates/model-checker/src/client_connection_model/mod.rs
+++ b/crates/model-checker/src/client_connection_model/mod.rs
@@ -4,28 +4,31 @@
 //! The state machines in it are those that ship: [`ConnectionLimiter`], [`ClientConnection`] and
 //! [`GracefulShutdown`], driven as the listener of the front drives them.
 //!
+//! [`ConnectionLimiter`]: tulipbridge_core::connection_limiter::ConnectionLimiter
 //! [`ClientConnection`]: tulipbridge_core::client_connection::ClientConnection
 //! [`GracefulShutdown`]: tulipbridge_core::graceful_shutdown::GracefulShutdown
 
+mod connection;
+mod front;
 mod state;
 mod step;
 mod step_generation;
-mod transitions;
 
-use tulipbridge_core::connection_limiter::ConnectionLimiter;
 use tulipbridge_core::Nanos;
 
 use crate::model::{Model, ModelSummary};
 use crate::properties::Violations;
-use crate::time::{MS, START};
+use crate::time::MS;
 
-pub use state::State;
-use state::{ClientState, FrontState};
+pub use state::ClientConnectionState;
 pub use step::Step;
+use step_generation::StepGenerator;
 
 /// The clock advances by one of these: a poll during shutdown, the quiet time after which a front
 /// that shuts down stops accepting, and parts of the timeouts of a first and of a later request.
 const CLOCK_STEPS: [Nanos; 4] = [20 * MS, 220 * MS, 700 * MS, 3_000 * MS];
+/// Ages are hashed up to this one, which is past every timeout.
+const MAX_HASHED_AGE: Nanos = 70_000 * MS;
 /// How late the front may act: the longest clock step.
 const MAX_DELAY: Nanos = 3_000 * MS;
 /// From connecting until the first request must be complete, and from the first byte of a later
@@ -64,42 +67,34 @@
 }
 
 impl Model for ClientConnectionModel {
-    type State = State;
+    type State = ClientConnectionState;
     type Step = Step;
 
     fn summary(&self) -> ModelSummary {
         self.summary
     }
 
-    fn initial_state(&self) -> State {
-        State {
-            now: START,
-            clock_steps: 0,
-            limiter: ConnectionLimiter::new(
-                self.max_open_connections(),
-                self.max_rejected_connections,
-            ),
-            connections: Default::default(),
-            sockets: Default::default(),
-            clients: vec![ClientState::NotConnected; self.clients],
-            front: FrontState::Serving,
-            sigterm_at: 0,
-            violations: Violations::default(),
-        }
+    fn initial_state(&self) -> ClientConnectionState {
+        ClientConnectionState::new(self)
     }
 
-    fn generate_steps(&self, state: &State, steps: &mut Vec<Step>) {
-        self.generate(state, steps);
+    fn generate_steps(&self, state: &ClientConnectionState, steps: &mut Vec<Step>) {
+        StepGenerator::new(self, state, steps).generate();
     }
 
-    fn apply(&self, state: &State, step: &Step) -> State {
+    fn apply(&self, state: &ClientConnectionState, step: &Step) -> ClientConnectionState {
         let mut next = state.clone();
         next.take(self, *step);
         next.check(self);
         next
     }
 
-    fn violations(state: &State) -> &Violations {
-        &state.violations
+    fn violations(state: &ClientConnectionState) -> &Violations {
+        state.violations()
     }
 }
+
+/// Time since a moment as the hash of a state holds it, limited to [`MAX_HASHED_AGE`].
+fn hashed_age(now: Nanos, moment: Nanos) -> Nanos {
+    (now - moment).min(MAX_HASHED_AGE)
+}
--- a/crates/model-checker/src/client_connection_model/step_generation.rs
+++ b/crates/model-checker/src/client_connection_model/step_generation.rs
@@ -4,11 +4,13 @@
 
 use std::ops::Range;
 
-use tulipbridge_core::client_connection::{ClientConnection, Phase};
+use tulipbridge_core::client_connection::Phase;
 use tulipbridge_core::graceful_shutdown::ShutdownStep;
 
-use super::state::{ClientState, ConnectionId, FrontState, RequestProgress, Shutdown, Socket};
-use super::{ClientConnectionModel, State, Step, CLOCK_STEPS};
+use super::connection::{Connection, ConnectionId, RequestProgress};
+use super::front::{FrontState, Shutdown};
+use super::state::ClientState;
+use super::{ClientConnectionModel, ClientConnectionState, Step, CLOCK_STEPS};
 
 /// Indexes of the clock steps during shutdown. A poll may be late as well: its short interval would
 /// only multiply the states.
@@ -29,119 +31,143 @@
     }
 }
 
-impl ClientConnectionModel {
-    /// Appends every step that is possible in a state.
-    pub(super) fn generate(&self, state: &State, steps: &mut Vec<Step>) {
-        if state.front == FrontState::Exited {
+/// Collects the steps that are possible in a state.
+pub(super) struct StepGenerator<'a> {
+    model: &'a ClientConnectionModel,
+    state: &'a ClientConnectionState,
+    steps: &'a mut Vec<Step>,
+}
+
+impl<'a> StepGenerator<'a> {
+    /// A generator that appends to `steps`, which must be empty.
+    pub(super) fn new(
+        model: &'a ClientConnectionModel,
+        state: &'a ClientConnectionState,
+        steps: &'a mut Vec<Step>,
+    ) -> StepGenerator<'a> {
+        StepGenerator {
+            model,
+            state,
+            steps,
+        }
+    }
+
+    /// Appends every step that is possible in the state.
+    pub(super) fn generate(mut self) {
+        let state = self.state;
+        if *state.front() == FrontState::Exited {
             return;
         }
-        self.generate_client_steps(state, steps);
-        if has_queued_client(state) && state.front.is_accepting() && state.can_accept() {
-            steps.push(Step::FrontAccepts);
+        self.generate_client_steps();
+        if state.has_queued_client() && state.front().is_accepting() && state.can_accept() {
+            self.steps.push(Step::FrontAccepts);
         }
-        for (&id, socket) in &state.sockets {
-            if let Some(connection) = state.connections.get(&id) {
-                generate_connection_steps(state, id, socket, connection, steps);
-            }
+        for (&id, connection) in state.connections() {
+            self.generate_connection_steps(id, connection);
         }
-        match &state.front {
-            FrontState::Serving => {
-                if state.connections.keys().any(|id| state.has_timed_out(*id)) {
-                    steps.push(Step::TimeoutsChecked);
-                }
-                if self.may_shut_down {
-                    steps.push(Step::Sigterm);
-                }
+        match state.front() {
+            FrontState::Serving => self.generate_serving_steps(),
+            FrontState::ShuttingDown(shutdown) => {
+                let shutdown_step = self.shutdown_step(shutdown);
+                self.steps.extend(shutdown_step);
             }
-            FrontState::ShuttingDown(shutdown) => steps.extend(shutdown_step(state, shutdown)),
             FrontState::Exited => {}
         }
-        self.generate_clock_steps(state, steps);
+        self.generate_clock_steps();
     }
 
-    fn generate_client_steps(&self, state: &State, steps: &mut Vec<Step>) {
-        let next_client = state
-            .clients
+    /// What the clients may do.
+    fn generate_client_steps(&mut self) {
+        let clients = self.state.clients();
+        let next_client = clients
             .iter()
             .position(|client| *client == ClientState::NotConnected);
-        if let Some(client) = next_client.filter(|_| state.front.is_accepting()) {
-            steps.push(Step::ClientConnects(client));
+        if let Some(client) = next_client.filter(|_| self.state.front().is_accepting()) {
+            self.steps.push(Step::ClientConnects(client));
         }
-        for (client, client_state) in state.clients.iter().enumerate() {
+        for (client, client_state) in clients.iter().enumerate() {
             let ClientState::Connected(id) = client_state else {
                 continue;
             };
-            let Some(socket) = state.sockets.get(id) else {
-                continue;
-            };
-            let may_send = socket.answered < self.max_requests && !socket.closing;
-            if may_send && socket.sent < RequestProgress::Complete {
-                steps.push(Step::ClientSendsPart(client));
-                if socket.sent < RequestProgress::Head {
-                    steps.push(Step::ClientSendsRest(client));
-                }
+            if let Some(connection) = self.state.connections().get(id) {
+                self.generate_connected_client_steps(client, connection);
             }
-            steps.push(Step::ClientCloses(client));
         }
     }
 
-    /// The clock advances only after the front has done what it can do at once.
-    fn generate_clock_steps(&self, state: &State, steps: &mut Vec<Step>) {
-        if steps.iter().any(Step::is_due) {
+    /// What a client with a connection may do.
+    fn generate_connected_client_steps(&mut self, client: usize, connection: &Connection) {
+        let requests_left = connection.answered() < self.model.max_requests;
+        let may_send = requests_left && !connection.is_closing();
+        if may_send && connection.sent() < RequestProgress::Complete {
+            self.steps.push(Step::ClientSendsPart(client));
+            if connection.sent() < RequestProgress::Head {
+                self.steps.push(Step::ClientSendsRest(client));
+            }
+        }
+        self.steps.push(Step::ClientCloses(client));
+    }
+
+    /// What the front may do with a connection.
+    fn generate_connection_steps(&mut self, id: ConnectionId, connection: &Connection) {
+        if connection.is_closing() {
+            self.steps.push(Step::LingeringEnds(id));
             return;
         }
-        if state.front.is_shutting_down() {
-            steps.extend(SHUTDOWN_CLOCK_STEPS.map(Step::ClockAdvances));
-        } else if state.clock_steps < self.max_clock_steps {
-            steps.extend((0..CLOCK_STEPS.len()).map(Step::ClockAdvances));
+        let now = self.state.now();
+        let phase = connection.phase();
+        if phase == Phase::Responding {
+            self.steps.push(Step::FrontResponds(id));
+        } else if connection.has_unread_bytes() {
+            self.steps.push(Step::FrontReads(id));
+        }
+        if phase == Phase::ReadingBody && now >= connection.machine().request_deadline() {
+            self.steps.push(Step::BodyTimesOut(id));
+        }
+        let has_no_open_request = matches!(
+            phase,
+            Phase::New | Phase::ReadingHead | Phase::ReadingBody | Phase::Idle
+        );
+        let is_draining = self.state.front().is_draining();
+        if is_draining && has_no_open_request && !connection.is_arriving(now) {
+            self.steps.push(Step::DrainedConnectionClosed(id));
         }
     }
-}
-
-fn has_queued_client(state: &State) -> bool {
-    state.clients.contains(&ClientState::Queued)
-}
 
-fn generate_connection_steps(
-    state: &State,
-    id: ConnectionId,
-    socket: &Socket,
-    connection: &ClientConnection,
-    steps: &mut Vec<Step>,
-) {
-    if socket.closing {
-        steps.push(Step::LingeringEnds(id));
-        return;
-    }
-    let phase = connection.phase().0;
-    if phase == Phase::Responding {
-        steps.push(Step::FrontResponds(id));
-    } else if socket.has_unread_bytes() {
-        steps.push(Step::FrontReads(id));
-    }
-    if phase == Phase::ReadingBody && state.now >= connection.request_deadline() {
-        steps.push(Step::BodyTimesOut(id));
+    /// What may happen to a front that serves.
+    fn generate_serving_steps(&mut self) {
+        if self.state.any_timed_out() {
+            self.steps.push(Step::TimeoutsChecked);
+        }
+        if self.model.may_shut_down {
+            self.steps.push(Step::Sigterm);
+        }
     }
-    let has_no_open_request = matches!(
-        phase,
-        Phase::New | Phase::ReadingHead | Phase::ReadingBody | Phase::Idle
-    );
-    let is_arriving = connection.is_arriving(state.now, state.has_unread_bytes(id));
-    if state.front.is_draining() && has_no_open_request && !is_arriving {
-        steps.push(Step::DrainedConnectionClosed(id));
+
+    /// The step for which the shutdown waits, once its time has come.
+    fn shutdown_step(&self, shutdown: &Shutdown) -> Option<Step> {
+        let waited = self.state.now() - shutdown.step_since();
+        match shutdown.step() {
+            ShutdownStep::Accept(quiet_time) => {
+                let is_quiet = !self.state.has_queued_client() && waited >= quiet_time;
+                is_quiet.then_some(Step::AcceptTimesOut)
+            }
+            ShutdownStep::Wait(interval) => (waited >= interval).then_some(Step::ShutdownPolled),
+            ShutdownStep::StopAccepting | ShutdownStep::Exit => None,
+        }
     }
-}
 
-/// The step for which the shutdown waits, once its time has come.
-fn shutdown_step(state: &State, shutdown: &Shutdown) -> Option<Step> {
-    match shutdown.step {
-        ShutdownStep::Accept(quiet_time) => {
-            let is_quiet = !has_queued_client(state) && state.now >= shutdown.since + quiet_time;
-            is_quiet.then_some(Step::AcceptTimesOut)
+    /// The clock advances only after the front has done what it can do at once.
+    fn generate_clock_steps(&mut self) {
+        if self.steps.iter().any(Step::is_due) {
+            return;
         }
-        ShutdownStep::Wait(interval) => {
-            (state.now >= shutdown.since + interval).then_some(Step::ShutdownPolled)
+        if self.state.front().is_shutting_down() {
+            self.steps
+                .extend(SHUTDOWN_CLOCK_STEPS.map(Step::ClockAdvances));
+        } else if self.state.clock_steps() < self.model.max_clock_steps {
+            self.steps
+                .extend((0..CLOCK_STEPS.len()).map(Step::ClockAdvances));
         }
-        ShutdownStep::StopAccepting | ShutdownStep::Exit => None,
     }
 }
--- a/crates/model-checker/src/fleet_limits_model/mod.rs
+++ b/crates/model-checker/src/fleet_limits_model/mod.rs
@@ -12,14 +12,13 @@
 mod state;
 mod step;
 mod step_generation;
-mod transitions;
 
 use tulipbridge_fleet_limits::PeerId;
 
 use crate::model::{Model, ModelSummary};
 use crate::properties::Violations;
 
-pub use state::State;
+pub use state::FleetLimitsState;
 pub use step::Step;
 
 /// Number of rounds by which a delayed heartbeat is late.
@@ -41,33 +40,33 @@
 }
 
 impl Model for FleetLimitsModel {
-    type State = State;
+    type State = FleetLimitsState;
     type Step = Step;
 
     fn summary(&self) -> ModelSummary {
         self.summary
     }
 
-    fn initial_state(&self) -> State {
-        let mut state = State::new(self.fronts, self.max_faults);
+    fn initial_state(&self) -> FleetLimitsState {
+        let mut state = FleetLimitsState::new(self.fronts, self.max_faults);
         for _ in 0..WARM_UP_ROUNDS {
             state.run_round();
         }
         state
     }
 
-    fn generate_steps(&self, state: &State, steps: &mut Vec<Step>) {
+    fn generate_steps(&self, state: &FleetLimitsState, steps: &mut Vec<Step>) {
         self.generate(state, steps);
     }
 
-    fn apply(&self, state: &State, step: &Step) -> State {
+    fn apply(&self, state: &FleetLimitsState, step: &Step) -> FleetLimitsState {
         let mut next = state.clone();
         next.take(step);
         next.check();
         next
     }
 
-    fn violations(state: &State) -> &Violations {
-        &state.violations
+    fn violations(state: &FleetLimitsState) -> &Violations {
+        state.violations()
     }
 }
--- a/crates/model-checker/src/fleet_limits_model/state.rs
+++ b/crates/model-checker/src/fleet_limits_model/state/mod.rs
@@ -1,4 +1,8 @@
 //! The state of the fleet limits model.
+//!
+//! What each step changes is in `transitions`.
+
+mod transitions;
 
 use std::hash::{Hash, Hasher};
 use std::ops::Range;
@@ -9,56 +13,59 @@
 use crate::time::MS;
 
 /// Interval between two heartbeats of a front, which is the length of a round.
-pub(super) const HEARTBEAT_INTERVAL: Nanos = 500 * MS;
+const HEARTBEAT_INTERVAL: Nanos = 500 * MS;
 
 /// A process of a front.
 #[derive(Clone, Debug)]
-pub(super) struct Process {
-    pub coordinator: LimitCoordinator,
-    pub stopped: bool,
+struct Process {
+    coordinator: LimitCoordinator,
+    /// It is stopped, and keeps its state.
+    stopped: bool,
     /// The share of the limit that it may use now.
-    pub share: Share,
+    share: Share,
 }
 
 /// A directed link between two fronts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Link {
+    /// The sender.
     pub from: PeerId,
+    /// The receiver.
     pub to: PeerId,
 }
 
 /// A heartbeat that has been sent and has not arrived.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Message {
-    pub link: Link,
+struct Message {
+    link: Link,
     /// Incarnation of the sender.
-    pub incarnation: Incarnation,
-    pub heartbeat: Heartbeat,
+    incarnation: Incarnation,
+    heartbeat: Heartbeat,
     /// Number of rounds until it may arrive.
-    pub rounds_left: u8,
+    rounds_left: u8,
 }
 
-/// A state of the model.
+/// A state of the fleet limits model.
 #[derive(Clone, Debug)]
-pub struct State {
-    pub(super) round: u8,
-    pub(super) faults_left: u8,
+pub struct FleetLimitsState {
+    round: u8,
+    faults_left: u8,
     /// The incarnation of the process that started last.
-    pub(super) last_incarnation: Incarnation,
+    last_incarnation: Incarnation,
     /// The process of each front, unless it was killed.
-    pub(super) processes: Vec<Option<Process>>,
-    pub(super) messages: Vec<Message>,
+    processes: Vec<Option<Process>>,
+    messages: Vec<Message>,
     /// Links on which heartbeats are lost.
-    pub(super) cut_links: Vec<Link>,
+    cut_links: Vec<Link>,
     /// Links on which the next heartbeat is delayed.
-    pub(super) delayed_links: Vec<Link>,
-    pub(super) violations: Violations,
+    delayed_links: Vec<Link>,
+    violations: Violations,
 }
 
-impl State {
+impl FleetLimitsState {
     /// A fleet in which every front has just started.
-    pub(super) fn new(fronts: PeerId, max_faults: u8) -> State {
-        let mut state = State {
+    pub(super) fn new(fronts: PeerId, max_faults: u8) -> FleetLimitsState {
+        let mut state = FleetLimitsState {
             round: 0,
             faults_left: max_faults,
             last_incarnation: 0,
@@ -91,45 +98,73 @@
         })
     }
 
+    /// Number of rounds so far, the warm-up included.
+    pub(super) fn round(&self) -> u8 {
+        self.round
+    }
+
+    /// Number of faults that may still occur.
+    pub(super) fn faults_left(&self) -> u8 {
+        self.faults_left
+    }
+
+    /// Whether heartbeats are lost on any link.
+    pub(super) fn has_cut_links(&self) -> bool {
+        !self.cut_links.is_empty()
+    }
+
+    /// Whether heartbeats are lost on a link.
+    pub(super) fn is_cut(&self, link: Link) -> bool {
+        self.cut_links.contains(&link)
+    }
+
+    /// Whether the next heartbeat on a link is delayed.
+    pub(super) fn is_delayed(&self, link: Link) -> bool {
+        self.delayed_links.contains(&link)
+    }
+
+    /// The properties that were violated on the way to this state.
+    pub(super) fn violations(&self) -> &Violations {
+        &self.violations
+    }
+
+    /// The fronts of the fleet, whether their processes run or not.
     pub(super) fn fronts(&self) -> Range<PeerId> {
         0..self.processes.len() as PeerId
     }
 
-    pub(super) fn process(&self, front: PeerId) -> Option<&Process> {
+    /// The process of a front, unless it was killed.
+    fn process(&self, front: PeerId) -> Option<&Process> {
         self.processes[usize::from(front)].as_ref()
     }
 
-    pub(super) fn running_process(&self, front: PeerId) -> Option<&Process> {
+    /// The process of a front, unless it is stopped or was killed.
+    fn running_process(&self, front: PeerId) -> Option<&Process> {
         self.process(front).filter(|process| !process.stopped)
     }
 
+    /// Whether a front has a process, running or stopped.
     pub(super) fn is_started(&self, front: PeerId) -> bool {
         self.process(front).is_some()
     }
 
+    /// Whether a front has a process that is not stopped.
     pub(super) fn is_running(&self, front: PeerId) -> bool {
         self.running_process(front).is_some()
     }
 }
 
-impl Hash for State {
+impl Hash for FleetLimitsState {
     /// Hashes the round itself: nothing repeats, because the number of rounds is limited.
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        (
-            self.round,
-            self.faults_left,
-            self.last_incarnation,
-            &self.messages,
-        )
-            .hash(hasher);
+        (self.round, self.faults_left, self.last_incarnation).hash(hasher);
+        self.messages.hash(hasher);
         (&self.cut_links, &self.delayed_links, self.violations).hash(hasher);
         for process in &self.processes {
-            match process {
-                None => 0u8.hash(hasher),
-                Some(process) => {
-                    (1u8, process.stopped, process.share).hash(hasher);
-                    process.coordinator.fingerprint(self.now(), hasher);
-                }
+            process.is_some().hash(hasher);
+            if let Some(process) = process {
+                (process.stopped, process.share).hash(hasher);
+                process.coordinator.fingerprint(self.now(), hasher);
             }
         }
     }
--- a/crates/model-checker/src/fleet_limits_model/transitions.rs
+++ b/crates/model-checker/src/fleet_limits_model/state/transitions.rs
@@ -5,8 +5,8 @@
     Share, FULL_SHARE,
 };
 
-use super::state::{Link, Message, Process, HEARTBEAT_INTERVAL};
-use super::{State, Step, DELAY_ROUNDS};
+use super::{FleetLimitsState, Link, Message, Process, HEARTBEAT_INTERVAL};
+use crate::fleet_limits_model::{Step, DELAY_ROUNDS};
 
 /// How long a lease is valid.
 const LEASE_DURATION: Nanos = 4 * HEARTBEAT_INTERVAL;
@@ -17,9 +17,9 @@
 /// Demand at the last front in each round.
 const LOW_DEMAND: f64 = 1.0;
 
-impl State {
+impl FleetLimitsState {
     /// Takes a step.
-    pub(super) fn take(&mut self, step: &Step) {
+    pub(in crate::fleet_limits_model) fn take(&mut self, step: &Step) {
         self.faults_left -= u8::from(step.is_fault());
         match *step {
             Step::Round => self.run_round(),
@@ -28,15 +28,9 @@
             Step::Start(front) => self.start(front),
             Step::CutLink(from, to) => self.cut(&[Link { from, to }]),
             Step::Isolate(front) => self.isolate(front),
-            Step::DelayHeartbeat(from, to) => {
-                self.delayed_links.push(Link { from, to });
-                self.delayed_links.sort_unstable();
-            }
+            Step::DelayHeartbeat(from, to) => self.delay(Link { from, to }),
             Step::Stop(front) => self.set_stopped(front, true),
-            Step::Kill(front) => {
-                self.processes[usize::from(front)] = None;
-                self.messages.retain(|message| message.link.to != front);
-            }
+            Step::Kill(front) => self.kill(front),
         }
     }
 
@@ -58,12 +52,20 @@
         });
     }
 
+    /// Kills the process of a front: what is on the way to it is lost.
+    fn kill(&mut self, front: PeerId) {
+        self.processes[usize::from(front)] = None;
+        self.messages.retain(|message| message.link.to != front);
+    }
+
+    /// Stops the process of a front, or lets it run again.
     fn set_stopped(&mut self, front: PeerId, stopped: bool) {
         if let Some(process) = &mut self.processes[usize::from(front)] {
             process.stopped = stopped;
         }
     }
 
+    /// A stopped process continues, and receives what has waited for it.
     fn continue_process(&mut self, front: PeerId) {
         self.set_stopped(front, false);
         self.feed(front, Event::Poll);
@@ -71,7 +73,7 @@
         self.deliver();
     }
 
-    /// Cuts links and drops what is being sent on them. A delayed message has left its link
+    /// Cuts links and drops the messages on them. A delayed message has left its link
     /// already.
     fn cut(&mut self, links: &[Link]) {
         self.messages
@@ -81,27 +83,30 @@
         self.cut_links.dedup();
     }
 
+    /// Delays the next heartbeat on a link.
+    fn delay(&mut self, link: Link) {
+        self.delayed_links.push(link);
+        self.delayed_links.sort_unstable();
+    }
+
+    /// Cuts all links from and to a front.
     fn isolate(&mut self, front: PeerId) {
-        let others = self.fronts().filter(|other| *other != front);
-        let links: Vec<Link> = others
-            .flat_map(|other| {
-                [
-                    Link {
-                        from: front,
-                        to: other,
-                    },
-                    Link {
-                        from: other,
-                        to: front,
-                    },
-                ]
-            })
-            .collect();
+        let mut links = Vec::new();
+        for other in self.fronts().filter(|other| *other != front) {
+            links.push(Link {
+                from: front,
+                to: other,
+            });
+            links.push(Link {
+                from: other,
+                to: front,
+            });
+        }
         self.cut(&links);
     }
 
     /// Lets a heartbeat interval pass.
-    pub(super) fn run_round(&mut self) {
+    pub(in crate::fleet_limits_model) fn run_round(&mut self) {
         self.round += 1;
         for message in &mut self.messages {
             message.rounds_left = message.rounds_left.saturating_sub(1);
@@ -113,13 +118,8 @@
                 continue;
             }
             if let Some(units) = self.demand(front) {
-                self.feed(
-                    front,
-                    Event::Demanded {
-                        limit: LIMIT,
-                        units,
-                    },
-                );
+                let limit = LIMIT;
+                self.feed(front, Event::Demanded { limit, units });
             }
             self.feed(front, Event::HeartbeatDue);
             self.check();
@@ -188,12 +188,14 @@
         }
     }
 
+    /// Records the share that a front may use from now on.
     fn set_share(&mut self, front: PeerId, share: Share) {
         if let Some(process) = &mut self.processes[usize::from(front)] {
             process.share = share;
         }
     }
 
+    /// Sends a heartbeat, unless its link is cut.
     fn send(&mut self, link: Link, incarnation: Incarnation, heartbeat: Heartbeat) {
         if self.cut_links.contains(&link) {
             return;
@@ -215,7 +217,7 @@
     }
 
     /// Lets every running front drop what has expired, and checks the sum of the shares in use.
-    pub(super) fn check(&mut self) {
+    pub(in crate::fleet_limits_model) fn check(&mut self) {
         let now = self.now();
         let mut sum = 0;
         for front in self.fronts() {
--- a/crates/model-checker/src/fleet_limits_model/step_generation.rs
+++ b/crates/model-checker/src/fleet_limits_model/step_generation.rs
@@ -3,12 +3,12 @@
 //! The order in which steps are generated is part of the model: random walks choose by position.
 
 use super::state::Link;
-use super::{FleetLimitsModel, State, Step, WARM_UP_ROUNDS};
+use super::{FleetLimitsModel, FleetLimitsState, Step, WARM_UP_ROUNDS};
 
 impl FleetLimitsModel {
     /// Appends every step that is possible in a state.
-    pub(super) fn generate(&self, state: &State, steps: &mut Vec<Step>) {
-        if state.round >= WARM_UP_ROUNDS + self.rounds {
+    pub(super) fn generate(&self, state: &FleetLimitsState, steps: &mut Vec<Step>) {
+        if state.round() >= WARM_UP_ROUNDS + self.rounds {
             return;
         }
         steps.push(Step::Round);
@@ -19,16 +19,17 @@
                 steps.push(Step::Continue(front));
             }
         }
-        if !state.cut_links.is_empty() {
+        if state.has_cut_links() {
             steps.push(Step::Heal);
         }
-        if state.faults_left > 0 {
+        if state.faults_left() > 0 {
             generate_faults(state, steps);
         }
     }
 }
 
-fn generate_faults(state: &State, steps: &mut Vec<Step>) {
+/// Appends every fault that may occur between two rounds.
+fn generate_faults(state: &FleetLimitsState, steps: &mut Vec<Step>) {
     for from in state.fronts() {
         if state.is_running(from) {
             steps.push(Step::Stop(from));
@@ -37,11 +38,11 @@
         }
         for to in state.fronts().filter(|to| *to != from) {
             let link = Link { from, to };
-            if state.cut_links.contains(&link) {
+            if state.is_cut(link) {
                 continue;
             }
             steps.push(Step::CutLink(from, to));
-            if !state.delayed_links.contains(&link) {
+            if !state.is_delayed(link) {
                 steps.push(Step::DelayHeartbeat(from, to));
             }
         }
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -21,6 +21,7 @@
 pub mod fleet_limits_model;
 pub mod history;
 pub mod model;
+mod numbering;
 pub mod policy;
 pub mod properties;
 pub mod recovery;
--- a/crates/model-checker/src/policy.rs
+++ b/crates/model-checker/src/policy.rs
@@ -40,7 +40,7 @@
 }
 
 impl KnownRequest {
-    /// Records that an attempt ended while the request goes on.
+    /// Records the outcome of an attempt that was not the last one of the request.
     fn attempt_ended(&mut self, outcome: Outcome) {
         let proves_not_executed = matches!(
             outcome,
--- a/crates/model-checker/src/request_model/step_generation.rs
+++ b/crates/model-checker/src/request_model/step_generation.rs
@@ -2,17 +2,21 @@
 //!
 //! The order in which steps are generated is part of the model: random walks choose by position.
 
-use tulipbridge_core::attempt::Attempt;
 use tulipbridge_core::request_tracker::InFlightRequest;
-use tulipbridge_core::{Action, Listed, Nanos, NodeId, RequestId, Semantics};
+use tulipbridge_core::{Action, Nanos, NodeId, RequestId, Semantics};
 
-use super::state::{AttemptKey, ClientState, Connection, ConnectionId, Written};
-use super::{Fault, RequestModel, State, Step, OVERDUE_GRACE};
+use super::attempt::AttemptKey;
+use super::clients::ClientState;
+use super::connection::{Connection, ConnectionId, Written};
+use super::servers::ServerWork;
+use super::{Fault, RequestModel, RequestState, Step, OVERDUE_GRACE};
 use crate::policy::{KnownRequest, PolicyKind, PolicyUnderTest};
 use crate::time::MS;
 
 /// The retry-after time with which an unrestricted policy rejects requests.
 const RETRY_AFTER: Nanos = 50 * MS;
+/// The timeout of the attempts of an unrestricted policy: none but the client's deadline.
+const NO_TIMEOUT: Nanos = 0;
 
 impl Step {
     /// Whether the front acts on this before the clock advances.
@@ -29,250 +33,270 @@
     }
 }
 
-impl RequestModel {
-    /// Appends every step that is possible in a state.
-    pub(super) fn generate(&self, state: &State, steps: &mut Vec<Step>) {
-        let next_client = self.next_client(state);
-        steps.extend(next_client.map(Step::ClientSends));
-        self.generate_client_steps(state, steps);
-        for (&id, connection) in &state.connections {
-            self.generate_connection_steps(state, id, connection, steps);
+/// Collects the steps that are possible in a state.
+pub(super) struct StepGenerator<'a> {
+    model: &'a RequestModel,
+    state: &'a RequestState,
+    steps: &'a mut Vec<Step>,
+}
+
+impl<'a> StepGenerator<'a> {
+    /// A generator that appends to `steps`, which must be empty.
+    pub(super) fn new(
+        model: &'a RequestModel,
+        state: &'a RequestState,
+        steps: &'a mut Vec<Step>,
+    ) -> StepGenerator<'a> {
+        StepGenerator {
+            model,
+            state,
+            steps,
+        }
+    }
+
+    /// Appends every step that is possible in the state.
+    pub(super) fn generate(mut self) {
+        let next_client = self.next_client();
+        self.steps.extend(next_client.map(Step::ClientSends));
+        self.generate_client_steps();
+        for (&id, connection) in self.state.connections() {
+            self.generate_connection_steps(id, connection);
         }
-        self.generate_server_steps(state, steps);
-        generate_attempt_steps(state, steps);
-        if state.next_update < self.watch_updates.len() {
-            steps.push(Step::WatchUpdated(state.next_update));
+        for (index, work) in self.state.servers().work().iter().enumerate() {
+            self.generate_server_steps(index, work);
         }
-        let due_timers = state.timers.iter().filter(|timer| state.now >= timer.due);
-        steps.extend(due_timers.map(|timer| Step::TimerDue(timer.cookie)));
-        self.generate_clock_steps(state, next_client.is_some(), steps);
-        if self.policy == PolicyKind::Unrestricted {
-            self.generate_decisions(state, steps);
+        self.generate_attempt_steps();
+        let next_update = self.state.next_update();
+        if next_update < self.model.watch_updates.len() {
+            self.steps.push(Step::WatchUpdated(next_update));
+        }
+        let due_timers = self.state.timers().due(self.state.now());
+        self.steps.extend(due_timers.map(Step::TimerDue));
+        self.generate_clock_steps(next_client.is_some());
+        if self.model.policy == PolicyKind::Unrestricted {
+            self.generate_decisions();
         }
     }
 
     /// Whether this fault may still occur.
-    fn may_fail(&self, state: &State, fault: Fault) -> bool {
-        state.faults < self.max_faults && self.faults.contains(&fault)
+    fn may_fail(&self, fault: Fault) -> bool {
+        self.state.faults() < self.model.max_faults && self.model.faults.contains(&fault)
     }
 
     /// The client that may send its request now.
-    fn next_client(&self, state: &State) -> Option<usize> {
-        let is_its_turn = !self.sequential || !state.any_client_waits();
-        let may_send = is_its_turn && state.clock_steps <= self.max_clock_steps;
-        let next = state
-            .clients
-            .iter()
-            .position(|client| *client == ClientState::NotStarted);
-        next.filter(|_| may_send)
+    fn next_client(&self) -> Option<usize> {
+        let clients = self.state.clients();
+        let is_its_turn = !self.model.sequential || !clients.any_waits();
+        let may_send = is_its_turn && self.state.clock_steps() <= self.model.max_clock_steps;
+        clients.next_to_send().filter(|_| may_send)
     }
 
-    fn generate_client_steps(&self, state: &State, steps: &mut Vec<Step>) {
-        for (client, client_state) in state.clients.iter().enumerate() {
+    /// What clients that wait for their answers may do.
+    fn generate_client_steps(&mut self) {
+        for (client, client_state) in self.state.clients().states().iter().enumerate() {
             let ClientState::Waiting { deadline, .. } = client_state else {
                 continue;
             };
-            if self.may_fail(state, Fault::ClientDisconnects) {
-                steps.push(Step::ClientDisconnects(client));
+            if self.may_fail(Fault::ClientDisconnects) {
+                self.steps.push(Step::ClientDisconnects(client));
             }
-            if state.now >= deadline + OVERDUE_GRACE {
-                steps.push(Step::RequestOverdue(client));
+            if self.state.now() >= deadline + OVERDUE_GRACE {
+                self.steps.push(Step::RequestOverdue(client));
             }
         }
     }
 
-    fn generate_connection_steps(
-        &self,
-        state: &State,
-        id: ConnectionId,
-        connection: &Connection,
-        steps: &mut Vec<Step>,
-    ) {
-        if !connection.established {
-            self.generate_dial_steps(state, id, connection, steps);
+    /// What may happen to a connection.
+    fn generate_connection_steps(&mut self, id: ConnectionId, connection: &Connection) {
+        if !connection.is_established() {
+            self.generate_dial_steps(id, connection);
             return;
         }
-        if connection.attempt.is_some() {
-            self.generate_exchange_steps(state, id, connection, steps);
-        } else if !connection.closed_by_server && self.may_fail(state, Fault::IdleConnectionClosed)
-        {
-            steps.push(Step::ServerCloses(id));
+        let closed_by_server = connection.is_closed_by_server();
+        if connection.attempt().is_some() {
+            self.generate_exchange_steps(id, connection);
+        } else if !closed_by_server && self.may_fail(Fault::IdleConnectionClosed) {
+            self.steps.push(Step::ServerCloses(id));
         }
-        // After the last byte of a request, unsolicited bytes cannot be told from its response: no
+        // After the last byte of a request, unsolicited bytes cannot be distinguished from its response: no
         // front can detect it.
-        let may_arrive = !connection.unsolicited_bytes
-            && !connection.closed_by_server
-            && connection.written != Written::All;
-        if may_arrive && self.may_fail(state, Fault::UnsolicitedBytes) {
-            steps.push(Step::UnsolicitedBytes(id));
+        let may_arrive = !connection.has_unsolicited_bytes()
+            && !closed_by_server
+            && connection.written() != Written::All;
+        if may_arrive && self.may_fail(Fault::UnsolicitedBytes) {
+            self.steps.push(Step::UnsolicitedBytes(id));
         }
     }
 
-    fn generate_dial_steps(
-        &self,
-        state: &State,
-        id: ConnectionId,
-        connection: &Connection,
-        steps: &mut Vec<Step>,
-    ) {
-        steps.push(Step::ConnectionEstablished(id));
-        if self.may_fail(state, Fault::ConnectionRefused) {
-            steps.push(Step::ConnectionRefused(id));
+    /// What may happen to a connection that is being dialed.
+    fn generate_dial_steps(&mut self, id: ConnectionId, connection: &Connection) {
+        self.steps.push(Step::ConnectionEstablished(id));
+        if self.may_fail(Fault::ConnectionRefused) {
+            self.steps.push(Step::ConnectionRefused(id));
         }
-        if state.now >= connection.since + self.dial_timeout() {
-            steps.push(Step::DialTimesOut(id));
+        if self.state.now() >= connection.since() + self.model.dial_timeout() {
+            self.steps.push(Step::DialTimesOut(id));
         }
     }
 
-    fn generate_exchange_steps(
-        &self,
-        state: &State,
-        id: ConnectionId,
-        connection: &Connection,
-        steps: &mut Vec<Step>,
-    ) {
-        if connection.written != Written::All && !connection.closed_by_server {
-            if connection.written == Written::Nothing {
-                steps.push(Step::PartWritten(id));
+    /// What may happen to an established connection that an attempt uses.
+    fn generate_exchange_steps(&mut self, id: ConnectionId, connection: &Connection) {
+        let closed_by_server = connection.is_closed_by_server();
+        if connection.written() != Written::All && !closed_by_server {
+            if connection.written() == Written::Nothing {
+                self.steps.push(Step::PartWritten(id));
             }
-            steps.push(Step::LastByteWritten(id));
+            self.steps.push(Step::LastByteWritten(id));
         }
         // A connection that the server closed while it was idle breaks when the front writes to it.
-        if connection.closed_by_server || self.may_fail(state, Fault::ConnectionBreaks) {
-            steps.push(Step::ConnectionBreaks(id));
+        if closed_by_server || self.may_fail(Fault::ConnectionBreaks) {
+            self.steps.push(Step::ConnectionBreaks(id));
         }
-        if connection.unsolicited_bytes {
-            steps.push(Step::UnsolicitedBytesRead(id));
+        if connection.has_unsolicited_bytes() {
+            self.steps.push(Step::UnsolicitedBytesRead(id));
         }
     }
 
-    fn generate_server_steps(&self, state: &State, steps: &mut Vec<Step>) {
-        for (index, work) in state.server_work.iter().enumerate() {
-            if !work.executed {
-                steps.push(Step::ServerExecutes(index));
-            }
-            if work.orphaned {
-                if !work.executed {
-                    steps.push(Step::ServerDrops(index));
-                }
-                continue;
-            }
-            if work.executed {
-                steps.push(Step::ResponseArrives(index));
-            }
-            if work.executed && self.may_fail(state, Fault::UnreadableResponse) {
-                steps.push(Step::UnreadableResponse(index));
+    /// What a server may do with a request that it has received.
+    fn generate_server_steps(&mut self, index: usize, work: &ServerWork) {
+        if !work.is_executed() {
+            self.steps.push(Step::ServerExecutes(index));
+        }
+        if work.is_orphaned() {
+            if !work.is_executed() {
+                self.steps.push(Step::ServerDrops(index));
             }
-            if self.may_fail(state, Fault::ServerError) {
-                steps.push(Step::ServerError(index));
+            return;
+        }
+        if work.is_executed() {
+            self.steps.push(Step::ResponseArrives(index));
+        }
+        if work.is_executed() && self.may_fail(Fault::UnreadableResponse) {
+            self.steps.push(Step::UnreadableResponse(index));
+        }
+        if self.may_fail(Fault::ServerError) {
+            self.steps.push(Step::ServerError(index));
+        }
+        if !work.is_executed() && self.may_fail(Fault::ServerRejects) {
+            self.steps.push(Step::ServerRejects(index));
+        }
+    }
+
+    /// What the front may do with its attempts, other than on connections.
+    fn generate_attempt_steps(&mut self) {
+        for (&AttemptKey { request, attempt }, state) in self.state.attempts() {
+            if state.is_cancelled() {
+                self.steps.push(Step::AttemptDropped(request, attempt));
+            } else if state.withdrawn().is_some() && state.is_dialing() {
+                self.steps.push(Step::AttemptWithdrawn(request, attempt));
             }
-            if !work.executed && self.may_fail(state, Fault::ServerRejects) {
-                steps.push(Step::ServerRejects(index));
+            if self.state.now() >= state.deadline() {
+                self.steps.push(Step::AttemptTimesOut(request, attempt));
             }
         }
     }
 
     /// The clock advances only after all that is due is done, so that nothing is late by more than
     /// one clock step.
-    fn generate_clock_steps(&self, state: &State, client_may_send: bool, steps: &mut Vec<Step>) {
-        if steps.iter().any(Step::is_due) {
+    fn generate_clock_steps(&mut self, client_may_send: bool) {
+        if self.steps.iter().any(Step::is_due) {
             return;
         }
-        let client_may_send_later = client_may_send && state.clock_steps < self.max_clock_steps;
-        if state.is_busy() || client_may_send_later {
-            steps.push(Step::ClockAdvances);
-            if self.may_fail(state, Fault::FrontStalls) {
-                steps.push(Step::FrontStalls);
+        let clock_steps_left = self.state.clock_steps() < self.model.max_clock_steps;
+        if self.state.is_busy() || client_may_send && clock_steps_left {
+            self.steps.push(Step::ClockAdvances);
+            if self.may_fail(Fault::FrontStalls) {
+                self.steps.push(Step::FrontStalls);
             }
         }
     }
+}
 
-    /// Every decision that the rules allow, given what the front can know.
-    fn generate_decisions(&self, state: &State, steps: &mut Vec<Step>) {
-        let PolicyUnderTest::Unrestricted(known) = state.tracker.decisions() else {
+/// Decisions of an unrestricted policy.
+impl StepGenerator<'_> {
+    /// Appends every decision that the rules allow, given what the front can know.
+    fn generate_decisions(&mut self) {
+        let PolicyUnderTest::Unrestricted(known) = self.state.tracker().decisions() else {
             return;
         };
-        for (node, node_state) in state.nodes.iter().enumerate() {
-            let in_use = state
-                .attempts
-                .values()
-                .any(|attempt| attempt.node == NodeId(node));
-            if node_state.listed == Listed::Removed && !node_state.forgotten && !in_use {
-                steps.push(Step::Decision(Action::ForgetNode(NodeId(node))));
+        let nodes = self.state.nodes();
+        for node in nodes.ids() {
+            let may_be_forgotten = nodes.is_removed(node) && !nodes.is_forgotten(node);
+            if may_be_forgotten && !self.state.is_node_in_use(node) {
+                self.decide(Action::ForgetNode(node));
             }
         }
-        for (&id, request) in state.tracker.requests() {
+        for (&id, request) in self.state.tracker().requests() {
             if let Some(known) = known.get(&id) {
-                self.generate_request_decisions(state, id, request, known, steps);
+                self.generate_request_decisions(id, request, known);
             }
         }
     }
 
+    /// Appends a decision.
+    fn decide(&mut self, action: Action) {
+        self.steps.push(Step::Decision(action));
+    }
+
+    /// Appends every decision about a request.
     fn generate_request_decisions(
-        &self,
-        state: &State,
+        &mut self,
         id: RequestId,
         request: &InFlightRequest,
         known: &KnownRequest,
-        steps: &mut Vec<Step>,
     ) {
-        for attempt in request
-            .in_flight
-            .iter()
-            .filter(|attempt| !attempt.cancelled)
-        {
-            steps.push(Step::Decision(Action::Cancel {
-                id,
-                attempt: attempt.attempt,
-            }));
-        }
-        let attempts_left = request.attempts_started < self.settings.max_attempts;
+        self.generate_cancellations(id, request);
+        let attempts_left = request.attempts_started < self.model.settings.max_attempts;
         if request.answered {
             // A decision may come late: the request tracker must send nothing for an answered
             // request.
             if attempts_left {
-                steps.push(Step::Decision(Action::Send {
-                    id,
-                    node: NodeId(0),
-                    timeout: 0,
-                }));
+                self.decide(send(id, NodeId(0)));
             }
             return;
         }
-        let at_most_once = self.settings.classes[known.class].semantics == Semantics::AtMostOnce;
+        let class = &self.model.settings.classes[known.class];
+        let at_most_once = class.semantics == Semantics::AtMostOnce;
         let none_in_flight = request.in_flight.is_empty();
         if none_in_flight && attempts_left && !(at_most_once && known.may_have_run) {
-            for (node, node_state) in state.nodes.iter().enumerate() {
-                if node_state.listed == Listed::Up {
-                    steps.push(Step::Decision(Action::Send {
-                        id,
-                        node: NodeId(node),
-                        timeout: 0,
-                    }));
-                }
-            }
+            self.generate_sends(id);
         }
         let may_still_run = known.may_have_run || !none_in_flight;
         if !at_most_once || !may_still_run {
-            steps.push(Step::Decision(Action::Reject {
+            self.decide(Action::Reject {
                 id,
                 retry_after: RETRY_AFTER,
-            }));
+            });
         }
-        steps.push(Step::Decision(Action::Fail(id)));
+        self.decide(Action::Fail(id));
     }
-}
 
-fn generate_attempt_steps(state: &State, steps: &mut Vec<Step>) {
-    for (&AttemptKey { request, attempt }, attempt_state) in &state.attempts {
-        let is_dialing = attempt_state.machine == Attempt::Dialing;
-        if attempt_state.cancelled {
-            steps.push(Step::AttemptDropped(request, attempt));
-        } else if attempt_state.withdrawn.is_some() && is_dialing {
-            steps.push(Step::AttemptWithdrawn(request, attempt));
+    /// Appends the cancellation of each attempt of a request that is not cancelled yet.
+    fn generate_cancellations(&mut self, id: RequestId, request: &InFlightRequest) {
+        for in_flight in &request.in_flight {
+            if !in_flight.cancelled {
+                let attempt = in_flight.attempt;
+                self.decide(Action::Cancel { id, attempt });
+            }
         }
-        if state.now >= attempt_state.deadline {
-            steps.push(Step::AttemptTimesOut(request, attempt));
+    }
+
+    /// Appends an attempt of a request to each node that is up.
+    fn generate_sends(&mut self, id: RequestId) {
+        let nodes = self.state.nodes();
+        for node in nodes.ids() {
+            if nodes.is_up(node) {
+                self.decide(send(id, node));
+            }
         }
     }
 }
+
+/// The decision to start an attempt of a request to a node.
+fn send(id: RequestId, node: NodeId) -> Action {
+    Action::Send {
+        id,
+        node,
+        timeout: NO_TIMEOUT,
+    }
+}
--- a/crates/model-checker/tests/checker.rs
+++ b/crates/model-checker/tests/checker.rs
@@ -9,7 +9,7 @@
 use tulipbridge_model_checker::explore::{explore, random_walk, Report, SearchLimits};
 use tulipbridge_model_checker::history::{minimize, History};
 use tulipbridge_model_checker::model::Model;
-use tulipbridge_model_checker::request_model::{RequestModel, State};
+use tulipbridge_model_checker::request_model::{RequestModel, RequestState};
 use tulipbridge_model_checker::{configs, properties, with_config};
 
 /// Memory limit that no search of these tests reaches, in MB.
@@ -94,7 +94,7 @@
 fn minimized_history_has_no_step_that_can_be_left_out() {
     let model = configs::large();
     let steps = random_walk(&model, SEED, WALK_STEPS);
-    let is_goal = |state: &State| state.answered_clients() > 0;
+    let is_goal = |state: &RequestState| state.answered_clients() > 0;
     let minimized = minimize(&model, &steps, is_goal);
     // Sent, connected, written, executed and answered, or sent and rejected: no more is needed.
     assert!(
