--- a/crates/fleet-limits/src/config.rs
+++ b/crates/fleet-limits/src/config.rs
@@ -11,7 +11,7 @@
 const DEFAULT_HEARTBEAT_INTERVAL: Nanos = 200 * MILLISECOND;
 /// In millionths.
 const DEFAULT_CLOCK_DRIFT: u32 = 1_000;
-const DEFAULT_FLOOR: Share = FULL_SHARE / 10;
+const DEFAULT_FLOOR: Share = Share(FULL_SHARE.0 / 10);
 /// In limits for each heartbeat.
 const DEFAULT_MAX_LIMITS: usize = 1_000;
 
@@ -26,7 +26,7 @@
     /// This front: the position of its name in the sorted roster, from 0.
     pub me: PeerId,
     /// Number of fronts in the roster.
-    pub fronts: PeerId,
+    pub fronts: u16,
     /// Digest of the roster: only fronts with the same one vote for and grant leases to each other.
     pub roster: u64,
     /// Revision of the roster, from 1.
@@ -52,7 +52,7 @@
         /// The front.
         me: PeerId,
         /// Number of fronts in the roster.
-        fronts: PeerId,
+        fronts: u16,
     },
     /// Heartbeats are too far apart for votes and leases to be renewed in time.
     #[error(
@@ -76,7 +76,7 @@
     /// The default configuration of front `me` of a roster of `fronts`: a lease duration of 2 s, a
     /// heartbeat every 200 ms, clocks that differ by 0.1% at most, and a tenth of each limit as
     /// floors.
-    pub fn new(me: PeerId, fronts: PeerId, roster: u64) -> LimitsConfig {
+    pub fn new(me: PeerId, fronts: u16, roster: u64) -> LimitsConfig {
         LimitsConfig {
             me,
             fronts,
@@ -95,7 +95,7 @@
     /// # Errors
     /// The first problem that is found.
     pub fn check(&self) -> Result<(), LimitsConfigError> {
-        if self.me >= self.fronts {
+        if self.me.0 >= self.fronts {
             return Err(LimitsConfigError::UnknownPeer {
                 me: self.me,
                 fronts: self.fronts,
@@ -137,12 +137,12 @@
 
     /// The share of each limit that a front owns for good.
     pub fn floor_share(&self) -> Share {
-        self.floor / Share::from(self.fronts.max(1))
+        self.floor / u32::from(self.fronts.max(1))
     }
 
     /// The share of each limit that each lease issuer has.
     pub fn issuer_share(&self) -> Share {
-        (FULL_SHARE - self.floor) / Share::from(self.fronts.max(1))
+        (FULL_SHARE - self.floor) / u32::from(self.fronts.max(1))
     }
 
     /// Votes that are needed to hold a lease issuer, the holder's own included: half of the fronts
--- a/crates/fleet-limits/src/coordinator.rs
+++ b/crates/fleet-limits/src/coordinator.rs
@@ -74,7 +74,7 @@
         let is_first_revision = config.is_first_revision();
         // The first roster has no predecessor, so that every front counts as having adopted it.
         let settled = if is_first_revision {
-            (0..config.fronts).collect()
+            PeerId::all(config.fronts).collect()
         } else {
             BTreeSet::from([config.me])
         };
@@ -84,7 +84,7 @@
             old_floor: if is_first_revision {
                 config.floor_share()
             } else {
-                0
+                Share::NONE
             },
             settled,
             peers: vec![Peer::default(); usize::from(config.fronts)],
--- a/crates/fleet-limits/src/coordinator/claiming.rs
+++ b/crates/fleet-limits/src/coordinator/claiming.rs
@@ -26,13 +26,13 @@
     /// What this front may use or grant of every limit: its floor and the issuers that it holds.
     pub(super) fn own_share(&self, now: Nanos) -> Share {
         if (self.is_starting(now) && !mutated(Mutation::FloorAtOnce)) || self.is_standby(now) {
-            return 0;
+            return Share::NONE;
         }
         if !self.is_settled() {
             return self.old_floor.min(self.config.floor_share());
         }
-        let issuers = self.issuers_held(now).len() as Share;
-        self.config.floor_share() + issuers * self.config.issuer_share()
+        let issuers = self.issuers_held(now).len() as u32;
+        self.config.floor_share() + self.config.issuer_share() * issuers
     }
 
     /// When the first of the issuers expires that make up the own share; [`Nanos::MAX`] without
@@ -59,7 +59,7 @@
         self.claims
             .entry(me)
             .or_insert_with(|| IssuerClaim::new(now));
-        for issuer in (0..self.config.fronts).filter(|issuer| *issuer != me) {
+        for issuer in PeerId::all(self.config.fronts).filter(|issuer| *issuer != me) {
             self.update_foreign_claim(now, issuer);
         }
         self.claims
@@ -125,7 +125,7 @@
     /// The first front after `peer` in the ring of the roster that is alive, this front included.
     fn successor_of(&self, now: Nanos, peer: PeerId) -> PeerId {
         let fronts = u32::from(self.config.fronts);
-        let mut ring = (1..fronts).map(|step| ((u32::from(peer) + step) % fronts) as PeerId);
+        let mut ring = (1..fronts).map(|step| PeerId(((u32::from(peer.0) + step) % fronts) as u16));
         let is_available =
             |peer: &PeerId| *peer == self.config.me || self.members.is_alive(now, *peer);
         ring.find(is_available).unwrap_or(self.config.me)
--- a/crates/fleet-limits/src/coordinator/granting.rs
+++ b/crates/fleet-limits/src/coordinator/granting.rs
@@ -33,7 +33,7 @@
     pub(super) fn grant_round(&self, now: Nanos) -> GrantRound {
         let is_reachable =
             |peer| self.members.is_alive(now, peer) && self.members.receives_from_me(now, peer);
-        let reachable: Vec<bool> = (0..self.config.fronts).map(is_reachable).collect();
+        let reachable: Vec<bool> = PeerId::all(self.config.fronts).map(is_reachable).collect();
         let mut totals: BTreeMap<Limit, LimitTotals> = BTreeMap::new();
         for (limit, demand) in self.demand.rates(now) {
             totals.entry(limit).or_default().milli_units_per_second += demand;
@@ -65,9 +65,9 @@
         self.grant_number += 1;
         let number = self.grant_number;
         let duration = self.grant_duration(now, round.expires_at);
-        let may_grant = round.reachable[usize::from(to)]
+        let may_grant = round.reachable[to.index()]
             && duration > 0
-            && round.own_share > 0
+            && round.own_share > Share::NONE
             && self.is_settled()
             && !self.members.is_shutting_down();
         if !may_grant {
@@ -86,7 +86,7 @@
                 .iter()
                 .map(|lease| (lease.limit, lease.share))
                 .collect();
-            self.peers[usize::from(to)].granted.push(LeaseSet {
+            self.peers[to.index()].granted.push(LeaseSet {
                 number,
                 expires_at,
                 shares,
@@ -114,19 +114,20 @@
     /// The leases for a peer: of each limit the peer's part of the known demand, as far as it is
     /// not granted already.
     fn divide(&self, now: Nanos, to: PeerId, round: &mut GrantRound) -> Vec<Lease> {
-        let peer = &self.peers[usize::from(to)];
+        let peer = &self.peers[to.index()];
         let mut leases = Vec::new();
         for (limit, demand) in peer.demands.iter().filter(|(_, demand)| **demand > 0) {
             let Some(totals) = round.totals.get_mut(limit) else {
                 continue;
             };
             let total_demand = u128::from(totals.milli_units_per_second.max(1));
-            let fair = (u128::from(round.own_share) * u128::from(*demand) / total_demand) as Share;
+            let fair = u128::from(round.own_share.0) * u128::from(*demand) / total_demand;
+            let fair = Share(fair as u32);
             let granted_before = peer.granted_share(now, *limit);
             let granted_to_others = totals.granted - granted_before;
             let share = fair.min(round.own_share.saturating_sub(granted_to_others));
             totals.granted = granted_to_others + granted_before.max(share);
-            if share > 0 {
+            if share > Share::NONE {
                 leases.push(Lease {
                     limit: *limit,
                     share,
--- a/crates/fleet-limits/src/coordinator/heartbeats.rs
+++ b/crates/fleet-limits/src/coordinator/heartbeats.rs
@@ -6,7 +6,8 @@
 
 use super::LimitCoordinator;
 use crate::{
-    Demand, Effect, Heartbeat, LeaseGrant, Limit, LimitsConfig, MessageStatus, Nanos, PeerId,
+    Demand, Effect, GrantInUse, Heartbeat, LeaseGrant, Limit, LimitsConfig, MessageStatus, Nanos,
+    PeerId,
 };
 
 impl LimitCoordinator {
@@ -16,7 +17,7 @@
         let me = self.config.me;
         let mut round = self.grant_round(now);
         let common = self.common_heartbeat(now);
-        for to in (0..self.config.fronts).filter(|to| *to != me) {
+        for to in PeerId::all(self.config.fronts).filter(|to| *to != me) {
             let grant = self.grant_to(now, to, &mut round);
             let heartbeat = Box::new(self.heartbeat_for(now, to, grant, &common));
             effects.push(Effect::Send { to, heartbeat });
@@ -31,8 +32,11 @@
         grant: LeaseGrant,
         common: &Heartbeat,
     ) -> Heartbeat {
-        let peer = &self.peers[usize::from(to)];
-        let held_grant = |incarnation| (incarnation, peer.held.number);
+        let peer = &self.peers[to.index()];
+        let held_grant = |grantor| GrantInUse {
+            grantor,
+            number: peer.held.number,
+        };
         Heartbeat {
             state: self.members.state_for(now, to),
             votes: peer.votes_for.clone(),
--- a/crates/fleet-limits/src/coordinator/receiving.rs
+++ b/crates/fleet-limits/src/coordinator/receiving.rs
@@ -79,14 +79,14 @@
             return Reception::rejected(status);
         };
         if first {
-            self.peers[usize::from(sender.peer)].reset_for_new_incarnation();
+            self.peers[sender.peer.index()].reset_for_new_incarnation();
         }
         self.update_peer(now, sender.peer, heartbeat);
         let changed_limits = self.take_answers(now, sender.peer, heartbeat);
         let known = heartbeat
             .settled
             .iter()
-            .filter(|peer| **peer < self.config.fronts);
+            .filter(|peer| peer.0 < self.config.fronts);
         self.settled.extend(known);
         self.settled.insert(sender.peer);
         self.answer_claims(now, sender, heartbeat);
@@ -113,15 +113,15 @@
     /// Notes the demand of the sender and which of its leases it still uses.
     fn update_peer(&mut self, now: Nanos, sender: PeerId, heartbeat: &Heartbeat) {
         let own_incarnation = self.incarnation();
-        let peer = &mut self.peers[usize::from(sender)];
+        let peer = &mut self.peers[sender.index()];
         let listed = heartbeat.demands.iter().take(self.config.max_limits);
         let bounded =
             |demand: &Demand| (demand.limit, demand.milli_units_per_second.min(MAX_DEMAND));
         peer.demands = listed.map(bounded).collect();
         let in_use = heartbeat
             .grant_in_use
-            .filter(|(grantor, _)| *grantor == own_incarnation);
-        peer.release_unused_grants(now, in_use.map(|(_, number)| number));
+            .filter(|in_use| in_use.grantor == own_incarnation);
+        peer.release_unused_grants(now, in_use.map(|in_use| in_use.number));
     }
 
     /// Takes the leases and the votes of a heartbeat, where it echoes one of this incarnation: they
@@ -137,12 +137,12 @@
         let echo = heartbeat
             .state
             .echo
-            .filter(|(incarnation, _)| *incarnation == own_incarnation);
-        let Some((_, echoed_at)) = echo else {
+            .filter(|echo| echo.incarnation == own_incarnation);
+        let Some(echo) = echo else {
             return BTreeSet::new();
         };
         // A heartbeat that is still to be sent cannot have been received.
-        let requested_at = echoed_at.min(now);
+        let requested_at = echo.sent_at.min(now);
         let changed_limits = self.take_grant(now, sender, requested_at, &heartbeat.grant);
         self.count_votes(now, sender, requested_at, &heartbeat.votes);
         changed_limits
@@ -160,7 +160,7 @@
         } else {
             requested_at
         };
-        let peer = &mut self.peers[usize::from(sender)];
+        let peer = &mut self.peers[sender.index()];
         if grant.number <= peer.held.number {
             return BTreeSet::new();
         }
@@ -216,6 +216,6 @@
             .iter()
             .copied()
             .filter(|issuer| votes.vote_for(now, *issuer, sender, expires_at));
-        self.peers[usize::from(sender.peer)].votes_for = granted.collect();
+        self.peers[sender.peer.index()].votes_for = granted.collect();
     }
 }
--- a/crates/fleet-limits/src/coordinator/reporting.rs
+++ b/crates/fleet-limits/src/coordinator/reporting.rs
@@ -21,15 +21,15 @@
     /// The own share without what is granted to peers, plus what is leased from them.
     fn effective_share(&self, now: Nanos, own_share: Share, limit: Limit) -> Share {
         if self.is_standby(now) || self.members.is_shutting_down() {
-            return 0;
+            return Share::NONE;
         }
         let granted = if mutated(Mutation::GrantsNotDeducted) {
-            0
+            Share::NONE
         } else {
             self.total_granted(now, limit)
         };
         let leased_shares = self.peers.iter().map(|peer| peer.held_share(now, limit));
-        let leased = leased_shares.fold(0, Share::saturating_add);
+        let leased = leased_shares.fold(Share::NONE, Share::saturating_add);
         (own_share.saturating_sub(granted) + leased).min(FULL_SHARE)
     }
 
--- a/crates/fleet-limits/src/coordinator/status.rs
+++ b/crates/fleet-limits/src/coordinator/status.rs
@@ -67,7 +67,7 @@
     /// # Panics
     /// Where the roster has no such front.
     pub fn peer_report(&self, now: Nanos, peer: PeerId) -> PeerReport {
-        let leases = &self.peers[usize::from(peer)];
+        let leases = &self.peers[peer.index()];
         PeerReport {
             status: self.members.status(now, peer),
             incarnation: self.members.incarnation_of(peer),
--- a/crates/fleet-limits/src/heartbeat.rs
+++ b/crates/fleet-limits/src/heartbeat.rs
@@ -39,6 +39,15 @@
     pub leases: Vec<Lease>,
 }
 
+/// Identifies a grant to the front that made it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct GrantInUse {
+    /// The incarnation that made the grant.
+    pub grantor: Incarnation,
+    /// Its [`LeaseGrant::number`].
+    pub number: u64,
+}
+
 /// The periodic message from one front to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Heartbeat {
@@ -60,8 +69,8 @@
     pub settled: Vec<PeerId>,
     /// Demand at the sender.
     pub demands: Vec<Demand>,
-    /// The receiver's incarnation and the number of its grant that the sender uses now.
-    pub grant_in_use: Option<(Incarnation, u64)>,
+    /// The grant of the receiver that the sender uses now.
+    pub grant_in_use: Option<GrantInUse>,
     /// Leases for the receiver.
     pub grant: LeaseGrant,
 }
--- a/crates/fleet-limits/src/leases.rs
+++ b/crates/fleet-limits/src/leases.rs
@@ -24,7 +24,7 @@
 
     /// The largest leased share of any limit.
     fn largest_share(&self) -> Share {
-        self.shares.values().copied().max().unwrap_or(0)
+        self.shares.values().copied().max().unwrap_or(Share::NONE)
     }
 
     /// The limits of which `next` leases another share than this set.
@@ -70,7 +70,7 @@
             .filter_map(|grant| grant.shares.get(&limit))
             .max()
             .copied()
-            .unwrap_or(0)
+            .unwrap_or(Share::NONE)
     }
 
     /// The limits that are part of any grant to the peer.
@@ -84,21 +84,24 @@
     /// The largest share of any limit that the peer may be using now by this front's grants.
     pub fn largest_granted_share(&self, now: Nanos) -> Share {
         let active = self.granted.iter().filter(|grant| grant.is_active(now));
-        active.map(LeaseSet::largest_share).max().unwrap_or(0)
+        active
+            .map(LeaseSet::largest_share)
+            .max()
+            .unwrap_or(Share::NONE)
     }
 
     /// The share of a limit that this front may use now by leases from the peer.
     pub fn held_share(&self, now: Nanos, limit: Limit) -> Share {
         if !self.held.is_active(now) {
-            return 0;
+            return Share::NONE;
         }
-        self.held.shares.get(&limit).copied().unwrap_or(0)
+        self.held.shares.get(&limit).copied().unwrap_or(Share::NONE)
     }
 
     /// The largest share of any limit that this front may use now by leases from the peer.
     pub fn largest_held_share(&self, now: Nanos) -> Share {
         if !self.held.is_active(now) {
-            return 0;
+            return Share::NONE;
         }
         self.held.largest_share()
     }
--- a/crates/fleet-limits/src/lib.rs
+++ b/crates/fleet-limits/src/lib.rs
@@ -8,12 +8,14 @@
 //! `docs/fleet-limits.md`.
 //!
 //! ```
-//! use tulipbridge_fleet_limits::{Event, Limit, LimitCoordinator, LimitsConfig, FULL_SHARE};
+//! use tulipbridge_fleet_limits::{
+//!     Event, Incarnation, Limit, LimitCoordinator, LimitsConfig, PeerId, FULL_SHARE,
+//! };
 //!
 //! let second = 1_000_000_000;
 //! let volume = Limit::Volume(9);
-//! let config = LimitsConfig::new(0, 1, 7);
-//! let mut coordinator = LimitCoordinator::new(config, 1, 0).expect("the configuration is valid");
+//! let config = LimitsConfig::new(PeerId(0), 1, 7);
+//! let mut coordinator = LimitCoordinator::new(config, Incarnation(1), 0).expect("the configuration is valid");
 //! let mut effects = Vec::new();
 //! coordinator.on(3 * second, Event::HeartbeatDue, &mut effects);
 //! coordinator.on(3 * second, Event::Demanded { limit: volume, units: 2.0 }, &mut effects);
@@ -30,12 +32,14 @@
 mod heartbeat;
 mod leases;
 pub mod mutations;
+mod share;
 mod votes;
 
 pub use config::{LimitsConfig, LimitsConfigError};
 pub use coordinator::{LimitCoordinator, PeerReport};
 pub use event::{Effect, Event};
-pub use heartbeat::{Demand, Heartbeat, Lease, LeaseGrant};
+pub use heartbeat::{Demand, GrantInUse, Heartbeat, Lease, LeaseGrant};
+pub use share::{Share, FULL_SHARE};
 pub use tulipbridge_membership::{Incarnation, MessageStatus, Nanos, PeerId, PeerStatus};
 
 /// A limit that holds for the whole fleet.
@@ -49,9 +53,3 @@
     /// Units of one volume, by its identifier in the store.
     Volume(u64),
 }
-
-/// A share of a limit in millionths, so that [`FULL_SHARE`] is the whole limit of the fleet.
-pub type Share = u32;
-
-/// The whole of a limit.
-pub const FULL_SHARE: Share = 1_000_000;
--- a/crates/fleet-limits/src/votes.rs
+++ b/crates/fleet-limits/src/votes.rs
@@ -31,7 +31,7 @@
 
 impl VoteTable {
     /// A table without votes for the issuers of a fleet.
-    pub fn new(fronts: PeerId) -> VoteTable {
+    pub fn new(fronts: u16) -> VoteTable {
         VoteTable {
             votes: vec![None; usize::from(fronts)],
         }
@@ -46,7 +46,7 @@
         holder: Holder,
         expires_at: Nanos,
     ) -> bool {
-        let Some(vote) = self.votes.get_mut(usize::from(issuer)) else {
+        let Some(vote) = self.votes.get_mut(issuer.index()) else {
             return false;
         };
         let is_free = vote.is_none_or(|vote| vote.expires_at <= now || vote.holder == holder);
@@ -60,7 +60,7 @@
     /// Withdraws the votes for a holder on issuers that it no longer claims.
     pub fn release_unclaimed(&mut self, holder: Holder, claims: &[PeerId]) {
         for (issuer, vote) in self.votes.iter_mut().enumerate() {
-            let is_claimed = claims.contains(&(issuer as PeerId));
+            let is_claimed = claims.contains(&PeerId::at(issuer));
             if vote.is_some_and(|vote| vote.holder == holder) && !is_claimed {
                 *vote = None;
             }
--- a/crates/fleet-limits/tests/config.rs
+++ b/crates/fleet-limits/tests/config.rs
@@ -1,17 +1,17 @@
 //! Validation of configurations, and the invariants of quorums and shares.
 
-use tulipbridge_fleet_limits::{LimitsConfig, Share, FULL_SHARE};
+use tulipbridge_fleet_limits::{LimitsConfig, PeerId, Share, FULL_SHARE};
 
 #[test]
 fn quorums_overlap_and_shares_fit_the_limit_for_any_fleet_size() {
     for fronts in 1..=400 {
-        let config = LimitsConfig::new(0, fronts, 1);
+        let config = LimitsConfig::new(PeerId(0), fronts, 1);
         assert!(
             config.quorum(true) + config.quorum(false) > usize::from(fronts),
             "{fronts}"
         );
         assert!(
-            (config.floor_share() + config.issuer_share()) * Share::from(fronts) <= FULL_SHARE,
+            (config.floor_share() + config.issuer_share()) * u32::from(fronts) <= FULL_SHARE,
             "{fronts}"
         );
     }
@@ -19,11 +19,11 @@
 
 #[test]
 fn an_invalid_configuration_is_rejected_with_its_reason() {
-    let valid = LimitsConfig::new(0, 4, 1);
+    let valid = LimitsConfig::new(PeerId(0), 4, 1);
     assert_eq!(valid.check(), Ok(()));
     let invalid = [
         LimitsConfig {
-            me: 4,
+            me: PeerId(4),
             ..valid.clone()
         },
         LimitsConfig {
@@ -31,7 +31,7 @@
             ..valid.clone()
         },
         LimitsConfig {
-            floor: FULL_SHARE + 1,
+            floor: FULL_SHARE + Share(1),
             ..valid.clone()
         },
         LimitsConfig {
--- a/crates/fleet-limits/tests/coordinator.rs
+++ b/crates/fleet-limits/tests/coordinator.rs
@@ -4,16 +4,16 @@
 use std::hash::{DefaultHasher, Hasher};
 
 use tulipbridge_fleet_limits::{
-    Effect, Event, Heartbeat, Limit, LimitCoordinator, LimitsConfig, Nanos, PeerId, Share,
-    FULL_SHARE,
+    Effect, Event, Heartbeat, Incarnation, Limit, LimitCoordinator, LimitsConfig, Nanos, PeerId,
+    Share, FULL_SHARE,
 };
 
 const MS: Nanos = 1_000_000;
 const HEARTBEAT_INTERVAL: Nanos = 200 * MS;
 const VOLUME: Limit = Limit::Volume(7);
 
-fn front(me: PeerId, fronts: PeerId, roster: u64) -> LimitCoordinator {
-    let incarnation = u64::from(me) * 100 + roster;
+fn front(me: PeerId, fronts: u16, roster: u64) -> LimitCoordinator {
+    let incarnation = Incarnation(u64::from(me.0) * 100 + roster);
     LimitCoordinator::new(LimitsConfig::new(me, fronts, roster), incarnation, 0)
         .expect("the configuration is valid")
 }
@@ -99,7 +99,7 @@
 
 /// Two fronts after 19 rounds, the last one at 3.8 s.
 fn established_pair() -> [LimitCoordinator; 2] {
-    let mut fronts = [front(0, 2, 1), front(1, 2, 1)];
+    let mut fronts = [front(PeerId(0), 2, 1), front(PeerId(1), 2, 1)];
     for step in 1..20 {
         round(&mut fronts, step * HEARTBEAT_INTERVAL);
     }
@@ -115,18 +115,23 @@
 
 #[test]
 fn a_restarted_front_uses_nothing_of_its_own_for_a_lease_duration() {
-    let mut fronts = [front(0, 2, 1), front(1, 2, 1)];
+    let mut fronts = [front(PeerId(0), 2, 1), front(PeerId(1), 2, 1)];
     let mut now = 0;
     while now < 1_900 * MS {
         now += HEARTBEAT_INTERVAL;
         round(&mut fronts, now);
-        assert_eq!(shares(&fronts, now), vec![0, 0], "at {} ms", now / MS);
+        assert_eq!(
+            shares(&fronts, now),
+            vec![Share::NONE; 2],
+            "at {} ms",
+            now / MS
+        );
     }
     for _ in 0..10 {
         now += HEARTBEAT_INTERVAL;
         round(&mut fronts, now);
     }
-    let sum: Share = shares(&fronts, now).iter().sum();
+    let sum: Share = shares(&fronts, now).into_iter().sum();
     assert!(
         (FULL_SHARE - FULL_SHARE / 50..=FULL_SHARE).contains(&sum),
         "{sum}"
@@ -135,7 +140,11 @@
 
 #[test]
 fn a_partitioned_front_of_three_falls_to_its_floor_when_its_votes_expire() {
-    let mut fronts = [front(0, 3, 1), front(1, 3, 1), front(2, 3, 1)];
+    let mut fronts = [
+        front(PeerId(0), 3, 1),
+        front(PeerId(1), 3, 1),
+        front(PeerId(2), 3, 1),
+    ];
     let mut now = 0;
     for _ in 0..20 {
         now += HEARTBEAT_INTERVAL;
@@ -157,16 +166,16 @@
     // Two fronts whose roster has only the two, and two whose roster has all four: 0 and 1 are the
     // same in both.
     let mut fronts = [
-        front(0, 2, 1),
-        front(1, 2, 1),
-        front(2, 4, 2),
-        front(3, 4, 2),
+        front(PeerId(0), 2, 1),
+        front(PeerId(1), 2, 1),
+        front(PeerId(2), 4, 2),
+        front(PeerId(3), 4, 2),
     ];
     let mut now = 0;
     for _ in 0..40 {
         now += HEARTBEAT_INTERVAL;
         round(&mut fronts, now);
-        let sum: Share = shares(&fronts, now).iter().sum();
+        let sum: Share = shares(&fronts, now).into_iter().sum();
         assert!(sum <= FULL_SHARE, "{sum} at {} ms", now / MS);
     }
     let yielding: Vec<bool> = fronts
@@ -193,7 +202,7 @@
             .grant
             .leases
             .iter_mut()
-            .for_each(|lease| lease.share = 200_000);
+            .for_each(|lease| lease.share = Share(200_000));
         let event = received(&fronts[1], heartbeat);
         let mut effects = Vec::new();
         fronts[0].on(now, event, &mut effects);
@@ -203,7 +212,7 @@
     let (_, with_longer_lease) = share_after(1, 2_000 * MS);
     let (reported, with_shorter_lease) = share_after(2, 0);
     assert!(
-        with_shorter_lease + 200_000 == with_longer_lease,
+        with_shorter_lease + Share(200_000) == with_longer_lease,
         "{with_shorter_lease}, {with_longer_lease}"
     );
     assert_eq!(
@@ -215,7 +224,7 @@
 
 #[test]
 fn a_volume_without_demand_is_forgotten_after_fifteen_seconds() {
-    let mut alone = front(0, 1, 1);
+    let mut alone = front(PeerId(0), 1, 1);
     let mut effects = Vec::new();
     alone.on(
         3_000 * MS,
@@ -271,17 +280,17 @@
 fn a_heartbeat_with_arbitrary_peers_and_numbers_does_no_harm() {
     let mut fronts = established_pair();
     let mut wild = next_heartbeat(&mut fronts[1], 4_000 * MS);
-    wild.claims = vec![0, 1, 9, u16::MAX];
-    wild.votes = vec![0, 1, 9, u16::MAX];
-    wild.settled = vec![7, u16::MAX];
-    wild.state.reachable = vec![9, u16::MAX];
+    wild.claims = [0, 1, 9, u16::MAX].map(PeerId).to_vec();
+    wild.votes = [0, 1, 9, u16::MAX].map(PeerId).to_vec();
+    wild.settled = [7, u16::MAX].map(PeerId).to_vec();
+    wild.state.reachable = [9, u16::MAX].map(PeerId).to_vec();
     wild.grant.number = u64::MAX;
     wild.grant.duration = Nanos::MAX;
     wild.demands
         .iter_mut()
         .for_each(|demand| demand.milli_units_per_second = u64::MAX);
     let boot = fronts[1].incarnation();
-    for from in [0, 1, 2, u16::MAX] {
+    for from in [0, 1, 2, u16::MAX].map(PeerId) {
         let event = Event::HeartbeatReceived {
             from,
             incarnation: boot,
--- a/crates/fleet-limits/tests/golden.rs
+++ b/crates/fleet-limits/tests/golden.rs
@@ -9,8 +9,8 @@
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use tulipbridge_fleet_limits::{Demand, Heartbeat, Lease, LeaseGrant, Limit};
-use tulipbridge_membership::{EnvelopeCodec, PeerState};
+use tulipbridge_fleet_limits::{Demand, GrantInUse, Heartbeat, Lease, LeaseGrant, Limit, Share};
+use tulipbridge_membership::{Echo, EnvelopeCodec, Incarnation, PeerId, PeerState};
 
 /// Length of a datagram's header, in bytes.
 const HEADER_LENGTH: usize = 14;
@@ -26,7 +26,9 @@
 /// equal value.
 fn assert_golden<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, expected: &str) {
     let codec = EnvelopeCodec::new(b"golden key of the fronts").expect("the key is long enough");
-    let datagram = codec.seal(1, 2, value).expect("the datagram is short");
+    let datagram = codec
+        .seal(PeerId(1), Incarnation(2), value)
+        .expect("the datagram is short");
     assert_eq!(
         hex(&datagram[HEADER_LENGTH..datagram.len() - DIGEST_LENGTH]),
         expected
@@ -40,11 +42,11 @@
 fn grant_of_two_leases() -> LeaseGrant {
     let retries = Lease {
         limit: Limit::Retries,
-        share: 130,
+        share: Share(130),
     };
     let volume = Lease {
         limit: Limit::Volume(131),
-        share: 132,
+        share: Share(132),
     };
     LeaseGrant {
         number: 400,
@@ -93,7 +95,7 @@
     assert_golden(
         &Lease {
             limit: Limit::ServerLoad,
-            share: 250_000,
+            share: Share(250_000),
         },
         concat!(
             "01",     // limit: ServerLoad
@@ -120,10 +122,13 @@
 fn heartbeat_with_all_fields() {
     let state = PeerState {
         sent_at: 3_000,
-        echo: Some((301, -64)),
+        echo: Some(Echo {
+            incarnation: Incarnation(301),
+            sent_at: -64,
+        }),
         conflicting: None,
         shutting_down: true,
-        reachable: vec![9],
+        reachable: vec![PeerId(9)],
     };
     let heartbeat = Heartbeat {
         roster: 0x8877_6655_4433_2211,
@@ -131,14 +136,17 @@
         state,
         established: false,
         is_reply: true,
-        claims: vec![1, 2],
-        votes: vec![3],
-        settled: vec![4, 640, 6],
+        claims: vec![PeerId(1), PeerId(2)],
+        votes: vec![PeerId(3)],
+        settled: vec![PeerId(4), PeerId(640), PeerId(6)],
         demands: vec![Demand {
             limit: Limit::ServerLoad,
             milli_units_per_second: 150,
         }],
-        grant_in_use: Some((302, 303)),
+        grant_in_use: Some(GrantInUse {
+            grantor: Incarnation(302),
+            number: 303,
+        }),
         grant: grant_of_two_leases(),
     };
     assert_golden(
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -23,9 +23,9 @@
 /// Index of the first byte of the sender's position.
 const SENDER_AT: usize = VERSION_AT + 1;
 /// Index of the first byte of the sender's incarnation.
-const INCARNATION_AT: usize = SENDER_AT + size_of::<PeerId>();
+const INCARNATION_AT: usize = SENDER_AT + size_of::<u16>();
 /// Index of the first byte of the message.
-const MESSAGE_AT: usize = INCARNATION_AT + size_of::<Incarnation>();
+const MESSAGE_AT: usize = INCARNATION_AT + size_of::<u64>();
 /// Length of the HMAC in bytes.
 const MAC_BYTES: usize = 32;
 /// Cap on the length of an envelope in bytes: it must fit into one UDP datagram.
@@ -105,8 +105,8 @@
         let mut header = Vec::with_capacity(TYPICAL_ENVELOPE_BYTES);
         header.extend(MAGIC);
         header.push(VERSION);
-        header.extend(from.to_le_bytes());
-        header.extend(incarnation.to_le_bytes());
+        header.extend(from.0.to_le_bytes());
+        header.extend(incarnation.0.to_le_bytes());
         let mut bytes =
             postcard::to_extend(message, header).map_err(|_| EnvelopeError::Malformed)?;
         let mut mac = self.key.clone();
@@ -136,8 +136,8 @@
         mac.update(authenticated);
         mac.verify_slice(digest)
             .map_err(|_| EnvelopeError::Digest)?;
-        let from = little_endian(&authenticated[SENDER_AT..INCARNATION_AT]) as PeerId;
-        let incarnation = little_endian(&authenticated[INCARNATION_AT..MESSAGE_AT]);
+        let from = PeerId(little_endian(&authenticated[SENDER_AT..INCARNATION_AT]) as u16);
+        let incarnation = Incarnation(little_endian(&authenticated[INCARNATION_AT..MESSAGE_AT]));
         match postcard::take_from_bytes(&authenticated[MESSAGE_AT..]) {
             Ok((message, [])) => Ok(Envelope {
                 from,
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -17,6 +17,7 @@
 pub use self::messages::{
     Delta, EntryKey, GossipAction, GossipEntry, GossipInput, GossipMessage, KnownVersion,
 };
+pub use self::origin::StoredValue;
 pub use self::store::GossipStore;
 
 /// Cap on the entries of one front, including deleted ones.
--- a/crates/membership/src/gossip/messages.rs
+++ b/crates/membership/src/gossip/messages.rs
@@ -46,8 +46,16 @@
     pub entries: Vec<GossipEntry>,
 }
 
-/// The version up to which a front knows the entries of an origin: origin, incarnation, version.
-pub type KnownVersion = (PeerId, Incarnation, u64);
+/// The version up to which a front knows the entries of an origin.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct KnownVersion {
+    /// The front that wrote the entries.
+    pub origin: PeerId,
+    /// Its incarnation.
+    pub incarnation: Incarnation,
+    /// The version of the latest known entry, 0 if there is none.
+    pub version: u64,
+}
 
 /// A message from one front to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/crates/membership/src/gossip/origin.rs
+++ b/crates/membership/src/gossip/origin.rs
@@ -2,7 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use super::{Delta, EntryError, EntryKey, GossipEntry, GossipError, MAX_ENTRIES, MAX_VALUE_BYTES};
+use super::{
+    Delta, EntryError, EntryKey, GossipEntry, GossipError, KnownVersion, MAX_ENTRIES,
+    MAX_VALUE_BYTES,
+};
 use crate::{Incarnation, Nanos, PeerId};
 
 /// Upper bound of the encoded length of an entry without its value.
@@ -11,17 +14,41 @@
 const DELTA_OVERHEAD_BYTES: usize = 32;
 const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
 
+/// An entry as a front holds it, of its own or replicated.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StoredValue<'a> {
+    /// The front that wrote it.
+    pub origin: PeerId,
+    /// The id of its key within the namespace.
+    pub id: u64,
+    /// The value.
+    pub value: &'a [u8],
+    /// Upper bound of the time since it was written.
+    pub age: Nanos,
+}
+
 /// The latest version of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct StoredEntry {
-    pub(super) version: u64,
+struct StoredEntry {
+    version: u64,
     /// When it was written, or a time before that.
-    pub(super) put_at: Nanos,
+    put_at: Nanos,
     /// The value; `None` if the entry was deleted.
-    pub(super) value: Option<Vec<u8>>,
+    value: Option<Vec<u8>>,
 }
 
 impl StoredEntry {
+    /// The entry as this front holds it; `None` if it was deleted.
+    fn as_value(&self, now: Nanos, origin: PeerId, id: u64) -> Option<StoredValue<'_>> {
+        let value = self.value.as_deref()?;
+        Some(StoredValue {
+            origin,
+            id,
+            value,
+            age: now - self.put_at,
+        })
+    }
+
     fn encoded_bytes(&self) -> i64 {
         let value_bytes = self.value.as_ref().map_or(0, Vec::len);
         (ENTRY_OVERHEAD_BYTES + value_bytes) as i64
@@ -50,9 +77,9 @@
 /// The entries of one incarnation of a front, complete up to a version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Origin {
-    pub(super) incarnation: Incarnation,
-    pub(super) version: u64,
-    pub(super) entries: BTreeMap<EntryKey, StoredEntry>,
+    incarnation: Incarnation,
+    version: u64,
+    entries: BTreeMap<EntryKey, StoredEntry>,
 }
 
 impl Origin {
@@ -70,6 +97,47 @@
         !old.entries.is_empty()
     }
 
+    /// The incarnation whose entries these are.
+    pub(super) fn incarnation(&self) -> Incarnation {
+        self.incarnation
+    }
+
+    /// The version up to which the entries are complete.
+    pub(super) fn version(&self) -> u64 {
+        self.version
+    }
+
+    /// An entry of this front, at position `origin`; `None` if there is none, or if it was deleted.
+    pub(super) fn value(
+        &self,
+        now: Nanos,
+        origin: PeerId,
+        key: EntryKey,
+    ) -> Option<StoredValue<'_>> {
+        self.entries.get(&key)?.as_value(now, origin, key.id)
+    }
+
+    /// The entries of a namespace of this front, at position `origin`, that are not deleted.
+    pub(super) fn values(
+        &self,
+        now: Nanos,
+        origin: PeerId,
+        kind: u8,
+    ) -> impl Iterator<Item = StoredValue<'_>> {
+        let keys = EntryKey { kind, id: 0 }..=EntryKey { kind, id: u64::MAX };
+        let entries = self.entries.range(keys);
+        entries.filter_map(move |(key, entry)| entry.as_value(now, origin, key.id))
+    }
+
+    /// The version up to which the entries of this front, at position `origin`, are known.
+    pub(super) fn known_version(&self, origin: PeerId) -> KnownVersion {
+        KnownVersion {
+            origin,
+            incarnation: self.incarnation,
+            version: self.version,
+        }
+    }
+
     /// The version known of an incarnation: 0 for all but the present one.
     pub(super) fn version_of(&self, incarnation: Incarnation) -> u64 {
         if self.incarnation == incarnation {
--- a/crates/membership/src/gossip/store.rs
+++ b/crates/membership/src/gossip/store.rs
@@ -5,7 +5,7 @@
 use super::origin::Origin;
 use super::{
     Delta, EntryError, EntryKey, GossipAction, GossipError, GossipInput, GossipMessage,
-    KnownVersion,
+    KnownVersion, StoredValue,
 };
 use crate::{Incarnation, MembershipTable, Nanos, PeerId};
 
@@ -32,7 +32,7 @@
     /// fronts, which sends at most `bytes_per_second` of entries.
     pub fn new(
         me: PeerId,
-        front_count: PeerId,
+        front_count: u16,
         incarnation: Incarnation,
         bytes_per_second: u64,
         now: Nanos,
@@ -42,15 +42,10 @@
     }
 
     /// A store that has only this front's entries.
-    fn with_budget(
-        me: PeerId,
-        front_count: PeerId,
-        own: Origin,
-        budget: ByteBudget,
-    ) -> GossipStore {
+    fn with_budget(me: PeerId, front_count: u16, own: Origin, budget: ByteBudget) -> GossipStore {
         let count = usize::from(front_count);
         let mut origins = vec![Origin::default(); count];
-        origins[usize::from(me)] = own;
+        origins[me.index()] = own;
         GossipStore {
             me,
             origins,
@@ -68,8 +63,8 @@
 
     /// The store for another roster; it has this front's entries only.
     #[must_use]
-    pub fn with_roster(&self, me: PeerId, front_count: PeerId, now: Nanos) -> GossipStore {
-        let own = self.origins[usize::from(self.me)].clone();
+    pub fn with_roster(&self, me: PeerId, front_count: u16, now: Nanos) -> GossipStore {
+        let own = self.origins[self.me.index()].clone();
         GossipStore::with_budget(me, front_count, own, self.budget.restarted(now))
     }
 
@@ -86,7 +81,7 @@
     ) -> Result<(), EntryError> {
         match input {
             GossipInput::Put(key, value) => {
-                return self.origins[usize::from(self.me)].put(now, key, value)
+                return self.origins[self.me.index()].put(now, key, value)
             }
             GossipInput::Round => self.round(now, members, actions),
             GossipInput::Received {
@@ -105,48 +100,22 @@
         Ok(())
     }
 
-    /// The value of a front's entry, and an upper bound of its age.
-    pub fn get(&self, now: Nanos, origin: PeerId, key: EntryKey) -> Option<(&[u8], Nanos)> {
-        let entry = self.origins.get(usize::from(origin))?.entries.get(&key)?;
-        entry
-            .value
-            .as_deref()
-            .map(|value| (value, now - entry.put_at))
+    /// A front's entry; `None` if there is none, or if it was deleted.
+    pub fn get(&self, now: Nanos, origin: PeerId, key: EntryKey) -> Option<StoredValue<'_>> {
+        self.origins.get(origin.index())?.value(now, origin, key)
     }
 
-    /// All entries of a namespace: the origin, its incarnation, the id of the key, the value, and
-    /// an upper bound of its age.
-    pub fn all(
-        &self,
-        now: Nanos,
-        kind: u8,
-    ) -> impl Iterator<Item = (PeerId, Incarnation, u64, &[u8], Nanos)> + '_ {
-        let keys = EntryKey { kind, id: 0 }..=EntryKey { kind, id: u64::MAX };
-        self.origins
-            .iter()
-            .enumerate()
-            .flat_map(move |(position, origin)| {
-                origin
-                    .entries
-                    .range(keys.clone())
-                    .filter_map(move |(key, entry)| {
-                        let value = entry.value.as_deref()?;
-                        Some((
-                            position as PeerId,
-                            origin.incarnation,
-                            key.id,
-                            value,
-                            now - entry.put_at,
-                        ))
-                    })
-            })
+    /// All entries of a namespace that are not deleted, by origin and then by the id of the key.
+    pub fn all(&self, now: Nanos, kind: u8) -> impl Iterator<Item = StoredValue<'_>> + '_ {
+        let origins = self.origins.iter().enumerate();
+        origins.flat_map(move |(position, origin)| origin.values(now, PeerId::at(position), kind))
     }
 
-    /// The incarnation of a front whose entries are known, and the version up to which they are.
-    pub fn known(&self, origin: PeerId) -> Option<(Incarnation, u64)> {
-        self.origins
-            .get(usize::from(origin))
-            .map(|origin| (origin.incarnation, origin.version))
+    /// The incarnation of a front whose entries are known, and the version up to which they are;
+    /// `None` if the front is not in the roster.
+    pub fn known(&self, origin: PeerId) -> Option<KnownVersion> {
+        let entries = self.origins.get(origin.index())?;
+        Some(entries.known_version(origin))
     }
 
     fn round(&mut self, now: Nanos, members: &MembershipTable, actions: &mut Vec<GossipAction>) {
@@ -184,14 +153,14 @@
         requests_missing: bool,
     ) -> GossipMessage {
         let incarnation = members.incarnation_of(to).unwrap_or_default();
-        let acked_version = self.acked[usize::from(to)].version_by(incarnation);
+        let acked_version = self.acked[to.index()].version_by(incarnation);
         let delta = self.take_delta(now, self.me, acked_version);
-        let ack_due = std::mem::take(&mut self.ack_due[usize::from(to)]);
+        let ack_due = std::mem::take(&mut self.ack_due[to.index()]);
         let knows = match (requests_missing, ack_due) {
             (true, _) => self.known_versions().collect(),
             (false, true) => self
                 .known_versions()
-                .filter(|(origin, _, _)| *origin == to)
+                .filter(|known| known.origin == to)
                 .collect(),
             (false, false) => Vec::new(),
         };
@@ -213,11 +182,11 @@
         peer: PeerId,
         actions: &mut Vec<GossipAction>,
     ) {
-        let origin = &mut self.origins[usize::from(peer)];
+        let origin = &mut self.origins[peer.index()];
         let alive = members
             .incarnation_of(peer)
             .filter(|_| members.is_alive(now, peer));
-        let Some(incarnation) = alive.filter(|incarnation| *incarnation != origin.incarnation)
+        let Some(incarnation) = alive.filter(|incarnation| *incarnation != origin.incarnation())
         else {
             return;
         };
@@ -227,19 +196,16 @@
     }
 
     fn known_versions(&self) -> impl Iterator<Item = KnownVersion> + '_ {
-        let known = self
-            .origins
-            .iter()
-            .enumerate()
-            .filter(|(_, origin)| origin.version > 0);
-        known.map(|(position, origin)| (position as PeerId, origin.incarnation, origin.version))
+        let origins = self.origins.iter().enumerate();
+        let known = origins.map(|(position, origin)| origin.known_version(PeerId::at(position)));
+        known.filter(|known| known.version > 0)
     }
 
     /// The changes of a front's entries after a version, as far as the budget allows, which is
     /// charged for them.
     fn take_delta(&mut self, now: Nanos, origin: PeerId, after: u64) -> Option<Delta> {
         let max_bytes = self.budget.available().min(MAX_DELTA_BYTES);
-        let sized = self.origins[usize::from(origin)].delta(now, origin, after, max_bytes)?;
+        let sized = self.origins[origin.index()].delta(now, origin, after, max_bytes)?;
         self.budget.spend(sized.bytes);
         Some(sized.delta)
     }
@@ -260,8 +226,8 @@
             deltas,
         } = message;
         // The message was sent after the echoed one, which bounds its transit time.
-        let echo = echo.filter(|(echoed, _)| *echoed == members.incarnation());
-        let sent_after = echo.map(|(_, sent_at)| sent_at.min(now));
+        let echo = echo.filter(|echo| echo.incarnation == members.incarnation());
+        let sent_after = echo.map(|echo| echo.sent_at.min(now));
         for delta in deltas {
             let origin = delta.origin;
             let applied = match sent_after {
@@ -271,7 +237,7 @@
                 None => Err(GossipError::NoEcho),
             };
             match applied {
-                Ok(()) if origin == from => self.ack_due[usize::from(from)] = true,
+                Ok(()) if origin == from => self.ack_due[from.index()] = true,
                 Ok(()) => {}
                 Err(error) => actions.push(GossipAction::Rejected(error)),
             }
@@ -291,11 +257,11 @@
         knows: &[KnownVersion],
         knows_is_complete: bool,
     ) {
-        let own = &self.origins[usize::from(self.me)];
-        let known =
-            find_version(knows, self.me, own.incarnation).map(|version| version.min(own.version));
+        let own = &self.origins[self.me.index()];
+        let known = find_version(knows, self.me, own.incarnation())
+            .map(|version| version.min(own.version()));
         if let Some(version) = known.or(knows_is_complete.then_some(0)) {
-            self.acked[usize::from(from)] = Acknowledgement {
+            self.acked[from.index()] = Acknowledgement {
                 incarnation,
                 version,
             };
@@ -315,8 +281,9 @@
     ) {
         self.budget.refill(now);
         let mut deltas = Vec::new();
-        for origin in (0..self.origins.len() as PeerId).filter(|origin| *origin != to) {
-            let incarnation = self.origins[usize::from(origin)].incarnation;
+        let others = PeerId::all(self.origins.len() as u16).filter(|origin| *origin != to);
+        for origin in others {
+            let incarnation = self.origins[origin.index()].incarnation();
             let after = find_version(knows, origin, incarnation).unwrap_or(0);
             if origin == self.me || members.is_alive(now, origin) {
                 deltas.extend(self.take_delta(now, origin, after));
@@ -342,7 +309,7 @@
         actions: &mut Vec<GossipAction>,
     ) -> Result<(), GossipError> {
         let peer = delta.origin;
-        if peer == self.me || usize::from(peer) >= self.origins.len() {
+        if peer == self.me || peer.index() >= self.origins.len() {
             return Err(GossipError::UnknownOrigin);
         }
         // The incarnation of a peer that is alive here is the accepted one; that of another peer is
@@ -354,9 +321,10 @@
         if !is_current {
             return Err(GossipError::StaleIncarnation);
         }
-        let origin = &mut self.origins[usize::from(peer)];
+        let origin = &mut self.origins[peer.index()];
         origin.check(&delta)?;
-        if origin.incarnation != delta.incarnation && origin.replace_incarnation(delta.incarnation)
+        if origin.incarnation() != delta.incarnation
+            && origin.replace_incarnation(delta.incarnation)
         {
             actions.push(GossipAction::Dropped(peer));
         }
@@ -374,6 +342,6 @@
 fn find_version(knows: &[KnownVersion], origin: PeerId, incarnation: Incarnation) -> Option<u64> {
     let known = knows
         .iter()
-        .find(|known| known.0 == origin && known.1 == incarnation);
-    known.map(|(_, _, version)| *version)
+        .find(|known| known.origin == origin && known.incarnation == incarnation);
+    known.map(|known| known.version)
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -13,21 +13,19 @@
 
 mod envelope;
 mod gossip;
+mod ids;
 mod membership_table;
 mod peer_state;
 
 pub use envelope::{Envelope, EnvelopeCodec, EnvelopeError, MAX_MESSAGE_BYTES};
 pub use gossip::{
     Delta, EntryError, EntryKey, GossipAction, GossipEntry, GossipError, GossipInput,
-    GossipMessage, GossipStore, KnownVersion, MAX_ENTRIES, MAX_VALUE_BYTES,
+    GossipMessage, GossipStore, KnownVersion, StoredValue, MAX_ENTRIES, MAX_VALUE_BYTES,
 };
+pub use ids::{Incarnation, PeerId};
 pub use membership_table::MembershipTable;
 pub use peer_state::{Echo, MessageStatus, PeerState, PeerStatus};
 
 /// A time or a duration in nanoseconds, by the clock of one front, which also advances while the
 /// front is stopped.
 pub type Nanos = i64;
-/// A front, by its position in the roster.
-pub type PeerId = u16;
-/// One run of a front process; differs between all runs of a front.
-pub type Incarnation = u64;
--- a/crates/membership/src/membership_table.rs
+++ b/crates/membership/src/membership_table.rs
@@ -31,7 +31,7 @@
     /// `front_count` fronts.
     pub fn new(
         me: PeerId,
-        front_count: PeerId,
+        front_count: u16,
         incarnation: Incarnation,
         failure_timeout: Nanos,
     ) -> MembershipTable {
@@ -52,7 +52,7 @@
     pub fn with_roster(
         &self,
         me: PeerId,
-        front_count: PeerId,
+        front_count: u16,
         failure_timeout: Nanos,
     ) -> MembershipTable {
         MembershipTable {
@@ -89,10 +89,7 @@
 
     /// The echo of a peer's latest accepted message.
     pub fn echo(&self, peer: PeerId) -> Option<Echo> {
-        let member = self.member(peer);
-        member
-            .incarnation
-            .map(|incarnation| (incarnation, member.last_sent_at))
+        self.member(peer).echo()
     }
 
     /// The state of this front to send to a peer in the present round.
@@ -100,8 +97,7 @@
         let member = self.member(to);
         PeerState {
             sent_at: self.round_sent_at,
-            // An unconfirmed incarnation needs an echo, too, or it could never be confirmed.
-            echo: self.echo(to).or(member.unconfirmed),
+            echo: member.echo_to_send(),
             conflicting: member.conflicting_within(now, self.failure_timeout),
             shutting_down: self.shutting_down,
             reachable: self.reachable.clone(),
@@ -116,14 +112,15 @@
         incarnation: Incarnation,
         state: &PeerState,
     ) -> MessageStatus {
-        let (receiver, failure_timeout) = (self.incarnation, self.failure_timeout);
+        let receiver = self.incarnation;
+        let failure_timeout = self.failure_timeout;
         if from == self.me {
             return MessageStatus::UnknownPeer;
         }
-        let Some(member) = self.members.get_mut(usize::from(from)) else {
+        let Some(member) = self.members.get_mut(from.index()) else {
             return MessageStatus::UnknownPeer;
         };
-        let first = member.incarnation != Some(incarnation);
+        let first = member.incarnation() != Some(incarnation);
         if first {
             let accepted =
                 member.accept_incarnation(now, incarnation, state, receiver, failure_timeout);
@@ -131,7 +128,7 @@
                 return status;
             }
         }
-        if state.sent_at <= member.last_sent_at {
+        if !member.is_later(state.sent_at) {
             return MessageStatus::Stale;
         }
         member.record(now, state, receiver);
@@ -141,14 +138,13 @@
     /// The status of a peer.
     pub fn status(&self, now: Nanos, peer: PeerId) -> PeerStatus {
         let member = self.member(peer);
-        let is_known = member.incarnation.is_some();
-        if is_known && member.left {
+        if member.has_left() {
             PeerStatus::Left
         } else if self.is_alive(now, peer) {
             PeerStatus::Alive
         } else if self.reachable_from(now, peer).next().is_some() {
             PeerStatus::Suspect
-        } else if is_known {
+        } else if member.incarnation().is_some() {
             PeerStatus::Dead
         } else {
             PeerStatus::Unknown
@@ -163,26 +159,24 @@
     /// The live peers that report receiving messages of a peer.
     pub fn reachable_from(&self, now: Nanos, peer: PeerId) -> impl Iterator<Item = PeerId> + '_ {
         self.others()
-            .filter(move |by| self.is_alive(now, *by) && self.member(*by).hears.contains(&peer))
+            .filter(move |by| self.is_alive(now, *by) && self.member(*by).reaches(peer))
     }
 
     /// The accepted incarnation of a peer.
     pub fn incarnation_of(&self, peer: PeerId) -> Option<Incarnation> {
-        self.member(peer).incarnation
+        self.member(peer).incarnation()
     }
 
     /// When the latest message of a peer's accepted incarnation was received.
     pub fn last_message_at(&self, peer: PeerId) -> Option<Nanos> {
-        let member = self.member(peer);
-        member.incarnation.map(|_| member.last_message_at)
+        self.member(peer).last_message_at()
     }
 
     /// Whether a peer has echoed a message of this front that is younger than three quarters of the
     /// failure timeout, so that a message sent to it now is expected to arrive.
     pub fn receives_from_me(&self, now: Nanos, peer: PeerId) -> bool {
-        let member = self.member(peer);
         let recent = self.failure_timeout - self.failure_timeout / 4;
-        member.incarnation.is_some() && now < member.last_echo_at.saturating_add(recent)
+        self.member(peer).has_echoed_within(now, recent)
     }
 
     /// The rejected incarnation of a peer, if it sent a message within the failure timeout.
@@ -193,16 +187,14 @@
 
     /// Whether a peer reported within the failure timeout that it rejects this front's incarnation.
     pub fn is_rejected(&self, now: Nanos) -> bool {
-        let mut rejected_at = self
-            .members
+        self.members
             .iter()
-            .filter_map(|member| member.rejected_us_at);
-        rejected_at.any(|at| now < at + self.failure_timeout)
+            .any(|member| member.has_rejected_within(now, self.failure_timeout))
     }
 
     /// The positions of the other fronts.
     pub fn others(&self) -> impl Iterator<Item = PeerId> + '_ {
-        (0..self.members.len() as PeerId).filter(|peer| *peer != self.me)
+        PeerId::all(self.members.len() as u16).filter(|peer| *peer != self.me)
     }
 
     /// Hashes all state that later results depend on, with times relative to `now`.
@@ -218,6 +210,6 @@
     }
 
     fn member(&self, peer: PeerId) -> &Member {
-        &self.members[usize::from(peer)]
+        &self.members[peer.index()]
     }
 }
--- a/crates/membership/src/peer_state.rs
+++ b/crates/membership/src/peer_state.rs
@@ -4,12 +4,17 @@
 
 use crate::{Incarnation, Nanos, PeerId};
 
-/// The latest message received from a peer: the peer's incarnation, and when it sent the message,
-/// by its own clock.
+/// The latest message received from a peer.
 ///
-/// Returned to that peer, it proves that it is received, and that the message with the echo was
-/// sent later.
-pub type Echo = (Incarnation, Nanos);
+/// Returned to that peer, it proves that the peer's messages arrive, and that the message with the
+/// echo was sent later than the echoed one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct Echo {
+    /// The peer's incarnation.
+    pub incarnation: Incarnation,
+    /// When the peer sent the message, by its own clock.
+    pub sent_at: Nanos,
+}
 
 /// The part of every message that describes its sender.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/crates/membership/tests/envelope.rs
+++ b/crates/membership/tests/envelope.rs
@@ -1,6 +1,8 @@
 //! Envelopes: a message survives the round trip, and anything else is rejected with its cause.
 
-use tulipbridge_membership::{Envelope, EnvelopeCodec, EnvelopeError, MAX_MESSAGE_BYTES};
+use tulipbridge_membership::{
+    Envelope, EnvelopeCodec, EnvelopeError, Incarnation, PeerId, MAX_MESSAGE_BYTES,
+};
 
 type Message = (u32, Vec<String>);
 
@@ -9,14 +11,14 @@
     let codec = EnvelopeCodec::new(b"  sixteen bytes and more\n").expect("the key is long enough");
     let message: Message = (7, vec!["a".to_owned(), "b".to_owned()]);
     let bytes = codec
-        .seal(3, 0x1122_3344_5566_7788, &message)
+        .seal(PeerId(3), Incarnation(0x1122_3344_5566_7788), &message)
         .expect("the message is short");
     let opened = codec.open::<Message>(&bytes);
     assert_eq!(
         opened,
         Ok(Envelope {
-            from: 3,
-            incarnation: 0x1122_3344_5566_7788,
+            from: PeerId(3),
+            incarnation: Incarnation(0x1122_3344_5566_7788),
             message
         })
     );
@@ -46,7 +48,9 @@
         Some(EnvelopeError::KeyTooShort)
     );
     assert_eq!(
-        codec.seal(0, 0, &vec![0u64; MAX_MESSAGE_BYTES]).err(),
+        codec
+            .seal(PeerId(0), Incarnation(0), &vec![0u64; MAX_MESSAGE_BYTES])
+            .err(),
         Some(EnvelopeError::TooLong)
     );
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -11,7 +11,8 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use tulipbridge_membership::{
-    Delta, EntryKey, Envelope, EnvelopeCodec, GossipEntry, GossipMessage, PeerState,
+    Delta, Echo, EntryKey, Envelope, EnvelopeCodec, GossipEntry, GossipMessage, Incarnation,
+    KnownVersion, PeerId, PeerState,
 };
 
 /// Two lower-case digits for each byte.
@@ -50,10 +51,13 @@
 fn peer_state_with_all_optional_fields() {
     let state = PeerState {
         sent_at: -1_000,
-        echo: Some((0x1122_3344_5566_7788, 70_000)),
-        conflicting: Some(300),
+        echo: Some(Echo {
+            incarnation: Incarnation(0x1122_3344_5566_7788),
+            sent_at: 70_000,
+        }),
+        conflicting: Some(Incarnation(300)),
         shutting_down: true,
-        reachable: vec![5, 640],
+        reachable: vec![PeerId(5), PeerId(640)],
     };
     assert_golden(
         &state,
@@ -128,8 +132,8 @@
 #[test]
 fn delta_of_two_entries() {
     let delta = Delta {
-        origin: 258,
-        incarnation: 0x0102_0304_0506_0708,
+        origin: PeerId(258),
+        incarnation: Incarnation(0x0102_0304_0506_0708),
         after: 129,
         to: 133,
         entries: vec![entry_with_value(), deleted_entry()],
@@ -157,15 +161,29 @@
 #[test]
 fn gossip_message_with_all_fields() {
     let delta = Delta {
-        origin: 4,
-        incarnation: 303,
+        origin: PeerId(4),
+        incarnation: Incarnation(303),
         after: 5,
         to: 8,
         entries: Vec::new(),
     };
     let message = GossipMessage {
-        echo: Some((900, -5)),
-        knows: vec![(3, 301, 4), (513, 6, 302)],
+        echo: Some(Echo {
+            incarnation: Incarnation(900),
+            sent_at: -5,
+        }),
+        knows: vec![
+            KnownVersion {
+                origin: PeerId(3),
+                incarnation: Incarnation(301),
+                version: 4,
+            },
+            KnownVersion {
+                origin: PeerId(513),
+                incarnation: Incarnation(6),
+                version: 302,
+            },
+        ],
         requests_missing: true,
         deltas: vec![delta],
     };
@@ -211,7 +229,7 @@
     let codec = EnvelopeCodec::new(b"golden key of the fronts").expect("the key is long enough");
     let message = (300u32, "hi".to_owned());
     let envelope = codec
-        .seal(0x0203, 0x1122_3344_5566_7788, &message)
+        .seal(PeerId(0x0203), Incarnation(0x1122_3344_5566_7788), &message)
         .expect("the message is short");
     assert_eq!(
         hex(&envelope),
@@ -229,8 +247,8 @@
     assert_eq!(
         opened,
         Ok(Envelope {
-            from: 0x0203,
-            incarnation: 0x1122_3344_5566_7788,
+            from: PeerId(0x0203),
+            incarnation: Incarnation(0x1122_3344_5566_7788),
             message
         })
     );
--- a/crates/membership/tests/gossip.rs
+++ b/crates/membership/tests/gossip.rs
@@ -5,7 +5,7 @@
 const MS: Nanos = 1_000_000;
 const FAILURE_TIMEOUT: Nanos = 2_000 * MS;
 const ROUND_INTERVAL: Nanos = 200 * MS;
-const FRONT_COUNT: PeerId = 3;
+const FRONT_COUNT: u16 = 3;
 const BYTES_PER_SECOND: u64 = 20_000;
 const KEY: EntryKey = EntryKey { kind: 1, id: 7 };
 
@@ -42,7 +42,7 @@
     fn get(&self, now: Nanos, origin: PeerId) -> Option<(Vec<u8>, Nanos)> {
         self.store
             .get(now, origin, KEY)
-            .map(|(value, age)| (value.to_vec(), age / MS))
+            .map(|entry| (entry.value.to_vec(), entry.age / MS))
     }
 
     /// The value of [`KEY`] of an origin.
@@ -51,6 +51,18 @@
     }
 }
 
+/// A link from one front to another, in one direction.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct Link {
+    from: PeerId,
+    to: PeerId,
+}
+
+const FROM_0_TO_2: Link = Link {
+    from: PeerId(0),
+    to: PeerId(2),
+};
+
 /// A message in flight.
 struct InFlight {
     from: PeerId,
@@ -68,25 +80,26 @@
 }
 
 fn three_fronts() -> Vec<Front> {
-    (0..FRONT_COUNT)
-        .map(|me| Front::new(me, 100 + u64::from(me), 0))
+    PeerId::all(FRONT_COUNT)
+        .map(|me| Front::new(me, Incarnation(100 + u64::from(me.0)), 0))
         .collect()
 }
 
-/// Runs a round of each front. Messages on the links `cut`, each from one front to another, are
-/// lost.
-fn round(fronts: &mut [Front], now: Nanos, cut: &[(PeerId, PeerId)]) -> Round {
+/// Runs a round of each front. Messages on the links `cut` are lost.
+fn round(fronts: &mut [Front], now: Nanos, cut: &[Link]) -> Round {
     let mut round = Round::default();
     let mut queue: Vec<InFlight> = Vec::new();
-    for from in 0..FRONT_COUNT {
-        let sender = usize::from(from);
+    for from in PeerId::all(FRONT_COUNT) {
+        let sender = from.index();
         fronts[sender].members.begin_round(now);
-        for to in (0..FRONT_COUNT).filter(|to| *to != from && !cut.contains(&(from, *to))) {
+        for to in PeerId::all(FRONT_COUNT)
+            .filter(|to| *to != from && !cut.contains(&Link { from, to: *to }))
+        {
             let (incarnation, state) = (
                 fronts[sender].incarnation,
                 fronts[sender].members.state_for(now, to),
             );
-            fronts[usize::from(to)]
+            fronts[to.index()]
                 .members
                 .receive(now, from, incarnation, &state);
         }
@@ -94,18 +107,18 @@
         queue.extend(sent_messages(from, actions, &mut round));
     }
     while let Some(InFlight { from, to, message }) = queue.pop() {
-        if cut.contains(&(from, to)) {
+        if cut.contains(&Link { from, to }) {
             continue;
         }
-        if from == 0 {
+        if from.index() == 0 {
             round.entries += message
                 .deltas
                 .iter()
                 .map(|delta| delta.entries.len())
                 .sum::<usize>();
         }
-        let incarnation = fronts[usize::from(from)].incarnation;
-        let actions = fronts[usize::from(to)].handle(
+        let incarnation = fronts[from.index()].incarnation;
+        let actions = fronts[to.index()].handle(
             now,
             GossipInput::Received {
                 from,
@@ -119,11 +132,7 @@
 }
 
 /// Runs rounds of the usual interval, by their numbers. Returns the sums over all.
-fn rounds(
-    fronts: &mut [Front],
-    numbers: std::ops::Range<Nanos>,
-    cut: &[(PeerId, PeerId)],
-) -> Round {
+fn rounds(fronts: &mut [Front], numbers: std::ops::Range<Nanos>, cut: &[Link]) -> Round {
     let mut total = Round::default();
     for number in numbers {
         let round = round(fronts, number * ROUND_INTERVAL, cut);
@@ -150,19 +159,22 @@
     let mut fronts = three_fronts();
     fronts[0].put(0, KEY, Some(b"one")).expect("it fits");
     rounds(&mut fronts, 0..4, &[]);
-    assert_eq!(fronts[2].value(1_000 * MS, 0), Some(b"one".to_vec()));
+    assert_eq!(
+        fronts[2].value(1_000 * MS, PeerId(0)),
+        Some(b"one".to_vec())
+    );
     fronts[0].put(800 * MS, KEY, Some(b"two")).expect("it fits");
     round(&mut fronts, 900 * MS, &[]);
     // It was written 100 ms ago. Its transit took at most as long as since the echoed message: 0 or
     // 300 ms.
-    let (value, age) = fronts[1].get(900 * MS, 0).expect("it has spread");
+    let (value, age) = fronts[1].get(900 * MS, PeerId(0)).expect("it has spread");
     assert_eq!(value, b"two");
     assert!([100, 400].contains(&age), "{age}");
     fronts[0]
         .put(1_000 * MS, KEY, None)
         .expect("it can be deleted");
     round(&mut fronts, 1_100 * MS, &[]);
-    assert_eq!(fronts[1].get(1_100 * MS, 0), None);
+    assert_eq!(fronts[1].get(1_100 * MS, PeerId(0)), None);
     // Once all peers have acknowledged it, nothing is sent any more.
     round(&mut fronts, 1_300 * MS, &[]);
     assert_eq!(round(&mut fronts, 1_500 * MS, &[]).entries, 0);
@@ -172,8 +184,8 @@
 fn entry_travels_around_a_bad_link() {
     let mut fronts = three_fronts();
     fronts[0].put(0, KEY, Some(b"one")).expect("it fits");
-    rounds(&mut fronts, 0..4, &[(0, 2)]);
-    let (value, age) = fronts[2].get(600 * MS, 0).expect("it has spread");
+    rounds(&mut fronts, 0..4, &[FROM_0_TO_2]);
+    let (value, age) = fronts[2].get(600 * MS, PeerId(0)).expect("it has spread");
     assert_eq!(value, b"one");
     assert!(
         (600..=1_200).contains(&age),
@@ -187,21 +199,27 @@
     fronts[0].put(0, KEY, Some(b"old")).expect("it fits");
     rounds(&mut fronts, 0..4, &[]);
     // Front 0 restarts, and front 2 no longer receives its messages.
-    let cut = [(0, 2)];
-    fronts[0] = Front::new(0, 200, 4_000 * MS);
+    let cut = [FROM_0_TO_2];
+    fronts[0] = Front::new(PeerId(0), Incarnation(200), 4_000 * MS);
     rounds(&mut fronts, 15..40, &cut);
     fronts[0]
         .put(8_000 * MS, KEY, Some(b"new"))
         .expect("it fits");
     let dropped = rounds(&mut fronts, 40..60, &cut).dropped;
     assert_eq!(dropped, 1, "the old entry at front 2, and no new one");
-    assert_eq!(fronts[1].value(12_000 * MS, 0), Some(b"new".to_vec()));
-    assert_eq!(fronts[2].value(12_000 * MS, 0), Some(b"new".to_vec()));
+    assert_eq!(
+        fronts[1].value(12_000 * MS, PeerId(0)),
+        Some(b"new".to_vec())
+    );
+    assert_eq!(
+        fronts[2].value(12_000 * MS, PeerId(0)),
+        Some(b"new".to_vec())
+    );
 }
 
 #[test]
 fn writes_past_the_limits_are_refused() {
-    let mut front = Front::new(0, 100, 0);
+    let mut front = Front::new(PeerId(0), Incarnation(100), 0);
     let too_long = vec![0; MAX_VALUE_BYTES + 1];
     assert_eq!(front.put(0, KEY, Some(&too_long)), Err(EntryError::TooLong));
     for id in 0..MAX_ENTRIES as u64 {
@@ -217,6 +235,14 @@
     );
 }
 
+/// The echo of a message that an incarnation of front 0 sent at 400 ms.
+fn echo(incarnation: u64) -> Echo {
+    Echo {
+        incarnation: Incarnation(incarnation),
+        sent_at: 400 * MS,
+    }
+}
+
 fn entry(version: u64, value: &[u8]) -> GossipEntry {
     GossipEntry {
         key: KEY,
@@ -251,52 +277,63 @@
             .put(0, EntryKey { kind: 2, id }, Some(b"x"))
             .expect("it fits");
     }
+    let nothing_known = KnownVersion {
+        origin: PeerId(1),
+        incarnation: Incarnation(101),
+        version: 0,
+    };
     let too_long = vec![0; MAX_VALUE_BYTES + 1];
     for (delta, cause) in [
         (
-            delta(1, 101, 0, 1, vec![entry(1, &too_long)]),
+            delta(PeerId(1), Incarnation(101), 0, 1, vec![entry(1, &too_long)]),
             GossipError::OutOfBounds,
         ),
         (
-            delta(1, 101, 0, 2, vec![entry(2, b"b"), entry(1, b"a")]),
+            delta(
+                PeerId(1),
+                Incarnation(101),
+                0,
+                2,
+                vec![entry(2, b"b"), entry(1, b"a")],
+            ),
             GossipError::OutOfBounds,
         ),
         (
-            delta(1, 101, 0, 1, vec![entry(9, b"a")]),
+            delta(PeerId(1), Incarnation(101), 0, 1, vec![entry(9, b"a")]),
             GossipError::OutOfBounds,
         ),
         (
-            delta(1, 101, 5, 6, vec![entry(6, b"a")]),
+            delta(PeerId(1), Incarnation(101), 5, 6, vec![entry(6, b"a")]),
             GossipError::MissingVersions,
         ),
         (
-            delta(1, 999, 0, 1, vec![entry(1, b"a")]),
+            delta(PeerId(1), Incarnation(999), 0, 1, vec![entry(1, b"a")]),
             GossipError::StaleIncarnation,
         ),
         (
-            delta(0, 100, 0, 1, vec![entry(1, b"a")]),
+            delta(PeerId(0), Incarnation(100), 0, 1, vec![entry(1, b"a")]),
             GossipError::UnknownOrigin,
         ),
         (
-            delta(9, 100, 0, 1, vec![entry(1, b"a")]),
+            delta(PeerId(9), Incarnation(100), 0, 1, vec![entry(1, b"a")]),
             GossipError::UnknownOrigin,
         ),
     ] {
         let message = GossipMessage {
-            echo: Some((100, 400 * MS)),
+            echo: Some(echo(100)),
             deltas: vec![delta],
             ..GossipMessage::default()
         };
         let input = GossipInput::Received {
-            from: 1,
-            incarnation: 101,
+            from: PeerId(1),
+            incarnation: Incarnation(101),
             message,
         };
         assert_eq!(
             fronts[0].handle(500 * MS, input),
             vec![GossipAction::Rejected(cause)]
         );
-        assert_eq!(fronts[0].store.known(1), Some((101, 0)));
+        assert_eq!(fronts[0].store.known(PeerId(1)), Some(nothing_known));
     }
 }
 
@@ -305,8 +342,8 @@
     let mut fronts = three_fronts();
     rounds(&mut fronts, 0..3, &[]);
     let input = GossipInput::Received {
-        from: 1,
-        incarnation: 77,
+        from: PeerId(1),
+        incarnation: Incarnation(77),
         message: GossipMessage::default(),
     };
     assert_eq!(
@@ -331,7 +368,9 @@
         "{sent} entries in 2 s, with a full budget at the start"
     );
     rounds(&mut fronts, 13..80, &[]);
-    assert!(fronts[1..].iter().all(|front| front.get(0, 0).is_some()));
+    assert!(fronts[1..]
+        .iter()
+        .all(|front| front.get(0, PeerId(0)).is_some()));
     assert_eq!(fronts[2].store.all(0, 1).count(), 600);
 }
 
@@ -343,7 +382,7 @@
         age_ms: 50,
         ..entry(1, b"late")
     };
-    let late = delta(1, 101, 0, 1, vec![late]);
+    let late = delta(PeerId(1), Incarnation(101), 0, 1, vec![late]);
     let received = |echo| {
         let message = GossipMessage {
             echo,
@@ -351,19 +390,19 @@
             ..GossipMessage::default()
         };
         GossipInput::Received {
-            from: 1,
-            incarnation: 101,
+            from: PeerId(1),
+            incarnation: Incarnation(101),
             message,
         }
     };
     // Without an echo of this incarnation, the transit time has no bound.
-    for echo in [None, Some((99, 400 * MS))] {
+    for echo in [None, Some(echo(99))] {
         let actions = fronts[0].handle(2_000 * MS, received(echo));
         assert_eq!(actions, vec![GossipAction::Rejected(GossipError::NoEcho)]);
     }
-    fronts[0].handle(2_000 * MS, received(Some((100, 400 * MS))));
+    fronts[0].handle(2_000 * MS, received(Some(echo(100))));
     assert_eq!(
-        fronts[0].get(2_000 * MS, 1),
+        fronts[0].get(2_000 * MS, PeerId(1)),
         Some((b"late".to_vec(), 1_650))
     );
 }
--- a/crates/membership/tests/membership_table.rs
+++ b/crates/membership/tests/membership_table.rs
@@ -1,7 +1,7 @@
 //! The membership table: which messages are accepted, and what status of a peer follows from them.
 
 use tulipbridge_membership::{
-    MembershipTable, MessageStatus, Nanos, PeerId, PeerState, PeerStatus,
+    Echo, Incarnation, MembershipTable, MessageStatus, Nanos, PeerId, PeerState, PeerStatus,
 };
 
 const FAILURE_TIMEOUT: Nanos = 100;
@@ -9,21 +9,21 @@
 /// The tables of fronts 0 and 1, which receive each other's messages from time 10 on, in a roster
 /// with a third front that sent none.
 fn connected_pair() -> (MembershipTable, MembershipTable) {
-    let mut a = MembershipTable::new(0, 3, 7, FAILURE_TIMEOUT);
-    let mut b = MembershipTable::new(1, 3, 8, FAILURE_TIMEOUT);
+    let mut a = MembershipTable::new(PeerId(0), 3, Incarnation(7), FAILURE_TIMEOUT);
+    let mut b = MembershipTable::new(PeerId(1), 3, Incarnation(8), FAILURE_TIMEOUT);
     a.begin_round(0);
     b.begin_round(0);
     assert_eq!(
-        b.receive(5, 0, 7, &a.state_for(0, 1)),
+        b.receive(5, PeerId(0), Incarnation(7), &a.state_for(0, PeerId(1))),
         MessageStatus::Unconfirmed
     );
     assert_eq!(
-        a.receive(5, 1, 8, &b.state_for(5, 0)),
+        a.receive(5, PeerId(1), Incarnation(8), &b.state_for(5, PeerId(0))),
         MessageStatus::Accepted { first: true }
     );
     a.begin_round(10);
     assert_eq!(
-        b.receive(10, 0, 7, &a.state_for(10, 1)),
+        b.receive(10, PeerId(0), Incarnation(7), &a.state_for(10, PeerId(1))),
         MessageStatus::Accepted { first: true }
     );
     (a, b)
@@ -32,63 +32,88 @@
 #[test]
 fn incarnation_is_accepted_once_it_has_shown_that_it_receives_messages() {
     let (a, b) = connected_pair();
-    assert_eq!([a.status(10, 1), b.status(10, 0)], [PeerStatus::Alive; 2]);
-    assert_eq!(a.status(10, 2), PeerStatus::Unknown);
-    assert!(a.receives_from_me(10, 1));
+    assert_eq!(
+        [a.status(10, PeerId(1)), b.status(10, PeerId(0))],
+        [PeerStatus::Alive; 2]
+    );
+    assert_eq!(a.status(10, PeerId(2)), PeerStatus::Unknown);
+    assert!(a.receives_from_me(10, PeerId(1)));
 }
 
 #[test]
 fn reordered_repeated_and_misaddressed_messages_are_rejected() {
     let (mut a, mut b) = connected_pair();
     a.begin_round(20);
-    let early = a.state_for(20, 1);
+    let early = a.state_for(20, PeerId(1));
     a.begin_round(30);
-    let late = a.state_for(30, 1);
+    let late = a.state_for(30, PeerId(1));
     assert_eq!(
-        b.receive(31, 0, 7, &late),
+        b.receive(31, PeerId(0), Incarnation(7), &late),
         MessageStatus::Accepted { first: false }
     );
-    assert_eq!(b.receive(32, 0, 7, &early), MessageStatus::Stale);
-    assert_eq!(b.receive(33, 0, 7, &late), MessageStatus::Stale);
-    assert_eq!(b.receive(33, 1, 7, &late), MessageStatus::UnknownPeer);
-    assert_eq!(b.receive(33, 9, 7, &late), MessageStatus::UnknownPeer);
+    assert_eq!(
+        b.receive(32, PeerId(0), Incarnation(7), &early),
+        MessageStatus::Stale
+    );
+    assert_eq!(
+        b.receive(33, PeerId(0), Incarnation(7), &late),
+        MessageStatus::Stale
+    );
+    assert_eq!(
+        b.receive(33, PeerId(1), Incarnation(7), &late),
+        MessageStatus::UnknownPeer
+    );
+    assert_eq!(
+        b.receive(33, PeerId(9), Incarnation(7), &late),
+        MessageStatus::UnknownPeer
+    );
 }
 
 #[test]
 fn second_incarnation_is_rejected_until_the_first_is_silent_for_the_failure_timeout() {
     let (mut a, mut b) = connected_pair();
-    let mut second = MembershipTable::new(0, 3, 9, FAILURE_TIMEOUT);
+    let mut second = MembershipTable::new(PeerId(0), 3, Incarnation(9), FAILURE_TIMEOUT);
     second.begin_round(40);
     assert_eq!(
-        b.receive(40, 0, 9, &second.state_for(40, 1)),
+        b.receive(
+            40,
+            PeerId(0),
+            Incarnation(9),
+            &second.state_for(40, PeerId(1))
+        ),
         MessageStatus::Conflicting
     );
     b.begin_round(41);
-    let rejection = b.state_for(41, 0);
-    assert_eq!(rejection.conflicting, Some(9));
+    let rejection = b.state_for(41, PeerId(0));
+    assert_eq!(rejection.conflicting, Some(Incarnation(9)));
     // The second incarnation learns that it is rejected; the first is not affected.
     assert_eq!(
-        second.receive(41, 1, 8, &rejection),
+        second.receive(41, PeerId(1), Incarnation(8), &rejection),
         MessageStatus::Accepted { first: true }
     );
-    a.receive(41, 1, 8, &rejection);
+    a.receive(41, PeerId(1), Incarnation(8), &rejection);
     assert_eq!([a.is_rejected(41), second.is_rejected(41)], [false, true]);
-    assert_eq!(b.status(109, 0), PeerStatus::Alive);
-    assert_eq!(b.status(110, 0), PeerStatus::Dead);
+    assert_eq!(b.status(109, PeerId(0)), PeerStatus::Alive);
+    assert_eq!(b.status(110, PeerId(0)), PeerStatus::Dead);
     second.begin_round(111);
     assert_eq!(
-        b.receive(111, 0, 9, &second.state_for(111, 1)),
+        b.receive(
+            111,
+            PeerId(0),
+            Incarnation(9),
+            &second.state_for(111, PeerId(1))
+        ),
         MessageStatus::Accepted { first: true }
     );
     b.begin_round(112);
     assert_eq!(
-        second.receive(112, 1, 8, &b.state_for(112, 0)),
+        second.receive(112, PeerId(1), Incarnation(8), &b.state_for(112, PeerId(0))),
         MessageStatus::Accepted { first: false }
     );
     assert!(!second.is_rejected(113));
     // A delayed message of the first incarnation is now the conflicting one.
     assert_eq!(
-        b.receive(114, 0, 7, &a.state_for(10, 1)),
+        b.receive(114, PeerId(0), Incarnation(7), &a.state_for(10, PeerId(1))),
         MessageStatus::Conflicting
     );
 }
@@ -98,34 +123,42 @@
     let (mut a, _) = connected_pair();
     let state = |sent_at, hears: &[PeerId], leaving| PeerState {
         sent_at,
-        echo: Some((7, 10)),
+        echo: Some(Echo {
+            incarnation: Incarnation(7),
+            sent_at: 10,
+        }),
         conflicting: None,
         shutting_down: leaving,
         reachable: hears.to_vec(),
     };
     assert_eq!(
-        a.receive(50, 2, 30, &state(50, &[1], false)),
+        a.receive(
+            50,
+            PeerId(2),
+            Incarnation(30),
+            &state(50, &[PeerId(1)], false)
+        ),
         MessageStatus::Accepted { first: true }
     );
     assert_eq!(
-        a.status(120, 1),
+        a.status(120, PeerId(1)),
         PeerStatus::Suspect,
         "the third front hears it"
     );
     assert_eq!(
-        a.status(150, 1),
+        a.status(150, PeerId(1)),
         PeerStatus::Dead,
         "the third front is silent too"
     );
-    a.receive(160, 2, 30, &state(160, &[], true));
-    assert_eq!(a.status(160, 2), PeerStatus::Left);
+    a.receive(160, PeerId(2), Incarnation(30), &state(160, &[], true));
+    assert_eq!(a.status(160, PeerId(2)), PeerStatus::Left);
     assert_eq!(
-        a.receive(161, 2, 31, &state(1, &[], false)),
+        a.receive(161, PeerId(2), Incarnation(31), &state(1, &[], false)),
         MessageStatus::Accepted { first: true },
         "its successor"
     );
     assert_eq!(
-        a.receive(162, 2, 30, &state(170, &[], false)),
+        a.receive(162, PeerId(2), Incarnation(30), &state(170, &[], false)),
         MessageStatus::Conflicting,
         "the incarnation that left"
     );
--- a/crates/model-checker/src/fleet_limits_model/mod.rs
+++ b/crates/model-checker/src/fleet_limits_model/mod.rs
@@ -14,8 +14,6 @@
 mod step_generation;
 mod transitions;
 
-use tulipbridge_fleet_limits::PeerId;
-
 use crate::model::{Model, ModelSummary};
 use crate::properties::Violations;
 
@@ -33,7 +31,7 @@
     /// How the commands list it.
     pub summary: ModelSummary,
     /// Number of fronts.
-    pub fronts: PeerId,
+    pub fronts: u16,
     /// Number of rounds to explore, after the warm-up.
     pub rounds: u8,
     /// Largest number of faults in one history.
--- a/crates/model-checker/src/fleet_limits_model/state.rs
+++ b/crates/model-checker/src/fleet_limits_model/state.rs
@@ -1,7 +1,6 @@
 //! The state of the fleet limits model.
 
 use std::hash::{Hash, Hasher};
-use std::ops::Range;
 
 use tulipbridge_fleet_limits::{Heartbeat, Incarnation, LimitCoordinator, Nanos, PeerId, Share};
 
@@ -57,11 +56,11 @@
 
 impl State {
     /// A fleet in which every front has just started.
-    pub(super) fn new(fronts: PeerId, max_faults: u8) -> State {
+    pub(super) fn new(fronts: u16, max_faults: u8) -> State {
         let mut state = State {
             round: 0,
             faults_left: max_faults,
-            last_incarnation: 0,
+            last_incarnation: Incarnation(0),
             processes: vec![None; usize::from(fronts)],
             messages: Vec::new(),
             cut_links: Vec::new(),
@@ -81,22 +80,27 @@
 
     /// The share of the limit that a front may use now; 0 if its process was killed.
     pub fn share(&self, front: PeerId) -> Share {
-        self.process(front).map_or(0, |process| process.share)
+        self.process(front)
+            .map_or(Share::NONE, |process| process.share)
     }
 
     /// The largest share that a front leases from another now; 0 if its process was killed.
     pub fn share_leased(&self, front: PeerId, from: PeerId) -> Share {
-        self.process(front).map_or(0, |process| {
+        self.process(front).map_or(Share::NONE, |process| {
             process.coordinator.peer_report(self.now(), from).leased
         })
     }
 
-    pub(super) fn fronts(&self) -> Range<PeerId> {
-        0..self.processes.len() as PeerId
+    pub(super) fn front_count(&self) -> u16 {
+        self.processes.len() as u16
+    }
+
+    pub(super) fn fronts(&self) -> impl Iterator<Item = PeerId> + use<> {
+        PeerId::all(self.front_count())
     }
 
     pub(super) fn process(&self, front: PeerId) -> Option<&Process> {
-        self.processes[usize::from(front)].as_ref()
+        self.processes[front.index()].as_ref()
     }
 
     pub(super) fn running_process(&self, front: PeerId) -> Option<&Process> {
--- a/crates/model-checker/src/fleet_limits_model/transitions.rs
+++ b/crates/model-checker/src/fleet_limits_model/transitions.rs
@@ -34,7 +34,7 @@
             }
             Step::Stop(front) => self.set_stopped(front, true),
             Step::Kill(front) => {
-                self.processes[usize::from(front)] = None;
+                self.processes[front.index()] = None;
                 self.messages.retain(|message| message.link.to != front);
             }
         }
@@ -42,24 +42,24 @@
 
     /// Starts a new process of a front.
     pub(super) fn start(&mut self, front: PeerId) {
-        self.last_incarnation += 1;
+        self.last_incarnation = Incarnation(self.last_incarnation.0 + 1);
         let config = LimitsConfig {
             lease_duration: LEASE_DURATION,
             heartbeat_interval: HEARTBEAT_INTERVAL,
             max_clock_drift: 0,
-            ..LimitsConfig::new(front, self.processes.len() as PeerId, 1)
+            ..LimitsConfig::new(front, self.front_count(), 1)
         };
         let coordinator = LimitCoordinator::new(config, self.last_incarnation, self.now());
         let coordinator = coordinator.expect("the configuration is valid");
-        self.processes[usize::from(front)] = Some(Process {
+        self.processes[front.index()] = Some(Process {
             coordinator,
             stopped: false,
-            share: 0,
+            share: Share::NONE,
         });
     }
 
     fn set_stopped(&mut self, front: PeerId, stopped: bool) {
-        if let Some(process) = &mut self.processes[usize::from(front)] {
+        if let Some(process) = &mut self.processes[front.index()] {
             process.stopped = stopped;
         }
     }
@@ -130,9 +130,9 @@
     /// Units demanded at a front in each round: nearly everything at the first, a little at the
     /// last.
     fn demand(&self, front: PeerId) -> Option<f64> {
-        if front == 0 {
+        if front.index() == 0 {
             Some(HIGH_DEMAND)
-        } else if front + 1 == self.fronts().end {
+        } else if front.0 + 1 == self.front_count() {
             Some(LOW_DEMAND)
         } else {
             None
@@ -169,7 +169,7 @@
     /// Passes an event to the coordinator of a front and carries out the effects.
     fn feed(&mut self, front: PeerId, event: Event) {
         let now = self.now();
-        let Some(process) = &mut self.processes[usize::from(front)] else {
+        let Some(process) = &mut self.processes[front.index()] else {
             return;
         };
         let mut effects = Vec::new();
@@ -178,7 +178,7 @@
         for effect in effects {
             match effect {
                 Effect::ShareChanged { share, .. } => self.set_share(front, share),
-                Effect::Forget(_) => self.set_share(front, 0),
+                Effect::Forget(_) => self.set_share(front, Share::NONE),
                 Effect::Send { to, heartbeat } => {
                     self.send(Link { from: front, to }, incarnation, *heartbeat);
                 }
@@ -189,7 +189,7 @@
     }
 
     fn set_share(&mut self, front: PeerId, share: Share) {
-        if let Some(process) = &mut self.processes[usize::from(front)] {
+        if let Some(process) = &mut self.processes[front.index()] {
             process.share = share;
         }
     }
@@ -217,7 +217,7 @@
     /// Lets every running front drop what has expired, and checks the sum of the shares in use.
     pub(super) fn check(&mut self) {
         let now = self.now();
-        let mut sum = 0;
+        let mut sum = Share::NONE;
         for front in self.fronts() {
             let running = self.running_process(front);
             if running.is_some_and(|process| now >= process.coordinator.next_expiry()) {
@@ -225,7 +225,7 @@
             }
             sum += self
                 .running_process(front)
-                .map_or(0, |process| process.share);
+                .map_or(Share::NONE, |process| process.share);
         }
         self.violations.shared_limit_exceeded |= sum > FULL_SHARE;
     }
--- a/crates/model-checker/tests/fleet_limits_model.rs
+++ b/crates/model-checker/tests/fleet_limits_model.rs
@@ -5,13 +5,13 @@
 use tulipbridge_model_checker::model::{Model, ModelSummary};
 
 /// The front at which nearly everything is demanded.
-const BUSY_FRONT: PeerId = 0;
+const BUSY_FRONT: PeerId = PeerId(0);
 /// A front at which little is demanded.
-const OTHER_FRONT: PeerId = 1;
+const OTHER_FRONT: PeerId = PeerId(1);
 /// The share that the busy front holds at least.
-const MIN_BUSY_SHARE: Share = FULL_SHARE / 4 * 3;
+const MIN_BUSY_SHARE: Share = Share(FULL_SHARE.0 / 4 * 3);
 
-fn model(fronts: PeerId) -> FleetLimitsModel {
+fn model(fronts: u16) -> FleetLimitsModel {
     let summary = ModelSummary {
         name: "test",
         description: "test",
@@ -33,7 +33,7 @@
         let share = state.share(BUSY_FRONT);
         assert!(share > MIN_BUSY_SHARE, "{fronts} fronts: {share}");
         assert!(
-            state.share_leased(BUSY_FRONT, OTHER_FRONT) > 0,
+            state.share_leased(BUSY_FRONT, OTHER_FRONT) > Share::NONE,
             "{fronts} fronts"
         );
     }
--- a/crates/model-checker/tests/golden.rs
+++ b/crates/model-checker/tests/golden.rs
@@ -16,6 +16,7 @@
 use std::process::Command;
 
 use tulipbridge_core::{Action, NodeId, RequestId};
+use tulipbridge_fleet_limits::PeerId;
 use tulipbridge_model_checker::configs::{self, Config};
 use tulipbridge_model_checker::explore::{random_walk, Report};
 use tulipbridge_model_checker::history::History;
@@ -188,16 +189,18 @@
 /// One step of every kind of the fleet limits model.
 fn every_fleet_limits_step() -> Vec<fleet_limits_model::Step> {
     use fleet_limits_model::Step;
+    let first = PeerId(1);
+    let second = PeerId(2);
     vec![
         Step::Round,
-        Step::CutLink(1, 2),
+        Step::CutLink(first, second),
         Step::Heal,
-        Step::DelayHeartbeat(1, 2),
-        Step::Isolate(1),
-        Step::Stop(1),
-        Step::Continue(1),
-        Step::Kill(1),
-        Step::Start(1),
+        Step::DelayHeartbeat(first, second),
+        Step::Isolate(first),
+        Step::Stop(first),
+        Step::Continue(first),
+        Step::Kill(first),
+        Step::Start(first),
     ]
 }
 
--- a/crates/outlier-detection/src/attempt_counts.rs
+++ b/crates/outlier-detection/src/attempt_counts.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::evidence::{to_tenths, MAX_CLASSES};
-use crate::{Class, ClassEvidence, Nanos, SampleQuality, Server};
+use crate::{ClassEvidence, ClassId, Nanos, SampleQuality, ServerId};
 
 /// A count with fewer attempts than this is dropped.
 const NEGLIGIBLE_ATTEMPTS: f64 = 0.05;
@@ -36,7 +36,7 @@
         }
     }
 
-    fn evidence(&self, class: Class) -> ClassEvidence {
+    fn evidence(&self, class: ClassId) -> ClassEvidence {
         ClassEvidence {
             class,
             attempts: to_tenths(self.attempts),
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct AttemptCounts {
     half_life: Nanos,
-    counts: BTreeMap<(Server, Class), DecayingCount>,
+    counts: BTreeMap<(ServerId, ClassId), DecayingCount>,
 }
 
 impl AttemptCounts {
@@ -62,7 +62,7 @@
     }
 
     /// Adds one attempt.
-    pub fn add(&mut self, now: Nanos, server: Server, class: Class, quality: SampleQuality) {
+    pub fn add(&mut self, now: Nanos, server: ServerId, class: ClassId, quality: SampleQuality) {
         let half_life = self.half_life;
         self.counts
             .entry((server, class))
@@ -71,7 +71,7 @@
     }
 
     /// Drops the counts of all servers but some.
-    pub fn retain_servers(&mut self, keep: impl Fn(Server) -> bool) {
+    pub fn retain_servers(&mut self, keep: impl Fn(ServerId) -> bool) {
         self.counts.retain(|(server, _), _| keep(*server));
     }
 
@@ -83,10 +83,10 @@
     }
 
     /// The evidence on a server, by class of work.
-    pub fn evidence(&self, now: Nanos, server: Server) -> Vec<ClassEvidence> {
+    pub fn evidence(&self, now: Nanos, server: ServerId) -> Vec<ClassEvidence> {
         let counts = self
             .counts
-            .range((server, Class::MIN)..=(server, Class::MAX));
+            .range((server, ClassId(u8::MIN))..=(server, ClassId(u8::MAX)));
         let evidence =
             counts.map(|((_, class), count)| count.decayed(now, self.half_life).evidence(*class));
         evidence
--- a/crates/outlier-detection/src/attempt_observer.rs
+++ b/crates/outlier-detection/src/attempt_observer.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Class, Event, Nanos, SampleQuality, Server};
+use crate::{ClassId, Event, Nanos, SampleQuality, ServerId};
 
 /// An answer is slow if it takes longer than this many times the median.
 const SLOW_FACTOR: i64 = 4;
@@ -29,8 +29,8 @@
 /// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
 struct PendingAttempt {
-    server: Server,
-    class: Class,
+    server: ServerId,
+    class: ClassId,
     sent_at: Nanos,
     /// Whether this is a probe of an ejected server.
     is_probe: bool,
@@ -44,9 +44,9 @@
 pub struct AttemptObserver {
     pending: BTreeMap<(u64, u32), PendingAttempt>,
     /// Estimated median latency of answers, by class of work.
-    medians: BTreeMap<Class, Nanos>,
+    medians: BTreeMap<ClassId, Nanos>,
     /// Servers whose next repeatable attempt is a probe if it is sent before a time.
-    probes_due: BTreeMap<Server, Nanos>,
+    probes_due: BTreeMap<ServerId, Nanos>,
     last_step_at: Option<Nanos>,
 }
 
@@ -64,12 +64,12 @@
     }
 
     /// Makes the next repeatable attempt at a server a probe if it is sent before `until`.
-    pub fn probe_next(&mut self, server: Server, until: Nanos) {
+    pub fn probe_next(&mut self, server: ServerId, until: Nanos) {
         self.probes_due.insert(server, until);
     }
 
     /// A server is no longer ejected: no probe of it is due.
-    pub fn readmitted(&mut self, server: Server) {
+    pub fn readmitted(&mut self, server: ServerId) {
         self.probes_due.remove(&server);
     }
 
@@ -78,8 +78,8 @@
         &mut self,
         now: Nanos,
         key: (u64, u32),
-        server: Server,
-        class: Class,
+        server: ServerId,
+        class: ClassId,
         repeatable: bool,
     ) {
         let is_probe = repeatable
@@ -146,13 +146,13 @@
     }
 
     /// The estimated median latency of a class of work, once there has been an answer.
-    pub fn median(&self, class: Class) -> Option<Nanos> {
+    pub fn median(&self, class: ClassId) -> Option<Nanos> {
         self.medians.get(&class).copied()
     }
 
     /// Moves the estimate by a small step towards the latency, so that it settles where as many are
     /// above as below.
-    fn update_median(&mut self, class: Class, latency: Nanos) {
+    fn update_median(&mut self, class: ClassId, latency: Nanos) {
         let median = self.medians.entry(class).or_insert(latency);
         let step = (*median / MEDIAN_STEP_DIVISOR).max(1);
         *median += if latency > *median { step } else { -step };
@@ -162,7 +162,7 @@
         !attempt.counted && self.is_slow(attempt.class, now - attempt.sent_at)
     }
 
-    fn is_slow(&self, class: Class, latency: Nanos) -> bool {
+    fn is_slow(&self, class: ClassId, latency: Nanos) -> bool {
         let is_slow_for = |median: &Nanos| latency > (median * SLOW_FACTOR).max(MIN_SLOW_LATENCY);
         self.medians.get(&class).is_some_and(is_slow_for)
     }
--- a/crates/outlier-detection/src/config.rs
+++ b/crates/outlier-detection/src/config.rs
@@ -1,6 +1,6 @@
 //! Configuration that all fronts of a fleet share, except for each front's own position and zone.
 
-use crate::{Nanos, PeerId, Zone};
+use crate::{Nanos, PeerId, ZoneId};
 
 const MILLISECOND: Nanos = 1_000_000;
 /// Denominator of [`DetectorConfig::max_clock_drift`].
@@ -14,9 +14,9 @@
     /// This front: the position of its name in the sorted roster, from 0.
     pub me: PeerId,
     /// Number of fronts in the roster.
-    pub fronts: PeerId,
+    pub fronts: u16,
     /// This front's zone.
-    pub zone: Zone,
+    pub zone: ZoneId,
     /// Fronts that must have evidence of their own against a server before any front votes for its
     /// ejection.
     pub witnesses: usize,
@@ -64,7 +64,7 @@
         /// The front.
         me: PeerId,
         /// Number of fronts in the roster.
-        fronts: PeerId,
+        fronts: u16,
     },
     /// A single front could have a server ejected.
     #[error("a verdict needs two witnesses or more, and {0} were asked for")]
@@ -92,7 +92,7 @@
 
 impl DetectorConfig {
     /// The default configuration of front `me` of a roster of `fronts`, in a zone.
-    pub fn new(me: PeerId, fronts: PeerId, zone: Zone) -> DetectorConfig {
+    pub fn new(me: PeerId, fronts: u16, zone: ZoneId) -> DetectorConfig {
         DetectorConfig {
             me,
             fronts,
@@ -121,7 +121,7 @@
     /// # Errors
     /// The first problem that is found.
     pub fn check(&self) -> Result<(), DetectorConfigError> {
-        if self.me >= self.fronts {
+        if self.me.0 >= self.fronts {
             return Err(DetectorConfigError::UnknownPeer {
                 me: self.me,
                 fronts: self.fronts,
--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -18,8 +18,8 @@
 use crate::attempt_counts::AttemptCounts;
 use crate::gossip::{probe_key, ProbeEntry};
 use crate::{
-    Class, DetectorConfig, DetectorConfigError, Effect, EjectionTarget, Event, Evidence,
-    GossipStore, Nanos, PeerId, SampleQuality, Server,
+    ClassId, DetectorConfig, DetectorConfigError, Effect, EjectionTarget, Event, Evidence,
+    GossipStore, Nanos, PeerId, SampleQuality, ServerId,
 };
 
 use evidence_sharing::SharedEvidence;
@@ -36,20 +36,20 @@
 }
 
 /// The evidence of all fronts, by server.
-type Views = BTreeMap<Server, Vec<View>>;
+type Views = BTreeMap<ServerId, Vec<View>>;
 
 /// The age of the latest report of each server that enough probes in a row have succeeded.
-type RecoveryAges = BTreeMap<Server, Nanos>;
+type RecoveryAges = BTreeMap<ServerId, Nanos>;
 
 /// One front's side of the outlier detection of the whole fleet.
 #[derive(Clone, Debug)]
 pub struct OutlierDetector {
     config: DetectorConfig,
     /// The known servers, each with whether it is up.
-    servers: BTreeMap<Server, bool>,
+    servers: BTreeMap<ServerId, bool>,
     counts: AttemptCounts,
     /// What this front has published of each server.
-    shared: BTreeMap<Server, SharedEvidence>,
+    shared: BTreeMap<ServerId, SharedEvidence>,
     /// What the evidence proves to be an outlier, and since when.
     outliers: BTreeMap<EjectionTarget, Nanos>,
     /// This front's votes, including withdrawn ones that may still count at peers.
@@ -58,9 +58,9 @@
     agreed: BTreeSet<EjectionTarget>,
     /// What this front has ejected, and since when.
     ejected: BTreeMap<EjectionTarget, Nanos>,
-    probes: BTreeMap<Server, ProbeState>,
+    probes: BTreeMap<ServerId, ProbeState>,
     /// The time of the recovery for which a server's earlier evidence was dropped.
-    cleared: BTreeMap<Server, Nanos>,
+    cleared: BTreeMap<ServerId, Nanos>,
     suspect: bool,
 }
 
@@ -139,7 +139,7 @@
             .any(|(target, since)| is_recent(since) && !has_vote(target))
     }
 
-    fn set_servers(&mut self, servers: Vec<(Server, bool)>) {
+    fn set_servers(&mut self, servers: Vec<(ServerId, bool)>) {
         self.servers = servers.into_iter().collect();
         let known = &self.servers;
         self.counts
@@ -147,13 +147,24 @@
         self.probes.retain(|server, _| known.contains_key(server));
     }
 
-    fn record_attempt(&mut self, now: Nanos, server: Server, class: Class, quality: SampleQuality) {
+    fn record_attempt(
+        &mut self,
+        now: Nanos,
+        server: ServerId,
+        class: ClassId,
+        quality: SampleQuality,
+    ) {
         if self.servers.contains_key(&server) {
             self.counts.add(now, server, class, quality);
         }
     }
 
-    fn record_probe(&mut self, server: Server, quality: SampleQuality, effects: &mut Vec<Effect>) {
+    fn record_probe(
+        &mut self,
+        server: ServerId,
+        quality: SampleQuality,
+        effects: &mut Vec<Effect>,
+    ) {
         let probe = self.probes.entry(server).or_default();
         probe.successes = match quality {
             SampleQuality::Healthy => probe.successes.saturating_add(1),
--- a/crates/outlier-detection/src/detector/evidence_sharing.rs
+++ b/crates/outlier-detection/src/detector/evidence_sharing.rs
@@ -4,7 +4,7 @@
 use crate::evidence::{baseline, failure_rate, EvidenceSummary};
 use crate::gossip::{decode, encode, evidence_key};
 use crate::mutations::{mutated, Mutation};
-use crate::{Class, ClassEvidence, Effect, Evidence, GossipStore, Nanos, Server, EVIDENCE};
+use crate::{ClassEvidence, ClassId, Effect, Evidence, GossipStore, Nanos, ServerId, EVIDENCE};
 
 /// Evidence is published again this many times within its time to live.
 const REFRESHES_PER_TTL: Nanos = 8;
@@ -20,17 +20,18 @@
     /// The evidence of all fronts that is recent enough, this front's own last.
     pub(super) fn views(&self, now: Nanos, entries: &GossipStore) -> Views {
         let mut views = Views::new();
-        for (front, _, server, value, age) in entries.all(now, EVIDENCE) {
+        for entry in entries.all(now, EVIDENCE) {
+            let server = ServerId(entry.id);
             let is_fresh =
-                age <= self.config.evidence_ttl || mutated(Mutation::ExpiredEvidenceCounts);
-            if front == self.config.me || !is_fresh || !self.servers.contains_key(&server) {
+                entry.age <= self.config.evidence_ttl || mutated(Mutation::ExpiredEvidenceCounts);
+            if entry.origin == self.config.me || !is_fresh || !self.servers.contains_key(&server) {
                 continue;
             }
-            if let Some(evidence) = decode::<Evidence>(value) {
+            if let Some(evidence) = decode::<Evidence>(entry.value) {
                 let view = View {
-                    front,
+                    front: entry.origin,
                     evidence,
-                    age,
+                    age: entry.age,
                 };
                 views.entry(server).or_default().push(view);
             }
@@ -47,8 +48,8 @@
     }
 
     /// This front's evidence on each server with recent attempts.
-    fn own_evidence(&self, now: Nanos) -> Vec<(Server, Evidence)> {
-        let counted: Vec<(Server, Vec<ClassEvidence>)> = self
+    fn own_evidence(&self, now: Nanos) -> Vec<(ServerId, Evidence)> {
+        let counted: Vec<(ServerId, Vec<ClassEvidence>)> = self
             .servers
             .keys()
             .map(|server| (*server, self.counts.evidence(now, *server)))
@@ -102,7 +103,7 @@
     /// Whether a front's evidence makes it a witness against the server, for all work or for any
     /// class of it.
     fn is_outlier(&self, evidence: &Evidence) -> bool {
-        let exceeds = |class: Option<Class>| {
+        let exceeds = |class: Option<ClassId>| {
             let summary = EvidenceSummary::of(evidence, class, &self.config);
             summary.log_likelihood_ratio >= self.config.witness_threshold
         };
@@ -113,7 +114,7 @@
                 .any(|listed| exceeds(Some(listed.class)))
     }
 
-    fn is_sharing_due(&self, now: Nanos, server: Server, is_outlier: bool) -> bool {
+    fn is_sharing_due(&self, now: Nanos, server: ServerId, is_outlier: bool) -> bool {
         let interval = self.config.evidence_ttl / REFRESHES_PER_TTL;
         let is_outdated = |shared: &SharedEvidence| {
             shared.is_outlier != is_outlier || now - shared.shared_at >= interval
--- a/crates/outlier-detection/src/detector/outliers.rs
+++ b/crates/outlier-detection/src/detector/outliers.rs
@@ -5,7 +5,7 @@
 use super::{OutlierDetector, RecoveryAges, View, Views};
 use crate::evidence::EvidenceSummary;
 use crate::mutations::{mutated, Mutation};
-use crate::{Class, EjectionTarget, PeerId, Scope, Server, Zone};
+use crate::{ClassId, EjectionTarget, PeerId, Scope, ServerId, ZoneId};
 
 /// At or below this log-likelihood ratio, evidence says that a server is healthy.
 const HEALTHY_THRESHOLD: f64 = -1.0;
@@ -47,7 +47,7 @@
     }
 
     /// The scopes for which a server is an outlier: [`Scope::All`] alone, or several others.
-    fn outlier_scopes(&self, server: Server, trusted: &[&View]) -> BTreeSet<Scope> {
+    fn outlier_scopes(&self, server: ServerId, trusted: &[&View]) -> BTreeSet<Scope> {
         // An ejected server is seen by probes alone, by one front at a time: it stays ejected while
         // those fail.
         let agreed = self
@@ -68,7 +68,7 @@
     /// The scopes for which evidence proves a server to be an outlier.
     fn proven_scopes(&self, views: &[&View]) -> Vec<Scope> {
         let classes = classes_of(views);
-        let is_healthy = |class: &Class| {
+        let is_healthy = |class: &ClassId| {
             self.total_log_likelihood_ratio(views, Scope::Class(*class)) <= HEALTHY_THRESHOLD
         };
         if classes.iter().any(is_healthy) {
@@ -79,8 +79,8 @@
                 .collect();
         }
         let threshold = self.config.ejection_threshold;
-        let zones: BTreeSet<Zone> = views.iter().map(|view| view.evidence.zone).collect();
-        let has_half = |zone: &&Zone| {
+        let zones: BTreeSet<ZoneId> = views.iter().map(|view| view.evidence.zone).collect();
+        let has_half = |zone: &&ZoneId| {
             self.total_log_likelihood_ratio(views, Scope::Zone(**zone)) >= threshold / 2.0
         };
         let is_fleet_wide =
@@ -141,7 +141,7 @@
     }
 }
 
-fn classes_of(views: &[&View]) -> BTreeSet<Class> {
+fn classes_of(views: &[&View]) -> BTreeSet<ClassId> {
     views
         .iter()
         .flat_map(|view| view.evidence.classes.iter().map(|listed| listed.class))
--- a/crates/outlier-detection/src/detector/probes.rs
+++ b/crates/outlier-detection/src/detector/probes.rs
@@ -6,7 +6,7 @@
 use crate::gossip::ProbeEntry;
 use crate::mutations::{mutated, Mutation};
 use crate::target::mix;
-use crate::{Effect, EjectionTarget, GossipStore, Nanos, PeerId, Server, Vote, PROBE};
+use crate::{Effect, EjectionTarget, GossipStore, Nanos, PeerId, ServerId, Vote, PROBE};
 
 /// Fraction of the golden ratio, which spreads small numbers over 32 bits.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9;
@@ -32,13 +32,14 @@
     /// of its report.
     pub(super) fn recovered(&self, now: Nanos, entries: &GossipStore) -> RecoveryAges {
         let mut recovered = RecoveryAges::new();
-        for (_, _, server, value, age) in entries.all(now, PROBE) {
+        for entry in entries.all(now, PROBE) {
+            let server = ServerId(entry.id);
             let needed = self.config.probes_to_readmit;
             let is_recovered =
-                ProbeEntry::decode(value).is_some_and(|entry| entry.successes >= needed);
-            if is_recovered && age <= self.config.evidence_ttl {
-                let youngest = recovered.entry(server).or_insert(age);
-                *youngest = age.min(*youngest);
+                ProbeEntry::decode(entry.value).is_some_and(|probes| probes.successes >= needed);
+            if is_recovered && entry.age <= self.config.evidence_ttl {
+                let youngest = recovered.entry(server).or_insert(entry.age);
+                *youngest = entry.age.min(*youngest);
             }
         }
         recovered
@@ -69,8 +70,8 @@
 
     /// The oldest ejection of each server: a server that is ejected for several scopes is probed
     /// once at a time.
-    fn oldest_ejections(&self) -> BTreeMap<Server, Ejection> {
-        let mut oldest: BTreeMap<Server, Ejection> = BTreeMap::new();
+    fn oldest_ejections(&self) -> BTreeMap<ServerId, Ejection> {
+        let mut oldest: BTreeMap<ServerId, Ejection> = BTreeMap::new();
         for (target, since) in &self.ejected {
             let ejection = Ejection {
                 since: *since,
@@ -102,7 +103,7 @@
         // In another order for each server, so that the probes of several servers are spread over
         // the fronts.
         fronts.sort_by_key(|front| {
-            mix(target.server ^ (u64::from(*front) + 1).wrapping_mul(GOLDEN_RATIO))
+            mix(target.server.0 ^ (u64::from(front.0) + 1).wrapping_mul(GOLDEN_RATIO))
         });
         // A front has several turns on end, so that enough of its probes can succeed in a row.
         let turns_on_end = Nanos::from(self.config.probes_to_readmit) + 1;
--- a/crates/outlier-detection/src/detector/reports.rs
+++ b/crates/outlier-detection/src/detector/reports.rs
@@ -5,7 +5,7 @@
 use super::{OutlierDetector, View, Views};
 use crate::evidence::EvidenceSummary;
 use crate::{
-    Class, EjectionReport, EjectionTarget, GossipStore, Nanos, Observation, PeerId, Server,
+    ClassId, EjectionReport, EjectionTarget, GossipStore, Nanos, Observation, PeerId, ServerId,
 };
 
 impl OutlierDetector {
@@ -46,7 +46,7 @@
         &self,
         now: Nanos,
         entries: &GossipStore,
-        server: Server,
+        server: ServerId,
     ) -> Vec<Observation> {
         let views = self.views(now, entries);
         self.observations_of(&views, &self.suspects(&views), server, None)
@@ -56,8 +56,8 @@
         &self,
         views: &Views,
         suspects: &BTreeSet<PeerId>,
-        server: Server,
-        class: Option<Class>,
+        server: ServerId,
+        class: Option<ClassId>,
     ) -> Vec<Observation> {
         let observation = |view: &View| {
             let summary = EvidenceSummary::of(&view.evidence, class, &self.config);
--- a/crates/outlier-detection/src/detector/voting.rs
+++ b/crates/outlier-detection/src/detector/voting.rs
@@ -6,7 +6,7 @@
 use super::OutlierDetector;
 use crate::gossip::{decode, encode, vote_key, VoteEntry};
 use crate::mutations::{mutated, Mutation};
-use crate::{Effect, EjectionTarget, GossipStore, Nanos, Scope, Server, Vote, VOTE};
+use crate::{Effect, EjectionTarget, GossipStore, Nanos, Scope, ServerId, Vote, VOTE};
 
 /// A vote is published again this many times within its time to live.
 const REFRESHES_PER_TTL: Nanos = 4;
@@ -72,13 +72,13 @@
 
     /// Whether another vote keeps the number of servers that this front may have ejected within its
     /// bound.
-    fn may_vote(&self, now: Nanos, server: Server) -> bool {
+    fn may_vote(&self, now: Nanos, server: ServerId) -> bool {
         let span = self.config.vote_span();
         let counting = self
             .votes
             .iter()
             .filter(|(_, vote)| vote.active || now < vote.put_at + span);
-        let mut servers: BTreeSet<Server> = counting.map(|(target, _)| target.server).collect();
+        let mut servers: BTreeSet<ServerId> = counting.map(|(target, _)| target.server).collect();
         servers.insert(server);
         servers.len() <= self.config.max_votes(self.servers.len())
     }
@@ -126,19 +126,22 @@
 
     fn peer_votes(&self, now: Nanos, entries: &GossipStore) -> Votes {
         let mut votes = Votes::new();
-        for (front, _, id, value, age) in entries.all(now, VOTE) {
-            let is_fresh = age <= self.config.vote_ttl || mutated(Mutation::ExpiredVotesCount);
-            if front == self.config.me || !is_fresh {
+        for entry in entries.all(now, VOTE) {
+            let is_fresh =
+                entry.age <= self.config.vote_ttl || mutated(Mutation::ExpiredVotesCount);
+            if entry.origin == self.config.me || !is_fresh {
                 continue;
             }
-            let Some(VoteEntry { target, zone }) = decode(value) else {
+            let Some(VoteEntry { target, zone }) = decode(entry.value) else {
                 continue;
             };
-            if target.id() == id {
-                votes
-                    .entry(target)
-                    .or_default()
-                    .push(Vote { front, zone, age });
+            if target.id() == entry.id {
+                let vote = Vote {
+                    front: entry.origin,
+                    zone,
+                    age: entry.age,
+                };
+                votes.entry(target).or_default().push(vote);
             }
         }
         votes
@@ -158,7 +161,7 @@
 /// Adds each front's vote for [`Scope::All`] to the narrower targets of the same server that have
 /// none of it.
 fn extend_narrower_targets(votes: &mut Votes) {
-    let for_all: Vec<(Server, Vec<Vote>)> = votes
+    let for_all: Vec<(ServerId, Vec<Vote>)> = votes
         .iter()
         .filter(|(target, _)| target.scope == Scope::All)
         .map(|(target, votes)| (target.server, votes.clone()))
--- a/crates/outlier-detection/src/event.rs
+++ b/crates/outlier-detection/src/event.rs
@@ -1,27 +1,27 @@
 //! Inputs and outputs of an [`OutlierDetector`](crate::OutlierDetector).
 
-use crate::{Class, EjectionTarget, EntryKey, SampleQuality, Server};
+use crate::{ClassId, EjectionTarget, EntryKey, SampleQuality, ServerId};
 
 /// An input of the detector.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The known servers, each with whether the endpoint list has it as up.
-    Servers(Vec<(Server, bool)>),
+    Servers(Vec<(ServerId, bool)>),
     /// An attempt has ended.
     Attempt {
         /// The server that it was sent to.
-        server: Server,
+        server: ServerId,
         /// The class of work.
-        class: Class,
+        class: ClassId,
         /// Its result.
         quality: SampleQuality,
     },
     /// A probe of an ejected server has ended. It counts as an attempt, too.
     Probed {
         /// The server.
-        server: Server,
+        server: ServerId,
         /// The class of work.
-        class: Class,
+        class: ClassId,
         /// Its result.
         quality: SampleQuality,
     },
@@ -45,7 +45,7 @@
     },
     /// It is this front's turn to probe a server, once, within
     /// [`probe_turn`](crate::DetectorConfig::probe_turn).
-    Probe(Server),
+    Probe(ServerId),
     /// Whether this front's evidence contradicts that of most peers, so that it is ignored.
     Suspect(bool),
 }
--- a/crates/outlier-detection/src/evidence.rs
+++ b/crates/outlier-detection/src/evidence.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::mutations::{mutated, Mutation};
-use crate::{Class, DetectorConfig, Zone};
+use crate::{ClassId, DetectorConfig, ZoneId};
 
 /// Maximum number of classes of work in one [`Evidence`].
 pub(crate) const MAX_CLASSES: usize = 16;
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClassEvidence {
     /// The class of work.
-    pub class: Class,
+    pub class: ClassId,
     /// All attempts, with exponential decay, in tenths.
     pub attempts: u16,
     /// The failed ones among these, in tenths.
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
     /// The front's zone.
-    pub zone: Zone,
+    pub zone: ZoneId,
     /// Failure rate of the front's median server, in thousandths.
     pub baseline: u16,
     /// The attempts, by class of work.
@@ -96,7 +96,7 @@
     /// Summarizes a front's evidence for one class of work, or for all of them.
     pub fn of(
         evidence: &Evidence,
-        class: Option<Class>,
+        class: Option<ClassId>,
         config: &DetectorConfig,
     ) -> EvidenceSummary {
         let listed = evidence.classes.iter().take(MAX_CLASSES);
--- a/crates/outlier-detection/src/gossip.rs
+++ b/crates/outlier-detection/src/gossip.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use tulipbridge_membership::EntryKey;
 
-use crate::{EjectionTarget, Server, Zone};
+use crate::{EjectionTarget, ServerId, ZoneId};
 
 /// Kind of the entries with a front's [`Evidence`](crate::Evidence) on a server; the id is the
 /// server.
@@ -17,10 +17,10 @@
 pub const PROBE: u8 = 4;
 
 /// Key of the evidence on a server.
-pub(crate) fn evidence_key(server: Server) -> EntryKey {
+pub(crate) fn evidence_key(server: ServerId) -> EntryKey {
     EntryKey {
         kind: EVIDENCE,
-        id: server,
+        id: server.0,
     }
 }
 
@@ -33,10 +33,10 @@
 }
 
 /// Key of the probe results of a server.
-pub(crate) fn probe_key(server: Server) -> EntryKey {
+pub(crate) fn probe_key(server: ServerId) -> EntryKey {
     EntryKey {
         kind: PROBE,
-        id: server,
+        id: server.0,
     }
 }
 
@@ -46,7 +46,7 @@
     /// What the voter wants to be ejected.
     pub target: EjectionTarget,
     /// The voter's zone.
-    pub zone: Zone,
+    pub zone: ZoneId,
 }
 
 /// Value of probe results.
--- /dev/null
+++ b/crates/outlier-detection/src/ids.rs
@@ -0,0 +1,19 @@
+//! Identifiers of servers, classes of work and zones.
+
+use tulipbridge_membership::numeric_newtype;
+
+numeric_newtype! {
+    /// One run of a chunk server: a digest of its name and of its start time, so that a restarted
+    /// server is a new one.
+    ServerId(u64)
+}
+
+numeric_newtype! {
+    /// A class of work, by its number in the settings that all fronts share.
+    ClassId(u8)
+}
+
+numeric_newtype! {
+    /// A zone, by its number in the settings that all fronts share.
+    ZoneId(u8)
+}
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -13,6 +13,7 @@
 mod event;
 mod evidence;
 mod gossip;
+mod ids;
 pub mod mutations;
 mod report;
 mod target;
@@ -23,14 +24,7 @@
 pub use event::{Effect, Event};
 pub use evidence::{ClassEvidence, Evidence, SampleQuality};
 pub use gossip::{EVIDENCE, PROBE, VOTE};
+pub use ids::{ClassId, ServerId, ZoneId};
 pub use report::{EjectionReport, Observation, Vote};
 pub use target::{EjectionTarget, Scope};
 pub use tulipbridge_membership::{EntryKey, GossipStore, Incarnation, Nanos, PeerId};
-
-/// One run of a chunk server: a digest of its name and of its start time, so that a restarted
-/// server is a new one.
-pub type Server = u64;
-/// A class of work, by its number in the settings that all fronts share.
-pub type Class = u8;
-/// A zone, by its number in the settings that all fronts share.
-pub type Zone = u8;
--- a/crates/outlier-detection/src/report.rs
+++ b/crates/outlier-detection/src/report.rs
@@ -1,6 +1,6 @@
 //! Explanations of ejections for operators.
 
-use crate::{EjectionTarget, Nanos, PeerId, Zone};
+use crate::{EjectionTarget, Nanos, PeerId, ZoneId};
 
 /// A front's vote for an ejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -8,7 +8,7 @@
     /// The voter.
     pub front: PeerId,
     /// The voter's zone.
-    pub zone: Zone,
+    pub zone: ZoneId,
     /// Upper bound of the time since the vote was published.
     pub age: Nanos,
 }
--- a/crates/outlier-detection/src/target.rs
+++ b/crates/outlier-detection/src/target.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Class, Server, Zone};
+use crate::{ClassId, ServerId, ZoneId};
 
 /// The work for which a server is ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -10,14 +10,14 @@
     /// All work of all fronts.
     All,
     /// All work of the fronts of one zone.
-    Zone(Zone),
+    Zone(ZoneId),
     /// One class of work of all fronts.
-    Class(Class),
+    Class(ClassId),
 }
 
 impl Scope {
     /// The class of work that the scope is restricted to, if any.
-    pub(crate) fn class(self) -> Option<Class> {
+    pub(crate) fn class(self) -> Option<ClassId> {
         match self {
             Scope::Class(class) => Some(class),
             Scope::All | Scope::Zone(_) => None,
@@ -25,7 +25,7 @@
     }
 
     /// Whether the scope concerns the fronts of a zone.
-    pub(crate) fn includes_zone(self, zone: Zone) -> bool {
+    pub(crate) fn includes_zone(self, zone: ZoneId) -> bool {
         match self {
             Scope::Zone(only) => only == zone,
             Scope::All | Scope::Class(_) => true,
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EjectionTarget {
     /// The server.
-    pub server: Server,
+    pub server: ServerId,
     /// The work for which it is ejected.
     pub scope: Scope,
 }
@@ -52,10 +52,10 @@
     pub fn id(&self) -> u64 {
         let scope = match self.scope {
             Scope::All => 0,
-            Scope::Zone(zone) => 0x100 | u64::from(zone),
-            Scope::Class(class) => 0x200 | u64::from(class),
+            Scope::Zone(zone) => 0x100 | u64::from(zone.0),
+            Scope::Class(class) => 0x200 | u64::from(class.0),
         };
-        mix(self.server ^ scope.wrapping_mul(GOLDEN_RATIO))
+        mix(self.server.0 ^ scope.wrapping_mul(GOLDEN_RATIO))
     }
 }
 
--- a/crates/outlier-detection/tests/attempt_observer.rs
+++ b/crates/outlier-detection/tests/attempt_observer.rs
@@ -3,8 +3,8 @@
 use tulipbridge_outlier_detection::*;
 
 const MS: Nanos = 1_000_000;
-const SERVER: Server = 3;
-const CLASS: Class = 1;
+const SERVER: ServerId = ServerId(3);
+const CLASS: ClassId = ClassId(1);
 const KEY: (u64, u32) = (7, 0);
 
 /// What the detector is told of an attempt.
--- a/crates/outlier-detection/tests/config.rs
+++ b/crates/outlier-detection/tests/config.rs
@@ -1,15 +1,15 @@
 //! Validation of configurations.
 
-use tulipbridge_outlier_detection::{DetectorConfig, DetectorConfigError};
+use tulipbridge_outlier_detection::{DetectorConfig, DetectorConfigError, PeerId, ZoneId};
 
 #[test]
 fn an_invalid_configuration_is_rejected_with_its_reason() {
-    let valid = DetectorConfig::new(0, 4, 0);
+    let valid = DetectorConfig::new(PeerId(0), 4, ZoneId(0));
     assert_eq!(valid.check(), Ok(()));
     let invalid = [
         (
             DetectorConfig {
-                me: 4,
+                me: PeerId(4),
                 ..valid.clone()
             },
             "place 4 is not in a roster of 4",
@@ -54,19 +54,22 @@
 #[test]
 fn one_of_several_problems_is_reported() {
     let config = DetectorConfig {
-        me: 4,
+        me: PeerId(4),
         witnesses: 0,
-        ..DetectorConfig::new(0, 4, 0)
+        ..DetectorConfig::new(PeerId(0), 4, ZoneId(0))
     };
     assert_eq!(
         config.check(),
-        Err(DetectorConfigError::UnknownPeer { me: 4, fronts: 4 })
+        Err(DetectorConfigError::UnknownPeer {
+            me: PeerId(4),
+            fronts: 4
+        })
     );
 }
 
 #[test]
 fn the_quorum_is_more_than_half_and_votes_are_bounded_by_half_of_the_fraction() {
-    let config = |fronts| DetectorConfig::new(0, fronts, 0);
+    let config = |fronts| DetectorConfig::new(PeerId(0), fronts, ZoneId(0));
     assert_eq!(
         [1, 2, 3, 4].map(|fronts| config(fronts).quorum()),
         [1, 2, 2, 3]
--- a/crates/outlier-detection/tests/detector.rs
+++ b/crates/outlier-detection/tests/detector.rs
@@ -7,11 +7,11 @@
 const MS: Nanos = 1_000_000;
 const FAILURE_TIMEOUT: Nanos = 2_000 * MS;
 const ROUND_INTERVAL: Nanos = 200 * MS;
-const SERVERS: Server = 6;
-const CLASSES: [Class; 2] = [0, 1];
+const SERVERS: u64 = 6;
+const CLASSES: [ClassId; 2] = [ClassId(0), ClassId(1)];
 /// The server that fails in most tests, for all work.
 const OUTLIER: EjectionTarget = EjectionTarget {
-    server: 3,
+    server: ServerId(3),
     scope: Scope::All,
 };
 
@@ -26,12 +26,14 @@
 }
 
 impl Front {
-    fn new(me: PeerId, fronts: PeerId, zone: Zone) -> Front {
-        let incarnation = 100 + u64::from(me);
+    fn new(me: PeerId, fronts: u16, zone: ZoneId) -> Front {
+        let incarnation = Incarnation(100 + u64::from(me.0));
         let entries = GossipStore::new(me, fronts, incarnation, 100_000, 0);
         let config = DetectorConfig::new(me, fronts, zone);
         let mut detector = OutlierDetector::new(config).expect("the configuration is valid");
-        let servers = (0..SERVERS).map(|server| (server, true)).collect();
+        let servers = (0..SERVERS)
+            .map(|server| (ServerId(server), true))
+            .collect();
         detector.on(0, &entries, Event::Servers(servers), &mut Vec::new());
         let members = MembershipTable::new(me, fronts, incarnation, FAILURE_TIMEOUT);
         Front {
@@ -46,7 +48,7 @@
     }
 
     /// Handles an event and its effects. `probe` gives the result of a probe of a server.
-    fn handle(&mut self, now: Nanos, event: Event, probe: &dyn Fn(Server) -> SampleQuality) {
+    fn handle(&mut self, now: Nanos, event: Event, probe: &dyn Fn(ServerId) -> SampleQuality) {
         let mut effects = Vec::new();
         self.detector.on(now, &self.entries, event, &mut effects);
         for effect in effects {
@@ -65,7 +67,7 @@
                     self.probes += 1;
                     let probed = Event::Probed {
                         server,
-                        class: 0,
+                        class: ClassId(0),
                         quality: probe(server),
                     };
                     self.handle(now, probed, probe);
@@ -79,10 +81,10 @@
     fn attempt_and_evaluate(
         &mut self,
         now: Nanos,
-        quality: &dyn Fn(Server, Class) -> SampleQuality,
+        quality: &dyn Fn(ServerId, ClassId) -> SampleQuality,
     ) {
-        let probe = |server| quality(server, 0);
-        for server in 0..SERVERS {
+        let probe = |server| quality(server, ClassId(0));
+        for server in (0..SERVERS).map(ServerId) {
             let is_ejected = self.ejected.iter().any(|target| target.server == server);
             for class in CLASSES.into_iter().filter(|_| !is_ejected) {
                 let quality = quality(server, class);
@@ -103,9 +105,9 @@
 }
 
 /// Fronts in zones that alternate.
-fn fleet(fronts: PeerId, zones: Zone) -> Vec<Front> {
-    (0..fronts)
-        .map(|me| Front::new(me, fronts, (me % PeerId::from(zones)) as Zone))
+fn fleet(fronts: u16, zones: u8) -> Vec<Front> {
+    PeerId::all(fronts)
+        .map(|me| Front::new(me, fronts, ZoneId((me.0 % u16::from(zones)) as u8)))
         .collect()
 }
 
@@ -116,7 +118,7 @@
     from: Nanos,
     to: Nanos,
     is_linked: impl Fn(usize, usize) -> bool,
-    fails: impl Fn(usize, Server, Class) -> bool,
+    fails: impl Fn(usize, ServerId, ClassId) -> bool,
 ) {
     for now in (from..to).step_by(ROUND_INTERVAL as usize) {
         for sender in 0..fleet.len() {
@@ -155,8 +157,8 @@
         .map(|to| (to, front.members.state_for(now, to)))
         .collect();
     for (to, state) in states {
-        if is_linked(usize::from(to), sender) {
-            fleet[usize::from(to)]
+        if is_linked(to.index(), sender) {
+            fleet[to.index()]
                 .members
                 .receive(now, me, incarnation, &state);
         }
@@ -165,13 +167,13 @@
         let GossipAction::Send { to, message } = action else {
             continue;
         };
-        if is_linked(usize::from(to), sender) {
+        if is_linked(to.index(), sender) {
             let received = GossipInput::Received {
                 from: me,
                 incarnation,
                 message,
             };
-            let receiver = &mut fleet[usize::from(to)];
+            let receiver = &mut fleet[to.index()];
             receiver
                 .entries
                 .on(now, &receiver.members, received, &mut Vec::new())
@@ -184,7 +186,7 @@
     true
 }
 
-fn no_failures(_: usize, _: Server, _: Class) -> bool {
+fn no_failures(_: usize, _: ServerId, _: ClassId) -> bool {
     false
 }
 
@@ -242,7 +244,7 @@
         is_unreachable,
     );
     let in_zone = EjectionTarget {
-        scope: Scope::Zone(1),
+        scope: Scope::Zone(ZoneId(1)),
         ..OUTLIER
     };
     for (me, front) in fronts.iter().enumerate() {
@@ -261,11 +263,11 @@
 #[test]
 fn a_server_that_fails_for_one_class_of_work_is_ejected_for_that_class() {
     let mut fronts = fleet(4, 1);
-    let fails = |_, server, class| server == OUTLIER.server && class == 1;
+    let fails = |_, server, class| server == OUTLIER.server && class == ClassId(1);
     rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
     rounds(&mut fronts, 2_000 * MS, 6_000 * MS, all_linked, fails);
     let for_class = EjectionTarget {
-        scope: Scope::Class(1),
+        scope: Scope::Class(ClassId(1)),
         ..OUTLIER
     };
     assert!(
@@ -295,7 +297,7 @@
         2_000 * MS,
         8_000 * MS,
         all_linked,
-        |front, server, _| front == 2 && server % 3 == 0,
+        |front, server, _| front == 2 && server.0 % 3 == 0,
     );
     assert!(fronts.iter().all(|front| front.ejected.is_empty()));
     assert!(fronts[2].detector.is_suspect() && !fronts[1].detector.is_suspect());
@@ -310,7 +312,7 @@
         2_000 * MS,
         10_000 * MS,
         all_linked,
-        |_, server, _| server % 2 == 0,
+        |_, server, _| server.0 % 2 == 0,
     );
     assert!(
         fronts.iter().all(|front| front.ejected.is_empty()),
@@ -332,7 +334,7 @@
     );
     rounds(&mut fronts, 8_000 * MS, 12_000 * MS, all_linked, fails);
     let in_zone = EjectionTarget {
-        scope: Scope::Zone(0),
+        scope: Scope::Zone(ZoneId(0)),
         ..OUTLIER
     };
     assert!(fronts
@@ -354,7 +356,7 @@
         2_000 * MS,
         12_000 * MS,
         all_linked,
-        |_, server, _| server == 2 || server == 3,
+        |_, server, _| server.0 == 2 || server.0 == 3,
     );
     for front in &fronts {
         assert_eq!(
--- a/crates/outlier-detection/tests/golden.rs
+++ b/crates/outlier-detection/tests/golden.rs
@@ -12,11 +12,13 @@
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use tulipbridge_membership::{Delta, GossipEntry, GossipInput, GossipMessage, MembershipTable};
+use tulipbridge_membership::{
+    Delta, Echo, GossipEntry, GossipInput, GossipMessage, MembershipTable,
+};
 use tulipbridge_outlier_detection::*;
 
 const MS: Nanos = 1_000_000;
-const SERVER: Server = 0x1122_3344_5566_7788;
+const SERVER: ServerId = ServerId(0x1122_3344_5566_7788);
 
 /// Lower-case hexadecimal digits of some bytes.
 fn hex(bytes: &[u8]) -> String {
@@ -44,12 +46,12 @@
 
 #[test]
 fn scope_of_a_zone() {
-    assert_golden(&Scope::Zone(200), "01c8");
+    assert_golden(&Scope::Zone(ZoneId(200)), "01c8");
 }
 
 #[test]
 fn scope_of_a_class() {
-    assert_golden(&Scope::Class(201), "02c9");
+    assert_golden(&Scope::Class(ClassId(201)), "02c9");
 }
 
 #[test]
@@ -57,7 +59,7 @@
     assert_golden(
         &EjectionTarget {
             server: SERVER,
-            scope: Scope::Class(201),
+            scope: Scope::Class(ClassId(201)),
         },
         concat!(
             "88ef99abc5e88c9111", // server
@@ -76,15 +78,15 @@
         .id()
     };
     assert_eq!(id(Scope::All), 0x7709_291b_83f6_32e2);
-    assert_eq!(id(Scope::Zone(200)), 0x3af1_14a4_1730_e1a7);
-    assert_eq!(id(Scope::Class(201)), 0xb36f_1ca2_ada6_6c67);
+    assert_eq!(id(Scope::Zone(ZoneId(200))), 0x3af1_14a4_1730_e1a7);
+    assert_eq!(id(Scope::Class(ClassId(201))), 0xb36f_1ca2_ada6_6c67);
 }
 
 #[test]
 fn class_evidence() {
     assert_golden(
         &ClassEvidence {
-            class: 202,
+            class: ClassId(202),
             attempts: 301,
             failures: 130,
         },
@@ -100,19 +102,19 @@
 fn evidence() {
     let classes = vec![
         ClassEvidence {
-            class: 202,
+            class: ClassId(202),
             attempts: 301,
             failures: 130,
         },
         ClassEvidence {
-            class: 3,
+            class: ClassId(3),
             attempts: 5,
             failures: 4,
         },
     ];
     assert_golden(
         &Evidence {
-            zone: 201,
+            zone: ZoneId(201),
             baseline: 400,
             classes,
         },
@@ -127,18 +129,18 @@
 }
 
 /// The front whose entries are tested.
-const FRONT: PeerId = 0;
-const INCARNATION: Incarnation = 100;
-const ZONE: Zone = 200;
+const FRONT: PeerId = PeerId(0);
+const INCARNATION: Incarnation = Incarnation(100);
+const ZONE: ZoneId = ZoneId(200);
 /// A front of another zone with the same evidence, so that both vote to eject the server for all
 /// work.
-const PEER: PeerId = 1;
-const PEER_INCARNATION: Incarnation = 101;
-const PEER_ZONE: Zone = 7;
+const PEER: PeerId = PeerId(1);
+const PEER_INCARNATION: Incarnation = Incarnation(101);
+const PEER_ZONE: ZoneId = ZoneId(7);
 /// The class of work of all attempts.
-const CLASS: Class = 201;
+const CLASS: ClassId = ClassId(201);
 /// The servers that are no outliers.
-const HEALTHY_SERVERS: std::ops::Range<Server> = 10..15;
+const HEALTHY_SERVERS: std::ops::Range<u64> = 10..15;
 
 /// The membership of the front, to which the peer is alive.
 fn membership(now: Nanos) -> MembershipTable {
@@ -157,7 +159,7 @@
     let value = postcard::to_stdvec(evidence).expect("the evidence can be encoded");
     let key = EntryKey {
         kind: EVIDENCE,
-        id: SERVER,
+        id: SERVER.0,
     };
     let entry = GossipEntry {
         key,
@@ -173,7 +175,10 @@
         entries: vec![entry],
     };
     let message = GossipMessage {
-        echo: Some((INCARNATION, now)),
+        echo: Some(Echo {
+            incarnation: INCARNATION,
+            sent_at: now,
+        }),
         knows: Vec::new(),
         requests_missing: false,
         deltas: vec![delta],
@@ -205,7 +210,7 @@
     detector: &mut OutlierDetector,
     now: Nanos,
     entries: &GossipStore,
-    server: Server,
+    server: ServerId,
     failures: usize,
 ) {
     for attempt in 0..20 {
@@ -243,12 +248,15 @@
     let mut detector = OutlierDetector::new(DetectorConfig::new(FRONT, 2, ZONE))
         .expect("the configuration is valid");
     let servers = HEALTHY_SERVERS
+        .map(ServerId)
         .chain([SERVER])
         .map(|server| (server, true))
         .collect();
     detector.on(now, &entries, Event::Servers(servers), &mut Vec::new());
     record_attempts(&mut detector, now, &entries, SERVER, 18);
-    HEALTHY_SERVERS.for_each(|server| record_attempts(&mut detector, now, &entries, server, 1));
+    for server in HEALTHY_SERVERS.map(ServerId) {
+        record_attempts(&mut detector, now, &entries, server, 1);
+    }
     let mut effects = Vec::new();
     detector.on(now, &entries, Event::Evaluate, &mut effects);
     detector.on(now + 400 * MS, &entries, Event::Evaluate, &mut effects);
@@ -275,7 +283,7 @@
     let expected = (
         EntryKey {
             kind: 2,
-            id: SERVER,
+            id: SERVER.0,
         },
         Some(value.to_owned()),
     );
@@ -326,7 +334,7 @@
         (
             EntryKey {
                 kind: 4,
-                id: SERVER,
+                id: SERVER.0,
             },
             Some(value.to_owned()),
         )
--- a/crates/testbed/src/cli/simulate.rs
+++ b/crates/testbed/src/cli/simulate.rs
@@ -71,7 +71,7 @@
             max_total_share: without_duplicates
                 .map(|report| report.max_total_share)
                 .max()
-                .unwrap_or(0),
+                .unwrap_or(Share::NONE),
             min_healed_share: healed.iter().copied().min(),
             healed: healed.len() as u64,
             failed: sweep.failed.iter().map(|schedule| schedule.seed).collect(),
@@ -93,14 +93,14 @@
     let sweep = LIMITS.sweep(&arguments.seeds);
     LIMITS.store_failed(&sweep.failed, &arguments.schedules)?;
     let summary = LimitsSummary::of(&sweep);
-    let fraction = |millionths: Share| f64::from(millionths) / 1e6;
+    let fraction = |millionths: Share| millionths.as_fraction();
     println!(
         "{} schedules, {} messages: rights at most {:.6} of the limit; {} healed, in use then {:.3} or more; {} failed",
         summary.schedules,
         summary.messages,
         fraction(summary.max_total_share),
         summary.healed,
-        fraction(summary.min_healed_share.unwrap_or(0)),
+        fraction(summary.min_healed_share.unwrap_or(Share::NONE)),
         summary.failed.len()
     );
     if let Some(file) = &arguments.json {
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -6,7 +6,7 @@
 
 use serde::Serialize;
 use tulipbridge_fleet_limits::{
-    Effect, Event, Heartbeat, Limit, LimitCoordinator, LimitsConfig, Nanos, PeerId,
+    Effect, Event, Heartbeat, Incarnation, Limit, LimitCoordinator, LimitsConfig, Nanos, PeerId,
 };
 use tulipbridge_membership::{EnvelopeCodec, EnvelopeError, PeerStatus};
 
@@ -71,14 +71,14 @@
 }
 
 impl Fleet {
-    fn new(fronts: PeerId, volumes: u64) -> Result<Fleet, EnvelopeError> {
+    fn new(fronts: u16, volumes: u64) -> Result<Fleet, EnvelopeError> {
         let codec = EnvelopeCodec::new(KEY)?;
         let coordinator = |front: PeerId| {
             let config = LimitsConfig::new(front, fronts, 1);
-            LimitCoordinator::new(config, u64::from(front) + 1, 0)
+            LimitCoordinator::new(config, Incarnation(u64::from(front.0) + 1), 0)
                 .expect("the configuration is valid")
         };
-        let coordinators: Vec<LimitCoordinator> = (0..fronts).map(coordinator).collect();
+        let coordinators: Vec<LimitCoordinator> = PeerId::all(fronts).map(coordinator).collect();
         let heartbeat_interval = coordinators[VICTIM].config().heartbeat_interval;
         Ok(Fleet {
             coordinators,
@@ -106,7 +106,7 @@
             self.coordinators[front].on(self.now, Event::HeartbeatDue, &mut effects);
             for effect in effects {
                 if let Effect::Send { to, heartbeat } = effect {
-                    self.send(front, usize::from(to), &heartbeat, &is_alive)?;
+                    self.send(front, to.index(), &heartbeat, &is_alive)?;
                 }
             }
         }
@@ -121,7 +121,7 @@
         is_alive: &impl Fn(usize) -> bool,
     ) -> Result<(), EnvelopeError> {
         let incarnation = self.coordinators[from].incarnation();
-        let sealed = self.codec.seal(from as PeerId, incarnation, heartbeat)?;
+        let sealed = self.codec.seal(PeerId::at(from), incarnation, heartbeat)?;
         self.bytes_sent += sealed.len();
         self.datagrams_sent += 1;
         if is_alive(to) {
@@ -142,7 +142,7 @@
         let others = self.coordinators.iter().skip(VICTIM + 1);
         others
             .into_iter()
-            .all(|front| front.members().status(self.now, VICTIM as PeerId) == PeerStatus::Dead)
+            .all(|front| front.members().status(self.now, PeerId::at(VICTIM)) == PeerStatus::Dead)
     }
 }
 
@@ -150,7 +150,7 @@
 ///
 /// # Errors
 /// If a message would be too long.
-pub fn measure(fronts: PeerId, volumes: u64, rounds: u32) -> Result<Cost, EnvelopeError> {
+pub fn measure(fronts: u16, volumes: u64, rounds: u32) -> Result<Cost, EnvelopeError> {
     let memory_before = resident_kb();
     let mut fleet = Fleet::new(fronts, volumes)?;
     for _ in 0..WARM_UP_ROUNDS {
--- a/crates/testbed/src/simulation/fleet.rs
+++ b/crates/testbed/src/simulation/fleet.rs
@@ -115,7 +115,7 @@
     /// The peer state of a process that starts now, with a random incarnation. `gossip_rate` is in
     /// bytes a second.
     pub fn new_peer(&mut self, front: usize, gossip_rate: u64) -> Peer {
-        let incarnation = self.rng.u64(1..u64::MAX);
+        let incarnation = Incarnation(self.rng.u64(1..u64::MAX));
         Peer::new(front, self.fronts.len(), incarnation, gossip_rate, self.now)
     }
 
@@ -139,7 +139,7 @@
 
     /// Sends a message from a front, if it runs.
     pub fn send(&mut self, from: usize, to: PeerId, message: PeerMessage) {
-        let to = usize::from(to);
+        let to = to.index();
         let Some(front) = &self.fronts[from] else {
             return;
         };
@@ -148,7 +148,7 @@
             let message = message.clone();
             let envelope = Envelope {
                 to,
-                from: from as PeerId,
+                from: PeerId::at(from),
                 incarnation,
                 message,
             };
--- a/crates/testbed/src/simulation/gossip.rs
+++ b/crates/testbed/src/simulation/gossip.rs
@@ -10,7 +10,9 @@
 use std::convert::Infallible;
 
 use fastrand::Rng;
-use tulipbridge_membership::{Delta, EntryKey, GossipAction, Incarnation, Nanos, PeerId};
+use tulipbridge_membership::{
+    Delta, EntryKey, GossipAction, Incarnation, KnownVersion, Nanos, PeerId,
+};
 
 use self::history::WriteHistory;
 pub use self::report::GossipReport;
@@ -33,8 +35,8 @@
 struct FrontState {
     /// The version of this front's latest write.
     written: u64,
-    /// By origin: the incarnation and version last known here.
-    known: BTreeMap<PeerId, (Incarnation, u64)>,
+    /// By origin: what was last known here.
+    known: BTreeMap<PeerId, KnownVersion>,
     /// Gossip of the last second: when it was sent, and its bytes.
     sent: Vec<(Nanos, u64)>,
 }
@@ -133,8 +135,8 @@
         };
         let version = |peer: &Peer| {
             peer.gossip
-                .known(front as PeerId)
-                .map_or(0, |(_, version)| version)
+                .known(PeerId::at(front))
+                .map_or(0, |known| known.version)
         };
         let before = version(&running.peer);
         running.peer.put(now, key, value.clone());
@@ -207,20 +209,21 @@
             return;
         };
         for origin in running.peer.membership.others() {
-            let Some((incarnation, version)) = running.peer.gossip.known(origin) else {
+            let Some(known) = running.peer.gossip.known(origin) else {
                 continue;
             };
-            let previous = running.state.known.insert(origin, (incarnation, version));
-            let went_back =
-                previous.is_some_and(|(earlier, known)| earlier == incarnation && version < known);
+            let previous = running.state.known.insert(origin, known);
+            let went_back = previous.is_some_and(|previous| {
+                previous.incarnation == known.incarnation && known.version < previous.version
+            });
             self.report.inconsistent |= went_back;
             for id in 0..KEYS {
                 let key = entry_key(id);
                 let entry = running.peer.gossip.get(now, origin, key);
-                let writes = self.history.of_key(incarnation, version, key);
+                let writes = self.history.of_key(known.incarnation, known.version, key);
                 self.report.age_understated |= writes.understates_age(entry, now);
-                let value = entry.map(|(value, _)| value);
-                self.report.inconsistent |= version > 0 && !writes.allows(value);
+                let value = entry.map(|entry| entry.value);
+                self.report.inconsistent |= known.version > 0 && !writes.allows(value);
             }
         }
     }
@@ -238,8 +241,12 @@
             for (origin, writer) in
                 running().filter(|(origin, writer)| *origin != index && writer.state.written > 0)
             {
-                let expected = Some((writer.peer.incarnation, writer.state.written));
-                let known = front.peer.gossip.known(origin as PeerId);
+                let expected = Some(KnownVersion {
+                    origin: PeerId::at(origin),
+                    incarnation: writer.peer.incarnation,
+                    version: writer.state.written,
+                });
+                let known = front.peer.gossip.known(PeerId::at(origin));
                 self.report.not_converged |= known != expected;
             }
         }
--- a/crates/testbed/src/simulation/gossip/history.rs
+++ b/crates/testbed/src/simulation/gossip/history.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use tulipbridge_membership::{EntryKey, Incarnation, Nanos};
+use tulipbridge_membership::{EntryKey, Incarnation, Nanos, StoredValue};
 
 /// One write of an entry; no value is a removal.
 struct Write {
@@ -83,13 +83,13 @@
             .and_then(|write| write.value.as_deref())
     }
 
-    /// Whether an entry, given as its value and age, is the latest one received but claims to be
+    /// Whether an entry is the latest one received but claims to be
     /// younger than that is.
-    pub fn understates_age(&self, entry: Option<(&[u8], Nanos)>, now: Nanos) -> bool {
-        let (Some((value, age)), Some(latest)) = (entry, self.received().next()) else {
+    pub fn understates_age(&self, entry: Option<StoredValue<'_>>, now: Nanos) -> bool {
+        let (Some(entry), Some(latest)) = (entry, self.received().next()) else {
             return false;
         };
-        Some(value) == latest.value.as_deref() && age < now - latest.at
+        Some(entry.value) == latest.value.as_deref() && entry.age < now - latest.at
     }
 
     /// Whether a front may hold this value: the latest received; or, where the key was written
--- a/crates/testbed/src/simulation/limits.rs
+++ b/crates/testbed/src/simulation/limits.rs
@@ -15,7 +15,7 @@
 use fastrand::Rng;
 use tulipbridge_fleet_limits::{
     Effect, Event as CoordinatorEvent, Heartbeat, Incarnation, Limit, LimitCoordinator,
-    LimitsConfig, Nanos, PeerId,
+    LimitsConfig, Nanos, PeerId, Share,
 };
 
 use self::process::{DriftingClock, Message, Process};
@@ -100,7 +100,7 @@
         let fronts = schedule.fronts;
         let config = |front: usize| LimitsConfig {
             max_clock_drift: MAX_CLOCK_DRIFT_PPM,
-            ..LimitsConfig::new(front as PeerId, fronts as PeerId, 1)
+            ..LimitsConfig::new(PeerId::at(front), fronts as u16, 1)
         };
         let mut simulation = Simulation {
             schedule,
@@ -284,7 +284,7 @@
         let process = self.processes.len();
         let drift_ppm = Nanos::from(self.rng.i32(-CLOCK_DRIFT_PPM..CLOCK_DRIFT_PPM));
         let initial_reading = Nanos::from(self.rng.u32(1..4_000_000)) * MILLISECOND;
-        let incarnation = self.rng.u64(1..u64::MAX);
+        let incarnation = Incarnation(self.rng.u64(1..u64::MAX));
         let config = self.configs[front].clone();
         let coordinator = LimitCoordinator::new(config, incarnation, initial_reading)
             .expect("the configuration is valid");
@@ -318,7 +318,7 @@
             self.apply(process, via, effect);
         }
         if let Some(running) = &self.processes[process] {
-            let used = running.shares.get(&VOLUME).copied().unwrap_or(0);
+            let used = running.shares.get(&VOLUME).copied().unwrap_or(Share::NONE);
             self.report.stale_share_used |= used > running.coordinator.share(clock, VOLUME);
         }
     }
@@ -336,7 +336,7 @@
                 running.shares.remove(&limit);
             }
             Effect::Send { to, heartbeat } => {
-                if let Some(to) = self.address[usize::from(to)] {
+                if let Some(to) = self.address[to.index()] {
                     self.send(process, to, front, incarnation, *heartbeat);
                 }
             }
@@ -358,13 +358,12 @@
             return;
         };
         for delay in self.network.delays(&mut self.rng, sender, receiver) {
-            let (from, heartbeat) = (sender as PeerId, heartbeat.clone());
             let message = Message {
                 to,
                 via,
-                from,
+                from: PeerId::at(sender),
                 incarnation,
-                heartbeat,
+                heartbeat: heartbeat.clone(),
             };
             self.events
                 .schedule(self.now + delay, Event::Deliver(Box::new(message)));
--- a/crates/testbed/src/simulation/limits/checks.rs
+++ b/crates/testbed/src/simulation/limits/checks.rs
@@ -19,11 +19,11 @@
             .iter()
             .map(|config| config.floor_share() + config.issuer_share())
             .max();
-        let allowed = FULL_SHARE + self.duplicates * extra.unwrap_or(0);
-        let excess = |total: Share, allowed: Share| i64::from(total) - i64::from(allowed);
+        let allowed = FULL_SHARE + extra.unwrap_or(Share::NONE) * self.duplicates;
+        let excess = |total: Share, allowed: Share| i64::from(total.0) - i64::from(allowed.0);
         let max_excess = excess(
             self.report.max_total_share,
-            self.report.allowed_share.max(1),
+            self.report.allowed_share.max(Share(1)),
         );
         if excess(total, allowed) > max_excess {
             self.report.max_total_share = total;
@@ -34,7 +34,7 @@
     }
 
     fn total_share(&mut self) -> Share {
-        let mut total = 0;
+        let mut total = Share::NONE;
         for process in 0..self.processes.len() {
             let Some(running) = self.processes[process].as_ref().filter(|p| !p.is_paused) else {
                 continue;
@@ -48,7 +48,7 @@
             total += shares
                 .and_then(|shares| shares.get(&VOLUME))
                 .copied()
-                .unwrap_or(0);
+                .unwrap_or(Share::NONE);
         }
         total
     }
@@ -75,6 +75,7 @@
         is_meaningful.then(|| {
             running()
                 .filter_map(|process| process.shares.get(&VOLUME))
+                .copied()
                 .sum()
         })
     }
@@ -84,13 +85,13 @@
         let Some(shares) = samples.iter().copied().collect::<Option<Vec<Share>>>() else {
             return;
         };
-        let total: u64 = shares.iter().map(|share| u64::from(*share)).sum();
-        self.report.healed_share = Some((total / shares.len().max(1) as u64) as Share);
+        let total: u64 = shares.iter().map(|share| u64::from(share.0)).sum();
+        self.report.healed_share = Some(Share((total / shares.len().max(1) as u64) as u32));
         let missing = self
             .address
             .iter()
             .filter(|address| address.is_none())
-            .count() as Share;
+            .count() as u32;
         let floors = self.configs[0].floor_share() * missing;
         self.report.min_healed_share = FULL_SHARE - floors - FULL_SHARE / 10;
     }
--- a/crates/testbed/src/simulation/limits/faults.rs
+++ b/crates/testbed/src/simulation/limits/faults.rs
@@ -1,6 +1,6 @@
 //! Injecting faults into a simulation of fleet limits.
 
-use tulipbridge_fleet_limits::{Event as CoordinatorEvent, Share, FULL_SHARE};
+use tulipbridge_fleet_limits::{Event as CoordinatorEvent, FULL_SHARE};
 
 use super::{Event, Simulation};
 use crate::schedule::{Fault, Millis};
@@ -90,7 +90,7 @@
                 .roster
                 .wrapping_mul(31)
                 .wrapping_add(u64::from(floor_percent));
-            config.floor = FULL_SHARE / 100 * Share::from(floor_percent);
+            config.floor = FULL_SHARE / 100 * u32::from(floor_percent);
             self.schedule_in(interval * front as Millis, Event::Reconfigure(front));
         }
     }
--- a/crates/testbed/src/simulation/outliers.rs
+++ b/crates/testbed/src/simulation/outliers.rs
@@ -13,8 +13,8 @@
 use fastrand::Rng;
 use tulipbridge_membership::{EntryKey, GossipAction, Incarnation, Nanos, PeerId};
 use tulipbridge_outlier_detection::{
-    Class, DetectorConfig, Effect, EjectionTarget, Event as DetectorEvent, OutlierDetector, Server,
-    Zone,
+    ClassId, DetectorConfig, Effect, EjectionTarget, Event as DetectorEvent, OutlierDetector,
+    ServerId, ZoneId,
 };
 
 use self::audit::{VoteAudit, VoteWithoutEvidence};
@@ -28,7 +28,7 @@
 /// How many servers there are.
 pub const SERVERS: u64 = 8;
 /// How many classes of work there are.
-const CLASSES: Class = 2;
+const CLASSES: u8 = 2;
 /// Gossip bytes a second of each front.
 const GOSSIP_RATE: u64 = 20_000;
 /// The least time between two evaluations outside the rounds, as in a real front.
@@ -53,7 +53,7 @@
 /// A probe of a server by any front.
 struct Probe {
     at: Nanos,
-    server: Server,
+    server: ServerId,
 }
 
 struct Simulation<'a> {
@@ -63,7 +63,7 @@
     /// All probes in the order of their times.
     probes: Vec<Probe>,
     /// Servers that any front ever ejected.
-    ejected: BTreeSet<Server>,
+    ejected: BTreeSet<ServerId>,
     report: OutlierReport,
 }
 
@@ -75,7 +75,7 @@
     simulation.run_until(end);
     simulation.fleet.recover();
     // All servers are healthy from here on: evidence and votes expire.
-    let config = DetectorConfig::new(0, fronts as PeerId, 0);
+    let config = DetectorConfig::new(PeerId(0), fronts as u16, ZoneId(0));
     let max_votes = config.max_votes(SERVERS as usize);
     simulation.report.ejection_limit = fronts * max_votes / config.quorum();
     // Each front probes for nine turns, of which one may have been half over, and waits for one
@@ -91,8 +91,8 @@
     simulation.report
 }
 
-fn zone_of(front: usize) -> Zone {
-    (front % 2) as Zone
+fn zone_of(front: usize) -> ZoneId {
+    ZoneId((front % 2) as u8)
 }
 
 impl<'a> Simulation<'a> {
@@ -136,10 +136,12 @@
         }
         let peer = self.fleet.new_peer(front, GOSSIP_RATE);
         let (incarnation, now) = (peer.incarnation, self.fleet.now);
-        let peer_count = self.fleet.fronts.len() as PeerId;
-        let config = DetectorConfig::new(front as PeerId, peer_count, zone_of(front));
+        let peer_count = self.fleet.fronts.len() as u16;
+        let config = DetectorConfig::new(PeerId::at(front), peer_count, zone_of(front));
         let mut detector = OutlierDetector::new(config).expect("the configuration is valid");
-        let servers = (0..SERVERS).map(|server| (server, true)).collect();
+        let servers = (0..SERVERS)
+            .map(|server| (ServerId(server), true))
+            .collect();
         detector.on(
             now,
             &peer.gossip,
@@ -321,12 +323,12 @@
         self.ejected.insert(target.server);
     }
 
-    fn probe(&mut self, front: usize, server: Server) {
+    fn probe(&mut self, front: usize, server: ServerId) {
         self.probes.push(Probe {
             at: self.fleet.now,
             server,
         });
-        let class = self.fleet.rng.u8(0..CLASSES);
+        let class = ClassId(self.fleet.rng.u8(0..CLASSES));
         let quality = self.attempt_quality(front, server, class);
         self.feed(
             front,
--- a/crates/testbed/src/simulation/outliers/attempts.rs
+++ b/crates/testbed/src/simulation/outliers/attempts.rs
@@ -2,7 +2,7 @@
 
 use tulipbridge_membership::{Incarnation, Nanos};
 use tulipbridge_outlier_detection::{
-    Class, EjectionTarget, Event as DetectorEvent, SampleQuality, Scope, Server,
+    ClassId, EjectionTarget, Event as DetectorEvent, SampleQuality, Scope, ServerId,
 };
 
 use super::{zone_of, Event, FrontEvent, FrontFault, Simulation, CLASSES, SERVERS};
@@ -26,7 +26,7 @@
         self.fleet
             .events
             .schedule(self.fleet.now + wait as Nanos + 1, next_attempt());
-        let class = self.fleet.rng.u8(0..CLASSES);
+        let class = ClassId(self.fleet.rng.u8(0..CLASSES));
         let open = self.open_servers(front, class);
         let server = open[self.fleet.rng.usize(0..open.len())];
         let quality = self.attempt_quality(front, server, class);
@@ -46,7 +46,7 @@
     }
 
     /// The servers that a front has not ejected for a class of work.
-    fn open_servers(&self, front: usize, class: Class) -> Vec<Server> {
+    fn open_servers(&self, front: usize, class: ClassId) -> Vec<ServerId> {
         let detector = self.fleet.fronts[front]
             .as_ref()
             .map(|running| &running.state.detector);
@@ -55,8 +55,10 @@
             Scope::Class(ejected_class) => ejected_class == class,
             Scope::All | Scope::Zone(_) => true,
         };
-        let is_ejected = |server: &Server| ejected.iter().any(|t| t.server == *server && covers(t));
-        (0..SERVERS).filter(|server| !is_ejected(server)).collect()
+        let is_ejected =
+            |server: &ServerId| ejected.iter().any(|t| t.server == *server && covers(t));
+        let servers = (0..SERVERS).map(ServerId);
+        servers.filter(|server| !is_ejected(server)).collect()
     }
 
     fn reports_per_attempt(&self, front: usize) -> usize {
@@ -73,8 +75,8 @@
     pub(super) fn attempt_quality(
         &mut self,
         front: usize,
-        server: Server,
-        class: Class,
+        server: ServerId,
+        class: ClassId,
     ) -> SampleQuality {
         let now = self.fleet.now;
         let draw = self.fleet.rng.u32(0..1_000);
--- a/crates/testbed/src/simulation/outliers/audit.rs
+++ b/crates/testbed/src/simulation/outliers/audit.rs
@@ -3,9 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use tulipbridge_membership::{EntryKey, Nanos};
+use tulipbridge_membership::{EntryKey, Nanos, PeerId};
 use tulipbridge_outlier_detection::{
-    DetectorConfig, EjectionTarget, Scope, Server, Zone, EVIDENCE, VOTE,
+    DetectorConfig, EjectionTarget, Scope, ServerId, ZoneId, EVIDENCE, VOTE,
 };
 
 use crate::simulation::peer::ROUND_INTERVAL;
@@ -18,14 +18,14 @@
     /// The configuration of every detector, as far as the audit needs it.
     config: DetectorConfig,
     votes: BTreeMap<(usize, EjectionTarget), Nanos>,
-    evidence: BTreeMap<(usize, Server), Nanos>,
+    evidence: BTreeMap<(usize, ServerId), Nanos>,
 }
 
 impl VoteAudit {
     /// An empty record.
     pub fn new() -> VoteAudit {
         VoteAudit {
-            config: DetectorConfig::new(0, 1, 0),
+            config: DetectorConfig::new(PeerId(0), 1, ZoneId(0)),
             votes: BTreeMap::new(),
             evidence: BTreeMap::new(),
         }
@@ -44,10 +44,10 @@
     ) -> Result<(), VoteWithoutEvidence> {
         match (key.kind, value) {
             (EVIDENCE, Some(_)) => {
-                self.evidence.insert((front, key.id), now);
+                self.evidence.insert((front, ServerId(key.id)), now);
             }
             (VOTE, Some(bytes)) => {
-                if let Ok((target, _)) = postcard::from_bytes::<(EjectionTarget, Zone)>(bytes) {
+                if let Ok((target, _)) = postcard::from_bytes::<(EjectionTarget, ZoneId)>(bytes) {
                     return self.record_vote(now, front, target);
                 }
             }
@@ -80,7 +80,7 @@
     }
 
     /// How many fronts have recent evidence on a server.
-    fn witnesses(&self, now: Nanos, server: Server) -> usize {
+    fn witnesses(&self, now: Nanos, server: ServerId) -> usize {
         let oldest = now - self.config.evidence_ttl - ROUND_INTERVAL;
         self.evidence
             .iter()
--- a/crates/testbed/src/simulation/outliers/checks.rs
+++ b/crates/testbed/src/simulation/outliers/checks.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use tulipbridge_membership::Nanos;
-use tulipbridge_outlier_detection::{EjectionTarget, Server};
+use tulipbridge_outlier_detection::{EjectionTarget, ServerId};
 
 use super::{FaultyServer, FrontState, Probe, ServerFault, Simulation};
 use crate::simulation::fleet::SimulatedFront;
@@ -25,7 +25,7 @@
             .iter()
             .flatten()
             .filter(|front| !front.peer.is_paused(now));
-        let ejected: BTreeSet<Server> = running
+        let ejected: BTreeSet<ServerId> = running
             .flat_map(|front| front.state.detector.ejected().map(|target| target.server))
             .collect();
         self.report.max_ejected = self.report.max_ejected.max(ejected.len());
--- a/crates/testbed/src/simulation/outliers/scenario.rs
+++ b/crates/testbed/src/simulation/outliers/scenario.rs
@@ -2,7 +2,7 @@
 
 use fastrand::Rng;
 use serde::Serialize;
-use tulipbridge_outlier_detection::{Class, EjectionTarget, Scope, Server, Zone};
+use tulipbridge_outlier_detection::{ClassId, EjectionTarget, Scope, ServerId, ZoneId};
 
 use super::{CLASSES, SERVERS};
 use crate::schedule::Millis;
@@ -17,9 +17,9 @@
     #[serde(rename = "All")]
     Failing(u32),
     /// All attempts of fronts in one zone fail.
-    Zone(Zone),
+    Zone(ZoneId),
     /// All attempts of one class fail.
-    Class(Class),
+    Class(ClassId),
 }
 
 /// What is wrong with a front.
@@ -36,22 +36,22 @@
     LossyNetwork(u32),
     /// It cannot reach one server.
     #[serde(rename = "Link")]
-    UnreachableServer(Server),
+    UnreachableServer(ServerId),
 }
 
 /// A server with a fault. Serialized as an array, as in stored results.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-#[serde(into = "(Millis, Server, ServerFault)")]
+#[serde(into = "(Millis, ServerId, ServerFault)")]
 pub struct FaultyServer {
     /// When the fault begins, in milliseconds; it lasts until the schedule ends.
     pub from_ms: Millis,
     /// Which server.
-    pub server: Server,
+    pub server: ServerId,
     /// What is wrong with it.
     pub fault: ServerFault,
 }
 
-impl From<FaultyServer> for (Millis, Server, ServerFault) {
+impl From<FaultyServer> for (Millis, ServerId, ServerFault) {
     fn from(faulty: FaultyServer) -> Self {
         (faulty.from_ms, faulty.server, faulty.fault)
     }
@@ -118,9 +118,9 @@
     /// is a random number below 1,000.
     pub fn attempt_fails(
         &self,
-        server: Server,
-        zone: Zone,
-        class: Class,
+        server: ServerId,
+        zone: ZoneId,
+        class: ClassId,
         at_ms: Millis,
         draw: u32,
     ) -> bool {
@@ -157,8 +157,8 @@
             })
     }
 
-    fn fails_in_every_zone(&self, server: Server) -> bool {
-        let fails_in = |zone: Zone| {
+    fn fails_in_every_zone(&self, server: ServerId) -> bool {
+        let fails_in = |zone: ZoneId| {
             let fault = ServerFault::Zone(zone);
             self.faulty_servers
                 .iter()
@@ -170,19 +170,21 @@
         let joined = self
             .faulty_front
             .is_some_and(|faulty| faulty.fault == unreachable);
-        (fails_in(0) && fails_in(1)) || (joined && (fails_in(0) || fails_in(1)))
+        let fails_in_first = fails_in(ZoneId(0));
+        let fails_in_second = fails_in(ZoneId(1));
+        (fails_in_first && fails_in_second) || (joined && (fails_in_first || fails_in_second))
     }
 }
 
 fn draw_faulty_server(rng: &mut Rng) -> FaultyServer {
     let fault = match rng.u8(0..6) {
         0..=2 => ServerFault::Failing([1_000, 600, 300][rng.usize(0..3)]),
-        3 => ServerFault::Zone(rng.u8(0..2)),
-        4 => ServerFault::Class(rng.u8(0..CLASSES)),
+        3 => ServerFault::Zone(ZoneId(rng.u8(0..2))),
+        4 => ServerFault::Class(ClassId(rng.u8(0..CLASSES))),
         _ => ServerFault::Failing(1_000),
     };
     let from_ms = rng.u64(2_000..8_000);
-    let server = rng.u64(0..SERVERS);
+    let server = ServerId(rng.u64(0..SERVERS));
     FaultyServer {
         from_ms,
         server,
@@ -194,7 +196,7 @@
     let fault = match rng.u8(0..4) {
         0 => FrontFault::ReportsAllFailed,
         1 => FrontFault::ReportsAllHealthy,
-        2 => FrontFault::UnreachableServer(rng.u64(0..SERVERS)),
+        2 => FrontFault::UnreachableServer(ServerId(rng.u64(0..SERVERS))),
         _ => FrontFault::LossyNetwork(rng.u32(100..400)),
     };
     FaultyFront {
--- a/crates/testbed/src/simulation/peer.rs
+++ b/crates/testbed/src/simulation/peer.rs
@@ -55,7 +55,8 @@
         gossip_rate: u64,
         now: Nanos,
     ) -> Peer {
-        let (peer_id, peer_count) = (index as PeerId, fronts as PeerId);
+        let peer_id = PeerId::at(index);
+        let peer_count = fronts as u16;
         Peer {
             incarnation,
             membership: MembershipTable::new(peer_id, peer_count, incarnation, PEER_TIMEOUT),
--- a/crates/testbed/tests/golden/rows.rs
+++ b/crates/testbed/tests/golden/rows.rs
@@ -1,6 +1,8 @@
 //! Rows of every kind, with every name of their enums and with their optional fields present and
 //! absent.
 
+use tulipbridge_fleet_limits::Share;
+use tulipbridge_outlier_detection::{ClassId, ServerId, ZoneId};
 use tulipbridge_testbed::cost::Cost;
 use tulipbridge_testbed::limit_experiments::{
     FaultCaseResult, FaultScheduleResult, LoadCaseResult, FAULT_CASES, LOAD_CASES, WINDOWS_MS,
@@ -119,13 +121,13 @@
 /// Reports of the simulation of limits, with and without the optional field.
 pub fn limits_reports() -> Vec<LimitsReport> {
     let healed = LimitsReport {
-        max_total_share: 1,
+        max_total_share: Share(1),
         max_at_ms: 2,
-        allowed_share: 3,
+        allowed_share: Share(3),
         bound_exceeded: true,
         stale_share_used: false,
-        healed_share: Some(4),
-        min_healed_share: 5,
+        healed_share: Some(Share(4)),
+        min_healed_share: Share(5),
         messages: 6,
     };
     vec![healed, LimitsReport::default()]
@@ -167,18 +169,18 @@
     let faulty_servers = vec![
         FaultyServer {
             from_ms: 2_000,
-            server: 0,
+            server: ServerId(0),
             fault: ServerFault::Failing(300),
         },
         FaultyServer {
             from_ms: 3_000,
-            server: 1,
-            fault: ServerFault::Zone(1),
+            server: ServerId(1),
+            fault: ServerFault::Zone(ZoneId(1)),
         },
         FaultyServer {
             from_ms: 4_000,
-            server: 2,
-            fault: ServerFault::Class(2),
+            server: ServerId(2),
+            fault: ServerFault::Class(ClassId(2)),
         },
     ];
     let faulty_fronts = [
@@ -197,7 +199,7 @@
         }),
         Some(FaultyFront {
             front: 3,
-            fault: FrontFault::UnreachableServer(4),
+            fault: FrontFault::UnreachableServer(ServerId(4)),
         }),
     ];
     let scenario = |faulty_front| Scenario {
--- a/src/cluster/config.rs
+++ b/src/cluster/config.rs
@@ -105,17 +105,17 @@
 ) -> Result<LimitsConfig, ClusterConfigError> {
     let me = roster.position(front_name);
     let me = me.ok_or_else(|| ClusterConfigError::NotInRoster(front_name.to_owned()))?;
-    let fronts = PeerId::try_from(roster.members().len())
+    let fronts = u16::try_from(roster.members().len())
         .ok()
         .filter(|fronts| *fronts <= MAX_FRONTS);
     let fronts = fronts.ok_or(ClusterConfigError::TooManyFronts)?;
-    let mut config = LimitsConfig::new(me as PeerId, fronts, 0);
+    let mut config = LimitsConfig::new(PeerId::at(me), fronts, 0);
     config.revision = number_or(value, "revision", 1.0)? as u32;
     config.lease_duration = millis_or(value, "life_ms", config.lease_duration)?;
     config.heartbeat_interval = millis_or(value, "beat_ms", config.heartbeat_interval)?;
-    let full_share = f64::from(FULL_SHARE);
-    let floor = number_or(value, "floor", f64::from(config.floor) / full_share)?;
-    config.floor = (floor * full_share) as Share;
+    let full_share = f64::from(FULL_SHARE.0);
+    let floor = number_or(value, "floor", config.floor.as_fraction())?;
+    config.floor = Share((floor * full_share) as u32);
     Ok(config)
 }
 
--- a/src/cluster/ejections/config.rs
+++ b/src/cluster/ejections/config.rs
@@ -3,7 +3,7 @@
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
 use tulipbridge_membership::PeerId;
-use tulipbridge_outlier_detection::{DetectorConfig, DetectorConfigError, Zone};
+use tulipbridge_outlier_detection::{DetectorConfig, DetectorConfigError, ZoneId};
 
 use crate::cluster::fields::{self, FieldError};
 
@@ -28,7 +28,7 @@
     /// The first value found that cannot be used.
     pub fn read(value: &Value) -> Result<EjectionConfig, FieldError> {
         fields::check_object(value, "peers.verdicts", &["most_out", "witnesses"])?;
-        let defaults = DetectorConfig::new(0, 1, 0);
+        let defaults = DetectorConfig::new(PeerId(0), 1, ZoneId(0));
         let max_ejected_fraction = match value.get("most_out") {
             None => defaults.max_ejected_fraction,
             Some(_) => read_fraction(value, "most_out")?,
@@ -50,8 +50,8 @@
     pub fn detector_config(
         &self,
         me: PeerId,
-        fronts: PeerId,
-        zone: Zone,
+        fronts: u16,
+        zone: ZoneId,
     ) -> Result<DetectorConfig, DetectorConfigError> {
         let config = DetectorConfig {
             max_ejected_fraction: self.max_ejected_fraction,
--- a/src/cluster/ejections/mod.rs
+++ b/src/cluster/ejections/mod.rs
@@ -17,8 +17,8 @@
 };
 use tulipbridge_membership::{EntryKey, EnvelopeCodec, GossipStore};
 use tulipbridge_outlier_detection::{
-    AttemptObserver, AttemptResult, Class, DetectorConfig, DetectorConfigError, Effect,
-    EjectionTarget, Event, OutlierDetector, SampleQuality, Scope, Server,
+    AttemptObserver, AttemptResult, ClassId, DetectorConfig, DetectorConfigError, Effect,
+    EjectionTarget, Event, OutlierDetector, SampleQuality, Scope, ServerId,
 };
 
 pub use self::config::EjectionConfig;
@@ -31,7 +31,7 @@
 struct ListedServer {
     /// Digest of the name and of the start time: a restarted server is another server to the
     /// detector.
-    server: Server,
+    server: ServerId,
     name: String,
     is_up: bool,
 }
@@ -146,7 +146,10 @@
                 continue;
             }
             let name = name_of(info.node);
-            let server = EnvelopeCodec::digest(&format!("{name}|{}", info.started_at));
+            let server = ServerId(EnvelopeCodec::digest(&format!(
+                "{name}|{}",
+                info.started_at
+            )));
             self.nodes.insert(
                 info.node,
                 ListedServer {
@@ -168,12 +171,12 @@
         class: usize,
         idempotent: bool,
     ) {
-        if let (Some(listed), Ok(class)) = (self.nodes.get(&node), Class::try_from(class)) {
+        if let (Some(listed), Ok(class)) = (self.nodes.get(&node), u8::try_from(class)) {
             self.observer.attempt_sent(
                 now,
                 (key.request.0, key.attempt),
                 listed.server,
-                class,
+                ClassId(class),
                 idempotent,
             );
         }
@@ -262,7 +265,7 @@
     }
 
     /// Has the next idempotent request probe a server, within this front's turn.
-    fn probe(&mut self, now: Nanos, module_now: Nanos, server: Server) -> Vec<FleetUpdate> {
+    fn probe(&mut self, now: Nanos, module_now: Nanos, server: ServerId) -> Vec<FleetUpdate> {
         let turn = self.detector.config().probe_turn;
         self.metrics.probes.inc();
         self.observer.probe_next(server, now + turn);
@@ -304,23 +307,23 @@
     }
 
     /// The classes of work for which each ejected server is out.
-    fn ejected_classes(&self) -> BTreeMap<Server, ClassSet> {
-        let mut ejected: BTreeMap<Server, ClassSet> = BTreeMap::new();
+    fn ejected_classes(&self) -> BTreeMap<ServerId, ClassSet> {
+        let mut ejected: BTreeMap<ServerId, ClassSet> = BTreeMap::new();
         for EjectionTarget { server, scope } in self.detector.ejected() {
             let classes = ejected.entry(server).or_default();
             *classes = match scope {
                 Scope::All | Scope::Zone(_) => ClassSet::ALL,
-                Scope::Class(class) => classes.with(usize::from(class)),
+                Scope::Class(class) => classes.with(usize::from(class.0)),
             };
         }
         ejected
     }
 
     /// The name of a server, for operators.
-    fn name(&self, server: Server) -> String {
+    fn name(&self, server: ServerId) -> String {
         let listed = self.nodes.values().find(|listed| listed.server == server);
         listed.map_or_else(
-            || format!("a server that is gone ({server:016x})"),
+            || format!("a server that is gone ({:016x})", server.0),
             |listed| listed.name.clone(),
         )
     }
--- a/src/cluster/ejections/status.rs
+++ b/src/cluster/ejections/status.rs
@@ -3,7 +3,7 @@
 use simd_json::{json, OwnedValue as Value};
 use tulipbridge_core::Nanos;
 use tulipbridge_membership::{GossipStore, PeerId};
-use tulipbridge_outlier_detection::{Class, EjectionReport, Observation, Scope, Server, Vote};
+use tulipbridge_outlier_detection::{ClassId, EjectionReport, Observation, Scope, ServerId, Vote};
 
 use crate::cluster::clock::millis;
 use crate::cluster::ejections::Ejections;
@@ -20,20 +20,17 @@
 
 impl DisplayNames<'_> {
     fn front(&self, peer: PeerId) -> &str {
-        self.fronts
-            .get(usize::from(peer))
-            .copied()
-            .unwrap_or_default()
+        self.fronts.get(peer.index()).copied().unwrap_or_default()
     }
 
     fn scope(&self, scope: Scope) -> String {
         match scope {
             Scope::All => "all work".to_owned(),
-            Scope::Zone(zone) => match self.zones.get(usize::from(zone)) {
+            Scope::Zone(zone) => match self.zones.get(usize::from(zone.0)) {
                 Some(name) if !name.is_empty() => format!("fronts in {name}"),
                 _ => "all work".to_owned(),
             },
-            Scope::Class(class) => match self.classes.get(usize::from(class)) {
+            Scope::Class(class) => match self.classes.get(usize::from(class.0)) {
                 Some(name) => format!("class {name}"),
                 None => format!("class {class}"),
             },
@@ -70,7 +67,7 @@
         }))
     }
 
-    fn server_named(&self, name: &str) -> Option<Server> {
+    fn server_named(&self, name: &str) -> Option<ServerId> {
         self.nodes
             .values()
             .find(|listed| listed.name == name)
@@ -81,7 +78,7 @@
     fn medians_json(&self, names: &DisplayNames) -> Vec<Value> {
         let classes = names.classes.iter().enumerate();
         let medians = classes.filter_map(|(class, name)| {
-            let median = self.observer.median(Class::try_from(class).ok()?)?;
+            let median = self.observer.median(ClassId(u8::try_from(class).ok()?))?;
             Some(json!({"class": name.as_str(), "median_us": median / 1_000}))
         });
         medians.collect()
@@ -92,7 +89,7 @@
         now: Nanos,
         gossip: &GossipStore,
         names: &DisplayNames,
-        server: Option<Server>,
+        server: Option<ServerId>,
     ) -> Vec<Value> {
         self.detector
             .reports(now, gossip)
--- a/src/cluster/limits/mod.rs
+++ b/src/cluster/limits/mod.rs
@@ -5,13 +5,13 @@
 use std::collections::HashMap;
 
 use tulipbridge_core::{Settings, SharedLimit, VolumeId};
-use tulipbridge_fleet_limits::{Limit, Share, FULL_SHARE};
+use tulipbridge_fleet_limits::{Limit, Share};
 
 pub use self::config::ConfiguredLimits;
 
 /// A share as a fraction of the whole limit, from 0 to 1.
 pub(super) fn fraction(share: Share) -> f64 {
-    f64::from(share) / f64::from(FULL_SHARE)
+    share.as_fraction()
 }
 
 /// The values of a limit, of the whole fleet or of one front.
@@ -28,7 +28,7 @@
     /// `min_burst`, so that a small share is a low rate and not a bound on the size of a request.
     fn scaled(self, share: Share, min_burst: f64) -> LimitRate {
         let fraction = fraction(share);
-        let burst = if share == 0 {
+        let burst = if share == Share::NONE {
             0.0
         } else {
             (self.burst * fraction).max(min_burst)
@@ -111,7 +111,7 @@
 
     /// This front's share of a limit that is not a volume's.
     pub fn share(&self, limit: Limit) -> Share {
-        self.shares.get(&limit).copied().unwrap_or(0)
+        self.shares.get(&limit).copied().unwrap_or(Share::NONE)
     }
 
     /// Records the plan of a volume's request. Returns an update of the volume's limit where the
@@ -122,10 +122,10 @@
         plan: usize,
         settings: &Settings,
     ) -> Option<LimitUpdate> {
-        let entry = self
-            .volumes
-            .entry(volume)
-            .or_insert(VolumeShare { plan, share: 0 });
+        let entry = self.volumes.entry(volume).or_insert(VolumeShare {
+            plan,
+            share: Share::NONE,
+        });
         if entry.plan == plan {
             return None;
         }
@@ -165,7 +165,7 @@
                     rate: LimitRate::default(),
                 }]
             }
-            _ => self.set_share(limit, 0, settings),
+            _ => self.set_share(limit, Share::NONE, settings),
         }
     }
 }
--- a/src/cluster/peers/mod.rs
+++ b/src/cluster/peers/mod.rs
@@ -70,7 +70,7 @@
         let socket = PeerSocket::open(config.listen, &config.key_file)?;
         // The seed of the file would not do: after a restart the front must have another
         // incarnation.
-        let incarnation = fastrand::Rng::new().u64(1..u64::MAX);
+        let incarnation = Incarnation(fastrand::Rng::new().u64(1..u64::MAX));
         let coordinator =
             LimitCoordinator::new(config.limits_config.clone(), incarnation, clock::now())
                 .map_err(JoinError::Limits)?;
--- a/src/cluster/peers/status.rs
+++ b/src/cluster/peers/status.rs
@@ -46,7 +46,7 @@
         let mut logged_status = self.logged_status.borrow_mut();
         for peer in coordinator.members().others() {
             let status = coordinator.members().status(now, peer);
-            let previous = std::mem::replace(&mut logged_status[usize::from(peer)], status);
+            let previous = std::mem::replace(&mut logged_status[peer.index()], status);
             if previous != status {
                 log!(
                     "peers: {} is {}",
@@ -153,14 +153,14 @@
             .collect();
         json!({
             "name": roster.name(peer),
-            "address": roster.members()[usize::from(peer)].address.to_string(),
+            "address": roster.members()[peer.index()].address.to_string(),
             "belief": status_name(report.status),
             "boot": report.incarnation.map(incarnation_text),
             "silent_ms": report.silent_for.map(millis),
             "heard_by": heard_by,
             "second_process": report.conflicting.map(incarnation_text),
-            "version": version.map(|(version, _)| String::from_utf8_lossy(version).into_owned()),
-            "told_ms": version.map(|(_, age)| millis(age)),
+            "version": version.map(|entry| String::from_utf8_lossy(entry.value).into_owned()),
+            "told_ms": version.map(|entry| millis(entry.age)),
             "lent": fraction(report.granted),
             "borrowed": fraction(report.leased),
         })
@@ -169,7 +169,7 @@
 
 /// An incarnation as operators see it: 16 hexadecimal digits.
 fn incarnation_text(incarnation: Incarnation) -> String {
-    format!("{incarnation:016x}")
+    format!("{:016x}", incarnation.0)
 }
 
 /// The name of a peer's status in the log and on the console.
--- a/src/cluster/roster.rs
+++ b/src/cluster/roster.rs
@@ -5,7 +5,7 @@
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
 use tulipbridge_membership::PeerId;
-use tulipbridge_outlier_detection::Zone;
+use tulipbridge_outlier_detection::ZoneId;
 
 use crate::cluster::errors::ClusterConfigError;
 use crate::cluster::fields;
@@ -20,7 +20,7 @@
     /// different addresses.
     pub address: SocketAddr,
     /// The front's zone, as an index into [`Roster::zones`].
-    pub zone: Zone,
+    pub zone: ZoneId,
 }
 
 /// All fronts of the fleet in the order of their names, so that a [`PeerId`] means the same front
@@ -60,16 +60,17 @@
         if zones.len() > MAX_ZONES {
             return Err(ClusterConfigError::TooManyZones);
         }
-        let zone_number = |name: &String| {
-            zones
+        let zone_id = |name: &String| {
+            let position = zones
                 .iter()
                 .position(|zone| zone == name)
-                .unwrap_or_default() as Zone
+                .unwrap_or_default();
+            ZoneId(position as u8)
         };
         let members = entries
             .into_iter()
             .map(|entry| RosterMember {
-                zone: zone_number(&entry.zone),
+                zone: zone_id(&entry.zone),
                 name: entry.name,
                 address: entry.address,
             })
@@ -106,21 +107,19 @@
     /// # Panics
     /// Where the roster has no such front.
     pub(super) fn name(&self, peer: PeerId) -> &str {
-        &self.members[usize::from(peer)].name
+        &self.members[peer.index()].name
     }
 
     /// Where this front reaches a peer; `None` where the roster has no such front.
     pub(super) fn address(&self, peer: PeerId) -> Option<SocketAddr> {
-        self.members
-            .get(usize::from(peer))
-            .map(|member| member.address)
+        self.members.get(peer.index()).map(|member| member.address)
     }
 
     /// The zone of a front, 0 where the roster has no such front.
-    pub(super) fn zone(&self, peer: PeerId) -> Zone {
+    pub(super) fn zone(&self, peer: PeerId) -> ZoneId {
         self.members
-            .get(usize::from(peer))
-            .map_or(0, |member| member.zone)
+            .get(peer.index())
+            .map_or(ZoneId(0), |member| member.zone)
     }
 }
 
--- a/tests/cluster/config.rs
+++ b/tests/cluster/config.rs
@@ -2,6 +2,7 @@
 
 use tulipbridge::cluster::config::ClusterConfig;
 use tulipbridge::cluster::errors::ClusterConfigError;
+use tulipbridge_membership::PeerId;
 
 use crate::json;
 
@@ -18,7 +19,10 @@
     let config = read(VALID)
         .expect("the configuration is valid")
         .limits_config;
-    assert_eq!((config.me, config.fronts, config.revision), (1, 2, 1));
+    assert_eq!(
+        (config.me, config.fronts, config.revision),
+        (PeerId(1), 2, 1)
+    );
 }
 
 #[test]
--- a/tests/cluster/limits.rs
+++ b/tests/cluster/limits.rs
@@ -3,7 +3,7 @@
 use tulipbridge::cluster::fields::FieldError;
 use tulipbridge::cluster::limits::{ConfiguredLimits, FleetLimits, LimitRate, LimitUpdate};
 use tulipbridge::{Settings, SharedLimit};
-use tulipbridge_fleet_limits::{Limit, FULL_SHARE};
+use tulipbridge_fleet_limits::{Limit, Share, FULL_SHARE};
 
 use crate::json;
 use tulipbridge_core::VolumeId;
@@ -51,7 +51,7 @@
         Some(volume(30.0, 6.0))
     );
     assert_eq!(
-        limits.set_share(Limit::Volume(7), 0, &settings),
+        limits.set_share(Limit::Volume(7), Share::NONE, &settings),
         [volume(0.0, 0.0)]
     );
 }
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -20,10 +20,12 @@
 use tulipbridge::telemetry::metrics::Metrics;
 use tulipbridge::{Listed, NodeInfo, Outcome, UpdateScope};
 use tulipbridge_core::{NodeId, RequestId, ShardId};
-use tulipbridge_fleet_limits::{Demand, Heartbeat, Lease, LeaseGrant, Limit};
+use tulipbridge_fleet_limits::{Demand, GrantInUse, Heartbeat, Lease, LeaseGrant, Limit, Share};
 use tulipbridge_membership::{
-    Delta, EntryKey, Envelope, EnvelopeCodec, GossipEntry, GossipMessage, GossipStore, PeerState,
+    Delta, Echo, EntryKey, Envelope, EnvelopeCodec, GossipEntry, GossipMessage, GossipStore,
+    Incarnation, KnownVersion, PeerId, PeerState,
 };
+use tulipbridge_outlier_detection::{DetectorConfig, ZoneId};
 
 /// A copy of the private message type of the program: the order of the variants is part of the
 /// format. `program_sends_and_receives_the_golden_format` checks this copy against the running
@@ -55,15 +57,15 @@
 /// message.
 fn assert_golden(message: &Message, expected: &str) {
     let datagram = codec()
-        .seal(0x0203, 0x1122_3344_5566_7788, message)
+        .seal(PeerId(0x0203), Incarnation(0x1122_3344_5566_7788), message)
         .expect("the datagram is short");
     assert_eq!(hex(&datagram), expected);
     let envelope = codec().open::<Message>(&datagram);
     assert_eq!(
         envelope,
         Ok(Envelope {
-            from: 0x0203,
-            incarnation: 0x1122_3344_5566_7788,
+            from: PeerId(0x0203),
+            incarnation: Incarnation(0x1122_3344_5566_7788),
             message: message.clone()
         })
     );
@@ -73,14 +75,17 @@
 fn heartbeat_datagram() {
     let state = PeerState {
         sent_at: 3_000,
-        echo: Some((301, -64)),
-        conflicting: Some(305),
+        echo: Some(Echo {
+            incarnation: Incarnation(301),
+            sent_at: -64,
+        }),
+        conflicting: Some(Incarnation(305)),
         shutting_down: true,
-        reachable: vec![9],
+        reachable: vec![PeerId(9)],
     };
     let volume = Lease {
         limit: Limit::Volume(131),
-        share: 132,
+        share: Share(132),
     };
     let heartbeat = Heartbeat {
         roster: 0x8877_6655_4433_2211,
@@ -88,14 +93,17 @@
         state,
         established: false,
         is_reply: true,
-        claims: vec![1, 2],
-        votes: vec![3],
-        settled: vec![4, 640, 6],
+        claims: vec![PeerId(1), PeerId(2)],
+        votes: vec![PeerId(3)],
+        settled: vec![PeerId(4), PeerId(640), PeerId(6)],
         demands: vec![Demand {
             limit: Limit::ServerLoad,
             milli_units_per_second: 150,
         }],
-        grant_in_use: Some((302, 303)),
+        grant_in_use: Some(GrantInUse {
+            grantor: Incarnation(302),
+            number: 303,
+        }),
         grant: LeaseGrant {
             number: 400,
             duration: -2_500,
@@ -140,15 +148,22 @@
         value: Some(vec![0x00, 0xff]),
     };
     let delta = Delta {
-        origin: 4,
-        incarnation: 303,
+        origin: PeerId(4),
+        incarnation: Incarnation(303),
         after: 5,
         to: 8,
         entries: vec![entry],
     };
     let gossip = GossipMessage {
-        echo: Some((900, -5)),
-        knows: vec![(513, 6, 302)],
+        echo: Some(Echo {
+            incarnation: Incarnation(900),
+            sent_at: -5,
+        }),
+        knows: vec![KnownVersion {
+            origin: PeerId(513),
+            incarnation: Incarnation(6),
+            version: 302,
+        }],
         requests_missing: true,
         deltas: vec![delta],
     };
@@ -217,7 +232,7 @@
     // A server's id is the digest of its name and its start time, which all fronts get from
     // discovery.
     assert_eq!(EnvelopeCodec::digest("s-1|77000000"), 0x6a76_f700_4058_78ab);
-    let config = tulipbridge_outlier_detection::DetectorConfig::new(0, 3, 0);
+    let config = DetectorConfig::new(PeerId(0), 3, ZoneId(0));
     let mut ejections = Ejections::new(config, EjectionMetrics::new(&Metrics::new()))
         .expect("the configuration is valid");
     let servers = [server(0, 1), server(1, 77_000_000), server(2, 3)];
@@ -250,7 +265,11 @@
             },
         );
     }
-    let changes = ejections.evaluate(2_000, 0, &GossipStore::new(0, 3, 1, 100_000, 0));
+    let changes = ejections.evaluate(
+        2_000,
+        0,
+        &GossipStore::new(PeerId(0), 3, Incarnation(1), 100_000, 0),
+    );
     let keys: Vec<EntryKey> = changes.entries.iter().map(|change| change.key).collect();
     assert_eq!(
         keys,
@@ -265,7 +284,7 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 /// The incarnation of the peer that the test plays; the program is peer 0 and the played peer is
 /// peer 1.
-const PEER_INCARNATION: u64 = 77;
+const PEER_INCARNATION: Incarnation = Incarnation(77);
 
 /// The program as the front `alpha`, with a peer `beta` that the test plays.
 struct Program {
@@ -367,7 +386,7 @@
         GOSSIP_VARIANT
     };
     assert_eq!(datagram[MESSAGE_OFFSET], variant);
-    assert_eq!(envelope.from, 0);
+    assert_eq!(envelope.from, PeerId(0));
     let encoded = codec()
         .seal(envelope.from, envelope.incarnation, &envelope.message)
         .expect("it is short");
@@ -376,8 +395,11 @@
 }
 
 /// A heartbeat of the peer that acknowledges one of the program.
-fn heartbeat_reply(heartbeat: &Heartbeat, incarnation: u64, sent_at: i64) -> Message {
-    let echo = Some((incarnation, heartbeat.state.sent_at));
+fn heartbeat_reply(heartbeat: &Heartbeat, incarnation: Incarnation, sent_at: i64) -> Message {
+    let echo = Some(Echo {
+        incarnation,
+        sent_at: heartbeat.state.sent_at,
+    });
     let state = PeerState {
         sent_at,
         echo,
@@ -393,7 +415,7 @@
 }
 
 /// Gossip of the peer with the entry of its program version.
-fn version_gossip(heartbeat: &Heartbeat, incarnation: u64) -> Message {
+fn version_gossip(heartbeat: &Heartbeat, incarnation: Incarnation) -> Message {
     let key = EntryKey { kind: 0, id: 0 };
     let entry = GossipEntry {
         key,
@@ -402,13 +424,16 @@
         value: Some(b"golden".to_vec()),
     };
     let delta = Delta {
-        origin: 1,
+        origin: PeerId(1),
         incarnation: PEER_INCARNATION,
         after: 0,
         to: 1,
         entries: vec![entry],
     };
-    let echo = Some((incarnation, heartbeat.state.sent_at));
+    let echo = Some(Echo {
+        incarnation,
+        sent_at: heartbeat.state.sent_at,
+    });
     Message::Gossip(GossipMessage {
         echo,
         knows: Vec::new(),
@@ -426,7 +451,7 @@
     let program = Program::start(socket.local_addr().expect("it has an address"));
     let send = |message: &Message| {
         let datagram = codec()
-            .seal(1, PEER_INCARNATION, message)
+            .seal(PeerId(1), PEER_INCARNATION, message)
             .expect("it is short");
         socket
             .send_to(&datagram, program.peers)
@@ -458,7 +483,10 @@
                 send(&version_gossip(&heartbeat, incarnation));
             }
             Message::Gossip(gossip) => {
-                let own_delta = gossip.deltas.into_iter().find(|delta| delta.origin == 0);
+                let own_delta = gossip
+                    .deltas
+                    .into_iter()
+                    .find(|delta| delta.origin == PeerId(0));
                 first_delta = first_delta.or(own_delta.map(|delta| (incarnation, delta)));
             }
         }
--- a/tests/object_config.rs
+++ b/tests/object_config.rs
@@ -1,6 +1,7 @@
 //! The configuration of an object front.
 
 use tulipbridge::object::Config;
+use tulipbridge_membership::PeerId;
 
 const FILE: &str = include_str!("../deploy/object.json");
 const FILE_WITH_PEERS: &str = include_str!("../deploy/object-peers.json");
@@ -20,7 +21,7 @@
             .base
             .peers
             .map(|p| (p.limits_config.me, p.limits_config.fronts)),
-        Some((0, 3))
+        Some((PeerId(0), 3))
     );
     for (from, to, message) in [
         (
