--- a/crates/model-checker/src/fleet_limits_model/state/mod.rs
+++ b/crates/model-checker/src/fleet_limits_model/state/mod.rs
@@ -5,7 +5,6 @@
 mod transitions;
 
 use std::hash::{Hash, Hasher};
-use std::ops::Range;
 
 use tulipbridge_fleet_limits::{Heartbeat, Incarnation, LimitCoordinator, Nanos, PeerId, Share};
 
@@ -64,11 +63,11 @@
 
 impl FleetLimitsState {
     /// A fleet in which every front has just started.
-    pub(super) fn new(fronts: PeerId, max_faults: u8) -> FleetLimitsState {
+    pub(super) fn new(fronts: u16, max_faults: u8) -> FleetLimitsState {
         let mut state = FleetLimitsState {
             round: 0,
             faults_left: max_faults,
-            last_incarnation: 0,
+            last_incarnation: Incarnation(0),
             processes: vec![None; usize::from(fronts)],
             messages: Vec::new(),
             cut_links: Vec::new(),
@@ -88,12 +87,13 @@
 
     /// The share of the limit that a front may use now; 0 if its process was killed.
     pub fn share(&self, front: PeerId) -> Share {
-        self.process(front).map_or(0, |process| process.share)
+        self.process(front)
+            .map_or(Share::NONE, |process| process.share)
     }
 
     /// The largest share that a front leases from another now; 0 if its process was killed.
     pub fn share_leased(&self, front: PeerId, from: PeerId) -> Share {
-        self.process(front).map_or(0, |process| {
+        self.process(front).map_or(Share::NONE, |process| {
             process.coordinator.peer_report(self.now(), from).leased
         })
     }
@@ -128,14 +128,19 @@
         &self.violations
     }
 
+    /// Number of fronts of the fleet, whether their processes run or not.
+    pub(super) fn front_count(&self) -> u16 {
+        self.processes.len() as u16
+    }
+
     /// The fronts of the fleet, whether their processes run or not.
-    pub(super) fn fronts(&self) -> Range<PeerId> {
-        0..self.processes.len() as PeerId
+    pub(super) fn fronts(&self) -> impl Iterator<Item = PeerId> + use<> {
+        PeerId::all(self.front_count())
     }
 
     /// The process of a front, unless it was killed.
     fn process(&self, front: PeerId) -> Option<&Process> {
-        self.processes[usize::from(front)].as_ref()
+        self.processes[front.index()].as_ref()
     }
 
     /// The process of a front, unless it is stopped or was killed.
