--- a/crates/fault-shim/src/rules.rs
+++ b/crates/fault-shim/src/rules.rs
@@ -1,18 +1,18 @@
-//! The rules for faults: one a line, `CALL EFFECT PERCENT`, for `open` and `rename` also `CALL
+//! The rules for faults, one per line: `CALL EFFECT PERCENT`, for `open` and `rename` also `CALL
 //! EFFECT PERCENT PATH` with the end of the file's path.
 //!
 //! - `accept ECONNABORTED 30`: three in ten calls of `accept` fail with that error. `connect`,
 //!   `socket`, `wait` (`epoll_wait`), `lock` (`flock`), `open`, `rename`, `sync` (`fsync`),
 //!   `file-read`, `file-write`, `recv` and `send` likewise.
 //! - `recv short 50`, `send short 50`, `file-write short 100`: half of the calls transfer one byte
-//!   at the most.
-//! - `send delay 20`: one call in five begins [`DELAY_MS`] later.
+//!   at most.
+//! - `send delay 20`: one call in five is delayed by [`DELAY_MS`].
 //! - `clock 3600000 100`: the wall clock is ahead by that many milliseconds; a negative number is
 //!   behind.
 
 /// The environment variable with the path of the rules.
 pub const RULES_VARIABLE: &str = "FAULT_SHIM_RULES";
-/// How much later a delayed call begins, in milliseconds.
+/// By how much a delayed call is delayed, in milliseconds.
 pub const DELAY_MS: u64 = 120;
 /// A rule with this percentage applies to every call.
 const ALWAYS: u32 = 100;
@@ -51,12 +51,13 @@
 pub enum Effect {
     /// It fails with this error.
     Fail(i32),
-    /// It transfers one byte at the most.
+    /// It transfers one byte at most.
     Short,
-    /// It begins [`DELAY_MS`] later.
+    /// It is delayed by [`DELAY_MS`].
     Delay,
 }
 
+/// The names of calls in rules.
 const CALLS: [(&str, Call); 12] = [
     ("accept", Call::Accept),
     ("connect", Call::Connect),
@@ -72,6 +73,7 @@
     ("lock", Call::Lock),
 ];
 
+/// The names of errors in rules.
 const ERRORS: [(&str, i32); 14] = [
     ("EADDRNOTAVAIL", libc::EADDRNOTAVAIL),
     ("ECONNABORTED", libc::ECONNABORTED),
@@ -89,9 +91,10 @@
     ("ETIMEDOUT", libc::ETIMEDOUT),
 ];
 
-/// The effect of the first rule for a call that applies, with `draw` from 0 to 99 for chance and
-/// the path that the call names, if any. Lines that are no rule are ignored.
-pub fn effect(rules: &str, call: Call, path: &str, draw: u32) -> Option<Effect> {
+/// The effect of the first rule that applies to a call. `path` is the path that the call names, if
+/// any, and `random_percent` a random number from 0 to 99, with which the percentage of a rule is
+/// compared. Lines that are not valid rules are ignored.
+pub fn effect(rules: &str, call: Call, path: &str, random_percent: u32) -> Option<Effect> {
     let words = rules.lines().map(str::split_ascii_whitespace);
     let applies = |mut words: std::str::SplitAsciiWhitespace<'_>| {
         let named = lookup(&CALLS, words.next()?)?;
@@ -100,12 +103,12 @@
             .next()
             .map_or(Some(ALWAYS), |percent| percent.parse().ok())?;
         let is_named_path = words.next().is_none_or(|end| path.ends_with(end));
-        (named == call && draw < percent && is_named_path).then_some(effect)
+        (named == call && random_percent < percent && is_named_path).then_some(effect)
     };
     words.filter_map(applies).next()
 }
 
-/// By how many milliseconds the wall clock is ahead.
+/// By how many milliseconds the wall clock is ahead; negative if it is behind, 0 without a rule.
 pub fn clock_offset_ms(rules: &str) -> i64 {
     let offset = |line: &str| {
         let mut words = line.split_ascii_whitespace();
@@ -115,6 +118,7 @@
     rules.lines().filter_map(offset).next().unwrap_or(0)
 }
 
+/// Parses the second word of a rule.
 fn parse_effect(word: &str) -> Option<Effect> {
     match word {
         "short" => Some(Effect::Short),
@@ -123,6 +127,7 @@
     }
 }
 
+/// The value of a name in a table.
 fn lookup<T: Copy>(table: &[(&str, T)], word: &str) -> Option<T> {
     table
         .iter()
--- a/crates/fault-shim/src/rules_file.rs
+++ b/crates/fault-shim/src/rules_file.rs
@@ -1,29 +1,31 @@
-//! Reads the rules, by system calls alone: the functions of the standard library would come back
-//! here.
+//! Reading the rules by system calls only: the functions of the standard library would call the
+//! replaced functions again.
 
 use std::ffi::CStr;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The environment variable, as the C library takes it.
+/// The environment variable [`RULES_VARIABLE`](crate::RULES_VARIABLE) as a C string.
 const VARIABLE: &CStr = c"FAULT_SHIM_RULES";
-/// The longest file of rules, in bytes.
+/// The maximum size of the rules file, in bytes; longer ones are truncated.
 const MAX_RULES: usize = 2048;
-/// Multiplier and increment of the generator of draws.
+/// The multiplier of the linear congruential generator, from Knuth's MMIX.
 const MULTIPLIER: u64 = 6_364_136_223_846_793_005;
+/// The increment of the generator.
 const INCREMENT: u64 = 1_442_695_040_888_963_407;
-/// Bits of the generator's state that are skipped, as the lower ones repeat soon.
-const SKIPPED_BITS: u32 = 33;
+/// How many low bits of the generator's state are not used: their periods are short.
+const UNUSED_LOW_BITS: u32 = 33;
 
-static STATE: AtomicU64 = AtomicU64::new(0);
+/// The state of the generator, the same at the start of each process.
+static GENERATOR_STATE: AtomicU64 = AtomicU64::new(0);
 
-/// The text of the rules, where there are any.
+/// The text of the rules in force.
 pub struct Rules {
     text: [u8; MAX_RULES],
     length: usize,
 }
 
 impl Rules {
-    /// Reads the rules in force.
+    /// Reads the rules; `None` if there are none.
     pub fn read() -> Option<Rules> {
         // SAFETY: the name is a C string; the C library returns a C string or null.
         let path = unsafe { libc::getenv(VARIABLE.as_ptr()) };
@@ -34,7 +36,7 @@
             text: [0; MAX_RULES],
             length: 0,
         };
-        // SAFETY: the path is a C string, and the buffer is as long as is told.
+        // SAFETY: the path is a C string, and the buffer is as long as stated.
         unsafe {
             let file = libc::syscall(
                 libc::SYS_openat,
@@ -52,17 +54,17 @@
         (rules.length > 0).then_some(rules)
     }
 
-    /// The rules as text.
+    /// The rules as text; empty if they are not UTF-8.
     pub fn text(&self) -> &str {
         std::str::from_utf8(&self.text[..self.length]).unwrap_or_default()
     }
 }
 
-/// A number from 0 to 99. The numbers of a process are the same in each run, call by call.
-pub fn draw() -> u32 {
+/// A pseudo-random number from 0 to 99. Each process gets the same sequence.
+pub fn random_percent() -> u32 {
     let next = |state: u64| Some(state.wrapping_mul(MULTIPLIER).wrapping_add(INCREMENT));
-    let state = STATE
+    let state = GENERATOR_STATE
         .fetch_update(Ordering::Relaxed, Ordering::Relaxed, next)
         .unwrap_or_default();
-    ((state >> SKIPPED_BITS) % 100) as u32
+    ((state >> UNUSED_LOW_BITS) % 100) as u32
 }
