--- a/crates/results/src/chart.rs
+++ b/crates/results/src/chart.rs
@@ -9,22 +9,34 @@
 use crate::error::TableError;
 use crate::table::Table;
 
-/// The size of the chart in pixels, without the list of conditions below.
+/// The width of the chart, in pixels.
 const WIDTH: u32 = 900;
+/// The height of the chart without the list of conditions below it, in pixels.
 const PLOT_HEIGHT: u32 = 360;
 /// The height of one line of the list of conditions, in pixels.
 const LINE_HEIGHT: u32 = 22;
+/// The radius of a point, in pixels.
+const POINT_RADIUS: i32 = 3;
 /// The space above and below the points, as a fraction of their range.
 const MARGIN: f64 = 0.05;
 /// The least space above and below the points.
 const MIN_MARGIN: f64 = 1e-6;
 
-/// The points of a chart.
-struct Points {
+/// A row in a chart.
+#[derive(Clone, Copy)]
+struct Point {
+    /// The horizontal position: the index of the conditions.
+    position: f64,
+    /// The value of the metric.
+    value: f64,
+}
+
+/// The data of a chart.
+struct ChartData {
     /// The conditions, by horizontal position.
     conditions: Vec<String>,
-    /// Horizontal position and value of each row.
-    points: Vec<(f64, f64)>,
+    /// A point for each row that has a value.
+    points: Vec<Point>,
 }
 
 /// Draws a metric as SVG: one column of points for each of the conditions, which are listed below.
@@ -32,12 +44,13 @@
 /// # Errors
 /// If there is no such metric, it has no values, or the file cannot be written.
 pub fn chart(table: &Table, metric: &str, file: &Path) -> Result<(), TableError> {
-    let points = Points::of(table, metric)?;
-    points.draw(metric, file).map_err(TableError::Chart)
+    let data = ChartData::from_table(table, metric)?;
+    data.draw(metric, file).map_err(TableError::Chart)
 }
 
-impl Points {
-    fn of(table: &Table, name: &str) -> Result<Points, TableError> {
+impl ChartData {
+    /// The data of a metric.
+    fn from_table(table: &Table, name: &str) -> Result<ChartData, TableError> {
         let metric = table.metrics().find(|metric| metric.name == name);
         let metric = metric.ok_or_else(|| TableError::UnknownMetric(name.to_owned()))?;
         let mut conditions: Vec<String> = Vec::new();
@@ -50,23 +63,27 @@
                 conditions.push(of_row);
                 conditions.len() - 1
             });
-            points.push((position as f64, *value));
+            points.push(Point {
+                position: position as f64,
+                value: *value,
+            });
         }
         if points.is_empty() {
             return Err(TableError::EmptyMetric(name.to_owned()));
         }
-        Ok(Points { conditions, points })
+        Ok(ChartData { conditions, points })
     }
 
     /// The range of the vertical axis, which includes zero.
     fn value_range(&self) -> Range<f64> {
-        let values = || self.points.iter().map(|(_, value)| *value);
+        let values = || self.points.iter().map(|point| point.value);
         let min = values().fold(0.0, f64::min);
         let max = values().fold(0.0, f64::max);
         let margin = ((max - min) * MARGIN).max(MIN_MARGIN);
         min - margin..max + margin
     }
 
+    /// Draws the chart into an SVG file.
     fn draw(&self, title: &str, file: &Path) -> Result<(), Box<dyn Error + Send + Sync>> {
         let size = (
             WIDTH,
@@ -87,7 +104,13 @@
             .x_labels(self.conditions.len() * 2 + 1)
             .x_label_formatter(&condition_number)
             .draw()?;
-        let circle = |point: &(f64, f64)| Circle::new(*point, 3, BLUE.mix(0.6).filled());
+        let circle = |point: &Point| {
+            Circle::new(
+                (point.position, point.value),
+                POINT_RADIUS,
+                BLUE.mix(0.6).filled(),
+            )
+        };
         chart.draw_series(self.points.iter().map(circle))?;
         for (position, conditions) in self.conditions.iter().enumerate() {
             let text = format!("{}  {conditions}", position + 1);
--- a/crates/results/src/comparison.rs
+++ b/crates/results/src/comparison.rs
@@ -1,10 +1,10 @@
-//! Whether the results of two experiments differ by more than chance.
+//! Comparing the results of two experiments by permutation tests.
 
 use std::collections::BTreeMap;
 
 use crate::table::Table;
 
-/// How many random permutations are tried.
+/// How many random permutations a test makes.
 const PERMUTATIONS: u32 = 4_000;
 /// The seed of the permutations: the same tables always give the same result.
 const SEED: u64 = 1;
@@ -31,8 +31,8 @@
     pub first: Sample,
     /// The rows of the second table.
     pub second: Sample,
-    /// The fraction of the permutations of all rows between the two tables in which the means
-    /// differ as much: a small one is no chance.
+    /// The p-value: the fraction of the permutations of all rows between the two tables in which
+    /// the means differ at least as much.
     pub p_value: f64,
 }
 
@@ -41,7 +41,8 @@
 
 /// Compares every metric under every condition that both tables have.
 pub fn compare(first: &Table, second: &Table) -> Vec<Comparison> {
-    let (first, second) = (values_by_metric(first), values_by_metric(second));
+    let first = values_by_metric(first);
+    let second = values_by_metric(second);
     let common = first
         .iter()
         .filter_map(|(key, values)| Some((key, values, second.get(key)?)));
@@ -61,6 +62,7 @@
     comparisons.collect()
 }
 
+/// The values of each metric under each of its conditions.
 fn values_by_metric(table: &Table) -> ValuesByMetric {
     let mut groups = ValuesByMetric::new();
     for metric in table.metrics() {
--- a/crates/results/src/lib.rs
+++ b/crates/results/src/lib.rs
@@ -14,4 +14,5 @@
 pub use chart::chart;
 pub use comparison::{compare, Comparison, Sample};
 pub use error::TableError;
+pub use parquet_file::MetadataEntry;
 pub use table::{Column, Metric, Table, Values, CONDITION_COLUMNS, SEED_COLUMN};
--- a/crates/results/src/parquet_file.rs
+++ b/crates/results/src/parquet_file.rs
@@ -15,20 +15,29 @@
 use crate::error::TableError;
 use crate::table::{Column, Table, Values};
 
+/// An entry of the metadata of a Parquet file.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct MetadataEntry<'a> {
+    /// The key.
+    pub key: &'a str,
+    /// The value.
+    pub value: String,
+}
+
 impl Table {
-    /// Writes the table to a Parquet file, with metadata on its origin as pairs of key and value.
+    /// Writes the table to a Parquet file, with metadata on its origin.
     ///
     /// # Errors
     /// If the file cannot be written.
     pub fn write_parquet(
         &self,
         file: &Path,
-        metadata: &[(&str, String)],
+        metadata: &[MetadataEntry<'_>],
     ) -> Result<(), TableError> {
         let schema = self.schema()?;
         let metadata = metadata
             .iter()
-            .map(|(key, value)| KeyValue::new((*key).to_owned(), value.clone()));
+            .map(|entry| KeyValue::new(entry.key.to_owned(), entry.value.clone()));
         let properties = WriterProperties::builder()
             .set_key_value_metadata(Some(metadata.collect()))
             .build();
@@ -47,6 +56,7 @@
         Ok(())
     }
 
+    /// The Parquet schema: an optional field for each column.
     fn schema(&self) -> Result<TypePtr, ParquetError> {
         let fields = self
             .columns
@@ -73,6 +83,7 @@
     ))
 }
 
+/// Writes the present values of a column.
 fn write_column(
     writer: &mut SerializedColumnWriter<'_>,
     values: &Values,
--- a/crates/results/src/table.rs
+++ b/crates/results/src/table.rs
@@ -53,6 +53,7 @@
 }
 
 impl Column {
+    /// Whether rows of different values in this column have different conditions.
     fn is_condition(&self) -> bool {
         match self.values {
             Values::Text(_) => true,
@@ -169,6 +170,7 @@
         }
     }
 
+    /// Adds a value of the current row to its column, which is created at its first value.
     fn add_cell(&mut self, name: &str, cell: Cell) {
         let known = self.columns.iter().position(|column| column.name == name);
         let position = known.unwrap_or_else(|| {
--- a/crates/results/tests/table.rs
+++ b/crates/results/tests/table.rs
@@ -5,7 +5,7 @@
 use parquet::file::reader::{FileReader, SerializedFileReader};
 use parquet::record::RowAccessor;
 use serde::Serialize;
-use tulipbridge_results::Table;
+use tulipbridge_results::{MetadataEntry, Table};
 
 #[derive(Serialize)]
 struct Row {
@@ -58,9 +58,11 @@
 fn parquet_file_is_read_back_by_the_reader_of_its_library() {
     let file = temporary_file("parquet");
     let table = Table::of(&rows()).expect("a table");
-    table
-        .write_parquet(&file, &[("commit", "abc".to_owned())])
-        .expect("written");
+    let commit = MetadataEntry {
+        key: "commit",
+        value: "abc".to_owned(),
+    };
+    table.write_parquet(&file, &[commit]).expect("written");
     let opened = std::fs::File::open(&file).expect("the file is there");
     let reader = SerializedFileReader::new(opened).expect("the file is Parquet");
     let metadata = reader
--- a/crates/testbed/src/chunk_server.rs
+++ b/crates/testbed/src/chunk_server.rs
@@ -17,6 +17,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
+use crate::best_effort;
+
 /// How a chunk server behaves.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerBehavior {
@@ -48,6 +50,7 @@
 #[derive(Clone)]
 pub struct AttemptLog {
     attempts: Rc<RefCell<Vec<Attempt>>>,
+    /// The paths of all attempts, by which retries are recognized.
     paths: Rc<RefCell<HashSet<String>>>,
     started_at: Instant,
 }
@@ -137,12 +140,11 @@
 
     async fn serve_connection(self, stream: TcpStream) {
         let service = service_fn(|request| self.answer(request));
-        // A connection that a front breaks off is no failure of the testbed.
-        let _ = http1::Builder::new()
-            .serve_connection(TokioIo::new(stream), service)
-            .await;
+        let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+        best_effort::ignore_closed_connection(connection.await);
     }
 
+    /// Answers a request as the behavior says.
     async fn answer(
         &self,
         request: Request<Incoming>,
--- a/crates/testbed/src/cli/compare.rs
+++ b/crates/testbed/src/cli/compare.rs
@@ -12,10 +12,8 @@
 
 /// Runs the command. The outcome is invalid if a metric differs significantly.
 pub fn run(arguments: &CompareArguments) -> Result<Outcome, CliError> {
-    let (first, second) = (
-        Table::read(&arguments.first)?,
-        Table::read(&arguments.second)?,
-    );
+    let first = Table::read(&arguments.first)?;
+    let second = Table::read(&arguments.second)?;
     let comparisons = tulipbridge_results::compare(&first, &second);
     if comparisons.is_empty() {
         return Err(TableError::NothingInCommon.into());
--- a/crates/testbed/src/cli/files.rs
+++ b/crates/testbed/src/cli/files.rs
@@ -23,11 +23,13 @@
     })
 }
 
+/// Reads a value, without the file in its errors.
 fn try_read<T: DeserializeOwned>(file: &Path) -> Result<T, FileError> {
     let mut bytes = std::fs::read(file)?;
     Ok(simd_json::serde::from_slice(&mut bytes)?)
 }
 
+/// Writes a value, without the file in its errors.
 fn try_write(file: &Path, value: &(impl Serialize + ?Sized)) -> Result<(), FileError> {
     let bytes = simd_json::serde::to_vec_pretty(value)?;
     if let Some(directory) = file.parent() {
--- a/crates/testbed/src/cli/mutations.rs
+++ b/crates/testbed/src/cli/mutations.rs
@@ -1,4 +1,4 @@
-//! The command `bugs`: finds the seed by which the simulations detect each mutation of the state
+//! The command `mutations`: finds the seed by which the simulations detect each mutation of the state
 //! machines.
 
 use super::arguments::MutationsArguments;
@@ -34,7 +34,7 @@
     use std::fmt::Display;
     use std::sync::atomic::{AtomicU64, Ordering};
 
-    use crate::cli::sweep::{for_each_schedule, Simulation};
+    use crate::cli::sweep::{for_each_schedule, ScheduleSimulation};
     use crate::cli::Outcome;
 
     /// How many schedules are simulated before it is checked whether a mutation is detected.
@@ -45,7 +45,7 @@
         mutations: &[M],
         activate: impl Fn(Option<M>),
         max_schedules: u64,
-        simulation: &Simulation<R>,
+        simulation: &ScheduleSimulation<R>,
     ) -> Outcome {
         let mut seeds = Vec::new();
         for mutation in mutations {
@@ -65,7 +65,8 @@
     }
 
     /// The first seed of the first batch in which a schedule breaks a bound.
-    fn find<R>(max_schedules: u64, simulation: &Simulation<R>) -> Option<u64> {
+    fn find<R>(max_schedules: u64, simulation: &ScheduleSimulation<R>) -> Option<u64> {
+        /// The value that stands for no seed.
         const NONE: u64 = u64::MAX;
         for from in (0..max_schedules).step_by(BATCH as usize) {
             let first = AtomicU64::new(NONE);
--- a/crates/testbed/src/cli/replay.rs
+++ b/crates/testbed/src/cli/replay.rs
@@ -1,5 +1,6 @@
 //! The command `replay`, and shrinking schedules that real processes failed.
 
+use std::fmt::Display;
 use std::path::Path;
 use std::sync::Mutex;
 
@@ -19,15 +20,19 @@
 /// Runs the command.
 pub fn run(arguments: &ReplayArguments) -> Result<Outcome, CliError> {
     let schedule: Schedule = read_json(&arguments.file)?;
-    let (is_valid, report) = if arguments.processes {
+    if arguments.processes {
         let result = run_once(&arguments.program, &schedule)?;
-        (result.is_valid(), result.to_string())
+        Ok(print(result.is_valid(), &result))
     } else {
         let report = limits::run(&schedule);
-        (report.is_valid(), report.to_string())
-    };
+        Ok(print(report.is_valid(), &report))
+    }
+}
+
+/// Prints whether a run kept every bound, and what it observed.
+fn print(is_valid: bool, report: &impl Display) -> Outcome {
     println!("{}: {report}", if is_valid { "holds" } else { "broken" });
-    Ok(Outcome::of(is_valid))
+    Outcome::of(is_valid)
 }
 
 /// Runs a schedule with real processes.
--- a/crates/testbed/src/cli/results.rs
+++ b/crates/testbed/src/cli/results.rs
@@ -4,7 +4,7 @@
 use std::process::Command;
 
 use serde::Serialize;
-use tulipbridge_results::{chart, Table};
+use tulipbridge_results::{chart, MetadataEntry, Table};
 
 use super::arguments::ResultArguments;
 use super::error::CliError;
@@ -21,12 +21,7 @@
         }
         let table = Table::of(rows)?;
         if let Some(file) = &self.parquet {
-            let origin = [
-                ("commit", current_commit()),
-                ("version", env!("CARGO_PKG_VERSION").to_owned()),
-                ("seeds", format!("{}..{}", seeds.start, seeds.end)),
-            ];
-            table.write_parquet(file, &origin)?;
+            table.write_parquet(file, &origin(seeds))?;
         }
         if let Some(file) = &self.svg {
             chart(&table, &self.figure, file)?;
@@ -35,6 +30,16 @@
     }
 }
 
+/// Where the rows of a run come from.
+fn origin(seeds: &Range<u64>) -> [MetadataEntry<'static>; 3] {
+    let entry = |key, value| MetadataEntry { key, value };
+    [
+        entry("commit", current_commit()),
+        entry("version", env!("CARGO_PKG_VERSION").to_owned()),
+        entry("seeds", format!("{}..{}", seeds.start, seeds.end)),
+    ]
+}
+
 /// The commit of the working directory; empty if git does not tell.
 fn current_commit() -> String {
     let output = Command::new("git").args(["rev-parse", "HEAD"]).output();
--- a/crates/testbed/src/cli/run.rs
+++ b/crates/testbed/src/cli/run.rs
@@ -11,17 +11,24 @@
 use crate::parallel::run_jobs;
 use crate::testbed::TestbedError;
 
+/// A case of an experiment, and the seed with which it is run.
+struct SeededCase<C> {
+    case: C,
+    seed: u64,
+}
+
 /// Runs the command.
 pub fn run(arguments: &RunArguments) -> Result<Outcome, CliError> {
+    // The second name of each is that of earlier versions.
     match arguments.name.as_str() {
-        "cases" => limits::run_load_cases(arguments),
-        "hard" => limits::run_fault_cases(arguments),
-        "faults" => limits::run_fault_schedules(arguments),
-        "others" => shared_limits::run(arguments),
-        "sick" => outliers::run_server_faults(arguments),
-        "verdicts" => outliers::run_schedules(arguments),
+        "load-cases" | "cases" => limits::run_load_cases(arguments),
+        "fault-cases" | "hard" => limits::run_fault_cases(arguments),
+        "fault-schedules" | "faults" => limits::run_fault_schedules(arguments),
+        "shared-limits" | "others" => shared_limits::run(arguments),
+        "server-faults" | "sick" => outliers::run_server_faults(arguments),
+        "outlier-schedules" | "verdicts" => outliers::run_schedules(arguments),
         "soak" => soak::run(arguments, false),
-        "calm" => soak::run(arguments, true),
+        "soak-without-faults" | "calm" => soak::run(arguments, true),
         other => Err(CliError::UnknownName(other.to_owned())),
     }
 }
@@ -36,12 +43,13 @@
         run_jobs(jobs, self.parallel, run, |result| progress::report(result))
     }
 
-    /// Each kind with each seed.
-    fn with_seeds<K: Copy>(&self, kinds: impl IntoIterator<Item = K>) -> Vec<(K, u64)> {
-        let kinds = kinds.into_iter();
-        kinds
-            .flat_map(|kind| self.seeds.clone().map(move |seed| (kind, seed)))
-            .collect()
+    /// Each case with each seed.
+    fn with_seeds<C: Copy>(&self, cases: impl IntoIterator<Item = C>) -> Vec<SeededCase<C>> {
+        let mut jobs = Vec::new();
+        for case in cases {
+            jobs.extend(self.seeds.clone().map(|seed| SeededCase { case, seed }));
+        }
+        jobs
     }
 }
 
--- a/crates/testbed/src/cli/run/limits.rs
+++ b/crates/testbed/src/cli/run/limits.rs
@@ -1,6 +1,6 @@
 //! Experiments on the limits of volumes.
 
-use super::{max, min};
+use super::{max, min, SeededCase};
 use crate::cli::arguments::RunArguments;
 use crate::cli::error::CliError;
 use crate::cli::files::write_json;
@@ -46,7 +46,9 @@
 /// Runs every fault case.
 pub fn run_fault_cases(arguments: &RunArguments) -> Result<Outcome, CliError> {
     let jobs = arguments.with_seeds(FAULT_CASES);
-    let run = async |(case, seed): &_| run_fault_case(&arguments.program, *case, *seed).await;
+    let run = async |job: &SeededCase<FaultCase>| {
+        run_fault_case(&arguments.program, job.case, job.seed).await
+    };
     let results = arguments.run_jobs(&jobs, run)?;
     println!("{FAULT_CASES_HEAD}");
     for case in FAULT_CASES {
@@ -64,6 +66,7 @@
     ))
 }
 
+/// A row of the table: the worst of all seeds.
 fn fault_case_row(case: FaultCase, results: &[&FaultCaseResult]) -> String {
     let during = min(results.iter().map(|result| result.served_during));
     let after = min(results.iter().map(|result| result.served_after));
@@ -103,6 +106,7 @@
     ))
 }
 
+/// Prints a summary of all schedules.
 fn print_fault_schedules(results: &[FaultScheduleResult]) {
     let worst = max(results.iter().map(|result| result.max_excess));
     let healed: Vec<f64> = results
--- a/crates/testbed/src/cli/run/outliers.rs
+++ b/crates/testbed/src/cli/run/outliers.rs
@@ -39,7 +39,7 @@
 
 /// Runs the schedule of every seed with servers that become faulty.
 pub fn run_schedules(arguments: &RunArguments) -> Result<Outcome, CliError> {
-    let jobs: Vec<Schedule> = arguments.seeds.clone().map(Schedule::draw).collect();
+    let jobs: Vec<Schedule> = arguments.seeds.clone().map(Schedule::sample).collect();
     let run = async |schedule: &Schedule| run_outlier_schedule(&arguments.program, schedule).await;
     let results = arguments.run_jobs(&jobs, run)?;
     print_schedules(&results);
@@ -56,6 +56,7 @@
     Ok(Outcome::of(failed.is_empty()))
 }
 
+/// Prints a summary of all schedules.
 fn print_schedules(results: &[OutlierScheduleResult]) {
     let sum = |value: fn(&OutlierScheduleResult) -> usize| results.iter().map(value).sum::<usize>();
     println!(
--- a/crates/testbed/src/cli/run/shared_limits.rs
+++ b/crates/testbed/src/cli/run/shared_limits.rs
@@ -1,11 +1,13 @@
 //! Experiments on limits of the fleet that are no volume's.
 
-use super::{max, min};
+use super::{max, min, SeededCase};
 use crate::cli::arguments::RunArguments;
 use crate::cli::error::CliError;
 use crate::cli::Outcome;
 use crate::limit_experiments::RECORDING_SLACK;
-use crate::shared_limit_experiments::{run as run_shared_limit, SharedLimitResult, SHARED_LIMITS};
+use crate::shared_limit_experiments::{
+    run as run_shared_limit, SharedLimit, SharedLimitResult, SHARED_LIMITS,
+};
 
 /// The head of the table.
 const TABLE_HEAD: &str =
@@ -14,8 +16,8 @@
 /// Runs the experiment for every limit.
 pub fn run(arguments: &RunArguments) -> Result<Outcome, CliError> {
     let jobs = arguments.with_seeds(SHARED_LIMITS);
-    let run = async |(limit, seed): &_| {
-        run_shared_limit(&arguments.program, *limit, *seed, RECORDING_SLACK).await
+    let run = async |job: &SeededCase<SharedLimit>| {
+        run_shared_limit(&arguments.program, job.case, job.seed, RECORDING_SLACK).await
     };
     let results = arguments.run_jobs(&jobs, run)?;
     println!("{TABLE_HEAD}");
--- a/crates/testbed/src/cli/run/soak.rs
+++ b/crates/testbed/src/cli/run/soak.rs
@@ -1,4 +1,4 @@
-//! Soaks of the platform front.
+//! Soak runs of the platform front.
 
 use std::collections::BTreeMap;
 
@@ -7,12 +7,12 @@
 use crate::cli::Outcome;
 use crate::soak::{run_seed, SoakSetup};
 
-/// Fronts and servers of one soak.
+/// How many fronts a run has.
 const FRONTS: usize = 3;
+/// How many chunk servers a run has.
 const SERVERS: usize = 5;
 
-/// Runs a soak for every seed, with its faults or `calm`, and prints the seeds that found
-/// something.
+/// Runs every seed, with its faults or `calm`, and prints the seeds with violations.
 pub fn run(arguments: &RunArguments, calm: bool) -> Result<Outcome, CliError> {
     let program = &arguments.program;
     let setup = |seed| SoakSetup {
@@ -25,10 +25,13 @@
     let jobs: Vec<SoakSetup> = arguments.seeds.clone().map(setup).collect();
     let results = arguments.run_jobs(&jobs, async |setup: &SoakSetup| run_seed(setup).await)?;
     let mut by_rule: BTreeMap<_, usize> = BTreeMap::new();
-    for result in results.iter().filter(|result| !result.finds.is_empty()) {
+    for result in results
+        .iter()
+        .filter(|result| !result.violations.is_empty())
+    {
         println!("{result}");
-        for find in &result.finds {
-            *by_rule.entry(find.rule).or_default() += 1;
+        for violation in &result.violations {
+            *by_rule.entry(violation.rule).or_default() += 1;
         }
     }
     let requests: usize = results.iter().map(|result| result.requests).sum();
--- a/crates/testbed/src/cli/simulate.rs
+++ b/crates/testbed/src/cli/simulate.rs
@@ -8,7 +8,7 @@
 use super::arguments::SimulateArguments;
 use super::error::CliError;
 use super::files::write_json;
-use super::sweep::{Simulation, Sweep};
+use super::sweep::{ScheduleSimulation, Sweep};
 use super::Outcome;
 use crate::simulation::gossip::{self, GossipReport};
 use crate::simulation::limits::{self, LimitsReport};
@@ -19,20 +19,20 @@
 const MAX_STORED_SCHEDULES: usize = 5;
 
 /// The simulation of fleet limits.
-pub const LIMITS: Simulation<LimitsReport> = Simulation {
-    name: "limits",
+pub const LIMITS: ScheduleSimulation<LimitsReport> = ScheduleSimulation {
+    file_prefix: "limits",
     run: limits::run,
     is_valid: LimitsReport::is_valid,
 };
 /// The simulation of gossip.
-const GOSSIP: Simulation<GossipReport> = Simulation {
-    name: "entries",
+const GOSSIP: ScheduleSimulation<GossipReport> = ScheduleSimulation {
+    file_prefix: "entries",
     run: gossip::run,
     is_valid: GossipReport::is_valid,
 };
 /// The simulation of outlier detection.
-pub const OUTLIERS: Simulation<OutlierReport> = Simulation {
-    name: "verdicts",
+pub const OUTLIERS: ScheduleSimulation<OutlierReport> = ScheduleSimulation {
+    file_prefix: "verdicts",
     run: outliers::run,
     is_valid: OutlierReport::is_valid,
 };
@@ -56,6 +56,7 @@
 }
 
 impl LimitsSummary {
+    /// The summary of a sweep.
     fn of(sweep: &Sweep<LimitsReport>) -> LimitsSummary {
         let reports = &sweep.reports;
         let without_duplicates = reports
@@ -81,14 +82,16 @@
 
 /// Runs the command.
 pub fn run(arguments: &SimulateArguments) -> Result<Outcome, CliError> {
+    // The second name of each is that of earlier versions.
     match arguments.name.as_str() {
         "limits" => simulate_limits(arguments),
-        "entries" => simulate_gossip(arguments),
-        "verdicts" => simulate_outliers(arguments),
+        "gossip" | "entries" => simulate_gossip(arguments),
+        "outliers" | "verdicts" => simulate_outliers(arguments),
         other => Err(CliError::UnknownName(other.to_owned())),
     }
 }
 
+/// Simulates fleet limits; stores the summary.
 fn simulate_limits(arguments: &SimulateArguments) -> Result<Outcome, CliError> {
     let sweep = LIMITS.sweep(&arguments.seeds);
     LIMITS.store_failed(&sweep.failed, &arguments.schedules)?;
@@ -111,7 +114,7 @@
 
 /// Runs a simulation for every seed, and stores some of the failed schedules and all reports.
 fn sweep_and_store<R: Display + Send + Serialize>(
-    simulation: &Simulation<R>,
+    simulation: &ScheduleSimulation<R>,
     arguments: &SimulateArguments,
 ) -> Result<Sweep<R>, CliError> {
     let sweep = simulation.sweep(&arguments.seeds);
@@ -123,6 +126,7 @@
     Ok(sweep)
 }
 
+/// Simulates gossip; stores all reports.
 fn simulate_gossip(arguments: &SimulateArguments) -> Result<Outcome, CliError> {
     let Sweep { reports, failed } = sweep_and_store(&GOSSIP, arguments)?;
     println!(
@@ -143,6 +147,7 @@
     Ok(Outcome::of(failed.is_empty()))
 }
 
+/// Simulates outlier detection; stores all reports.
 fn simulate_outliers(arguments: &SimulateArguments) -> Result<Outcome, CliError> {
     let Sweep { reports, failed } = sweep_and_store(&OUTLIERS, arguments)?;
     println!(
--- a/crates/testbed/src/cli/sweep.rs
+++ b/crates/testbed/src/cli/sweep.rs
@@ -11,9 +11,9 @@
 use crate::schedule::Schedule;
 
 /// A simulation of schedules.
-pub struct Simulation<R> {
-    /// How its files of failed schedules begin.
-    pub name: &'static str,
+pub struct ScheduleSimulation<R> {
+    /// How the names of its files of failed schedules begin; they are those of earlier versions.
+    pub file_prefix: &'static str,
     /// Simulates one schedule.
     pub run: fn(&Schedule) -> R,
     /// Whether a run kept every bound.
@@ -28,19 +28,24 @@
     pub failed: Vec<Schedule>,
 }
 
+/// A text is no range of seeds, or an empty one.
+#[derive(Debug, thiserror::Error)]
+#[error("{0} is no range such as 0..2000")]
+pub struct SeedRangeError(String);
+
 /// Parses a range of seeds such as `0..2000`.
 ///
 /// # Errors
 /// If it is no range, or an empty one.
-pub fn parse_seeds(text: &str) -> Result<Range<u64>, String> {
+pub fn parse_seeds(text: &str) -> Result<Range<u64>, SeedRangeError> {
     let range = text
         .split_once("..")
         .and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?));
     let range = range.filter(|range: &Range<u64>| !range.is_empty());
-    range.ok_or_else(|| format!("{text} is no range such as 0..2000"))
+    range.ok_or_else(|| SeedRangeError(text.to_owned()))
 }
 
-/// Draws the schedule of every seed and gives it to `visit`.
+/// Samples the schedule of every seed and gives it to `visit`.
 pub fn for_each_schedule(seeds: &Range<u64>, visit: impl Fn(Schedule) + Sync) {
     let next = AtomicU64::new(seeds.start);
     let threads = std::thread::available_parallelism().map_or(1, |count| count.get());
@@ -51,13 +56,13 @@
                 if seed >= seeds.end {
                     return;
                 }
-                visit(Schedule::draw(seed));
+                visit(Schedule::sample(seed));
             });
         }
     });
 }
 
-impl<R: Display + Send> Simulation<R> {
+impl<R: Display + Send> ScheduleSimulation<R> {
     /// Simulates the schedule of every seed.
     pub fn sweep(&self, seeds: &Range<u64>) -> Sweep<R> {
         let sweep = Mutex::new(Sweep {
@@ -84,7 +89,7 @@
             let shrunk = schedule
                 .clone()
                 .shrunk(|shorter| !(self.is_valid)(&(self.run)(shorter)));
-            let file = directory.join(format!("{}-{seed}.json", self.name));
+            let file = directory.join(format!("{}-{seed}.json", self.file_prefix));
             write_json(&file, &shrunk)?;
             let report = (self.run)(&shrunk);
             println!(
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -71,6 +71,7 @@
 }
 
 impl Fleet {
+    /// A fleet in which every front demands units of every volume.
     fn new(fronts: PeerId, volumes: u64) -> Result<Fleet, EnvelopeError> {
         let codec = EnvelopeCodec::new(KEY)?;
         let coordinator = |front: PeerId| {
@@ -113,6 +114,7 @@
         Ok(())
     }
 
+    /// Encodes a heartbeat, counts it, and delivers it at once.
     fn send(
         &mut self,
         from: usize,
@@ -157,14 +159,16 @@
         fleet.round(|_| true)?;
     }
     let memory_kb = (resident_kb() - memory_before) / f64::from(fronts);
-    let (measured_from, clock) = (fleet.now, Instant::now());
+    let measured_from = fleet.now;
+    let clock = Instant::now();
     for _ in 0..rounds {
         fleet.round(|_| true)?;
     }
     let processor_seconds = clock.elapsed().as_secs_f64();
     let measured_seconds = (fleet.now - measured_from) as f64 / SECOND;
     let front_seconds = fleet.now as f64 / SECOND * f64::from(fronts);
-    let (bytes_sent, datagrams_sent) = (fleet.bytes_sent as f64, fleet.datagrams_sent as f64);
+    let bytes_sent = fleet.bytes_sent as f64;
+    let datagrams_sent = fleet.datagrams_sent as f64;
     let died_at = fleet.now;
     while !fleet.has_detected_death() && fleet.now - died_at < DETECTION_TIMEOUT {
         fleet.round(|front| front != VICTIM)?;
--- a/crates/testbed/src/discovery_server.rs
+++ b/crates/testbed/src/discovery_server.rs
@@ -11,6 +11,9 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
+use crate::best_effort;
+use crate::loopback::write_chunk;
+
 /// How often a watch writes an empty line while the list does not change.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// The longest request head, in bytes.
@@ -25,6 +28,7 @@
     started_ms: RefCell<Vec<u64>>,
     /// Over how many zones the servers are spread, in turn.
     zones: usize,
+    /// The version of the list.
     generation: watch::Sender<u64>,
 }
 
@@ -69,14 +73,15 @@
             let Ok((stream, _)) = listener.accept().await else {
                 continue;
             };
-            let (server, addresses) = (Rc::clone(&self), addresses.clone());
+            let server = Rc::clone(&self);
+            let addresses = addresses.clone();
             spawn_local(async move {
-                // A front that has ended does not read any more.
-                let _ = server.serve_watch(stream, &addresses).await;
+                best_effort::ignore_closed_connection(server.serve_watch(stream, &addresses).await);
             });
         }
     }
 
+    /// Writes the complete list to a front, again after each change, until the connection fails.
     async fn serve_watch(
         &self,
         mut stream: TcpStream,
@@ -111,12 +116,6 @@
     Ok(true)
 }
 
-async fn write_chunk(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
-    stream
-        .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
-        .await
-}
-
 /// The name of a zone.
 pub fn zone_name(zone: usize) -> String {
     format!("zone-{zone}")
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -2,17 +2,20 @@
 //! two ways, which share the faults of [`schedule`]:
 //!
 //! - [`simulation`] runs the state machines of the fronts in one process, under a simulated network
-//!   and simulated clocks: thousands of schedules a minute, each drawn from a seed;
+//!   and simulated clocks: thousands of schedules a minute, each sampled from a seed;
 //! - [`testbed`] runs many processes of the built program. Every link between two fronts, and from
 //!   each front to each chunk server and to discovery, leads through a proxy that cuts, delays,
 //!   loses and duplicates. The experiments in [`limit_experiments`], [`shared_limit_experiments`]
 //!   and [`outlier_experiments`] use it.
 
+mod best_effort;
 pub mod chunk_server;
 pub mod cli;
 pub mod cost;
 pub mod discovery_server;
 pub mod limit_experiments;
+mod loopback;
+mod milliseconds;
 pub mod outlier_experiments;
 pub mod parallel;
 pub mod schedule;
--- a/crates/testbed/src/limit_experiments/fault_cases.rs
+++ b/crates/testbed/src/limit_experiments/fault_cases.rs
@@ -8,19 +8,22 @@
 use serde::{Deserialize, Serialize};
 
 use super::{HEALED_LOAD, HEALED_SPAN, RECORDING_SLACK, SETTLE_TIME};
-use crate::schedule::{Fault, Millis, Schedule, Step};
+use crate::schedule::{Fault, Schedule, Step};
 use crate::testbed::{Sharing, Testbed, TestbedConfig, TestbedError, WindowUsage};
 
 /// How many fronts there are.
 const FRONTS: usize = 4;
 /// How long a case lasts.
-const DURATION_MS: Millis = 9_000;
+const DURATION: Duration = Duration::from_secs(9);
 /// How long fronts have to find each other where not all of them can.
 const PARTIAL_JOIN_TIME: Duration = Duration::from_secs(4);
+/// For how long the leaseholder is paused: longer than its leases last.
+const LEASEHOLDER_PAUSE: Duration = Duration::from_millis(4_500);
 /// Forged datagrams a second.
 const DATAGRAMS_PER_SECOND: u32 = 1_000;
-/// The volumes of the case with many, and the limit of each in units a second.
+/// How many volumes the case with many has.
 const MANY_VOLUMES: usize = 300;
+/// The limit of each of them, in units a second.
 const MANY_VOLUMES_RATE: f64 = 2.0;
 /// Lengths of the windows that are compared with the limit, in milliseconds.
 pub const WINDOWS_MS: [u64; 5] = [100, 300, 1_000, 3_000, 10_000];
@@ -141,12 +144,27 @@
     }
 }
 
-fn step(at_ms: Millis, fault: Fault) -> Step {
-    Step { at_ms, fault }
+/// A fault so many milliseconds after the start.
+fn step(at_ms: u64, fault: Fault) -> Step {
+    Step {
+        at: Duration::from_millis(at_ms),
+        fault,
+    }
+}
+
+/// A kill of a front so many milliseconds after the start. It is started again after so many
+/// milliseconds.
+fn kill(at_ms: u64, front: usize, restart_after_ms: u64) -> Step {
+    let restart_after = Some(Duration::from_millis(restart_after_ms));
+    let fault = Fault::Kill {
+        front,
+        restart_after,
+    };
+    step(at_ms, fault)
 }
 
-/// The loads of all fronts from a time on, in requests a second.
-fn loads(at_ms: Millis, rates: [u32; FRONTS]) -> impl Iterator<Item = Step> {
+/// The loads of all fronts, in requests a second, from so many milliseconds after the start.
+fn loads(at_ms: u64, rates: [u32; FRONTS]) -> impl Iterator<Item = Step> {
     let fronts = rates.into_iter().enumerate();
     fronts.map(move |(front, rate)| step(at_ms, Fault::Load { front, rate }))
 }
@@ -155,15 +173,16 @@
     /// The schedule of the case.
     pub fn schedule(self, seed: u64) -> Schedule {
         let mut steps: Vec<Step> = self.load().into_iter().chain(self.faults()).collect();
-        steps.sort_by_key(|step| step.at_ms);
+        steps.sort_by_key(|step| step.at);
         Schedule {
             seed,
             fronts: FRONTS,
-            duration_ms: DURATION_MS,
+            duration: DURATION,
             steps,
         }
     }
 
+    /// The load of each front over time.
     fn load(self) -> Vec<Step> {
         match self {
             FaultCase::PartitionInHalf | FaultCase::PartitionOfOne => {
@@ -181,63 +200,41 @@
         }
     }
 
+    /// The faults apart from the load.
     fn faults(self) -> Vec<Step> {
         match self {
             FaultCase::OneWayCut => vec![step(1_000, Fault::Cut { from: 0, to: 1 })],
             FaultCase::PartitionInHalf => vec![step(1_000, Fault::Partition { side: vec![0, 1] })],
             FaultCase::PartitionOfOne => vec![step(1_000, Fault::Partition { side: vec![3] })],
-            FaultCase::LeaseholderPaused => vec![step(
-                2_500,
-                Fault::Pause {
+            FaultCase::LeaseholderPaused => {
+                let pause = Fault::Pause {
                     front: 0,
-                    millis: 4_500,
-                },
-            )],
-            FaultCase::RollingKills => {
-                let kill = |front| {
-                    let at_ms = 1_000 + 1_500 * front as Millis;
-                    step(
-                        at_ms,
-                        Fault::Kill {
-                            front,
-                            restart_after_ms: Some(1),
-                        },
-                    )
+                    duration: LEASEHOLDER_PAUSE,
                 };
+                vec![step(2_500, pause)]
+            }
+            FaultCase::RollingKills => {
+                let kill = |front| kill(1_000 + 1_500 * front as u64, front, 1);
                 (0..FRONTS).map(kill).collect()
             }
             FaultCase::DatagramFaultsAndRestarts => {
-                let faults = step(
-                    500,
-                    Fault::DatagramFaults {
-                        loss_percent: 20,
-                        duplication_percent: 40,
-                        max_delay_ms: 400,
-                    },
-                );
-                let kill = |front| {
-                    step(
-                        2_000 * front as Millis,
-                        Fault::Kill {
-                            front,
-                            restart_after_ms: Some(50),
-                        },
-                    )
+                let faults = Fault::DatagramFaults {
+                    loss_percent: 20,
+                    duplication_percent: 40,
+                    max_delay: Duration::from_millis(400),
                 };
-                std::iter::once(faults).chain([1, 2].map(kill)).collect()
+                let kills = [1, 2].map(|front| kill(2_000 * front as u64, front, 50));
+                std::iter::once(step(500, faults)).chain(kills).collect()
             }
             FaultCase::DuplicateProcess => {
-                vec![step(
-                    1_000,
-                    Fault::DuplicateProcess {
-                        front: 1,
-                        millis: 6_000,
-                    },
-                )]
+                let duplicate = Fault::DuplicateProcess {
+                    front: 1,
+                    duration: Duration::from_secs(6),
+                };
+                vec![step(1_000, duplicate)]
             }
             FaultCase::RollingUpgrades => {
-                let upgrade =
-                    |front| step(1_000 + 2_000 * front as Millis, Fault::Upgrade { front });
+                let upgrade = |front| step(1_000 + 2_000 * front as u64, Fault::Upgrade { front });
                 (0..FRONTS).map(upgrade).collect()
             }
             FaultCase::ManyVolumes
@@ -246,6 +243,7 @@
         }
     }
 
+    /// What the testbed of the case consists of.
     fn config(self, seed: u64) -> TestbedConfig {
         let sharing = match self {
             FaultCase::PartialRosters => Sharing::HalfUnknown,
@@ -262,6 +260,7 @@
         }
     }
 
+    /// Waits until the fronts have found each other, as far as they can.
     async fn wait_until_ready(self, testbed: &Testbed) {
         if self == FaultCase::PartialRosters {
             tokio::time::sleep(PARTIAL_JOIN_TIME).await;
@@ -270,14 +269,14 @@
         }
     }
 
+    /// Runs the case to its end.
     async fn inject(self, testbed: &mut Testbed, seed: u64) -> Result<(), TestbedError> {
         if self != FaultCase::UnauthenticatedDatagrams {
             return testbed.run_schedule(&self.schedule(seed)).await;
         }
         testbed.set_load_of_all(HEALED_LOAD);
-        let duration = Duration::from_millis(DURATION_MS);
         testbed
-            .send_unauthenticated_datagrams(DATAGRAMS_PER_SECOND, duration)
+            .send_unauthenticated_datagrams(DATAGRAMS_PER_SECOND, DURATION)
             .await;
         Ok(())
     }
--- a/crates/testbed/src/limit_experiments/fault_schedules.rs
+++ b/crates/testbed/src/limit_experiments/fault_schedules.rs
@@ -1,21 +1,20 @@
-//! Schedules of faults, drawn from seeds, against real processes.
+//! Schedules of faults, sampled from seeds, against real processes.
 
 use std::fmt;
 use std::path::Path;
+use std::time::Duration;
 
 use nix::sys::signal::Signal;
 use serde::{Deserialize, Serialize};
 
 use super::{HEALED_LOAD, HEALED_SPAN, RECORDING_SLACK, SETTLE_TIME};
-use crate::schedule::{Fault, Millis, Schedule};
+use crate::schedule::{self, Fault, Schedule};
 use crate::testbed::{Sharing, Testbed, TestbedConfig, TestbedError};
 
 /// How many chunk servers there are.
 const SERVERS: usize = 2;
-/// How long a schedule lasts.
-const DURATION_MS: Millis = 10_000;
-/// How long a drawn schedule lasts; its times are scaled to [`DURATION_MS`].
-const DRAWN_DURATION_MS: Millis = 16_000;
+/// How long a schedule lasts, in milliseconds; the times of the sampled schedule are scaled to it.
+const DURATION_MS: u64 = 10_000;
 
 /// What one run observed. The serialized names are those of stored results.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -65,13 +64,14 @@
 /// while no link joins them. The simulation and
 /// [`FaultCase::DuplicateProcess`](super::FaultCase::DuplicateProcess) cover these.
 pub fn process_schedule(seed: u64) -> Schedule {
-    let mut schedule = Schedule::draw(seed);
+    let mut schedule = Schedule::sample(seed);
     schedule
         .steps
         .retain(|step| !matches!(step.fault, Fault::DuplicateProcess { .. }));
-    schedule.duration_ms = DURATION_MS;
+    schedule.duration = Duration::from_millis(DURATION_MS);
     for step in &mut schedule.steps {
-        step.at_ms = step.at_ms * DURATION_MS / DRAWN_DURATION_MS;
+        let at_ms = step.at.as_millis() as u64;
+        step.at = Duration::from_millis(at_ms * DURATION_MS / schedule::DURATION_MS);
     }
     schedule.add_link_faults(seed, SERVERS);
     schedule
@@ -138,7 +138,7 @@
         testbed
             .inject(&Fault::Server {
                 server,
-                latency_ms: 0,
+                latency: Duration::ZERO,
                 failure_percent: 0,
             })
             .await?;
@@ -148,6 +148,7 @@
     Ok(())
 }
 
+/// The fraction of the limit that is served once the fleet has settled.
 async fn measure_healed(testbed: &Testbed) -> f64 {
     tokio::time::sleep(SETTLE_TIME).await;
     let from = testbed.elapsed();
--- a/crates/testbed/src/outlier_experiments.rs
+++ b/crates/testbed/src/outlier_experiments.rs
@@ -22,7 +22,7 @@
 /// How long fronts learn the usual latency before anything fails.
 const LEARNING_TIME: Duration = Duration::from_secs(6);
 /// By which factor a slow server takes longer.
-const SLOW_FACTOR: u64 = 10;
+const SLOW_FACTOR: u32 = 10;
 /// Requests of a failing server that fail, of a hundred.
 const FAILURE_PERCENT: u8 = 30;
 /// The number of zones of a testbed with outlier detection.
@@ -73,21 +73,19 @@
         match self {
             ServerFault::Stopped => testbed.inject(&silence(None)).await,
             ServerFault::Slow => {
-                let takes = LATENCY.as_millis() as u64 * SLOW_FACTOR;
                 testbed
                     .inject(&Fault::Server {
                         server,
-                        latency_ms: takes,
+                        latency: LATENCY * SLOW_FACTOR,
                         failure_percent: 0,
                     })
                     .await
             }
             ServerFault::Failing => {
-                let takes = LATENCY.as_millis() as u64;
                 testbed
                     .inject(&Fault::Server {
                         server,
-                        latency_ms: takes,
+                        latency: LATENCY,
                         failure_percent: FAILURE_PERCENT,
                     })
                     .await
@@ -105,7 +103,7 @@
 fn healthy_server(server: usize) -> Fault {
     Fault::Server {
         server,
-        latency_ms: LATENCY.as_millis() as u64,
+        latency: LATENCY,
         failure_percent: 0,
     }
 }
--- a/crates/testbed/src/outlier_experiments/schedules.rs
+++ b/crates/testbed/src/outlier_experiments/schedules.rs
@@ -23,8 +23,9 @@
 const LOAD: u32 = 16;
 /// How often the fronts' ejections are polled during the schedule.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// How often they are polled after it, and for how long.
+/// How often they are polled after it.
 const RECOVERY_POLL_INTERVAL: Duration = Duration::from_millis(300);
+/// How long fronts may take to readmit all servers once everything is healthy.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Distinguishes the random choices here from those of the schedule.
 const SEED_SALT: u64 = 0x51c4;
@@ -98,14 +99,15 @@
     fault: ServerFault,
 }
 
-/// Which servers and fronts are faulty, drawn from the seed of the schedule.
+/// Which servers and fronts are faulty, sampled from the seed of the schedule.
 struct Scenario {
     faulty_servers: Vec<FaultyServer>,
     lossy_front: Option<LossyFront>,
 }
 
 impl Scenario {
-    fn draw(seed: u64, fronts: usize) -> Scenario {
+    /// The scenario of a seed: up to two faulty servers, and a lossy front in a third of all.
+    fn sample(seed: u64, fronts: usize) -> Scenario {
         let mut rng = Rng::with_seed(seed ^ SEED_SALT);
         let mut faulty_servers: Vec<FaultyServer> = Vec::new();
         for _ in 0..rng.usize(0..3) {
@@ -141,6 +143,7 @@
             .any(|faulty| faulty.server == server && faulty.fault.concerns_zone(zone))
     }
 
+    /// Makes the servers and the links of the scenario faulty.
     async fn inject(&self, testbed: &mut Testbed, fronts: usize) -> Result<(), TestbedError> {
         for FaultyServer { server, fault } in &self.faulty_servers {
             fault.inject(testbed, *server, fronts).await?;
@@ -202,12 +205,13 @@
     program: &Path,
     schedule: &Schedule,
 ) -> Result<OutlierScheduleResult, TestbedError> {
-    let (seed, fronts) = (schedule.seed, schedule.fronts);
+    let seed = schedule.seed;
+    let fronts = schedule.fronts;
     let config = TestbedConfig::with_outlier_detection(fronts, SERVERS, LATENCY, seed);
     let mut testbed = Testbed::start_all(program, config).await?;
     testbed.wait_until_joined().await;
     testbed.set_load_of_all(LOAD);
-    let scenario = Scenario::draw(seed, fronts);
+    let scenario = Scenario::sample(seed, fronts);
     tokio::time::sleep(LEARNING_TIME / 2).await;
     scenario.inject(&mut testbed, fronts).await?;
     let steps: Vec<Step> = schedule
@@ -216,8 +220,7 @@
         .filter(|step| is_included(&step.fault))
         .cloned()
         .collect();
-    let duration = Duration::from_millis(schedule.duration_ms);
-    let ejections = run_steps(&mut testbed, &scenario, &steps, fronts, duration).await?;
+    let ejections = run_steps(&mut testbed, &scenario, &steps, fronts, schedule.duration).await?;
     heal(&mut testbed, fronts).await?;
     let fronts_with_ejections = wait_for_readmission(&testbed, fronts).await;
     Ok(OutlierScheduleResult {
@@ -259,7 +262,7 @@
     while testbed.elapsed() < start + duration {
         loop {
             let now = testbed.elapsed() - start;
-            let is_due = |step: &&Step| now >= Duration::from_millis(step.at_ms);
+            let is_due = |step: &&Step| now >= step.at;
             let Some(step) = steps.next_if(is_due) else {
                 break;
             };
--- a/crates/testbed/src/outlier_experiments/single_fault.rs
+++ b/crates/testbed/src/outlier_experiments/single_fault.rs
@@ -204,6 +204,7 @@
     })
 }
 
+/// Polls the ejections of all fronts for a while.
 async fn poll_ejections(
     testbed: &Testbed,
     server: usize,
@@ -223,6 +224,7 @@
     ejections
 }
 
+/// The requests that the fault slowed down or failed.
 fn affected_requests(testbed: &Testbed, server: usize, phases: Phases) -> AffectedRequests {
     let Phases {
         fault_began,
@@ -268,6 +270,7 @@
         .unwrap_or(LATENCY)
 }
 
+/// The requests that were sent within a span.
 fn within(requests: &[ClientRequest], from: Duration, to: Duration) -> Vec<ClientRequest> {
     requests
         .iter()
@@ -276,6 +279,7 @@
         .collect()
 }
 
+/// How the server got its load back once it was healthy.
 fn measure_recovery(testbed: &Testbed, server: usize, phases: Phases) -> Recovery {
     let attempts_within = |from: Duration, to: Duration| {
         testbed.attempt_times(|attempt| {
--- a/crates/testbed/src/schedule.rs
+++ b/crates/testbed/src/schedule.rs
@@ -1,17 +1,18 @@
-//! Schedules of faults: drawn from a seed, stored in files, and reduced to what a failure needs.
+//! Schedules of faults: sampled from a seed, stored in files, and reduced to what a failure needs.
+
+use std::ops::Range;
+use std::time::Duration;
 
 use fastrand::Rng;
 use serde::{Deserialize, Serialize};
 
+use crate::milliseconds;
 use crate::tcp_proxy::LinkState;
 
-/// Milliseconds from the start of a run.
-pub type Millis = u64;
-
-/// How long a drawn schedule lasts.
-const DURATION_MS: Millis = 16_000;
-/// No fault is drawn for the end of a schedule.
-const QUIET_END_MS: Millis = 3_000;
+/// How long a sampled schedule lasts, in milliseconds.
+pub(crate) const DURATION_MS: u64 = 16_000;
+/// No fault begins in this last part of a sampled schedule, in milliseconds.
+const QUIET_END_MS: u64 = 3_000;
 /// Distinguishes the random choices of link faults from those of the schedule itself.
 const LINK_FAULTS_SALT: u64 = 0x31e5;
 
@@ -22,9 +23,8 @@
     pub loss_percent: u8,
     /// Datagrams that are sent twice, of a hundred.
     pub duplication_percent: u8,
-    /// The longest delay, in milliseconds; each datagram has one at random, so that they arrive out
-    /// of order.
-    pub max_delay_ms: Millis,
+    /// The longest delay; each datagram has one at random, so that they arrive out of order.
+    pub max_delay: Duration,
 }
 
 /// One fault. The serialized names are those of stored schedules.
@@ -55,9 +55,9 @@
         /// Datagrams that are sent twice, of a hundred.
         #[serde(rename = "repeated")]
         duplication_percent: u8,
-        /// The longest delay, in milliseconds.
-        #[serde(rename = "late")]
-        max_delay_ms: Millis,
+        /// The longest delay.
+        #[serde(rename = "late", with = "milliseconds")]
+        max_delay: Duration,
     },
     /// A front is paused for a while: SIGSTOP, then SIGCONT.
     #[serde(rename = "stop")]
@@ -65,15 +65,16 @@
         /// Which front.
         front: usize,
         /// For how long.
-        millis: Millis,
+        #[serde(rename = "millis", with = "milliseconds")]
+        duration: Duration,
     },
     /// A front is killed, and started again after a while without any state.
     Kill {
         /// Which front.
         front: usize,
         /// After how long it is started again; absent is never.
-        #[serde(rename = "back")]
-        restart_after_ms: Option<Millis>,
+        #[serde(rename = "back", default, with = "milliseconds::option")]
+        restart_after: Option<Duration>,
     },
     /// A front shuts down gracefully, and is started again after a while.
     #[serde(rename = "leave")]
@@ -81,8 +82,8 @@
         /// Which front.
         front: usize,
         /// After how long it is started again.
-        #[serde(rename = "back")]
-        restart_after_ms: Millis,
+        #[serde(rename = "back", with = "milliseconds")]
+        restart_after: Duration,
     },
     /// A second process with a front's name runs for a while.
     #[serde(rename = "twin")]
@@ -90,7 +91,8 @@
         /// Which front.
         front: usize,
         /// For how long.
-        millis: Millis,
+        #[serde(rename = "millis", with = "milliseconds")]
+        duration: Duration,
     },
     /// The load of a front changes.
     Load {
@@ -114,8 +116,8 @@
         /// Which server.
         server: usize,
         /// How long it takes to answer.
-        #[serde(rename = "takes")]
-        latency_ms: Millis,
+        #[serde(rename = "takes", with = "milliseconds")]
+        latency: Duration,
         /// Requests that fail, of a hundred.
         #[serde(rename = "failing")]
         failure_percent: u8,
@@ -143,9 +145,11 @@
     /// The fronts load another roster, one after another: the next revision, with another floor.
     Roster {
         /// The time between two fronts that load it.
-        each: Millis,
+        #[serde(rename = "each", with = "milliseconds")]
+        interval: Duration,
         /// The floor in hundredths of the limit.
-        floor: u8,
+        #[serde(rename = "floor")]
+        floor_percent: u8,
     },
 }
 
@@ -154,7 +158,7 @@
     pub const NO_DATAGRAM_FAULTS: Fault = Fault::DatagramFaults {
         loss_percent: 0,
         duplication_percent: 0,
-        max_delay_ms: 0,
+        max_delay: Duration::ZERO,
     };
 }
 
@@ -162,8 +166,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
     /// When it is injected.
-    #[serde(rename = "at")]
-    pub at_ms: Millis,
+    #[serde(rename = "at", with = "milliseconds")]
+    pub at: Duration,
     /// The fault.
     pub fault: Fault,
 }
@@ -171,42 +175,42 @@
 /// A run of so many fronts with these faults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// The seed that the schedule was drawn from, and from which everything else is drawn while it
-    /// runs.
+    /// The seed that the schedule was sampled from, and from which everything else is sampled while
+    /// it runs.
     pub seed: u64,
     /// How many fronts there are.
     pub fronts: usize,
     /// How long the run lasts.
-    #[serde(rename = "millis")]
-    pub duration_ms: Millis,
+    #[serde(rename = "millis", with = "milliseconds")]
+    pub duration: Duration,
     /// The faults, by their times.
     pub steps: Vec<Step>,
 }
 
 impl Schedule {
     /// The schedule of a seed: the same seed always gives the same schedule.
-    pub fn draw(seed: u64) -> Schedule {
+    pub fn sample(seed: u64) -> Schedule {
         let mut rng = Rng::with_seed(seed);
         let fronts = [2, 3, 3, 4, 4, 4, 5, 8][rng.usize(0..8)];
         let mut steps: Vec<Step> = (0..fronts)
             .map(|front| {
                 let rate = [0, 5, 20, 80][rng.usize(0..4)];
                 Step {
-                    at_ms: 0,
+                    at: Duration::ZERO,
                     fault: Fault::Load { front, rate },
                 }
             })
             .collect();
         for _ in 0..rng.usize(2..12) {
-            let at_ms = rng.u64(0..DURATION_MS - QUIET_END_MS);
-            let fault = draw_fault(&mut rng, fronts);
-            steps.push(Step { at_ms, fault });
+            let at = sample_duration(&mut rng, 0..DURATION_MS - QUIET_END_MS);
+            let fault = sample_fault(&mut rng, fronts);
+            steps.push(Step { at, fault });
         }
-        steps.sort_by_key(|step| step.at_ms);
+        steps.sort_by_key(|step| step.at);
         Schedule {
             seed,
             fronts,
-            duration_ms: DURATION_MS,
+            duration: Duration::from_millis(DURATION_MS),
             steps,
         }
     }
@@ -216,11 +220,11 @@
     pub fn add_link_faults(&mut self, seed: u64, servers: usize) {
         let mut rng = Rng::with_seed(seed ^ LINK_FAULTS_SALT);
         for _ in 0..rng.usize(0..5) {
-            let at_ms = rng.u64(0..self.duration_ms);
-            let fault = draw_link_fault(&mut rng, self.fronts, servers);
-            self.steps.push(Step { at_ms, fault });
+            let at = sample_duration(&mut rng, 0..self.duration.as_millis() as u64);
+            let fault = sample_link_fault(&mut rng, self.fronts, servers);
+            self.steps.push(Step { at, fault });
         }
-        self.steps.sort_by_key(|step| step.at_ms);
+        self.steps.sort_by_key(|step| step.at);
     }
 
     /// The same schedule without the steps that a failure does not need: a step is left out if the
@@ -238,7 +242,13 @@
     }
 }
 
-fn draw_fault(rng: &mut Rng, fronts: usize) -> Fault {
+/// A random duration of whole milliseconds within a range.
+fn sample_duration(rng: &mut Rng, milliseconds: Range<u64>) -> Duration {
+    Duration::from_millis(rng.u64(milliseconds))
+}
+
+/// A random fault of links and processes.
+fn sample_fault(rng: &mut Rng, fronts: usize) -> Fault {
     let front = rng.usize(0..fronts);
     match rng.u8(0..20) {
         0..=2 => Fault::Cut {
@@ -252,27 +262,27 @@
         9..=10 => Fault::DatagramFaults {
             loss_percent: rng.u8(0..60),
             duplication_percent: rng.u8(0..40),
-            max_delay_ms: [1, 20, 300, 2_500][rng.usize(0..4)],
+            max_delay: Duration::from_millis([1, 20, 300, 2_500][rng.usize(0..4)]),
         },
         11..=13 => Fault::Pause {
             front,
-            millis: rng.u64(100..6_000),
+            duration: sample_duration(rng, 100..6_000),
         },
         14..=15 => Fault::Kill {
             front,
-            restart_after_ms: rng.bool().then(|| rng.u64(1..5_000)),
+            restart_after: rng.bool().then(|| sample_duration(rng, 1..5_000)),
         },
         16 => Fault::ShutDown {
             front,
-            restart_after_ms: rng.u64(1..4_000),
+            restart_after: sample_duration(rng, 1..4_000),
         },
         17 => Fault::DuplicateProcess {
             front,
-            millis: rng.u64(500..8_000),
+            duration: sample_duration(rng, 500..8_000),
         },
         18 => Fault::Roster {
-            each: rng.u64(1..2_000),
-            floor: rng.u8(2..50),
+            interval: sample_duration(rng, 1..2_000),
+            floor_percent: rng.u8(2..50),
         },
         _ => Fault::Load {
             front,
@@ -281,7 +291,8 @@
     }
 }
 
-fn draw_link_fault(rng: &mut Rng, fronts: usize, servers: usize) -> Fault {
+/// A random fault of chunk servers, of the links to them or to discovery, or an upgrade.
+fn sample_link_fault(rng: &mut Rng, fronts: usize, servers: usize) -> Fault {
     let server = rng.usize(0..servers);
     let front = rng.bool().then(|| rng.usize(0..fronts));
     let state = match rng.u8(0..5) {
@@ -298,7 +309,7 @@
         1 => Fault::Discovery { front, state },
         2 => Fault::Server {
             server,
-            latency_ms: rng.u64(0..100),
+            latency: sample_duration(rng, 0..100),
             failure_percent: rng.u8(0..60),
         },
         _ => Fault::ServerLink {
--- a/crates/testbed/src/shared_limit_experiments.rs
+++ b/crates/testbed/src/shared_limit_experiments.rs
@@ -140,6 +140,7 @@
 }
 
 impl SharedLimit {
+    /// A testbed with the limit, whose chunk server makes the fleet reach it.
     fn config(self, seed: u64) -> TestbedConfig {
         let default = ServerBehavior::default();
         let (limits, behavior) = match self {
@@ -256,8 +257,12 @@
 /// The load moves from one front to another; the fleet is partitioned in half, and a third front is
 /// killed, started again and healed.
 fn fault_schedule(seed: u64, loaded: usize) -> Schedule {
-    let (next, killed) = ((loaded + 1) % FRONTS, (loaded + 2) % FRONTS);
-    let step = |at_ms, fault| Step { at_ms, fault };
+    let next = (loaded + 1) % FRONTS;
+    let killed = (loaded + 2) % FRONTS;
+    let step = |at_ms, fault| Step {
+        at: Duration::from_millis(at_ms),
+        fault,
+    };
     let steps = vec![
         step(
             0,
@@ -285,7 +290,7 @@
             2_500,
             Fault::Kill {
                 front: killed,
-                restart_after_ms: Some(20),
+                restart_after: Some(Duration::from_millis(20)),
             },
         ),
         step(3_500, Fault::Heal),
@@ -293,7 +298,7 @@
     Schedule {
         seed,
         fronts: FRONTS,
-        duration_ms: 3_600,
+        duration: Duration::from_millis(3_600),
         steps,
     }
 }
--- a/crates/testbed/src/simulation/fleet.rs
+++ b/crates/testbed/src/simulation/fleet.rs
@@ -1,13 +1,15 @@
 //! The skeleton that the simulations of gossip and of outlier detection share: fronts that start,
 //! stop and exchange messages over the simulated network, under the faults of a schedule.
 
+use std::time::Duration;
+
 use fastrand::Rng;
 use tulipbridge_membership::{GossipAction, Incarnation, Nanos, PeerId};
 
-use super::event_queue::EventQueue;
-use super::network::{Network, MILLISECOND};
-use super::peer::{Envelope, Peer, PeerMessage};
-use crate::schedule::{Fault, Millis, Schedule};
+use super::event_queue::{DueEvent, EventQueue};
+use super::network::{nanos, Network};
+use super::peer::{AddressedMessage, Envelope, Peer, PeerMessage};
+use crate::schedule::{Fault, Schedule};
 
 /// A simulated front that runs.
 pub struct SimulatedFront<S> {
@@ -76,14 +78,13 @@
 
     /// When the faults of the schedule end.
     pub fn end_of_faults(&self) -> Nanos {
-        self.schedule.duration_ms as Nanos * MILLISECOND
+        nanos(self.schedule.duration)
     }
 
     /// Schedules every fault.
     pub fn schedule_faults(&mut self) {
         for (number, step) in self.schedule.steps.iter().enumerate() {
-            self.events
-                .schedule(step.at_ms as Nanos * MILLISECOND, Event::Fault(number));
+            self.events.schedule(nanos(step.at), Event::Fault(number));
         }
     }
 
@@ -93,6 +94,7 @@
         self.start_missing(self.now);
     }
 
+    /// Schedules the start of every front that does not run.
     fn start_missing(&mut self, at: Nanos) {
         for front in 0..self.fronts.len() {
             if self.fronts[front].is_none() {
@@ -104,7 +106,7 @@
     /// The next event that is due by `deadline`; the time becomes that of the event, or else the
     /// deadline.
     pub fn next_event(&mut self, deadline: Nanos) -> Option<Event<E>> {
-        let Some((at, event)) = self.events.pop_due(deadline) else {
+        let Some(DueEvent { at, event }) = self.events.pop_due(deadline) else {
             self.now = deadline;
             return None;
         };
@@ -130,9 +132,9 @@
             .filter(|running| running.peer.incarnation == incarnation)
     }
 
-    /// Sends a message to each peer named.
-    pub fn send_all(&mut self, from: usize, messages: Vec<(PeerId, PeerMessage)>) {
-        for (to, message) in messages {
+    /// Sends messages of a front.
+    pub fn send_all(&mut self, from: usize, messages: Vec<AddressedMessage>) {
+        for AddressedMessage { to, message } in messages {
             self.send(from, to, message);
         }
     }
@@ -186,25 +188,27 @@
             | Fault::DatagramFaults { .. }) => {
                 self.network.inject(fault);
             }
-            Fault::Pause { front, millis } => self.pause(*front, self.after(*millis)),
+            Fault::Pause { front, duration } => self.pause(*front, self.after(*duration)),
             Fault::Kill {
                 front,
-                restart_after_ms: back,
-            } => self.stop(*front, *back),
+                restart_after,
+            } => self.stop(*front, *restart_after),
             Fault::ShutDown {
                 front,
-                restart_after_ms: back,
-            } => self.stop(*front, Some(*back)),
+                restart_after,
+            } => self.stop(*front, Some(*restart_after)),
             Fault::DuplicateProcess { .. } | Fault::Load { .. } | Fault::Roster { .. } => {}
             Fault::ServerLink { .. } | Fault::Server { .. } => {}
             Fault::Upgrade { .. } | Fault::Discovery { .. } | Fault::RestartServer { .. } => {}
         }
     }
 
-    fn after(&self, millis: Millis) -> Nanos {
-        self.now + millis as Nanos * MILLISECOND
+    /// The simulated time after a delay.
+    fn after(&self, delay: Duration) -> Nanos {
+        self.now + nanos(delay)
     }
 
+    /// Pauses a front, if it runs, until a time.
     fn pause(&mut self, front: usize, until: Nanos) {
         let Some(front) = &mut self.fronts[front] else {
             return;
@@ -216,11 +220,11 @@
         };
     }
 
-    fn stop(&mut self, front: usize, back_after: Option<Millis>) {
+    /// Ends a front, and starts it again if the fault says when.
+    fn stop(&mut self, front: usize, restart_after: Option<Duration>) {
         self.fronts[front] = None;
-        if let Some(millis) = back_after {
-            self.events
-                .schedule(self.after(millis), Event::Start(front));
+        if let Some(delay) = restart_after {
+            self.events.schedule(self.after(delay), Event::Start(front));
         }
     }
 }
--- a/crates/testbed/src/simulation/gossip.rs
+++ b/crates/testbed/src/simulation/gossip.rs
@@ -15,7 +15,7 @@
 use self::history::WriteHistory;
 pub use self::report::GossipReport;
 use super::fleet::{Event, OverlappingPauses, SimulatedFleet, SimulatedFront};
-use super::network::MILLISECOND;
+use super::network::{nanos, MILLISECOND};
 use super::peer::{Envelope, Peer, PeerMessage, PEER_TIMEOUT, ROUND_INTERVAL};
 use crate::schedule::Schedule;
 
@@ -25,21 +25,37 @@
 const KEYS: u64 = 12;
 /// An upper estimate of the bytes of one entry in a message.
 const MAX_ENTRY_BYTES: u64 = 60;
+/// The window in which the bytes that a front sends are counted.
+const RATE_WINDOW: Nanos = 1_000 * MILLISECOND;
 /// Distinguishes the random choices here from those of other simulations of the same schedule.
 const SEED_SALT: u64 = 0xe27;
 
+/// The version up to which a front has received the entries of another.
+#[derive(Clone, Copy)]
+struct KnownVersion {
+    incarnation: Incarnation,
+    version: u64,
+}
+
+/// Gossip that a front sent.
+struct SentGossip {
+    at: Nanos,
+    bytes: u64,
+}
+
 /// What a front of this simulation has beside its peer.
 #[derive(Default)]
 struct FrontState {
     /// The version of this front's latest write.
     written: u64,
-    /// By origin: the incarnation and version last known here.
-    known: BTreeMap<PeerId, (Incarnation, u64)>,
-    /// Gossip of the last second: when it was sent, and its bytes.
-    sent: Vec<(Nanos, u64)>,
+    /// By origin, what was last known here.
+    known: BTreeMap<PeerId, KnownVersion>,
+    /// Gossip of the last second.
+    sent: Vec<SentGossip>,
 }
 
-struct Simulation<'a> {
+/// The state of a simulation.
+struct GossipSimulation<'a> {
     fleet: SimulatedFleet<'a, FrontState, Infallible>,
     history: WriteHistory,
     report: GossipReport,
@@ -52,7 +68,7 @@
     fleet.schedule_faults();
     let end = fleet.end_of_faults();
     let history = WriteHistory::default();
-    let mut simulation = Simulation {
+    let mut simulation = GossipSimulation {
         fleet,
         history,
         report: GossipReport::default(),
@@ -73,7 +89,8 @@
     4 * PEER_TIMEOUT + fronts as Nanos * ROUND_INTERVAL * 21 / 20 + transfer
 }
 
-impl Simulation<'_> {
+impl GossipSimulation<'_> {
+    /// Handles all events that are due until a time.
     fn run_until(&mut self, deadline: Nanos) {
         while let Some(event) = self.fleet.next_event(deadline) {
             match event {
@@ -86,6 +103,7 @@
         }
     }
 
+    /// Starts a front with a new incarnation, unless it runs.
     fn start(&mut self, front: usize) {
         if self.fleet.fronts[front].is_some() {
             return;
@@ -102,6 +120,7 @@
             .schedule(self.fleet.now, Event::Round(front, incarnation));
     }
 
+    /// A round of a front: a write now and then, heartbeats and gossip. A paused front does nothing.
     fn round(&mut self, front: usize, incarnation: Incarnation) {
         let now = self.fleet.now;
         let Some(running) = self.fleet.front_with_incarnation(front, incarnation) else {
@@ -123,7 +142,7 @@
     fn write_sometimes(&mut self, front: usize) {
         let now = self.fleet.now;
         let rng = &mut self.fleet.rng;
-        if rng.u8(0..3) != 0 || now >= self.fleet.schedule.duration_ms as Nanos * MILLISECOND {
+        if rng.u8(0..3) != 0 || now >= nanos(self.fleet.schedule.duration) {
             return;
         }
         let key = entry_key(rng.u64(0..KEYS));
@@ -146,6 +165,7 @@
         }
     }
 
+    /// Sends the heartbeats and the gossip of a round.
     fn gossip_round(&mut self, front: usize) {
         let now = self.fleet.now;
         let Some(running) = &mut self.fleet.fronts[front] else {
@@ -157,6 +177,7 @@
         self.apply(front, actions);
     }
 
+    /// Carries out the actions of a front's gossip store.
     fn apply(&mut self, front: usize, actions: Vec<GossipAction>) {
         for action in actions {
             match action {
@@ -176,6 +197,7 @@
         }
     }
 
+    /// Counts bytes that a front sends, over the last second.
     fn count_sent(&mut self, front: usize, bytes: u64) {
         let now = self.fleet.now;
         let Some(running) = &mut self.fleet.fronts[front] else {
@@ -184,12 +206,13 @@
         running
             .state
             .sent
-            .retain(|(at, _)| *at > now - 1_000 * MILLISECOND);
-        running.state.sent.push((now, bytes));
-        let sum = running.state.sent.iter().map(|(_, bytes)| bytes).sum();
+            .retain(|sent| sent.at > now - RATE_WINDOW);
+        running.state.sent.push(SentGossip { at: now, bytes });
+        let sum = running.state.sent.iter().map(|sent| sent.bytes).sum();
         self.report.max_bytes_per_second = self.report.max_bytes_per_second.max(sum);
     }
 
+    /// Delivers a message and checks what its receiver holds then.
     fn deliver(&mut self, envelope: Envelope) {
         let to = envelope.to;
         let Some(actions) = self.fleet.deliver(envelope) else {
@@ -210,9 +233,14 @@
             let Some((incarnation, version)) = running.peer.gossip.known(origin) else {
                 continue;
             };
-            let previous = running.state.known.insert(origin, (incarnation, version));
-            let went_back =
-                previous.is_some_and(|(earlier, known)| earlier == incarnation && version < known);
+            let known = KnownVersion {
+                incarnation,
+                version,
+            };
+            let previous = running.state.known.insert(origin, known);
+            let went_back = previous.is_some_and(|previous| {
+                previous.incarnation == incarnation && version < previous.version
+            });
             self.report.inconsistent |= went_back;
             for id in 0..KEYS {
                 let key = entry_key(id);
@@ -246,6 +274,7 @@
     }
 }
 
+/// The key of an entry with a number below [`KEYS`].
 fn entry_key(id: u64) -> EntryKey {
     EntryKey { kind: 1, id }
 }
--- a/crates/testbed/src/simulation/gossip/history.rs
+++ b/crates/testbed/src/simulation/gossip/history.rs
@@ -14,12 +14,14 @@
 /// All writes, by incarnation and version.
 #[derive(Default)]
 pub struct WriteHistory {
+    /// By incarnation and version.
     writes: BTreeMap<(Incarnation, u64), Write>,
 }
 
 /// The writes of one key by one incarnation, as a front sees them that has received them up to a
 /// version.
 pub struct KeyHistory<'a> {
+    /// All writes of all keys.
     history: &'a WriteHistory,
     incarnation: Incarnation,
     version: u64,
@@ -55,7 +57,8 @@
 impl<'a> KeyHistory<'a> {
     /// The writes received, the latest first.
     fn received(&self) -> impl Iterator<Item = &'a Write> + use<'a> {
-        let (key, incarnation) = (self.key, self.incarnation);
+        let key = self.key;
+        let incarnation = self.incarnation;
         let range = self
             .history
             .writes
@@ -66,17 +69,17 @@
             .filter(move |write| write.key == key)
     }
 
+    /// Whether the key was written again after the version received.
     fn is_written_later(&self) -> bool {
-        let (first, last) = (
-            (self.incarnation, self.version + 1),
-            (self.incarnation, u64::MAX),
-        );
+        let first = (self.incarnation, self.version + 1);
+        let last = (self.incarnation, u64::MAX);
         self.history
             .writes
             .range(first..=last)
             .any(|(_, write)| write.key == self.key)
     }
 
+    /// The latest value received; `None` if there is none or it was removed.
     fn latest_value(&self) -> Option<&'a [u8]> {
         self.received()
             .next()
--- a/crates/testbed/src/simulation/limits.rs
+++ b/crates/testbed/src/simulation/limits.rs
@@ -11,6 +11,7 @@
 mod report;
 
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 use fastrand::Rng;
 use tulipbridge_fleet_limits::{
@@ -20,9 +21,9 @@
 
 use self::process::{DriftingClock, Message, Process};
 pub use self::report::LimitsReport;
-use super::event_queue::EventQueue;
-use super::network::{Network, MILLISECOND};
-use crate::schedule::{Millis, Schedule};
+use super::event_queue::{DueEvent, EventQueue};
+use super::network::{nanos, Network, MILLISECOND};
+use crate::schedule::Schedule;
 
 /// By how much clocks may differ, in millionths; large, so that time matters.
 const MAX_CLOCK_DRIFT_PPM: u32 = 40_000;
@@ -32,35 +33,44 @@
 const VOLUME: Limit = Limit::Volume(7);
 /// Units of one request.
 const UNITS_PER_REQUEST: f64 = 2.0;
-/// By how much the interval between two heartbeats varies.
+/// By how much the interval between two heartbeats varies either way, in nanoseconds.
 const HEARTBEAT_JITTER: i64 = 20_000_000;
 /// All fronts start within this time, in milliseconds.
 const START_SPREAD_MS: u64 = 400;
 /// How long the fleet has to settle after all faults are healed.
 const SETTLE_TIME: Nanos = 10_000 * MILLISECOND;
-/// How often the shares in use are sampled once the fleet has settled, and at which interval.
-/// Shares follow the load from moment to moment, so their mean counts.
+/// How often the shares in use are sampled once the fleet has settled. Shares follow the load from
+/// moment to moment, so their mean counts.
 const SAMPLES: i64 = 40;
+/// The interval between two samples.
 const SAMPLE_INTERVAL: Nanos = 100 * MILLISECOND;
 /// When a front that is paused or stopped tries again to load a new roster.
 const RECONFIGURE_RETRY: Nanos = 50 * MILLISECOND;
 /// Distinguishes the random choices here from those of other simulations of the same schedule.
 const SEED_SALT: u64 = 0x5eed;
 
-/// What happens at a moment. The numbers are those of processes, of fronts, and of the steps of the
-/// schedule.
+/// An event of the simulation.
 enum Event {
+    /// The process with this number sends heartbeats.
     Heartbeat(usize),
+    /// A client sends a request to the front with this index.
     Demand(usize),
+    /// A message arrives.
     Deliver(Box<Message>),
+    /// The step of the schedule with this number is due.
     Fault(usize),
+    /// The front with this index starts, unless it runs.
     Start(usize),
+    /// The process with this number resumes.
     Resume(usize),
+    /// The process with this number ends.
     Stop(usize),
+    /// The front with this index loads its new roster.
     Reconfigure(usize),
 }
 
-struct Simulation<'a> {
+/// The state of a simulation.
+struct LimitsSimulation<'a> {
     schedule: &'a Schedule,
     rng: Rng,
     now: Nanos,
@@ -80,8 +90,8 @@
 
 /// Simulates a schedule.
 pub fn run(schedule: &Schedule) -> LimitsReport {
-    let mut simulation = Simulation::new(schedule);
-    let end = schedule.duration_ms as Nanos * MILLISECOND;
+    let mut simulation = LimitsSimulation::new(schedule);
+    let end = nanos(schedule.duration);
     simulation.run_until(end);
     simulation.heal();
     let settled = end + SETTLE_TIME;
@@ -95,14 +105,15 @@
     simulation.report
 }
 
-impl<'a> Simulation<'a> {
-    fn new(schedule: &'a Schedule) -> Simulation<'a> {
+impl<'a> LimitsSimulation<'a> {
+    /// A simulation at time 0, with the starts and faults of a schedule to come.
+    fn new(schedule: &'a Schedule) -> LimitsSimulation<'a> {
         let fronts = schedule.fronts;
         let config = |front: usize| LimitsConfig {
             max_clock_drift: MAX_CLOCK_DRIFT_PPM,
             ..LimitsConfig::new(front as PeerId, fronts as PeerId, 1)
         };
-        let mut simulation = Simulation {
+        let mut simulation = LimitsSimulation {
             schedule,
             rng: Rng::with_seed(schedule.seed ^ SEED_SALT),
             now: 0,
@@ -119,24 +130,25 @@
         simulation
     }
 
+    /// Schedules the start of every front and the faults.
     fn schedule_starts(&mut self) {
         for front in 0..self.schedule.fronts {
             let at = self.rng.u64(0..START_SPREAD_MS) as Nanos * MILLISECOND;
             self.events.schedule(at, Event::Start(front));
         }
         for (number, step) in self.schedule.steps.iter().enumerate() {
-            self.events
-                .schedule(step.at_ms as Nanos * MILLISECOND, Event::Fault(number));
+            self.events.schedule(nanos(step.at), Event::Fault(number));
         }
     }
 
-    fn schedule_in(&mut self, millis: Millis, event: Event) {
-        self.events
-            .schedule(self.now + millis as Nanos * MILLISECOND, event);
+    /// Schedules an event that is due after a delay.
+    fn schedule_in(&mut self, delay: Duration, event: Event) {
+        self.events.schedule(self.now + nanos(delay), event);
     }
 
+    /// Handles all events that are due until a time.
     fn run_until(&mut self, deadline: Nanos) {
-        while let Some((at, event)) = self.events.pop_due(deadline) {
+        while let Some(DueEvent { at, event }) = self.events.pop_due(deadline) {
             self.now = at;
             self.handle(event);
             self.check_total_share();
@@ -164,14 +176,13 @@
         }
     }
 
+    /// Makes a process send heartbeats, unless it is paused, and schedules the next ones.
     fn heartbeat(&mut self, process: usize) {
         let Some(running) = &self.processes[process] else {
             return;
         };
-        let (interval, is_paused) = (
-            running.coordinator.config().heartbeat_interval,
-            running.is_paused,
-        );
+        let interval = running.coordinator.config().heartbeat_interval;
+        let is_paused = running.is_paused;
         let jitter = self.rng.i64(-HEARTBEAT_JITTER..HEARTBEAT_JITTER);
         self.events
             .schedule(self.now + interval + jitter, Event::Heartbeat(process));
@@ -180,6 +191,7 @@
         }
     }
 
+    /// Sends a request to a front and schedules the next one, at exponential intervals.
     fn demand(&mut self, front: usize) {
         let rate = self.demand_rates[front];
         if rate == 0 {
@@ -206,6 +218,7 @@
         Some(process)
     }
 
+    /// Delivers a message, or keeps it until its receiver resumes.
     fn deliver(&mut self, message: Message) {
         let Some(running) = &mut self.processes[message.to] else {
             return;
@@ -217,6 +230,7 @@
         self.receive(message);
     }
 
+    /// Gives a message to the coordinator of its receiver.
     fn receive(&mut self, message: Message) {
         let Message {
             to,
@@ -234,6 +248,7 @@
         self.feed(to, via, event);
     }
 
+    /// Resumes a process, which then handles the messages that have arrived.
     fn resume(&mut self, process: usize) {
         let Some(running) = &mut self.processes[process] else {
             return;
@@ -249,6 +264,7 @@
         }
     }
 
+    /// Ends a process and frees its address.
     fn stop(&mut self, process: usize) {
         if self.processes[process]
             .as_ref()
@@ -264,6 +280,7 @@
         }
     }
 
+    /// Makes a front load its configuration; one that is paused does so later.
     fn reconfigure(&mut self, front: usize) {
         if self.address[front].is_none() {
             return;
@@ -323,11 +340,13 @@
         }
     }
 
+    /// Carries out an effect of a process.
     fn apply(&mut self, process: usize, via: usize, effect: Effect) {
         let Some(running) = &mut self.processes[process] else {
             return;
         };
-        let (front, incarnation) = (running.front, running.coordinator.incarnation());
+        let front = running.front;
+        let incarnation = running.coordinator.incarnation();
         match effect {
             Effect::ShareChanged { limit, share, .. } => {
                 running.shares.insert(limit, share);
@@ -345,6 +364,7 @@
         }
     }
 
+    /// Sends a heartbeat from the process `via` to another over the network.
     fn send(
         &mut self,
         via: usize,
@@ -358,13 +378,12 @@
             return;
         };
         for delay in self.network.delays(&mut self.rng, sender, receiver) {
-            let (from, heartbeat) = (sender as PeerId, heartbeat.clone());
             let message = Message {
                 to,
                 via,
-                from,
+                from: sender as PeerId,
                 incarnation,
-                heartbeat,
+                heartbeat: heartbeat.clone(),
             };
             self.events
                 .schedule(self.now + delay, Event::Deliver(Box::new(message)));
--- a/crates/testbed/src/simulation/limits/checks.rs
+++ b/crates/testbed/src/simulation/limits/checks.rs
@@ -4,11 +4,10 @@
 use tulipbridge_fleet_limits::{Event as CoordinatorEvent, Share, FULL_SHARE};
 
 use super::process::Process;
-use super::{Simulation, VOLUME};
-use crate::schedule::Millis;
+use super::{LimitsSimulation, VOLUME};
 use crate::simulation::network::MILLISECOND;
 
-impl Simulation<'_> {
+impl LimitsSimulation<'_> {
     /// Adds up what all running processes may use now and compares it with the bound.
     pub(super) fn check_total_share(&mut self) {
         let total = self.total_share();
@@ -28,11 +27,12 @@
         if excess(total, allowed) > max_excess {
             self.report.max_total_share = total;
             self.report.allowed_share = allowed;
-            self.report.max_at_ms = (self.now / MILLISECOND) as Millis;
+            self.report.max_at_ms = (self.now / MILLISECOND) as u64;
         }
         self.report.bound_exceeded |= total > allowed;
     }
 
+    /// The sum of the shares of all running processes. Expired ones are released first.
     fn total_share(&mut self) -> Share {
         let mut total = 0;
         for process in 0..self.processes.len() {
--- a/crates/testbed/src/simulation/limits/faults.rs
+++ b/crates/testbed/src/simulation/limits/faults.rs
@@ -1,14 +1,16 @@
 //! Injecting faults into a simulation of fleet limits.
 
+use std::time::Duration;
+
 use tulipbridge_fleet_limits::{Event as CoordinatorEvent, Share, FULL_SHARE};
 
-use super::{Event, Simulation};
-use crate::schedule::{Fault, Millis};
+use super::{Event, LimitsSimulation};
+use crate::schedule::Fault;
 
-/// For how long a front is absent during an upgrade, in milliseconds.
-const UPGRADE_GAP_MS: Millis = 20;
+/// For how long a front is absent during an upgrade.
+const UPGRADE_GAP: Duration = Duration::from_millis(20);
 
-impl Simulation<'_> {
+impl LimitsSimulation<'_> {
     /// Injects a fault.
     pub(super) fn inject(&mut self, fault: &Fault) {
         match fault {
@@ -18,25 +20,28 @@
             | Fault::DatagramFaults { .. } => {
                 self.network.inject(fault);
             }
-            Fault::Pause { front, millis } => self.pause(*front, *millis),
+            Fault::Pause { front, duration } => self.pause(*front, *duration),
             Fault::Kill {
                 front,
-                restart_after_ms: back,
-            } => self.kill(*front, *back),
+                restart_after,
+            } => self.kill(*front, *restart_after),
             Fault::ShutDown {
                 front,
-                restart_after_ms: back,
-            } => self.shut_down(*front, *back),
+                restart_after,
+            } => self.shut_down(*front, *restart_after),
             // The second version is absent until the first has ended: a restart, as the
             // coordinators observe it.
-            Fault::Upgrade { front } => self.shut_down(*front, UPGRADE_GAP_MS),
-            Fault::DuplicateProcess { front, millis } => {
+            Fault::Upgrade { front } => self.shut_down(*front, UPGRADE_GAP),
+            Fault::DuplicateProcess { front, duration } => {
                 self.duplicates += 1;
                 let process = self.start(*front, true);
-                self.schedule_in(*millis, Event::Stop(process));
+                self.schedule_in(*duration, Event::Stop(process));
             }
             Fault::Load { front, rate } => self.set_demand(*front, *rate),
-            Fault::Roster { each, floor } => self.change_roster(*each, *floor),
+            Fault::Roster {
+                interval,
+                floor_percent,
+            } => self.change_roster(*interval, *floor_percent),
             // There are no chunk servers and no discovery here.
             Fault::ServerLink { .. }
             | Fault::Server { .. }
@@ -45,35 +50,39 @@
         }
     }
 
-    fn pause(&mut self, front: usize, millis: Millis) {
+    /// Pauses the process of a front for a while.
+    fn pause(&mut self, front: usize, duration: Duration) {
         let Some(process) = self.unpaused_process(front) else {
             return;
         };
         if let Some(running) = &mut self.processes[process] {
             running.is_paused = true;
         }
-        self.schedule_in(millis, Event::Resume(process));
+        self.schedule_in(duration, Event::Resume(process));
     }
 
-    fn kill(&mut self, front: usize, back_after: Option<Millis>) {
+    /// Ends the process of a front without notice.
+    fn kill(&mut self, front: usize, restart_after: Option<Duration>) {
         if let Some(process) = self.address[front] {
             self.stop(process);
         }
-        if let Some(millis) = back_after {
-            self.schedule_in(millis, Event::Start(front));
+        if let Some(delay) = restart_after {
+            self.schedule_in(delay, Event::Start(front));
         }
     }
 
-    fn shut_down(&mut self, front: usize, back_after: Millis) {
+    /// Ends the process of a front, which releases its leases first.
+    fn shut_down(&mut self, front: usize, restart_after: Duration) {
         let Some(process) = self.unpaused_process(front) else {
             return;
         };
         self.feed(process, process, CoordinatorEvent::Shutdown);
         self.feed(process, process, CoordinatorEvent::HeartbeatDue);
         self.stop(process);
-        self.schedule_in(back_after, Event::Start(front));
+        self.schedule_in(restart_after, Event::Start(front));
     }
 
+    /// Changes the requests a second of a front.
     fn set_demand(&mut self, front: usize, rate: u32) {
         let previous = std::mem::replace(&mut self.demand_rates[front], rate);
         if previous == 0 && rate > 0 {
@@ -81,8 +90,8 @@
         }
     }
 
-    /// Writes a new roster for every front. Each loads it when it is told to, or when it starts.
-    fn change_roster(&mut self, interval: Millis, floor_percent: u8) {
+    /// Writes a new roster for every front. Each loads it at its reconfiguration, or when it starts.
+    fn change_roster(&mut self, interval: Duration, floor_percent: u8) {
         for front in 0..self.schedule.fronts {
             let config = &mut self.configs[front];
             config.revision += 1;
@@ -91,7 +100,7 @@
                 .wrapping_mul(31)
                 .wrapping_add(u64::from(floor_percent));
             config.floor = FULL_SHARE / 100 * Share::from(floor_percent);
-            self.schedule_in(interval * front as Millis, Event::Reconfigure(front));
+            self.schedule_in(interval * front as u32, Event::Reconfigure(front));
         }
     }
 
--- a/crates/testbed/src/simulation/limits/report.rs
+++ b/crates/testbed/src/simulation/limits/report.rs
@@ -5,8 +5,6 @@
 use serde::Serialize;
 use tulipbridge_fleet_limits::Share;
 
-use crate::schedule::Millis;
-
 /// What a run observed. Shares are in millionths of the limit; the serialized names are those of
 /// stored results.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
@@ -16,7 +14,7 @@
     pub max_total_share: Share,
     /// That moment, in milliseconds.
     #[serde(rename = "at")]
-    pub max_at_ms: Millis,
+    pub max_at_ms: u64,
     /// The bound at that moment.
     #[serde(rename = "allowed")]
     pub allowed_share: Share,
--- a/crates/testbed/src/simulation/network.rs
+++ b/crates/testbed/src/simulation/network.rs
@@ -1,6 +1,8 @@
 //! The simulated network between fronts: cut links, and datagrams that are lost, duplicated and
 //! delayed.
 
+use std::time::Duration;
+
 use fastrand::Rng;
 use tulipbridge_membership::Nanos;
 
@@ -8,17 +10,23 @@
 
 /// One millisecond.
 pub const MILLISECOND: Nanos = 1_000_000;
-/// The shortest time a datagram takes.
+/// The shortest time a datagram takes, in nanoseconds.
 const MIN_DELAY: u64 = 50_000;
 /// The smallest upper bound of the time a datagram takes, in nanoseconds.
 const MIN_MAX_DELAY: u64 = 100_000;
-/// The longest time a datagram takes while no fault delays datagrams, in milliseconds.
-const HEALTHY_MAX_DELAY_MS: u64 = 2;
+/// The longest time a datagram takes while no fault delays datagrams.
+const HEALTHY_MAX_DELAY: Duration = Duration::from_millis(2);
+
+/// A duration in simulated time.
+pub fn nanos(duration: Duration) -> Nanos {
+    duration.as_nanos() as Nanos
+}
 
 /// One-way links between every two fronts.
 pub struct Network {
     /// Whether the link is cut, by sender and receiver.
     cut: Vec<Vec<bool>>,
+    /// What happens to datagrams on links that are not cut.
     faults: DatagramFaults,
 }
 
@@ -26,7 +34,7 @@
     /// A network without faults between so many fronts.
     pub fn new(fronts: usize) -> Network {
         let faults = DatagramFaults {
-            max_delay_ms: HEALTHY_MAX_DELAY_MS,
+            max_delay: HEALTHY_MAX_DELAY,
             ..DatagramFaults::default()
         };
         Network {
@@ -42,20 +50,21 @@
             Fault::Partition { side } => self.partition(side),
             Fault::Heal => self.cut.iter_mut().for_each(|row| row.fill(false)),
             Fault::DatagramFaults {
-                loss_percent: lost,
-                duplication_percent: repeated,
-                max_delay_ms: late,
+                loss_percent,
+                duplication_percent,
+                max_delay,
             } => {
                 self.faults = DatagramFaults {
-                    loss_percent: *lost,
-                    duplication_percent: *repeated,
-                    max_delay_ms: *late,
+                    loss_percent: *loss_percent,
+                    duplication_percent: *duplication_percent,
+                    max_delay: *max_delay,
                 };
             }
             _ => {}
         }
     }
 
+    /// Cuts exactly the links between fronts of this side and all others.
     fn partition(&mut self, side: &[usize]) {
         for (from, row) in self.cut.iter_mut().enumerate() {
             for (to, cut) in row.iter_mut().enumerate() {
@@ -74,7 +83,7 @@
         if self.cut[from][to] {
             return Vec::new();
         }
-        let max_delay = (self.faults.max_delay_ms * 1_000_000).max(MIN_MAX_DELAY);
+        let max_delay = (self.faults.max_delay.as_nanos() as u64).max(MIN_MAX_DELAY);
         let copies = 1 + usize::from(rng.u8(0..100) < self.faults.duplication_percent);
         let delay = |_| {
             let arrives = rng.u8(0..100) >= self.faults.loss_percent;
--- a/crates/testbed/src/simulation/outliers.rs
+++ b/crates/testbed/src/simulation/outliers.rs
@@ -36,9 +36,11 @@
 /// Distinguishes the random choices here from those of other simulations of the same schedule.
 const SEED_SALT: u64 = 0x6e1;
 
-/// Events that only this simulation has.
+/// Events that only this simulation has, of the front with an index if it still has an incarnation.
 enum FrontEvent {
+    /// The front sends an attempt to a server.
     Attempt(usize, Incarnation),
+    /// The front's detector evaluates evidence and votes outside the rounds.
     Evaluate(usize, Incarnation),
 }
 
@@ -56,7 +58,8 @@
     server: Server,
 }
 
-struct Simulation<'a> {
+/// The state of a simulation.
+struct OutlierSimulation<'a> {
     fleet: SimulatedFleet<'a, FrontState, FrontEvent>,
     scenario: Scenario,
     audit: VoteAudit,
@@ -69,7 +72,7 @@
 
 /// Simulates a schedule with the scenario of its seed.
 pub fn run(schedule: &Schedule) -> OutlierReport {
-    let mut simulation = Simulation::new(schedule);
+    let mut simulation = OutlierSimulation::new(schedule);
     let fronts = schedule.fronts;
     let end = simulation.fleet.end_of_faults();
     simulation.run_until(end);
@@ -91,19 +94,21 @@
     simulation.report
 }
 
+/// The zone of a front: fronts are in two zones in turn.
 fn zone_of(front: usize) -> Zone {
     (front % 2) as Zone
 }
 
-impl<'a> Simulation<'a> {
-    fn new(schedule: &'a Schedule) -> Simulation<'a> {
-        let scenario = Scenario::draw(schedule.seed, schedule.fronts);
+impl<'a> OutlierSimulation<'a> {
+    /// A simulation at time 0, with the scenario of the schedule's seed.
+    fn new(schedule: &'a Schedule) -> OutlierSimulation<'a> {
+        let scenario = Scenario::sample(schedule.seed, schedule.fronts);
         let rng = Rng::with_seed(schedule.seed ^ SEED_SALT);
         let mut fleet = SimulatedFleet::new(schedule, rng, OverlappingPauses::LongestWins);
         if !scenario.without_schedule {
             fleet.schedule_faults();
         }
-        Simulation {
+        OutlierSimulation {
             fleet,
             scenario,
             audit: VoteAudit::new(),
@@ -113,6 +118,7 @@
         }
     }
 
+    /// Handles all events that are due until a time.
     fn run_until(&mut self, deadline: Nanos) {
         while let Some(event) = self.fleet.next_event(deadline) {
             match event {
@@ -130,12 +136,14 @@
         }
     }
 
+    /// Starts a front with a new incarnation, unless it runs.
     fn start(&mut self, front: usize) {
         if self.fleet.fronts[front].is_some() {
             return;
         }
         let peer = self.fleet.new_peer(front, GOSSIP_RATE);
-        let (incarnation, now) = (peer.incarnation, self.fleet.now);
+        let incarnation = peer.incarnation;
+        let now = self.fleet.now;
         let peer_count = self.fleet.fronts.len() as PeerId;
         let config = DetectorConfig::new(front as PeerId, peer_count, zone_of(front));
         let mut detector = OutlierDetector::new(config).expect("the configuration is valid");
@@ -196,6 +204,7 @@
         self.fleet.events.schedule(at, Event::Custom(event));
     }
 
+    /// An evaluation outside the rounds; gossip follows at once if there is any.
     fn evaluate(&mut self, front: usize, incarnation: Incarnation) {
         let now = self.fleet.now;
         if !self.can_act(
@@ -220,6 +229,7 @@
         }
     }
 
+    /// A round of a front: heartbeats, an evaluation and gossip.
     fn round(&mut self, front: usize, incarnation: Incarnation) {
         let now = self.fleet.now;
         let jitter = self.fleet.rng.i64(-20..20) * MILLISECOND;
@@ -238,6 +248,7 @@
             .schedule(now + ROUND_INTERVAL + jitter, next_round());
     }
 
+    /// Sends the gossip of a round.
     fn gossip_round(&mut self, front: usize) {
         let now = self.fleet.now;
         let Some(running) = &mut self.fleet.fronts[front] else {
@@ -247,6 +258,7 @@
         self.apply(front, actions);
     }
 
+    /// Carries out the actions of a front's gossip store.
     fn apply(&mut self, front: usize, actions: Vec<GossipAction>) {
         for action in actions {
             if let GossipAction::Send { to, message } = action {
@@ -256,6 +268,7 @@
         }
     }
 
+    /// Delivers a message; changed entries are evaluated soon.
     fn deliver(&mut self, envelope: Envelope) {
         let to = envelope.to;
         let Some(actions) = self.fleet.deliver(envelope) else {
@@ -280,7 +293,8 @@
                 .detector
                 .on(self.fleet.now, &running.peer.gossip, event, &mut effects);
         }
-        let (mut probes, mut has_updates) = (Vec::new(), false);
+        let mut probes = Vec::new();
+        let mut has_updates = false;
         for effect in effects {
             match effect {
                 Effect::Put(key, value) => {
@@ -299,6 +313,7 @@
         has_updates
     }
 
+    /// Puts an entry into a front's gossip store, and checks it against the audit.
     fn publish(&mut self, front: usize, key: EntryKey, value: Option<Vec<u8>>) {
         let now = self.fleet.now;
         if let Err(VoteWithoutEvidence(target)) =
@@ -312,6 +327,7 @@
         }
     }
 
+    /// Records an ejection, and whether the server was faulty.
     fn record_ejection(&mut self, target: EjectionTarget) {
         if !self.scenario.justifies(target) {
             self.report
@@ -321,6 +337,7 @@
         self.ejected.insert(target.server);
     }
 
+    /// Sends a health check to a server and gives the detector its outcome.
     fn probe(&mut self, front: usize, server: Server) {
         self.probes.push(Probe {
             at: self.fleet.now,
--- a/crates/testbed/src/simulation/outliers/attempts.rs
+++ b/crates/testbed/src/simulation/outliers/attempts.rs
@@ -5,8 +5,7 @@
     Class, EjectionTarget, Event as DetectorEvent, SampleQuality, Scope, Server,
 };
 
-use super::{zone_of, Event, FrontEvent, FrontFault, Simulation, CLASSES, SERVERS};
-use crate::schedule::Millis;
+use super::{zone_of, Event, FrontEvent, FrontFault, OutlierSimulation, CLASSES, SERVERS};
 use crate::simulation::network::MILLISECOND;
 
 /// Failed attempts at a healthy server, of a thousand.
@@ -14,7 +13,7 @@
 /// Attempts that a front reports for each it makes, if it reports all as healthy.
 const INFLATED_REPORTS: usize = 50;
 
-impl Simulation<'_> {
+impl OutlierSimulation<'_> {
     /// An attempt at a random server that the front has not ejected, and the next one.
     pub(super) fn attempt(&mut self, front: usize, incarnation: Incarnation) {
         let rate = f64::from(self.scenario.attempts_per_second);
@@ -59,6 +58,7 @@
         (0..SERVERS).filter(|server| !is_ejected(server)).collect()
     }
 
+    /// How many times a front reports each attempt.
     fn reports_per_attempt(&self, front: usize) -> usize {
         let is_faulty = self.scenario.front_fault(front) == Some(FrontFault::ReportsAllHealthy);
         if is_faulty && self.fleet.now < self.fleet.end_of_faults() {
@@ -77,16 +77,16 @@
         class: Class,
     ) -> SampleQuality {
         let now = self.fleet.now;
-        let draw = self.fleet.rng.u32(0..1_000);
+        let random = self.fleet.rng.u32(0..1_000);
         if now >= self.fleet.end_of_faults() {
             return SampleQuality::Healthy;
         }
-        let now_ms = (now / MILLISECOND) as Millis;
+        let now_ms = (now / MILLISECOND) as u64;
         let fails = self
             .scenario
-            .attempt_fails(server, zone_of(front), class, now_ms, draw);
+            .attempt_fails(server, zone_of(front), class, now_ms, random);
         self.report.failed_attempts += u64::from(fails);
-        let base_failure = draw < BASE_FAILURES_PER_MILLE;
+        let base_failure = random < BASE_FAILURES_PER_MILLE;
         let is_failed = match self.scenario.front_fault(front) {
             Some(FrontFault::ReportsAllFailed) => true,
             Some(FrontFault::ReportsAllHealthy) => false,
--- a/crates/testbed/src/simulation/outliers/audit.rs
+++ b/crates/testbed/src/simulation/outliers/audit.rs
@@ -17,7 +17,9 @@
 pub struct VoteAudit {
     /// The configuration of every detector, as far as the audit needs it.
     config: DetectorConfig,
+    /// When each front last published a vote for an ejection.
     votes: BTreeMap<(usize, EjectionTarget), Nanos>,
+    /// When each front last published evidence on a server.
     evidence: BTreeMap<(usize, Server), Nanos>,
 }
 
@@ -57,6 +59,7 @@
         Ok(())
     }
 
+    /// Records a vote, and checks the evidence if it is new.
     fn record_vote(
         &mut self,
         now: Nanos,
@@ -91,11 +94,11 @@
     /// Whether a front has voted for this ejection, or for one of the whole server, at `oldest` or
     /// since.
     pub fn has_vote(&self, front: usize, target: EjectionTarget, oldest: Nanos) -> bool {
-        let whole_server = EjectionTarget {
+        let all_of_server = EjectionTarget {
             scope: Scope::All,
             ..target
         };
-        let votes = [target, whole_server].map(|target| self.votes.get(&(front, target)));
+        let votes = [target, all_of_server].map(|target| self.votes.get(&(front, target)));
         votes.into_iter().flatten().any(|at| *at >= oldest)
     }
 }
--- a/crates/testbed/src/simulation/outliers/checks.rs
+++ b/crates/testbed/src/simulation/outliers/checks.rs
@@ -5,7 +5,7 @@
 use tulipbridge_membership::Nanos;
 use tulipbridge_outlier_detection::{EjectionTarget, Server};
 
-use super::{FaultyServer, FrontState, Probe, ServerFault, Simulation};
+use super::{FaultyServer, FrontState, OutlierSimulation, Probe, ServerFault};
 use crate::simulation::fleet::SimulatedFront;
 use crate::simulation::network::MILLISECOND;
 use crate::simulation::peer::ROUND_INTERVAL;
@@ -14,7 +14,7 @@
 /// in time.
 const SUFFICIENT_LOAD: u32 = 16;
 
-impl Simulation<'_> {
+impl OutlierSimulation<'_> {
     /// Checks how many servers all running fronts have ejected together, and that each ejection has
     /// a quorum.
     pub(super) fn check_ejections(&mut self) {
@@ -36,6 +36,7 @@
         }
     }
 
+    /// An ejection for which fewer fronts have voted recently than the quorum, if there is any.
     fn ejection_without_quorum(&self) -> Option<EjectionTarget> {
         let now = self.fleet.now;
         // A front that was paused evaluates in its next round.
@@ -128,6 +129,7 @@
         }
     }
 
+    /// The most probes of one server within any window of a length.
     fn max_probes_within(&self, window: Nanos) -> usize {
         let count = |first: &Probe| {
             let times = first.at..first.at + window;
--- a/crates/testbed/src/simulation/outliers/scenario.rs
+++ b/crates/testbed/src/simulation/outliers/scenario.rs
@@ -1,11 +1,10 @@
-//! What is wrong in a simulation of outlier detection, drawn from its seed.
+//! What is wrong in a simulation of outlier detection, sampled from its seed.
 
 use fastrand::Rng;
 use serde::Serialize;
 use tulipbridge_outlier_detection::{Class, EjectionTarget, Scope, Server, Zone};
 
 use super::{CLASSES, SERVERS};
-use crate::schedule::Millis;
 
 /// Distinguishes the random choices here from those of the simulation itself.
 const SEED_SALT: u64 = 0x7e4d;
@@ -41,17 +40,17 @@
 
 /// A server with a fault. Serialized as an array, as in stored results.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-#[serde(into = "(Millis, Server, ServerFault)")]
+#[serde(into = "(u64, Server, ServerFault)")]
 pub struct FaultyServer {
     /// When the fault begins, in milliseconds; it lasts until the schedule ends.
-    pub from_ms: Millis,
+    pub from_ms: u64,
     /// Which server.
     pub server: Server,
     /// What is wrong with it.
     pub fault: ServerFault,
 }
 
-impl From<FaultyServer> for (Millis, Server, ServerFault) {
+impl From<FaultyServer> for (u64, Server, ServerFault) {
     fn from(faulty: FaultyServer) -> Self {
         (faulty.from_ms, faulty.server, faulty.fault)
     }
@@ -92,11 +91,11 @@
 
 impl Scenario {
     /// The scenario of a seed for so many fronts.
-    pub fn draw(seed: u64, fronts: usize) -> Scenario {
+    pub fn sample(seed: u64, fronts: usize) -> Scenario {
         let mut rng = Rng::with_seed(seed ^ SEED_SALT);
         let count = [0, 1, 1, 2, 2, 6][rng.usize(0..6)];
-        let faulty_servers = (0..count).map(|_| draw_faulty_server(&mut rng)).collect();
-        let faulty_front = (rng.u8(0..3) == 0).then(|| draw_faulty_front(&mut rng, fronts));
+        let faulty_servers = (0..count).map(|_| sample_faulty_server(&mut rng)).collect();
+        let faulty_front = (rng.u8(0..3) == 0).then(|| sample_faulty_front(&mut rng, fronts));
         let attempts_per_second = [4, 16, 40][rng.usize(0..3)];
         let without_schedule = rng.u8(0..4) == 0;
         Scenario {
@@ -114,22 +113,22 @@
             .map(|faulty| faulty.fault)
     }
 
-    /// Whether attempts at a server fail for a front in a zone, at a time in milliseconds. `draw`
+    /// Whether attempts at a server fail for a front in a zone, at a time in milliseconds. `random`
     /// is a random number below 1,000.
     pub fn attempt_fails(
         &self,
         server: Server,
         zone: Zone,
         class: Class,
-        at_ms: Millis,
-        draw: u32,
+        at_ms: u64,
+        random: u32,
     ) -> bool {
         let active = self
             .faulty_servers
             .iter()
             .filter(|f| f.server == server && at_ms >= f.from_ms);
         active.into_iter().any(|faulty| match faulty.fault {
-            ServerFault::Failing(per_mille) => draw < per_mille,
+            ServerFault::Failing(per_mille) => random < per_mille,
             ServerFault::Zone(faulty_zone) => faulty_zone == zone,
             ServerFault::Class(faulty_class) => faulty_class == class,
         })
@@ -140,6 +139,7 @@
         self.has_fault_covering(target) || self.fails_in_every_zone(target.server)
     }
 
+    /// Whether a fault of the server concerns fronts or work of the ejection.
     fn has_fault_covering(&self, target: EjectionTarget) -> bool {
         let faults = self
             .faulty_servers
@@ -157,6 +157,7 @@
             })
     }
 
+    /// Whether a server fails for the fronts of both zones by separate faults.
     fn fails_in_every_zone(&self, server: Server) -> bool {
         let fails_in = |zone: Zone| {
             let fault = ServerFault::Zone(zone);
@@ -174,7 +175,8 @@
     }
 }
 
-fn draw_faulty_server(rng: &mut Rng) -> FaultyServer {
+/// A random fault of a random server.
+fn sample_faulty_server(rng: &mut Rng) -> FaultyServer {
     let fault = match rng.u8(0..6) {
         0..=2 => ServerFault::Failing([1_000, 600, 300][rng.usize(0..3)]),
         3 => ServerFault::Zone(rng.u8(0..2)),
@@ -190,7 +192,8 @@
     }
 }
 
-fn draw_faulty_front(rng: &mut Rng, fronts: usize) -> FaultyFront {
+/// A random fault of a random front.
+fn sample_faulty_front(rng: &mut Rng, fronts: usize) -> FaultyFront {
     let fault = match rng.u8(0..4) {
         0 => FrontFault::ReportsAllFailed,
         1 => FrontFault::ReportsAllHealthy,
--- a/crates/testbed/src/simulation/peer.rs
+++ b/crates/testbed/src/simulation/peer.rs
@@ -21,6 +21,15 @@
     Gossip(GossipMessage),
 }
 
+/// A message and the peer to which it goes.
+#[derive(Clone, Debug)]
+pub struct AddressedMessage {
+    /// The receiver.
+    pub to: PeerId,
+    /// The message.
+    pub message: PeerMessage,
+}
+
 /// A message in transit.
 #[derive(Clone, Debug)]
 pub struct Envelope {
@@ -55,7 +64,8 @@
         gossip_rate: u64,
         now: Nanos,
     ) -> Peer {
-        let (peer_id, peer_count) = (index as PeerId, fronts as PeerId);
+        let peer_id = index as PeerId;
+        let peer_count = fronts as PeerId;
         Peer {
             incarnation,
             membership: MembershipTable::new(peer_id, peer_count, incarnation, PEER_TIMEOUT),
@@ -70,13 +80,11 @@
     }
 
     /// Begins a round: the heartbeat to each other front.
-    pub fn heartbeats(&mut self, now: Nanos) -> Vec<(PeerId, PeerMessage)> {
+    pub fn heartbeats(&mut self, now: Nanos) -> Vec<AddressedMessage> {
         self.membership.begin_round(now);
-        let heartbeat = |to| {
-            (
-                to,
-                PeerMessage::Heartbeat(self.membership.state_for(now, to)),
-            )
+        let heartbeat = |to| AddressedMessage {
+            to,
+            message: PeerMessage::Heartbeat(self.membership.state_for(now, to)),
         };
         self.membership.others().map(heartbeat).collect()
     }
@@ -116,11 +124,14 @@
         }
     }
 
+    /// Gives the gossip store an input and returns its actions.
     fn feed_gossip(&mut self, now: Nanos, input: GossipInput) -> Vec<GossipAction> {
         let mut actions = Vec::new();
-        // The result says whether the input was accepted; the simulations check the entries
-        // themselves.
-        let _ = self.gossip.on(now, &self.membership, input, &mut actions);
+        let outcome = self.gossip.on(now, &self.membership, input, &mut actions);
+        ignore_rejection(outcome);
         actions
     }
 }
+
+/// Ignores whether an input was accepted: the simulations check the entries themselves.
+fn ignore_rejection<T>(_outcome: T) {}
--- /dev/null
+++ b/crates/testbed/src/soak/checker/requests.rs
@@ -0,0 +1,67 @@
+//! Checks of how requests ended for their clients.
+
+use std::time::Duration;
+
+use super::{was_killed, Rule, Violation, MACHINE_SLACK};
+use crate::soak::recording::{ClientRequest, End, IncompleteRequest, Recording};
+
+/// How long after the deadline a response may come.
+const RESPONSE_SLACK: Duration = Duration::from_millis(500);
+/// Within which time an incomplete request must be answered or closed.
+const INCOMPLETE_REQUEST_LIMIT: Duration = Duration::from_secs(3);
+
+/// Checks that a request ended with a response, in time and of a server.
+pub(super) fn check_end(
+    recording: &Recording,
+    request: &ClientRequest,
+    violations: &mut Vec<Violation>,
+) {
+    let violation = match request.end {
+        End::Answered {
+            status: 200,
+            body_matches: false,
+        } => Some((Rule::WrongAnswer, "a body that no server sent")),
+        End::Answered { .. } if is_late(recording, request) => {
+            Some((Rule::Lost, "a response that is too late"))
+        }
+        End::Closed | End::TimedOut if !may_lack_response(recording, request) => {
+            Some((Rule::Lost, "no response"))
+        }
+        _ => None,
+    };
+    if let Some((rule, reason)) = violation {
+        violations.push(Violation::new(rule, format!("{reason}: {request:?}")));
+    }
+}
+
+fn is_late(recording: &Recording, request: &ClientRequest) -> bool {
+    let pause = recording.pause_within(request.front, request.sent_at, request.ended_at);
+    let deadline = request.sent_at + request.timeout;
+    request.ended_at > deadline + RESPONSE_SLACK + MACHINE_SLACK + pause
+}
+
+/// Whether the front was killed; or was paused, so that it could not respond but closed nothing.
+fn may_lack_response(recording: &Recording, request: &ClientRequest) -> bool {
+    let pause = recording.pause_within(request.front, request.sent_at, request.ended_at);
+    let is_paused = pause > Duration::ZERO && request.end == End::TimedOut;
+    is_paused || was_killed(recording, request.front, request.sent_at, request.ended_at)
+}
+
+/// Checks that each incomplete request was answered or closed in time.
+pub(super) fn check_incomplete(recording: &Recording, violations: &mut Vec<Violation>) {
+    for request in &recording.incomplete_requests {
+        if is_open_too_long(recording, request) {
+            let details = format!("{request:?}");
+            violations.push(Violation::new(Rule::HalfRequest, details));
+        }
+    }
+}
+
+fn is_open_too_long(recording: &Recording, request: &IncompleteRequest) -> bool {
+    let until = request
+        .ended_at
+        .unwrap_or(request.sent_at + 2 * INCOMPLETE_REQUEST_LIMIT);
+    let pause = recording.pause_within(request.front, request.sent_at, until);
+    let limit = request.sent_at + INCOMPLETE_REQUEST_LIMIT + MACHINE_SLACK + pause;
+    until > limit && !was_killed(recording, request.front, request.sent_at, until)
+}
--- a/crates/testbed/src/soak/discovery.rs
+++ b/crates/testbed/src/soak/discovery.rs
@@ -1,7 +1,8 @@
-//! Discovery of a soak: one list, told to each front at an address of its own.
+//! A stand-in for discovery: one endpoint list, streamed to each front at an address of its own.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
+use std::ops::Range;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -9,54 +10,84 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::task::spawn_local;
+use tokio::time::sleep;
 
 use super::fault::Fault;
-use super::recording::{ListChange, Recording};
+use super::recording::{EndpointChange, Recording, Span};
 use super::wire::MessageReader;
+use crate::best_effort;
+use crate::loopback::write_chunk;
 
-/// How often a watch writes an empty line while nothing changes.
-const KEEPALIVE: Duration = Duration::from_secs(2);
-/// How late a slow discovery answers.
-const SLOW_ANSWER: Duration = Duration::from_millis(1_500);
-/// How often a watch looks whether discovery is in fault.
-const FAULT_POLL: Duration = Duration::from_millis(20);
+/// How often a watch writes an empty line while the list does not change.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// By how much a slow discovery delays the start of a watch.
+const SLOW_RESPONSE_DELAY: Duration = Duration::from_millis(1_500);
+/// How often a watch checks the fault of discovery.
+const FAULT_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The head of every response.
+const RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// The entry of a server.
-#[derive(Clone, Copy)]
-pub struct Entry {
+/// The state of a server in the endpoint list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Lifecycle {
+    /// It may receive new requests.
+    Ready,
+    /// It is draining.
+    Terminating,
+    /// It has ended.
+    Gone,
+}
+
+impl Lifecycle {
+    /// The name that the protocol of discovery gives it.
+    fn name(self) -> &'static str {
+        match self {
+            Lifecycle::Ready => "Ready",
+            Lifecycle::Terminating => "Terminating",
+            Lifecycle::Gone => "Gone",
+        }
+    }
+}
+
+/// The entry of a server in the endpoint list.
+#[derive(Clone, Copy, Debug)]
+pub struct Endpoint {
     /// Its address.
     pub address: SocketAddr,
-    /// Its state in the words of discovery.
-    pub lifecycle: &'static str,
-    /// When it started, in Unix milliseconds; 0 is long ago.
+    /// Its state.
+    pub lifecycle: Lifecycle,
+    /// When it started, in milliseconds since the Unix epoch; 0 is long ago.
     pub started_ms: u64,
 }
 
 /// Discovery.
 pub struct Discovery {
-    started: Instant,
-    entries: RefCell<Vec<Entry>>,
-    /// The change of the recording for each version of the list, and its server.
-    versions: RefCell<Vec<usize>>,
+    /// When the run started.
+    started_at: Instant,
+    /// The endpoint list, by server.
+    endpoints: RefCell<Vec<Endpoint>>,
+    /// The server that each change concerns; as many as there are changes in the recording.
+    changed_servers: RefCell<Vec<usize>>,
+    /// How many changes there have been.
     version: watch::Sender<usize>,
-    /// Its present fault.
-    pub fault: Cell<Option<Fault>>,
+    fault: Cell<Option<Fault>>,
     recording: Rc<RefCell<Recording>>,
+    /// How many fronts there are.
     fronts: usize,
 }
 
 impl Discovery {
-    /// A list of servers that are all in service.
+    /// A list of servers.
     pub fn new(
-        entries: Vec<Entry>,
+        endpoints: Vec<Endpoint>,
         fronts: usize,
-        started: Instant,
+        started_at: Instant,
         recording: Rc<RefCell<Recording>>,
     ) -> Rc<Discovery> {
         Rc::new(Discovery {
-            started,
-            entries: RefCell::new(entries),
-            versions: RefCell::default(),
+            started_at,
+            endpoints: RefCell::new(endpoints),
+            changed_servers: RefCell::default(),
             version: watch::Sender::new(0),
             fault: Cell::new(None),
             recording,
@@ -64,124 +95,157 @@
         })
     }
 
-    /// Changes the entry of a server.
-    pub fn change(&self, server: usize, lifecycle: &'static str, started_ms: Option<u64>) {
-        let mut entries = self.entries.borrow_mut();
-        entries[server].lifecycle = lifecycle;
-        entries[server].started_ms = started_ms.unwrap_or(entries[server].started_ms);
-        drop(entries);
-        self.recording.borrow_mut().changes.push(ListChange {
+    /// Has a fault for a while, and records when. Returns when it is over.
+    pub async fn fail_for(&self, fault: Fault, duration: Duration) {
+        self.fault.set(Some(fault));
+        let from = self.started_at.elapsed();
+        sleep(duration).await;
+        self.fault.set(None);
+        let outage = Span {
+            from,
+            until: self.started_at.elapsed(),
+        };
+        self.recording.borrow_mut().discovery_outages.push(outage);
+    }
+
+    /// Changes the state of a server.
+    pub fn set_lifecycle(&self, server: usize, lifecycle: Lifecycle) {
+        let endpoint = self.endpoints.borrow()[server];
+        let changed = Endpoint {
+            lifecycle,
+            ..endpoint
+        };
+        self.change(server, changed);
+    }
+
+    /// Lists a server as ready that has started, at a time in milliseconds since the Unix epoch.
+    pub fn announce_start(&self, server: usize, started_ms: u64) {
+        let endpoint = self.endpoints.borrow()[server];
+        let changed = Endpoint {
+            lifecycle: Lifecycle::Ready,
+            started_ms,
+            ..endpoint
+        };
+        self.change(server, changed);
+    }
+
+    /// Replaces the entry of a server, records the change and notifies all watches.
+    fn change(&self, server: usize, changed: Endpoint) {
+        self.endpoints.borrow_mut()[server] = changed;
+        let change = EndpointChange {
             server,
-            is_ready: lifecycle == "Ready",
-            at: self.started.elapsed(),
+            is_ready: changed.lifecycle == Lifecycle::Ready,
+            at: self.started_at.elapsed(),
             notified_at: vec![None; self.fronts],
-        });
-        self.versions.borrow_mut().push(server);
+        };
+        self.recording.borrow_mut().endpoint_changes.push(change);
+        self.changed_servers.borrow_mut().push(server);
         self.version.send_modify(|version| *version += 1);
     }
 
-    /// The whole list as JSON.
-    pub fn list(&self) -> String {
-        let entries = self.entries.borrow();
-        let all: Vec<usize> = (0..entries.len()).collect();
-        self.message(true, &all)
+    /// The complete endpoint list, as JSON.
+    pub fn endpoint_list(&self) -> String {
+        let servers: Vec<usize> = (0..self.endpoints.borrow().len()).collect();
+        self.watch_event(true, &servers)
     }
 
-    fn message(&self, reset: bool, servers: &[usize]) -> String {
-        let entries = self.entries.borrow();
-        let entry = |server: &usize| {
-            let Entry {
-                address,
-                lifecycle,
-                started_ms,
-            } = entries[*server];
+    /// A watch event about some servers, as JSON; `reset` says that no others are listed.
+    fn watch_event(&self, reset: bool, servers: &[usize]) -> String {
+        let endpoints = self.endpoints.borrow();
+        let instance = |server: &usize| {
+            let endpoint = endpoints[*server];
             format!(
-                r#"{{"instanceId":"s-{server}","hostPort":"{address}","zone":"zone-a","machineType":"m","cell":{server},"lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":{started_ms}}}"#
+                r#"{{"instanceId":"s-{server}","hostPort":"{}","zone":"zone-a","machineType":"m","cell":{server},"lifecycle":"{}","weight":1.0,"startedAtMs":{}}}"#,
+                endpoint.address,
+                endpoint.lifecycle.name(),
+                endpoint.started_ms
             )
         };
-        let entries: Vec<String> = servers.iter().map(entry).collect();
-        let generation = self.version.borrow().to_owned() + 1;
-        format!(
-            r#"{{"generation":{generation},"reset":{reset},"instances":[{}]}}"#,
-            entries.join(",")
-        )
+        let instances: Vec<String> = servers.iter().map(instance).collect();
+        let instances = instances.join(",");
+        let generation = *self.version.borrow() + 1;
+        format!(r#"{{"generation":{generation},"reset":{reset},"instances":[{instances}]}}"#)
     }
 
-    /// Serves the calls of one front until the task is ended.
+    /// Serves the watches of one front without end.
     pub async fn serve(self: Rc<Self>, front: usize, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
                 continue;
             };
-            let discovery = Rc::clone(&self);
-            spawn_local(async move {
-                // A front that has ended reads no more.
-                let _ = discovery.serve_watch(front, stream).await;
-            });
+            spawn_local(Rc::clone(&self).serve_connection(front, stream));
         }
     }
 
-    async fn serve_watch(&self, front: usize, mut stream: TcpStream) -> std::io::Result<()> {
+    async fn serve_connection(self: Rc<Self>, front: usize, mut stream: TcpStream) {
+        best_effort::ignore_closed_connection(self.serve_watch(front, &mut stream).await);
+    }
+
+    /// Writes the complete list to a front, and then each change, until the connection fails or
+    /// discovery is down.
+    async fn serve_watch(&self, front: usize, stream: &mut TcpStream) -> std::io::Result<()> {
         if self.fault.get() == Some(Fault::DiscoveryDown) {
             return Ok(());
         }
-        let mut reader = MessageReader::new(&mut stream);
+        let mut reader = MessageReader::new(&mut *stream);
         if reader.next().await.is_none() {
             return Ok(());
         }
         if self.fault.get() == Some(Fault::DiscoverySlow) {
-            tokio::time::sleep(SLOW_ANSWER).await;
+            sleep(SLOW_RESPONSE_DELAY).await;
         }
         self.wait_while_silent().await;
-        stream
-            .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            .await?;
+        stream.write_all(RESPONSE_HEAD).await?;
         let mut version = self.version.subscribe();
-        let mut told = *version.borrow_and_update();
-        write_chunk(&mut stream, &(self.list() + "\n")).await?;
-        self.record_notified(front, 0..told);
-        let mut quiet_since = Instant::now();
+        let mut written = *version.borrow_and_update();
+        write_chunk(stream, &(self.endpoint_list() + "\n")).await?;
+        self.record_notified(front, 0..written);
+        let mut last_write = Instant::now();
         loop {
-            // The outcome shows in the version.
-            let _ = tokio::time::timeout(FAULT_POLL, version.changed()).await;
+            wait_for_change(&mut version).await;
             match self.fault.get() {
                 Some(Fault::DiscoveryDown) => return Ok(()),
-                // A watch that has fallen silent stays so.
+                // A watch that has become silent stays so.
                 Some(Fault::DiscoverySilent) => return std::future::pending().await,
                 _ => {}
             }
-            let now_at = *version.borrow_and_update();
-            if now_at > told {
-                let servers = self.versions.borrow()[told..now_at].to_vec();
-                write_chunk(&mut stream, &(self.message(false, &servers) + "\n")).await?;
-                self.record_notified(front, told..now_at);
-                told = now_at;
-                quiet_since = Instant::now();
-            } else if quiet_since.elapsed() >= KEEPALIVE {
-                write_chunk(&mut stream, "\n").await?;
-                quiet_since = Instant::now();
+            let current = *version.borrow_and_update();
+            if current > written {
+                let servers = self.changed_servers.borrow()[written..current].to_vec();
+                write_chunk(stream, &(self.watch_event(false, &servers) + "\n")).await?;
+                self.record_notified(front, written..current);
+                written = current;
+                last_write = Instant::now();
+            } else if last_write.elapsed() >= KEEPALIVE_INTERVAL {
+                write_chunk(stream, "\n").await?;
+                last_write = Instant::now();
             }
         }
     }
 
+    /// Waits until discovery answers again.
     async fn wait_while_silent(&self) {
         while self.fault.get() == Some(Fault::DiscoverySilent) {
-            tokio::time::sleep(FAULT_POLL).await;
+            sleep(FAULT_POLL_INTERVAL).await;
         }
     }
 
-    /// The latest telling counts: a front that was started anew is told anew.
-    fn record_notified(&self, front: usize, versions: std::ops::Range<usize>) {
-        let now = self.started.elapsed();
+    /// Records that changes were written to a front. The latest time counts: a front that was
+    /// restarted is notified again.
+    fn record_notified(&self, front: usize, changes: Range<usize>) {
+        let now = self.started_at.elapsed();
         let mut recording = self.recording.borrow_mut();
-        for change in &mut recording.changes[versions] {
+        for change in &mut recording.endpoint_changes[changes] {
             change.notified_at[front] = Some(now);
         }
     }
 }
 
-async fn write_chunk(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
-    stream
-        .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
-        .await
+/// Waits for a change of the list, but no longer than until the fault must be checked again.
+async fn wait_for_change(version: &mut watch::Receiver<usize>) {
+    tokio::select! {
+        // An error cannot occur: the sender lives as long as the caller.
+        _ = version.changed() => {}
+        () = sleep(FAULT_POLL_INTERVAL) => {}
+    }
 }
--- a/crates/testbed/src/soak/fault.rs
+++ b/crates/testbed/src/soak/fault.rs
@@ -1,50 +1,51 @@
-//! The faults of a soak, and which of them a seed draws.
+//! The faults of a soak run, and which of them belong to a seed.
 
 use std::fmt::{self, Display};
+use std::ops::{Range, RangeInclusive};
 use std::time::Duration;
 
 use serde::Serialize;
 
-/// Something that goes wrong for a while.
+/// A fault that is injected for a while. The names are those of stored results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 pub enum Fault {
-    /// A front is ended by SIGTERM and started again.
+    /// A front shuts down at SIGTERM and is started again.
     FrontRestarted,
     /// A front is killed and started again.
     FrontKilled,
-    /// A front stands still for 0.15 s, several times.
+    /// A front is paused for 0.15 s, several times.
     FrontPausedBriefly,
-    /// A front stands still for 0.8 s.
+    /// A front is paused for 0.8 s.
     FrontPausedLong,
-    /// A front takes its file anew several times in a row.
+    /// A front reloads its configuration several times in a row.
     Reloads,
-    /// A front is told to take a broken file.
+    /// A front reloads an invalid configuration.
     BrokenReload,
-    /// A server drains.
+    /// A server is draining.
     ServerDrains,
-    /// A server goes and comes back cold.
+    /// A server stops and starts again.
     ServerRestarted,
-    /// A server takes requests and answers none.
+    /// A server accepts requests and answers none.
     ServerHangs,
-    /// A server resets connections under requests.
+    /// A server resets connections with requests in flight.
     ServerResets,
-    /// A server takes half a second.
+    /// A server takes half a second for each request.
     ServerSlow,
-    /// A server turns half of its requests away.
+    /// A server rejects half of its requests.
     ServerRejects,
-    /// A server closes connections after each answer without a word.
+    /// A server closes connections after each response without announcing it.
     ServerCloses,
-    /// Discovery refuses connections.
+    /// Discovery closes connections.
     DiscoveryDown,
-    /// Discovery answers no call, and its watches fall silent.
+    /// Discovery answers no request, and its watches become silent.
     DiscoverySilent,
     /// Discovery answers 1.5 s late.
     DiscoverySlow,
-    /// Clients close their connections early.
+    /// Clients cancel their requests early.
     ClientsLeave,
-    /// Clients stop in the middle of a request and stay.
+    /// Clients send incomplete requests and keep their connections open.
     ClientsStop,
-    /// Clients send three times as much.
+    /// Clients send three times as many requests.
     ClientsBurst,
     /// `accept` fails for three in ten connections.
     AcceptFails,
@@ -90,7 +91,7 @@
         Fault::ClockBehind,
     ];
 
-    /// The rules of the fault shim, for the faults that it makes.
+    /// The rules of the fault shim; `None` for a fault that it does not cause.
     pub fn shim_rules(self) -> Option<&'static str> {
         match self {
             Fault::AcceptFails => Some("accept ECONNABORTED 30\n"),
@@ -110,42 +111,50 @@
     }
 }
 
-/// A fault with its time.
+/// A fault and its time, which counts from the start of the load.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ScheduledFault {
     /// The fault.
     pub fault: Fault,
-    /// When it begins, after the start of the load.
+    /// When it begins.
     pub from: Duration,
     /// When it ends.
     pub until: Duration,
-    /// Which front or server it meets.
+    /// Which front or server it affects: the index is the remainder by their number.
     pub target: usize,
 }
 
-/// When the first fault begins.
+/// How many faults a run has.
+const FAULT_COUNT: RangeInclusive<usize> = 2..=3;
+/// When the first fault may begin, in milliseconds.
 const FIRST_FAULT_MS: u64 = 2_000;
-/// How much later others begin, at the most.
-const SPREAD_MS: u64 = 1_500;
-/// The shortest and the longest fault.
-const LENGTH_MS: (u64, u64) = (1_500, 4_000);
+/// All faults begin within this time, in milliseconds.
+const START_SPREAD_MS: u64 = 1_500;
+/// How long a fault lasts, in milliseconds; at least the spread of the starts, so that all overlap.
+const FAULT_DURATION_MS: Range<u64> = 1_500..4_000;
 
-/// The faults of a seed: two or three different ones that overlap in time.
-pub fn draw(seed: u64) -> Vec<ScheduledFault> {
+/// The faults of a seed: two or three different ones that overlap in time. The same seed always has
+/// the same faults.
+pub fn sample(seed: u64) -> Vec<ScheduledFault> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut kinds = Fault::ALL;
     rng.shuffle(&mut kinds);
-    let count = rng.usize(2..=3);
-    let mut schedule = |fault: Fault| {
-        let from = FIRST_FAULT_MS + rng.u64(0..SPREAD_MS);
-        let until = from + rng.u64(LENGTH_MS.0..LENGTH_MS.1).max(SPREAD_MS);
-        let (from, until) = (Duration::from_millis(from), Duration::from_millis(until));
-        ScheduledFault {
-            fault,
-            from,
-            until,
-            target: rng.usize(..),
-        }
-    };
-    kinds.into_iter().take(count).map(&mut schedule).collect()
+    let count = rng.usize(FAULT_COUNT);
+    kinds
+        .into_iter()
+        .take(count)
+        .map(|fault| schedule(fault, &mut rng))
+        .collect()
+}
+
+/// Gives a fault a random time and target.
+fn schedule(fault: Fault, rng: &mut fastrand::Rng) -> ScheduledFault {
+    let from_ms = FIRST_FAULT_MS + rng.u64(0..START_SPREAD_MS);
+    let until_ms = from_ms + rng.u64(FAULT_DURATION_MS).max(START_SPREAD_MS);
+    ScheduledFault {
+        fault,
+        from: Duration::from_millis(from_ms),
+        until: Duration::from_millis(until_ms),
+        target: rng.usize(..),
+    }
 }
--- a/crates/testbed/src/soak/recording.rs
+++ b/crates/testbed/src/soak/recording.rs
@@ -1,73 +1,91 @@
-//! What the stand-ins of a soak have seen. All times count from the start of the soak.
+//! What clients, chunk servers, discovery and the processes of a soak run observed. All times count
+//! from the start of the run.
 
 use std::time::Duration;
 
 use serde::Serialize;
 
-/// A request class, by what its settings allow.
+/// A request class, by how its settings let a front retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Class {
-    /// Reads; may be repeated at will.
+    /// Reads: idempotent, so they may be retried and hedged.
     Read,
-    /// Writes; must not be executed twice.
+    /// Writes: not idempotent, so they must not be executed twice.
     Write,
 }
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum End {
-    /// An answer with this status, and whether a 200 has the body that a server made for this
-    /// request.
+    /// A response came.
     Answered {
         /// The status.
         status: u16,
-        /// Whether the body is right.
+        /// Whether the body is the one that a server sends for this request.
         body_matches: bool,
     },
-    /// The connection closed without an answer.
+    /// The connection closed without a response.
     Closed,
-    /// No answer came until half a second after the deadline.
-    Silent,
+    /// No response came, although the client waited for longer than its deadline.
+    TimedOut,
     /// The client closed its connection.
-    Left,
-    /// No connection came up.
-    NoConnection,
+    Cancelled,
+    /// No connection could be opened.
+    NotConnected,
 }
 
-/// A request of a client, sent whole.
+impl End {
+    /// Whether the request was answered with status 200.
+    pub fn is_success(self) -> bool {
+        matches!(self, End::Answered { status: 200, .. })
+    }
+
+    /// Whether the front rejected the request with a status that promises that it was not executed.
+    pub fn is_rejection(self) -> bool {
+        matches!(
+            self,
+            End::Answered {
+                status: 429 | 503,
+                ..
+            }
+        )
+    }
+}
+
+/// A complete request of a client.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClientRequest {
     /// The transaction id.
     pub transaction: u64,
-    /// The front.
+    /// The index of the front.
     pub front: usize,
     /// The class.
     pub class: Class,
     /// When its last byte was written.
     pub sent_at: Duration,
-    /// How long the client waits.
-    pub patience: Duration,
+    /// How long the client waits: its deadline, counted from `sent_at`.
+    pub timeout: Duration,
     /// When it ended.
     pub ended_at: Duration,
     /// How it ended.
     pub end: End,
 }
 
-/// Half a request of a client that stays.
+/// An incomplete request of a client that keeps its connection open.
 #[derive(Clone, Debug, Serialize)]
-pub struct HalfRequest {
-    /// The front.
+pub struct IncompleteRequest {
+    /// The index of the front.
     pub front: usize,
     /// When its last byte was written.
     pub sent_at: Duration,
-    /// When the front answered or closed; absent if it did not in time.
+    /// When the front answered or closed the connection; absent if it did neither in time.
     pub ended_at: Option<Duration>,
 }
 
-/// A request that reached a chunk server whole.
+/// A complete request that reached a chunk server.
 #[derive(Clone, Debug, Serialize)]
 pub struct Arrival {
-    /// The server.
+    /// The index of the server.
     pub server: usize,
     /// The transaction id.
     pub transaction: u64,
@@ -75,27 +93,35 @@
     pub first_byte_at: Duration,
     /// When its last byte was read.
     pub at: Duration,
-    /// The time that it tells.
+    /// The time until the deadline, as the request states it.
     pub remaining: Duration,
-    /// Whether the server turned it away unexecuted.
-    pub turned_away: bool,
+    /// Whether the server rejected it without executing it.
+    pub rejected: bool,
 }
 
-/// A change of the list.
+/// A change of the endpoint list.
 #[derive(Clone, Debug, Serialize)]
-pub struct ListChange {
-    /// The server.
+pub struct EndpointChange {
+    /// The index of the server.
     pub server: usize,
-    /// Whether it may get new requests from then on.
+    /// Whether the server may receive new requests from then on.
     pub is_ready: bool,
-    /// When discovery had it.
+    /// When discovery changed the list.
     pub at: Duration,
-    /// When it was written to each front first, after the start of its present process; absent if
-    /// it was not.
+    /// By front, when the change was last written to it; absent if it was not.
     pub notified_at: Vec<Option<Duration>>,
 }
 
-/// A time in which something held.
+/// The start of a chunk server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+pub struct ServerStart {
+    /// The index of the server.
+    pub server: usize,
+    /// When it started.
+    pub at: Duration,
+}
+
+/// A time span.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Span {
     /// Its beginning.
@@ -105,20 +131,25 @@
 }
 
 impl Span {
-    /// Whether it has a moment in common with the time from `from` to `until`.
+    /// Whether it has a moment in common with the span from `from` to `until`.
     pub fn overlaps(&self, from: Duration, until: Duration) -> bool {
         self.from <= until && from <= self.until
     }
+
+    /// How long it is.
+    pub fn duration(&self) -> Duration {
+        self.until - self.from
+    }
 }
 
-/// The record of one process of a front.
+/// The life of one process of a front.
 #[derive(Clone, Debug, Serialize)]
 pub struct ProcessRecord {
-    /// The front.
+    /// The index of the front.
     pub front: usize,
     /// When it was started.
     pub started_at: Duration,
-    /// When it was ready; absent if it was not.
+    /// When it was ready; absent if it never was.
     pub ready_at: Option<Duration>,
     /// When SIGTERM was sent.
     pub terminated_at: Option<Duration>,
@@ -130,25 +161,65 @@
     pub exit_code: Option<i32>,
     /// When it was paused.
     pub pauses: Vec<Span>,
-    /// Rules that it counted as broken itself.
+    /// Violations of invariants that it counted itself.
     pub violations: u64,
 }
 
-/// All that was seen.
+impl ProcessRecord {
+    /// A process that has just been started.
+    pub fn new(front: usize, started_at: Duration) -> ProcessRecord {
+        ProcessRecord {
+            front,
+            started_at,
+            ready_at: None,
+            terminated_at: None,
+            killed_at: None,
+            ended_at: None,
+            exit_code: None,
+            pauses: Vec::new(),
+            violations: 0,
+        }
+    }
+
+    /// How long it was paused in total.
+    pub fn total_pause(&self) -> Duration {
+        self.pauses.iter().map(Span::duration).sum()
+    }
+}
+
+/// Everything that was observed in a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Recording {
-    /// Requests.
+    /// Requests of clients, in the order in which they ended.
     pub requests: Vec<ClientRequest>,
-    /// Half requests.
-    pub half_requests: Vec<HalfRequest>,
-    /// Arrivals at servers.
+    /// Incomplete requests of clients.
+    pub incomplete_requests: Vec<IncompleteRequest>,
+    /// Arrivals at chunk servers, in their order.
     pub arrivals: Vec<Arrival>,
-    /// Changes of the list.
-    pub changes: Vec<ListChange>,
-    /// When discovery could not be reached or told nothing.
+    /// Changes of the endpoint list, in their order.
+    pub endpoint_changes: Vec<EndpointChange>,
+    /// When discovery could not be reached or did not answer.
     pub discovery_outages: Vec<Span>,
-    /// Processes.
+    /// Processes of fronts, in the order of their starts.
     pub processes: Vec<ProcessRecord>,
-    /// When servers started anew.
-    pub starts: Vec<(usize, Duration)>,
+    /// Starts of chunk servers after the beginning of the run.
+    pub server_starts: Vec<ServerStart>,
+}
+
+impl Recording {
+    /// The processes of one front, in the order of their starts.
+    pub fn processes_of(&self, front: usize) -> impl DoubleEndedIterator<Item = &ProcessRecord> {
+        self.processes
+            .iter()
+            .filter(move |process| process.front == front)
+    }
+
+    /// How long a front was paused by the pauses that overlap a span.
+    pub fn pause_within(&self, front: usize, from: Duration, until: Duration) -> Duration {
+        self.processes_of(front)
+            .flat_map(|process| &process.pauses)
+            .filter(|pause| pause.overlaps(from, until))
+            .map(Span::duration)
+            .sum()
+    }
 }
--- a/crates/testbed/src/soak/server.rs
+++ b/crates/testbed/src/soak/server.rs
@@ -1,6 +1,7 @@
-//! A chunk server of a soak.
+//! A stand-in for a chunk server, which records the requests that reach it.
 
 use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -9,40 +10,100 @@
 use tokio::task::{spawn_local, AbortHandle};
 
 use super::fault::Fault;
-use super::recording::{Arrival, Recording};
+use super::recording::{Arrival, Recording, ServerStart};
 use super::wire::{Message, MessageReader};
+use crate::best_effort;
 
 /// How long a request takes.
 const LATENCY: Duration = Duration::from_millis(12);
-/// How long it takes at a slow server.
+/// How long a request takes at a slow server.
 const SLOW_LATENCY: Duration = Duration::from_millis(500);
+/// A server that rejects requests rejects every second one.
+const REJECTED_ONE_IN: u64 = 2;
+/// A server that resets connections does so at every third request.
+const RESET_ONE_IN: u64 = 3;
+/// The response to a request that is rejected without being executed.
+const REJECTION: &str = "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
 
 /// A chunk server.
 pub struct Server {
     number: usize,
-    started: Instant,
+    address: SocketAddr,
+    /// When the run started.
+    started_at: Instant,
     recording: Rc<RefCell<Recording>>,
-    /// Its present fault.
-    pub fault: Cell<Option<Fault>>,
+    fault: Cell<Option<Fault>>,
+    /// The task that accepts connections, while the server runs.
+    acceptor: RefCell<Option<AbortHandle>>,
     connections: RefCell<Vec<AbortHandle>>,
+    /// How many requests have come in.
     requests: Cell<u64>,
 }
 
 impl Server {
-    /// A server that records what comes to it.
-    pub fn new(number: usize, started: Instant, recording: Rc<RefCell<Recording>>) -> Rc<Server> {
+    /// A server at an address that records the requests that reach it. It does not run yet.
+    pub fn new(
+        number: usize,
+        address: SocketAddr,
+        started_at: Instant,
+        recording: Rc<RefCell<Recording>>,
+    ) -> Rc<Server> {
         Rc::new(Server {
             number,
-            started,
+            address,
+            started_at,
             recording,
             fault: Cell::new(None),
+            acceptor: RefCell::default(),
             connections: RefCell::default(),
             requests: Cell::new(0),
         })
     }
 
-    /// Serves connections until the task is ended.
-    pub async fn serve(self: Rc<Self>, listener: TcpListener) {
+    /// The index of the server.
+    pub fn number(&self) -> usize {
+        self.number
+    }
+
+    /// Changes the fault that affects requests; `None` ends it.
+    pub fn set_fault(&self, fault: Option<Fault>) {
+        self.fault.set(fault);
+    }
+
+    /// Accepts connections of a listener in a task of its own.
+    pub fn serve(self: &Rc<Self>, listener: TcpListener) {
+        let acceptor = spawn_local(Rc::clone(self).accept_connections(listener));
+        *self.acceptor.borrow_mut() = Some(acceptor.abort_handle());
+    }
+
+    /// Stops the server: no connection is accepted any more, and all are closed, as at the end of
+    /// its process.
+    pub fn stop(&self) {
+        if let Some(acceptor) = self.acceptor.borrow_mut().take() {
+            acceptor.abort();
+        }
+        for connection in self.connections.borrow_mut().drain(..) {
+            connection.abort();
+        }
+    }
+
+    /// Starts the server at its address after it was stopped, and records the start.
+    ///
+    /// # Errors
+    /// If the address is in use.
+    pub async fn restart(self: &Rc<Self>) -> std::io::Result<()> {
+        let listener = TcpListener::bind(self.address).await?;
+        let start = ServerStart {
+            server: self.number,
+            at: self.started_at.elapsed(),
+        };
+        self.recording.borrow_mut().server_starts.push(start);
+        self.serve(listener);
+        Ok(())
+    }
+
+    /// Serves each connection in a task of its own, until the acceptor is aborted.
+    async fn accept_connections(self: Rc<Self>, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
                 continue;
@@ -54,62 +115,56 @@
         }
     }
 
-    /// Ends all connections, as the end of its process would.
-    pub fn drop_connections(&self) {
-        self.connections
-            .borrow_mut()
-            .drain(..)
-            .for_each(|connection| connection.abort());
-    }
-
+    /// Answers the requests of a connection, as far as the current fault lets it.
     async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
-        let _ = stream.set_nodelay(true);
+        best_effort::disable_nagle(&stream);
         let (read, mut write) = stream.into_split();
         let mut reader = MessageReader::new(read);
         while let Some(message) = reader.next().await {
-            self.requests.set(self.requests.get() + 1);
+            let number = self.requests.get() + 1;
+            self.requests.set(number);
             let fault = self.fault.get();
-            let is_turned_away =
-                fault == Some(Fault::ServerRejects) && self.requests.get() % 2 == 0;
-            self.record(&message, is_turned_away);
+            let is_rejected = fault == Some(Fault::ServerRejects) && number % REJECTED_ONE_IN == 0;
+            self.record(&message, is_rejected);
             match fault {
                 Some(Fault::ServerHangs) => return std::future::pending().await,
-                Some(Fault::ServerResets) if self.requests.get() % 3 == 0 => return,
+                Some(Fault::ServerResets) if number % RESET_ONE_IN == 0 => return,
                 Some(Fault::ServerSlow) => tokio::time::sleep(SLOW_LATENCY).await,
                 _ => tokio::time::sleep(LATENCY).await,
             }
-            let transaction = message.header("x-txn").unwrap_or_default();
-            let answer = if is_turned_away {
-                "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n".to_owned()
-            } else {
-                format!(
-                    "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{transaction}",
-                    transaction.len()
-                )
-            };
-            if write.write_all(answer.as_bytes()).await.is_err()
-                || fault == Some(Fault::ServerCloses)
-            {
+            let response = response(&message, is_rejected);
+            let written = write.write_all(response.as_bytes()).await;
+            if written.is_err() || fault == Some(Fault::ServerCloses) {
                 return;
             }
         }
     }
 
-    fn record(&self, message: &Message, turned_away: bool) {
+    /// Records the arrival of a request.
+    fn record(&self, message: &Message, rejected: bool) {
         let transaction = message
             .header("x-txn")
             .and_then(|id| u64::from_str_radix(id, 16).ok());
-        let told = message
+        let remaining_us = message
             .header("x-remaining")
-            .and_then(|told| told.strip_suffix('u'));
-        let told = told.and_then(|told| told.parse().ok()).unwrap_or(0);
+            .and_then(|remaining| remaining.strip_suffix('u')?.parse().ok());
         self.recording.borrow_mut().arrivals.push(Arrival {
             server: self.number,
             transaction: transaction.unwrap_or(0),
-            first_byte_at: message.first_byte_at - self.started,
-            at: self.started.elapsed(),
-            remaining: Duration::from_micros(told),
-            turned_away,
+            first_byte_at: message.first_byte_at - self.started_at,
+            at: self.started_at.elapsed(),
+            remaining: Duration::from_micros(remaining_us.unwrap_or(0)),
+            rejected,
         });
     }
 }
+
+/// The response to a request: a rejection, or a success that repeats the transaction id.
+fn response(request: &Message, is_rejected: bool) -> String {
+    if is_rejected {
+        return REJECTION.to_owned();
+    }
+    let transaction = request.header("x-txn").unwrap_or_default();
+    let length = transaction.len();
+    format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{transaction}")
+}
--- a/crates/testbed/src/soak/wire.rs
+++ b/crates/testbed/src/soak/wire.rs
@@ -1,4 +1,4 @@
-//! Messages of HTTP/1.1 as the stand-ins read them.
+//! Reading HTTP/1.1 messages, for the stand-ins of a soak run.
 
 use std::time::Instant;
 
@@ -6,11 +6,12 @@
 
 /// The longest head, in bytes.
 const MAX_HEAD: usize = 16 * 1024;
+/// What separates the head of a message from its body.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A message that was read whole.
+/// A complete message.
 pub struct Message {
-    /// The start line and the headers.
+    /// The start line and the header fields.
     pub head: String,
     /// The body.
     pub body: Vec<u8>,
@@ -19,7 +20,7 @@
 }
 
 impl Message {
-    /// The value of a header, by its name in lower case.
+    /// The value of the first header field of a name; the case of the name does not matter.
     pub fn header(&self, name: &str) -> Option<&str> {
         let fields = self
             .head
@@ -30,7 +31,7 @@
         values.next().map(|(_, value)| value.trim())
     }
 
-    /// The status of a response; 0 where it has none.
+    /// The status of a response; 0 if it has none.
     pub fn status(&self) -> u16 {
         self.head
             .split(' ')
@@ -55,21 +56,18 @@
         }
     }
 
-    /// The stream, without what was read of it.
+    /// The stream. Bytes that were read ahead are lost.
     pub fn into_stream(self) -> S {
         self.stream
     }
 
-    /// The next message; `None` where the connection ends or breaks before it is whole.
+    /// The next message; `None` if the connection ends before it is complete, or its head is too
+    /// long.
     pub async fn next(&mut self) -> Option<Message> {
         let mut first_byte_at = (!self.buffer.is_empty()).then(Instant::now);
         let head_length = loop {
-            if let Some(end) = self
-                .buffer
-                .windows(HEAD_END.len())
-                .position(|window| window == HEAD_END)
-            {
-                break end + HEAD_END.len();
+            if let Some(length) = self.buffered_head_length() {
+                break length;
             }
             if self.buffer.len() > MAX_HEAD {
                 return None;
@@ -95,6 +93,14 @@
         Some(message)
     }
 
+    /// The length of the head in the buffer, in bytes, if it is complete.
+    fn buffered_head_length(&self) -> Option<usize> {
+        let mut windows = self.buffer.windows(HEAD_END.len());
+        let start = windows.position(|window| window == HEAD_END)?;
+        Some(start + HEAD_END.len())
+    }
+
+    /// Reads more bytes into the buffer; `None` if the connection has ended.
     async fn fill(&mut self) -> Option<()> {
         let count = self.stream.read_buf(&mut self.buffer).await.ok()?;
         (count > 0).then_some(())
--- a/crates/testbed/src/tcp_proxy.rs
+++ b/crates/testbed/src/tcp_proxy.rs
@@ -9,6 +9,8 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
+use crate::best_effort;
+
 /// After how long a lost piece is first sent again, as TCP does; each further time takes twice as
 /// long.
 const RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(200);
@@ -77,6 +79,7 @@
     }
 }
 
+/// Forwards connections until the proxy is dropped.
 async fn accept_until_closed(
     listener: TcpListener,
     server: SocketAddr,
@@ -102,8 +105,9 @@
 
 /// Returns when connections are to be reset.
 async fn wait_reset(mut state: watch::Receiver<LinkState>) {
+    let is_reset = state.wait_for(|state| *state == LinkState::Reset).await;
     // An error means that the proxy was dropped, which resets connections as well.
-    let _ = state.wait_for(|state| *state == LinkState::Reset).await;
+    drop(is_reset);
 }
 
 /// Forwards one connection both ways until it ends or is reset.
@@ -114,8 +118,8 @@
         connected = TcpStream::connect(server) => upstream = connected.ok(),
     }
     if let Some(upstream) = &mut upstream {
-        // Without it, small pieces would be delayed; the connection works nevertheless.
-        let _ = (client.set_nodelay(true), upstream.set_nodelay(true));
+        best_effort::disable_nagle(&client);
+        best_effort::disable_nagle(upstream);
         let (from_client, to_client) = client.split();
         let (from_upstream, to_upstream) = upstream.split();
         let requests = copy(from_client, to_upstream, state.clone(), Direction::Requests);
@@ -131,8 +135,7 @@
         }
     }
     for stream in [Some(client), upstream].into_iter().flatten() {
-        // A stream that cannot be reset is closed.
-        let _ = stream.set_zero_linger();
+        best_effort::reset_when_dropped(&stream);
     }
 }
 
@@ -152,8 +155,7 @@
             break;
         }
     }
-    // The other end may have closed the connection already.
-    let _ = to.shutdown().await;
+    best_effort::ignore_closed_connection(to.shutdown().await);
 }
 
 /// Waits until a piece may pass.
@@ -185,9 +187,9 @@
 /// The delay of a piece that is lost a random number of times: the sum of as many timeouts, each
 /// twice as long as the one before.
 fn retransmit_delay(loss_percent: u8) -> Duration {
-    let draws = std::iter::repeat_with(|| fastrand::u8(0..100));
-    let losses = draws
-        .take_while(|draw| *draw < loss_percent)
+    let percents = std::iter::repeat_with(|| fastrand::u8(0..100));
+    let losses = percents
+        .take_while(|percent| *percent < loss_percent)
         .take(MAX_RETRANSMITS)
         .count();
     RETRANSMIT_TIMEOUT * ((1 << losses) - 1)
--- a/crates/testbed/src/testbed.rs
+++ b/crates/testbed/src/testbed.rs
@@ -8,22 +8,23 @@
 mod clients;
 mod config;
 mod console;
+mod environment;
 mod error;
-mod faults;
+mod fault_actions;
 mod front_config;
 mod front_process;
 mod lifecycle;
 mod measurements;
+mod observations;
 mod peer_links;
 
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, VecDeque};
-use std::net::SocketAddr;
+use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant};
 
-use tokio::net::TcpListener;
+use nix::sys::signal::Signal;
 use tokio::task::{spawn_local, JoinHandle};
 
 pub use self::clients::{ClientRequest, CLIENT_TIMEOUT};
@@ -37,12 +38,12 @@
 pub use self::measurements::{RateBound, WindowUsage};
 
 use self::clients::{Clients, RequestMix};
+use self::environment::Environment;
+use self::fault_actions::{actions, Action, TimedAction};
 use self::front_config::RosterVersion;
-use self::front_process::{FrontProcess, SpawnedFront};
-use self::peer_links::{bind, PeerLinks};
-use crate::chunk_server::{Attempt, AttemptLog, ChunkServer, ServerBehavior};
-use crate::discovery_server::DiscoveryServer;
-use crate::tcp_proxy::TcpProxy;
+use self::front_process::{FrontProcess, Role, SpawnedFront};
+use crate::best_effort;
+use crate::schedule::{Fault, Schedule};
 
 /// The key of the fronts' messages.
 const KEY: &str = "a key of the lab's fronts, and of no others";
@@ -51,35 +52,26 @@
     revision: 1,
     floor_percent: 10,
 };
-/// How a datagram of the fronts' protocol begins.
-const DATAGRAM_PREFIX: [u8; 4] = *b"TBP\x02";
-/// The longest datagram of [`Testbed::send_unauthenticated_datagrams`], in bytes.
-const MAX_UNAUTHENTICATED_DATAGRAM: usize = 200;
 
-/// A fleet of fronts with all that surrounds it.
+/// A fleet of fronts with everything that surrounds it. Its processes end when it is dropped.
 pub struct Testbed {
     program: PathBuf,
+    /// The temporary directory of all files.
     directory: PathBuf,
     config: TestbedConfig,
-    /// By front and server.
-    server_links: BTreeMap<(usize, usize), TcpProxy>,
-    server_behaviors: Vec<Rc<Cell<ServerBehavior>>>,
-    discovery: Rc<DiscoveryServer>,
-    /// By front.
-    discovery_links: Vec<TcpProxy>,
-    peer_links: PeerLinks,
+    environment: Environment,
     roster: RosterVersion,
     /// The process of each front; `None` if it does not run.
     fronts: Vec<Rc<RefCell<Option<FrontProcess>>>>,
-    /// Second processes of a name, the one that has run for the longest first.
+    /// Duplicate processes of a front, the one that has run for the longest first.
     duplicates: VecDeque<SpawnedFront>,
     duplicate_log: String,
     /// Requests a second of each front's clients.
     request_rates: Vec<Rc<Cell<u32>>>,
-    attempts: AttemptLog,
     requests: Rc<RefCell<Vec<ClientRequest>>>,
     started_at: Instant,
-    tasks: Vec<JoinHandle<()>>,
+    /// The tasks of the clients.
+    client_tasks: Vec<JoinHandle<()>>,
 }
 
 impl Testbed {
@@ -97,88 +89,36 @@
         Ok(testbed)
     }
 
-    /// All that surrounds the fronts.
+    /// A testbed of which no front runs.
     async fn without_fronts(
         program: &Path,
         config: TestbedConfig,
     ) -> Result<Testbed, TestbedError> {
         let started_at = Instant::now();
-        let now = SystemTime::now()
-            .duration_since(UNIX_EPOCH)
-            .unwrap_or_default();
-        let servers_started_ms = if config.behavior.just_started {
-            now.as_millis() as u64
-        } else {
-            0
-        };
-        let (peer_links, tasks) =
-            PeerLinks::open(if config.has_peers() { config.fronts } else { 0 }).await?;
-        let mut testbed = Testbed {
+        let environment = Environment::open(&config, started_at).await?;
+        let testbed = Testbed {
             // Each front has a directory of its own, where a relative path would lead elsewhere.
             program: program
                 .canonicalize()
-                .map_err(TestbedError::system("the program"))?,
+                .map_err(TestbedError::file("the program", program))?,
             directory: create_directory()?,
             config,
-            server_links: BTreeMap::new(),
-            server_behaviors: Vec::new(),
-            discovery: DiscoveryServer::new(vec![servers_started_ms; config.servers], config.zones),
-            discovery_links: Vec::new(),
-            peer_links,
+            environment,
             roster: FIRST_ROSTER,
             fronts: (0..config.fronts).map(|_| Rc::default()).collect(),
             duplicates: VecDeque::new(),
             duplicate_log: String::new(),
             request_rates: (0..config.fronts).map(|_| Rc::default()).collect(),
-            attempts: AttemptLog::new(started_at),
             requests: Rc::default(),
             started_at,
-            tasks,
+            client_tasks: Vec::new(),
         };
-        std::fs::write(testbed.key_file(), KEY).map_err(TestbedError::system("a key file"))?;
-        for server in 0..config.servers {
-            testbed.start_chunk_server(server).await?;
-        }
-        for front in 0..config.fronts {
-            testbed.start_discovery(front).await?;
-        }
+        let key_file = testbed.key_file();
+        std::fs::write(&key_file, KEY).map_err(TestbedError::file("a key file", &key_file))?;
         Ok(testbed)
     }
 
-    /// Starts a chunk server, and a proxy to it for each front.
-    async fn start_chunk_server(&mut self, number: usize) -> Result<(), TestbedError> {
-        let (listener, address) = listen("a chunk server's socket").await?;
-        for front in 0..self.config.fronts {
-            let proxy = TcpProxy::start(address)
-                .await
-                .map_err(TestbedError::system("a wire's socket"))?;
-            self.server_links.insert((front, number), proxy);
-        }
-        let behavior = Rc::new(Cell::new(self.config.behavior));
-        self.server_behaviors.push(Rc::clone(&behavior));
-        let server = ChunkServer {
-            number,
-            behavior,
-            log: self.attempts.clone(),
-        };
-        self.tasks.push(spawn_local(server.serve(listener)));
-        Ok(())
-    }
-
-    /// Starts discovery for a front, which lists the proxies of that front, and a proxy to it.
-    async fn start_discovery(&mut self, front: usize) -> Result<(), TestbedError> {
-        let (listener, address) = listen("the register's socket").await?;
-        let proxy = TcpProxy::start(address)
-            .await
-            .map_err(TestbedError::system("a wire's socket"))?;
-        self.discovery_links.push(proxy);
-        let servers = self.server_addresses(front);
-        self.tasks.push(spawn_local(
-            Rc::clone(&self.discovery).serve(listener, servers),
-        ));
-        Ok(())
-    }
-
+    /// Starts the clients of a front, which send nothing until it has a load.
     fn start_clients(&mut self, front: usize, rng: fastrand::Rng) {
         let clients = Clients {
             front,
@@ -192,9 +132,10 @@
                 write_percent: self.config.write_percent,
             },
         };
-        self.tasks.push(spawn_local(clients.run(rng)));
+        self.client_tasks.push(spawn_local(clients.run(rng)));
     }
 
+    /// The file with the key of the fronts' messages.
     fn key_file(&self) -> PathBuf {
         self.directory.join("key")
     }
@@ -214,67 +155,103 @@
         self.started_at.elapsed()
     }
 
-    /// All requests of clients that have ended.
-    pub fn requests(&self) -> Vec<ClientRequest> {
-        self.requests.borrow().clone()
-    }
-
-    /// All attempts that reached a chunk server.
-    pub fn attempts(&self) -> Vec<Attempt> {
-        self.attempts.attempts()
-    }
-
-    /// Whether a front's process runs.
-    pub fn is_running(&self, front: usize) -> bool {
-        self.fronts[front].borrow().is_some()
+    /// Sends every front datagrams for a while that no front has sent.
+    pub async fn send_unauthenticated_datagrams(&self, per_second: u32, duration: Duration) {
+        let rng = fastrand::Rng::with_seed(self.config.seed);
+        let peer_links = self.environment.peer_links();
+        peer_links
+            .send_unauthenticated_datagrams(per_second, duration, rng)
+            .await;
     }
 
-    /// Where a front's clients connect, if it runs.
-    pub fn clients_address(&self, front: usize) -> Option<SocketAddr> {
-        self.fronts[front]
-            .borrow()
-            .as_ref()
-            .map(|running| running.clients)
+    /// Injects a fault and waits until it is over: also until a paused front has resumed, or a
+    /// killed one is started again, if the fault says when.
+    ///
+    /// # Errors
+    /// If a front does not start again.
+    pub async fn inject(&mut self, fault: &Fault) -> Result<(), TestbedError> {
+        for TimedAction { after, action } in actions(fault, self.config.fronts) {
+            tokio::time::sleep(after).await;
+            self.apply(action).await?;
+        }
+        Ok(())
     }
 
-    /// A front's console, if it runs.
-    pub fn console_address(&self, front: usize) -> Option<SocketAddr> {
-        self.fronts[front]
-            .borrow()
-            .as_ref()
-            .map(|running| running.console)
+    /// Injects several faults, one after another.
+    ///
+    /// # Errors
+    /// If a front does not start again.
+    pub async fn inject_all(&mut self, faults: &[Fault]) -> Result<(), TestbedError> {
+        for fault in faults {
+            self.inject(fault).await?;
+        }
+        Ok(())
     }
 
-    /// What second processes of a name have logged, once they have ended.
-    pub fn duplicate_log(&self) -> &str {
-        &self.duplicate_log
+    /// Runs a schedule to its end, each fault and each end of one at its time.
+    ///
+    /// # Errors
+    /// If a front does not start again.
+    pub async fn run_schedule(&mut self, schedule: &Schedule) -> Result<(), TestbedError> {
+        let started_at = Instant::now();
+        for due in fault_actions::timetable(schedule, self.config.fronts) {
+            tokio::time::sleep_until((started_at + due.after).into()).await;
+            self.apply(due.action).await?;
+        }
+        let end = started_at + schedule.duration;
+        tokio::time::sleep_until(end.into()).await;
+        Ok(())
     }
 
-    /// Sends every front datagrams for a while that no front has sent: random bytes, of which some
-    /// begin as a message.
-    pub async fn send_unauthenticated_datagrams(&self, per_second: u32, duration: Duration) {
-        let Ok(socket) = bind().await else { return };
-        let deadline = Instant::now() + duration;
-        let interval = Duration::from_secs_f64(1.0 / f64::from(per_second.max(1)));
-        let mut rng = fastrand::Rng::with_seed(self.config.seed);
-        while Instant::now() < deadline {
-            for target in self.peer_links.targets() {
-                let length = rng.usize(0..MAX_UNAUTHENTICATED_DATAGRAM);
-                let mut bytes: Vec<u8> = (0..length).map(|_| rng.u8(..)).collect();
-                if rng.bool() {
-                    bytes.splice(0..0, DATAGRAM_PREFIX);
+    /// Applies one action of a fault.
+    async fn apply(&mut self, action: Action) -> Result<(), TestbedError> {
+        let environment = &self.environment;
+        match action {
+            Action::Cut { from, to } => environment.peer_links().cut(from, to),
+            Action::Partition(side) => environment.peer_links().partition(&side),
+            Action::HealTcpLinks => environment.heal_tcp_links(),
+            Action::SetDatagramFaults(faults) => environment.peer_links().set_faults(faults),
+            Action::SetLoad { front, rate } => self.set_load(front, rate),
+            Action::SetServerLink {
+                front,
+                server,
+                state,
+            } => environment.set_server_link(front, server, state),
+            Action::SetDiscoveryLink { front, state } => {
+                environment.set_discovery_link(front, state);
+            }
+            Action::SetServer {
+                server,
+                latency,
+                failure_percent,
+            } => environment.set_server(server, latency, failure_percent),
+            Action::RestartServer(server) => environment.announce_restart(server),
+            Action::Signal { front, signal } => self.signal(front, signal),
+            Action::End { front, signal } => {
+                // A paused front would not shut down.
+                self.signal(front, Signal::SIGCONT);
+                self.terminate(front, signal).await;
+            }
+            Action::Start(front) => {
+                if !self.is_running(front) {
+                    self.start(front).await?;
                 }
-                // A datagram that cannot be sent is lost, as on any network.
-                let _ = socket.try_send_to(&bytes, target);
             }
-            tokio::time::sleep(interval).await;
+            Action::StartDuplicate(front) => {
+                let duplicate = self.spawn(front, Role::Duplicate)?;
+                self.duplicates.push_back(duplicate);
+            }
+            Action::EndDuplicate => self.end_duplicate(),
+            Action::Upgrade(front) => self.upgrade(front).await?,
+            Action::WriteRoster { floor_percent } => self.write_roster(floor_percent)?,
         }
+        Ok(())
     }
 }
 
 impl Drop for Testbed {
     fn drop(&mut self) {
-        for task in &self.tasks {
+        for task in &self.client_tasks {
             task.abort();
         }
         // The processes end before their directory is removed.
@@ -282,27 +259,18 @@
             .iter()
             .for_each(|front| drop(front.borrow_mut().take()));
         self.duplicates.clear();
-        // What cannot be removed is left to the system's cleanup of temporary files.
-        let _ = std::fs::remove_dir_all(&self.directory);
+        best_effort::remove_directory(&self.directory);
     }
 }
 
 /// Creates a temporary directory for the files of a testbed.
 fn create_directory() -> Result<PathBuf, TestbedError> {
     let name = format!(
-        "tulipbridge-lab-{}-{}",
+        "tulipbridge-testbed-{}-{}",
         std::process::id(),
         fastrand::u32(..)
     );
     let directory = std::env::temp_dir().join(name);
-    std::fs::create_dir_all(&directory).map_err(TestbedError::system("a folder"))?;
+    std::fs::create_dir_all(&directory).map_err(TestbedError::file("a directory", &directory))?;
     Ok(directory)
 }
-
-async fn listen(what: &'static str) -> Result<(TcpListener, SocketAddr), TestbedError> {
-    let listener = TcpListener::bind("127.0.0.1:0")
-        .await
-        .map_err(TestbedError::system(what))?;
-    let address = listener.local_addr().map_err(TestbedError::system(what))?;
-    Ok((listener, address))
-}
--- a/crates/testbed/src/testbed/clients.rs
+++ b/crates/testbed/src/testbed/clients.rs
@@ -32,7 +32,7 @@
     pub shard: Option<usize>,
 }
 
-/// From what clients choose their requests.
+/// The requests among which clients choose at random.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestMix {
     /// How many volumes there are.
@@ -50,28 +50,27 @@
 }
 
 impl RequestMix {
-    fn draw(&self, rng: &mut Rng) -> RequestText {
-        let (volume, shard, key) = (
-            rng.usize(0..self.volumes),
-            rng.usize(0..self.shards),
-            rng.u64(..),
-        );
+    /// A random request.
+    fn sample(&self, rng: &mut Rng) -> RequestText {
+        let volume = rng.usize(0..self.volumes);
+        let shard = rng.usize(0..self.shards);
+        let key = rng.u64(..);
         let is_write = self.write_percent > 0 && rng.u8(0..100) < self.write_percent;
-        let (start, body, shard) = if is_write {
-            (
-                format!("PUT /b{volume}/{key:016x} HTTP/1.1\r\nContent-Length: 3\r\n"),
-                "new",
-                None,
-            )
+        if is_write {
+            let line = format!("PUT /b{volume}/{key:016x} HTTP/1.1\r\nContent-Length: 3\r\n");
+            RequestText::new(&line, "new", None)
         } else {
-            (
-                format!("GET /b{volume}/{key:016x}?versionId={shard}.v HTTP/1.1\r\n"),
-                "",
-                Some(shard),
-            )
-        };
+            let line = format!("GET /b{volume}/{key:016x}?versionId={shard}.v HTTP/1.1\r\n");
+            RequestText::new(&line, "", Some(shard))
+        }
+    }
+}
+
+impl RequestText {
+    /// A request that begins with these lines, and closes its connection.
+    fn new(beginning: &str, body: &str, shard: Option<usize>) -> RequestText {
         RequestText {
-            text: format!("{start}Host: lab\r\nConnection: close\r\n\r\n{body}"),
+            text: format!("{beginning}Host: lab\r\nConnection: close\r\n\r\n{body}"),
             shard,
         }
     }
@@ -105,7 +104,7 @@
             let wait = -(1.0 - rng.f64()).ln() / f64::from(rate);
             tokio::time::sleep(Duration::from_secs_f64(wait)).await;
             if let Some(address) = self.front_address() {
-                let request = self.mix.draw(&mut rng);
+                let request = self.mix.sample(&mut rng);
                 self.send(address, request);
             }
         }
@@ -122,8 +121,9 @@
 
     /// Sends one request and records how it ends, without waiting for that.
     fn send(&self, address: SocketAddr, request: RequestText) {
-        let (requests, started_at, front) =
-            (Rc::clone(&self.requests), self.started_at, self.front);
+        let requests = Rc::clone(&self.requests);
+        let started_at = self.started_at;
+        let front = self.front;
         spawn_local(async move {
             let at = started_at.elapsed();
             let exchange = tokio::time::timeout(CLIENT_TIMEOUT, exchange(address, &request.text));
--- a/crates/testbed/src/testbed/front_config.rs
+++ b/crates/testbed/src/testbed/front_config.rs
@@ -1,10 +1,10 @@
 //! The configuration file of a front.
 
-use std::net::SocketAddr;
+use std::path::Path;
 
-use super::config::Sharing;
+use super::config::{Sharing, TestbedConfig};
+use super::environment::Environment;
 use super::front_process::Role;
-use super::Testbed;
 use crate::discovery_server::zone_name;
 
 /// The settings that all fronts have, before those of a testbed are put in.
@@ -27,55 +27,68 @@
     pub floor_percent: u8,
 }
 
-impl Testbed {
-    /// The text of a front's configuration file.
-    pub(super) fn front_config(&self, front: usize, role: Role) -> String {
-        let clients = match role {
+/// What the configuration file of a front depends on.
+pub struct FrontConfig<'a> {
+    /// What the testbed consists of.
+    pub testbed: &'a TestbedConfig,
+    /// The links of the front.
+    pub environment: &'a Environment,
+    /// The version of the roster.
+    pub roster: RosterVersion,
+    /// The file with the key of the fronts' messages.
+    pub key_file: &'a Path,
+    /// The index of the front.
+    pub front: usize,
+    /// The role of its process.
+    pub role: Role,
+}
+
+impl FrontConfig<'_> {
+    /// The text of the file.
+    pub fn text(&self) -> String {
+        let front = self.front;
+        let clients = match self.role {
             Role::Successor { clients, .. } => clients.to_string(),
             Role::Only | Role::Duplicate => ANY_ADDRESS.to_owned(),
         };
+        let is_replacement = self.role != Role::Only;
+        let seed = (front as u64 + 1) * SEED_FACTOR + u64::from(is_replacement);
         format!(
-            r#"{{"name": "object-{front}", "listen": "{clients}", "console": "127.0.0.1:0", "seed": "{:x}",
+            r#"{{"name": "object-{front}", "listen": "{clients}", "console": "127.0.0.1:0", "seed": "{seed:x}",
             "discovery": "{}", "limits": {{"cores": 1.0, "memory_mb": 192, "sockets": 512}}, {}
             "known": {},
             "buckets": {{{}}},
             "settings": {}}}"#,
-            (front as u64 + 1) * SEED_FACTOR + u64::from(role != Role::Only),
-            self.discovery_links[front].address,
-            self.peers_section(front, role),
-            self.discovery.endpoint_list(&self.server_addresses(front)),
+            self.environment.discovery_address(front),
+            self.peers_section(),
+            self.environment.endpoint_list(front),
             self.buckets_section(),
             self.settings_section(),
         )
     }
 
-    /// Where a front reaches the chunk servers.
-    pub(super) fn server_addresses(&self, front: usize) -> Vec<SocketAddr> {
-        (0..self.config.servers)
-            .map(|server| self.server_links[&(front, server)].address)
-            .collect()
-    }
-
+    /// The settings, with the volume limits, zones and shards of the testbed.
     fn settings_section(&self) -> String {
-        let rate = |key: &str| format!("\"{key}\": {:.1}", self.config.rate);
+        let rate = |key: &str| format!("\"{key}\": {:.1}", self.testbed.rate);
         let mut settings = SETTINGS.replace("\"CeilingRate\": 40.0", &rate("CeilingRate"));
-        if !self.config.limits.is_empty() {
+        if !self.testbed.limits.is_empty() {
             // The demand must be within the volume's share, or else that holds back before the
             // limits under test.
             settings = settings.replace("\"Nominal\": 40.0", &rate("Nominal"));
         }
-        let zones: Vec<String> = (0..self.config.zones)
+        let zones: Vec<String> = (0..self.testbed.zones)
             .map(|zone| format!("\"{}\"", zone_name(zone)))
             .collect();
         let settings = settings.replace("\"zone-a\"", &zones.join(", "));
         settings.replace(
             "\"Shards\": 1,",
-            &format!("\"Shards\": {},", self.config.servers),
+            &format!("\"Shards\": {},", self.testbed.servers),
         )
     }
 
+    /// A bucket for each volume.
     fn buckets_section(&self) -> String {
-        let hosts = match self.config.sharing {
+        let hosts = match self.testbed.sharing {
             Sharing::Even(hosts) => hosts,
             Sharing::Peers | Sharing::HalfUnknown => DEFAULT_HOSTS,
         };
@@ -84,29 +97,29 @@
                 r#""b{volume}": {{"volume": "{volume:x}", "plan": "limited", "read": "read", "write": "write", "hosts": {hosts}}}"#
             )
         };
-        (0..self.config.volumes)
+        (0..self.testbed.volumes)
             .map(bucket)
             .collect::<Vec<_>>()
             .join(", ")
     }
 
     /// The section on peers; empty if the front has none.
-    fn peers_section(&self, front: usize, role: Role) -> String {
-        if !self.config.has_peers() {
+    fn peers_section(&self) -> String {
+        if !self.testbed.has_peers() {
             return String::new();
         }
-        let listen = match role {
+        let listen = match self.role {
             Role::Successor {
                 peers: Some(address),
                 ..
             } => address.to_string(),
             _ => ANY_ADDRESS.to_owned(),
         };
-        let limits = match self.config.limits {
+        let limits = match self.testbed.limits {
             "" => String::new(),
             limits => format!(r#", "limits": {limits}"#),
         };
-        let outlier_detection = if self.config.outlier_detection {
+        let outlier_detection = if self.testbed.outlier_detection {
             r#", "verdicts": {}"#
         } else {
             ""
@@ -114,26 +127,27 @@
         format!(
             r#""peers": {{"listen": "{listen}", "key_file": "{}", "revision": {}, "floor": 0.{:02},
                 "roster": [{}]{limits}{outlier_detection}}},"#,
-            self.key_file().display(),
+            self.key_file.display(),
             self.roster.revision,
             self.roster.floor_percent,
-            self.roster_section(front),
+            self.roster_section(),
         )
     }
 
-    fn roster_section(&self, front: usize) -> String {
+    /// The entries of the roster, at the addresses of the front's links.
+    fn roster_section(&self) -> String {
         let knows_half =
-            self.config.sharing == Sharing::HalfUnknown && front < self.config.fronts / 2;
+            self.testbed.sharing == Sharing::HalfUnknown && self.front < self.testbed.fronts / 2;
         let known = if knows_half {
-            self.config.fronts / 2
+            self.testbed.fronts / 2
         } else {
-            self.config.fronts
+            self.testbed.fronts
         };
         let entry = |peer: usize| {
-            let link = self.peer_links.link(front, peer);
+            let link = self.environment.peer_links().link(self.front, peer);
             let address =
                 link.map_or_else(|| NO_ADDRESS.to_owned(), |link| link.address.to_string());
-            let zone = zone_name(peer % self.config.zones);
+            let zone = zone_name(peer % self.testbed.zones);
             format!(r#"{{"name": "object-{peer}", "address": "{address}", "zone": "{zone}"}}"#)
         };
         (0..known).map(entry).collect::<Vec<_>>().join(", ")
--- a/crates/testbed/src/testbed/front_process.rs
+++ b/crates/testbed/src/testbed/front_process.rs
@@ -6,17 +6,17 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::sync::mpsc;
 
-use nix::sys::signal::{kill, Signal};
-use nix::unistd::Pid;
+use nix::sys::signal::Signal;
 
 use super::error::TestbedError;
+use crate::best_effort;
 
-/// As what a front's process is started.
+/// The role in which a front's process is started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// The only one of its name.
     Only,
-    /// By mistake a second one of its name, with addresses of its own.
+    /// An accidental second one of its name, with addresses of its own.
     Duplicate,
     /// The second version, at the addresses of the first.
     Successor {
@@ -33,8 +33,7 @@
 impl ChildProcess {
     /// Sends a signal. It has no effect if the process has ended.
     pub fn signal(&self, signal: Signal) {
-        // The only error that can occur is that the process has ended.
-        let _ = kill(Pid::from_raw(self.0.id() as i32), signal);
+        best_effort::send_signal(&self.0, signal);
     }
 
     /// The exit status, if the process has ended.
@@ -44,16 +43,13 @@
 
     /// Waits until the process has ended.
     pub fn wait(&mut self) {
-        // A process that cannot be waited for has ended.
-        let _ = self.0.wait();
+        best_effort::wait(&mut self.0);
     }
 }
 
 impl Drop for ChildProcess {
     fn drop(&mut self) {
-        // It fails if the process has ended.
-        let _ = self.0.kill();
-        self.wait();
+        best_effort::kill_and_wait(&mut self.0);
     }
 }
 
@@ -72,14 +68,15 @@
         config_file: &Path,
         directory: &Path,
     ) -> Result<SpawnedFront, TestbedError> {
-        std::fs::create_dir_all(directory).map_err(TestbedError::system("a front's folder"))?;
+        std::fs::create_dir_all(directory)
+            .map_err(TestbedError::file("a front's directory", directory))?;
         let mut command = Command::new(program);
         command.arg("object").arg(config_file);
         command.current_dir(directory).env("TMPDIR", directory);
         command.stderr(Stdio::piped());
         let mut child = command
             .spawn()
-            .map_err(TestbedError::system("starting the program"))?;
+            .map_err(TestbedError::file("starting the program", program))?;
         let (sender, log) = mpsc::channel();
         let errors = child.stderr.take();
         std::thread::spawn(move || {
@@ -87,8 +84,8 @@
                 .into_iter()
                 .flat_map(|errors| BufReader::new(errors).lines());
             for line in lines.map_while(Result::ok) {
-                // Nobody may read the log any more; the front must be able to continue writing.
-                let _ = sender.send(line);
+                // The front must be able to continue writing when nobody reads the log any more.
+                best_effort::ignore_closed_receiver(sender.send(line));
             }
         });
         Ok(SpawnedFront {
@@ -139,6 +136,14 @@
 }
 
 impl FrontProcess {
+    /// The role of a process that takes over the addresses of this one.
+    pub fn successor_role(&self) -> Role {
+        Role::Successor {
+            clients: self.clients,
+            peers: self.peers,
+        }
+    }
+
     /// Sends a signal, and records whether the process is paused.
     pub fn signal(&mut self, signal: Signal) {
         match signal {
--- a/crates/testbed/src/testbed/lifecycle.rs
+++ b/crates/testbed/src/testbed/lifecycle.rs
@@ -1,15 +1,18 @@
 //! Starting, upgrading, signaling and ending the processes of fronts.
 
-use std::path::PathBuf;
+use std::path::Path;
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
 use nix::sys::signal::Signal;
 
 use super::error::TestbedError;
+use super::front_config::{FrontConfig, RosterVersion};
 use super::front_process::{AnnouncedAddresses, FrontProcess, Predecessor, Role, SpawnedFront};
 use super::Testbed;
 
+/// The highest floor in hundredths that a front's file can have.
+const MAX_FLOOR_PERCENT: u8 = 99;
 /// How long a front may take to announce its addresses.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// How often a process is polled.
@@ -65,13 +68,12 @@
     /// # Errors
     /// If the front does not run, or the second version does not start.
     pub async fn start_successor(&self, front: usize) -> Result<Predecessor, TestbedError> {
-        let addresses = self.fronts[front]
+        let role = self.fronts[front]
             .borrow()
             .as_ref()
-            .map(|first| (first.clients, first.peers));
+            .map(FrontProcess::successor_role);
         let not_running = || TestbedError::not_ready(front, "there is no first one");
-        let (clients, peers) = addresses.ok_or_else(not_running)?;
-        let role = Role::Successor { clients, peers };
+        let role = role.ok_or_else(not_running)?;
         let spawned = self.spawn(front, role)?;
         let is_ready = |addresses: &AnnouncedAddresses| {
             addresses.clients.is_some() && addresses.console.is_some()
@@ -177,17 +179,18 @@
             predecessor = self.fronts[front].borrow_mut().replace(process);
         }
         if addresses.peers.is_some() {
-            self.peer_links.set_target(front, addresses.peers);
+            self.environment
+                .peer_links()
+                .set_target(front, addresses.peers);
         }
         Ok(Adopted { log, predecessor })
     }
 
-    /// Starts a process with a front's name.
+    /// Writes a configuration file and starts a process with a front's name.
     pub(super) fn spawn(&self, front: usize, role: Role) -> Result<SpawnedFront, TestbedError> {
         let suffix = if role == Role::Duplicate { "-twin" } else { "" };
         let config_file = self.directory.join(format!("front-{front}{suffix}.json"));
-        std::fs::write(&config_file, self.front_config(front, role))
-            .map_err(TestbedError::system("a front's file"))?;
+        self.write_config(&config_file, front, role)?;
         SpawnedFront::spawn(
             &self.program,
             &config_file,
@@ -206,9 +209,42 @@
             clients: running.clients,
             peers: running.configured_peers,
         };
-        let config_file: PathBuf = self.directory.join(format!("front-{front}.json"));
-        std::fs::write(config_file, self.front_config(front, role))
-            .map_err(TestbedError::system("a front's file"))
+        let config_file = self.directory.join(format!("front-{front}.json"));
+        self.write_config(&config_file, front, role)
+    }
+
+    /// Writes the configuration file of a front.
+    fn write_config(&self, file: &Path, front: usize, role: Role) -> Result<(), TestbedError> {
+        let config = FrontConfig {
+            testbed: &self.config,
+            environment: &self.environment,
+            roster: self.roster,
+            key_file: &self.key_file(),
+            front,
+            role,
+        };
+        std::fs::write(file, config.text())
+            .map_err(TestbedError::file("a front's configuration file", file))
+    }
+
+    /// Ends the duplicate process that has run for the longest, and keeps its log.
+    pub(super) fn end_duplicate(&mut self) {
+        if let Some(duplicate) = self.duplicates.pop_front() {
+            for line in duplicate.log.try_iter() {
+                self.duplicate_log += &line;
+                self.duplicate_log += "\n";
+            }
+        }
+    }
+
+    /// Writes the next roster, with this floor, into the files of all fronts.
+    pub(super) fn write_roster(&mut self, floor_percent: u8) -> Result<(), TestbedError> {
+        let revision = self.roster.revision + 1;
+        self.roster = RosterVersion {
+            revision,
+            floor_percent: floor_percent.min(MAX_FLOOR_PERCENT),
+        };
+        (0..self.config.fronts).try_for_each(|front| self.rewrite_config(front))
     }
 }
 
@@ -219,7 +255,8 @@
     is_ready: impl Fn(&AnnouncedAddresses) -> bool,
 ) -> Result<AnnouncedAddresses, TestbedError> {
     let deadline = Instant::now() + START_TIMEOUT;
-    let (mut addresses, mut last_line) = (AnnouncedAddresses::default(), String::new());
+    let mut addresses = AnnouncedAddresses::default();
+    let mut last_line = String::new();
     while !is_ready(&addresses) {
         match log.try_recv() {
             Ok(line) => {
--- a/crates/testbed/src/testbed/peer_links.rs
+++ b/crates/testbed/src/testbed/peer_links.rs
@@ -5,16 +5,22 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
+use fastrand::Rng;
 use tokio::net::UdpSocket;
 use tokio::task::{spawn_local, JoinHandle};
 
 use super::error::TestbedError;
+use crate::best_effort;
 use crate::schedule::DatagramFaults;
 
 /// The largest datagram, in bytes.
 const MAX_DATAGRAM: usize = 65_536;
+/// How a datagram of the fronts' protocol begins.
+const DATAGRAM_PREFIX: [u8; 4] = *b"TBP\x02";
+/// The longest unauthenticated datagram, in bytes, without the prefix.
+const MAX_UNAUTHENTICATED_DATAGRAM: usize = 200;
 
 /// A link from one front to another, one way.
 pub struct PeerLink {
@@ -31,13 +37,26 @@
     /// By sender and receiver.
     links: BTreeMap<(usize, usize), Rc<PeerLink>>,
     faults: Rc<Cell<DatagramFaults>>,
+    /// The proxies of the links.
+    tasks: Vec<JoinHandle<()>>,
+}
+
+impl Drop for PeerLinks {
+    fn drop(&mut self) {
+        for task in &self.tasks {
+            task.abort();
+        }
+    }
 }
 
 impl PeerLinks {
-    /// Opens a healthy link for each pair of fronts and each way, and returns the tasks that serve
-    /// them.
-    pub async fn open(fronts: usize) -> Result<(PeerLinks, Vec<JoinHandle<()>>), TestbedError> {
-        let (mut links, mut tasks) = (PeerLinks::default(), Vec::new());
+    /// Opens a healthy link for each pair of fronts and each way. They work for as long as the
+    /// returned value lives.
+    ///
+    /// # Errors
+    /// If the operating system rejects a socket.
+    pub async fn open(fronts: usize) -> Result<PeerLinks, TestbedError> {
+        let mut links = PeerLinks::default();
         for from in 0..fronts {
             for to in (0..fronts).filter(|to| *to != from) {
                 let socket = bind()
@@ -52,14 +71,11 @@
                     target: Cell::default(),
                 });
                 links.links.insert((from, to), Rc::clone(&link));
-                tasks.push(spawn_local(proxy(
-                    Rc::new(socket),
-                    link,
-                    Rc::clone(&links.faults),
-                )));
+                let proxy = proxy(Rc::new(socket), link, Rc::clone(&links.faults));
+                links.tasks.push(spawn_local(proxy));
             }
         }
-        Ok((links, tasks))
+        Ok(links)
     }
 
     /// The link from one front to another, if there is one.
@@ -89,27 +105,54 @@
 
     /// Sets where a front receives datagrams.
     pub fn set_target(&self, front: usize, target: Option<SocketAddr>) {
-        for link in self
-            .links
-            .iter()
-            .filter(|((_, to), _)| *to == front)
-            .map(|(_, link)| link)
-        {
-            link.target.set(target);
+        for ((_, to), link) in &self.links {
+            if *to == front {
+                link.target.set(target);
+            }
         }
     }
 
     /// Where each link leads, as far as that is known.
-    pub fn targets(&self) -> impl Iterator<Item = SocketAddr> + '_ {
+    fn targets(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.links.values().filter_map(|link| link.target.get())
     }
+
+    /// Sends every front datagrams for a while that no front has sent: random bytes, of which some
+    /// begin as a message.
+    pub async fn send_unauthenticated_datagrams(
+        &self,
+        per_second: u32,
+        duration: Duration,
+        mut rng: Rng,
+    ) {
+        let Ok(socket) = bind().await else { return };
+        let deadline = Instant::now() + duration;
+        let interval = Duration::from_secs_f64(1.0 / f64::from(per_second.max(1)));
+        while Instant::now() < deadline {
+            for target in self.targets() {
+                let bytes = unauthenticated_datagram(&mut rng);
+                best_effort::send_datagram(&socket, &bytes, target);
+            }
+            tokio::time::sleep(interval).await;
+        }
+    }
 }
 
 /// A datagram socket at a port that the system chooses.
-pub async fn bind() -> std::io::Result<UdpSocket> {
+async fn bind() -> std::io::Result<UdpSocket> {
     UdpSocket::bind("127.0.0.1:0").await
 }
 
+/// Random bytes; about half of the datagrams begin as a message.
+fn unauthenticated_datagram(rng: &mut Rng) -> Vec<u8> {
+    let length = rng.usize(0..MAX_UNAUTHENTICATED_DATAGRAM);
+    let mut bytes: Vec<u8> = (0..length).map(|_| rng.u8(..)).collect();
+    if rng.bool() {
+        bytes.splice(0..0, DATAGRAM_PREFIX);
+    }
+    bytes
+}
+
 /// Forwards datagrams of one link without end. What the receiver answers to the proxy's socket goes
 /// back to the sender, as it would between two machines.
 async fn proxy(socket: Rc<UdpSocket>, link: Rc<PeerLink>, faults: Rc<Cell<DatagramFaults>>) {
@@ -126,7 +169,7 @@
                 target
             }
         };
-        let (Some(target), false) = (target, link.is_cut.get()) else {
+        let Some(target) = target.filter(|_| !link.is_cut.get()) else {
             continue;
         };
         forward(&socket, &link, faults.get(), &buffer[..length], target);
@@ -146,18 +189,18 @@
         if fastrand::u8(0..100) < faults.loss_percent {
             continue;
         }
-        if faults.max_delay_ms == 0 {
-            // A datagram that cannot be sent is lost, as on any network.
-            let _ = socket.try_send_to(bytes, target);
+        if faults.max_delay.is_zero() {
+            best_effort::send_datagram(socket, bytes, target);
             continue;
         }
-        let delay = Duration::from_millis(fastrand::u64(0..=faults.max_delay_ms));
-        let (socket, link, bytes) = (Rc::clone(socket), Rc::clone(link), bytes.to_vec());
+        let delay = Duration::from_millis(fastrand::u64(0..=faults.max_delay.as_millis() as u64));
+        let socket = Rc::clone(socket);
+        let link = Rc::clone(link);
+        let bytes = bytes.to_vec();
         spawn_local(async move {
             tokio::time::sleep(delay).await;
             if !link.is_cut.get() {
-                // As above.
-                let _ = socket.try_send_to(&bytes, target);
+                best_effort::send_datagram(&socket, &bytes, target);
             }
         });
     }
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -13,6 +13,7 @@
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
+use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use tulipbridge_results::{Column, Table, Values};
@@ -138,39 +139,47 @@
         Fault::DatagramFaults {
             loss_percent: 10,
             duplication_percent: 20,
-            max_delay_ms: 300,
+            max_delay: Duration::from_millis(300),
         },
         Fault::Heal,
         Fault::Pause {
             front: 1,
-            millis: 500,
+            duration: Duration::from_millis(500),
         },
         Fault::Kill {
             front: 2,
-            restart_after_ms: Some(400),
+            restart_after: Some(Duration::from_millis(400)),
         },
         Fault::Kill {
             front: 3,
-            restart_after_ms: None,
+            restart_after: None,
         },
         Fault::ShutDown {
             front: 0,
-            restart_after_ms: 600,
+            restart_after: Duration::from_millis(600),
         },
         Fault::DuplicateProcess {
             front: 1,
-            millis: 700,
+            duration: Duration::from_millis(700),
         },
+    ];
+    faults.extend(server_and_link_faults());
+    faults
+}
+
+/// The faults of servers, upgrades, rosters, and of links to servers and to discovery.
+fn server_and_link_faults() -> Vec<Fault> {
+    let mut faults = vec![
         Fault::Server {
             server: 1,
-            latency_ms: 50,
+            latency: Duration::from_millis(50),
             failure_percent: 30,
         },
         Fault::Upgrade { front: 0 },
         Fault::RestartServer { server: 0 },
         Fault::Roster {
-            each: 100,
-            floor: 25,
+            interval: Duration::from_millis(100),
+            floor_percent: 25,
         },
         Fault::Discovery {
             front: Some(1),
@@ -201,14 +210,14 @@
         .into_iter()
         .zip(0..)
         .map(|(fault, n)| Step {
-            at_ms: n * 100,
+            at: Duration::from_millis(n * 100),
             fault,
         })
         .collect();
     Schedule {
         seed: 7,
         fronts: 4,
-        duration_ms: 16_000,
+        duration: Duration::from_secs(16),
         steps,
     }
 }
