--- a/crates/testbed/tests/soak_checker.rs
+++ b/crates/testbed/tests/soak_checker.rs
@@ -1,19 +1,20 @@
-//! The checker of soaks: a recording within the rules, and one with a fault against each.
+//! The checker of soak runs: a recording within the rules, and one with a violation of each.
 
 use std::time::Duration;
 
-use tulipbridge_testbed::soak::checker::{check, ColdStart, Rule};
-use tulipbridge_testbed::soak::fault::{draw, Fault};
+use tulipbridge_testbed::soak::checker::{check, Rule, SlowStartLimit};
+use tulipbridge_testbed::soak::fault::{sample, Fault};
 use tulipbridge_testbed::soak::recording::{
-    Arrival, Class, ClientRequest, End, HalfRequest, ListChange, ProcessRecord, Recording,
+    Arrival, Class, ClientRequest, End, EndpointChange, IncompleteRequest, ProcessRecord,
+    Recording, ServerStart,
 };
 
-const COLD_START: ColdStart = ColdStart {
+const SLOW_START_LIMIT: SlowStartLimit = SlowStartLimit {
     capacity: 10.0,
     floor: 0.2,
     duration: Duration::from_secs(10),
     multiple: 2.0,
-    span: Duration::from_secs(2),
+    window: Duration::from_secs(2),
 };
 const OK: End = End::Answered {
     status: 200,
@@ -40,13 +41,13 @@
 
 /// A request that was sent at 10 s, and its attempts.
 fn recording(class: Class, end: End, arrivals: &[Arrival]) -> Recording {
-    let (sent_at, patience, ended_at) = (ms(10_000), ms(1_000), ms(10_100));
+    let (sent_at, timeout, ended_at) = (ms(10_000), ms(1_000), ms(10_100));
     let request = ClientRequest {
         transaction: 1,
         front: 0,
         class,
         sent_at,
-        patience,
+        timeout,
         ended_at,
         end,
     };
@@ -65,19 +66,19 @@
         first_byte_at: ms(at),
         at: ms(at),
         remaining: ms(remaining),
-        turned_away: false,
+        rejected: false,
     }
 }
 
 fn rules(recording: &Recording) -> Vec<Rule> {
-    check(recording, COLD_START)
+    check(recording, SLOW_START_LIMIT)
         .into_iter()
-        .map(|find| find.rule)
+        .map(|violation| violation.rule)
         .collect()
 }
 
 #[test]
-fn recording_within_the_rules_has_no_finds() {
+fn recording_within_the_rules_has_no_violations() {
     assert_eq!(
         rules(&recording(Class::Write, OK, &[arrival(10_010, 980)])),
         []
@@ -101,7 +102,7 @@
         [Rule::Lost]
     );
     assert_eq!(
-        rules(&recording(Class::Read, End::Silent, &one)),
+        rules(&recording(Class::Read, End::TimedOut, &one)),
         [Rule::Lost]
     );
     assert_eq!(
@@ -114,7 +115,11 @@
         [Rule::RefusedAndRun]
     );
     assert_eq!(
-        rules(&recording(Class::Read, End::Left, &[arrival(10_400, 500)])),
+        rules(&recording(
+            Class::Read,
+            End::Cancelled,
+            &[arrival(10_400, 500)]
+        )),
         [Rule::AfterClientLeft]
     );
     assert_eq!(
@@ -124,35 +129,39 @@
 }
 
 #[test]
-fn request_to_a_draining_server_is_found_once_its_front_was_told() {
-    let change = |at: u64, told: Option<u64>| ListChange {
+fn request_to_a_draining_server_is_found_once_its_front_was_notified() {
+    let change = |at: u64, notified_at: Option<u64>| EndpointChange {
         server: 0,
         is_ready: false,
         at: ms(at),
-        notified_at: vec![told.map(ms)],
+        notified_at: vec![notified_at.map(ms)],
     };
-    let mut told = recording(Class::Read, OK, &[arrival(10_010, 980)]);
-    told.changes = vec![change(9_000, Some(9_100))];
-    assert_eq!(rules(&told), [Rule::Drain]);
-    told.changes = vec![change(9_000, None)];
-    assert_eq!(rules(&told), [], "it counts as told after six seconds");
-    told.changes = vec![change(3_000, None)];
-    assert_eq!(rules(&told), [Rule::Drain]);
-    // A process that started later counts as told from its first moment.
-    told.processes[0].started_at = ms(9_800);
-    assert_eq!(rules(&told), []);
+    let mut notified = recording(Class::Read, OK, &[arrival(10_010, 980)]);
+    notified.endpoint_changes = vec![change(9_000, Some(9_100))];
+    assert_eq!(rules(&notified), [Rule::Drain]);
+    notified.endpoint_changes = vec![change(9_000, None)];
+    assert_eq!(
+        rules(&notified),
+        [],
+        "it counts as notified after six seconds"
+    );
+    notified.endpoint_changes = vec![change(3_000, None)];
+    assert_eq!(rules(&notified), [Rule::Drain]);
+    // A process that started later counts as notified from its first moment.
+    notified.processes[0].started_at = ms(9_800);
+    assert_eq!(rules(&notified), []);
 }
 
 #[test]
-fn faults_of_processes_half_requests_and_cold_servers_are_found() {
+fn faults_of_processes_incomplete_requests_and_starting_servers_are_found() {
     let mut calm = recording(Class::Read, OK, &[arrival(10_010, 980)]);
-    calm.half_requests = vec![HalfRequest {
+    calm.incomplete_requests = vec![IncompleteRequest {
         front: 0,
         sent_at: ms(5_000),
         ended_at: Some(ms(8_400)),
     }];
     assert_eq!(rules(&calm), [Rule::HalfRequest]);
-    calm.half_requests.clear();
+    calm.incomplete_requests.clear();
     calm.processes[0].exit_code = None;
     assert_eq!(rules(&calm), [Rule::Crash]);
     calm.processes[0] = ProcessRecord {
@@ -167,8 +176,11 @@
     };
     assert_eq!(rules(&calm), [Rule::LateReady]);
     calm.processes[0] = process();
-    // It bears 8 requests in two seconds at first, and 19 with the allowance.
-    calm.starts = vec![(0, ms(12_000))];
+    // It may get 8 requests in two seconds at first, and 19 with the allowance.
+    calm.server_starts = vec![ServerStart {
+        server: 0,
+        at: ms(12_000),
+    }];
     calm.arrivals.extend((0..22).map(|n| Arrival {
         transaction: 100 + n,
         ..arrival(12_000 + n, 1)
@@ -177,11 +189,11 @@
 }
 
 #[test]
-fn seed_draws_the_same_troubles_each_time_and_they_overlap() {
+fn seed_has_the_same_faults_each_time_and_they_overlap() {
     let mut drawn: Vec<Fault> = Vec::new();
     for seed in 0..200 {
-        let faults = draw(seed);
-        let again: Vec<Fault> = draw(seed).iter().map(|entry| entry.fault).collect();
+        let faults = sample(seed);
+        let again: Vec<Fault> = sample(seed).iter().map(|entry| entry.fault).collect();
         assert_eq!(
             again,
             faults.iter().map(|entry| entry.fault).collect::<Vec<_>>()
