--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -1,7 +1,7 @@
-//! The command line of `tulipbridge-lab`.
+//! The command line of `tulipbridge-testbed`.
 //!
-//! Help texts, printed lines, exit codes and error sentences are those of earlier versions: scripts
-//! and stored reports depend on them.
+//! Printed results, exit codes and the names of columns are those of earlier versions: scripts and
+//! stored reports depend on them. Earlier names of commands, options and experiments are accepted.
 
 mod arguments;
 mod compare;
@@ -9,6 +9,7 @@
 mod error;
 mod files;
 mod list;
+mod local_fleet;
 mod mutations;
 mod progress;
 mod replay;
@@ -16,7 +17,6 @@
 mod run;
 mod simulate;
 mod sweep;
-mod up;
 
 use std::process::ExitCode;
 
@@ -36,6 +36,7 @@
 }
 
 impl Outcome {
+    /// The outcome of a check.
     fn of(is_valid: bool) -> Outcome {
         if is_valid {
             Outcome::Valid
@@ -52,17 +53,18 @@
         Ok(Outcome::Valid) => ExitCode::SUCCESS,
         Ok(Outcome::Invalid) => ExitCode::FAILURE,
         Err(error) => {
-            eprintln!("tulipbridge-lab: {error}");
+            eprintln!("tulipbridge-testbed: {error}");
             ExitCode::from(CANNOT_RUN)
         }
     }
 }
 
+/// Carries out a subcommand.
 fn run_command(command: Command) -> Result<Outcome, CliError> {
     match command {
         Command::List => Ok(list::print()),
         Command::Run(arguments) => run::run(&arguments),
-        Command::Up(arguments) => up::run(&arguments),
+        Command::LocalFleet(arguments) => local_fleet::run(&arguments),
         Command::Simulate(arguments) => simulate::run(&arguments),
         Command::Cost(arguments) => cost::run(&arguments),
         Command::Mutations(arguments) => mutations::run(&arguments),
--- a/crates/testbed/src/cli/arguments.rs
+++ b/crates/testbed/src/cli/arguments.rs
@@ -1,4 +1,6 @@
 //! The arguments of the program and of each subcommand.
+//!
+//! Doc comments of arguments are their help texts. Names of earlier versions stay as hidden aliases.
 
 use std::ops::Range;
 use std::path::PathBuf;
@@ -7,42 +9,39 @@
 
 use super::sweep::parse_seeds;
 
-/// Where a release build leaves the program.
+/// Where a release build leaves the program under test.
 const DEFAULT_PROGRAM: &str = "target/release/tulipbridge";
 /// Where schedules that failed are stored.
 const DEFAULT_SCHEDULES: &str = "target/lab";
 
-/// The arguments of the program.
+/// Runs many fronts, simulated or as processes, injects faults and checks the limits of the fleet.
 #[derive(Parser)]
-#[command(
-    name = "tulipbridge-lab",
-    version,
-    about = "Shows what many fronts do together when parts of the system fail"
-)]
+#[command(name = "tulipbridge-testbed", version, about)]
 pub struct Arguments {
     /// The subcommand.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// The subcommands.
+/// The subcommands. Their help texts are set explicitly, as the doc comments of their arguments would
+/// replace the doc comments here.
 #[derive(Subcommand)]
 pub enum Command {
     /// Lists the experiments and simulations.
-    #[command(about = "Names what can be simulated")]
     List,
     /// Runs an experiment with real processes.
-    #[command(
-        about = "Runs processes of the program: `cases` (loads, before and with peers), `hard` (each fault by name), `others` (limits that are no volume's), `sick` (a server that is bad), `verdicts` (schedules with bad servers), `soak` and `calm` (platform fronts under troubles that overlap, or none) or `faults` (schedules from seeds)"
-    )]
+    #[command(about = "Runs an experiment with processes of the program; `list` shows the names")]
     Run(RunArguments),
     /// Starts a testbed and keeps it until interrupted.
     #[command(
-        about = "Starts fronts that share a limit, with a chunk server, and keeps them until it is interrupted: to look round"
+        alias = "up",
+        about = "Starts fronts that share a limit, with a chunk server, and keeps them until interrupted"
     )]
-    Up(UpArguments),
+    LocalFleet(LocalFleetArguments),
     /// Runs a simulation for many seeds.
-    #[command(about = "Plays schedules of faults against the machines, in one process")]
+    #[command(
+        about = "Runs a simulation of the state machines under random fault schedules; `list` shows the names"
+    )]
     Simulate(SimulateArguments),
     /// Measures the cost of sharing limits.
     #[command(
@@ -51,16 +50,16 @@
     Cost(CostArguments),
     /// Finds the seed by which the simulations detect each mutation.
     #[command(
-        name = "bugs",
-        about = "Puts bugs into the machines, one at a time, and tells by which seed each is found (feature `seeded`)"
+        alias = "bugs",
+        about = "Prints by which seed the simulations detect each mutation (feature `mutations`)"
     )]
     Mutations(MutationsArguments),
     /// Runs a stored schedule.
-    #[command(about = "Plays a schedule that was kept")]
+    #[command(about = "Runs a stored schedule")]
     Replay(ReplayArguments),
     /// Compares two stored results.
     #[command(
-        about = "Compares what two runs kept as JSON, figure by figure; 1 where one differs beyond chance"
+        about = "Compares the JSON results of two runs by metric; exits with 1 if one differs significantly"
     )]
     Compare(CompareArguments),
 }
@@ -68,30 +67,19 @@
 /// The arguments of `run`.
 #[derive(Args)]
 pub struct RunArguments {
-    /// The name of the experiment.
-    #[arg(help = "Which")]
+    /// The experiment; `list` shows the names.
     pub name: String,
     /// The program under test.
-    #[arg(long, default_value = DEFAULT_PROGRAM, help = "The built program")]
+    #[arg(long, default_value = DEFAULT_PROGRAM)]
     pub program: PathBuf,
-    /// The seeds.
-    #[arg(long, default_value = "0..5", value_parser = parse_seeds, help = "The seeds, FROM..TO")]
+    /// The seeds, FROM..TO.
+    #[arg(long, default_value = "0..5", value_parser = parse_seeds)]
     pub seeds: Range<u64>,
     /// How many testbeds run at the same time.
-    #[arg(
-        long = "side-by-side",
-        value_name = "SIDE_BY_SIDE",
-        default_value_t = 4,
-        help = "Labs at once"
-    )]
+    #[arg(long, alias = "side-by-side", default_value_t = 4)]
     pub parallel: usize,
-    /// The numbers of fronts, for the experiment `sick`.
-    #[arg(
-        long,
-        value_delimiter = ',',
-        default_value = "4,8,24",
-        help = "How many fronts, of `sick` alone"
-    )]
+    /// The numbers of fronts, for `server-faults` only.
+    #[arg(long, value_delimiter = ',', default_value = "4,8,24")]
     pub fronts: Vec<usize>,
     /// Where the results go.
     #[command(flatten)]
@@ -101,77 +89,50 @@
 /// Where the results of an experiment are stored.
 #[derive(Args)]
 pub struct ResultArguments {
-    /// A JSON file for the rows.
-    #[arg(long, help = "As JSON, an array of rows")]
+    /// A file for the results as JSON, an array of rows.
+    #[arg(long)]
     pub json: Option<PathBuf>,
-    /// A Parquet file for the rows.
-    #[arg(
-        long,
-        help = "As Parquet, with the commit, the seeds and the program's version"
-    )]
+    /// A file for the results as Parquet, with the commit, the seeds and the program's version.
+    #[arg(long)]
     pub parquet: Option<PathBuf>,
-    /// An SVG file for a chart.
-    #[arg(long, help = "A picture of one figure")]
+    /// A file for a chart of one metric, as SVG.
+    #[arg(long)]
     pub svg: Option<PathBuf>,
-    /// The column that the chart shows.
-    #[arg(
-        long,
-        default_value = "beyond",
-        help = "Which figure the picture is of"
-    )]
-    pub figure: String,
+    /// The metric that the chart shows.
+    #[arg(long, alias = "figure", default_value = "beyond")]
+    pub metric: String,
     /// A directory for schedules that failed.
-    #[arg(
-        long = "keep",
-        value_name = "KEEP",
-        default_value = DEFAULT_SCHEDULES,
-        help = "Where schedules that failed go"
-    )]
+    #[arg(long = "failed-schedules", alias = "keep", value_name = "DIRECTORY", default_value = DEFAULT_SCHEDULES)]
     pub schedules: PathBuf,
 }
 
-/// The arguments of `up`.
+/// The arguments of `local-fleet`.
 #[derive(Args)]
-pub struct UpArguments {
+pub struct LocalFleetArguments {
     /// How many fronts there are.
-    #[arg(long, default_value_t = 4, help = "How many fronts")]
+    #[arg(long, default_value_t = 4)]
     pub fronts: usize,
     /// The load of the first front, in reads a second.
-    #[arg(
-        long,
-        default_value_t = 160,
-        help = "Reads a second that come to the first of them"
-    )]
+    #[arg(long, default_value_t = 160)]
     pub load: u32,
     /// The program under test.
-    #[arg(long, default_value = DEFAULT_PROGRAM, help = "The built program")]
+    #[arg(long, default_value = DEFAULT_PROGRAM)]
     pub program: PathBuf,
 }
 
 /// The arguments of `simulate`.
 #[derive(Args)]
 pub struct SimulateArguments {
-    /// The name of the simulation.
-    #[arg(help = "Which, such as limits")]
+    /// The simulation; `list` shows the names.
     pub name: String,
-    /// The seeds of the schedules.
-    #[arg(
-        long,
-        default_value = "0..2000",
-        value_parser = parse_seeds,
-        help = "The seeds that schedules are drawn from, FROM..TO"
-    )]
+    /// The seeds of the schedules, FROM..TO.
+    #[arg(long, default_value = "0..2000", value_parser = parse_seeds)]
     pub seeds: Range<u64>,
-    /// A JSON file for the reports.
-    #[arg(long, help = "Where what was seen goes, as JSON")]
+    /// A file for the reports, as JSON.
+    #[arg(long)]
     pub json: Option<PathBuf>,
-    /// A directory for schedules that failed.
-    #[arg(
-        long = "keep",
-        value_name = "KEEP",
-        default_value = DEFAULT_SCHEDULES,
-        help = "Where schedules that failed are kept, shrunk to what the failure needs"
-    )]
+    /// A directory for schedules that failed, reduced to the steps that the failure needs.
+    #[arg(long = "failed-schedules", alias = "keep", value_name = "DIRECTORY", default_value = DEFAULT_SCHEDULES)]
     pub schedules: PathBuf,
 }
 
@@ -179,47 +140,24 @@
 #[derive(Args)]
 pub struct CostArguments {
     /// The numbers of fronts.
-    #[arg(
-        long,
-        value_delimiter = ',',
-        default_value = "4,30,300",
-        help = "Fronts"
-    )]
+    #[arg(long, value_delimiter = ',', default_value = "4,30,300")]
     pub fronts: Vec<u16>,
-    /// The numbers of volumes.
-    #[arg(
-        long,
-        value_delimiter = ',',
-        default_value = "1,300",
-        help = "Volumes that each front is asked for"
-    )]
+    /// The numbers of volumes for which each front has demand.
+    #[arg(long, value_delimiter = ',', default_value = "1,300")]
     pub volumes: Vec<u64>,
-    /// How many rounds are measured.
-    #[arg(
-        long = "beats",
-        value_name = "BEATS",
-        default_value_t = 10,
-        help = "Beats that are measured"
-    )]
+    /// How many heartbeat rounds are measured.
+    #[arg(long, alias = "beats", default_value_t = 10)]
     pub rounds: u32,
 }
 
-/// The arguments of `bugs`.
+/// The arguments of `mutations`.
 #[derive(Args)]
 pub struct MutationsArguments {
-    /// The most schedules for each mutation.
-    #[arg(
-        long = "most",
-        value_name = "MOST",
-        default_value_t = 4000,
-        help = "Most schedules for each"
-    )]
+    /// The maximum number of schedules for each mutation.
+    #[arg(long, alias = "most", default_value_t = 4000)]
     pub max_schedules: u64,
-    /// Whether outlier detection is mutated.
-    #[arg(
-        long = "verdicts",
-        help = "Into the machine of verdicts, instead of that of limits"
-    )]
+    /// Mutates outlier detection instead of fleet limits.
+    #[arg(long, alias = "verdicts")]
     pub outlier_detection: bool,
 }
 
@@ -227,34 +165,23 @@
 #[derive(Args)]
 pub struct ReplayArguments {
     /// The file with the schedule.
-    #[arg(help = "Its file")]
     pub file: PathBuf,
-    /// Whether real processes run the schedule.
-    #[arg(
-        long,
-        help = "With processes of the program, instead of the machines in one"
-    )]
+    /// Runs processes of the program instead of the simulation.
+    #[arg(long)]
     pub processes: bool,
     /// The program under test.
-    #[arg(long, default_value = DEFAULT_PROGRAM, help = "The built program")]
+    #[arg(long, default_value = DEFAULT_PROGRAM)]
     pub program: PathBuf,
 }
 
 /// The arguments of `compare`.
 #[derive(Args)]
 pub struct CompareArguments {
-    /// The earlier results.
-    #[arg(help = "The earlier one")]
+    /// The file with the earlier results.
     pub first: PathBuf,
-    /// The later results.
-    #[arg(help = "The later one")]
+    /// The file with the later results.
     pub second: PathBuf,
-    /// The level of significance.
-    #[arg(
-        long = "chance",
-        value_name = "CHANCE",
-        default_value_t = 0.01,
-        help = "Reorderings of which fewer than this part differ as much are beyond chance"
-    )]
+    /// The level of significance: p-values below it are significant.
+    #[arg(long, alias = "chance", default_value_t = 0.01)]
     pub significance: f64,
 }
--- a/crates/testbed/src/cli/error.rs
+++ b/crates/testbed/src/cli/error.rs
@@ -40,7 +40,7 @@
     Table(#[from] TableError),
     /// The program was built without mutations.
     #[cfg(not(feature = "mutations"))]
-    #[error("bugs are put in only in a build with the feature `seeded`")]
+    #[error("mutations need a build with the feature `mutations`")]
     WithoutMutations,
 }
 
--- a/crates/testbed/src/cli/up.rs
+++ b/crates/testbed/src/cli/local_fleet.rs
@@ -1,9 +1,9 @@
-//! The command `up`: a testbed that runs until it is interrupted.
+//! The command `local-fleet`: a testbed that runs until it is interrupted.
 
 use std::path::Path;
 use std::time::Duration;
 
-use super::arguments::UpArguments;
+use super::arguments::LocalFleetArguments;
 use super::error::CliError;
 use super::Outcome;
 use crate::parallel::block_on_local;
@@ -15,12 +15,13 @@
 const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Runs the command.
-pub fn run(arguments: &UpArguments) -> Result<Outcome, CliError> {
+pub fn run(arguments: &LocalFleetArguments) -> Result<Outcome, CliError> {
     block_on_local(run_until_interrupted(arguments))??;
     Ok(Outcome::Valid)
 }
 
-async fn run_until_interrupted(arguments: &UpArguments) -> Result<(), TestbedError> {
+/// Starts the testbed and reports what it serves until the user interrupts it.
+async fn run_until_interrupted(arguments: &LocalFleetArguments) -> Result<(), TestbedError> {
     let fronts = arguments.fronts.max(1);
     let config = TestbedConfig::new(fronts, Sharing::Peers, SEED);
     let testbed = Testbed::start_all(&arguments.program, config).await?;
@@ -44,6 +45,7 @@
     }
 }
 
+/// Prints where the clients and the console of each front connect.
 fn print_addresses(testbed: &Testbed, fronts: usize, program: &Path) {
     for front in 0..fronts {
         let addresses = testbed
--- a/crates/testbed/src/cli/results.rs
+++ b/crates/testbed/src/cli/results.rs
@@ -24,7 +24,7 @@
             table.write_parquet(file, &origin(seeds))?;
         }
         if let Some(file) = &self.svg {
-            chart(&table, &self.figure, file)?;
+            chart(&table, &self.metric, file)?;
         }
         Ok(())
     }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `tulipbridge-lab`.
+//! The program `tulipbridge-testbed`.
 
 use std::process::ExitCode;
 
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -24,17 +24,39 @@
 use tulipbridge_testbed::tcp_proxy::LinkState;
 
 /// The name of the program.
-const PROGRAM: &str = "tulipbridge-lab";
+const PROGRAM: &str = "tulipbridge-testbed";
 /// Its subcommands.
 const SUBCOMMANDS: [&str; 8] = [
-    "list", "run", "up", "simulate", "cost", "bugs", "replay", "compare",
+    "list",
+    "run",
+    "local-fleet",
+    "simulate",
+    "cost",
+    "mutations",
+    "replay",
+    "compare",
 ];
+/// Earlier names of subcommands.
+const EARLIER_SUBCOMMANDS: [&str; 2] = ["up", "bugs"];
 /// The names that `run` accepts.
 const EXPERIMENTS: [&str; 8] = [
-    "cases", "hard", "others", "sick", "verdicts", "soak", "calm", "faults",
+    "load-cases",
+    "fault-cases",
+    "shared-limits",
+    "server-faults",
+    "outlier-schedules",
+    "soak",
+    "soak-without-faults",
+    "fault-schedules",
+];
+/// Earlier names that `run` accepts.
+const EARLIER_EXPERIMENTS: [&str; 7] = [
+    "cases", "hard", "others", "sick", "verdicts", "calm", "faults",
 ];
 /// The names that `simulate` accepts.
-const SIMULATIONS: [&str; 3] = ["limits", "entries", "verdicts"];
+const SIMULATIONS: [&str; 3] = ["limits", "gossip", "outliers"];
+/// Earlier names that `simulate` accepts.
+const EARLIER_SIMULATIONS: [&str; 2] = ["entries", "verdicts"];
 /// The exit code of a command that cannot be carried out.
 const CANNOT_RUN: i32 = 2;
 /// The stored schedule.
@@ -73,7 +95,7 @@
 
 /// Runs the program.
 fn run_program(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_tulipbridge-lab"))
+    Command::new(env!("CARGO_BIN_EXE_tulipbridge-testbed"))
         .args(arguments)
         .output()
         .expect("it runs")
@@ -406,7 +428,7 @@
 /// must not.
 #[test]
 fn run_accepts_its_names() {
-    for name in EXPERIMENTS {
+    for name in EXPERIMENTS.iter().chain(&EARLIER_EXPERIMENTS) {
         let output = run_program(&[
             "run",
             name,
@@ -424,20 +446,47 @@
     let output = run_program(&["run", "another", "--seeds", "0..1"]);
     assert_eq!(
         String::from_utf8_lossy(&output.stderr),
-        "tulipbridge-lab: there is no another; `list` names them\n"
+        "tulipbridge-testbed: there is no another; `list` names them\n"
     );
 }
 
 #[test]
 fn simulate_accepts_its_names() {
-    for name in SIMULATIONS {
+    for name in SIMULATIONS.iter().chain(&EARLIER_SIMULATIONS) {
         stdout_of(&["simulate", name, "--seeds", "0..1"]);
     }
     let output = run_program(&["simulate", "another", "--seeds", "0..1"]);
     assert_eq!(output.status.code(), Some(CANNOT_RUN));
 }
 
-/// The names that `bugs` prints, of fleet limits and of outlier detection.
+/// Scripts written for an earlier version pass subcommands and options by their earlier names.
+#[test]
+fn earlier_names_of_commands_and_options_are_accepted() {
+    for command in EARLIER_SUBCOMMANDS {
+        stdout_of(&[command, "--help"]);
+    }
+    let stored = golden_path(LOAD_CASES_FILE);
+    let stored = stored.to_str().expect("the path is UTF-8");
+    stdout_of(&["compare", stored, stored, "--chance", "0.01"]);
+    let cost = ["cost", "--fronts", "2", "--volumes", "1", "--beats", "1"];
+    stdout_of(&cost);
+    stdout_of(&["simulate", "limits", "--seeds", "0..1", "--keep", "unused"]);
+    let bugs = run_program(&["bugs", "--most", "0", "--verdicts"]);
+    assert_options_are_known(&bugs);
+    let mut run = vec!["run", "hard", "--seeds", "0..1"];
+    run.extend(["--program", "no-such-program", "--side-by-side", "1"]);
+    run.extend(["--figure", "served", "--keep", "unused"]);
+    assert_options_are_known(&run_program(&run));
+}
+
+/// An argument that the parser rejects is named in the error.
+#[track_caller]
+fn assert_options_are_known(output: &Output) {
+    let error = String::from_utf8_lossy(&output.stderr);
+    assert!(!error.contains("unexpected argument"), "{error}");
+}
+
+/// The names that `mutations` prints, of fleet limits and of outlier detection.
 #[test]
 fn mutations_keep_their_names() {
     let limits = tulipbridge_fleet_limits::mutations::ALL
