--- a/crates/testbed/src/simulation/gossip.rs
+++ b/crates/testbed/src/simulation/gossip.rs
@@ -32,13 +32,6 @@
 /// Distinguishes the random choices here from those of other simulations of the same schedule.
 const SEED_SALT: u64 = 0xe27;
 
-/// The version up to which a front has received the entries of another.
-#[derive(Clone, Copy)]
-struct KnownVersion {
-    incarnation: Incarnation,
-    version: u64,
-}
-
 /// Gossip that a front sent.
 struct SentGossip {
     at: Nanos,
@@ -235,13 +228,9 @@
             let Some(known) = running.peer.gossip.known(origin) else {
                 continue;
             };
-            let known = KnownVersion {
-                incarnation,
-                version,
-            };
             let previous = running.state.known.insert(origin, known);
             let went_back = previous.is_some_and(|previous| {
-                previous.incarnation == incarnation && version < previous.version
+                previous.incarnation == known.incarnation && known.version < previous.version
             });
             self.report.inconsistent |= went_back;
             for id in 0..KEYS {
--- a/crates/testbed/src/simulation/outliers.rs
+++ b/crates/testbed/src/simulation/outliers.rs
@@ -95,8 +95,8 @@
 }
 
 /// The zone of a front: fronts are in two zones in turn.
-fn zone_of(front: usize) -> Zone {
-    (front % 2) as Zone
+fn zone_of(front: usize) -> ZoneId {
+    (front % 2) as ZoneId
 }
 
 impl<'a> OutlierSimulation<'a> {
@@ -340,7 +340,7 @@
     }
 
     /// Sends a health check to a server and gives the detector its outcome.
-    fn probe(&mut self, front: usize, server: Server) {
+    fn probe(&mut self, front: usize, server: ServerId) {
         self.probes.push(Probe {
             at: self.fleet.now,
             server,
--- a/crates/testbed/src/simulation/outliers/audit.rs
+++ b/crates/testbed/src/simulation/outliers/audit.rs
@@ -20,7 +20,7 @@
     /// When each front last published a vote for an ejection.
     votes: BTreeMap<(usize, EjectionTarget), Nanos>,
     /// When each front last published evidence on a server.
-    evidence: BTreeMap<(usize, Server), Nanos>,
+    evidence: BTreeMap<(usize, ServerId), Nanos>,
 }
 
 impl VoteAudit {
--- a/crates/testbed/src/simulation/outliers/scenario.rs
+++ b/crates/testbed/src/simulation/outliers/scenario.rs
@@ -16,9 +16,9 @@
     #[serde(rename = "All")]
     Failing(u32),
     /// All attempts of fronts in one zone fail.
-    Zone(ZoneId),
+    ZoneId(ZoneId),
     /// All attempts of one class fail.
-    Class(ClassId),
+    ClassId(ClassId),
 }
 
 /// What is wrong with a front.
@@ -40,7 +40,7 @@
 
 /// A server with a fault. Serialized as an array, as in stored results.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-#[serde(into = "(u64, Server, ServerFault)")]
+#[serde(into = "(u64, ServerId, ServerFault)")]
 pub struct FaultyServer {
     /// When the fault begins, in milliseconds; it lasts until the schedule ends.
     pub from_ms: u64,
@@ -50,7 +50,7 @@
     pub fault: ServerFault,
 }
 
-impl From<FaultyServer> for (u64, Server, ServerFault) {
+impl From<FaultyServer> for (u64, ServerId, ServerFault) {
     fn from(faulty: FaultyServer) -> Self {
         (faulty.from_ms, faulty.server, faulty.fault)
     }
@@ -117,9 +117,9 @@
     /// is a random number below 1,000.
     pub fn attempt_fails(
         &self,
-        server: Server,
-        zone: Zone,
-        class: Class,
+        server: ServerId,
+        zone: ZoneId,
+        class: ClassId,
         at_ms: u64,
         random: u32,
     ) -> bool {
@@ -129,8 +129,8 @@
             .filter(|f| f.server == server && at_ms >= f.from_ms);
         active.into_iter().any(|faulty| match faulty.fault {
             ServerFault::Failing(per_mille) => random < per_mille,
-            ServerFault::Zone(faulty_zone) => faulty_zone == zone,
-            ServerFault::Class(faulty_class) => faulty_class == class,
+            ServerFault::ZoneId(faulty_zone) => faulty_zone == zone,
+            ServerFault::ClassId(faulty_class) => faulty_class == class,
         })
     }
 
@@ -149,18 +149,18 @@
             .into_iter()
             .any(|faulty| match (target.scope, faulty.fault) {
                 (_, ServerFault::Failing(_)) => true,
-                (Scope::Zone(zone), ServerFault::Zone(faulty_zone)) => zone == faulty_zone,
-                (Scope::Class(class), ServerFault::Class(faulty_class)) => class == faulty_class,
+                (Scope::ZoneId(zone), ServerFault::ZoneId(faulty_zone)) => zone == faulty_zone,
+                (Scope::ClassId(class), ServerFault::ClassId(faulty_class)) => class == faulty_class,
                 // The work of one class is part of all work; the fronts of another zone are not.
-                (Scope::All | Scope::Zone(_), ServerFault::Class(_)) => true,
+                (Scope::All | Scope::ZoneId(_), ServerFault::ClassId(_)) => true,
                 _ => false,
             })
     }
 
     /// Whether a server fails for the fronts of both zones by separate faults.
-    fn fails_in_every_zone(&self, server: Server) -> bool {
-        let fails_in = |zone: Zone| {
-            let fault = ServerFault::Zone(zone);
+    fn fails_in_every_zone(&self, server: ServerId) -> bool {
+        let fails_in = |zone: ZoneId| {
+            let fault = ServerFault::ZoneId(zone);
             self.faulty_servers
                 .iter()
                 .any(|faulty| faulty.server == server && faulty.fault == fault)
@@ -181,8 +181,8 @@
 fn sample_faulty_server(rng: &mut Rng) -> FaultyServer {
     let fault = match rng.u8(0..6) {
         0..=2 => ServerFault::Failing([1_000, 600, 300][rng.usize(0..3)]),
-        3 => ServerFault::Zone(ZoneId(rng.u8(0..2))),
-        4 => ServerFault::Class(ClassId(rng.u8(0..CLASSES))),
+        3 => ServerFault::ZoneId(ZoneId(rng.u8(0..2))),
+        4 => ServerFault::ClassId(ClassId(rng.u8(0..CLASSES))),
         _ => ServerFault::Failing(1_000),
     };
     let from_ms = rng.u64(2_000..8_000);
