--- a/crates/core/src/ejection.rs
+++ b/crates/core/src/ejection.rs
@@ -4,8 +4,8 @@
 
 use std::hash::{Hash, Hasher};
 
-use crate::interface::{ClassSet, Listed, Nanos, NodeId, Request, Semantics, ShardId};
-use crate::state::{LiveRequest, Node, Scheduler};
+use crate::interface::{ClassSet, Nanos, NodeId, Request, Semantics, Settings, ShardId};
+use crate::policy::{Node, NodeTable};
 
 /// Timely results in a row of this front that readmit a server here: as many as successful probes
 /// readmit it for all.
@@ -43,6 +43,11 @@
         now < self.probe_until
     }
 
+    /// Sends the next idempotent request to the server as a probe, once and until a time.
+    pub fn request_probe(&mut self, until: Nanos) {
+        self.probe_until = until;
+    }
+
     /// Records that a request was sent that serves as the probe.
     pub fn record_probe(&mut self) {
         self.probe_until = 0;
@@ -60,6 +65,22 @@
         }
     }
 
+    /// Replaces the classes for which the fleet ejects the server. Returns whether it is
+    /// readmitted.
+    fn replace_classes(&mut self, classes: ClassSet) -> bool {
+        let before = std::mem::replace(&mut self.ejected_for, classes);
+        let was_ejected = before != ClassSet::NONE;
+        let is_ejected = classes != ClassSet::NONE;
+        if !was_ejected && is_ejected {
+            self.consecutive_successes = 0;
+        }
+        let is_readmitted = was_ejected && !is_ejected;
+        if is_readmitted {
+            self.record_probe();
+        }
+        is_readmitted
+    }
+
     /// Hashes all that later decisions depend on.
     pub fn fingerprint<H: Hasher>(&self, now: Nanos, h: &mut H) {
         let consecutive_successes = self.consecutive_successes.min(READMIT_AFTER_SUCCESSES);
@@ -72,69 +93,63 @@
     }
 }
 
-impl Scheduler {
-    /// Applies the classes for which a server is ejected. A readmitted server warms up, as all
-    /// fronts would send to it at once.
-    pub(crate) fn apply_ejection(&mut self, at: NodeId, classes: ClassSet) {
-        let now = self.now;
-        let Some(node) = self.nodes.get_mut(&at) else {
-            return;
-        };
-        let before = std::mem::replace(&mut node.ejection.ejected_for, classes);
-        if before == ClassSet::NONE && classes != ClassSet::NONE {
-            node.ejection.consecutive_successes = 0;
-        }
-        if before != ClassSet::NONE && classes == ClassSet::NONE {
-            node.ejection.record_probe();
-            if node.warmup_since.is_none() {
-                node.start_warmup(now, now + READMIT_WARMUP);
-                node.warmup_budget = 0.0;
-                self.activate(at);
-            }
+impl Node {
+    /// Applies the classes for which the fleet ejects the server. A readmitted server warms up, as
+    /// all fronts would send to it at once. Returns whether a warm-up has begun.
+    pub(crate) fn apply_ejection(&mut self, now: Nanos, classes: ClassSet) -> bool {
+        let is_readmitted = self.ejection.replace_classes(classes);
+        if !is_readmitted || self.slow_start.is_active() {
+            return false;
         }
+        self.start_warmup(now, now + READMIT_WARMUP, 0.0);
+        true
     }
+}
 
-    /// Sends the next idempotent request to a server as a probe, once.
-    pub(crate) fn apply_probe(&mut self, at: NodeId, until: Nanos) {
-        self.nodes
-            .entry(at)
-            .and_modify(|node| node.ejection.probe_until = until);
-    }
-
+impl NodeTable {
     /// Whether an ejection keeps a request from a server: a new object while any other server takes
     /// it, stored data while its shard has another server. The last one still gets what only it can
     /// serve.
-    pub(crate) fn is_blocked(&self, live: &LiveRequest, at: NodeId) -> bool {
-        let (class, node) = (live.request.class, &self.nodes[&at]);
-        let is_probe = node.ejection.is_probe_due(self.now) && self.may_probe(&live.request);
-        if !node.ejection.is_ejected(class) || is_probe {
+    pub(crate) fn is_blocked(
+        &self,
+        now: Nanos,
+        request: &Request,
+        at: NodeId,
+        settings: &Settings,
+    ) -> bool {
+        let node = &self[at];
+        let is_probe = node.ejection.is_probe_due(now) && settings.may_probe(request);
+        if !node.ejection.is_ejected(request.class) || is_probe {
             return false;
         }
-        let accepts = |node: &Node| !node.ejection.is_ejected(class);
-        match live.request.shard {
+        let accepts = |node: &Node| !node.ejection.is_ejected(request.class);
+        match request.shard {
             Some(shard) => self.up_nodes(shard).any(|(_, node)| accepts(node)),
-            None => self
-                .nodes
-                .values()
-                .any(|node| node.listed == Listed::Up && accepts(node)),
+            None => self.values().any(|node| node.is_up() && accepts(node)),
         }
     }
 
     /// The shard of a server that is to be probed, for a request that may be the probe.
-    pub(crate) fn shard_to_probe(&self, request: &Request) -> Option<ShardId> {
-        if !self.may_probe(request) {
+    pub(crate) fn shard_to_probe(
+        &self,
+        now: Nanos,
+        request: &Request,
+        settings: &Settings,
+    ) -> Option<ShardId> {
+        if !settings.may_probe(request) {
             return None;
         }
         let has_capacity =
-            |node: &Node| !node.is_full() && self.warmup_quota(node) >= request.units;
-        let is_due = |node: &&Node| {
-            node.ejection.is_probe_due(self.now) && node.listed == Listed::Up && has_capacity(node)
-        };
-        self.nodes.values().find(is_due).map(|node| node.shard)
+            |node: &Node| !node.is_full() && node.warmup_quota(now, settings) >= request.units;
+        let is_due =
+            |node: &&Node| node.ejection.is_probe_due(now) && node.is_up() && has_capacity(node);
+        self.values().find(is_due).map(Node::shard)
     }
+}
 
+impl Settings {
     /// Whether a request may be a probe: only if it may be repeated.
     pub(crate) fn may_probe(&self, request: &Request) -> bool {
-        self.settings.classes[request.class].semantics == Semantics::Idempotent
+        self.classes[request.class].semantics == Semantics::Idempotent
     }
 }
--- a/crates/core/src/fleet_limits.rs
+++ b/crates/core/src/fleet_limits.rs
@@ -6,7 +6,8 @@
 use std::hash::{Hash, Hasher};
 
 use crate::interface::Nanos;
-use crate::state::{Node, RateLimit, TokenBucket};
+use crate::policy::Node;
+use crate::state::{RateLimit, TokenBucket};
 
 /// Added to a limit on requests in flight, so that rounding does not take a whole request away. A
 /// thousand fronts with this much more send no whole request more.
@@ -133,6 +134,6 @@
 
 fn hash_bucket<H: Hasher>(bucket: Option<&TokenBucket>, now: Nanos, h: &mut H) {
     bucket
-        .map(|bucket| (bucket.rate.to_bits(), bucket.level_at(now).to_bits()))
+        .map(|bucket| (bucket.rate().to_bits(), bucket.level_at(now).to_bits()))
         .hash(h);
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -94,4 +94,5 @@
 mod state;
 
 pub use interface::*;
-pub use state::{Rate, Scheduler};
+pub use policy::{NodeCounts, Scheduler};
+pub use state::Rate;
--- a/crates/core/src/policy/admission.rs
+++ b/crates/core/src/policy/admission.rs
@@ -1,233 +1,190 @@
 //! Admission control by goodput over all chunk servers, as each of many fronts seldom meets one of
-//! them. A timely answer earns its server the next request. Beyond these credits an AIMD rate limit
-//! holds while many attempts fail, and admits the requests of the highest value. This prevents
-//! congestion collapse. It also learns how long clients wait where they leave early, against work
-//! for clients that are gone.
+//! them. A timely answer earns its server a credit for the next request. Beyond these credits an
+//! AIMD rate limit holds while many attempts fail, and admits the requests of the highest value.
+//! This prevents congestion collapse.
 
-use super::{health::SILENCE_MIN, Actions, SECOND};
-use crate::interface::{Action, Nanos, NodeId, Outcome, Request, RequestId, Semantics};
-use crate::state::{moving_average, LiveRequest, Node, Scheduler, SentAttempt};
+use std::collections::VecDeque;
+use std::hash::{Hash, Hasher};
 
-pub(super) const RATE_MEMORY_NS: f64 = 1e9;
+use super::SECOND;
+use crate::interface::Nanos;
+use crate::state::Rate;
+
+/// Time constant, in nanoseconds, of the rates of requests, results and sends.
+const RATE_MEMORY_NS: f64 = 1e9;
+/// Most weight of one result in the failure ratio, while results are few.
 const FAILURE_RATIO_ALPHA: f64 = 0.2;
+/// Time constant, in nanoseconds, of the failure ratio while results are many.
 const FAILURE_RATIO_MEMORY_NS: f64 = 6e8;
-/// An attempt in flight for this fraction of the tightest objective, and for a silence, has failed.
-const FAILED_OBJECTIVE_FRACTION: f64 = 0.6;
-/// Up to this failure ratio some servers are in trouble, which is no reason to reject work for the
+/// Up to this failure ratio some servers are faulty, which is no reason to reject work for the
 /// others.
 const TOLERATED_FAILURE_RATIO: f64 = 0.3;
+/// From this failure ratio on, late attempts of little value are cut off.
+const CUT_OFF_FAILURE_RATIO: f64 = 0.1;
 /// A success raises the limit by this fraction of the step by which a failure reduces it.
 const RATE_LIMIT_GROWTH: f64 = 0.5;
 /// The limit leaves all fronts together this many requests per second and server, to notice a
 /// recovery.
 const MIN_REQUESTS_PER_NODE: f64 = 3.0;
-const MAX_CREDIT: f64 = 2.0;
+/// Most requests that the timely answers of one server admit.
+const CREDIT_MAX: f64 = 2.0;
+/// The number of recent requests among which a request is ranked by its value.
 const RANKED_RECENT_REQUESTS: usize = 64;
-const SHORTER_WAIT_ALPHA: f64 = 0.1;
-const LONGER_WAIT_ALPHA: f64 = 0.02;
-const ABANDON_RATIO_ALPHA: f64 = 0.03;
-const ABANDON_RATIO_MEMORY_NS: f64 = 2e10;
-const ABANDON_RATIO_MIN: f64 = 0.3;
-/// A client that leaves before this fraction of the objective did not wait for an answer.
-const WAITED_OBJECTIVE_FRACTION: f64 = 0.25;
-/// Each of two similar waits is at least this fraction of the other.
-const SIMILAR_WAIT_FRACTION: f64 = 0.5;
-
-impl Scheduler {
-    pub(super) fn admit(&mut self, request: &Request) -> bool {
-        let draw = self.random.f64();
-        let has_credit =
-            |node: &Node| node.is_up() && node.is_healthy() && node.admission_credit >= 1.0;
-        let is_credited = match request.shard {
-            Some(shard) => self.preferred_node(shard).is_some_and(has_credit),
-            None => self.nodes.values().any(has_credit),
+
+/// Whether a request is admitted, and why.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum AdmissionDecision {
+    /// A server of its shard has a credit.
+    AdmittedByCredit,
+    /// The rate limit leaves room for a request of its value.
+    AdmittedByRateLimit,
+    /// The rate limit leaves no room for a request of its value.
+    RejectedByRateLimit,
+}
+
+impl AdmissionDecision {
+    /// Whether the request is admitted.
+    pub fn is_admitted(self) -> bool {
+        self != AdmissionDecision::RejectedByRateLimit
+    }
+}
+
+/// Requests that the timely answers of one server admit.
+#[derive(Clone, Debug)]
+pub(crate) struct AdmissionCredit(f64);
+
+impl AdmissionCredit {
+    /// The credit of a server without results: one request.
+    pub fn new() -> AdmissionCredit {
+        AdmissionCredit(1.0)
+    }
+
+    /// Whether the server admits a request.
+    pub fn is_available(&self) -> bool {
+        self.0 >= 1.0
+    }
+
+    /// Uses the credit of a request, as far as there is any.
+    pub fn spend(&mut self) {
+        self.0 = (self.0 - 1.0).max(0.0);
+    }
+
+    /// A timely answer earns a credit, a failure takes all.
+    pub fn record_result(&mut self, failed: bool) {
+        self.0 = if failed {
+            0.0
+        } else {
+            (self.0 + 1.0).min(CREDIT_MAX)
         };
-        if is_credited {
-            return true;
+    }
+
+    /// Hashes all that later decisions depend on.
+    pub fn fingerprint<H: Hasher>(&self, hasher: &mut H) {
+        self.0.to_bits().hash(hasher);
+    }
+}
+
+/// Admission control over all chunk servers.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct AdmissionControl {
+    /// Requests per second admitted without credit; absent is no limit.
+    rate_limit: Option<f64>,
+    /// Moving average of the attempts that were not answered in time.
+    failure_ratio: f64,
+    /// Rate of requests received without credit.
+    uncredited_requests: Rate,
+    /// Rate of attempts whose result was counted.
+    results: Rate,
+    /// Rate of attempts sent without credit.
+    uncredited_sends: Rate,
+    /// Value per unit of work of the latest requests.
+    recent_values: VecDeque<f64>,
+}
+
+impl AdmissionControl {
+    /// Decides on a request for which no server has a credit, by its value per unit of work.
+    /// `draw` is uniform in 0..1.
+    pub fn decide_uncredited(&mut self, now: Nanos, value: f64, draw: f64) -> AdmissionDecision {
+        self.uncredited_requests.count(now, RATE_MEMORY_NS);
+        if self.rank(value, draw) < self.admitted_fraction(now) {
+            AdmissionDecision::AdmittedByRateLimit
+        } else {
+            AdmissionDecision::RejectedByRateLimit
         }
-        let value = self.share_value(request) * self.full_value_per_work(request);
-        self.admission
-            .uncredited_requests
-            .count(self.now, RATE_MEMORY_NS);
-        self.admission.rank(value, draw, RANKED_RECENT_REQUESTS) < self.admitted_fraction()
     }
 
     /// The fraction of the requests without credit that the limit admits; all of them from 1 on.
-    pub(super) fn admitted_fraction(&self) -> f64 {
-        let requests = self
-            .admission
-            .uncredited_requests
-            .now(self.now, RATE_MEMORY_NS);
-        self.admission.rate_limit.map_or(f64::INFINITY, |limit| {
+    pub fn admitted_fraction(&self, now: Nanos) -> f64 {
+        let requests = self.uncredited_requests.now(now, RATE_MEMORY_NS);
+        self.rate_limit.map_or(f64::INFINITY, |limit| {
             limit / requests.max(f64::MIN_POSITIVE)
         })
     }
 
-    /// Counts the outcome of an attempt, unless it was counted while in flight or lost on its way.
-    pub(super) fn count_outcome(
-        &mut self,
-        at: NodeId,
-        outcome: Outcome,
-        took: Nanos,
-        sent: &SentAttempt,
-    ) {
-        let counts = matches!(
-            outcome,
-            Outcome::Served | Outcome::Rejected | Outcome::TimedOut
-        );
-        if counts && !sent.counted && sent.sent_at >= self.nodes[&at].newest_answered_send {
-            let failed = outcome != Outcome::Served || sent.sent_at + took > sent.due_at;
-            self.count_result(at, sent.class, failed);
-        }
-    }
-
-    /// Counts overdue attempts as failed before any outcome, as a server without answers shows
-    /// nothing else.
-    pub(super) fn count_overdue(&mut self) {
-        let mut overdue = Vec::new();
-        for id in &self.active_nodes {
-            let Some(node) = self.nodes.get_mut(id) else {
-                continue;
-            };
-            let overtaken_before = node.newest_answered_send;
-            for sent in node
-                .in_flight
-                .values_mut()
-                .filter(|s| !s.counted && self.now > s.due_at)
-            {
-                sent.counted = true;
-                // One that a later one overtook was lost on its way, which is no sign of the
-                // server's load.
-                overdue.extend((sent.sent_at >= overtaken_before).then_some((*id, sent.class)));
-            }
-        }
-        for (at, class) in overdue {
-            self.count_result(at, class, true);
-        }
+    /// Records an attempt that is sent without credit.
+    pub fn record_uncredited_send(&mut self, now: Nanos) {
+        self.uncredited_sends.count(now, RATE_MEMORY_NS);
     }
 
-    /// When an attempt sent now is overdue: a fraction of the tightest objective, scaled to its
-    /// work.
-    pub(super) fn due_at(&self, request: &Request, node: &Node) -> Nanos {
-        let tightest = self
-            .settings
-            .classes
-            .iter()
-            .map(|class| class.latency_objective)
-            .min()
-            .unwrap_or(0);
-        let time = (tightest as f64 * FAILED_OBJECTIVE_FRACTION).max(SILENCE_MIN as f64);
-        self.now + (time * self.relative_latency(request, node).max(1.0)) as Nanos
-    }
-
-    fn count_result(&mut self, at: NodeId, class: usize, failed: bool) {
-        let min_limit = MIN_REQUESTS_PER_NODE * self.nodes.len() as f64 / self.settings.fronts();
-        if let Some(node) = self.nodes.get_mut(&at) {
-            node.record_result(class, failed, MAX_CREDIT);
-            if node.warmup_since.is_some() {
-                self.adjust_warmup_factor(failed);
-            }
-        }
-        let (now, admission) = (self.now, &mut self.admission);
-        let result_rate = admission.results.count(now, RATE_MEMORY_NS);
+    /// Records the result of an attempt: whether it failed to be answered in time. `min_limit` is
+    /// the least rate limit in requests per second.
+    pub fn record_result(&mut self, now: Nanos, failed: bool, min_limit: f64) {
+        let result_rate = self.results.count(now, RATE_MEMORY_NS);
         let alpha = FAILURE_RATIO_ALPHA.min(SECOND as f64 / FAILURE_RATIO_MEMORY_NS / result_rate);
-        admission.failure_ratio += alpha * (f64::from(u8::from(failed)) - admission.failure_ratio);
+        self.failure_ratio += alpha * (f64::from(u8::from(failed)) - self.failure_ratio);
         if !failed {
-            admission.scale_rate_limit(1.0 + alpha * RATE_LIMIT_GROWTH);
-        } else if admission.failure_ratio > TOLERATED_FAILURE_RATIO {
-            let sent = admission.uncredited_sends.now(now, RATE_MEMORY_NS);
-            let limit = admission.rate_limit.unwrap_or(sent).min(sent);
-            admission.rate_limit = Some((limit * (1.0 - alpha)).max(min_limit));
+            self.raise_rate_limit(alpha);
+        } else if self.failure_ratio > TOLERATED_FAILURE_RATIO {
+            self.cut_rate_limit(now, alpha, min_limit);
         }
     }
 
-    pub(super) fn record_client_left(&mut self, id: RequestId) {
-        let Some(live) = self.live.get(&id) else {
-            return;
-        };
-        let wait = (self.now - live.received_at) as f64;
-        let min_wait =
-            self.class(&live.request).latency_objective as f64 * WAITED_OBJECTIVE_FRACTION;
-        if live.finished || wait < min_wait || self.is_expired(live) {
-            return;
-        }
-        let patience = &mut self.client_patience[live.request.class];
-        let typical = patience.typical_wait;
-        let is_similar =
-            wait >= typical * SIMILAR_WAIT_FRACTION && wait * SIMILAR_WAIT_FRACTION <= typical;
-        let alpha = if wait < typical {
-            SHORTER_WAIT_ALPHA
-        } else {
-            LONGER_WAIT_ALPHA
-        };
-        patience.typical_wait = moving_average(typical, alpha, wait);
-        patience.record(
-            self.now,
-            is_similar,
-            ABANDON_RATIO_ALPHA,
-            ABANDON_RATIO_MEMORY_NS,
-        );
-    }
-
-    /// The client waited until its answer, whatever the answer is.
-    pub(super) fn record_client_stayed(&mut self, id: RequestId) {
-        let Some(live) = self.live.get(&id).filter(|live| !live.finished) else {
-            return;
-        };
-        let patience = &mut self.client_patience[live.request.class];
-        if (self.now - live.received_at) as f64 >= patience.typical_wait {
-            patience.record(
-                self.now,
-                false,
-                ABANDON_RATIO_ALPHA,
-                ABANDON_RATIO_MEMORY_NS,
-            );
-        }
+    /// Whether so many attempts fail that late ones of little value are cut off.
+    pub fn many_attempts_fail(&self) -> bool {
+        self.failure_ratio > CUT_OFF_FAILURE_RATIO
     }
 
-    /// Cancels the attempt of a client that is gone to save work, unless that leaves a write in
-    /// doubt.
-    pub(super) fn cancel_abandoned(&mut self, id: RequestId, actions: &mut Actions) {
-        let is_waiting =
-            |live: &&LiveRequest| live.in_flight > 0 && !live.finished && !live.streaming;
-        let Some(live) = self.live.get(&id).filter(is_waiting) else {
-            return;
-        };
-        if self.settings.cancellation
-            && self.class(&live.request).semantics == Semantics::Idempotent
-        {
-            // Never more than one attempt is in flight.
-            actions.push(Action::Cancel {
-                id,
-                attempt: live.attempts - 1,
-            });
+    /// Hashes all that later decisions depend on, with times relative to `now`.
+    pub fn fingerprint<H: Hasher>(&self, now: Nanos, hasher: &mut H) {
+        self.rate_limit.map(f64::to_bits).hash(hasher);
+        self.failure_ratio.to_bits().hash(hasher);
+        self.uncredited_requests.fingerprint(now, hasher);
+        self.results.fingerprint(now, hasher);
+        self.uncredited_sends.fingerprint(now, hasher);
+        for value in &self.recent_values {
+            value.to_bits().hash(hasher);
         }
     }
 
-    /// How long clients of a class typically wait; without a bound, a wait that is safe to add to a
-    /// time.
-    pub(super) fn typical_wait(&self, class: usize) -> Nanos {
-        let patience = &self.client_patience[class];
-        if patience.abandon_ratio(self.now, ABANDON_RATIO_MEMORY_NS) < ABANDON_RATIO_MIN {
-            return Nanos::MAX / 4;
-        }
-        patience.typical_wait as Nanos
+    /// The least rate limit of one front, in requests per second.
+    pub fn min_rate_limit(nodes: usize, fronts: f64) -> f64 {
+        MIN_REQUESTS_PER_NODE * nodes as f64 / fronts
     }
 
-    /// Until when an answer is in time.
-    pub(super) fn answer_due_at(&self, live: &LiveRequest) -> Nanos {
-        live.objective_at
-            .min(live.received_at + self.typical_wait(live.request.class))
+    fn raise_rate_limit(&mut self, alpha: f64) {
+        let factor = 1.0 + alpha * RATE_LIMIT_GROWTH;
+        self.rate_limit = self.rate_limit.map(|limit| limit * factor);
     }
 
-    /// The time left to the objective: a client with less patience than the longest seen has tried
-    /// before.
-    pub(super) fn remaining_objective(&mut self, request: &Request) -> Nanos {
-        let class = &self.settings.classes[request.class];
-        let longest = self.max_patience[request.class].max(request.patience.min(class.deadline));
-        self.max_patience[request.class] = longest;
-        let stretch = class.objective_stretch * self.unit_cost[request.class] * request.units;
-        let objective = (class.latency_objective + stretch as Nanos).min(class.deadline);
-        objective - (longest - request.patience).max(0)
+    /// Starts from the rate that is sent where that is lower, as an unused limit holds nothing
+    /// back.
+    fn cut_rate_limit(&mut self, now: Nanos, alpha: f64, min_limit: f64) {
+        let sent = self.uncredited_sends.now(now, RATE_MEMORY_NS);
+        let limit = self.rate_limit.unwrap_or(sent).min(sent);
+        self.rate_limit = Some((limit * (1.0 - alpha)).max(min_limit));
+    }
+
+    /// The fraction of the latest requests with a higher value than this one, which becomes the
+    /// latest. Of those with the same value, the fraction `draw` counts as higher.
+    fn rank(&mut self, value: f64, draw: f64) -> f64 {
+        let recent = &self.recent_values;
+        let higher = recent.iter().filter(|other| **other > value).count() as f64;
+        let equal = recent.iter().filter(|other| **other == value).count() as f64;
+        let rank = (higher + equal * draw) / recent.len().max(1) as f64;
+        self.recent_values.push_back(value);
+        if self.recent_values.len() > RANKED_RECENT_REQUESTS {
+            self.recent_values.pop_front();
+        }
+        rank
     }
 }
--- a/crates/core/src/policy/health.rs
+++ b/crates/core/src/policy/health.rs
@@ -1,131 +1,149 @@
-//! Health of a chunk server, one notion for every kind of failure, and the probes of a suspect.
+//! Health of one chunk server, one notion for every kind of failure, and the probes of a suspect.
 
-use super::{congestion::WINDOW_CUT_MAX, Actions, MILLISECOND, SECOND};
-use crate::interface::{Action, Nanos, NodeId, Outcome};
-use crate::state::{Health, Node, Scheduler};
+use std::hash::{Hash, Hasher};
 
+use super::{MILLISECOND, SECOND};
+use crate::interface::{Nanos, Outcome};
+
+/// A server is silent after this multiple of the longest latency expected of a request in flight.
 const SILENCE_RATIO: f64 = 4.0;
+/// The least time without an answer that counts as silence.
 pub(super) const SILENCE_MIN: Nanos = 150 * MILLISECOND;
 /// Losses in a row that make a server suspect; one or two are chance where a third of the packets
 /// is lost.
 const SUSPECT_AFTER_LOSSES: u32 = 3;
-const REJECTION_OBJECTIVE_RATIO: f64 = 1.5;
+/// The time until the first probe of a suspect, and between the first two.
 const PROBE_INTERVAL_MIN: Nanos = 200 * MILLISECOND;
+/// The most time between two probes of few fronts.
 const PROBE_INTERVAL_MAX: Nanos = SECOND;
 /// Probes per second of all fronts together, where the longest interval would allow more.
 const FLEET_PROBES_PER_SECOND: Nanos = 10;
 
-impl Node {
-    fn mark_suspect(&mut self, now: Nanos) {
-        if self.is_healthy() {
-            self.health = Health::Suspect;
-            self.probe_interval = PROBE_INTERVAL_MIN;
-            self.probe_at = now + self.probe_interval;
+/// Whether a chunk server is trusted, whatever the kind of failure.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+enum Health {
+    /// It takes regular requests.
+    Healthy,
+    /// It does not answer or its connections fail: it gets probe requests only.
+    Suspect,
+}
+
+/// The health of a server and what it is judged by.
+#[derive(Clone, Debug)]
+pub(crate) struct HealthState {
+    health: Health,
+    /// Lost attempts since the last answer.
+    consecutive_losses: u32,
+    last_answer_at: Nanos,
+    /// Send time of the latest-sent attempt that was answered.
+    newest_answered_send: Nanos,
+    /// When a suspect may be probed next.
+    probe_at: Nanos,
+    /// The time between two probes.
+    probe_interval: Nanos,
+}
+
+impl HealthState {
+    /// A server without failures.
+    pub fn new(now: Nanos) -> HealthState {
+        HealthState {
+            health: Health::Healthy,
+            consecutive_losses: 0,
+            last_answer_at: now,
+            newest_answered_send: 0,
+            probe_at: 0,
+            probe_interval: 0,
         }
     }
 
-    /// Whether nothing was answered for longer than the longest request in flight should take.
-    fn is_silent(&self, now: Nanos) -> bool {
-        let Some(oldest) = self.in_flight.values().map(|sent| sent.sent_at).min() else {
-            return false;
-        };
-        let expected = self.in_flight.values().map(|sent| sent.expected_latency);
-        let expected = expected.fold(self.slow_latency, f64::max);
-        let silence = now - oldest.max(self.last_answer_at);
-        silence > ((expected * SILENCE_RATIO) as Nanos).max(SILENCE_MIN)
+    /// Whether the server takes regular requests.
+    pub fn is_healthy(&self) -> bool {
+        self.health == Health::Healthy
     }
-}
 
-impl Scheduler {
-    /// A pause of this front is no silence of the servers. If timers are always late, failures show
-    /// later.
-    pub(super) fn forgive_local_pause(&mut self, pause: Nanos) {
-        for node in self.nodes.values_mut() {
-            node.last_answer_at = self.now;
-            node.in_flight
-                .values_mut()
-                .for_each(|sent| sent.due_at += pause);
-        }
+    /// When the server last answered, or a pause of this front ended.
+    pub fn last_answer_at(&self) -> Nanos {
+        self.last_answer_at
     }
 
-    /// Marks silent servers as suspect: guards against hangs, partitions, dead machines and long
-    /// stalls.
-    pub(super) fn detect_silence(&mut self, actions: &mut Actions) {
-        let (now, span) = (self.now, self.settings.overload_window());
-        for id in &self.active_nodes {
-            let Some(node) = self.nodes.get_mut(id) else {
-                continue;
-            };
-            if node.is_silent(now) {
-                if node.is_healthy() {
-                    actions.push(Action::Log {
-                        text: "node is silent",
-                        node: *id,
-                    });
-                }
-                node.mark_suspect(now);
-                node.period_congested = true;
-            }
-            node.end_period(now);
-            node.expire_warmup(now, span);
-        }
-        self.retire_resting_nodes();
+    /// Send time of the latest-sent attempt that was answered. Servers answer in order: an attempt
+    /// sent before it that has no answer is lost.
+    pub fn newest_answered_send(&self) -> Nanos {
+        self.newest_answered_send
     }
 
-    /// Updates health after an attempt and returns a log line if the server has recovered. A
-    /// failure, however quick, marks the period as congested.
-    pub(super) fn update_health(
-        &mut self,
-        at: NodeId,
-        outcome: Outcome,
-        sent_at: Nanos,
-    ) -> Option<Action> {
-        let node = self.nodes.get_mut(&at)?;
-        if matches!(outcome, Outcome::Rejected | Outcome::TimedOut) {
-            node.reduce_window(WINDOW_CUT_MAX);
-        }
-        // A rejection means a full queue: a latency above the tightest objective, though it comes
-        // at once.
-        if outcome == Outcome::Rejected && node.tightest_objective.is_finite() {
-            let latency = node.tightest_objective * REJECTION_OBJECTIVE_RATIO;
-            node.fast_latency = Some(node.fast_latency.unwrap_or(0.0).max(latency));
-        }
-        let was_healthy = node.is_healthy();
+    /// Updates the health by the end of an attempt. Returns whether the server has recovered.
+    pub fn record_outcome(&mut self, now: Nanos, outcome: Outcome, sent_at: Nanos) -> bool {
+        let was_healthy = self.is_healthy();
         match outcome {
-            Outcome::Served | Outcome::Error => {
-                node.record_answer(self.now, sent_at);
-                node.health = Health::Healthy;
-            }
-            // A lost answer says little: the work was done, and a dead server shows with the next
-            // attempt.
-            Outcome::NotExecuted | Outcome::Reset | Outcome::TimedOut | Outcome::Rejected => {
-                node.consecutive_losses += 1;
-                if outcome == Outcome::NotExecuted
-                    || node.consecutive_losses >= SUSPECT_AFTER_LOSSES
-                {
-                    node.mark_suspect(self.now);
-                }
+            Outcome::Served | Outcome::Error => self.record_answer(now, sent_at),
+            Outcome::NotExecuted => {
+                self.consecutive_losses += 1;
+                self.mark_suspect(now);
             }
+            Outcome::Reset | Outcome::TimedOut | Outcome::Rejected => self.record_loss(now),
             Outcome::Cancelled | Outcome::NotSent => {}
         }
-        node.period_congested |= !matches!(
-            outcome,
-            Outcome::Served | Outcome::NotSent | Outcome::Cancelled
-        );
-        node.end_period(self.now);
-        (!was_healthy && node.is_healthy()).then_some(Action::Log {
-            text: "node answers again",
-            node: at,
-        })
+        !was_healthy && self.is_healthy()
+    }
+
+    /// Makes a healthy server a suspect.
+    pub fn mark_suspect(&mut self, now: Nanos) {
+        if self.is_healthy() {
+            self.health = Health::Suspect;
+            self.probe_interval = PROBE_INTERVAL_MIN;
+            self.probe_at = now + self.probe_interval;
+        }
+    }
+
+    /// Whether nothing was answered for longer than the longest request in flight should take, by
+    /// the send time of the oldest request in flight and the longest latency expected.
+    pub fn is_silent(&self, now: Nanos, oldest_sent_at: Nanos, expected_latency: f64) -> bool {
+        let silence = now - oldest_sent_at.max(self.last_answer_at);
+        let longest_silence = (expected_latency * SILENCE_RATIO) as Nanos;
+        silence > longest_silence.max(SILENCE_MIN)
+    }
+
+    /// Takes a pause of this front for no silence of the server.
+    pub fn forgive_silence(&mut self, now: Nanos) {
+        self.last_answer_at = now;
+    }
+
+    /// Whether a suspect may be probed by its own schedule.
+    pub fn is_probe_due(&self, now: Nanos) -> bool {
+        now >= self.probe_at
     }
 
-    /// Schedules the next probe of a suspect after one was sent, with jitter.
-    pub(super) fn schedule_probe(&mut self, at: NodeId, jitter: f64) {
-        let fleet_interval = i64::from(self.settings.initiators) * SECOND / FLEET_PROBES_PER_SECOND;
-        let Some(node) = self.nodes.get_mut(&at).filter(|node| !node.is_healthy()) else {
+    /// Schedules the next probe of a suspect after one was sent. `jitter` is a factor on the
+    /// interval.
+    pub fn schedule_probe(&mut self, now: Nanos, jitter: f64, front_count: u32) {
+        if self.is_healthy() {
             return;
-        };
-        node.probe_at = self.now + (node.probe_interval as f64 * jitter) as Nanos;
-        node.probe_interval = (node.probe_interval * 2).min(PROBE_INTERVAL_MAX.max(fleet_interval));
+        }
+        let fleet_interval = i64::from(front_count) * SECOND / FLEET_PROBES_PER_SECOND;
+        self.probe_at = now + (self.probe_interval as f64 * jitter) as Nanos;
+        self.probe_interval = (self.probe_interval * 2).min(PROBE_INTERVAL_MAX.max(fleet_interval));
+    }
+
+    /// Hashes all that later decisions depend on, with times relative to `now`.
+    pub fn fingerprint<H: Hasher>(&self, now: Nanos, hasher: &mut H) {
+        (self.health, self.consecutive_losses).hash(hasher);
+        (now - self.last_answer_at, now - self.newest_answered_send).hash(hasher);
+        (now - self.probe_at, self.probe_interval).hash(hasher);
+    }
+
+    fn record_answer(&mut self, now: Nanos, sent_at: Nanos) {
+        self.last_answer_at = now;
+        self.newest_answered_send = self.newest_answered_send.max(sent_at);
+        self.consecutive_losses = 0;
+        self.health = Health::Healthy;
+    }
+
+    /// A lost answer says little: the work was done, and a dead server shows with the next attempt.
+    fn record_loss(&mut self, now: Nanos) {
+        self.consecutive_losses += 1;
+        if self.consecutive_losses >= SUSPECT_AFTER_LOSSES {
+            self.mark_suspect(now);
+        }
     }
 }
--- a/crates/core/src/policy/retry.rs
+++ b/crates/core/src/policy/retry.rs
@@ -1,167 +1,190 @@
-//! Retries, and the final answer to requests that are given up.
+//! Retries: whether a request may be sent again, and how its final answer is chosen when not.
 
-use super::{Actions, SECOND, TICK_INTERVAL};
-use crate::interface::{Action, Group, Nanos, NodeId, Outcome, RequestId, RetryBudget, Semantics};
+use super::node::Node;
+use super::node_table::NodeTable;
+use super::retry_budget::RetryHistory;
+use super::{SECOND, TICK_INTERVAL};
+use crate::fleet_limits::FleetLimits;
+use crate::interface::{Class, Group, Nanos, NodeId, Semantics, Settings};
 use crate::mutations::{mutated, Mutation};
-use crate::state::{LiveRequest, Scheduler};
-
-/// The retry budget if none is configured, so that retries do not feed an overload.
-const DEFAULT_BUDGET: RetryBudget = RetryBudget {
-    base_allowance: 3.0,
-    ratio: 0.3,
-    window: 5 * SECOND,
-};
+use crate::state::{LiveRequest, PossibleExecution};
+
+/// The mean pause before a retry, as a fraction of the latency of the server that failed.
 const RETRY_PAUSE_LATENCY_FRACTION: f64 = 0.5;
-/// A request never sent is rejected after this fraction of its patience, while its client can
-/// retry.
-const UNSENT_PATIENCE_FRACTION: f64 = 0.5;
+/// A request never sent is rejected after this fraction of its timeout, while its client can retry.
+const UNSENT_TIMEOUT_FRACTION: f64 = 0.5;
+/// The longest retry-after, as a multiple of the latency of a healthy server.
 const RETRY_AFTER_LATENCY_RATIO: f64 = 2.0;
+/// The least retry-after before it is stretched and spread, in nanoseconds.
 const RETRY_AFTER_MIN_NS: f64 = 5e7;
+/// The retry-after is stretched at most by the inverse of this admitted fraction.
+const ADMITTED_FRACTION_MIN: f64 = 0.01;
 
-impl Scheduler {
-    pub(super) fn on_failure(
-        &mut self,
-        id: RequestId,
-        at: NodeId,
-        outcome: Outcome,
-        actions: &mut Actions,
-    ) {
-        let live = &self.live[&id];
-        if live.queued || live.in_flight > 0 || live.streaming {
-            return;
-        }
-        // A new object that found no connection has cost no server anything.
-        let is_free = outcome == Outcome::NotExecuted && live.request.shard.is_none();
-        let is_overloaded = self.admitted_fraction() < 1.0 && !is_free;
-        let is_late = outcome == Outcome::TimedOut && self.now >= self.answer_due_at(live);
-        if outcome == Outcome::NotSent || is_late || is_overloaded || !self.may_retry(live, None) {
-            self.give_up(id, actions);
-            return;
-        }
-        let latency = self.nodes[&at].fast_latency.unwrap_or(0.0);
-        let pause = latency * RETRY_PAUSE_LATENCY_FRACTION * (0.5 + self.random.f64());
-        if let Some(live) = self.live.get_mut(&id) {
-            live.not_before = self.now + pause as Nanos;
-            if live.possible_execution.is_none() && live.request.shard.is_none() {
-                live.shard = None;
-            }
+/// Whether another attempt of a request may be sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum RetryDecision {
+    /// It may be sent.
+    Allowed,
+    /// It may not be sent.
+    Denied(RetryDenial),
+}
+
+/// Why no other attempt of a request may be sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum RetryDenial {
+    /// All attempts that the request may have were sent.
+    AttemptsExhausted,
+    /// An attempt is in flight.
+    AttemptInFlight,
+    /// No answer can reach the client in time.
+    Expired,
+    /// The limit of the fleet on retries allows none now.
+    FleetLimitExhausted,
+    /// The retry budget of this front allows none now.
+    BudgetExhausted,
+    /// An earlier attempt may have been executed, and a repeat would not be dropped.
+    NotRepeatable,
+}
+
+/// What a decision on a retry depends on, at one moment.
+#[derive(Clone, Copy)]
+pub(crate) struct RetryRules<'a> {
+    /// The present time.
+    pub now: Nanos,
+    /// The classes and the budget.
+    pub settings: &'a Settings,
+    /// The retries and requests that count against the budget.
+    pub history: &'a RetryHistory,
+    /// The limits of the fleet.
+    pub fleet_limits: &'a FleetLimits,
+    /// The chunk servers, for the groups that drop repeats.
+    pub nodes: &'a NodeTable,
+}
+
+impl RetryRules<'_> {
+    /// Whether another attempt is allowed, at a given server or at any.
+    pub fn decide(&self, live: &LiveRequest, at: Option<NodeId>) -> RetryDecision {
+        match self.denial(live, at) {
+            Some(denial) => RetryDecision::Denied(denial),
+            None => RetryDecision::Allowed,
         }
-        self.enqueue(id, actions);
     }
 
-    /// Whether another attempt is allowed, at a given server or at any.
-    pub(super) fn may_retry(&self, live: &LiveRequest, at: Option<NodeId>) -> bool {
-        let max_attempts = live.max_attempts.min(self.settings.max_attempts);
-        let is_exhausted = live.attempts >= max_attempts && !mutated(Mutation::UnlimitedRetry);
-        if is_exhausted
-            || live.in_flight > 0
-            || self.is_expired(live)
-            || self.fleet_retries_exhausted()
-        {
-            return false;
+    /// Whether another attempt is allowed at any server.
+    pub fn allow(&self, live: &LiveRequest) -> bool {
+        self.decide(live, None) == RetryDecision::Allowed
+    }
+
+    fn denial(&self, live: &LiveRequest, at: Option<NodeId>) -> Option<RetryDenial> {
+        let max_attempts = live.max_attempts().min(self.settings.max_attempts);
+        if live.attempts() >= max_attempts && !mutated(Mutation::UnlimitedRetry) {
+            return Some(RetryDenial::AttemptsExhausted);
         }
-        let budget = self.retry_budget();
-        let recent = self.recent_counts(budget.window);
-        let allowed = budget.base_allowance + budget.ratio * recent.requests as f64;
-        let is_budgeted = self.settings.retry_budget.is_some() || live.possible_execution.is_some();
-        if is_budgeted && (recent.retries + 1) as f64 > allowed {
-            return false;
+        if live.has_attempt_in_flight() {
+            return Some(RetryDenial::AttemptInFlight);
         }
-        let Some(first) = live.possible_execution else {
-            return true;
-        };
-        let class = self.class(&live.request);
-        let is_in_group = |at: NodeId| match class.group {
-            Group::All => true,
-            Group::Zone => self.nodes[&at].zone == self.nodes[&first.node].zone,
-            Group::Shard => self.nodes[&at].shard == self.nodes[&first.node].shard,
-        };
+        if live.is_expired(self.now, self.settings.deadline_margin()) {
+            return Some(RetryDenial::Expired);
+        }
+        if self.fleet_limits.retries_exhausted(self.now) {
+            return Some(RetryDenial::FleetLimitExhausted);
+        }
+        if self.exceeds_budget(live) {
+            return Some(RetryDenial::BudgetExhausted);
+        }
+        let may_repeat = live
+            .possible_execution()
+            .is_none_or(|first| self.may_repeat(live, first, at));
+        (!may_repeat).then_some(RetryDenial::NotRepeatable)
+    }
+
+    /// Whether the budget of this front allows no other attempt. Without a configured budget the
+    /// default one holds for requests that may have been executed.
+    fn exceeds_budget(&self, live: &LiveRequest) -> bool {
+        let is_budgeted =
+            self.settings.retry_budget.is_some() || live.possible_execution().is_some();
+        let budget = self.settings.effective_retry_budget();
+        is_budgeted && self.history.is_exhausted(self.now, budget)
+    }
+
+    /// Whether a request may be executed again although an earlier attempt may have been executed.
+    fn may_repeat(&self, live: &LiveRequest, first: PossibleExecution, at: Option<NodeId>) -> bool {
+        let class = &self.settings.classes[live.request().class];
         match class.semantics {
             Semantics::Idempotent => true,
             Semantics::AtMostOnce => mutated(Mutation::RetriesUnsafeWrite),
             Semantics::Deduplicated => {
-                self.now < first.sent_at + class.window && at.is_none_or(is_in_group)
+                let is_in_window = self.now < first.sent_at + class.window;
+                is_in_window && at.is_none_or(|at| self.is_in_group(class.group, first.node, at))
             }
         }
     }
 
-    pub(super) fn retry_budget(&self) -> RetryBudget {
-        self.settings.retry_budget.clone().unwrap_or(DEFAULT_BUDGET)
+    /// Whether a server drops repeats of what another one executed.
+    fn is_in_group(&self, group: Group, executor: NodeId, other: NodeId) -> bool {
+        match group {
+            Group::All => true,
+            Group::Zone => self.nodes[other].zone() == self.nodes[executor].zone(),
+            Group::Shard => self.nodes[other].shard() == self.nodes[executor].shard(),
+        }
     }
+}
 
-    /// Whether an answer must go out now to reach the client: a timer may be late by a tick and a
+impl Settings {
+    /// An answer goes out this long before its deadline, as a timer may be late by a tick and a
     /// batch.
-    pub(super) fn is_expired(&self, live: &LiveRequest) -> bool {
-        self.now >= live.deadline_at - self.deadline_margin()
+    pub(super) fn deadline_margin(&self) -> Nanos {
+        TICK_INTERVAL + 2 * self.quantum
     }
+}
 
-    fn deadline_margin(&self) -> Nanos {
-        TICK_INTERVAL + 2 * self.settings.quantum
+/// Until when an attempt of a request may begin: one that may have been executed may be repeated
+/// only within its deduplication window, and a connection may take time to open.
+pub(crate) fn begin_deadline(live: &LiveRequest, class: &Class) -> Nanos {
+    match live.possible_execution() {
+        Some(first) if class.semantics == Semantics::Deduplicated => first.sent_at + class.window,
+        _ => Nanos::MAX,
     }
+}
 
-    /// Answers a request at once: rejected if repeating it is harmless, failed if it may have been
-    /// executed.
-    pub(super) fn give_up(&mut self, id: RequestId, actions: &mut Actions) {
-        let draw = self.random.f64();
-        self.record_client_stayed(id);
-        let Some(live) = self.live.get(&id).filter(|live| !live.finished) else {
-            return;
-        };
-        let class = self.class(&live.request);
-        let is_repeatable = match class.semantics {
-            Semantics::Idempotent => true,
-            Semantics::Deduplicated => !live.may_have_executed() || class.group == Group::All,
-            Semantics::AtMostOnce => {
-                !live.may_have_executed() || mutated(Mutation::RejectsUnsafeWrite)
-            }
-        };
-        let rejection = Action::Reject {
-            id,
-            retry_after: self.retry_after(live, draw),
-        };
-        actions.push(if is_repeatable {
-            rejection
-        } else {
-            Action::Fail(id)
-        });
-        self.finish(id);
+/// Whether a request that is given up may be repeated by its client without harm, so that it is
+/// rejected; otherwise it fails.
+pub(crate) fn is_repeatable_by_client(live: &LiveRequest, class: &Class) -> bool {
+    match class.semantics {
+        Semantics::Idempotent => true,
+        Semantics::Deduplicated => !live.may_have_executed() || class.group == Group::All,
+        Semantics::AtMostOnce => !live.may_have_executed() || mutated(Mutation::RejectsUnsafeWrite),
     }
+}
 
-    /// When a client's retry may help, spread over the upper half so that clients do not return at
-    /// once.
-    fn retry_after(&self, live: &LiveRequest, draw: f64) -> Nanos {
-        let wait = match live.shard.and_then(|shard| self.preferred_node(shard)) {
-            Some(node) if node.is_healthy() => {
-                RETRY_AFTER_LATENCY_RATIO * node.fast_latency.unwrap_or(0.0)
-            }
-            _ => SECOND as f64,
-        };
-        let scaled = wait.max(RETRY_AFTER_MIN_NS) / self.admitted_fraction().clamp(0.01, 1.0);
-        (scaled.min(self.settings.max_retry_after as f64) * (0.5 + 0.5 * draw)) as Nanos
-    }
+/// The pause in nanoseconds before a retry after an attempt failed at a server, with jitter. `draw`
+/// is uniform in 0..1.
+pub(crate) fn pause_before_retry(node: &Node, draw: f64) -> Nanos {
+    let latency = node.latency.fast().unwrap_or(0.0);
+    (latency * RETRY_PAUSE_LATENCY_FRACTION * (0.5 + draw)) as Nanos
+}
 
-    /// Whether a request cannot be answered in time, so that its client learns it early.
-    pub(super) fn is_hopeless(&self, live: &LiveRequest) -> bool {
-        let is_expired = self.is_expired(live);
-        if live.finished || live.streaming || !(is_expired || live.queued) {
-            return false;
-        }
-        let is_unsent = live.attempts == 0;
-        if is_expired || (!is_unsent && !self.may_retry(live, None)) {
-            return true;
+/// When a client's retry may help, spread over the upper half so that clients do not return at
+/// once. `node` is the server that would serve it, `draw` is uniform in 0..1.
+pub(crate) fn retry_after(
+    node: Option<&Node>,
+    admitted_fraction: f64,
+    max_retry_after: Nanos,
+    draw: f64,
+) -> Nanos {
+    let wait = match node {
+        Some(node) if node.is_healthy() => {
+            RETRY_AFTER_LATENCY_RATIO * node.latency.fast().unwrap_or(0.0)
         }
-        let unsent_time = (live.request.patience as f64 * UNSENT_PATIENCE_FRACTION) as Nanos;
-        if is_unsent && self.now >= live.received_at + unsent_time - self.deadline_margin() {
-            return true;
-        }
-        let Some(node) = live.shard.and_then(|shard| self.preferred_node(shard)) else {
-            return self.now > live.objective_at;
-        };
-        let is_limited = is_unsent && !self.volume_limit_allows(&live.request);
-        let client_leaves =
-            self.typical_wait(live.request.class) < live.deadline_at - live.received_at;
-        let is_stuck = client_leaves || is_limited || !node.is_healthy();
-        let answer_at = self.now + self.expected_latency(live, node) as Nanos;
-        answer_at > live.deadline_at || (is_stuck && self.would_be_late(live, node))
-    }
+        _ => SECOND as f64,
+    };
+    let stretched =
+        wait.max(RETRY_AFTER_MIN_NS) / admitted_fraction.clamp(ADMITTED_FRACTION_MIN, 1.0);
+    (stretched.min(max_retry_after as f64) * (0.5 + 0.5 * draw)) as Nanos
+}
+
+/// When a request that was never sent is rejected.
+pub(crate) fn unsent_deadline(live: &LiveRequest, settings: &Settings) -> Nanos {
+    let time = (live.request().patience as f64 * UNSENT_TIMEOUT_FRACTION) as Nanos;
+    live.received_at() + time - settings.deadline_margin()
 }
--- /dev/null
+++ b/crates/core/src/policy/scheduler/mod.rs
@@ -0,0 +1,232 @@
+//! The coordinator of the decisions: its parts, its creation, its settings and the limits that the
+//! fleet assigns.
+//!
+//! [`events`] has a function of steps for each event, [`dispatch`] takes requests from the queues
+//! to the chunk servers or to their final answers.
+
+mod dispatch;
+mod events;
+
+use std::hash::{Hash, Hasher};
+
+use super::admission::AdmissionControl;
+use super::client_patience::ClientPatience;
+use super::endpoint_subscription::EndpointSubscription;
+use super::key_order::KeyOrder;
+use super::learned_cost::LearnedCost;
+use super::node_table::NodeTable;
+use super::retry;
+use super::retry_budget::RetryHistory;
+use super::shard_queues::ShardQueues;
+use super::slow_start::WarmupRates;
+use super::volume_limits::VolumeTable;
+use super::weight::BaseWeightRebalancer;
+use crate::fleet_limits::FleetLimits;
+use crate::interface::{
+    Class, FleetUpdate, Nanos, Request, RequestId, Settings, SettingsError, SharedLimit,
+};
+use crate::state::{RateLimit, RequestTable};
+
+/// The decision module of one front: it takes events and returns actions. See the crate's
+/// documentation for an example.
+#[derive(Clone, Debug)]
+pub struct Scheduler {
+    settings: Settings,
+    random: fastrand::Rng,
+    now: Nanos,
+    is_started: bool,
+    last_second_at: Nanos,
+    nodes: NodeTable,
+    requests: RequestTable,
+    queues: ShardQueues,
+    key_order: KeyOrder,
+    volumes: VolumeTable,
+    fleet_limits: FleetLimits,
+    learned_cost: LearnedCost,
+    retry_history: RetryHistory,
+    /// By class.
+    client_patience: Vec<ClientPatience>,
+    admission: AdmissionControl,
+    warmup_rates: WarmupRates,
+    rebalancer: BaseWeightRebalancer,
+    subscription: EndpointSubscription,
+}
+
+/// The number of chunk servers that a front knows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct NodeCounts {
+    /// In the endpoint list.
+    pub listed: usize,
+    /// Of those, the ones that get no regular requests: draining, suspect or ejected.
+    pub avoided: usize,
+}
+
+impl Scheduler {
+    /// A scheduler that knows only its settings. `seed` starts its random numbers.
+    ///
+    /// # Errors
+    /// [`SettingsError`] for settings that are not valid, such as no classes or a rate that is not
+    /// finite.
+    pub fn new(settings: Settings, seed: u64, now: Nanos) -> Result<Self, SettingsError> {
+        settings.check()?;
+        let classes = settings.classes.len();
+        Ok(Scheduler {
+            settings,
+            random: fastrand::Rng::with_seed(seed),
+            now,
+            is_started: false,
+            last_second_at: now,
+            nodes: NodeTable::new(now),
+            requests: RequestTable::new(),
+            queues: ShardQueues::default(),
+            key_order: KeyOrder::default(),
+            volumes: VolumeTable::default(),
+            fleet_limits: FleetLimits::default(),
+            learned_cost: LearnedCost::new(classes),
+            retry_history: RetryHistory::default(),
+            client_patience: vec![ClientPatience::default(); classes],
+            admission: AdmissionControl::default(),
+            warmup_rates: WarmupRates::new(),
+            rebalancer: BaseWeightRebalancer::default(),
+            subscription: EndpointSubscription::default(),
+        })
+    }
+
+    /// Applies reloaded settings. Classes and plans keep their numbers, as a
+    /// [`VersionedTable`](crate::settings_reload::VersionedTable) assigns them; `carried` pairs a
+    /// class with the older one that it replaces, whose learned values it takes. Requests under way
+    /// keep their class and the number of attempts they were allowed.
+    ///
+    /// # Errors
+    /// [`SettingsError`] for settings that are not valid or have fewer classes or plans; then
+    /// nothing changes.
+    pub fn apply_settings(
+        &mut self,
+        settings: Settings,
+        carried: &[(usize, usize)],
+    ) -> Result<(), SettingsError> {
+        settings.check()?;
+        let keeps_classes = settings.classes.len() >= self.settings.classes.len();
+        let keeps_plans = settings.plans.len() >= self.settings.plans.len();
+        if !keeps_classes || !keeps_plans {
+            return Err(SettingsError::FewerClassesOrPlans);
+        }
+        let classes = settings.classes.len();
+        self.learned_cost.resize(classes);
+        self.client_patience
+            .resize(classes, ClientPatience::default());
+        for &(new, old) in carried
+            .iter()
+            .filter(|(new, old)| *new < classes && *old < classes)
+        {
+            self.learned_cost.copy_class(old, new);
+            self.client_patience[new] = self.client_patience[old].clone();
+        }
+        self.settings = settings;
+        Ok(())
+    }
+
+    /// The settings in force.
+    pub fn settings(&self) -> &Settings {
+        &self.settings
+    }
+
+    /// The number of listed chunk servers, and of those that are avoided.
+    pub fn node_counts(&self) -> NodeCounts {
+        let listed = || self.nodes.values().filter(|node| !node.is_removed());
+        let avoided = listed().filter(|node| {
+            node.is_draining() || !node.is_healthy() || node.ejection.is_fully_ejected()
+        });
+        NodeCounts {
+            listed: listed().count(),
+            avoided: avoided.count(),
+        }
+    }
+
+    /// The number of chunk servers that the next tick visits.
+    pub fn nodes_per_tick(&self) -> usize {
+        self.nodes.active_count()
+    }
+
+    /// Whether no request is waiting and no attempt is in flight.
+    pub fn is_at_rest(&self) -> bool {
+        let has_in_flight = self.nodes.values().any(|node| !node.in_flight.is_empty());
+        let has_queued = self.queues.waiting_shards().next().is_some();
+        self.requests.is_empty() && !has_queued && !has_in_flight
+    }
+
+    /// Hashes all that later decisions depend on, with times relative to `now`, for the model
+    /// checker, which takes states with the same fingerprint for the same state.
+    pub fn fingerprint<H: Hasher>(&self, now: Nanos, hasher: &mut H) {
+        (now - self.now, self.is_started, self.random.get_seed()).hash(hasher);
+        (now - self.last_second_at).hash(hasher);
+        self.nodes.fingerprint(now, hasher);
+        self.requests.fingerprint(now, hasher);
+        self.queues.fingerprint(hasher);
+        self.key_order.fingerprint(now, hasher);
+        self.volumes.fingerprint(now, hasher);
+        self.fleet_limits.fingerprint(now, hasher);
+        self.learned_cost.fingerprint(hasher);
+        self.retry_history.fingerprint(now, hasher);
+        for patience in &self.client_patience {
+            patience.fingerprint(now, hasher);
+        }
+        self.admission.fingerprint(now, hasher);
+        self.warmup_rates.fingerprint(hasher);
+        self.rebalancer.fingerprint(hasher);
+        self.subscription.fingerprint(now, hasher);
+    }
+
+    /// Until when an attempt of a request may begin.
+    pub(crate) fn begin_deadline(&self, id: RequestId) -> Nanos {
+        self.requests.get(id).map_or(Nanos::MAX, |live| {
+            let class = &self.settings.classes[live.request().class];
+            retry::begin_deadline(live, class)
+        })
+    }
+
+    /// Applies an update from the fleet.
+    fn on_fleet_update(&mut self, update: FleetUpdate) {
+        match update {
+            FleetUpdate::SharedLimit {
+                limit,
+                rate,
+                burst,
+                at,
+            } => self.apply_shared_limit(limit, RateLimit { rate, burst }, at),
+            FleetUpdate::Ejection { node: at, classes } => {
+                let node = self.nodes.get_mut(at);
+                if node.is_some_and(|node| node.apply_ejection(self.now, classes)) {
+                    self.nodes.activate(at);
+                }
+            }
+            FleetUpdate::Probe { node: at, until } => {
+                if let Some(node) = self.nodes.get_mut(at) {
+                    node.ejection.request_probe(until);
+                }
+            }
+            FleetUpdate::Shutdown { deadline } => self.requests.shut_down(deadline),
+        }
+    }
+
+    /// Applies this front's part of a shared limit.
+    fn apply_shared_limit(&mut self, shared: SharedLimit, limit: RateLimit, effective_at: Nanos) {
+        match shared {
+            SharedLimit::Volume(id) => self.volumes.assign_limit(id, limit, effective_at),
+            SharedLimit::Retries => self.fleet_limits.set_retries(limit, effective_at),
+            SharedLimit::WarmingUpNode => {
+                let nodes = self.nodes.values_mut();
+                self.fleet_limits.set_warming_up(limit, effective_at, nodes);
+            }
+            SharedLimit::InFlightPerNode => {
+                let nodes = self.nodes.values_mut();
+                self.fleet_limits.set_in_flight(limit.rate, nodes);
+            }
+        }
+    }
+
+    /// The class of a request.
+    fn class(&self, request: &Request) -> &Class {
+        &self.settings.classes[request.class]
+    }
+}
--- a/crates/core/src/policy/slow_start.rs
+++ b/crates/core/src/policy/slow_start.rs
@@ -1,17 +1,26 @@
 //! Slow start of chunk servers that warm up: the units that this front may send them.
 
-use super::SECOND;
+use std::collections::VecDeque;
+use std::hash::{Hash, Hasher};
+
+use super::{node_table::NodeTable, SECOND};
 use crate::interface::{Nanos, Settings};
-use crate::state::{mean, Node, Scheduler};
+use crate::state::{mean, Rate};
 
-/// The factor on the rate to starting servers: its bounds and its steps for a timely and a failed
-/// attempt.
+/// Bounds of the learned factor on the rate to servers that are warming up.
 const FACTOR_MIN: f64 = 0.4;
 const FACTOR_MAX: f64 = 2.0;
+/// Change of that factor with each timely attempt.
 const FACTOR_GROWTH: f64 = 1.2;
+/// Change of that factor with each failed attempt.
 const FACTOR_CUT: f64 = 0.8;
+/// Most units that the budget of a server accumulates, in requests of mean size.
 const BUDGET_MAX_MEAN_REQUESTS: f64 = 3.0;
-pub(super) const SERVED_RATE_MEMORY_NS: f64 = 4e9;
+/// Time constant, in nanoseconds, of the rate that a server serves.
+const SERVED_RATE_MEMORY_NS: f64 = 4e9;
+/// Bounds of the configured fraction of its capacity that a server has at its start.
+const INITIAL_FRACTION_MIN: f64 = 0.05;
+const INITIAL_FRACTION_MAX: f64 = 1.0;
 
 impl Settings {
     /// The window in which a starting server must not be overloaded, and what a batch of events may
@@ -20,73 +29,229 @@
         self.overload_span + 2 * self.quantum
     }
 
+    /// What a server must be able to serve at an age, as a multiple of what it could when its
+    /// warm-up began.
+    pub(super) fn warmup_growth(&self, age: Nanos) -> f64 {
+        self.warm_fraction(age) / self.warm_fraction(0)
+    }
+
     /// The least fraction of its full capacity that a server has at an age, an overload span
     /// behind.
-    pub(crate) fn warm_fraction(&self, age: Nanos) -> f64 {
-        let initial = self.warmup_floor.clamp(0.05, 1.0);
+    fn warm_fraction(&self, age: Nanos) -> f64 {
+        let initial = self
+            .warmup_floor
+            .clamp(INITIAL_FRACTION_MIN, INITIAL_FRACTION_MAX);
         let progress =
             (age - self.overload_span).max(0) as f64 / self.warmup_duration.max(1) as f64;
         initial + (1.0 - initial) * progress.min(1.0)
     }
 }
 
-impl Scheduler {
-    /// Units that a server may get now, by the larger of two budgets: an even part of what a
-    /// starting server can always bear, growing with its age, and one that accrues by the rate that
-    /// it served before.
-    pub(crate) fn warmup_quota(&self, node: &Node) -> f64 {
-        let Some(since) = node.warmup_since else {
-            return f64::INFINITY;
-        };
-        let growth = self.warmup_growth(since);
-        let even_part = self.settings.warmup_units / self.settings.fronts() * growth;
-        let even_budget =
-            even_part - node.units_sent_after(self.now - self.settings.overload_window());
-        let has_mean = node.warmup_budget >= self.settings.mean_units;
-        let own_budget = if has_mean {
-            self.settings.max_units
+/// Units sent to a server that may be warming up.
+#[derive(Clone, Copy, Debug)]
+struct RecentSend {
+    sent_at: Nanos,
+    units: f64,
+}
+
+/// The warm-up of one server.
+#[derive(Clone, Debug)]
+pub(crate) struct SlowStart {
+    /// When the warm-up began, while it goes on.
+    started_at: Option<Nanos>,
+    ends_at: Nanos,
+    /// Sends within the overload window.
+    recent_sends: VecDeque<RecentSend>,
+    /// Units that this front may send during the warm-up, by the rate served before.
+    budget: f64,
+    /// Units per second that the server serves this front.
+    served_rate: Rate,
+    /// Units per second that it served this front when it was last up, healthy and warm.
+    warm_rate: f64,
+}
+
+impl SlowStart {
+    /// A server that is warm.
+    pub fn new(now: Nanos) -> SlowStart {
+        SlowStart {
+            started_at: None,
+            ends_at: 0,
+            recent_sends: VecDeque::new(),
+            budget: 0.0,
+            served_rate: Rate::new(now),
+            warm_rate: 0.0,
+        }
+    }
+
+    /// Whether the server is warming up.
+    pub fn is_active(&self) -> bool {
+        self.started_at.is_some()
+    }
+
+    /// Whether sends are kept that may still count.
+    pub fn has_recent_sends(&self) -> bool {
+        !self.recent_sends.is_empty()
+    }
+
+    /// Starts a warm-up with a budget in units.
+    pub fn start(&mut self, started_at: Nanos, ends_at: Nanos, budget: f64) {
+        self.started_at = Some(started_at);
+        self.ends_at = ends_at;
+        self.budget = budget;
+    }
+
+    /// Ends a warm-up that is over and drops sends before the overload window.
+    pub fn expire(&mut self, now: Nanos, window: Nanos) {
+        if self.is_active() && now >= self.ends_at {
+            self.started_at = None;
+            self.budget = 0.0;
+        }
+        while self
+            .recent_sends
+            .front()
+            .is_some_and(|send| send.sent_at <= now - window)
+        {
+            self.recent_sends.pop_front();
+        }
+    }
+
+    /// What the server must be able to serve, as a multiple of what it could when its warm-up
+    /// began; absent for a warm server.
+    pub fn growth(&self, now: Nanos, settings: &Settings) -> Option<f64> {
+        let started_at = self.started_at?;
+        Some(settings.warmup_growth(now - started_at))
+    }
+
+    /// Units that a server in warm-up may get now, by the larger of two budgets: an even part of
+    /// what a starting server can always bear, growing with its age, and one that accrues by the
+    /// rate that it served before.
+    pub fn allowance(&self, now: Nanos, settings: &Settings, growth: f64) -> f64 {
+        let even_part = settings.warmup_units / settings.fronts() * growth;
+        let even_budget = even_part - self.units_sent_after(now - settings.overload_window());
+        let own_budget = if self.budget >= settings.mean_units {
+            settings.max_units
         } else {
-            node.warmup_budget
+            self.budget
         };
-        let assigned = node.limits.warmup_allowance(self.now);
-        assigned.map_or(own_budget.max(even_budget), |units| units * growth)
+        own_budget.max(even_budget)
+    }
+
+    /// Records units that are sent.
+    pub fn record_send(&mut self, now: Nanos, units: f64) {
+        self.recent_sends.push_back(RecentSend {
+            sent_at: now,
+            units,
+        });
+        if self.is_active() {
+            self.budget -= units;
+        }
     }
 
-    /// Learns from all starting servers together, as each is met too seldom.
-    pub(super) fn adjust_warmup_factor(&mut self, failed: bool) {
+    /// What this front had sent to a starting server before the front was restarted is unknown: the
+    /// server counts as fully used until the overload window has passed.
+    pub fn assume_fully_used(&mut self, now: Nanos) {
+        if self.is_active() {
+            self.recent_sends.push_back(RecentSend {
+                sent_at: now,
+                units: f64::INFINITY,
+            });
+        }
+    }
+
+    /// Counts units served, other than during the warm-up.
+    pub fn record_served(&mut self, now: Nanos, units: f64) {
+        if !self.is_active() {
+            self.served_rate.add(now, units, SERVED_RATE_MEMORY_NS);
+        }
+    }
+
+    /// Units per second that the server served this front when it was last warm.
+    pub fn warm_rate(&self) -> f64 {
+        self.warm_rate
+    }
+
+    /// Takes a server to serve at least this many units per second when it is warm.
+    pub fn raise_warm_rate(&mut self, rate: f64) {
+        self.warm_rate = self.warm_rate.max(rate);
+    }
+
+    /// Hashes all that later decisions depend on, with times relative to `now`.
+    pub fn fingerprint<H: Hasher>(&self, now: Nanos, hasher: &mut H) {
+        let age = self.started_at.map(|started_at| now - started_at);
+        (age, now - self.ends_at).hash(hasher);
+        self.budget.to_bits().hash(hasher);
+        self.warm_rate.to_bits().hash(hasher);
+        self.served_rate.fingerprint(now, hasher);
+        for send in &self.recent_sends {
+            (now - send.sent_at, send.units.to_bits()).hash(hasher);
+        }
+    }
+
+    fn update_warm_rate(&mut self, now: Nanos) {
+        self.warm_rate = self.served_rate.now(now, SERVED_RATE_MEMORY_NS);
+    }
+
+    fn units_sent_after(&self, time: Nanos) -> f64 {
+        let recent = self.recent_sends.iter().filter(|send| send.sent_at > time);
+        recent.map(|send| send.units).sum()
+    }
+}
+
+/// What this front learns from all servers that warm up together, as each is met too seldom.
+#[derive(Clone, Debug)]
+pub(crate) struct WarmupRates {
+    /// Factor on the rate to servers that are warming up.
+    factor: f64,
+    /// Units per second that a warm server serves this front on average, as last known.
+    mean_warm_rate: f64,
+}
+
+impl WarmupRates {
+    /// Nothing learned yet.
+    pub fn new() -> WarmupRates {
+        WarmupRates {
+            factor: 1.0,
+            mean_warm_rate: 0.0,
+        }
+    }
+
+    /// Learns from an attempt at a server that is warming up.
+    pub fn record_result(&mut self, failed: bool) {
         let step = if failed { FACTOR_CUT } else { FACTOR_GROWTH };
-        self.warmup_factor = (self.warmup_factor * step).clamp(FACTOR_MIN, FACTOR_MAX);
+        self.factor = (self.factor * step).clamp(FACTOR_MIN, FACTOR_MAX);
     }
 
     /// Notes the rate that each warm server serves and their mean, for servers that start anew.
-    pub(super) fn update_warm_rates(&mut self) {
-        for node in self.nodes.values_mut().filter(|node| node.is_warm()) {
-            node.warm_rate = node.served_rate.now(self.now, SERVED_RATE_MEMORY_NS);
+    pub fn update(&mut self, now: Nanos, nodes: &mut NodeTable) {
+        for node in nodes.values_mut().filter(|node| node.is_warm()) {
+            node.slow_start.update_warm_rate(now);
         }
-        let warm_rates = self
-            .nodes
-            .values()
-            .filter(|node| node.is_warm())
-            .map(|node| node.warm_rate);
+        let warm_nodes = nodes.values().filter(|node| node.is_warm());
+        let warm_rates = warm_nodes.map(|node| node.slow_start.warm_rate);
         self.mean_warm_rate = mean(warm_rates).unwrap_or(self.mean_warm_rate);
     }
 
-    pub(super) fn accrue_warmup_budgets(&mut self) {
-        let elapsed_seconds = (self.now - self.last_tick_at) as f64 / SECOND as f64;
-        self.last_tick_at = self.now;
-        let peak_factor = self.warmup_factor * self.settings.tip_multiple;
-        let max_budget = self.settings.mean_units * BUDGET_MAX_MEAN_REQUESTS;
-        for id in &self.active_nodes {
-            let Some(node) = self.nodes.get_mut(id) else {
-                continue;
-            };
-            let Some(since) = node.warmup_since else {
-                continue;
+    /// Adds to the budgets of the servers that are warming up what accrued since the last tick.
+    pub fn accrue(&self, now: Nanos, elapsed: Nanos, settings: &Settings, nodes: &mut NodeTable) {
+        let elapsed_seconds = elapsed as f64 / SECOND as f64;
+        let peak_factor = self.factor * settings.tip_multiple;
+        let max_budget = settings.mean_units * BUDGET_MAX_MEAN_REQUESTS;
+        nodes.for_each_active(|_, node| {
+            let slow_start = &mut node.slow_start;
+            let Some(started_at) = slow_start.started_at else {
+                return;
             };
-            let fraction = self.settings.warm_fraction(self.now - since);
-            let factor = (peak_factor * fraction).min(self.warmup_factor.max(1.0));
-            let accrued = factor * node.warm_rate.max(self.mean_warm_rate) * elapsed_seconds;
-            node.warmup_budget = (node.warmup_budget + accrued).min(max_budget);
-        }
+            let fraction = settings.warm_fraction(now - started_at);
+            let factor = (peak_factor * fraction).min(self.factor.max(1.0));
+            let rate = slow_start.warm_rate.max(self.mean_warm_rate);
+            let accrued = factor * rate * elapsed_seconds;
+            slow_start.budget = (slow_start.budget + accrued).min(max_budget);
+        });
+    }
+
+    /// Hashes all that later decisions depend on.
+    pub fn fingerprint<H: Hasher>(&self, hasher: &mut H) {
+        let rate = self.mean_warm_rate.to_bits();
+        (self.factor.to_bits(), rate).hash(hasher);
     }
 }
--- a/crates/core/src/policy/value.rs
+++ b/crates/core/src/policy/value.rs
@@ -1,165 +1,115 @@
-//! The value of a request, by its class, plan and volume's share, and the latency to expect of it.
-
-use super::slow_start::SERVED_RATE_MEMORY_NS;
-use crate::interface::{Nanos, NodeId, Request};
-use crate::state::{
-    mean, moving_average, LiveRequest, Node, RateLimit, Scheduler, TokenBucket, Volume,
-};
-
-/// A volume's rate beyond its reserve is fair up to this multiple of the smallest rate by weight.
-const FAIR_SHARE_RATIO: f64 = 2.0;
-/// Fraction of a limit's burst that the class with the lowest weight leaves to others.
-const LIMIT_HEADROOM: f64 = 0.4;
-pub(super) const VOLUME_RATE_MEMORY_NS: f64 = 1.5e9;
-/// Smoothing of the cost of a unit. It leans to the low side: what a unit costs with little
-/// waiting.
-const LOWER_COST_ALPHA: f64 = 0.05;
-const HIGHER_COST_ALPHA: f64 = 0.005;
-const UNITS_MIN: f64 = 0.1;
-const PLAN_WEIGHT_MIN: f64 = 0.01;
-
-impl Scheduler {
-    /// Creates a volume at its first request. Its limit starts empty, as a restarted front forgets
-    /// its use, and its reserve always holds the largest request.
-    pub(super) fn ensure_volume(&mut self, request: &Request) {
-        let (now, settings) = (self.now, &self.settings);
-        let plan = &settings.plans[request.plan];
-        let fronts = f64::from(request.front_count.max(1));
-        self.volumes.entry(request.volume).or_insert_with(|| {
-            let rates = settings
-                .plans
-                .iter()
-                .map(|plan| plan.nominal / plan.weight.max(PLAN_WEIGHT_MIN));
-            let min_rate = rates
-                .filter(|rate| *rate > 0.0)
-                .fold(f64::INFINITY, f64::min);
-            let fair_share =
-                min_rate * FAIR_SHARE_RATIO * plan.weight.max(PLAN_WEIGHT_MIN) / fronts;
-            let even_part = RateLimit {
-                rate: plan.limit_rate / fronts,
-                burst: plan.limit_burst / fronts,
-            };
-            let limit = self
-                .assigned_limits
-                .get(&request.volume)
-                .copied()
-                .unwrap_or(even_part);
-            let limit = (plan.limit_rate > 0.0).then(|| limit.empty_bucket(now));
-            let (rate, max_units) = (plan.reserve_rate / fronts, settings.max_units);
-            let reserve = TokenBucket::new(rate, rate + max_units, rate.min(max_units), now);
-            Volume::new(limit, reserve, fair_share, now)
-        });
+//! The value of a request, and the latency to expect of it at a server.
+
+use super::client_patience::ClientPatience;
+use super::learned_cost::LearnedCost;
+use super::node::Node;
+use super::volume_limits::VolumeTable;
+use crate::interface::{Class, Nanos, Request, Settings};
+use crate::state::LiveRequest;
+
+/// A class counts as costing at least this many nanoseconds per unit.
+const UNIT_COST_MIN: f64 = 1.0;
+
+/// Values requests at one moment, by all that is known then.
+#[derive(Clone, Copy)]
+pub(crate) struct Valuation<'a> {
+    /// The present time.
+    pub now: Nanos,
+    /// The classes and plans.
+    pub settings: &'a Settings,
+    /// The cost of a unit of each class.
+    pub learned_cost: &'a LearnedCost,
+    /// How long the clients of each class wait.
+    pub client_patience: &'a [ClientPatience],
+    /// The limits and shares of volumes.
+    pub volumes: &'a VolumeTable,
+}
+
+impl Valuation<'_> {
+    /// The expected value per unit of work of a request at a server.
+    pub fn score(&self, live: &LiveRequest, node: &Node) -> f64 {
+        self.value_fraction(live, node) * self.full_value_per_work(live.request())
     }
 
-    /// Whether the volume's limit allows the request; classes of lower weight leave part of the
-    /// burst.
-    pub(super) fn volume_limit_allows(&self, request: &Request) -> bool {
-        let limit = self
-            .volumes
-            .get(&request.volume)
-            .and_then(|volume| volume.limit.as_ref());
-        let Some(limit) = limit else { return true };
-        let weights = self
-            .settings
-            .classes
-            .iter()
-            .map(|class| class.priority_weight);
-        let relative_weight =
-            self.class(request).priority_weight / weights.fold(0.0, f64::max).max(1e-9);
-        let headroom = limit.capacity * LIMIT_HEADROOM * (1.0 - relative_weight);
-        limit.rate > 0.0
-            && limit.level_at(self.now) >= (request.units + headroom).min(limit.capacity)
+    /// The fraction of its full value that a request would earn at a server, by its volume's share
+    /// and its lateness.
+    pub fn value_fraction(&self, live: &LiveRequest, node: &Node) -> f64 {
+        let lateness_value = if self.would_be_late(live, node) {
+            self.class(live.request()).late_value
+        } else {
+            1.0
+        };
+        self.share_value(live.request()) * lateness_value
     }
 
-    /// The expected value per unit of work at a server.
-    pub(super) fn score(&self, live: &LiveRequest, node: &Node) -> f64 {
-        self.value_fraction(live, node) * self.full_value_per_work(&live.request)
+    /// Whether the limit of its volume allows a request.
+    pub fn volume_limit_allows(&self, request: &Request) -> bool {
+        self.volumes.allows(self.now, request, self.settings)
     }
 
-    /// The fraction of the full value that a request would earn at a server, by its share and
-    /// lateness.
-    pub(super) fn value_fraction(&self, live: &LiveRequest, node: &Node) -> f64 {
-        let late_value = self.class(&live.request).late_value;
-        self.share_value(&live.request)
-            * if self.would_be_late(live, node) {
-                late_value
-            } else {
-                1.0
-            }
+    /// The value per unit of work of a request that is answered in time.
+    pub fn timely_value_per_work(&self, request: &Request) -> f64 {
+        self.share_value(request) * self.full_value_per_work(request)
     }
 
-    pub(super) fn would_be_late(&self, live: &LiveRequest, node: &Node) -> bool {
-        self.now + self.expected_latency(live, node) as Nanos > self.answer_due_at(live)
+    /// Whether an answer from a server would come too late for the latency objective or for the
+    /// client's patience.
+    pub fn would_be_late(&self, live: &LiveRequest, node: &Node) -> bool {
+        self.expected_answer_at(live, node) > self.answer_due_at(live)
     }
 
-    /// The value by share: full within the reserve, less within the fair share, least beyond.
-    pub(super) fn share_value(&self, request: &Request) -> f64 {
-        let Some(volume) = self.volumes.get(&request.volume) else {
-            return 1.0;
-        };
-        let reserved =
-            (volume.reserve.level_at(self.now) / request.units.max(UNITS_MIN)).clamp(0.0, 1.0);
-        let is_fair = volume.excess_rate.now(self.now, VOLUME_RATE_MEMORY_NS) <= volume.fair_share;
-        let excess_value = if is_fair {
-            self.settings.fair_share_value
-        } else {
-            self.settings.idle_value
-        };
-        reserved + (1.0 - reserved) * excess_value
+    /// When a server is expected to answer a request that is sent now.
+    pub fn expected_answer_at(&self, live: &LiveRequest, node: &Node) -> Nanos {
+        self.now + self.expected_latency(live.request(), node) as Nanos
     }
 
-    pub(super) fn full_value_per_work(&self, request: &Request) -> f64 {
-        let price = self.settings.plans[request.plan].price;
-        self.class(request).priority_weight * price / self.unit_cost[request.class].max(1.0)
+    /// Until when an answer is in time.
+    pub fn answer_due_at(&self, live: &LiveRequest) -> Nanos {
+        let client_leaves_at = live.received_at() + self.typical_wait(live.request().class);
+        live.objective_at().min(client_leaves_at)
     }
 
-    /// The server's fast average, scaled from the mean request to this one, or the work alone.
-    pub(super) fn expected_latency(&self, live: &LiveRequest, node: &Node) -> f64 {
-        let Some(fast) = node.fast_latency else {
-            return self.work(&live.request);
-        };
-        fast * self.relative_latency(&live.request, node)
+    /// How long the clients of a class typically wait.
+    pub fn typical_wait(&self, class: usize) -> Nanos {
+        self.client_patience[class].typical_wait(self.now)
     }
 
-    /// A request's latency over that of the mean request; costly requests must not look like
-    /// congestion.
-    pub(super) fn relative_latency(&self, request: &Request, node: &Node) -> f64 {
-        let known_costs = self.unit_cost.iter().copied().filter(|cost| *cost > 0.0);
-        let mean_work = mean(known_costs).unwrap_or(0.0) * self.settings.mean_units.max(1.0);
-        let work = self.work(request);
-        if mean_work <= 0.0 || work <= 0.0 {
-            return 1.0;
-        }
-        let waiting = (node.slow_latency - mean_work).max(0.0);
-        (work + waiting) / (mean_work + waiting)
+    /// The latency of a request at a server in nanoseconds: the server's fast average, scaled from
+    /// the mean request to this one, or its work alone before the first answer.
+    pub fn expected_latency(&self, request: &Request, node: &Node) -> f64 {
+        let Some(fast) = node.latency.fast() else {
+            return self.learned_cost.work(request);
+        };
+        fast * self.relative_latency(request, node)
     }
 
-    /// Nanoseconds of work of a request without waiting, as learned; 0 while unknown.
-    fn work(&self, request: &Request) -> f64 {
-        self.unit_cost[request.class] * request.units
+    /// A request's latency at a server as a multiple of that of the mean request.
+    pub fn relative_latency(&self, request: &Request, node: &Node) -> f64 {
+        let mean_units = self.settings.mean_units;
+        let slow_latency = node.latency.slow();
+        self.learned_cost
+            .relative_latency(request, mean_units, slow_latency)
     }
 
-    /// Learns the class's cost and the server's latency from an answer.
-    pub(super) fn learn_from_answer(&mut self, request: &Request, at: NodeId, took: Nanos) {
-        let unit_cost = took as f64 / request.units.max(UNITS_MIN);
-        let learned = self.unit_cost[request.class];
-        let alpha = if unit_cost < learned {
-            LOWER_COST_ALPHA
-        } else {
-            HIGHER_COST_ALPHA
-        };
-        self.unit_cost[request.class] = moving_average(learned, alpha, unit_cost);
-        let latency = took as f64 / self.relative_latency(request, &self.nodes[&at]).max(0.05);
+    /// The tightest latency objective or typical wait of any class.
+    pub fn tightest_objective(&self) -> Nanos {
         let classes = self.settings.classes.iter().enumerate();
         let objectives =
-            classes.map(|(i, class)| class.latency_objective.min(self.typical_wait(i)));
-        let tightest = objectives.min().unwrap_or(0) as f64;
-        let (now, min_window) = (self.now, self.min_window());
-        let Some(node) = self.nodes.get_mut(&at) else {
-            return;
-        };
-        node.min_window = min_window;
-        node.record_served(now, request.units, SERVED_RATE_MEMORY_NS);
-        node.record_latency(now, latency, tightest);
+            classes.map(|(index, class)| class.latency_objective.min(self.typical_wait(index)));
+        objectives.min().unwrap_or(0)
+    }
+
+    fn share_value(&self, request: &Request) -> f64 {
+        self.volumes.share_value(self.now, request, self.settings)
+    }
+
+    fn full_value_per_work(&self, request: &Request) -> f64 {
+        let price = self.settings.plans[request.plan].price;
+        let unit_cost = self.learned_cost.unit_cost(request.class);
+        self.class(request).priority_weight * price / unit_cost.max(UNIT_COST_MIN)
+    }
+
+    fn class(&self, request: &Request) -> &Class {
+        &self.settings.classes[request.class]
     }
 }
--- a/crates/core/src/request_tracker/decisions.rs
+++ b/crates/core/src/request_tracker/decisions.rs
@@ -1,7 +1,7 @@
 //! The interface between the request tracker and the policy that decides.
 
 use crate::interface::{Action, Event, Nanos, RequestId};
-use crate::state::Scheduler;
+use crate::policy::Scheduler;
 
 /// The policy that decides on requests: handles events in order and appends its actions.
 pub trait Decisions {
--- a/crates/core/src/state/settings_check.rs
+++ b/crates/core/src/state/settings_check.rs
@@ -1,6 +1,6 @@
 //! The check of the settings.
 
-use crate::interface::{Class, Plan, Settings, SettingsError};
+use crate::interface::{Class, Plan, Request, Settings, SettingsError};
 
 impl Settings {
     /// The number of fronts.
@@ -8,6 +8,11 @@
         f64::from(self.initiators.max(1))
     }
 
+    /// Whether a request's class and plan are known.
+    pub(crate) fn has_class_and_plan(&self, request: &Request) -> bool {
+        request.class < self.classes.len() && request.plan < self.plans.len()
+    }
+
     /// Checks that the settings are valid.
     ///
     /// # Errors
--- a/crates/core/src/state/statistics.rs
+++ b/crates/core/src/state/statistics.rs
@@ -1,28 +1,31 @@
 //! Estimators shared by the decisions: decaying rates, moving averages, a sliding minimum, a
 //! weighted choice. Their time constants are chosen by the callers.
 
+use std::hash::{Hash, Hasher};
+
 use crate::interface::Nanos;
 
 /// A rate per second that decays exponentially with a given time constant, in nanoseconds.
 #[derive(Clone, Debug, Default)]
 pub struct Rate {
-    pub(super) per_second: f64,
+    /// The rate at `updated_at`.
+    per_second: f64,
     /// When an amount was last added.
-    pub at: Nanos,
+    updated_at: Nanos,
 }
 
 impl Rate {
     /// A rate of zero.
-    pub fn new(at: Nanos) -> Rate {
+    pub fn new(now: Nanos) -> Rate {
         Rate {
             per_second: 0.0,
-            at,
+            updated_at: now,
         }
     }
 
     /// The rate at `now`.
     pub fn now(&self, now: Nanos, memory: f64) -> f64 {
-        decayed(self.per_second, now - self.at, memory)
+        decayed(self.per_second, now - self.updated_at, memory)
     }
 
     /// Counts one event and returns the rate.
@@ -33,9 +36,20 @@
     /// Adds an amount and returns the rate.
     pub fn add(&mut self, now: Nanos, amount: f64, memory: f64) -> f64 {
         self.per_second = self.now(now, memory) + amount * (1e9 / memory);
-        self.at = now;
+        self.updated_at = now;
         self.per_second
     }
+
+    /// When an amount was last added.
+    pub fn updated_at(&self) -> Nanos {
+        self.updated_at
+    }
+
+    /// Hashes the rate, with times relative to `now`.
+    pub(crate) fn fingerprint<H: Hasher>(&self, now: Nanos, hasher: &mut H) {
+        self.per_second.to_bits().hash(hasher);
+        (now - self.updated_at).hash(hasher);
+    }
 }
 
 /// What is left of a value after some time, decaying with the time constant `memory` in
@@ -47,9 +61,9 @@
 /// The minimum over the current and the previous span of time; infinite without values.
 #[derive(Clone, Debug)]
 pub struct SlidingMinimum {
-    pub(super) current: f64,
-    pub(super) previous: f64,
-    pub(super) span_started_at: Nanos,
+    current: f64,
+    previous: f64,
+    span_started_at: Nanos,
 }
 
 impl SlidingMinimum {
@@ -82,6 +96,13 @@
     pub fn minimum(&self) -> f64 {
         self.current.min(self.previous)
     }
+
+    /// Hashes all that later minima depend on, with times relative to `now`.
+    pub(crate) fn fingerprint<H: Hasher>(&self, now: Nanos, hasher: &mut H) {
+        self.current.to_bits().hash(hasher);
+        self.previous.to_bits().hash(hasher);
+        (now - self.span_started_at).hash(hasher);
+    }
 }
 
 /// An exponentially weighted moving average that starts at its first value.
--- a/crates/core/src/state/token_bucket.rs
+++ b/crates/core/src/state/token_bucket.rs
@@ -22,13 +22,13 @@
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     /// Tokens added per second.
-    pub rate: f64,
+    rate: f64,
     /// Most tokens that are kept.
-    pub capacity: f64,
+    capacity: f64,
     /// Tokens available at `updated_at`.
-    pub level: f64,
+    level: f64,
     /// When `level` was last brought up to date.
-    pub updated_at: Nanos,
+    updated_at: Nanos,
 }
 
 impl TokenBucket {
@@ -42,6 +42,16 @@
         }
     }
 
+    /// Tokens added per second.
+    pub fn rate(&self) -> f64 {
+        self.rate
+    }
+
+    /// Most tokens that are kept.
+    pub fn capacity(&self) -> f64 {
+        self.capacity
+    }
+
     /// The tokens available at a later time.
     pub fn level_at(&self, now: Nanos) -> f64 {
         let mut bucket = self.clone();
@@ -50,7 +60,7 @@
     }
 
     /// Adds the tokens that accrued since the last update.
-    pub fn refill(&mut self, now: Nanos) {
+    fn refill(&mut self, now: Nanos) {
         let accrued = (now - self.updated_at).max(0) as f64 / 1e9 * self.rate;
         self.level = (self.level + accrued).min(self.capacity);
         self.updated_at = now;
@@ -62,6 +72,19 @@
         self.level -= tokens;
     }
 
+    /// Takes up to this many tokens, as far as the bucket holds them, and returns how many.
+    pub fn take_available(&mut self, now: Nanos, tokens: f64) -> f64 {
+        self.refill(now);
+        let taken = tokens.min(self.level);
+        self.level -= taken;
+        taken
+    }
+
+    /// Puts tokens back that were charged and not used.
+    pub fn refund(&mut self, tokens: f64) {
+        self.level = (self.level + tokens).min(self.capacity);
+    }
+
     /// Applies another limit from `effective_at` on. Where that is in the past, tokens that accrued
     /// since at a higher rate are taken back.
     pub fn set_limit(&mut self, limit: RateLimit, effective_at: Nanos) {
--- a/crates/core/tests/ejection.rs
+++ b/crates/core/tests/ejection.rs
@@ -74,7 +74,13 @@
     assert!(servers_used(&mut front, AT_MOST_ONCE, None, served).contains(&1));
     eject(&mut front, 1, ClassSet::ALL);
     assert!(!servers_used(&mut front, AT_MOST_ONCE, None, served).contains(&1));
-    assert_eq!(front.scheduler.node_counts(), (3, 1));
+    assert_eq!(
+        front.scheduler.node_counts(),
+        NodeCounts {
+            listed: 3,
+            avoided: 1
+        }
+    );
     let reads = servers_used(&mut front, AT_MOST_ONCE, Some(1), |_| Outcome::Error);
     assert!(
         reads.len() > 100 && reads.iter().all(|n| *n == 1),
@@ -111,7 +117,10 @@
     assert!(!servers_used(&mut front, AT_MOST_ONCE, None, served).contains(&0));
     assert_eq!(
         front.scheduler.node_counts(),
-        (2, 0),
+        NodeCounts {
+            listed: 2,
+            avoided: 0
+        },
         "it is not ejected for all classes"
     );
 }
--- a/crates/fleet-limits/src/demand.rs
+++ b/crates/fleet-limits/src/demand.rs
@@ -38,7 +38,7 @@
 
     /// Drops the limits without recent demand and returns them.
     pub fn expire_idle(&mut self, now: Nanos) -> Vec<Limit> {
-        let is_idle = |rate: &Rate| now - rate.at > IDLE_TIMEOUT;
+        let is_idle = |rate: &Rate| now - rate.updated_at() > IDLE_TIMEOUT;
         let idle: Vec<Limit> = self
             .rates
             .iter()
@@ -62,7 +62,7 @@
             (
                 limit,
                 rate.now(now, AVERAGING_TIME).to_bits(),
-                now - rate.at,
+                now - rate.updated_at(),
             )
                 .hash(hasher);
         }
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -133,8 +133,11 @@
 
     /// The number of chunk servers, and how many of them are avoided.
     pub fn endpoint_counts(&self) -> EndpointCounts {
-        let (listed, avoided) = self.core.borrow().tracker.decisions().node_counts();
-        EndpointCounts { listed, avoided }
+        let counts = self.core.borrow().tracker.decisions().node_counts();
+        EndpointCounts {
+            listed: counts.listed,
+            avoided: counts.avoided,
+        }
     }
 
     /// A copy of the settings in force.
