--- a/crates/testbed/src/simulation/gossip/history.rs
+++ b/crates/testbed/src/simulation/gossip/history.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use tulipbridge_membership::{EntryKey, Incarnation, Nanos};
+use tulipbridge_membership::{EntryKey, Incarnation, Nanos, StoredValue};
 
 /// One write of an entry; no value is a removal.
 struct Write {
@@ -14,12 +14,14 @@
 /// All writes, by incarnation and version.
 #[derive(Default)]
 pub struct WriteHistory {
+    /// By incarnation and version.
     writes: BTreeMap<(Incarnation, u64), Write>,
 }
 
 /// The writes of one key by one incarnation, as a front sees them that has received them up to a
 /// version.
 pub struct KeyHistory<'a> {
+    /// All writes of all keys.
     history: &'a WriteHistory,
     incarnation: Incarnation,
     version: u64,
@@ -55,7 +57,8 @@
 impl<'a> KeyHistory<'a> {
     /// The writes received, the latest first.
     fn received(&self) -> impl Iterator<Item = &'a Write> + use<'a> {
-        let (key, incarnation) = (self.key, self.incarnation);
+        let key = self.key;
+        let incarnation = self.incarnation;
         let range = self
             .history
             .writes
@@ -66,30 +69,30 @@
             .filter(move |write| write.key == key)
     }
 
+    /// Whether the key was written again after the version received.
     fn is_written_later(&self) -> bool {
-        let (first, last) = (
-            (self.incarnation, self.version + 1),
-            (self.incarnation, u64::MAX),
-        );
+        let first = (self.incarnation, self.version + 1);
+        let last = (self.incarnation, u64::MAX);
         self.history
             .writes
             .range(first..=last)
             .any(|(_, write)| write.key == self.key)
     }
 
+    /// The latest value received; `None` if there is none or it was removed.
     fn latest_value(&self) -> Option<&'a [u8]> {
         self.received()
             .next()
             .and_then(|write| write.value.as_deref())
     }
 
-    /// Whether an entry, given as its value and age, is the latest one received but claims to be
+    /// Whether an entry is the latest one received but claims to be
     /// younger than that is.
-    pub fn understates_age(&self, entry: Option<(&[u8], Nanos)>, now: Nanos) -> bool {
-        let (Some((value, age)), Some(latest)) = (entry, self.received().next()) else {
+    pub fn understates_age(&self, entry: Option<StoredValue<'_>>, now: Nanos) -> bool {
+        let (Some(entry), Some(latest)) = (entry, self.received().next()) else {
             return false;
         };
-        Some(value) == latest.value.as_deref() && age < now - latest.at
+        Some(entry.value) == latest.value.as_deref() && entry.age < now - latest.at
     }
 
     /// Whether a front may hold this value: the latest received; or, where the key was written
