--- a/crates/core/src/interface/events.rs
+++ b/crates/core/src/interface/events.rs
@@ -110,11 +110,18 @@
     },
     /// Final answer: failed; the request may have been executed.
     Fail(RequestId),
+    /// A command that concerns no request.
+    Runtime(RuntimeCommand),
+}
+
+/// A command to the runtime that the decision module runs in.
+#[derive(Clone, Debug, PartialEq)]
+pub enum RuntimeCommand {
     /// Start a timer.
     SetTimer {
-        /// The time from now.
+        /// The time from now until it expires.
         after: Nanos,
-        /// Returned with the timer.
+        /// Returned in [`Event::Timer`].
         cookie: u64,
     },
     /// Subscribe to the endpoint list.
--- a/crates/core/src/interface/mod.rs
+++ b/crates/core/src/interface/mod.rs
@@ -12,7 +12,7 @@
 mod settings;
 
 pub use endpoints::{Listed, NodeInfo, UpdateScope};
-pub use events::{Action, Event, Outcome};
+pub use events::{Action, Event, Outcome, RuntimeCommand};
 pub use fleet::{ClassSet, FleetUpdate, SharedLimit};
 pub use ids::{KeyId, NodeId, RequestId, ShardId, VolumeId};
 pub use request::Request;
--- a/crates/core/src/invariant_monitor.rs
+++ b/crates/core/src/invariant_monitor.rs
@@ -9,7 +9,8 @@
 use std::collections::BTreeMap;
 
 use crate::interface::{
-    Group, Listed, Nanos, NodeId, Outcome, RequestId, Semantics, Settings, UpdateScope,
+    Group, Listed, Nanos, NodeId, Outcome, RequestId, RuntimeCommand, Semantics, Settings,
+    UpdateScope,
 };
 use crate::request_tracker::{Effect, FinalAnswer, Input};
 
@@ -145,7 +146,7 @@
                 self.requests.remove(id);
                 None
             }
-            Effect::ForgetNode(node) => {
+            Effect::Runtime(RuntimeCommand::ForgetNode(node)) => {
                 self.listed.remove(node);
                 None
             }
--- a/crates/core/src/policy/health.rs
+++ b/crates/core/src/policy/health.rs
@@ -1,7 +1,7 @@
 //! Health of a chunk server, one notion for every kind of failure, and the probes of a suspect.
 
 use super::{congestion::WINDOW_CUT_MAX, Actions, MILLISECOND, SECOND};
-use crate::interface::{Action, Nanos, NodeId, Outcome};
+use crate::interface::{Action, Nanos, NodeId, Outcome, RuntimeCommand};
 use crate::state::{Health, Node, Scheduler};
 
 const SILENCE_RATIO: f64 = 4.0;
@@ -58,10 +58,10 @@
             };
             if node.is_silent(now) {
                 if node.is_healthy() {
-                    actions.push(Action::Log {
+                    actions.push(Action::Runtime(RuntimeCommand::Log {
                         text: "node is silent",
                         node: *id,
-                    });
+                    }));
                 }
                 node.mark_suspect(now);
                 node.period_congested = true;
@@ -113,10 +113,10 @@
             Outcome::Served | Outcome::NotSent | Outcome::Cancelled
         );
         node.end_period(self.now);
-        (!was_healthy && node.is_healthy()).then_some(Action::Log {
+        (!was_healthy && node.is_healthy()).then_some(Action::Runtime(RuntimeCommand::Log {
             text: "node answers again",
             node: at,
-        })
+        }))
     }
 
     /// Schedules the next probe of a suspect after one was sent, with jitter.
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -10,7 +10,7 @@
 mod slow_start;
 mod value;
 
-use crate::interface::{Action, Event, Nanos, Outcome, Request, UpdateScope};
+use crate::interface::{Action, Event, Nanos, Outcome, Request, RuntimeCommand, UpdateScope};
 use crate::mutations::{mutated, Mutation};
 use crate::state::{LiveRequest, Scheduler};
 
@@ -143,12 +143,12 @@
     }
 
     fn tick(&mut self, actions: &mut Actions) {
-        actions.push(Action::SetTimer {
+        actions.push(Action::Runtime(RuntimeCommand::SetTimer {
             after: TICK_INTERVAL,
             cookie: TICK_COOKIE,
-        });
+        }));
         if self.subscribe_at.take_if(|at| self.now >= *at).is_some() {
-            actions.push(Action::Subscribe);
+            actions.push(Action::Runtime(RuntimeCommand::Subscribe));
         }
         self.count_overdue();
         self.accrue_warmup_budgets();
@@ -165,7 +165,7 @@
             actions.extend(
                 self.forget_removed_nodes()
                     .into_iter()
-                    .map(Action::ForgetNode),
+                    .map(|node| Action::Runtime(RuntimeCommand::ForgetNode(node))),
             );
         }
         self.dispatch_all(actions);
--- /dev/null
+++ b/crates/core/src/request_tracker/attempts.rs
@@ -0,0 +1,190 @@
+//! Attempts of the tracked requests: their start, cancellation, withdrawal and end.
+
+use super::{Decisions, Effect, FinalAnswer, InFlightAttempt, RequestTracker};
+use crate::interface::{Event, Listed, Nanos, NodeId, NodeInfo, Outcome, RequestId, UpdateScope};
+use crate::mutations::{mutated, Mutation};
+
+/// How far [`Mutation::TimeoutPastClientDeadline`] moves the deadline of an attempt past that of
+/// its client.
+const MUTATED_DEADLINE_EXCESS: Nanos = 1_000_000_000;
+
+/// How an attempt ended, with the use of its volume that the chunk server reported.
+pub(super) struct AttemptEnd {
+    pub id: RequestId,
+    pub attempt: u32,
+    pub outcome: Outcome,
+    /// 1 + the volume's use in percent of its plan's rate; 0 means unknown.
+    pub observed_use: f64,
+    /// Units that the chunk server served to the volume through other fronts.
+    pub foreign_units: f64,
+}
+
+impl AttemptEnd {
+    /// An end without a response, and so without a report of the volume's use.
+    pub fn without_response(id: RequestId, attempt: u32, outcome: Outcome) -> AttemptEnd {
+        AttemptEnd {
+            id,
+            attempt,
+            outcome,
+            observed_use: 0.0,
+            foreign_units: 0.0,
+        }
+    }
+}
+
+impl<D: Decisions> RequestTracker<D> {
+    /// Starts an attempt. For a request that is answered already, returns the event that ends it
+    /// unsent instead.
+    pub(super) fn send(
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        node: NodeId,
+        timeout: Nanos,
+        effects: &mut Vec<Effect>,
+    ) -> Option<Event> {
+        let request = self.requests.get_mut(&id)?;
+        let attempt = request.allocate_attempt();
+        if request.answered && !mutated(Mutation::AttemptAfterAnswer) {
+            return Some(Event::AttemptEnded {
+                id,
+                attempt,
+                node,
+                outcome: Outcome::NotSent,
+                took: 0,
+                last: true,
+                observed_use: 0.0,
+                foreign_units: 0.0,
+            });
+        }
+        request.in_flight.push(InFlightAttempt {
+            attempt,
+            node,
+            sent_at: now,
+            cancelled: false,
+        });
+        let deadline = attempt_deadline(now, timeout, request.deadline);
+        let begin_by = self.decisions.begin_deadline(id);
+        effects.push(Effect::Send {
+            id,
+            attempt,
+            node,
+            deadline,
+            begin_by,
+        });
+        None
+    }
+
+    /// Requests the cancellation of an attempt in flight, once.
+    pub(super) fn cancel(&mut self, id: RequestId, attempt: u32, effects: &mut Vec<Effect>) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(in_flight) = request.attempt_mut(attempt) else {
+            return;
+        };
+        if !in_flight.cancelled {
+            in_flight.cancelled = true;
+            effects.push(Effect::Cancel { id, attempt });
+        }
+    }
+
+    /// Handles the end of an attempt. The first one that was served answers its request.
+    pub(super) fn attempt_ended(&mut self, now: Nanos, end: AttemptEnd, effects: &mut Vec<Effect>) {
+        let id = end.id;
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(ended) = request.end_attempt(end.attempt) else {
+            return;
+        };
+        let answerable = !request.answered || mutated(Mutation::SecondFinalAnswer);
+        if end.outcome == Outcome::Served && answerable {
+            request.answered = true;
+            effects.push(Effect::Answer {
+                id,
+                answer: FinalAnswer::Served,
+            });
+            self.withdraw_attempts(id, effects);
+        }
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let last = request.answered;
+        self.release_if_finished(id, effects);
+        let event = Event::AttemptEnded {
+            id,
+            attempt: end.attempt,
+            node: ended.node,
+            outcome: end.outcome,
+            took: now - ended.sent_at,
+            last,
+            observed_use: end.observed_use,
+            foreign_units: end.foreign_units,
+        };
+        self.decide(now, event, effects);
+    }
+
+    /// Withdraws the attempts of a request whose response nobody waits for. Their end says nothing
+    /// about their chunk servers, hence [`Outcome::NotSent`].
+    pub(super) fn withdraw_attempts(&self, id: RequestId, effects: &mut Vec<Effect>) {
+        if mutated(Mutation::WithdrawalOmitted) {
+            return;
+        }
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        for in_flight in request.uncancelled_attempts() {
+            effects.push(Effect::Withdraw {
+                id,
+                attempt: in_flight.attempt,
+                outcome: Outcome::NotSent,
+            });
+        }
+    }
+
+    /// Withdraws the attempts at chunk servers that drain or are removed: one that has not begun
+    /// was not executed and may be retried elsewhere.
+    pub(super) fn withdraw_from_draining(
+        &self,
+        scope: UpdateScope,
+        nodes: &[NodeInfo],
+        effects: &mut Vec<Effect>,
+    ) {
+        if mutated(Mutation::DrainIgnoresDialing) {
+            return;
+        }
+        for (&id, request) in &self.requests {
+            for in_flight in request.uncancelled_attempts() {
+                if stays_up(in_flight.node, scope, nodes) {
+                    continue;
+                }
+                effects.push(Effect::Withdraw {
+                    id,
+                    attempt: in_flight.attempt,
+                    outcome: Outcome::NotExecuted,
+                });
+            }
+        }
+    }
+}
+
+/// When an attempt times out: after `timeout`, where that is not 0, and no later than its client.
+fn attempt_deadline(now: Nanos, timeout: Nanos, client_deadline: Nanos) -> Nanos {
+    match timeout {
+        0 if mutated(Mutation::TimeoutPastClientDeadline) => {
+            client_deadline + MUTATED_DEADLINE_EXCESS
+        }
+        0 => client_deadline,
+        timeout => client_deadline.min(now + timeout.max(0)),
+    }
+}
+
+/// Whether a chunk server that was up still is after an update of the endpoint list. The last entry
+/// of a server counts; a complete list removes those that it does not name.
+fn stays_up(node: NodeId, scope: UpdateScope, nodes: &[NodeInfo]) -> bool {
+    match nodes.iter().rev().find(|info| info.node == node) {
+        Some(info) => info.listed == Listed::Up,
+        None => scope != UpdateScope::Replace,
+    }
+}
--- a/crates/core/src/request_tracker/in_flight.rs
+++ b/crates/core/src/request_tracker/in_flight.rs
@@ -1,6 +1,7 @@
 //! State of the requests and attempts that the tracker holds.
 
 use crate::interface::{Nanos, NodeId};
+use crate::mutations::{mutated, Mutation};
 
 /// A request that has no final answer yet, or has attempts in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -38,6 +39,27 @@
             .iter_mut()
             .find(|in_flight| in_flight.attempt == attempt)
     }
+
+    /// The attempts in flight whose cancellation was not requested.
+    pub(super) fn uncancelled_attempts(&self) -> impl Iterator<Item = &InFlightAttempt> {
+        self.in_flight
+            .iter()
+            .filter(|in_flight| !in_flight.cancelled)
+    }
+
+    /// Removes an attempt that has ended. `None` if it has ended before: a second report of its end
+    /// was already on its way.
+    pub(super) fn end_attempt(&mut self, attempt: u32) -> Option<InFlightAttempt> {
+        let position = self
+            .in_flight
+            .iter()
+            .position(|in_flight| in_flight.attempt == attempt)?;
+        let ended = self.in_flight[position];
+        if !mutated(Mutation::EndedAttemptRetained) {
+            self.in_flight.remove(position);
+        }
+        Some(ended)
+    }
 }
 
 /// An attempt that has not ended.
--- a/crates/core/src/request_tracker/messages.rs
+++ b/crates/core/src/request_tracker/messages.rs
@@ -1,7 +1,7 @@
 //! Inputs and effects of the request tracker.
 
 use crate::interface::{
-    FleetUpdate, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, UpdateScope,
+    FleetUpdate, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, RuntimeCommand, UpdateScope,
 };
 
 /// An event that the request tracker handles.
@@ -51,7 +51,7 @@
     },
     /// An update of the state that all fronts share, or the shutdown of this one.
     FleetUpdate(FleetUpdate),
-    /// A timer has expired; carries the cookie of [`Effect::SetTimer`].
+    /// A timer has expired; carries the cookie of [`RuntimeCommand::SetTimer`].
     Timer(u64),
 }
 
@@ -100,24 +100,8 @@
     },
     /// The tracker has dropped the request; state that others keep for it may go.
     Release(RequestId),
-    /// Start a timer.
-    SetTimer {
-        /// Time from now until it expires.
-        after: Nanos,
-        /// Returned in [`Input::Timer`].
-        cookie: u64,
-    },
-    /// Subscribe to the endpoint list.
-    Subscribe,
-    /// The node was removed and has no attempt in flight.
-    ForgetNode(NodeId),
-    /// A log line for the operators.
-    Log {
-        /// The text.
-        text: &'static str,
-        /// The node it is about.
-        node: NodeId,
-    },
+    /// A command of the policy that concerns no request.
+    Runtime(RuntimeCommand),
 }
 
 /// The final answer to a client.
--- a/crates/core/src/settings_reload.rs
+++ b/crates/core/src/settings_reload.rs
@@ -6,6 +6,24 @@
 //! whose value changes is appended as a new version of its name: requests in flight keep the old
 //! version, and what was learned about it is carried over. No I/O.
 
+/// A value of the settings with the name that identifies it across reloads.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct NamedValue<T> {
+    /// The name.
+    pub name: String,
+    /// The value.
+    pub value: T,
+}
+
+/// A new version of an entry that replaces an older one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ReplacedEntry {
+    /// The index of the new version.
+    pub index: usize,
+    /// The index of the version that it replaces, from which learned state is to be carried over.
+    pub previous: usize,
+}
+
 /// Named entries with stable indices.
 #[derive(Clone, Debug, Default)]
 pub struct VersionedTable<T> {
@@ -20,49 +38,55 @@
     value: T,
 }
 
+impl<T> Entry<T> {
+    /// An entry that new requests find.
+    fn new(named: NamedValue<T>) -> Entry<T> {
+        Entry {
+            name: named.name,
+            current: true,
+            value: named.value,
+        }
+    }
+}
+
 impl<T: Clone + PartialEq> VersionedTable<T> {
     /// The table of the first settings; its entries keep their order.
-    pub fn new(named_values: Vec<(String, T)>) -> VersionedTable<T> {
-        let entries = named_values.into_iter().map(|(name, value)| Entry {
-            name,
-            current: true,
-            value,
-        });
+    pub fn new(values: Vec<NamedValue<T>>) -> VersionedTable<T> {
         VersionedTable {
-            entries: entries.collect(),
+            entries: values.into_iter().map(Entry::new).collect(),
         }
     }
 
-    /// Applies new settings. Returns for each appended entry that replaces an older version the
-    /// pair of its index and that of the version it replaces, from which learned state is to be
-    /// carried over.
-    pub fn reload(&mut self, named_values: Vec<(String, T)>) -> Vec<(usize, usize)> {
-        let latest = |name: &str| self.entries.iter().rposition(|entry| entry.name == name);
-        let previous: Vec<Option<usize>> =
-            named_values.iter().map(|(name, _)| latest(name)).collect();
+    /// Applies new settings. Returns the appended entries that replace an older version.
+    pub fn reload(&mut self, values: Vec<NamedValue<T>>) -> Vec<ReplacedEntry> {
+        let previous_versions: Vec<Option<usize>> = values
+            .iter()
+            .map(|named| self.latest_version(&named.name))
+            .collect();
         for entry in &mut self.entries {
             entry.current = false;
         }
         let mut replaced = Vec::new();
-        for ((name, value), previous) in named_values.into_iter().zip(previous) {
+        for (named, previous) in values.into_iter().zip(previous_versions) {
             match previous {
-                Some(index) if self.entries[index].value == value => {
-                    self.entries[index].current = true
+                Some(previous) if self.entries[previous].value == named.value => {
+                    self.entries[previous].current = true;
                 }
                 _ => {
                     let index = self.entries.len();
-                    self.entries.push(Entry {
-                        name,
-                        current: true,
-                        value,
-                    });
-                    replaced.extend(previous.map(|previous| (index, previous)));
+                    self.entries.push(Entry::new(named));
+                    replaced.extend(previous.map(|previous| ReplacedEntry { index, previous }));
                 }
             }
         }
         replaced
     }
 
+    /// The index of the latest version of a name, current or not.
+    fn latest_version(&self, name: &str) -> Option<usize> {
+        self.entries.iter().rposition(|entry| entry.name == name)
+    }
+
     /// The index of the current entry with this name.
     pub fn find(&self, name: &str) -> Option<usize> {
         self.entries
--- a/crates/core/src/state/scheduler.rs
+++ b/crates/core/src/state/scheduler.rs
@@ -6,6 +6,7 @@
 use crate::interface::{
     KeyId, Listed, Nanos, NodeId, RequestId, Settings, SettingsError, ShardId, VolumeId,
 };
+use crate::settings_reload::ReplacedEntry;
 use crate::state::{Admission, ClientPatience, KeyQueue, LiveRequest, Node, RateLimit, Volume};
 
 /// Requests in flight at a chunk server from all fronts together for which no front is paced: fewer
@@ -100,9 +101,9 @@
     }
 
     /// Applies reloaded settings. Classes and plans keep their numbers, as a
-    /// [`VersionedTable`](crate::settings_reload::VersionedTable) assigns them; `carried` pairs a
-    /// class with the older one that it replaces, whose learned values it takes. Requests under way
-    /// keep their class and the number of attempts they were allowed.
+    /// [`VersionedTable`](crate::settings_reload::VersionedTable) assigns them; a
+    /// class in `replaced` takes the learned values of the older one that it replaces. Requests
+    /// under way keep their class and the number of attempts they were allowed.
     ///
     /// # Errors
     /// [`SettingsError`] for settings that are not valid or have fewer classes or plans; then
@@ -110,7 +111,7 @@
     pub fn apply_settings(
         &mut self,
         settings: Settings,
-        carried: &[(usize, usize)],
+        replaced: &[ReplacedEntry],
     ) -> Result<(), SettingsError> {
         settings.check()?;
         let keeps_classes = settings.classes.len() >= self.settings.classes.len();
@@ -123,13 +124,13 @@
         self.client_patience
             .resize(classes, ClientPatience::default());
         self.max_patience.resize(classes, 0);
-        for &(new, old) in carried
-            .iter()
-            .filter(|(new, old)| *new < classes && *old < classes)
-        {
-            self.unit_cost[new] = self.unit_cost[old];
-            self.client_patience[new] = self.client_patience[old].clone();
-            self.max_patience[new] = self.max_patience[old];
+        for &ReplacedEntry { index, previous } in replaced {
+            if index >= classes || previous >= classes {
+                continue;
+            }
+            self.unit_cost[index] = self.unit_cost[previous];
+            self.client_patience[index] = self.client_patience[previous].clone();
+            self.max_patience[index] = self.max_patience[previous];
         }
         self.settings = settings;
         Ok(())
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -141,7 +141,7 @@
             let some = self.event(Event::Timer(1));
             all.extend(
                 some.into_iter()
-                    .filter(|a| !matches!(a, Action::SetTimer { .. })),
+                    .filter(|a| !matches!(a, Action::Runtime(RuntimeCommand::SetTimer { .. }))),
             );
         }
         all
--- a/crates/core/tests/health.rs
+++ b/crates/core/tests/health.rs
@@ -14,10 +14,10 @@
     let while_silent = front.advance(400 * MS);
     assert!(while_silent.iter().any(|a| matches!(
         a,
-        Action::Log {
+        Action::Runtime(RuntimeCommand::Log {
             text: "node is silent",
             node: NodeId(0)
-        }
+        })
     )));
     let mut sent = 0;
     for id in 60..90 {
@@ -36,10 +36,10 @@
     let recovered = front.end_attempt(50, 0, 0, Outcome::Served, 400 * MS);
     assert!(recovered.iter().any(|a| matches!(
         a,
-        Action::Log {
+        Action::Runtime(RuntimeCommand::Log {
             text: "node answers again",
             node: NodeId(0)
-        }
+        })
     )));
     let mut again = 0;
     for id in 200..220 {
@@ -110,7 +110,9 @@
     front.now += 900 * MS;
     let after = front.advance(20 * MS);
     assert!(
-        !after.iter().any(|a| matches!(a, Action::Log { .. })),
+        !after
+            .iter()
+            .any(|a| matches!(a, Action::Runtime(RuntimeCommand::Log { .. }))),
         "{after:?}"
     );
     front.end_attempt(50, 0, 0, Outcome::Served, 20 * MS);
@@ -131,10 +133,10 @@
             let actions = front.end_attempt(id, 0, at, Outcome::Rejected, MS);
             assert!(!actions.iter().any(|a| matches!(
                 a,
-                Action::Log {
+                Action::Runtime(RuntimeCommand::Log {
                     text: "node answers again",
                     ..
-                }
+                })
             )));
         }
     }
--- a/crates/core/tests/hundred_fronts.rs
+++ b/crates/core/tests/hundred_fronts.rs
@@ -139,7 +139,7 @@
     fn event(&mut self, front: usize, event: Event) {
         if self.fleet.fronts[front]
             .event(event)
-            .contains(&Action::Subscribe)
+            .contains(&Action::Runtime(RuntimeCommand::Subscribe))
         {
             self.calls.push(self.fleet.now);
             self.fails_at[front] = Some(self.fleet.now + Self::CALL_TIME);
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -110,7 +110,7 @@
     assert!(
         !front
             .advance(5 * S / 10)
-            .contains(&Action::ForgetNode(NodeId(0))),
+            .contains(&Action::Runtime(RuntimeCommand::ForgetNode(NodeId(0)))),
         "one is in flight"
     );
     front.end_attempt(100, 0, 0, Outcome::Served, 20 * MS);
@@ -118,7 +118,7 @@
     assert_eq!(
         actions
             .iter()
-            .filter(|a| **a == Action::ForgetNode(NodeId(0)))
+            .filter(|a| **a == Action::Runtime(RuntimeCommand::ForgetNode(NodeId(0))))
             .count(),
         1
     );
@@ -132,14 +132,22 @@
         nodes: vec![],
     });
     let asked = front.advance(S);
-    assert_eq!(asked.iter().filter(|a| **a == Action::Subscribe).count(), 1);
+    assert_eq!(
+        asked
+            .iter()
+            .filter(|a| **a == Action::Runtime(RuntimeCommand::Subscribe))
+            .count(),
+        1
+    );
     for _ in 0..10 {
         front.event(Event::Endpoints {
             scope: UpdateScope::Unavailable,
             nodes: vec![],
         });
         assert!(
-            front.advance(5 * S).contains(&Action::Subscribe),
+            front
+                .advance(5 * S)
+                .contains(&Action::Runtime(RuntimeCommand::Subscribe)),
             "never later than the poll interval"
         );
     }
--- a/crates/core/tests/send_permission.rs
+++ b/crates/core/tests/send_permission.rs
@@ -1,9 +1,9 @@
 //! Whether an attempt may begin to write.
 
-use tulipbridge_core::send_permission::{may_begin, SendQuestion, SendRefusal};
+use tulipbridge_core::send_permission::{check_send, SendConditions, SendDenied};
 use tulipbridge_core::Outcome;
 
-const ALLOWED: SendQuestion = SendQuestion {
+const ALLOWED: SendConditions = SendConditions {
     now: 10,
     withdrawn: None,
     begin_by: Some(11),
@@ -13,36 +13,39 @@
 
 #[test]
 fn attempt_begins_only_where_nothing_forbids_it() {
-    assert_eq!(may_begin(&ALLOWED), Ok(()));
-    let withdrawn = SendQuestion {
+    assert_eq!(check_send(&ALLOWED), Ok(()));
+    let withdrawn = SendConditions {
         withdrawn: Some(Outcome::NotExecuted),
         ..ALLOWED
     };
     assert_eq!(
-        may_begin(&withdrawn),
-        Err(SendRefusal::Withdrawn(Outcome::NotExecuted))
+        check_send(&withdrawn),
+        Err(SendDenied::Withdrawn(Outcome::NotExecuted))
     );
-    let late_repeat = SendQuestion {
+    let late_repeat = SendConditions {
         begin_by: Some(10),
         ..ALLOWED
     };
-    assert_eq!(may_begin(&late_repeat), Err(SendRefusal::WindowOver));
-    let late = SendQuestion {
+    assert_eq!(
+        check_send(&late_repeat),
+        Err(SendDenied::RetryWindowExpired)
+    );
+    let late = SendConditions {
         deadline: 10,
         ..ALLOWED
     };
-    assert_eq!(may_begin(&late), Err(SendRefusal::DeadlinePassed));
-    let unread = SendQuestion {
+    assert_eq!(check_send(&late), Err(SendDenied::DeadlineExceeded));
+    let unread = SendConditions {
         unread_bytes: true,
         ..ALLOWED
     };
-    assert_eq!(may_begin(&unread), Err(SendRefusal::UnreadBytes));
+    assert_eq!(check_send(&unread), Err(SendDenied::UnreadBytes));
 }
 
 #[test]
 fn refused_attempt_was_not_executed() {
-    for refusal in [SendRefusal::WindowOver, SendRefusal::DeadlinePassed] {
+    for refusal in [SendDenied::RetryWindowExpired, SendDenied::DeadlineExceeded] {
         assert_eq!(refusal.outcome(), Outcome::NotSent);
     }
-    assert!(!SendRefusal::UnreadBytes.outcome().may_have_executed());
+    assert!(!SendDenied::UnreadBytes.outcome().may_have_executed());
 }
--- a/crates/core/tests/settings_reload.rs
+++ b/crates/core/tests/settings_reload.rs
@@ -1,11 +1,14 @@
 //! Reload of settings: indices of entries stay valid, and changed entries get new ones.
 
-use tulipbridge_core::settings_reload::VersionedTable;
+use tulipbridge_core::settings_reload::{NamedValue, ReplacedEntry, VersionedTable};
 
-fn named(entries: &[(&str, u32)]) -> Vec<(String, u32)> {
+fn named(entries: &[(&str, u32)]) -> Vec<NamedValue<u32>> {
     entries
         .iter()
-        .map(|(name, value)| ((*name).to_owned(), *value))
+        .map(|(name, value)| NamedValue {
+            name: (*name).to_owned(),
+            value: *value,
+        })
         .collect()
 }
 
@@ -27,7 +30,10 @@
     // The value of submit changes, and read disappears.
     assert_eq!(
         table.reload(named(&[("submit", 5), ("export", 3)])),
-        vec![(3, 1)]
+        vec![ReplacedEntry {
+            index: 3,
+            previous: 1
+        }]
     );
     assert_eq!(
         [
--- a/crates/model-checker/src/request_model/effects.rs
+++ b/crates/model-checker/src/request_model/effects.rs
@@ -3,7 +3,7 @@
 
 use tulipbridge_core::attempt::AttemptStep;
 use tulipbridge_core::request_tracker::{Effect, FinalAnswer};
-use tulipbridge_core::{Nanos, NodeId, RequestId};
+use tulipbridge_core::{Nanos, NodeId, RequestId, RuntimeCommand};
 
 use super::state::{AttemptKey, ClientState, ModelAttempt, Timer};
 use super::{RequestModel, State};
@@ -69,16 +69,23 @@
                         .and_modify(|attempt| attempt.withdrawn = Some(outcome));
                 }
                 Effect::Answer { id, answer } => self.answer_client(model, id, answer, origin),
-                Effect::SetTimer { after, cookie } => {
-                    self.timers.retain(|timer| timer.cookie != cookie);
-                    self.timers.push(Timer {
-                        due: self.now + after,
-                        cookie,
-                    });
-                }
-                Effect::ForgetNode(node) => self.forget_node(node),
-                Effect::Release(_) | Effect::Log { .. } | Effect::Subscribe => {}
+                Effect::Runtime(command) => self.apply_command(command),
+                Effect::Release(_) => {}
+            }
+        }
+    }
+
+    fn apply_command(&mut self, command: RuntimeCommand) {
+        match command {
+            RuntimeCommand::SetTimer { after, cookie } => {
+                self.timers.retain(|timer| timer.cookie != cookie);
+                self.timers.push(Timer {
+                    due: self.now + after,
+                    cookie,
+                });
             }
+            RuntimeCommand::ForgetNode(node) => self.forget_node(node),
+            RuntimeCommand::Log { .. } | RuntimeCommand::Subscribe => {}
         }
     }
 
--- a/crates/model-checker/src/request_model/step.rs
+++ b/crates/model-checker/src/request_model/step.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use tulipbridge_core::{Action, RequestId};
+use tulipbridge_core::{Action, RequestId, RuntimeCommand};
 
 /// A transition. Connections and attempts are named by their numbers, server work by its position.
 #[derive(Clone, Debug, PartialEq)]
@@ -78,12 +78,25 @@
                 write!(f, "Refuse {{ id: {id}, wait: {retry_after} }}")
             }
             Action::Fail(id) => write!(f, "Fail({id})"),
-            Action::SetTimer { after, cookie } => {
+            Action::Runtime(command) => CommandText(command).fmt(f),
+        }
+    }
+}
+
+/// A command of a decision as histories write it; see [`DecisionText`].
+struct CommandText<'a>(&'a RuntimeCommand);
+
+impl fmt::Display for CommandText<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.0 {
+            RuntimeCommand::SetTimer { after, cookie } => {
                 write!(f, "Sleep {{ after: {after}, cookie: {cookie} }}")
             }
-            Action::Subscribe => write!(f, "Subscribe"),
-            Action::ForgetNode(node) => write!(f, "Forget({node})"),
-            Action::Log { text, node } => write!(f, "Note {{ text: {text:?}, node: {node} }}"),
+            RuntimeCommand::Subscribe => write!(f, "Subscribe"),
+            RuntimeCommand::ForgetNode(node) => write!(f, "Forget({node})"),
+            RuntimeCommand::Log { text, node } => {
+                write!(f, "Note {{ text: {text:?}, node: {node} }}")
+            }
         }
     }
 }
--- a/crates/model-checker/src/request_model/step_generation.rs
+++ b/crates/model-checker/src/request_model/step_generation.rs
@@ -4,7 +4,7 @@
 
 use tulipbridge_core::attempt::Attempt;
 use tulipbridge_core::request_tracker::InFlightRequest;
-use tulipbridge_core::{Action, Listed, Nanos, NodeId, RequestId, Semantics};
+use tulipbridge_core::{Action, Listed, Nanos, NodeId, RequestId, RuntimeCommand, Semantics};
 
 use super::state::{AttemptKey, ClientState, Connection, ConnectionId, Written};
 use super::{Fault, RequestModel, State, Step, OVERDUE_GRACE};
@@ -198,7 +198,8 @@
                 .values()
                 .any(|attempt| attempt.node == NodeId(node));
             if node_state.listed == Listed::Removed && !node_state.forgotten && !in_use {
-                steps.push(Step::Decision(Action::ForgetNode(NodeId(node))));
+                let forget = RuntimeCommand::ForgetNode(NodeId(node));
+                steps.push(Step::Decision(Action::Runtime(forget)));
             }
         }
         for (&id, request) in state.tracker.requests() {
--- a/crates/model-checker/tests/golden.rs
+++ b/crates/model-checker/tests/golden.rs
@@ -15,7 +15,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-use tulipbridge_core::{Action, NodeId, RequestId};
+use tulipbridge_core::{Action, NodeId, RequestId, RuntimeCommand};
 use tulipbridge_model_checker::configs::{self, Config};
 use tulipbridge_model_checker::explore::{random_walk, Report};
 use tulipbridge_model_checker::history::History;
@@ -116,16 +116,16 @@
             retry_after: 2,
         },
         Action::Fail(RequestId(1)),
-        Action::SetTimer {
+        Action::Runtime(RuntimeCommand::SetTimer {
             after: 1,
             cookie: 2,
-        },
-        Action::Subscribe,
-        Action::ForgetNode(NodeId(1)),
-        Action::Log {
+        }),
+        Action::Runtime(RuntimeCommand::Subscribe),
+        Action::Runtime(RuntimeCommand::ForgetNode(NodeId(1))),
+        Action::Runtime(RuntimeCommand::Log {
             text: "a text",
             node: NodeId(1),
-        },
+        }),
     ]
 }
 
--- a/src/bin/tulipbridge-adapter/instance.rs
+++ b/src/bin/tulipbridge-adapter/instance.rs
@@ -7,7 +7,10 @@
 use simd_json::{json, OwnedValue as Value};
 use tulipbridge::config::json::{array, integer, names, optional_number, string};
 use tulipbridge::config::settings;
-use tulipbridge::*;
+use tulipbridge::{
+    Action, Event, KeyId, Nanos, NodeId, NodeInfo, Request, RequestId, RuntimeCommand, Scheduler,
+    ShardId, VolumeId,
+};
 
 use crate::error::WireError;
 use crate::request_registry::RequestRegistry;
@@ -237,14 +240,24 @@
             Action::Cancel { id, attempt } => {
                 json!([action::CANCEL, index, self.requests.name(id), attempt])
             }
-            Action::SetTimer { after, cookie } => json!([action::SET_TIMER, index, after, cookie]),
-            Action::Subscribe => json!([action::SUBSCRIBE, index, true]),
-            Action::Log { text, node } => {
+            Action::Runtime(command) => return self.encode_command(command),
+        })
+    }
+
+    /// Encodes a command; `None` for one that the wire does not have.
+    fn encode_command(&self, command: RuntimeCommand) -> Option<Value> {
+        let index = self.index;
+        match command {
+            RuntimeCommand::SetTimer { after, cookie } => {
+                Some(json!([action::SET_TIMER, index, after, cookie]))
+            }
+            RuntimeCommand::Subscribe => Some(json!([action::SUBSCRIBE, index, true])),
+            RuntimeCommand::Log { text, node } => {
                 let target = self.nodes.get(node.0).map_or("", String::as_str);
-                json!([action::LOG, index, format!("{text} {target}")])
+                Some(json!([action::LOG, index, format!("{text} {target}")]))
             }
-            Action::ForgetNode(_) => return None,
-        })
+            RuntimeCommand::ForgetNode(_) => None,
+        }
     }
 
     /// Finishes a request. Returns its name.
--- a/src/exchange/attempt_run.rs
+++ b/src/exchange/attempt_run.rs
@@ -19,24 +19,71 @@
     pub attempt: u32,
 }
 
-/// Runs an attempt to its end. Returns the input for the tracker and the answer, if any.
+impl AttemptKey {
+    /// The key of attempt number `attempt` of `request`.
+    pub(super) fn new(request: RequestId, attempt: u32) -> AttemptKey {
+        AttemptKey { request, attempt }
+    }
+
+    /// The input that reports how this attempt ended by itself.
+    fn ended<A>(self, report: AttemptReport<A>) -> CompletedAttempt<A> {
+        let input = Input::AttemptEnded {
+            id: self.request,
+            attempt: self.attempt,
+            outcome: report.outcome,
+            observed_use: report.observed_use,
+            foreign_units: report.foreign_units,
+        };
+        CompletedAttempt {
+            input,
+            answer: report.answer,
+        }
+    }
+
+    fn timed_out<A>(self) -> CompletedAttempt<A> {
+        let input = Input::AttemptTimedOut {
+            id: self.request,
+            attempt: self.attempt,
+        };
+        CompletedAttempt {
+            input,
+            answer: None,
+        }
+    }
+
+    fn cancelled<A>(self) -> CompletedAttempt<A> {
+        let input = Input::AttemptCancelled {
+            id: self.request,
+            attempt: self.attempt,
+        };
+        CompletedAttempt {
+            input,
+            answer: None,
+        }
+    }
+}
+
+/// An attempt that has ended.
+pub(super) struct CompletedAttempt<A> {
+    /// Its end, for the tracker.
+    pub input: Input,
+    /// The answer that it brought, if any.
+    pub answer: Option<A>,
+}
+
+/// Runs an attempt to its end.
 pub(super) async fn run_attempt<A>(
-    AttemptKey {
-        request: id,
-        attempt,
-    }: AttemptKey,
+    key: AttemptKey,
     running: impl Future<Output = AttemptReport<A>>,
     deadline: Instant,
     mut withdrawal: Withdrawal,
-) -> (Input, Option<A>) {
+) -> CompletedAttempt<A> {
     tokio::select! {
         biased;
         ended = timeout_at(deadline.into(), running) => match ended {
-            Ok(AttemptReport { outcome, answer, observed_use, foreign_units }) => {
-                (Input::AttemptEnded { id, attempt, outcome, observed_use, foreign_units }, answer)
-            }
-            Err(_) => (Input::AttemptTimedOut { id, attempt }, None),
+            Ok(report) => key.ended(report),
+            Err(_elapsed) => key.timed_out(),
         },
-        () = withdrawal.cancelled() => (Input::AttemptCancelled { id, attempt }, None),
+        () = withdrawal.cancelled() => key.cancelled(),
     }
 }
--- a/src/exchange/withdrawal.rs
+++ b/src/exchange/withdrawal.rs
@@ -4,110 +4,101 @@
 use std::time::Instant;
 
 use tokio::sync::watch;
-use tulipbridge_core::send_permission::{may_begin, SendQuestion, SendRefusal};
+use tulipbridge_core::send_permission::{self, SendConditions, SendDenied};
 use tulipbridge_core::{Nanos, Outcome};
 
 use super::clock::Clock;
 
-/// An order to an attempt.
+/// A command to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum AttemptOrder {
+enum AttemptCommand {
     /// The attempt is dropped.
     Cancel,
     /// The attempt ends with this outcome unless it has started to write.
     Withdraw(Outcome),
 }
 
-/// An order with the number of the attempt that it is for.
+/// A command with the number of the attempt that it is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct NumberedOrder {
+struct AddressedCommand {
     attempt: u32,
-    order: AttemptOrder,
+    command: AttemptCommand,
 }
 
-/// Sends orders to the attempts of one request. Only the latest order is kept.
-pub(super) struct OrderSender(watch::Sender<Option<NumberedOrder>>);
+/// Sends commands to the attempts of one request. Only the latest command is kept.
+pub(super) struct CommandSender(watch::Sender<Option<AddressedCommand>>);
 
-impl OrderSender {
-    /// A sender that has given no order.
-    pub fn new() -> OrderSender {
-        OrderSender(watch::Sender::new(None))
+impl CommandSender {
+    /// A sender that has sent no command.
+    pub fn new() -> CommandSender {
+        CommandSender(watch::Sender::new(None))
     }
 
     /// Drops an attempt.
     pub fn cancel(&self, attempt: u32) {
-        self.give(attempt, AttemptOrder::Cancel);
+        self.send(attempt, AttemptCommand::Cancel);
     }
 
     /// Ends an attempt with `outcome` unless it has started to write.
     pub fn withdraw(&self, attempt: u32, outcome: Outcome) {
-        self.give(attempt, AttemptOrder::Withdraw(outcome));
+        self.send(attempt, AttemptCommand::Withdraw(outcome));
     }
 
-    fn give(&self, attempt: u32, order: AttemptOrder) {
-        self.0.send_replace(Some(NumberedOrder { attempt, order }));
+    fn send(&self, attempt: u32, command: AttemptCommand) {
+        self.0
+            .send_replace(Some(AddressedCommand { attempt, command }));
     }
 
-    /// The receiving end for an attempt, which must start to write before `begin_by`, if any, and
-    /// its deadline.
-    pub fn withdrawal(&self, attempt: u32, limits: BeginLimits) -> Withdrawal {
+    /// The receiving end for an attempt, which must start to write within `limits`.
+    pub fn withdrawal(&self, attempt: u32, limits: SendLimits) -> Withdrawal {
         Withdrawal {
             attempt,
             limits,
-            orders: self.0.subscribe(),
+            commands: self.0.subscribe(),
         }
     }
 }
 
 /// Until when an attempt may start to write, in the clock of the decision module.
 #[derive(Clone, Copy, Debug)]
-pub struct BeginLimits {
+pub struct SendLimits {
     /// The clock.
     pub clock: Clock,
-    /// Until when it may repeat another attempt.
+    /// Until when it may retry another attempt; absent for no limit.
     pub begin_by: Option<Nanos>,
     /// When its client gives up.
     pub deadline: Nanos,
 }
 
-/// The receiving end of the orders to one attempt.
+/// The receiving end of the commands to one attempt.
 #[derive(Clone, Debug)]
 pub struct Withdrawal {
     attempt: u32,
     /// An attempt that has not started to write by then is withdrawn.
-    limits: BeginLimits,
-    orders: watch::Receiver<Option<NumberedOrder>>,
+    limits: SendLimits,
+    commands: watch::Receiver<Option<AddressedCommand>>,
 }
 
 impl Withdrawal {
     /// A withdrawal that never happens.
     pub fn never() -> Withdrawal {
-        let limits = BeginLimits {
+        let limits = SendLimits {
             clock: Clock::start(),
             begin_by: None,
             deadline: Nanos::MAX,
         };
-        OrderSender::new().withdrawal(0, limits)
+        CommandSender::new().withdrawal(0, limits)
     }
 
-    /// Whether the attempt may write its first byte now, on a connection on which `unread_bytes`
-    /// wait or not.
+    /// Checks whether the attempt may write its first byte now. `unread_bytes` says that bytes, or
+    /// the end of the stream, wait on the connection.
     ///
     /// # Errors
     /// Why it may not.
-    pub fn may_begin(&self, unread_bytes: bool) -> Result<(), SendRefusal> {
-        let latest = *self.orders.borrow();
-        let order = latest
-            .filter(|latest| latest.attempt == self.attempt)
-            .map(|latest| latest.order);
-        let withdrawn = order.map(|order| match order {
-            AttemptOrder::Withdraw(outcome) => outcome,
-            // An attempt that is about to be dropped must not start to write.
-            AttemptOrder::Cancel => Outcome::Cancelled,
-        });
-        may_begin(&SendQuestion {
+    pub fn check_send(&self, unread_bytes: bool) -> Result<(), SendDenied> {
+        send_permission::check_send(&SendConditions {
             now: self.limits.clock.now(),
-            withdrawn,
+            withdrawn: self.latest_outcome(),
             begin_by: self.limits.begin_by,
             deadline: self.limits.deadline,
             unread_bytes,
@@ -116,7 +107,18 @@
 
     /// The outcome that the attempt ends with, where it may not start to write any more.
     pub fn outcome(&self) -> Option<Outcome> {
-        self.may_begin(false).err().map(SendRefusal::outcome)
+        self.check_send(false).err().map(SendDenied::outcome)
+    }
+
+    /// The outcome of the latest command to this attempt, if there was one. An attempt that is
+    /// about to be dropped must not start to write either.
+    fn latest_outcome(&self) -> Option<Outcome> {
+        let latest = *self.commands.borrow();
+        let latest = latest.filter(|latest| latest.attempt == self.attempt)?;
+        Some(match latest.command {
+            AttemptCommand::Withdraw(outcome) => outcome,
+            AttemptCommand::Cancel => Outcome::Cancelled,
+        })
     }
 
     /// Returns when the attempt is withdrawn, with the outcome that it ends with.
@@ -131,8 +133,8 @@
             }
             let too_late = sleep_until(begin_by);
             tokio::select! {
-                changed = self.orders.changed() => if changed.is_err() {
-                    // The request is over and there will be no order.
+                changed = self.commands.changed() => if changed.is_err() {
+                    // The request is over and there will be no command.
                     pending::<()>().await;
                 },
                 () = too_late => return Outcome::NotSent,
@@ -142,16 +144,13 @@
 
     /// Returns when the attempt is to be dropped.
     pub(super) async fn cancelled(&mut self) {
-        let cancel = Some(NumberedOrder {
+        let cancel = Some(AddressedCommand {
             attempt: self.attempt,
-            order: AttemptOrder::Cancel,
+            command: AttemptCommand::Cancel,
         });
-        if self
-            .orders
-            .wait_for(|order| *order == cancel)
-            .await
-            .is_err()
-        {
+        let received = self.commands.wait_for(|latest| *latest == cancel).await;
+        if received.is_err() {
+            // The request is over and there will be no command.
             pending::<()>().await;
         }
     }
--- a/src/front/assembly.rs
+++ b/src/front/assembly.rs
@@ -100,12 +100,13 @@
 ) -> Result<FrontParts, FrontError> {
     let limits = ConnectionLimits::new(config);
     let upstream = Upstream::new(config.dial_timeout, config.idle_close, limits.servers);
-    let exchange = Exchange::new(config.settings.clone(), config.seed, upstream)?;
     let metrics = Rc::new(Metrics::new());
     let counters = Rc::clone(&metrics);
-    exchange.set_violation_observer(Box::new(move |violation: Violation| {
-        counters.count_violation(violation.rule)
-    }));
+    let count_violation = Box::new(move |violation: Violation| {
+        counters.count_violation(violation.rule);
+    });
+    let settings = config.settings.clone();
+    let exchange = Exchange::new(settings, config.seed, upstream, count_violation)?;
     // Before the first endpoint list, since the peers follow every list.
     let peers = join_peers(config, &exchange, &metrics)?;
     let maintenance = Maintenance::new(state_folder(), &config.name, Rc::clone(&exchange));
--- a/src/frontend/platform/request_tables.rs
+++ b/src/frontend/platform/request_tables.rs
@@ -1,7 +1,7 @@
 //! The names that requests may use (classes, plans), with the indices that the decision module
 //! knows them by.
 
-use tulipbridge_core::settings_reload::VersionedTable;
+use tulipbridge_core::settings_reload::{NamedValue, ReplacedEntry, VersionedTable};
 use tulipbridge_core::{Class, Plan, Settings};
 
 use crate::config::Config;
@@ -39,8 +39,8 @@
 pub struct ReloadedSettings {
     /// The new settings.
     pub settings: Settings,
-    /// Pairs of a new class and the old one that it replaces.
-    pub replaced_classes: Vec<(usize, usize)>,
+    /// The classes that replace an older version.
+    pub replaced_classes: Vec<ReplacedEntry>,
 }
 
 impl RequestTables {
@@ -93,7 +93,7 @@
     }
 }
 
-fn class_entries(config: &Config) -> Vec<(String, RequestClass)> {
+fn class_entries(config: &Config) -> Vec<NamedValue<RequestClass>> {
     let classes = config
         .settings
         .classes
@@ -101,14 +101,16 @@
         .cloned()
         .zip(config.class_writes.iter().copied());
     let classes = classes.map(|(class, writes)| RequestClass { class, writes });
-    config.classes.iter().cloned().zip(classes).collect()
+    named_values(&config.classes, classes)
 }
 
-fn plan_entries(config: &Config) -> Vec<(String, Plan)> {
-    config
-        .plans
-        .iter()
-        .cloned()
-        .zip(config.settings.plans.iter().cloned())
+fn plan_entries(config: &Config) -> Vec<NamedValue<Plan>> {
+    named_values(&config.plans, config.settings.plans.iter().cloned())
+}
+
+fn named_values<T>(names: &[String], values: impl Iterator<Item = T>) -> Vec<NamedValue<T>> {
+    let named = names.iter().cloned().zip(values);
+    named
+        .map(|(name, value)| NamedValue { name, value })
         .collect()
 }
--- a/src/telemetry/trace.rs
+++ b/src/telemetry/trace.rs
@@ -12,8 +12,8 @@
 use simd_json::{json, OwnedValue as Value};
 use tulipbridge_core::request_tracker::{Effect, FinalAnswer, Input};
 use tulipbridge_core::{
-    FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, SharedLimit,
-    UpdateScope,
+    FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, RuntimeCommand,
+    SharedLimit, UpdateScope,
 };
 
 /// The environment variable that enables the trace.
@@ -79,10 +79,20 @@
         }
         Effect::Cancel { id, attempt } => json!({ "e": "stop", "id": id.0, "attempt": attempt }),
         Effect::Answer { id, answer } => final_answer(*id, answer),
-        Effect::Subscribe => json!({ "e": "subscribe" }),
-        Effect::ForgetNode(node) => json!({ "e": "forget", "node": name(*node) }),
-        Effect::Log { text, node } => json!({ "e": "note", "text": *text, "node": name(*node) }),
-        Effect::Release(_) | Effect::SetTimer { .. } => return,
+        Effect::Runtime(command) => return runtime_command(command, name),
+        Effect::Release(_) => return,
+    };
+    write(event);
+}
+
+fn runtime_command(command: &RuntimeCommand, name: impl Fn(NodeId) -> String) {
+    let event = match command {
+        RuntimeCommand::Subscribe => json!({ "e": "subscribe" }),
+        RuntimeCommand::ForgetNode(node) => json!({ "e": "forget", "node": name(*node) }),
+        RuntimeCommand::Log { text, node } => {
+            json!({ "e": "note", "text": *text, "node": name(*node) })
+        }
+        RuntimeCommand::SetTimer { .. } => return,
     };
     write(event);
 }
--- a/src/upstream/wire_state.rs
+++ b/src/upstream/wire_state.rs
@@ -10,7 +10,7 @@
 use tokio::sync::Notify;
 use tokio::task::yield_now;
 use tokio::time::sleep;
-use tulipbridge_core::send_permission::SendRefusal;
+use tulipbridge_core::send_permission::SendDenied;
 use tulipbridge_core::server_connection::{ConnectionEvent, Execution, ServerConnection};
 
 use crate::exchange::Withdrawal;
@@ -120,10 +120,10 @@
         let mut connection = self.connection.get();
         let unread_bytes = has_unread_bytes(socket);
         let withdrawal = self.withdrawal.borrow();
-        let refusal = withdrawal
+        let denied = withdrawal
             .as_ref()
-            .and_then(|withdrawal| withdrawal.may_begin(unread_bytes).err());
-        let withdrawn = refusal.is_some_and(|refusal| refusal != SendRefusal::UnreadBytes);
+            .and_then(|withdrawal| withdrawal.check_send(unread_bytes).err());
+        let withdrawn = denied.is_some_and(|denied| denied != SendDenied::UnreadBytes);
         let may_write = connection.may_write(unread_bytes, withdrawn);
         self.connection.set(connection);
         may_write
