--- a/crates/core/src/client_connection.rs
+++ b/crates/core/src/client_connection.rs
@@ -2,24 +2,24 @@
 
 use crate::interface::Nanos;
 use crate::mutations::{mutated, Mutation};
+use crate::time_unit::MILLISECOND;
 
-const MS: Nanos = 1_000_000;
 /// From accepting a connection until its first request is complete. A client that sends none gets
 /// an answer within 3 s.
-const FIRST_REQUEST_TIMEOUT: Nanos = 2_700 * MS;
+const FIRST_REQUEST_TIMEOUT: Nanos = 2_700 * MILLISECOND;
 /// From the first byte of a later request until its head is complete and its body has begun: a
 /// client that stops in the middle gets its error within 3 s, on any of its requests.
-const REQUEST_TIMEOUT: Nanos = 2_700 * MS;
+const REQUEST_TIMEOUT: Nanos = 2_700 * MILLISECOND;
 /// An idle connection is closed after this, whether or not connections are scarce.
-const IDLE_TIMEOUT: Nanos = 60_000 * MS;
+const IDLE_TIMEOUT: Nanos = 60_000 * MILLISECOND;
 /// Where connections are scarce, an idle one is closed after this.
-const SCARCE_IDLE_TIMEOUT: Nanos = 2_000 * MS;
+const SCARCE_IDLE_TIMEOUT: Nanos = 2_000 * MILLISECOND;
 /// A connection that has sent nothing may be evicted from this age on.
-const MIN_SILENT_AGE: Nanos = 100 * MS;
+const MIN_SILENT_AGE: Nanos = 100 * MILLISECOND;
 /// A connection in the middle of a request may be evicted from this age of the request on.
-const MIN_PARTIAL_AGE: Nanos = 500 * MS;
+const MIN_PARTIAL_AGE: Nanos = 500 * MILLISECOND;
 /// A connection that was just accepted is expected to send a request.
-const NEW_CONNECTION_GRACE: Nanos = 150 * MS;
+const NEW_CONNECTION_GRACE: Nanos = 150 * MILLISECOND;
 
 /// The phase that a client's connection is in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -57,6 +57,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ClientConnection {
     phase: Phase,
+    /// When the phase began; a body counts from the start of its head.
     since: Nanos,
     connected_at: Nanos,
     /// Whether a request on it was answered.
@@ -74,9 +75,14 @@
         }
     }
 
-    /// The present phase, and since when it lasts. A body does not restart the time of its head.
-    pub fn phase(&self) -> (Phase, Nanos) {
-        (self.phase, self.since)
+    /// The present phase.
+    pub fn phase(&self) -> Phase {
+        self.phase
+    }
+
+    /// When the present phase began. A body counts from the start of its head.
+    pub fn phase_since(&self) -> Nanos {
+        self.since
     }
 
     /// When it was accepted.
@@ -165,23 +171,49 @@
         }
     }
 
-    /// Rank in the order of eviction, the lowest first; `None` where the connection must be kept.
-    /// With `only_idle` all but idle connections are kept.
-    pub(crate) fn eviction_rank(&self, now: Nanos, only_idle: bool) -> Option<u8> {
+    /// Rank in the order of eviction; `None` where the connection must stay open. With `only_idle`
+    /// all but idle connections stay open.
+    pub(crate) fn eviction_rank(&self, now: Nanos, only_idle: bool) -> Option<EvictionRank> {
         let age = now - self.since;
-        match self.phase {
-            Phase::Idle if age >= SCARCE_IDLE_TIMEOUT => Some(2),
+        if self.phase == Phase::Idle {
             // While many clients send one request each, a new client needs the connection more.
-            Phase::Idle if age >= MIN_SILENT_AGE || !only_idle => Some(4),
-            Phase::Closing if !only_idle => Some(0),
-            Phase::New if !only_idle && age >= MIN_SILENT_AGE => Some(1),
-            Phase::ReadingHead | Phase::ReadingBody if !only_idle && age >= MIN_PARTIAL_AGE => {
-                Some(3)
+            let evictable = age >= MIN_SILENT_AGE || !only_idle;
+            return if age >= SCARCE_IDLE_TIMEOUT {
+                Some(EvictionRank::LongIdle)
+            } else {
+                evictable.then_some(EvictionRank::Idle)
+            };
+        }
+        if only_idle {
+            return None;
+        }
+        match self.phase {
+            Phase::Closing => Some(EvictionRank::Closing),
+            Phase::New => (age >= MIN_SILENT_AGE).then_some(EvictionRank::Silent),
+            Phase::ReadingHead | Phase::ReadingBody => {
+                (age >= MIN_PARTIAL_AGE).then_some(EvictionRank::PartialRequest)
             }
-            Phase::Responding if !only_idle && mutated(Mutation::RespondingConnectionEvicted) => {
-                Some(5)
+            Phase::Responding => {
+                mutated(Mutation::RespondingConnectionEvicted).then_some(EvictionRank::Responding)
             }
-            _ => None,
+            Phase::Idle => None,
         }
     }
 }
+
+/// The order in which connections are evicted, the first variant first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum EvictionRank {
+    /// This side ended it.
+    Closing,
+    /// It has sent nothing since it was accepted.
+    Silent,
+    /// Idle for longer than connections may be while they are scarce.
+    LongIdle,
+    /// A request is arriving slowly.
+    PartialRequest,
+    /// Idle for a short time.
+    Idle,
+    /// A response is due. Evicted under [`Mutation::RespondingConnectionEvicted`] alone.
+    Responding,
+}
--- a/crates/core/src/connection_limiter.rs
+++ b/crates/core/src/connection_limiter.rs
@@ -1,7 +1,7 @@
 //! The limit on connections from clients: when one more is accepted, and which one is evicted for
 //! it. No I/O.
 
-use crate::client_connection::ClientConnection;
+use crate::client_connection::{ClientConnection, EvictionRank};
 use crate::interface::Nanos;
 use crate::mutations::{mutated, Mutation};
 
@@ -30,6 +30,23 @@
     Wait,
 }
 
+/// The result of a step that was to evict a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EvictionAttempt {
+    /// The step: [`Accept::EvictIdle`] or [`Accept::EvictAny`].
+    pub step: Accept,
+    /// Whether a connection was evicted.
+    pub evicted: bool,
+}
+
+/// A connection that may be evicted, in the order of eviction.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct EvictionCandidate {
+    rank: EvictionRank,
+    phase_since: Nanos,
+    id: u64,
+}
+
 impl ConnectionLimiter {
     /// A limit of `max_connections` in total, of which `rejection_slots` are used for rejections
     /// alone.
@@ -52,15 +69,17 @@
     }
 
     /// The next step before one more connection is accepted while `open` are open. `previous` is
-    /// the previous step for it and whether that evicted a connection; `None` at first and after a
-    /// wait.
+    /// the previous eviction attempt for it; `None` at first and after a wait.
     ///
     /// Eviction starts before the cap is reached: clients that send one request and keep their
     /// connection would otherwise use up the connections that other clients need, and their own.
-    pub fn accept(&self, open: usize, previous: Option<(Accept, bool)>) -> Accept {
-        let eviction_attempted = previous.is_some();
-        let more_to_evict = !matches!(previous, Some((Accept::EvictAny, false)));
-        if self.is_scarce(open) && !eviction_attempted {
+    pub fn accept(&self, open: usize, previous: Option<EvictionAttempt>) -> Accept {
+        let nothing_left = EvictionAttempt {
+            step: Accept::EvictAny,
+            evicted: false,
+        };
+        let more_to_evict = previous != Some(nothing_left);
+        if self.is_scarce(open) && previous.is_none() {
             Accept::EvictIdle
         } else if self.is_full(open) && more_to_evict {
             Accept::EvictAny
@@ -74,7 +93,7 @@
     }
 
     /// The connection to evict, if any may be evicted. `connections` yields each with its id; with
-    /// `only_idle` all but idle ones are kept. A connection with an open request, or one that
+    /// `only_idle` all but idle ones stay open. A connection with an open request, or one that
     /// `is_busy`, is never evicted.
     pub fn eviction_candidate(
         &self,
@@ -83,14 +102,17 @@
         connections: impl Iterator<Item = (u64, ClientConnection)>,
         is_busy: impl Fn(u64) -> bool,
     ) -> Option<u64> {
-        let mut candidates: Vec<_> = connections
+        let mut candidates: Vec<EvictionCandidate> = connections
             .filter_map(|(id, connection)| {
-                let (_, since) = connection.phase();
-                Some((connection.eviction_rank(now, only_idle)?, since, id))
+                Some(EvictionCandidate {
+                    rank: connection.eviction_rank(now, only_idle)?,
+                    phase_since: connection.phase_since(),
+                    id,
+                })
             })
             .collect();
         candidates.sort_unstable();
-        let mut ids = candidates.into_iter().map(|(_, _, id)| id);
+        let mut ids = candidates.into_iter().map(|candidate| candidate.id);
         ids.find(|id| mutated(Mutation::ClosesOverArrivedRequest) || !is_busy(*id))
     }
 }
--- a/crates/core/src/connection_pool.rs
+++ b/crates/core/src/connection_pool.rs
@@ -19,8 +19,23 @@
 struct NodeConnections<C> {
     /// Incremented when the node's address changes; connections of an earlier epoch are not reused.
     address_epoch: u32,
-    /// Idle connections, each with the time since which it is idle, the most recently used last.
-    idle: Vec<(C, Nanos)>,
+    /// The most recently used last.
+    idle: Vec<IdleConnection<C>>,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct IdleConnection<C> {
+    connection: C,
+    idle_since: Nanos,
+}
+
+/// What [`ConnectionPool::take`] removed from the pool.
+#[derive(Debug)]
+pub struct TakenConnections<C> {
+    /// The connection to reuse, if there is one.
+    pub reusable: Option<C>,
+    /// The unusable connections that were found before it, to be closed.
+    pub unusable: Vec<C>,
 }
 
 /// Whether a new connection may be opened.
@@ -54,22 +69,22 @@
     }
 
     /// Records a new address of a node. Returns its idle connections, which are no longer usable.
-    pub fn address_changed(&mut self, node: NodeId) -> Vec<(C, Nanos)> {
+    pub fn address_changed(&mut self, node: NodeId) -> Vec<C> {
         let Some(connections) = self.nodes.get_mut(&node) else {
             return Vec::new();
         };
         connections.address_epoch += 1;
-        std::mem::take(&mut connections.idle)
+        handles(std::mem::take(&mut connections.idle))
     }
 
     /// Removes a node. Returns its idle connections.
-    pub fn remove(&mut self, node: NodeId) -> Vec<(C, Nanos)> {
+    pub fn remove(&mut self, node: NodeId) -> Vec<C> {
         if mutated(Mutation::RemovedNodeKeepsConnections) {
             return Vec::new();
         }
         self.nodes
             .remove(&node)
-            .map(|connections| connections.idle)
+            .map(|connections| handles(connections.idle))
             .unwrap_or_default()
     }
 
@@ -81,28 +96,31 @@
             .map(|connections| connections.address_epoch)
     }
 
-    /// Takes the most recently used connection that is fresh and quiet. Also returns the unusable
-    /// connections that were dropped from the pool before it was found. `is_quiet` checks the
-    /// socket for unexpected bytes.
+    /// Takes the most recently used connection that is fresh and quiet, and the unusable ones that
+    /// are found before it. `is_quiet` checks the socket for unexpected bytes.
     pub fn take(
         &mut self,
         node: NodeId,
         now: Nanos,
         is_quiet: impl Fn(&C) -> bool,
-    ) -> (Option<C>, Vec<C>) {
-        let mut unusable = Vec::new();
+    ) -> TakenConnections<C> {
+        let mut taken = TakenConnections {
+            reusable: None,
+            unusable: Vec::new(),
+        };
         let Some(connections) = self.nodes.get_mut(&node) else {
-            return (None, unusable);
+            return taken;
         };
-        while let Some((connection, idle_since)) = connections.idle.pop() {
-            let fresh =
-                now - idle_since < self.idle_timeout || mutated(Mutation::IdleTimeoutIgnored);
-            if fresh && is_quiet(&connection) {
-                return (Some(connection), unusable);
+        while let Some(idle) = connections.idle.pop() {
+            let idle_time = now - idle.idle_since;
+            let fresh = idle_time < self.idle_timeout || mutated(Mutation::IdleTimeoutIgnored);
+            if fresh && is_quiet(&idle.connection) {
+                taken.reusable = Some(idle.connection);
+                return taken;
             }
-            unusable.push(connection);
+            taken.unusable.push(idle.connection);
         }
-        (None, unusable)
+        taken
     }
 
     /// Returns a connection to the pool after a complete response. Gives it back to the caller, to
@@ -123,12 +141,15 @@
         if !same_address || !is_quiet {
             return Some(connection);
         }
-        connections.idle.push((connection, now));
+        connections.idle.push(IdleConnection {
+            connection,
+            idle_since: now,
+        });
         None
     }
 
     /// Whether one more connection may be opened while `open` are open, idle ones included. Removes
-    /// the longest idle connection from the pool if it must make room.
+    /// the longest idle connection from the pool if all capacity is in use.
     pub fn capacity(&mut self, open: usize) -> Capacity<C> {
         if open < self.max_connections || mutated(Mutation::ServerConnectionCapIgnored) {
             return Capacity::Available;
@@ -137,8 +158,8 @@
             .nodes
             .values_mut()
             .filter(|connections| !connections.idle.is_empty());
-        match with_idle.min_by_key(|connections| connections.idle[0].1) {
-            Some(connections) => Capacity::AfterClosing(connections.idle.remove(0).0),
+        match with_idle.min_by_key(|connections| connections.idle[0].idle_since) {
+            Some(connections) => Capacity::AfterClosing(connections.idle.remove(0).connection),
             None => Capacity::Exhausted,
         }
     }
@@ -148,11 +169,11 @@
     pub fn sweep(&mut self, now: Nanos, is_open: impl Fn(&C) -> bool) -> Vec<C> {
         let mut removed = Vec::new();
         for connections in self.nodes.values_mut() {
-            for (connection, idle_since) in std::mem::take(&mut connections.idle) {
-                if is_open(&connection) && now - idle_since < self.idle_timeout {
-                    connections.idle.push((connection, idle_since));
+            for idle in std::mem::take(&mut connections.idle) {
+                if is_open(&idle.connection) && now - idle.idle_since < self.idle_timeout {
+                    connections.idle.push(idle);
                 } else {
-                    removed.push(connection);
+                    removed.push(idle.connection);
                 }
             }
         }
@@ -165,7 +186,12 @@
             connections
                 .idle
                 .iter()
-                .map(move |(connection, _)| (*node, connection))
+                .map(move |idle| (*node, &idle.connection))
         })
     }
 }
+
+/// The handles of idle connections, in their order.
+fn handles<C>(idle: Vec<IdleConnection<C>>) -> Vec<C> {
+    idle.into_iter().map(|idle| idle.connection).collect()
+}
--- a/crates/core/src/discovery_watch.rs
+++ b/crates/core/src/discovery_watch.rs
@@ -15,27 +15,27 @@
 
 use crate::interface::Nanos;
 use crate::mutations::{mutated, Mutation};
+use crate::time_unit::MILLISECOND;
 
-const MS: Nanos = 1_000_000;
 /// A watch without a message for this long has fallen silent: discovery sends an empty line every 2
 /// s while nothing changes.
-pub const SILENCE_TIMEOUT: Nanos = 2_500 * MS;
+pub const SILENCE_TIMEOUT: Nanos = 2_500 * MILLISECOND;
 /// The next calls of all fronts that lose one discovery at the same time are spread over this.
-pub const CALL_JITTER: Nanos = 1_000 * MS;
+pub const CALL_JITTER: Nanos = 1_000 * MILLISECOND;
 /// A call without a response for this long is abandoned: discovery fails calls that wait for 2 s.
-pub const CALL_TIMEOUT: Nanos = 2_100 * MS;
+pub const CALL_TIMEOUT: Nanos = 2_100 * MILLISECOND;
 /// An update must take effect within this time, although the watch or a call failed.
-pub const STALE_AFTER: Nanos = 6_000 * MS;
+pub const STALE_AFTER: Nanos = 6_000 * MILLISECOND;
 /// What must remain of [`STALE_AFTER`] to apply the update.
-const APPLY_MARGIN: Nanos = 300 * MS;
+const APPLY_MARGIN: Nanos = 300 * MILLISECOND;
 const _: () = assert!(SILENCE_TIMEOUT + CALL_JITTER + CALL_TIMEOUT <= STALE_AFTER - APPLY_MARGIN);
 /// Pause after a failed call to a new address of discovery, whose updates must take effect sooner.
-const RETRY_AFTER_MOVE: Nanos = 200 * MS;
+const RETRY_AFTER_MOVE: Nanos = 200 * MILLISECOND;
 /// The first calls of fronts that start together are spread over this time. It is short: a starting
 /// front cannot know how old its list is, and what discovery has counts as known soon.
-pub const FIRST_CALL_SPREAD: Nanos = 300 * MS;
+pub const FIRST_CALL_SPREAD: Nanos = 300 * MILLISECOND;
 /// How long after a change of discovery's address [`RETRY_AFTER_MOVE`] applies.
-const MOVE_SPAN: Nanos = 4_000 * MS;
+const MOVE_SPAN: Nanos = 4_000 * MILLISECOND;
 
 /// An event of the watch or of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/core/src/graceful_shutdown.rs
+++ b/crates/core/src/graceful_shutdown.rs
@@ -3,29 +3,29 @@
 
 use crate::interface::Nanos;
 use crate::mutations::{mutated, Mutation};
+use crate::time_unit::MILLISECOND;
 
-const MS: Nanos = 1_000_000;
 /// Connections are accepted until none has come for this long, since clients learn of a restart
 /// late.
-const ACCEPT_QUIET: Nanos = 200 * MS;
+const ACCEPT_QUIET: Nanos = 200 * MILLISECOND;
 /// Connections are accepted for at least this long.
-const MIN_ACCEPT_TIME: Nanos = 450 * MS;
+const MIN_ACCEPT_TIME: Nanos = 450 * MILLISECOND;
 /// Connections are accepted for at most this long.
-const MAX_ACCEPT_TIME: Nanos = 650 * MS;
+const MAX_ACCEPT_TIME: Nanos = 650 * MILLISECOND;
 /// The kill after SIGTERM waits for the longest deadline of a request, up to this.
-const MAX_DEADLINE_BEFORE_KILL: Nanos = 3_000 * MS;
+const MAX_DEADLINE_BEFORE_KILL: Nanos = 3_000 * MILLISECOND;
 /// The kill comes this long after that deadline.
-const KILL_GRACE: Nanos = 700 * MS;
+const KILL_GRACE: Nanos = 700 * MILLISECOND;
 /// Every accepted request is answered this long before the kill.
-const ANSWER_MARGIN: Nanos = 250 * MS;
+const ANSWER_MARGIN: Nanos = 250 * MILLISECOND;
 /// The process exits this long before the kill, whatever is still open.
-const EXIT_MARGIN: Nanos = 100 * MS;
+const EXIT_MARGIN: Nanos = 100 * MILLISECOND;
 /// Every accepted request is answered within this, however late the kill.
-const MAX_ANSWER_TIME: Nanos = 3_100 * MS;
+const MAX_ANSWER_TIME: Nanos = 3_100 * MILLISECOND;
 /// The process exits within this, however late the kill.
-const MAX_EXIT_TIME: Nanos = 3_400 * MS;
+const MAX_EXIT_TIME: Nanos = 3_400 * MILLISECOND;
 /// How often the front checks whether it may exit.
-const POLL_INTERVAL: Nanos = 20 * MS;
+const POLL_INTERVAL: Nanos = 20 * MILLISECOND;
 /// It exits after more than this many polls in a row without an open request: one may still be on
 /// its way into the process, while an idle connection closes by itself.
 const QUIET_POLLS_TO_EXIT: u32 = 10;
@@ -84,19 +84,22 @@
 }
 
 impl GracefulShutdown {
-    /// Starts the shutdown at `now` and returns its first step. `longest_deadline` is the longest
-    /// deadline of a request. Clients learn of a restart late, so new connections are accepted for
+    /// Starts the shutdown at `now`. `longest_deadline` is the longest deadline of a request. Clients learn of a restart late, so new connections are accepted for
     /// a while, and their requests are served like those received before.
-    pub fn new(now: Nanos, longest_deadline: Nanos) -> (GracefulShutdown, ShutdownStep) {
+    pub fn new(now: Nanos, longest_deadline: Nanos) -> GracefulShutdown {
         let kill_after = longest_deadline.clamp(0, MAX_DEADLINE_BEFORE_KILL) + KILL_GRACE;
-        let shutdown = GracefulShutdown {
+        GracefulShutdown {
             started_at: now,
             answer_deadline: now + (kill_after - ANSWER_MARGIN).min(MAX_ANSWER_TIME),
             exit_deadline: now + (kill_after - EXIT_MARGIN).min(MAX_EXIT_TIME),
             quiet_polls: 0,
             stage: Stage::Accepting,
-        };
-        (shutdown, ShutdownStep::Accept(ACCEPT_QUIET))
+        }
+    }
+
+    /// The step that every shutdown starts with.
+    pub fn first_step(&self) -> ShutdownStep {
+        ShutdownStep::Accept(ACCEPT_QUIET)
     }
 
     /// When every request, received before or after the shutdown began, must have its answer.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -92,6 +92,7 @@
 pub mod stall_detector;
 pub mod startup_readiness;
 mod state;
+mod time_unit;
 
 pub use interface::*;
 pub use state::{Rate, Scheduler};
--- a/crates/core/src/stall_detector.rs
+++ b/crates/core/src/stall_detector.rs
@@ -9,8 +9,8 @@
 //! No I/O and no clock: the caller passes the time.
 
 use crate::interface::Nanos;
+use crate::time_unit::MILLISECOND;
 
-const MILLISECOND: Nanos = 1_000_000;
 /// Without any event for this long, several ticks, the process was held up.
 pub const STALL_MIN: Nanos = 40 * MILLISECOND;
 /// What is read within this time after a stall may have come in it.
--- a/crates/core/src/startup_readiness.rs
+++ b/crates/core/src/startup_readiness.rs
@@ -9,8 +9,8 @@
 //! No I/O and no clock: the caller passes the time.
 
 use crate::interface::Nanos;
+use crate::time_unit::MILLISECOND;
 
-const MILLISECOND: Nanos = 1_000_000;
 /// A call that fails within this time has found no discovery, or one that refuses at once. One that
 /// fails later has waited in a crowd of callers, and discovery has an answer for the next.
 pub const UNREACHABLE_WITHIN: Nanos = 500 * MILLISECOND;
--- a/crates/core/tests/graceful_shutdown.rs
+++ b/crates/core/tests/graceful_shutdown.rs
@@ -14,7 +14,8 @@
         (3_000, 3_100, 3_400),
         (60_000, 3_100, 3_400),
     ] {
-        let (mut shutdown, mut step) = GracefulShutdown::new(0, longest_deadline * MS);
+        let mut shutdown = GracefulShutdown::new(0, longest_deadline * MS);
+        let mut step = shutdown.first_step();
         assert_eq!(shutdown.answer_deadline(), answer_by * MS);
         let mut now = 0;
         while step != ShutdownStep::Exit {
@@ -58,7 +59,7 @@
 
 #[test]
 fn process_without_pending_work_exits_at_the_next_poll() {
-    let (mut shutdown, _) = GracefulShutdown::new(0, 3_000 * MS);
+    let mut shutdown = GracefulShutdown::new(0, 3_000 * MS);
     assert_eq!(
         shutdown.on(500 * MS, ShutdownEvent::AcceptTimedOut),
         ShutdownStep::StopAccepting
--- a/crates/model-checker/src/client_connection_model/connection.rs
+++ b/crates/model-checker/src/client_connection_model/connection.rs
@@ -70,7 +70,7 @@
 
     /// The phase in which the front holds it.
     pub(super) fn phase(&self) -> Phase {
-        self.machine.phase().0
+        self.machine.phase()
     }
 
     /// How much of its present request the client has sent.
@@ -188,10 +188,10 @@
     /// Hashes everything that what can happen next depends on, with points in time relative to
     /// `now`, and ages only where they matter.
     pub(super) fn fingerprint<H: Hasher>(&self, now: Nanos, ages_matter: bool, hasher: &mut H) {
-        let (phase, phase_since) = self.machine.phase();
+        let phase = self.machine.phase();
         phase.hash(hasher);
         if ages_matter {
-            hashed_age(now, phase_since).hash(hasher);
+            hashed_age(now, self.machine.phase_since()).hash(hasher);
             hashed_age(now, self.machine.connected_at()).hash(hasher);
             hashed_age(now, self.since).hash(hasher);
         }
--- a/crates/model-checker/src/client_connection_model/front.rs
+++ b/crates/model-checker/src/client_connection_model/front.rs
@@ -33,7 +33,8 @@
 impl Shutdown {
     /// A shutdown that SIGTERM starts at `now`.
     pub(super) fn start(now: Nanos) -> Shutdown {
-        let (machine, step) = GracefulShutdown::new(now, LONGEST_DEADLINE);
+        let machine = GracefulShutdown::new(now, LONGEST_DEADLINE);
+        let step = machine.first_step();
         Shutdown {
             machine,
             step,
--- a/crates/model-checker/src/client_connection_model/state/transitions.rs
+++ b/crates/model-checker/src/client_connection_model/state/transitions.rs
@@ -1,7 +1,7 @@
 //! The transitions of the client connection model: what each step changes.
 
 use tulipbridge_core::client_connection::Phase;
-use tulipbridge_core::connection_limiter::Accept;
+use tulipbridge_core::connection_limiter::{Accept, EvictionAttempt};
 use tulipbridge_core::graceful_shutdown::{ShutdownEvent, ShutdownStep};
 
 use super::{ClientConnectionState, ClientState};
@@ -118,7 +118,10 @@
             if let Some(id) = candidate {
                 self.close(id);
             }
-            last_attempt = Some((next, candidate.is_some()));
+            last_attempt = Some(EvictionAttempt {
+                step: next,
+                evicted: candidate.is_some(),
+            });
         }
     }
 
--- a/crates/model-checker/src/request_model/state/exchange.rs
+++ b/crates/model-checker/src/request_model/state/exchange.rs
@@ -67,18 +67,18 @@
         let connections = &self.connections;
         let is_reusable =
             |id: &ConnectionId| connections.get(id).is_some_and(Connection::is_reusable);
-        let (found, unusable) = self.pool.take(node, self.now, is_reusable);
-        for id in unusable {
+        let taken = self.pool.take(node, self.now, is_reusable);
+        for id in taken.unusable {
             self.close(id);
         }
-        let event = match found {
+        let event = match taken.reusable {
             Some(_) => AttemptEvent::PooledConnectionFound,
             None => AttemptEvent::NoPooledConnection {
                 may_open: self.ensure_capacity(node),
             },
         };
         let attempt = self.attempts.get_mut(&key)?;
-        attempt.set_connection(found);
+        attempt.set_connection(taken.reusable);
         Some(attempt.on(event))
     }
 
--- a/crates/model-checker/src/request_model/state/transitions.rs
+++ b/crates/model-checker/src/request_model/state/transitions.rs
@@ -174,7 +174,7 @@
                 self.report_node(model, node);
             }
             WatchUpdate::AddressChanged(node) => {
-                for (id, _) in self.pool.address_changed(node) {
+                for id in self.pool.address_changed(node) {
                     self.close(id);
                 }
             }
@@ -278,7 +278,7 @@
     fn forget_node(&mut self, node: NodeId) {
         self.violations.node_forgotten_in_use |= self.is_node_in_use(node);
         self.nodes.forget(node);
-        for (id, _) in self.pool.remove(node) {
+        for id in self.pool.remove(node) {
             self.close(id);
         }
     }
--- a/src/frontend/client_state.rs
+++ b/src/frontend/client_state.rs
@@ -102,7 +102,7 @@
 
     /// Phase of the state machine.
     pub(super) fn phase(&self) -> Phase {
-        self.connection().phase().0
+        self.connection().phase()
     }
 
     /// The status that a malformed framing of the present request is answered with.
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -18,7 +18,7 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, timeout, Instant};
 use tulipbridge_core::client_connection::Phase;
-use tulipbridge_core::connection_limiter::{Accept, ConnectionLimiter};
+use tulipbridge_core::connection_limiter::{Accept, ConnectionLimiter, EvictionAttempt};
 use tulipbridge_core::graceful_shutdown::{GracefulShutdown, ShutdownEvent, ShutdownStep};
 use tulipbridge_core::Nanos;
 
@@ -133,7 +133,8 @@
     async fn shut_down(self: &Rc<Self>, listener: TcpListener) {
         let started = self.now();
         let longest_deadline = self.handler.longest_deadline().as_nanos() as Nanos;
-        let (mut shutdown, mut step) = GracefulShutdown::new(started, longest_deadline);
+        let mut shutdown = GracefulShutdown::new(started, longest_deadline);
+        let mut step = shutdown.first_step();
         self.handler
             .begin_shutdown(duration(shutdown.answer_deadline() - started));
         loop {
@@ -243,11 +244,17 @@
     async fn ensure_capacity(&self) {
         let mut eviction = None;
         loop {
-            let next = self.limiter.accept(self.connection_count(), eviction);
-            match next {
+            let step = self.limiter.accept(self.connection_count(), eviction);
+            match step {
                 Accept::Now => return,
-                Accept::EvictIdle => eviction = Some((next, self.evict(true))),
-                Accept::EvictAny => eviction = Some((next, self.evict(false))),
+                Accept::EvictIdle => {
+                    let evicted = self.evict(true);
+                    eviction = Some(EvictionAttempt { step, evicted });
+                }
+                Accept::EvictAny => {
+                    let evicted = self.evict(false);
+                    eviction = Some(EvictionAttempt { step, evicted });
+                }
                 Accept::Wait => {
                     sleep(ACCEPT_RETRY_DELAY).await;
                     eviction = None;
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a chunk server: the socket that records its traffic, and the handle that the
 //! pool keeps.
 
-use std::os::fd::AsRawFd;
+use std::os::fd::{AsRawFd, RawFd};
 use std::pin::{pin, Pin};
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use http_body_util::Full;
-use hyper::client::conn::http1::{Builder, SendRequest};
+use hyper::client::conn::http1::{Builder, Connection, SendRequest};
 use hyper::ext::on_informational;
 use hyper::header::{HeaderName, HeaderValue, HOST};
 use hyper::Request;
@@ -34,7 +34,8 @@
 const HOST_NAME: HeaderValue = HeaderValue::from_static("chunk.internal");
 /// Header with the transaction id.
 const TRANSACTION_ID: HeaderName = HeaderName::from_static("x-txn");
-/// What is taken off the time that a server is told.
+/// Taken off the remaining time that a server is notified of, for the way to the server and delays
+/// of this process.
 const REMAINING_MARGIN: Duration = Duration::from_millis(20);
 /// Header with the time that the client still waits, in microseconds with the suffix `u`.
 const REMAINING: HeaderName = HeaderName::from_static("x-remaining");
@@ -44,10 +45,10 @@
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
     /// File descriptor, open as long as the task runs, which is until the sender is closed.
-    socket: i32,
-    pub wire: Rc<WireState>,
+    socket: RawFd,
+    wire: Rc<WireState>,
     /// Which of its server's addresses it leads to.
-    pub address_epoch: u32,
+    address_epoch: u32,
     shard: ShardId,
     _slot: OpenSlot,
 }
@@ -61,9 +62,7 @@
         shard: ShardId,
         slot: OpenSlot,
     ) -> Option<PooledConnection> {
-        // Nagle's algorithm would delay a request that takes two writes; a failure here costs only
-        // time.
-        let _ = stream.set_nodelay(true);
+        disable_nagle(&stream);
         let wire = Rc::new(WireState::default());
         let socket = stream.as_raw_fd();
         let io = TokioIo::new(ObservedStream::new(stream, Rc::clone(&wire)));
@@ -72,10 +71,7 @@
             .handshake(io)
             .await
             .ok()?;
-        let task = tokio::task::spawn_local(async move {
-            // An error of the connection shows in the attempt that it carries.
-            let _ = connection.await;
-        });
+        let task = tokio::task::spawn_local(drive(connection));
         Some(PooledConnection {
             sender,
             task,
@@ -87,6 +83,16 @@
         })
     }
 
+    /// Which of its server's addresses it leads to.
+    pub fn address_epoch(&self) -> u32 {
+        self.address_epoch
+    }
+
+    /// The streamed body of the present response is complete.
+    pub fn response_complete(&self) {
+        self.wire.on(ConnectionEvent::ResponseComplete);
+    }
+
     /// Whether the connection is open and idle, as far as has been read from it.
     pub fn is_open(&self) -> bool {
         self.wire.connection() == ServerConnection::Idle
@@ -154,6 +160,17 @@
     }
 }
 
+/// Nagle's algorithm would delay a request that takes two writes. A failure costs only time.
+fn disable_nagle(stream: &TcpStream) {
+    let _ignored = stream.set_nodelay(true);
+}
+
+/// Runs a connection to its end. An error of it shows in the attempt that it carries.
+async fn drive(connection: Connection<TokioIo<ObservedStream>, Full<Bytes>>) {
+    let _ignored = connection.await;
+}
+
+/// The HTTP request of an attempt, whose client gives up at `deadline`.
 fn build_request(payload: &Payload, deadline: Instant) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(payload.body.clone()));
     *request.method_mut() = payload.method.clone();
@@ -170,8 +187,8 @@
     request
 }
 
-/// The time that a server is told: less than what is left by what a request takes to the server and
-/// this process may be late, and at least half of it.
+/// The remaining time that a server is notified of: [`REMAINING_MARGIN`] less than what is left, but
+/// at least half of it.
 fn remaining_for_server(left: Duration) -> Duration {
     left.saturating_sub(REMAINING_MARGIN).max(left / 2)
 }
--- a/src/upstream/connections.rs
+++ b/src/upstream/connections.rs
@@ -1,4 +1,4 @@
-//! All connections to chunk servers: the pool, dialling, and carrying out attempts.
+//! All connections to chunk servers: the pool, dialing, and carrying out attempts.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 use tulipbridge_core::attempt::{Attempt, AttemptEvent, AttemptStep};
 use tulipbridge_core::connection_pool::{Capacity, ConnectionPool};
-use tulipbridge_core::server_connection::{ConnectionEvent, Execution};
+use tulipbridge_core::server_connection::Execution;
 use tulipbridge_core::{Nanos, NodeId, ShardId};
 
 use super::connection::PooledConnection;
@@ -27,7 +27,7 @@
     dial_timeout: Duration,
     /// Origin of the pool's clock.
     epoch: Instant,
-    /// Connections that are open or being dialled.
+    /// Connections that are open or being dialed.
     open: OpenConnections,
     servers: RefCell<ServerTable>,
     pool: RefCell<ConnectionPool<PooledConnection>>,
@@ -123,8 +123,8 @@
                 AttemptStep::Dial => tokio::select! {
                     biased;
                     outcome = withdrawal.withdrawn() => AttemptEvent::Withdrawn(outcome),
-                    dialled = self.dial(node) => {
-                        connection = dialled;
+                    dialed = self.dial(node) => {
+                        connection = dialed;
                         match connection {
                             Some(_) => AttemptEvent::Connected,
                             None => AttemptEvent::ConnectFailed,
@@ -179,7 +179,7 @@
             Some(streamed) => {
                 let pool = Rc::clone(self);
                 streamed.keep_connection(move || {
-                    connection.wire.on(ConnectionEvent::ResponseComplete);
+                    connection.response_complete();
                     pool.release(node, connection);
                 });
             }
@@ -197,14 +197,14 @@
         self.pool
             .borrow_mut()
             .take(node, self.now(), PooledConnection::is_quiet)
-            .0
+            .reusable
     }
 
     /// Returns a connection to the pool.
     pub fn release(&self, node: NodeId, connection: PooledConnection) {
         // Unsolicited bytes on its socket are checked for when it is next used.
         let is_open = connection.is_open();
-        let address_epoch = connection.address_epoch;
+        let address_epoch = connection.address_epoch();
         self.pool
             .borrow_mut()
             .release(node, address_epoch, connection, self.now(), is_open);
