--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -14,7 +14,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{sleep, timeout};
-use tulipbridge_core::connection_limiter::Accept;
+use tulipbridge_core::connection_limiter::{Accept, EvictionAttempt};
 use tulipbridge_core::graceful_shutdown::{GracefulShutdown, ShutdownEvent, ShutdownStep};
 use tulipbridge_core::Nanos;
 
@@ -108,7 +108,8 @@
     async fn shut_down(&self, socket: TcpListener) {
         let started = self.clock.now();
         let longest_deadline = self.service.handler().longest_deadline().as_nanos() as Nanos;
-        let (mut shutdown, first_step) = GracefulShutdown::new(started, longest_deadline);
+        let mut shutdown = GracefulShutdown::new(started, longest_deadline);
+        let first_step = shutdown.first_step();
         let answer_within = duration(shutdown.answer_deadline() - started);
         self.service.handler().begin_shutdown(answer_within);
         let last_step = self
@@ -228,7 +229,7 @@
                 }
             };
             let evicted = self.connections.evict(scope);
-            previous = Some((step, evicted));
+            previous = Some(EvictionAttempt { step, evicted });
         }
     }
 
