--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -1,5 +1,5 @@
 //! Limits that hold for a whole fleet of processes, with faults of the network and of the fronts
-//! between them. Longer runs of the same are commands of `tulipbridge-lab`.
+//! between them. Longer runs of the same are commands of `tulipbridge-testbed`.
 
 mod support;
 
@@ -172,7 +172,7 @@
         testbed
             .inject(&Fault::DuplicateProcess {
                 front: 1,
-                millis: 4_000,
+                duration: Duration::from_secs(4),
             })
             .await
             .expect("the second process runs for a while");
@@ -279,7 +279,7 @@
             .inject(&Fault::DatagramFaults {
                 loss_percent: 20,
                 duplication_percent: 40,
-                max_delay_ms: 300,
+                max_delay: Duration::from_millis(300),
             })
             .await
             .expect("messages are lost, repeated and late");
@@ -287,7 +287,7 @@
             testbed
                 .inject(&Fault::Kill {
                     front,
-                    restart_after_ms: Some(20),
+                    restart_after: Some(Duration::from_millis(20)),
                 })
                 .await
                 .expect("the front starts again");
@@ -299,7 +299,7 @@
             .inject(&Fault::DatagramFaults {
                 loss_percent: 0,
                 duplication_percent: 0,
-                max_delay_ms: 0,
+                max_delay: Duration::ZERO,
             })
             .await
             .expect("messages arrive again");
@@ -336,7 +336,7 @@
         testbed
             .inject(&Fault::Kill {
                 front: 2,
-                restart_after_ms: Some(1),
+                restart_after: Some(Duration::from_millis(1)),
             })
             .await
             .expect("the front starts again");
