--- a/src/control/agent/mod.rs
+++ b/src/control/agent/mod.rs
@@ -23,7 +23,8 @@
 use crate::control::agent::declaration::Declarations;
 use crate::control::agent::etcd::EtcdPrefix;
 use crate::control::agent::fleet::Fleet;
-use crate::frontend::listener::{Listener, ListenerState};
+use crate::frontend::listener::{Listener, ListenerLimits};
+use crate::frontend::listener_status::ListenerStatus;
 use crate::frontend::socket::{listen, ListenError};
 use crate::runtime::{on_one_thread, shutdown_signal, RuntimeError};
 
@@ -70,7 +71,8 @@
     tasks.spawn_local(follow(source, sender));
     tasks.spawn_local(apply(declared, Rc::clone(&fleet)));
     let api = AgentApi::new(Rc::clone(&fleet));
-    Listener::new(api, MAX_CONNECTIONS, ListenerState::default())
+    let limits = ListenerLimits::new(MAX_CONNECTIONS);
+    Listener::new(api, limits, ListenerStatus::default())
         .serve(listener, shutdown)
         .await;
     // Before the fronts are stopped, so that none is started again.
--- a/src/control/console/mod.rs
+++ b/src/control/console/mod.rs
@@ -40,7 +40,7 @@
 use crate::control::maintenance::Maintenance;
 use crate::control::maintenance_call::{MaintenanceAction, MaintenanceCall};
 use crate::exchange::Exchange;
-use crate::frontend::listener::ListenerState;
+use crate::frontend::listener_status::ListenerStatus;
 use crate::socket_io::Socket;
 use crate::telemetry::log::log;
 use crate::telemetry::metrics::{GaugeReadings, Metrics};
@@ -80,7 +80,7 @@
 /// The parts of a front that the console reads and changes.
 pub struct ConsoleParts {
     /// Whether the front accepts clients, and how many requests are in progress.
-    pub listener_state: ListenerState,
+    pub listener_status: ListenerStatus,
     /// The front's metrics.
     pub metrics: Rc<Metrics>,
     /// Owns the scheduler.
@@ -155,7 +155,7 @@
 
     /// Whether the front accepts clients.
     fn show_status(&self) -> ConsoleResponse {
-        if self.parts.listener_state.accepting.get() {
+        if self.parts.listener_status.is_accepting() {
             plain(StatusCode::OK, "taking clients\n")
         } else {
             plain(StatusCode::SERVICE_UNAVAILABLE, "not taking clients\n")
@@ -166,7 +166,7 @@
     fn show_metrics(&self) -> ConsoleResponse {
         let endpoints = self.parts.exchange.endpoint_counts();
         let readings = GaugeReadings {
-            current: self.parts.listener_state.active_requests.get(),
+            current: self.parts.listener_status.active_requests(),
             cluster_size: endpoints.listed,
             cluster_unhealthy: endpoints.avoided,
         };
--- a/src/front/assembly.rs
+++ b/src/front/assembly.rs
@@ -14,7 +14,6 @@
 use tulipbridge_core::invariant_monitor::Violation;
 use tulipbridge_core::{Nanos, Settings};
 
-use crate::body_budget::BodyBudget;
 use crate::cluster::peers::Peers;
 use crate::config::Config;
 use crate::control::console::{self, Console, ConsoleParts};
@@ -24,7 +23,8 @@
 use crate::control::readiness::Readiness;
 use crate::exchange::Exchange;
 use crate::front::error::FrontError;
-use crate::frontend::listener::{Handler, Listener, ListenerState};
+use crate::frontend::listener::{Handler, Listener, ListenerLimits};
+use crate::frontend::listener_status::ListenerStatus;
 use crate::limits::MAX_BODY;
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::Upstream;
@@ -54,13 +54,13 @@
     /// The front's metrics.
     pub metrics: Rc<Metrics>,
     /// The state that the listener shares with the console.
-    pub listener_state: ListenerState,
+    pub listener_status: ListenerStatus,
     /// The front's peers, where it has any.
     pub peers: Option<Rc<Peers>>,
     /// Whether the front is ready for clients.
     pub readiness: Readiness,
-    /// The most connections with clients.
-    pub max_clients: usize,
+    /// The connections with clients, and the memory for their bodies.
+    pub listener_limits: ListenerLimits,
 }
 
 impl FrontParts {
@@ -77,7 +77,7 @@
             shutdown.await;
             shutdown_at.set(Instant::now());
         };
-        Listener::new(handler, self.max_clients, self.listener_state.clone())
+        Listener::new(handler, self.listener_limits, self.listener_status.clone())
             .serve(listener, shutdown)
             .await;
         if let Some(peers) = &self.peers {
@@ -123,13 +123,11 @@
         exchange,
         maintenance,
         metrics,
-        listener_state: ListenerState {
-            body_budget: Some(BodyBudget::new(config.memory_bytes / BODY_MEMORY_DIVISOR)),
-            ..ListenerState::default()
-        },
+        listener_status: ListenerStatus::default(),
         peers,
         readiness,
-        max_clients: limits.clients,
+        listener_limits: ListenerLimits::new(limits.clients)
+            .with_body_budget(config.memory_bytes / BODY_MEMORY_DIVISOR),
     };
     if let Some(address) = config.console {
         start_console(address, &parts)?;
@@ -216,7 +214,7 @@
 fn start_console(address: SocketAddr, parts: &FrontParts) -> Result<(), FrontError> {
     let listener = console::listen(address)?;
     let console = Console::new(ConsoleParts {
-        listener_state: parts.listener_state.clone(),
+        listener_status: parts.listener_status.clone(),
         metrics: Rc::clone(&parts.metrics),
         exchange: Rc::clone(&parts.exchange),
         maintenance: Rc::clone(&parts.maintenance),
--- a/src/frontend/connection.rs
+++ b/src/frontend/connection.rs
@@ -1,6 +1,5 @@
 //! Serving one client connection: HTTP/1.1 by hyper, and closing without losing the last response.
 
-use std::cell::Cell;
 use std::convert::Infallible;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -13,6 +12,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
+use serde::Serialize;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 use tulipbridge_core::client_connection::ClientEvent;
@@ -23,6 +23,7 @@
 use super::framed_socket::FramedSocket;
 use super::lingering_close::LingeringClose;
 use super::listener::Handler;
+use super::listener_status::ListenerStatus;
 use super::replies::{closing, listener_overloaded, Reply};
 use super::request_framer::MAX_HEAD_BYTES;
 use super::response_body::{OpenRequest, ResponseBody};
@@ -36,7 +37,7 @@
 /// Serves the connections of a listener, whose tasks share it.
 pub(super) struct ConnectionService<H> {
     handler: H,
-    active_requests: Rc<Cell<usize>>,
+    status: ListenerStatus,
     body_budget: Arc<BodyBudget>,
     /// Set once no more connections are accepted.
     shutting_down: watch::Sender<bool>,
@@ -44,16 +45,16 @@
 }
 
 impl<H: Handler> ConnectionService<H> {
-    /// A service by `handler` that counts the open requests in `active_requests` and takes the
-    /// memory for bodies from `body_budget`.
+    /// A service by `handler` that counts the open requests in `status` and takes the memory for
+    /// bodies from `body_budget`.
     pub(super) fn new(
         handler: H,
-        active_requests: Rc<Cell<usize>>,
+        status: ListenerStatus,
         body_budget: Arc<BodyBudget>,
     ) -> Rc<ConnectionService<H>> {
         Rc::new(ConnectionService {
             handler,
-            active_requests,
+            status,
             body_budget,
             shutting_down: watch::Sender::new(false),
             lingering_close: LingeringClose::new(),
@@ -65,11 +66,6 @@
         &self.handler
     }
 
-    /// The number of requests whose responses are not complete.
-    pub(super) fn active_requests(&self) -> usize {
-        self.active_requests.get()
-    }
-
     /// Closes each connection after its present response, or at once where it has none.
     pub(super) fn close_idle_connections(&self) {
         self.shutting_down.send_replace(true);
@@ -107,7 +103,7 @@
         admission: Admission,
     ) {
         let service = service_fn(|request| async move {
-            let open = OpenRequest::new(client, &self.active_requests);
+            let open = OpenRequest::new(client, &self.status);
             let reply = match admission {
                 Admission::Served => self.answer(request, client).await,
                 Admission::Rejected => listener_overloaded(),
@@ -188,19 +184,26 @@
     Request::from_parts(head, body)
 }
 
+/// The event of the decision trace where a request is rejected because of its body.
+#[derive(Serialize)]
+#[serde(tag = "e", rename = "not taken")]
+struct BodyRejected<'a> {
+    status: u16,
+    /// The length that the headers announce, as they write it.
+    length: Option<&'a str>,
+}
+
 /// Traces a request that is rejected with `status` because of its body, with the length that its
 /// headers announce.
 fn trace_rejected_body(status: StatusCode, headers: &HeaderMap) {
     if !trace::is_enabled() {
         return;
     }
-    let length = headers
-        .get(CONTENT_LENGTH)
-        .and_then(|value| value.to_str().ok())
-        .map(str::to_owned);
-    trace::write(
-        simd_json::json!({ "e": "not taken", "status": status.as_u16(), "length": length }),
-    );
+    let length = headers.get(CONTENT_LENGTH);
+    trace::write(BodyRejected {
+        status: status.as_u16(),
+        length: length.and_then(|value| value.to_str().ok()),
+    });
 }
 
 /// Returns once the listener shuts down and no request is arriving on this connection. A request
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -1,11 +1,9 @@
 //! The accept loop of a front, and its graceful shutdown.
 
-use std::cell::Cell;
 use std::future::Future;
 use std::io::{self, ErrorKind};
 use std::os::fd::AsRawFd;
 use std::rc::Rc;
-use std::sync::Arc;
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -22,6 +20,7 @@
 use super::clock::{duration, ListenerClock};
 use super::connection::ConnectionService;
 use super::connection_table::{ConnectionTable, EvictionScope};
+use super::listener_status::ListenerStatus;
 use super::replies::Reply;
 use crate::body_budget::BodyBudget;
 use crate::telemetry::log::log;
@@ -39,15 +38,31 @@
 /// A request with its complete body, or the status that the body is rejected with.
 pub type ReceivedRequest = Request<Result<Bytes, StatusCode>>;
 
-/// State of a listener that is shared with the admin console.
-#[derive(Clone, Default)]
-pub struct ListenerState {
-    /// Whether clients are accepted: from the start until SIGTERM.
-    pub accepting: Rc<Cell<bool>>,
-    /// Requests received whose responses are not complete.
-    pub active_requests: Rc<Cell<usize>>,
-    /// Memory for request bodies; `None` allows one body of the largest size.
-    pub body_budget: Option<Arc<BodyBudget>>,
+/// What the clients of a listener may take up together.
+#[derive(Clone, Copy, Debug)]
+pub struct ListenerLimits {
+    /// The most connections, including those that are only rejected.
+    max_connections: usize,
+    /// Memory for request bodies.
+    body_budget_bytes: usize,
+}
+
+impl ListenerLimits {
+    /// At most `max_connections` connections, and memory for one request body of the largest size.
+    pub fn new(max_connections: usize) -> ListenerLimits {
+        ListenerLimits {
+            max_connections,
+            body_budget_bytes: MAX_REQUEST_BODY,
+        }
+    }
+
+    /// The same with this memory for request bodies.
+    pub fn with_body_budget(self, bytes: usize) -> ListenerLimits {
+        ListenerLimits {
+            body_budget_bytes: bytes,
+            ..self
+        }
+    }
 }
 
 /// Answers the requests that a listener receives.
@@ -72,35 +87,32 @@
     clock: ListenerClock,
     connections: Rc<ConnectionTable>,
     service: Rc<ConnectionService<H>>,
-    accepting: Rc<Cell<bool>>,
+    status: ListenerStatus,
 }
 
 impl<H: Handler> Listener<H> {
-    /// A listener that keeps at most `max_connections` connections and publishes its state in
-    /// `state`.
-    pub fn new(handler: H, max_connections: usize, state: ListenerState) -> Listener<H> {
+    /// A listener within `limits` that publishes its state in `status`.
+    pub fn new(handler: H, limits: ListenerLimits, status: ListenerStatus) -> Listener<H> {
         let clock = ListenerClock::start();
-        let body_budget = state
-            .body_budget
-            .unwrap_or_else(|| BodyBudget::new(MAX_REQUEST_BODY));
+        let body_budget = BodyBudget::new(limits.body_budget_bytes);
         Listener {
             clock,
-            connections: ConnectionTable::new(max_connections, clock),
-            service: ConnectionService::new(handler, state.active_requests, body_budget),
-            accepting: state.accepting,
+            connections: ConnectionTable::new(limits.max_connections, clock),
+            service: ConnectionService::new(handler, status.clone(), body_budget),
+            status,
         }
     }
 
     /// Serves until `shutdown_signal` completes, then returns once every received request has been
     /// answered. Must be called inside a tokio `LocalSet`.
     pub async fn serve(&self, socket: TcpListener, shutdown_signal: impl Future<Output = ()>) {
-        self.accepting.set(true);
+        self.status.set_accepting(true);
         tokio::select! {
             () = self.accept_forever(&socket) => {}
             () = self.evict_timed_out_forever() => {}
             () = shutdown_signal => {}
         }
-        self.accepting.set(false);
+        self.status.set_accepting(false);
         self.shut_down(socket).await;
     }
 
@@ -148,7 +160,7 @@
                 busy: self
                     .connections
                     .pending_work()
-                    .max(self.service.active_requests()),
+                    .max(self.status.active_requests()),
             };
             match shutdown.on(self.clock.now(), poll) {
                 ShutdownStep::Wait(time) => sleep(duration(time)).await,
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -9,6 +9,7 @@
 pub mod framing;
 mod lingering_close;
 pub mod listener;
+pub mod listener_status;
 pub mod platform;
 pub mod replies;
 mod request_framer;
--- a/src/frontend/platform/streaming.rs
+++ b/src/frontend/platform/streaming.rs
@@ -8,6 +8,7 @@
 use http_body_util::{BodyExt, Either};
 use hyper::header::{HeaderValue, CONTENT_LENGTH};
 use hyper::Response;
+use serde::Serialize;
 use tokio::task::spawn_local;
 
 use crate::frontend::replies::Reply;
@@ -18,6 +19,22 @@
 /// than the client reads.
 const BUFFERED_PARTS: usize = 2;
 
+/// Factor of a time in seconds.
+const MILLISECONDS_PER_SECOND: f64 = 1e3;
+
+/// The event of the decision trace at the end of a streamed body.
+#[derive(Serialize)]
+#[serde(tag = "e", rename = "passed")]
+struct BodyStreamed {
+    bytes: usize,
+    /// The length that the chunk server announced.
+    #[serde(rename = "of")]
+    announced_bytes: Option<u64>,
+    #[serde(rename = "ms")]
+    milliseconds: f64,
+    end: &'static str,
+}
+
 /// How a streamed body ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StreamEnd {
@@ -120,13 +137,12 @@
     }
 
     /// The event of the decision trace at the end of the body, after the time `took`.
-    fn trace_event(&self, end: StreamEnd, took: Duration) -> simd_json::OwnedValue {
-        simd_json::json!({
-            "e": "passed",
-            "bytes": self.bytes_forwarded,
-            "of": self.streamed.length,
-            "ms": took.as_secs_f64() * 1e3,
-            "end": end.trace_name(),
-        })
+    fn trace_event(&self, end: StreamEnd, took: Duration) -> BodyStreamed {
+        BodyStreamed {
+            bytes: self.bytes_forwarded,
+            announced_bytes: self.streamed.length,
+            milliseconds: took.as_secs_f64() * MILLISECONDS_PER_SECOND,
+            end: end.trace_name(),
+        }
     }
 }
--- a/src/frontend/response_body.rs
+++ b/src/frontend/response_body.rs
@@ -1,6 +1,5 @@
 //! Tracking of open requests until their response bodies have been consumed.
 
-use std::cell::Cell;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll};
@@ -9,6 +8,7 @@
 use tulipbridge_core::client_connection::ClientEvent;
 
 use super::client_state::ClientState;
+use super::listener_status::ListenerStatus;
 
 /// A response body that keeps its request counted as open until hyper has read it completely or
 /// dropped it.
@@ -47,23 +47,23 @@
 /// A request that is being answered; dropping it ends the request.
 pub struct OpenRequest {
     client: Rc<ClientState>,
-    active_requests: Rc<Cell<usize>>,
+    status: ListenerStatus,
 }
 
 impl OpenRequest {
-    /// Counts a request of `client` in `active_requests` for as long as the value lives.
-    pub fn new(client: &Rc<ClientState>, active_requests: &Rc<Cell<usize>>) -> OpenRequest {
-        active_requests.set(active_requests.get() + 1);
+    /// Counts a request of `client` in `status` for as long as the value lives.
+    pub fn new(client: &Rc<ClientState>, status: &ListenerStatus) -> OpenRequest {
+        status.request_started();
         OpenRequest {
             client: Rc::clone(client),
-            active_requests: Rc::clone(active_requests),
+            status: status.clone(),
         }
     }
 }
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.active_requests.set(self.active_requests.get() - 1);
+        self.status.request_ended();
         self.client.on(ClientEvent::Answered);
     }
 }
