--- a/crates/testbed/src/simulation/outliers/audit.rs
+++ b/crates/testbed/src/simulation/outliers/audit.rs
@@ -3,9 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use tulipbridge_membership::{EntryKey, Nanos};
+use tulipbridge_membership::{EntryKey, Nanos, PeerId};
 use tulipbridge_outlier_detection::{
-    DetectorConfig, EjectionTarget, Scope, Server, Zone, EVIDENCE, VOTE,
+    DetectorConfig, EjectionTarget, Scope, ServerId, ZoneId, EVIDENCE, VOTE,
 };
 
 use crate::simulation::peer::ROUND_INTERVAL;
@@ -17,7 +17,9 @@
 pub struct VoteAudit {
     /// The configuration of every detector, as far as the audit needs it.
     config: DetectorConfig,
+    /// When each front last published a vote for an ejection.
     votes: BTreeMap<(usize, EjectionTarget), Nanos>,
+    /// When each front last published evidence on a server.
     evidence: BTreeMap<(usize, Server), Nanos>,
 }
 
@@ -25,7 +27,7 @@
     /// An empty record.
     pub fn new() -> VoteAudit {
         VoteAudit {
-            config: DetectorConfig::new(0, 1, 0),
+            config: DetectorConfig::new(PeerId(0), 1, ZoneId(0)),
             votes: BTreeMap::new(),
             evidence: BTreeMap::new(),
         }
@@ -44,10 +46,10 @@
     ) -> Result<(), VoteWithoutEvidence> {
         match (key.kind, value) {
             (EVIDENCE, Some(_)) => {
-                self.evidence.insert((front, key.id), now);
+                self.evidence.insert((front, ServerId(key.id)), now);
             }
             (VOTE, Some(bytes)) => {
-                if let Ok((target, _)) = postcard::from_bytes::<(EjectionTarget, Zone)>(bytes) {
+                if let Ok((target, _)) = postcard::from_bytes::<(EjectionTarget, ZoneId)>(bytes) {
                     return self.record_vote(now, front, target);
                 }
             }
@@ -57,6 +59,7 @@
         Ok(())
     }
 
+    /// Records a vote, and checks the evidence if it is new.
     fn record_vote(
         &mut self,
         now: Nanos,
@@ -80,7 +83,7 @@
     }
 
     /// How many fronts have recent evidence on a server.
-    fn witnesses(&self, now: Nanos, server: Server) -> usize {
+    fn witnesses(&self, now: Nanos, server: ServerId) -> usize {
         let oldest = now - self.config.evidence_ttl - ROUND_INTERVAL;
         self.evidence
             .iter()
@@ -91,11 +94,11 @@
     /// Whether a front has voted for this ejection, or for one of the whole server, at `oldest` or
     /// since.
     pub fn has_vote(&self, front: usize, target: EjectionTarget, oldest: Nanos) -> bool {
-        let whole_server = EjectionTarget {
+        let all_of_server = EjectionTarget {
             scope: Scope::All,
             ..target
         };
-        let votes = [target, whole_server].map(|target| self.votes.get(&(front, target)));
+        let votes = [target, all_of_server].map(|target| self.votes.get(&(front, target)));
         votes.into_iter().flatten().any(|at| *at >= oldest)
     }
 }
