--- a/crates/model-checker/src/cli/explore.rs
+++ b/crates/model-checker/src/cli/explore.rs
@@ -61,6 +61,7 @@
     Ok(status)
 }
 
+/// The configurations that the arguments select.
 fn selected_configs(args: &ExploreArgs) -> Result<Vec<Config>, CommandError> {
     match &args.config {
         Some(name) => Ok(vec![find_config(name)?]),
@@ -71,6 +72,7 @@
     }
 }
 
+/// Prints the header of the table of reports.
 fn print_header() {
     print_line!(
         "{:<14} {:>10} {:>11} {:>6} {:>8} {:>8} {:>10}  result",
@@ -84,6 +86,7 @@
     );
 }
 
+/// Prints a report as a row of the table.
 fn print_report(report: &Report) {
     let result = match &report.violation {
         Some(history) => format!("BROKEN: {}", history.violated.join(", ")),
--- a/crates/model-checker/src/cli/mod.rs
+++ b/crates/model-checker/src/cli/mod.rs
@@ -4,10 +4,10 @@
 mod error;
 mod explore;
 mod list;
+mod mutations;
 mod output;
 mod replay;
 mod search;
-mod seeded;
 mod walk;
 
 use std::process::ExitCode;
@@ -39,7 +39,8 @@
     Explore(explore::ExploreArgs),
     /// Seeds bugs one at a time, and looks whether each is found (needs a build with `--features
     /// seeded`)
-    Seeded(seeded::SeededArgs),
+    #[command(name = "seeded")]
+    Mutations(mutations::MutationArgs),
     /// Plays one long random history, the same every time for a seed
     Walk(walk::WalkArgs),
     /// Draws the reports that `explore --json` wrote, as an SVG picture
@@ -75,7 +76,7 @@
     let result = match Cli::parse().command {
         Command::List => Ok(list::run()),
         Command::Explore(args) => explore::run(&args),
-        Command::Seeded(args) => seeded::run(&args),
+        Command::Mutations(args) => mutations::run(&args),
         Command::Walk(args) => walk::run(&args),
         Command::Chart(args) => chart::run(&args),
         Command::Replay(args) => replay::run(&args),
--- a/crates/model-checker/src/cli/seeded/fleet_limits.rs
+++ b/crates/model-checker/src/cli/mutations/fleet_limits.rs
@@ -23,14 +23,14 @@
 
 /// Runs this program for one mutation, and returns whether it found a violation.
 fn is_detected_by_child(mutation: Mutation, limits: SearchLimits) -> Result<bool, CommandError> {
-    let program = std::env::current_exe().map_err(CommandError::Restart)?;
+    let program = std::env::current_exe().map_err(|source| CommandError::Restart { source })?;
     let status = Command::new(program)
-        .args(["seeded", "--rights", "--name", &format!("{mutation}")])
+        .args(["seeded", "--rights", "--name", mutation.name()])
         .args(["--threads", &limits.threads.to_string()])
         .args(["--memory-mb", &limits.memory_mb.to_string()])
         .args(["--seconds", &limits.time.as_secs().to_string()])
         .status()
-        .map_err(CommandError::Restart)?;
+        .map_err(|source| CommandError::Restart { source })?;
     Ok(status.code() == Some(Status::Violated as i32))
 }
 
@@ -38,8 +38,10 @@
 pub(super) fn run_one(name: &str, limits: SearchLimits) -> Result<Status, CommandError> {
     let mutation = ALL
         .into_iter()
-        .find(|mutation| format!("{mutation}") == name)
-        .ok_or_else(|| CommandError::UnknownMutation(name.to_owned()))?;
+        .find(|mutation| mutation.name() == name)
+        .ok_or_else(|| CommandError::UnknownMutation {
+            name: name.to_owned(),
+        })?;
     activate(Some(mutation));
     let reports = configs::all()
         .into_iter()
--- a/crates/model-checker/src/cli/seeded/mod.rs
+++ b/crates/model-checker/src/cli/mutations/mod.rs
@@ -1,10 +1,10 @@
-//! `seeded`: mutation testing of the properties. Activates one mutation of the state machines at a
+//! `mutations`: mutation testing of the properties. Activates one mutation of the state machines at a
 //! time and searches for a history that violates a property.
 
 #[cfg(feature = "mutations")]
 mod fleet_limits;
 #[cfg(feature = "mutations")]
-mod front;
+mod single_front;
 
 use std::path::PathBuf;
 
@@ -17,13 +17,13 @@
 // Without mutations the arguments are parsed, so that `--help` is the same, and not read.
 #[cfg_attr(not(feature = "mutations"), allow(dead_code))]
 #[derive(Args)]
-pub(super) struct SeededArgs {
+pub(super) struct MutationArgs {
     /// This one alone
     #[arg(long)]
     name: Option<String>,
     /// Those of the machine of shared limits instead, in the configurations of that name
-    #[arg(long)]
-    rights: bool,
+    #[arg(long = "rights")]
+    fleet_limits: bool,
     /// Writes the reports here
     #[arg(long)]
     json: Option<PathBuf>,
@@ -36,9 +36,9 @@
 
 /// Runs the command.
 #[cfg(feature = "mutations")]
-pub(super) fn run(args: &SeededArgs) -> Result<Status, CommandError> {
-    match (args.rights, &args.name) {
-        (false, _) => front::run(args),
+pub(super) fn run(args: &MutationArgs) -> Result<Status, CommandError> {
+    match (args.fleet_limits, &args.name) {
+        (false, _) => single_front::run(args),
         (true, Some(name)) => fleet_limits::run_one(name, args.search.limits()),
         (true, None) => fleet_limits::run_all(args.search.limits()),
     }
@@ -46,6 +46,6 @@
 
 /// Mutations are compiled in only with their feature.
 #[cfg(not(feature = "mutations"))]
-pub(super) fn run(_: &SeededArgs) -> Result<Status, CommandError> {
+pub(super) fn run(_: &MutationArgs) -> Result<Status, CommandError> {
     Err(CommandError::NoMutations)
 }
--- a/crates/model-checker/src/cli/output.rs
+++ b/crates/model-checker/src/cli/output.rs
@@ -1,18 +1,21 @@
 //! Output of the commands: lines on the standard streams, and files.
 
 use std::fmt;
-use std::io::Write;
+use std::io::{self, IsTerminal, Write};
 use std::path::Path;
 
 use serde::Serialize;
 
 use super::error::CommandError;
+use crate::explore::Progress;
 use crate::history::History;
 
-/// Prints a line on standard output. A closed pipe is not an error: the exit code still holds the
-/// result.
+/// Control sequence that returns to the start of the line and erases it.
+const ERASE_LINE: &str = "\r\x1b[K";
+
+/// Prints a line on standard output.
 pub(super) fn print(text: fmt::Arguments<'_>) {
-    let _ = writeln!(std::io::stdout(), "{text}");
+    ignore_closed_stream(writeln!(io::stdout(), "{text}"));
 }
 
 /// Formats and prints a line with [`print`].
@@ -21,9 +24,51 @@
 }
 pub(super) use print_line;
 
-/// Prints the error of a command. Where standard error is closed, the exit code alone reports it.
+/// Prints the error of a command.
 pub(super) fn print_error(error: &CommandError) {
-    let _ = writeln!(std::io::stderr(), "tulipbridge-check: {error}");
+    ignore_closed_stream(writeln!(io::stderr(), "tulipbridge-check: {error}"));
+}
+
+/// A line on standard error that shows the progress of a search, if that is a terminal.
+pub(super) struct ProgressLine {
+    config: &'static str,
+    is_terminal: bool,
+}
+
+impl ProgressLine {
+    /// A line for the search of a configuration.
+    pub(super) fn new(config: &'static str) -> ProgressLine {
+        ProgressLine {
+            config,
+            is_terminal: io::stderr().is_terminal(),
+        }
+    }
+
+    /// Overwrites the line with the present progress.
+    pub(super) fn show(&self, progress: Progress) {
+        if self.is_terminal {
+            let Progress { states, depth } = progress;
+            let config = self.config;
+            let mut stderr = io::stderr();
+            ignore_closed_stream(write!(
+                stderr,
+                "\r{config}: {states} states, depth {depth}   "
+            ));
+        }
+    }
+
+    /// Erases the line.
+    pub(super) fn erase(self) {
+        if self.is_terminal {
+            ignore_closed_stream(write!(io::stderr(), "{ERASE_LINE}"));
+        }
+    }
+}
+
+/// Ignores that a standard stream cannot be written, as where a pipe is closed: the exit code still
+/// holds the result.
+fn ignore_closed_stream(result: io::Result<()>) {
+    drop(result);
 }
 
 /// Writes a text file.
--- a/crates/model-checker/src/cli/replay.rs
+++ b/crates/model-checker/src/cli/replay.rs
@@ -7,7 +7,7 @@
 use super::error::CommandError;
 use super::output::print_line;
 use super::Status;
-use crate::history::History;
+use crate::history::{History, StoredHistory};
 use crate::with_config;
 
 #[derive(Args)]
@@ -18,7 +18,7 @@
 
 /// Runs the command.
 pub(super) fn run(args: &ReplayArgs) -> Result<Status, CommandError> {
-    let (config, history) = History::read(&args.file)?;
+    let StoredHistory { config, history } = History::read(&args.file)?;
     let mut step_number = 0;
     let mut status = Status::Holds;
     let print_step = |step: &str, violated: &[&str]| {
--- a/crates/model-checker/src/cli/search.rs
+++ b/crates/model-checker/src/cli/search.rs
@@ -1,15 +1,15 @@
 //! What the commands that search share: limits from the command line, and a search that shows its
 //! progress.
 
-use std::io::{IsTerminal, Write};
 use std::num::NonZeroUsize;
 use std::time::Duration;
 
 use clap::Args;
 
 use super::error::CommandError;
+use super::output::ProgressLine;
 use crate::configs::{self, Config};
-use crate::explore::{explore, Progress, Report, SearchLimits};
+use crate::explore::{explore, Report, SearchLimits};
 use crate::with_config;
 
 /// Number of search threads at most, unless the command line says otherwise.
@@ -46,25 +46,15 @@
 
 /// The configuration of that name.
 pub(super) fn find_config(name: &str) -> Result<Config, CommandError> {
-    configs::named(name).ok_or_else(|| CommandError::UnknownConfig(name.to_owned()))
+    configs::named(name).ok_or_else(|| CommandError::UnknownConfig {
+        name: name.to_owned(),
+    })
 }
 
 /// Searches a configuration, and shows the progress on standard error if that is a terminal.
 pub(super) fn search(config: Config, limits: SearchLimits) -> Report {
-    let is_terminal = std::io::stderr().is_terminal();
-    let name = config.summary().name;
-    // Progress is of use only while it can be shown.
-    let show_progress = |Progress { states, depth }: Progress| {
-        if is_terminal {
-            let _ = write!(
-                std::io::stderr(),
-                "\r{name}: {states} states, depth {depth}   "
-            );
-        }
-    };
-    let report = with_config!(config, model => explore(model, limits, show_progress));
-    if is_terminal {
-        let _ = write!(std::io::stderr(), "\r\x1b[K");
-    }
+    let progress = ProgressLine::new(config.summary().name);
+    let report = with_config!(config, model => explore(model, limits, |now| progress.show(now)));
+    progress.erase();
     report
 }
--- a/crates/model-checker/src/configs/client_connections.rs
+++ b/crates/model-checker/src/configs/client_connections.rs
@@ -29,6 +29,7 @@
     ]
 }
 
+/// A configuration with two connections and two requests of each client, without SIGTERM.
 fn base(name: &'static str, description: &'static str, clients: usize) -> ClientConnectionModel {
     ClientConnectionModel {
         summary: ModelSummary {
--- a/crates/model-checker/src/configs/discovery.rs
+++ b/crates/model-checker/src/configs/discovery.rs
@@ -19,6 +19,7 @@
     ]
 }
 
+/// A configuration with a front whose calls are at this position within their jitter, from 0 to 1.
 fn base(name: &'static str, description: &'static str, jitter: f64) -> DiscoveryModel {
     DiscoveryModel {
         summary: ModelSummary {
--- a/crates/model-checker/src/configs/requests.rs
+++ b/crates/model-checker/src/configs/requests.rs
@@ -281,6 +281,7 @@
     request(SUBMIT, None)
 }
 
+/// A request of a class, to a shard or to any node.
 fn request(class: usize, shard: Option<ShardId>) -> ClientRequest {
     ClientRequest {
         class,
@@ -289,6 +290,8 @@
     }
 }
 
+/// A configuration of two nodes, two faults of any kind and two clock steps, part of
+/// `explore --quick`.
 fn base(
     name: &'static str,
     description: &'static str,
@@ -317,6 +320,7 @@
     }
 }
 
+/// A configuration that `explore --quick` leaves out.
 fn not_quick(model: RequestModel) -> RequestModel {
     let summary = ModelSummary {
         quick: false,
--- a/crates/model-checker/src/configs/settings.rs
+++ b/crates/model-checker/src/configs/settings.rs
@@ -46,6 +46,7 @@
     }
 }
 
+/// A class of requests with these semantics.
 fn class(semantics: Semantics) -> Class {
     Class {
         latency_objective: 60 * MS,
@@ -61,6 +62,7 @@
     }
 }
 
+/// The plan of all requests, without a rate limit.
 fn plan() -> Plan {
     Plan {
         limit_rate: 0.0,
--- a/crates/model-checker/src/explore.rs
+++ b/crates/model-checker/src/explore.rs
@@ -26,6 +26,7 @@
 struct SearchState<S>(S);
 
 impl<S: Hash> SearchState<S> {
+    /// The hash by which states are compared.
     fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.hash(&mut hasher);
@@ -120,7 +121,7 @@
 pub fn explore<M: Model>(
     model: M,
     limits: SearchLimits,
-    mut on_progress: impl FnMut(Progress),
+    on_progress: impl FnMut(Progress),
 ) -> Report {
     let config = model.summary().name;
     let started_at = Instant::now();
@@ -130,18 +131,7 @@
         .finish_when(HasDiscoveries::Any)
         .timeout(limits.time)
         .spawn_bfs();
-    let mut out_of_memory = false;
-    while !search.is_done() {
-        std::thread::sleep(PROGRESS_INTERVAL);
-        on_progress(Progress {
-            states: search.unique_state_count(),
-            depth: search.max_depth(),
-        });
-        if resident_memory_mb() > limits.memory_mb {
-            out_of_memory = true;
-            break;
-        }
-    }
+    let out_of_memory = !watch_until_done(&search, limits.memory_mb, on_progress);
     let discovery = search.discoveries().into_values().next();
     let violation = discovery.map(|path| History::of(&replay_model, &path.into_actions()));
     let timed_out = started_at.elapsed() >= limits.time;
@@ -157,6 +147,26 @@
     }
 }
 
+/// Waits for a search to end. Returns false as soon as this process exceeds its memory limit; the
+/// search engine has no such limit of its own.
+fn watch_until_done<M: Model>(
+    search: &impl Checker<SearchModel<M>>,
+    max_memory_mb: u64,
+    mut on_progress: impl FnMut(Progress),
+) -> bool {
+    while !search.is_done() {
+        std::thread::sleep(PROGRESS_INTERVAL);
+        on_progress(Progress {
+            states: search.unique_state_count(),
+            depth: search.max_depth(),
+        });
+        if resident_memory_mb() > max_memory_mb {
+            return false;
+        }
+    }
+    true
+}
+
 /// Takes up to `max_steps` random steps and returns them. The same seed gives the same steps; the
 /// walk ends early at a violation.
 pub fn random_walk<M: Model>(model: &M, seed: u64, max_steps: usize) -> Vec<M::Step> {
--- a/crates/model-checker/src/history.rs
+++ b/crates/model-checker/src/history.rs
@@ -14,6 +14,10 @@
 
 /// First line of a history file; the number is the version of the format.
 const FORMAT_LINE: &str = "tulipbridge-check trace 1";
+/// What the line with the name of the configuration starts with.
+const CONFIG_PREFIX: &str = "config ";
+/// What the line of a violated property starts with.
+const VIOLATION_PREFIX: &str = "breaks ";
 /// Longest part of an unexpected line that an error quotes, in characters.
 const MAX_QUOTED_CHARS: usize = 60;
 
@@ -30,6 +34,15 @@
     pub steps: Vec<String>,
 }
 
+/// A history that was read from a file.
+#[derive(Clone, Debug)]
+pub struct StoredHistory {
+    /// The configuration that it belongs to.
+    pub config: Config,
+    /// The history.
+    pub history: History,
+}
+
 /// Why a history cannot be read or replayed.
 #[derive(Debug, thiserror::Error)]
 pub enum HistoryError {
@@ -50,7 +63,10 @@
         found: String,
     },
     /// The second line names no known configuration.
-    #[error("{}: line 2 must be 'config NAME' with a name that 'list' shows, not '{found}'", path.display())]
+    #[error(
+        "{}: line 2 must be 'config NAME' with a name that 'list' shows, not '{found}'",
+        path.display()
+    )]
     UnknownConfig {
         /// Path of the file.
         path: PathBuf,
@@ -90,39 +106,26 @@
     ///
     /// # Errors
     /// If the file cannot be read, has another format, or names no known configuration.
-    pub fn read(path: &Path) -> Result<(Config, History), HistoryError> {
+    pub fn read(path: &Path) -> Result<StoredHistory, HistoryError> {
         let text = std::fs::read_to_string(path).map_err(|source| HistoryError::Read {
             path: path.to_owned(),
             source,
         })?;
         let mut lines = text.lines();
-        let format_line = lines.next().unwrap_or_default();
-        if format_line != FORMAT_LINE {
-            return Err(HistoryError::UnknownFormat {
-                path: path.to_owned(),
-                found: quoted(format_line),
-            });
-        }
-        let config_line = lines.next().unwrap_or_default();
-        let config = config_line
-            .strip_prefix("config ")
-            .and_then(configs::named)
-            .ok_or_else(|| HistoryError::UnknownConfig {
-                path: path.to_owned(),
-                found: quoted(config_line),
-            })?;
+        check_format_line(path, lines.next().unwrap_or_default())?;
+        let config = read_config_line(path, lines.next().unwrap_or_default())?;
         let mut history = History {
             config: config.summary().name.to_owned(),
             violated: Vec::new(),
             steps: Vec::new(),
         };
         for line in lines.map(str::trim).filter(|line| !line.is_empty()) {
-            match line.strip_prefix("breaks ") {
+            match line.strip_prefix(VIOLATION_PREFIX) {
                 Some(property) => history.violated.push(property.to_owned()),
                 None => history.steps.push(line.to_owned()),
             }
         }
-        Ok((config, history))
+        Ok(StoredHistory { config, history })
     }
 
     /// Replays the steps and returns the last state. `on_step` is called after each step with its
@@ -155,6 +158,27 @@
     }
 }
 
+/// Checks the first line of a history file.
+fn check_format_line(path: &Path, line: &str) -> Result<(), HistoryError> {
+    if line == FORMAT_LINE {
+        return Ok(());
+    }
+    Err(HistoryError::UnknownFormat {
+        path: path.to_owned(),
+        found: quoted(line),
+    })
+}
+
+/// The configuration that the second line of a history file names.
+fn read_config_line(path: &Path, line: &str) -> Result<Config, HistoryError> {
+    line.strip_prefix(CONFIG_PREFIX)
+        .and_then(configs::named)
+        .ok_or_else(|| HistoryError::UnknownConfig {
+            path: path.to_owned(),
+            found: quoted(line),
+        })
+}
+
 /// The beginning of an unexpected line, for an error.
 fn quoted(line: &str) -> String {
     line.chars().take(MAX_QUOTED_CHARS).collect()
@@ -162,9 +186,10 @@
 
 impl fmt::Display for History {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "{FORMAT_LINE}\nconfig {}", self.config)?;
+        writeln!(f, "{FORMAT_LINE}")?;
+        writeln!(f, "{CONFIG_PREFIX}{}", self.config)?;
         for property in &self.violated {
-            writeln!(f, "breaks {property}")?;
+            writeln!(f, "{VIOLATION_PREFIX}{property}")?;
         }
         self.steps.iter().try_for_each(|step| writeln!(f, "{step}"))
     }
--- a/crates/model-checker/tests/checker.rs
+++ b/crates/model-checker/tests/checker.rs
@@ -79,11 +79,12 @@
     assert_ne!(steps, random_walk(&model, SEED + 1, WALK_STEPS));
     let history = History::of(&model, &steps);
     let file = write_temporary("walk", history.to_string().as_bytes());
-    let (config, read) = History::read(&file).expect("the history can be read");
-    assert_eq!(read, history);
-    assert_eq!(config.summary().name, "large");
+    let stored = History::read(&file).expect("the history can be read");
+    assert_eq!(stored.history, history);
+    assert_eq!(stored.config.summary().name, "large");
     let mut steps_replayed = 0;
-    let state = read
+    let state = stored
+        .history
         .replay(&model, |_, _| steps_replayed += 1)
         .expect("the history replays");
     assert_eq!(steps_replayed, WALK_STEPS);
--- a/crates/model-checker/tests/golden.rs
+++ b/crates/model-checker/tests/golden.rs
@@ -18,7 +18,7 @@
 use tulipbridge_core::{Action, NodeId, RequestId};
 use tulipbridge_model_checker::configs::{self, Config};
 use tulipbridge_model_checker::explore::{random_walk, Report};
-use tulipbridge_model_checker::history::History;
+use tulipbridge_model_checker::history::{History, StoredHistory};
 use tulipbridge_model_checker::{
     chart, client_connection_model, discovery_model, fleet_limits_model, request_model, with_config,
 };
@@ -269,7 +269,8 @@
 fn stored_histories_replay_to_their_end() {
     for (file, config_name) in HISTORIES {
         let path = golden_path(file);
-        let (config, history) = History::read(&path).unwrap_or_else(|error| panic!("{error}"));
+        let StoredHistory { config, history } =
+            History::read(&path).unwrap_or_else(|error| panic!("{error}"));
         assert_eq!(config.summary().name, config_name, "{file}");
         let mut replayed = Vec::new();
         let result = with_config!(&config, model => {
@@ -288,9 +289,9 @@
 fn replay_command_prints_every_step_of_stored_histories() {
     for (file, _) in HISTORIES {
         let path = golden_path(file);
-        let (_, history) = History::read(&path).unwrap_or_else(|error| panic!("{error}"));
+        let stored = History::read(&path).unwrap_or_else(|error| panic!("{error}"));
         let text = printed(&["replay", path.to_str().expect("the path is UTF-8")]);
-        assert_eq!(text.lines().count(), history.steps.len(), "{file}");
+        assert_eq!(text.lines().count(), stored.history.steps.len(), "{file}");
     }
 }
 
