--- a/crates/model-checker/src/request_model/config.rs
+++ b/crates/model-checker/src/request_model/config.rs
@@ -86,7 +86,7 @@
     pub max_faults: u8,
     /// The faults that may occur.
     pub faults: &'static [Fault],
-    /// Time that passes in [`Step::ClockAdvances`].
+    /// Time that passes in [`Step::ClockAdvances`](super::Step::ClockAdvances).
     pub clock_step: Nanos,
     /// Number of clock steps within which requests may arrive. Requests that have arrived are
     /// followed to their end.
