--- a/crates/model-checker/src/cli/chart.rs
+++ b/crates/model-checker/src/cli/chart.rs
@@ -10,9 +10,9 @@
 
 #[derive(Args)]
 pub(super) struct ChartArgs {
-    /// The reports
+    /// The file that `explore --json` wrote
     reports: PathBuf,
-    /// The picture
+    /// The SVG file to write
     picture: PathBuf,
 }
 
--- a/crates/model-checker/src/cli/error.rs
+++ b/crates/model-checker/src/cli/error.rs
@@ -35,13 +35,13 @@
     Restart { source: std::io::Error },
     /// No mutation has the given name.
     #[cfg(feature = "mutations")]
-    #[error("no seeded bug is called '{name}'; 'tulipbridge-check list' shows them")]
+    #[error("no mutation is called '{name}'; 'tulipbridge-check list' shows them")]
     UnknownMutation { name: String },
     /// This build has no mutations.
     #[cfg(not(feature = "mutations"))]
     #[error(
-        "bugs can be seeded only in a build of their own: cargo run --release -p tulipbridge-model-checker \
-        --features seeded -- seeded"
+        "this build has no mutations; run: cargo run --release -p tulipbridge-model-checker \
+        --features mutations --target-dir target/mutations -- mutations"
     )]
     NoMutations,
 }
--- a/crates/model-checker/src/cli/explore.rs
+++ b/crates/model-checker/src/cli/explore.rs
@@ -16,16 +16,16 @@
 
 #[derive(Args)]
 pub(super) struct ExploreArgs {
-    /// This one alone
+    /// Explores only this configuration
     #[arg(long)]
     config: Option<String>,
-    /// The quick ones alone
+    /// Explores only the quick configurations
     #[arg(long)]
     quick: bool,
-    /// Writes the reports here
+    /// Writes the reports to this file, as JSON
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Writes a history that breaks a property here
+    /// Writes a history that violates a property to this file
     #[arg(long)]
     trace: Option<PathBuf>,
     #[command(flatten)]
--- a/crates/model-checker/src/cli/list.rs
+++ b/crates/model-checker/src/cli/list.rs
@@ -16,7 +16,7 @@
         let quick = if summary.quick { " (quick)" } else { "" };
         print_line!("  {:<14} {}{quick}", summary.name, summary.description);
     }
-    print_line!("configurations that are known not to hold (see docs/ROADMAP.md):");
+    print_line!("configurations that are known to violate a property (see docs/ROADMAP.md):");
     for model in configs::known_failing() {
         print_line!("  {:<14} {}", model.summary.name, model.summary.description);
     }
@@ -29,7 +29,7 @@
             property.rule
         );
     }
-    print_line!("seeded bugs:");
+    print_line!("mutations:");
     for (_, name, _) in tulipbridge_core::mutations::ALL {
         print_line!("  {name}");
     }
--- a/crates/model-checker/src/cli/mod.rs
+++ b/crates/model-checker/src/cli/mod.rs
@@ -18,13 +18,13 @@
 
 // The doc comments of arguments and commands are the text of `--help`.
 
-/// Explores the states of a front's machines, and holds each against the rules.
+/// Explores every reachable state of a front's state machines, and checks properties in each.
 #[derive(Parser)]
 #[command(
     name = "tulipbridge-check",
     version,
-    after_help = "Exit: 0 all holds, 1 a property is broken, \
-    2 bad usage or input, 3 not exhausted."
+    after_help = "Exit codes: 0 every property holds, 1 a property is violated, \
+    2 invalid usage or input, 3 search not exhausted."
 )]
 struct Cli {
     #[command(subcommand)]
@@ -33,19 +33,19 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Shows configurations, properties and seeded bugs
+    /// Lists configurations, properties and mutations
     List,
-    /// Explores every state of configurations
+    /// Explores every reachable state of configurations
     Explore(explore::ExploreArgs),
-    /// Seeds bugs one at a time, and looks whether each is found (needs a build with `--features
-    /// seeded`)
-    #[command(name = "seeded")]
+    /// Activates mutations of the state machines one at a time, and searches for a history that
+    /// detects each (needs a build with `--features mutations`)
+    #[command(alias = "seeded")]
     Mutations(mutations::MutationArgs),
-    /// Plays one long random history, the same every time for a seed
+    /// Takes random walks, which are the same every time for a seed
     Walk(walk::WalkArgs),
-    /// Draws the reports that `explore --json` wrote, as an SVG picture
+    /// Draws the reports that `explore --json` wrote as an SVG picture
     Chart(chart::ChartArgs),
-    /// Plays a history from a file, step by step
+    /// Replays a history from a file, step by step
     Replay(replay::ReplayArgs),
 }
 
--- a/crates/model-checker/src/cli/mutations/fleet_limits.rs
+++ b/crates/model-checker/src/cli/mutations/fleet_limits.rs
@@ -17,7 +17,7 @@
     for mutation in ALL {
         detected += usize::from(is_detected_by_child(mutation, limits)?);
     }
-    print_line!("{detected} of {} seeded bugs found", ALL.len());
+    print_line!("{detected} of {} mutations found", ALL.len());
     Ok(Status::Holds)
 }
 
@@ -25,7 +25,7 @@
 fn is_detected_by_child(mutation: Mutation, limits: SearchLimits) -> Result<bool, CommandError> {
     let program = std::env::current_exe().map_err(|source| CommandError::Restart { source })?;
     let status = Command::new(program)
-        .args(["seeded", "--rights", "--name", mutation.name()])
+        .args(["mutations", "--fleet-limits", "--name", mutation.name()])
         .args(["--threads", &limits.threads.to_string()])
         .args(["--memory-mb", &limits.memory_mb.to_string()])
         .args(["--seconds", &limits.time.as_secs().to_string()])
--- a/crates/model-checker/src/cli/mutations/mod.rs
+++ b/crates/model-checker/src/cli/mutations/mod.rs
@@ -18,16 +18,16 @@
 #[cfg_attr(not(feature = "mutations"), allow(dead_code))]
 #[derive(Args)]
 pub(super) struct MutationArgs {
-    /// This one alone
+    /// Tests only this mutation
     #[arg(long)]
     name: Option<String>,
-    /// Those of the machine of shared limits instead, in the configurations of that name
-    #[arg(long = "rights")]
+    /// Tests the mutations of the shared limits, instead of those of a single front
+    #[arg(long, alias = "rights")]
     fleet_limits: bool,
-    /// Writes the reports here
+    /// Writes the reports to this file, as JSON
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Writes each history into this directory
+    /// Writes the history that detects each mutation to a file in this directory
     #[arg(long)]
     traces: Option<PathBuf>,
     #[command(flatten)]
--- a/crates/model-checker/src/cli/mutations/single_front.rs
+++ b/crates/model-checker/src/cli/mutations/single_front.rs
@@ -89,20 +89,20 @@
 }
 
 /// The mutation of that name, or all of them.
-fn selected_mutations(wanted: Option<&str>) -> Result<Vec<NamedMutation>, CommandError> {
+fn selected_mutations(name: Option<&str>) -> Result<Vec<NamedMutation>, CommandError> {
     let all = ALL.iter().map(|&(mutation, name, group)| NamedMutation {
         mutation,
         name,
         group,
     });
-    let Some(wanted) = wanted else {
+    let Some(name) = name else {
         return Ok(all.collect());
     };
-    let mut named = all.filter(|mutation| mutation.name == wanted);
+    let mut named = all.filter(|mutation| mutation.name == name);
     match named.next() {
         Some(mutation) => Ok(vec![mutation]),
         None => Err(CommandError::UnknownMutation {
-            name: wanted.to_owned(),
+            name: name.to_owned(),
         }),
     }
 }
--- a/crates/model-checker/src/cli/replay.rs
+++ b/crates/model-checker/src/cli/replay.rs
@@ -12,7 +12,7 @@
 
 #[derive(Args)]
 pub(super) struct ReplayArgs {
-    /// The file
+    /// The history file
     file: PathBuf,
 }
 
--- a/crates/model-checker/src/cli/search.rs
+++ b/crates/model-checker/src/cli/search.rs
@@ -17,13 +17,13 @@
 
 #[derive(Args, Clone, Copy)]
 pub(super) struct SearchArgs {
-    /// Threads; by default as many as there are cores, four at the most
+    /// Number of search threads [default: the number of cores, at most 4]
     #[arg(long)]
     threads: Option<NonZeroUsize>,
-    /// Resident memory at the most
+    /// Largest resident memory in MB
     #[arg(long, default_value_t = 12_000)]
     memory_mb: u64,
-    /// Seconds for each configuration at the most
+    /// Longest search of each configuration, in seconds
     #[arg(long, default_value_t = 3600)]
     seconds: u64,
 }
--- a/crates/model-checker/src/cli/walk.rs
+++ b/crates/model-checker/src/cli/walk.rs
@@ -15,19 +15,19 @@
 
 #[derive(Args)]
 pub(super) struct WalkArgs {
-    /// The configuration
+    /// The configuration to walk through
     #[arg(long, default_value = "large")]
     config: String,
-    /// The seed of the first history
+    /// Seed of the first walk
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Steps of each history
+    /// Largest number of steps of each walk
     #[arg(long, default_value_t = 2000)]
     steps: usize,
-    /// How many histories, each with the next seed
+    /// Number of walks, each with the next seed
     #[arg(long, default_value_t = 1)]
     histories: u64,
-    /// Writes a history that breaks a property here, shrunk
+    /// Writes a history that violates a property to this file, minimized
     #[arg(long)]
     trace: Option<PathBuf>,
 }
--- a/crates/model-checker/src/client_connection_model/connection.rs
+++ b/crates/model-checker/src/client_connection_model/connection.rs
@@ -68,7 +68,7 @@
         &self.machine
     }
 
-    /// The phase in which the front holds it.
+    /// The phase that the front considers it to be in.
     pub(super) fn phase(&self) -> Phase {
         self.machine.phase().0
     }
@@ -98,7 +98,7 @@
         self.read < self.sent
     }
 
-    /// Whether bytes wait on it although the front holds it for idle.
+    /// Whether bytes wait on it although the front considers it idle.
     pub(super) fn is_idle_with_unread_bytes(&self) -> bool {
         self.has_unread_bytes() && self.phase() == Phase::Idle
     }
--- a/crates/model-checker/src/configs/client_connections.rs
+++ b/crates/model-checker/src/configs/client_connections.rs
@@ -12,7 +12,7 @@
             max_clock_steps: 2,
             ..base(
                 "crowd",
-                "three clients at one place, and one more that is turned away",
+                "three clients, one connection slot, and one slot for a connection to reject",
                 3,
             )
         },
--- a/crates/model-checker/src/configs/discovery.rs
+++ b/crates/model-checker/src/configs/discovery.rs
@@ -8,12 +8,12 @@
     vec![
         base(
             "watch-early",
-            "the watch on discovery, a front that calls first, two troubles",
+            "the discovery watch of the front that calls first, two faults",
             0.0,
         ),
         base(
             "watch-late",
-            "the watch on discovery, a front that calls last, two troubles",
+            "the discovery watch of the front that calls last, two faults",
             1.0,
         ),
     ]
--- a/crates/model-checker/src/configs/fleet_limits.rs
+++ b/crates/model-checker/src/configs/fleet_limits.rs
@@ -12,13 +12,13 @@
     };
     vec![
         FleetLimitsModel {
-            summary: summary("rights-two", "two fronts and a limit, three troubles"),
+            summary: summary("rights-two", "two fronts and a limit, three faults"),
             fronts: 2,
             rounds: 9,
             max_faults: 3,
         },
         FleetLimitsModel {
-            summary: summary("rights-three", "three fronts and a limit, two troubles"),
+            summary: summary("rights-three", "three fronts and a limit, two faults"),
             fronts: 3,
             rounds: 9,
             max_faults: 2,
--- a/crates/model-checker/src/configs/requests.rs
+++ b/crates/model-checker/src/configs/requests.rs
@@ -58,7 +58,7 @@
     vec![
         base(
             "submit",
-            "one submit, two nodes, any decisions",
+            "one submit, two nodes, every allowed decision",
             PolicyKind::Unrestricted,
             vec![submit()],
         ),
@@ -66,7 +66,7 @@
             max_faults: 3,
             ..base(
                 "module-submit",
-                "one submit, two nodes, the module",
+                "one submit, two nodes, the scheduler",
                 PolicyKind::Scheduler,
                 vec![submit()],
             )
@@ -75,7 +75,7 @@
             max_faults: 3,
             ..base(
                 "module-read",
-                "one read, two nodes, the module",
+                "one read, two nodes, the scheduler",
                 PolicyKind::Scheduler,
                 vec![read()],
             )
@@ -96,7 +96,7 @@
             ],
             ..base(
                 "module-drain",
-                "a node hands its cell to a cold one while a read is anywhere",
+                "a node hands its shard over to one that is warming up, at any stage of a read",
                 PolicyKind::Scheduler,
                 vec![read()],
             )
@@ -110,14 +110,14 @@
             ],
             ..base(
                 "drain",
-                "a node drains and goes while a submit is anywhere",
+                "a node drains and is removed, at any stage of a submit",
                 PolicyKind::Unrestricted,
                 vec![submit()],
             )
         },
         base(
             "read",
-            "one read, two nodes, any decisions",
+            "one read, two nodes, every allowed decision",
             PolicyKind::Unrestricted,
             vec![read()],
         ),
@@ -134,7 +134,7 @@
             settings: settings_with_attempts(1),
             ..base(
                 "reuse",
-                "two reads in a row over kept connections",
+                "two reads in a row over pooled connections",
                 PolicyKind::Unrestricted,
                 vec![read(), read()],
             )
@@ -151,7 +151,7 @@
             ],
             ..base(
                 "move",
-                "a node changes its address, and goes, about two reads",
+                "a node changes its address and is removed, at any stage of two reads",
                 PolicyKind::Unrestricted,
                 vec![read(), read()],
             )
@@ -180,7 +180,7 @@
             faults: ATTEMPT_FAULTS,
             ..base(
                 "two",
-                "a read and a submit, two nodes, any decisions",
+                "a read and a submit, two nodes, every allowed decision",
                 PolicyKind::Unrestricted,
                 vec![read(), submit()],
             )
@@ -190,7 +190,7 @@
             settings: settings_with_attempts(3),
             ..base(
                 "submit-deep",
-                "one submit, three attempts, four troubles",
+                "one submit, three attempts, four faults",
                 PolicyKind::Unrestricted,
                 vec![submit()],
             )
@@ -199,7 +199,7 @@
             settings: settings_with_attempts(3),
             ..base(
                 "module-two",
-                "a read and a submit, three attempts, the module",
+                "a read and a submit, three attempts, the scheduler",
                 PolicyKind::Scheduler,
                 vec![read(), submit()],
             )
@@ -229,7 +229,7 @@
         max_connections: 12,
         ..base(
             "large",
-            "300 requests, fourteen nodes, the module; for walks",
+            "300 requests, fourteen nodes, the scheduler; for random walks",
             PolicyKind::Scheduler,
             requests,
         )
@@ -253,7 +253,7 @@
             checks_recovery: true,
             ..base(
                 "heal-submit",
-                "one submit, two nodes, and then usual reads",
+                "one submit, two nodes, and then ordinary reads",
                 PolicyKind::Scheduler,
                 vec![submit()],
             )
@@ -263,7 +263,7 @@
             checks_recovery: true,
             ..base(
                 "heal-read",
-                "one read, two nodes, and then usual reads",
+                "one read, two nodes, and then ordinary reads",
                 PolicyKind::Scheduler,
                 vec![read()],
             )
--- a/crates/model-checker/src/discovery_model/state.rs
+++ b/crates/model-checker/src/discovery_model/state.rs
@@ -135,7 +135,7 @@
         match step {
             Step::ClockAdvances => self.advance_clock(),
             Step::TimerDue => self.feed(WatchEvent::TimerDue),
-            Step::ListWanted => self.feed(WatchEvent::ListRequested),
+            Step::ListRequested => self.feed(WatchEvent::ListRequested),
             Step::CallSucceeds => self.feed(WatchEvent::Opened),
             Step::CallRefused => self.refuse_call(),
             Step::Heartbeat => self.receive_heartbeat(),
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Passes an event to the machine and does what it asks for.
+    /// Passes an event to the machine and carries out what it requests.
     fn feed(&mut self, event: WatchEvent) {
         let now = self.now;
         for step in self.machine.on(now, event) {
--- a/crates/model-checker/src/discovery_model/step.rs
+++ b/crates/model-checker/src/discovery_model/step.rs
@@ -25,8 +25,8 @@
     DiscoveryUp,
     /// A new configuration names another discovery.
     DiscoveryMoved,
-    /// The scheduler asks for the endpoint list.
-    ListWanted,
+    /// The scheduler requests the endpoint list.
+    ListRequested,
 }
 
 impl fmt::Display for Step {
@@ -42,7 +42,7 @@
             Step::DiscoveryDown => "discovery goes down",
             Step::DiscoveryUp => "discovery comes back",
             Step::DiscoveryMoved => "a new configuration names a discovery",
-            Step::ListWanted => "who decides wants the list",
+            Step::ListRequested => "who decides wants the list",
         })
     }
 }
--- a/crates/model-checker/src/discovery_model/step_generation.rs
+++ b/crates/model-checker/src/discovery_model/step_generation.rs
@@ -20,7 +20,7 @@
         if state.is_heartbeat_due() {
             steps.push(Step::Heartbeat);
         }
-        steps.push(Step::ListWanted);
+        steps.push(Step::ListRequested);
         if !state.is_discovery_up() {
             steps.push(Step::DiscoveryUp);
         }
--- a/crates/model-checker/src/properties.rs
+++ b/crates/model-checker/src/properties.rs
@@ -32,66 +32,84 @@
 
         /// All properties, in the order in which commands and histories list them.
         pub const ALL: &[Property] = &[
-            $(Property { name: $name, statement: $statement, rule: $rule, is_violated: |v| v.$flag },)*
+            $(Property {
+                name: $name,
+                statement: $statement,
+                rule: $rule,
+                is_violated: |violations| violations.$flag,
+            },)*
         ];
     };
 }
 
 properties! {
     second_final_answer, "one-final-answer", "13.1",
-        "A request gets no second final answer.";
+        "A request gets at most one final answer.";
     answer_after_client_left, "no-answer-after-leaving", "13.1",
-        "A client that has left is sent no answer.";
+        "A client that has disconnected gets no answer.";
     answer_overdue, "answered-in-time", "13.1",
-        "A client that waits has its answer within the slack after its time, stand-stills granted.";
+        "A client that waits gets its answer by its deadline plus a grace period, with allowance \
+        for stalls.";
     submit_executed_twice, "submit-runs-once", "13.2",
-        "A request that must not run twice runs at most once.";
+        "A request that is not idempotent is executed at most once.";
     unsafe_rejection, "refusal-is-harmless", "13.2",
-        "A request that must not run twice is refused only where no attempt of it has run or can still run.";
+        "A request that is not idempotent is rejected only if no attempt of it was, or may still \
+        be, executed.";
     wrong_execution_state, "doubt-hangs-on-last-byte", "13.2",
-        "An attempt that broke counts as one that may have run exactly where its last byte was written.";
+        "A broken attempt counts as possibly executed if and only if its last byte was written.";
     bytes_resent, "nothing-resent", "13.2",
-        "An attempt of which a byte was written is written to no second connection.";
+        "An attempt of which a byte was written is written to no other connection.";
     sent_to_draining_node, "no-work-to-leaving-node", "13.3",
-        "Nothing is sent to a node told to be draining or gone, and nothing that was dialling to it begins.";
+        "Nothing is sent to a node listed as draining or removed, and no attempt that was \
+        dialing it begins.";
     node_forgotten_in_use, "no-number-reused", "13.3",
-        "A node is forgotten only when nothing is out to it; afterwards nothing is sent to it and no connection kept.";
+        "A node is forgotten only when no attempt to it is in flight; after that, nothing is \
+        sent to it and no connection to it is kept.";
     too_many_attempts, "attempts-within-limits", "13.2",
-        "A request has no more attempts than allowed, and no second one out where there are no copies.";
+        "A request has no more attempts than allowed, and no second one in flight without \
+        hedging.";
     sent_without_client, "no-work-for-nobody", "13.1",
-        "Nothing is sent, and nothing that was dialling begins, for a request that is answered or whose client has left.";
+        "Nothing is sent, and no attempt that was dialing begins, for a request that is answered \
+        or whose client has disconnected.";
     foreign_answer, "answer-belongs", "13.1",
-        "A client gets only what a node answered to its own request.";
+        "A client gets only what a server responded to its own request.";
     too_many_connections, "connections-capped", "limits",
-        "No more connections to nodes are open than the cap allows.";
+        "The number of open connections to servers does not exceed its cap.";
     stale_connection_reused, "no-stale-reuse", "limits",
-        "No connection is used again past the time within which nodes keep it.";
+        "No connection is reused once it has been idle for the idle timeout.";
     old_address_reused, "goes-where-node-is", "discovery",
-        "No connection to an address that its node has left is used again.";
+        "No connection to a former address of its node is reused.";
     untracked_attempt, "every-attempt-held", "13.1",
-        "Every attempt that is out is held with its request, and none that has ended is.";
+        "The request tracker records exactly the attempts that are in flight.";
     attempt_outlives_client, "attempt-within-time", "13.1",
-        "No attempt is given more time than its client has.";
+        "No attempt has a later deadline than its client.";
     not_clean_at_rest, "nothing-left-at-rest", "13.1",
-        "Once every client is answered or gone and nothing is out, nothing is held or queued and every connection is quiet.";
+        "Once every client is answered or has disconnected and no attempt is in flight, no \
+        request is tracked or queued and every connection is idle.";
     too_many_client_connections, "places-capped", "limits",
-        "No more clients' connections are held than there are places, those turned away included.";
+        "The number of connections from clients does not exceed its cap, those to be rejected \
+        included.";
     open_request_closed, "open-request-kept", "13.1",
-        "No connection is closed by the front while a request on it is being answered.";
+        "The front closes no connection while it is answering a request on it.";
     closed_across_request, "no-close-across-request", "PROTOCOL",
-        "No connection is shut on which a request has come, and a front that leaves shuts none on which one has begun.";
+        "The front closes no connection on which a request has arrived, and during shutdown none \
+        on which one has begun to arrive.";
     request_timeout_missed, "strangers-end", "LATER",
-        "Who sends no whole request in its time is closed; a body does not begin that time anew.";
+        "A client that sends no complete request within the request timeout is disconnected; a \
+        body does not restart the timeout.";
     exited_with_open_request, "taken-answered-before-exit", "13.1",
-        "After SIGTERM the front ends only once no request is open or has begun to come, or when its time is up.";
+        "After SIGTERM the front exits only once no request is open or arriving, or when its \
+        time limit is reached.";
     exit_overdue, "leaves-in-time", "PROTOCOL",
-        "After SIGTERM the front ends in its time, whatever clients do.";
+        "After SIGTERM the front exits within its time limit, whatever clients do.";
     does_not_recover, "returns-to-health", "house",
-        "From every state at rest, 8 s of good answers later, each read of a warm node goes out at once.";
+        "From every state at rest, after 8 s of successful responses, each read of a warmed-up \
+        node is sent at once.";
     watch_overdue, "news-in-time", "STANDING",
-        "Where discovery can be reached, a front has a watch that works before what it misses counts as told.";
+        "While discovery is reachable, the front has a working watch again before missed updates \
+        make its endpoint list stale.";
     shared_limit_exceeded, "limit-holds-for-all", "house",
-        "What all fronts together may use of a shared limit is never more than the limit.";
+        "The shares of a limit that all fronts together may use never exceed the limit.";
     panicked, "never-panics", "house",
         "No order of events makes the front panic.";
 }
--- a/crates/model-checker/src/request_model/attempt.rs
+++ b/crates/model-checker/src/request_model/attempt.rs
@@ -68,7 +68,7 @@
         std::mem::replace(&mut self.connection, connection)
     }
 
-    /// Passes an event to its machine and returns what the machine asks for.
+    /// Passes an event to its machine and returns what the machine requests.
     pub(super) fn on(&mut self, event: AttemptEvent) -> AttemptStep {
         self.machine.on(event)
     }
--- a/crates/model-checker/src/request_model/connection.rs
+++ b/crates/model-checker/src/request_model/connection.rs
@@ -102,7 +102,7 @@
         self.attempt
     }
 
-    /// Whether the front holds it for idle.
+    /// Whether the front considers it idle.
     pub(super) fn is_idle(&self) -> bool {
         self.machine == ServerConnection::Idle
     }
--- a/crates/model-checker/src/request_model/state/exchange.rs
+++ b/crates/model-checker/src/request_model/state/exchange.rs
@@ -30,7 +30,7 @@
         self.run_attempt(model, key, AttemptStep::AcquireConnection);
     }
 
-    /// Passes an event to the machine of an attempt and does what it asks for.
+    /// Passes an event to the machine of an attempt and carries out what it requests.
     pub(super) fn drive_attempt(
         &mut self,
         model: &RequestModel,
@@ -44,7 +44,7 @@
         self.run_attempt(model, key, next);
     }
 
-    /// Does what the machine of an attempt asks for, until it has to wait.
+    /// Carries out what the machine of an attempt requests, until it has to wait.
     fn run_attempt(&mut self, model: &RequestModel, key: AttemptKey, mut next: AttemptStep) {
         loop {
             match next {
--- a/crates/model-checker/tests/golden.rs
+++ b/crates/model-checker/tests/golden.rs
@@ -30,7 +30,7 @@
 /// Name of the program on the command line.
 const PROGRAM: &str = "tulipbridge-check";
 /// The subcommands of the program.
-const SUBCOMMANDS: [&str; 6] = ["list", "explore", "seeded", "walk", "chart", "replay"];
+const SUBCOMMANDS: [&str; 6] = ["list", "explore", "mutations", "walk", "chart", "replay"];
 /// The stored histories, at least one of each model, with the configuration of each.
 const HISTORIES: [(&str, &str); 7] = [
     ("front-any.trace", "submit"),
@@ -215,7 +215,7 @@
         Step::DiscoveryDown,
         Step::DiscoveryUp,
         Step::DiscoveryMoved,
-        Step::ListWanted,
+        Step::ListRequested,
     ]
 }
 
@@ -347,14 +347,14 @@
     assert_eq!(bars.len(), reports().len());
 }
 
-/// The names of configurations, properties and mutations: what `--config` and `seeded --name`
+/// The names of configurations, properties and mutations: what `--config` and `mutations --name`
 /// accept, and what the lines `config` and `breaks` of a history contain.
 #[test]
 fn listed_names_are_stable() {
     assert_golden("list.txt", &printed(&["list"]));
 }
 
-/// What `seeded --name` accepts.
+/// What `mutations --name` accepts.
 #[test]
 fn mutation_names_are_stable() {
     let names: Vec<&str> = tulipbridge_core::mutations::ALL
@@ -364,7 +364,7 @@
     assert_golden("seeded-bugs.txt", &lines(&names));
 }
 
-/// What `seeded --rights --name` accepts.
+/// What `mutations --fleet-limits --name` accepts.
 #[test]
 fn fleet_limits_mutation_names_are_stable() {
     let names: Vec<String> = tulipbridge_fleet_limits::mutations::ALL
@@ -387,6 +387,14 @@
     assert_golden("help.txt", &text);
 }
 
+/// Scripts of an earlier version call `mutations` and `--fleet-limits` by other names.
+#[test]
+fn earlier_names_of_arguments_are_accepted() {
+    let help = printed(&["mutations", "--help"]);
+    assert_eq!(printed(&["seeded", "--help"]), help);
+    assert_eq!(printed(&["seeded", "--rights", "--help"]), help);
+}
+
 /// The keys of JSON objects in their order. No string in them may contain a quotation mark.
 #[cfg(feature = "mutations")]
 fn keys(text: &str) -> Vec<&str> {
@@ -403,16 +411,16 @@
         .collect()
 }
 
-/// The reports that `seeded --json` writes; only a build with mutations can write them.
+/// The reports that `mutations --json` writes; only a build with mutations can write them.
 #[cfg(feature = "mutations")]
 #[test]
 fn mutation_report_keys_are_stable() {
     let file = std::env::temp_dir().join(format!(
-        "{PROGRAM}-golden-seeded-{}.json",
+        "{PROGRAM}-golden-mutations-{}.json",
         std::process::id()
     ));
     let path = file.to_str().expect("the path is UTF-8");
-    printed(&["seeded", "--name", "second-final-answer", "--json", path]);
+    printed(&["mutations", "--name", "second-final-answer", "--json", path]);
     let text = std::fs::read_to_string(&file).expect("the reports can be read");
     std::fs::remove_file(&file).expect("the file can be removed");
     let expected = [
