--- a/tests/invariants_map.rs
+++ b/tests/docs/invariants_map.rs
@@ -1,22 +1,22 @@
 //! The map of rules and paths in the docs: each test that it names exists, and each open cell is
 //! listed.
 
-use std::path::Path;
+use crate::repository::{rust_sources, spans_of_code};
 
-const MAP: &str = include_str!("../docs/invariants.md");
+const MAP: &str = include_str!("../../docs/invariants.md");
+/// Marks a path that no test crosses yet.
 const OPEN: &str = "none";
-
-/// The names of all tests and scenarios, as text in which a name can be looked for.
-fn sources(folder: &Path, text: &mut String) {
-    for entry in std::fs::read_dir(folder).expect("a folder") {
-        let path = entry.expect("an entry").path();
-        if path.is_dir() {
-            sources(&path, text);
-        } else if path.extension().is_some_and(|extension| extension == "rs") {
-            text.push_str(&std::fs::read_to_string(&path).expect("readable"));
-        }
-    }
-}
+/// The folders with the tests and scenarios that the map names.
+const TEST_FOLDERS: [&str; 5] = [
+    "tests",
+    "crates/core/tests",
+    "crates/fleet-limits/tests",
+    "crates/outlier-detection/tests",
+    "crates/testbed/tests",
+];
+/// The names of tests have at least this many underscores; those of modules and functions have
+/// fewer.
+const MIN_UNDERSCORES: usize = 3;
 
 /// The cells of the table, by row: the number of the rule first.
 fn rows() -> impl Iterator<Item = Vec<&'static str>> {
@@ -28,19 +28,10 @@
 
 #[test]
 fn each_test_that_the_map_names_exists() {
-    let mut text = String::new();
-    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
-    sources(&root.join("tests"), &mut text);
-    for member in ["core", "fleet-limits", "outlier-detection", "testbed"] {
-        sources(&root.join("crates").join(member).join("tests"), &mut text);
-    }
+    let text: String = TEST_FOLDERS.map(rust_sources).concat();
     let mut checked = 0;
     for cell in rows().flatten() {
-        let names = cell
-            .split('`')
-            .skip(1)
-            .step_by(2)
-            .filter(|name| name.matches('_').count() >= 3);
+        let names = spans_of_code(cell).filter(|name| name.matches('_').count() >= MIN_UNDERSCORES);
         for name in names {
             let is_there =
                 text.contains(&format!("fn {name}(")) || text.contains(&format!("    {name}: "));
--- a/tests/golden/program.rs
+++ b/tests/golden/program.rs
@@ -5,6 +5,8 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
+use crate::running::Front;
+
 /// A configuration that is valid for both kinds of front: three peers, two chunk servers, two
 /// buckets.
 pub const CONFIG: &str = include_str!("front.json");
@@ -73,10 +75,14 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
+        ignore_cleanup_error(std::fs::remove_dir_all(&self.0));
     }
 }
 
+/// Ignores that a process has ended already or that a file cannot be removed: neither changes the
+/// result of a test.
+pub fn ignore_cleanup_error(_result: std::io::Result<()>) {}
+
 /// The program, without any of its environment variables.
 pub fn program() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_tulipbridge"));
@@ -99,6 +105,13 @@
     command
 }
 
+/// A front with [`CONFIG`] that no peer reaches; it counts as starting for as long as a test runs.
+pub fn isolated_front(kind: FrontKind, folder: &Folder) -> Front {
+    let mut command = front(kind, &folder.configuration(CONFIG));
+    command.env("TMPDIR", folder.path());
+    Front::start(command)
+}
+
 /// Runs a command that should exit by itself; one that does not is killed, and the test fails.
 pub fn run_to_end(mut command: Command) -> Output {
     let mut child = command
@@ -109,7 +122,7 @@
     let deadline = Instant::now() + TIMEOUT;
     while matches!(child.try_wait(), Ok(None)) {
         if Instant::now() > deadline {
-            let _ = child.kill();
+            child.kill().expect("it runs");
             let output = child.wait_with_output().expect("it was started");
             panic!("it runs on: {}", String::from_utf8_lossy(&output.stderr));
         }
--- a/tests/golden/running.rs
+++ b/tests/golden/running.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-use crate::program::TIMEOUT;
+use crate::program::{ignore_cleanup_error, TIMEOUT};
 
 /// A running front.
 pub struct Front {
@@ -101,8 +101,8 @@
 
 impl Drop for Front {
     fn drop(&mut self) {
-        let _ = self.child.kill();
-        let _ = self.child.wait();
+        ignore_cleanup_error(self.child.kill());
+        self.child.wait().expect("it ends");
     }
 }
 
--- a/tests/golden/traced.rs
+++ b/tests/golden/traced.rs
@@ -16,7 +16,9 @@
 
 impl TracedFront {
     pub fn start() -> TracedFront {
-        let (folder, server, discovery) = (Folder::new(), bind(), bind());
+        let folder = Folder::new();
+        let server = bind();
+        let discovery = bind();
         let file = folder.configuration(&edited(&[
             ("127.0.0.1:7101", &address(&server)),
             // Nothing is sent to the other server.
--- /dev/null
+++ b/tests/races/disconnects.rs
@@ -0,0 +1,112 @@
+//! Clients that disconnect while a connection to a chunk server is being established or in use.
+
+use crate::scenario::scenarios;
+
+scenarios! {
+    write_is_not_sent_when_its_client_disconnects_during_the_dial: Platform, 2, "
+        settings ${long-dial-timeout}
+        full s0
+        send c1 ${write} | never
+        wait 100
+        close c1
+        wait 100
+        free s0
+        send c2 ${write} | wanted
+        expect s0
+        send s0 200 | stored
+        expect c2
+        wait 1500
+        send c2 ${write} | wanted too
+        expect s0
+        send s0 200 | stored
+        expect c2";
+
+    draining_server_gets_no_request_that_was_still_dialling: Platform, 2, "
+        settings ${long-dial-timeout}
+        expect d
+        full s0
+        send c1 ${write} | not there
+        wait 100
+        send d Terminating 0
+        expect c1
+        free s0
+        wait 1500
+        send c2 GET /api shard:1
+        expect s1
+        send s1 200 | elsewhere
+        expect c2
+        close front
+        wait front";
+
+    retry_is_not_sent_when_its_client_disconnects_during_the_dial: Platform, 1, "
+        settings ${long-dial-timeout}
+        send c1 GET /api
+        expect s0
+        full s0
+        reset s0
+        wait 100
+        close c1
+        wait 100
+        free s0
+        send c2 GET /api
+        expect s0
+        send s0 200 | wanted
+        expect c2
+        wait 1500
+        send c2 GET /api
+        expect s0
+        send s0 200 | wanted too
+        expect c2";
+
+    burst_of_disconnecting_clients_leaves_no_request_behind: Platform, 1, "
+        settings ${long-dial-timeout}
+        full s0
+        send c1 ${write} | never
+        send c2 ${write} | never
+        send c3 ${write} | never
+        send c4 ${write} | never
+        wait 100
+        close c1
+        reset c2
+        half-close c3
+        close c4
+        wait 100
+        free s0
+        send c5 ${write} | wanted
+        expect s0
+        send s0 200 | stored
+        expect c5
+        wait 1500
+        send c5 ${write} | wanted too
+        expect s0
+        send s0 200 | stored
+        expect c5";
+
+    six_hundred_idle_clients_do_not_block_discovery_servers_or_new_clients: Platform, 1, "
+        expect d
+        down d
+        crowd 600
+        up d
+        within 3700 expect d
+        within 3000 send c1 until s0 GET /api
+        send s0 200 | served
+        expect c1";
+
+    client_that_pipelines_requests_and_closes_counts_as_disconnected: Platform, 1, "
+        send c1 GET /api X-Remaining:9000m
+        expect s0
+        send c1 raw GET /api HTTP/1.1\\r\\nHost: t\\r\\n\\r\\nGET /api HTTP/1.1\\r\\nHost: t\\r\\n\\r\\n
+        wait 100
+        close c1
+        within 1000 expect s0 left";
+
+    client_that_half_closes_or_resets_counts_as_disconnected: Platform, 1, "
+        send c1 GET /api X-Remaining:9000m
+        expect s0
+        half-close c1
+        within 1000 expect s0 left
+        send c2 GET /api X-Remaining:9000m
+        expect s0
+        reset c2
+        within 1000 expect s0 left";
+}
--- /dev/null
+++ b/tests/races/shutdown.rs
@@ -0,0 +1,101 @@
+//! SIGTERM while requests, bodies, responses and idle connections are under way.
+
+use crate::scenario::scenarios;
+
+scenarios! {
+    shutdown_completes_and_answers_a_partial_request_head: Platform, 1, "
+        send c1 raw ${read-start}X-Lane: form-read\\r\\n
+        close front
+        wait shut
+        send c1 raw ${platform-headers}\\r\\n
+        expect s0
+        send s0 200 | whole
+        expect c1
+        wait front";
+
+    shutdown_completes_and_answers_a_partial_request_body: Platform, 1, "
+        send c1 raw ${write-start}${platform-headers}Content-Length: 8\\r\\n\\r\\nhalf
+        close front
+        wait shut
+        send c1 raw done
+        expect s0
+        send s0 200 | stored
+        expect c1
+        wait front";
+
+    shutdown_answers_a_request_that_arrives_as_the_socket_closes: Platform, 1, "
+        send c1 GET /api
+        expect s0
+        send s0 200 | first
+        expect c1
+        close front
+        wait 200
+        signal STOP
+        wait 600
+        send c1 GET /api
+        signal CONT
+        expect s0
+        wait shut
+        send s0 200 | second
+        expect c1
+        wait front";
+
+    shutdown_completes_a_partial_request_that_arrives_as_the_socket_closes: Platform, 1, "
+        send c1 GET /api
+        expect s0
+        send s0 200 | first
+        expect c1
+        close front
+        wait 200
+        signal STOP
+        wait 600
+        send c1 raw ${read-start}
+        signal CONT
+        wait shut
+        send c1 raw X-Lane: form-read\\r\\n${platform-headers}\\r\\n
+        expect s0
+        send s0 200 | second
+        expect c1
+        wait front";
+
+    shutdown_waits_until_a_slow_client_has_read_its_response: Platform, 1, "
+        slow c1
+        send c1 GET /api
+        expect s0
+        send s0 200 | *65536
+        close front
+        wait shut
+        wait 400
+        expect c1
+        wait front";
+
+    shutdown_is_not_delayed_by_a_hanging_server: Platform, 1, "
+        send c1 ${write} X-Remaining:9000m | form
+        expect s0
+        send c2 GET /api X-Remaining:9000m
+        expect s0
+        close front
+        within 3400 wait front
+        expect c1
+        expect c2";
+
+    shutdown_closes_idle_connections_without_delay: Platform, 1, "
+        crowd 20 GET /health/live HTTP/1.1\\r\\nHost: t\\r\\n\\r\\n
+        close front
+        expect crowd
+        close crowd
+        within 1500 wait front";
+
+    repeated_sigterm_after_a_reload_shuts_down_once: Platform, 1, "
+        expect d
+        send c1 GET /api
+        expect s0
+        signal HUP
+        close front
+        close front
+        wait shut
+        close front
+        send s0 200 | taken before
+        expect c1
+        wait front";
+}
--- a/tests/scenario/clients.rs
+++ b/tests/scenario/clients.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use super::connection::{spelled_body, unescape, Connection, Message};
-use super::{pause, Front, CROWD_POLL, STEP_TIMEOUT};
+use super::{pause, Front, SLOW_POLL_INTERVAL, STEP_TIMEOUT};
 
 /// Headers of a platform request that a script may replace.
 const DEFAULT_HEADERS: [(&str, &str); 5] = [
@@ -22,6 +22,7 @@
     sent_head: bool,
 }
 
+/// All clients, and how they reach the front.
 pub struct Clients {
     front: Front,
     address: SocketAddr,
@@ -205,7 +206,7 @@
         let deadline = Instant::now() + STEP_TIMEOUT;
         let mut closed = 0;
         while closed < count && Instant::now() < deadline {
-            pause(CROWD_POLL);
+            pause(SLOW_POLL_INTERVAL);
             closed = self
                 .crowd
                 .iter_mut()
--- a/tests/scenario/connection.rs
+++ b/tests/scenario/connection.rs
@@ -10,11 +10,13 @@
     connect, setsockopt, socket, sockopt, AddressFamily, SockFlag, SockType, SockaddrIn,
 };
 
-use super::{pause, POLL, STEP_TIMEOUT};
+use super::{pause, POLL_INTERVAL, STEP_TIMEOUT};
 
+/// What ends the head of a message.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 /// Receive buffer of a client that reads slowly, in bytes.
 const SMALL_RECEIVE_BUFFER: usize = 4096;
+/// How much one read takes at most, in bytes.
 const READ_BUFFER_BYTES: usize = 16384;
 
 /// An HTTP message.
@@ -33,6 +35,7 @@
 }
 
 impl Connection {
+    /// A connection whose reads fail after [`STEP_TIMEOUT`].
     pub fn new(stream: TcpStream) -> Connection {
         stream
             .set_read_timeout(Some(STEP_TIMEOUT))
@@ -43,6 +46,7 @@
         }
     }
 
+    /// Connects to an address of the front.
     pub fn open(address: SocketAddr) -> Connection {
         Connection::new(TcpStream::connect(address).expect("it accepts connections"))
     }
@@ -64,9 +68,9 @@
         Connection::new(TcpStream::from(socket))
     }
 
-    /// Writes bytes. An error is ignored: a peer that is gone shows at the next `expect`.
+    /// Writes bytes.
     pub fn write(&mut self, bytes: &[u8]) {
-        let _ = self.stream.write_all(bytes);
+        ignore_closed_peer(self.stream.write_all(bytes));
     }
 
     /// Whether unread bytes or the end of the stream wait.
@@ -149,6 +153,9 @@
     }
 }
 
+/// Ignores that the front has closed a connection: the next `expect` shows it.
+fn ignore_closed_peer(_result: std::io::Result<()>) {}
+
 /// How the length of a body is found.
 enum BodyLength {
     Zero,
@@ -171,7 +178,7 @@
             return connection;
         }
         assert!(Instant::now() < deadline, "no connection came");
-        pause(POLL);
+        pause(POLL_INTERVAL);
     }
 }
 
--- a/tests/scenario/discovery.rs
+++ b/tests/scenario/discovery.rs
@@ -6,11 +6,12 @@
 
 use super::connection::{accept, try_accept, Connection};
 use super::transcript::Transcript;
-use super::{listen_anywhere, pause, STEP_TIMEOUT};
+use super::{listen_on_free_port, pause, STEP_TIMEOUT};
 
 /// Pause between two bytes of an event that never completes.
 const DRIP_INTERVAL: Duration = Duration::from_millis(100);
 
+/// The socket of discovery, with the calls on it.
 pub struct Discovery {
     listener: TcpListener,
     watch: Option<Connection>,
@@ -18,13 +19,14 @@
     unanswered: VecDeque<Connection>,
     /// The address while discovery is down.
     down_address: Option<SocketAddr>,
+    /// The generation of the latest event.
     generation: u32,
 }
 
 impl Discovery {
     pub fn new() -> Discovery {
         Discovery {
-            listener: listen_anywhere(),
+            listener: listen_on_free_port(),
             watch: None,
             unanswered: VecDeque::new(),
             down_address: None,
@@ -38,12 +40,12 @@
 
     /// Moves discovery to another address. The watch stays open until the next subscription.
     pub fn move_elsewhere(&mut self) {
-        self.listener = listen_anywhere();
+        self.listener = listen_on_free_port();
     }
 
     /// Refuses connections.
     pub fn go_down(&mut self) {
-        self.down_address = std::mem::replace(&mut self.listener, listen_anywhere())
+        self.down_address = std::mem::replace(&mut self.listener, listen_on_free_port())
             .local_addr()
             .ok();
         self.watch = None;
--- a/tests/scenario/front_process.rs
+++ b/tests/scenario/front_process.rs
@@ -11,12 +11,14 @@
 
 use super::connection::{Connection, Message};
 use super::discovery::Discovery;
+use super::script::{Edit, Script};
 use super::server::Server;
 use super::Front;
 
+/// The settings of the front, as the operators' file has them.
 const SETTINGS: &str = include_str!("settings.json");
+/// The name of the configuration file in the folder of the front.
 const CONFIG_FILE: &str = "config.json";
-
 /// The file with the rules of the fault shim.
 const RULES_FILE: &str = "faults";
 /// The fault shim, beside the programs of the tests.
@@ -24,73 +26,76 @@
 /// How the file of servers in maintenance of the front ends.
 const HELD_FILE: &str = "tulipbridge-t-held.json";
 
+/// A front under test with its files, through restarts.
 pub struct FrontProcess {
     front: Front,
     discovery: SocketAddr,
+    /// Whether it runs under the fault shim.
     uses_faults: bool,
     /// The lock on the file of servers in maintenance, while the test holds it.
     held_file_lock: Option<Flock<File>>,
+    running: RunningFront,
+    folder: PathBuf,
+    /// The configuration that the front uses.
+    config: String,
+}
+
+/// The process of a front that accepts connections.
+struct RunningFront {
     process: Child,
     /// Standard error; `None` once it is closed.
     log: Option<BufReader<ChildStderr>>,
-    pub address: SocketAddr,
+    /// Where it accepts clients.
+    address: SocketAddr,
     console: SocketAddr,
-    folder: PathBuf,
-    config: String,
 }
 
 impl FrontProcess {
-    /// Starts a front. In its configuration the first text of each of the `edits` is replaced by
-    /// the second. With `faults` it runs under the fault shim, with these rules at first.
+    /// Starts a front as the script prepares it: with edits of its configuration, and under the
+    /// fault shim where the script uses faults.
     pub fn start(
         front: Front,
         servers: &[Server],
         discovery: &Discovery,
-        edits: &[(&str, &str)],
-        faults: Option<&str>,
+        script: &Script,
     ) -> FrontProcess {
-        let folder = format!(
+        let discovery_address = discovery.address();
+        let folder = std::env::temp_dir().join(format!(
             "tulipbridge-{}-{}",
             std::process::id(),
-            discovery.address().port()
-        );
-        let folder = std::env::temp_dir().join(folder);
+            discovery_address.port()
+        ));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let config = edits
-            .iter()
-            .fold(config(servers, discovery), |config, (from, to)| {
-                edit(&config, from, to)
-            });
+        let original = config(servers, discovery_address);
+        let apply = |config: String, edit: &Edit| edit.apply(&config);
+        let config = script.edits.iter().fold(original, apply);
         std::fs::write(folder.join(CONFIG_FILE), &config).expect("written");
-        if let Some(rules) = faults {
+        if let Some(rules) = &script.faults {
             write_rules(&folder, rules);
         }
-        let uses_faults = faults.is_some();
-        let discovery = discovery.address();
-        let (process, log, address, console) = spawn(front, &folder, discovery, uses_faults);
-        let log = Some(log);
+        let uses_faults = script.faults.is_some();
         FrontProcess {
             front,
-            discovery,
+            discovery: discovery_address,
             uses_faults,
             held_file_lock: None,
-            process,
-            log,
-            address,
-            console,
+            running: RunningFront::start(front, &folder, discovery_address, uses_faults),
             folder,
             config,
         }
     }
 
+    /// Where the front accepts clients.
+    pub fn address(&self) -> SocketAddr {
+        self.running.address
+    }
+
     /// Kills the front and starts it again.
     pub fn restart(&mut self) {
-        self.process.kill().expect("it runs");
-        self.process.wait().expect("it ends");
-        let (process, log, address, console) =
-            spawn(self.front, &self.folder, self.discovery, self.uses_faults);
-        (self.process, self.log, self.address, self.console) =
-            (process, Some(log), address, console);
+        self.running.process.kill().expect("it runs");
+        self.running.process.wait().expect("it ends");
+        self.running =
+            RunningFront::start(self.front, &self.folder, self.discovery, self.uses_faults);
     }
 
     /// Replaces the rules of the fault shim.
@@ -122,7 +127,7 @@
 
     /// Sends a signal, such as `HUP`.
     pub fn signal(&self, name: &str) {
-        let process_id = self.process.id().to_string();
+        let process_id = self.running.process.id().to_string();
         let status = Command::new("kill")
             .args([format!("-{name}"), process_id])
             .status();
@@ -131,12 +136,12 @@
 
     /// Waits for the end of the process. Returns its exit code.
     pub fn wait(&mut self) -> Option<i32> {
-        self.process.wait().expect("it ends").code()
+        self.running.process.wait().expect("it ends").code()
     }
 
     /// Closes the reading end of the log.
     pub fn close_log(&mut self) {
-        self.log = None;
+        self.running.log = None;
     }
 
     /// Reloads the configuration with discovery at another address.
@@ -146,10 +151,10 @@
         self.reload(&config)
     }
 
-    /// Reloads the configuration with the first `from` replaced by `to`. An edit that the front
-    /// refuses is not the base of the next.
-    pub fn reload_with_edit(&mut self, from: &str, to: &str) -> Option<String> {
-        let config = edit(&self.config, from, to);
+    /// Reloads the configuration after an edit. An edit that the front rejects is not the base of
+    /// the next.
+    pub fn reload_with_edit(&mut self, edit: &Edit) -> Option<String> {
+        let config = edit.apply(&self.config);
         let result = self.reload(&config);
         if result
             .as_deref()
@@ -165,7 +170,7 @@
     pub fn reload(&mut self, config: &str) -> Option<String> {
         std::fs::write(self.folder.join(CONFIG_FILE), config).expect("written");
         self.signal("HUP");
-        let log = self.log.as_mut()?;
+        let log = self.running.log.as_mut()?;
         let mut line = String::new();
         while !line.contains("configuration") {
             line.clear();
@@ -183,7 +188,7 @@
 
     /// Calls the console on a connection of its own.
     pub fn call_console(&self, method: &str, path: &str) -> Message {
-        let mut connection = Connection::open(self.console);
+        let mut connection = Connection::open(self.running.console);
         let request = format!("{method} {path} HTTP/1.1\r\nHost: t\r\nContent-Length: 0\r\n\r\n");
         connection.write(request.as_bytes());
         connection.read_message().expect("an answer")
@@ -192,46 +197,60 @@
 
 impl Drop for FrontProcess {
     fn drop(&mut self) {
-        // The process may have ended already.
-        let _ = self.process.kill();
-        let _ = self.process.wait();
-        let _ = std::fs::remove_dir_all(&self.folder);
+        self.running.stop();
+        ignore_cleanup_error(std::fs::remove_dir_all(&self.folder));
     }
 }
 
-/// Starts the program in its folder. Returns the process, its log, and the addresses for clients
-/// and of the console.
-fn spawn(
-    front: Front,
-    folder: &Path,
-    discovery: SocketAddr,
-    uses_faults: bool,
-) -> (Child, BufReader<ChildStderr>, SocketAddr, SocketAddr) {
-    let file = folder.join(CONFIG_FILE);
-    let mut command = Command::new(env!("CARGO_BIN_EXE_tulipbridge"));
-    match front {
-        Front::Platform => command
-            .env("BALANCER_CONFIG", &file)
-            .env("BALANCER_DISCOVERY", discovery.to_string()),
-        Front::Object => command.arg("object").arg(&file),
-    };
-    command.env("TMPDIR", folder);
-    if uses_faults {
-        command
-            .env("LD_PRELOAD", shim())
-            .env(RULES_VARIABLE, folder.join(RULES_FILE));
+impl RunningFront {
+    /// Starts the program in its folder, and waits until it listens.
+    fn start(
+        front: Front,
+        folder: &Path,
+        discovery: SocketAddr,
+        uses_faults: bool,
+    ) -> RunningFront {
+        let file = folder.join(CONFIG_FILE);
+        let mut command = Command::new(env!("CARGO_BIN_EXE_tulipbridge"));
+        match front {
+            Front::Platform => command
+                .env("BALANCER_CONFIG", &file)
+                .env("BALANCER_DISCOVERY", discovery.to_string()),
+            Front::Object => command.arg("object").arg(&file),
+        };
+        command.env("TMPDIR", folder);
+        if uses_faults {
+            command
+                .env("LD_PRELOAD", shim())
+                .env(RULES_VARIABLE, folder.join(RULES_FILE));
+        }
+        let mut process = command
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("the program starts");
+        let mut log = BufReader::new(process.stderr.take().expect("a pipe"));
+        let address = read_address(&mut log, "listening on ");
+        let console = read_address(&mut log, "console on ");
+        RunningFront {
+            process,
+            log: Some(log),
+            address,
+            console,
+        }
+    }
+
+    /// Kills the process, which may have ended already.
+    fn stop(&mut self) {
+        ignore_cleanup_error(self.process.kill());
+        self.process.wait().expect("it ends");
     }
-    let mut process = command
-        .stdout(Stdio::null())
-        .stderr(Stdio::piped())
-        .spawn()
-        .expect("the program starts");
-    let mut log = BufReader::new(process.stderr.take().expect("a pipe"));
-    let address = read_address(&mut log, "listening on ");
-    let console = read_address(&mut log, "console on ");
-    (process, log, address, console)
 }
 
+/// Ignores that a process has ended already or that a file cannot be removed: neither changes the
+/// result of a test.
+fn ignore_cleanup_error(_result: std::io::Result<()>) {}
+
 /// Where the fault shim is: cargo leaves it beside this program.
 fn shim() -> PathBuf {
     let program = std::env::current_exe().expect("a path");
@@ -247,7 +266,8 @@
     std::fs::rename(&next, folder.join(RULES_FILE)).expect("replaced");
 }
 
-fn config(servers: &[Server], discovery: &Discovery) -> String {
+/// A configuration with these chunk servers in its list.
+fn config(servers: &[Server], discovery: SocketAddr) -> String {
     let entries: Vec<String> = servers
         .iter()
         .enumerate()
@@ -258,17 +278,12 @@
         "limits":{{"cores":1.0,"memory_mb":192,"sockets":256}},
         "known":{{"generation":1,"reset":true,"instances":[{}]}},"settings":{SETTINGS},
         "buckets":{{"photos":{{"volume":"3b4d60021","plan":"basico","read":"form-read","write":"form-submit"}}}}}}"#,
-        discovery.address(),
+        discovery,
         entries.join(","),
     );
     config.replace("\"Shards\": 10", &format!("\"Shards\": {}", servers.len()))
 }
 
-fn edit(config: &str, from: &str, to: &str) -> String {
-    assert!(config.contains(from), "no {from} in the file");
-    config.replacen(from, to, 1)
-}
-
 /// The address at the end of the next line of the log with this prefix.
 fn read_address(log: &mut impl BufRead, prefix: &str) -> SocketAddr {
     let mut line = String::new();
--- a/tests/scenario/server.rs
+++ b/tests/scenario/server.rs
@@ -8,11 +8,12 @@
 use nix::sys::socket::{listen, Backlog};
 
 use super::connection::{spelled_body, try_accept, unescape, Connection, Message};
-use super::listen_anywhere;
+use super::listen_on_free_port;
 
 /// Length of the queue of a socket that accepts connections.
 const BACKLOG: i32 = 128;
 
+/// A socket that accepts connections, and what the script does on them.
 pub struct Server {
     listener: TcpListener,
     /// Connections on which no request is unanswered.
@@ -28,7 +29,7 @@
 impl Server {
     pub fn new() -> Server {
         Server {
-            listener: listen_anywhere(),
+            listener: listen_on_free_port(),
             idle: Vec::new(),
             unanswered: VecDeque::new(),
             raw_answered: Vec::new(),
--- a/tests/scenario/transcript.rs
+++ b/tests/scenario/transcript.rs
@@ -21,8 +21,10 @@
 /// Longer bodies are shown by their length.
 const MAX_SHOWN_BODY_BYTES: usize = 400;
 
+/// What happened so far.
 pub struct Transcript {
     front: Front,
+    /// A line for each message or result.
     pub text: String,
     /// Values that differ from run to run, by the name under which a script uses them.
     variables: HashMap<&'static str, String>,
--- a/tests/system_faults.rs
+++ b/tests/system_faults.rs
@@ -1,10 +1,9 @@
 //! Fronts whose system calls fail as Linux documents it, and whose machine's clock is wrong. The
 //! fault shim makes the calls fail.
 
-#[macro_use]
 mod scenario;
 
-use scenario::{run, Front};
+use scenario::scenarios;
 
 scenarios! {
     shutdown_answers_all_connections_although_accepting_fails_for_some: Platform, 1, "
@@ -46,7 +45,7 @@
         expect s0
         send s0 200 | one
         expect c1
-        send c1 PUT /api X-Lane:form-submit | *3000
+        send c1 ${write} | *3000
         expect s0
         send s0 200 | two
         expect c1
--- a/tests/uploads.rs
+++ b/tests/uploads.rs
@@ -11,11 +11,15 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
+/// Objects that are uploaded, each by a client of its own.
 const UPLOADS: usize = 12;
+/// Parts of each upload.
 const PARTS: u32 = 3;
 /// How often a client sends a request that is rejected.
 const MAX_ATTEMPTS: usize = 20;
+/// Pause before a rejected request is sent again.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Longest time that a front may take for a response.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
 /// Addresses of the chunk servers in the configuration under deploy/.
 const CONFIGURED_SERVERS: [&str; 2] = ["127.0.0.1:7101", "127.0.0.1:7102"];
@@ -28,12 +32,14 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended already.
-        let _ = self.0.kill();
-        let _ = self.0.wait();
+        ignore_ended_process(self.0.kill());
+        self.0.wait().expect("it ends");
     }
 }
 
+/// Ignores that a process that a test kills has ended already.
+fn ignore_ended_process(_result: std::io::Result<()>) {}
+
 #[derive(Debug, PartialEq)]
 struct Response {
     status: u16,
@@ -170,7 +176,8 @@
     let list = format!("<CompleteMultipartUpload>{list}</CompleteMultipartUpload>");
     let target = format!("{path}?uploadId={id}");
     let completions = [first, second, first].map(|front| {
-        let (target, list) = (target.clone(), list.clone());
+        let target = target.clone();
+        let list = list.clone();
         std::thread::spawn(move || send_with_retries(front, "POST", &target, &list))
     });
     let completions = completions.map(|completion| completion.join().expect("a response"));
