--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -1,5 +1,5 @@
 //! Limits that hold for a whole fleet of processes, with faults of the network and of the fronts
-//! between them. Longer runs of the same are commands of `tulipbridge-lab`.
+//! between them. Longer runs of the same are commands of `tulipbridge-testbed`.
 
 mod support;
 
--- a/tests/verdicts.rs
+++ b/tests/verdicts.rs
@@ -1,5 +1,5 @@
 //! Ejections of chunk servers that a fleet of processes decides together, with faults of servers,
-//! of links and of fronts. Longer runs of the same are commands of `tulipbridge-lab`.
+//! of links and of fronts. Longer runs of the same are commands of `tulipbridge-testbed`.
 
 mod support;
 
