--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -80,14 +80,16 @@
         let store = Rc::clone(&store);
         spawn_local(async move {
             let service = service_fn(move |request| answer(Rc::clone(&store), request));
-            // An error of one connection concerns its client alone.
-            let _ = http1::Builder::new()
-                .serve_connection(TokioIo::new(stream), service)
-                .await;
+            let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+            if let Err(error) = connection.await {
+                // It concerns the client of this connection alone.
+                eprintln!("a connection ended: {error}");
+            }
         });
     }
 }
 
+/// Responds to a request of either API.
 async fn answer(
     store: Rc<RefCell<Store>>,
     request: Request<Incoming>,
