--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The number of fronts.
-    pub initiators: u32,
+    pub front_count: u32,
     /// The request classes.
     pub classes: Vec<Class>,
     /// The plans.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -10,7 +10,7 @@
 //!
 //! let ms = 1_000_000;
 //! let settings = Settings {
-//!     initiators: 1,
+//!     front_count: 1,
 //!     classes: vec![Class {
 //!         latency_objective: 150 * ms,
 //!         objective_stretch: 0.0,
--- a/crates/core/src/policy/endpoint_subscription.rs
+++ b/crates/core/src/policy/endpoint_subscription.rs
@@ -62,5 +62,5 @@
 
 /// The time that discovery needs for a call of every front.
 fn call_time_of_fleet(settings: &Settings) -> Nanos {
-    i64::from(settings.initiators) * CALL_TIME_PER_FRONT
+    i64::from(settings.front_count) * CALL_TIME_PER_FRONT
 }
--- a/crates/core/src/policy/scheduler/dispatch.rs
+++ b/crates/core/src/policy/scheduler/dispatch.rs
@@ -116,7 +116,7 @@
         let jitter = 0.5 + self.random.f64();
         self.record_send(id, at, sent);
         if let Some(node) = self.nodes.get_mut(at) {
-            let front_count = self.settings.initiators;
+            let front_count = self.settings.front_count;
             node.health.schedule_probe(self.now, jitter, front_count);
         }
         actions.push(Action::Send {
--- a/crates/core/src/state/settings_check.rs
+++ b/crates/core/src/state/settings_check.rs
@@ -5,7 +5,7 @@
 impl Settings {
     /// The number of fronts.
     pub(crate) fn fronts(&self) -> f64 {
-        f64::from(self.initiators.max(1))
+        f64::from(self.front_count.max(1))
     }
 
     /// Whether a request's class and plan are known.
@@ -27,7 +27,7 @@
         if !self.plans.iter().all(is_valid_plan) {
             return Err(SettingsError::InvalidPlan);
         }
-        if self.initiators == 0 || self.max_attempts == 0 || self.quantum < 0 {
+        if self.front_count == 0 || self.max_attempts == 0 || self.quantum < 0 {
             return Err(SettingsError::InvalidCount);
         }
         let has_mean = self.mean_units.is_finite() && self.mean_units > 0.0;
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -159,7 +159,7 @@
 #[test]
 fn overdue_attempts_count_as_failed_before_they_end() {
     let mut settings = settings();
-    settings.initiators = 200;
+    settings.front_count = 200;
     let mut front = TestFront::new(settings, 10);
     for id in 0..10 {
         assert_eq!(
@@ -181,7 +181,7 @@
 fn an_overtaken_attempt_does_not_count_as_failed() {
     // Every third answer is lost, later ones arrive: the server must still get all requests.
     let mut settings = settings();
-    settings.initiators = 200;
+    settings.front_count = 200;
     let mut front = TestFront::new(settings, 1);
     front.warm(0, 30, 0, 20 * MS);
     for id in 100..190 {
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -39,7 +39,7 @@
     let mut ordered = class(Semantics::Idempotent, Group::All);
     ordered.keep_order = true;
     Settings {
-        initiators: 2,
+        front_count: 2,
         classes: vec![
             class(Semantics::Idempotent, Group::All),
             class(Semantics::Deduplicated, Group::Shard),
--- a/crates/core/tests/health.rs
+++ b/crates/core/tests/health.rs
@@ -142,9 +142,9 @@
 
 #[test]
 fn probes_are_rarer_with_more_fronts() {
-    let probes = |initiators| {
+    let probes = |front_count| {
         let mut settings = settings();
-        settings.initiators = initiators;
+        settings.front_count = front_count;
         let mut front = TestFront::new(settings, 1);
         let mut sent = 0;
         for id in 0..600 {
--- a/crates/core/tests/hundred_fronts.rs
+++ b/crates/core/tests/hundred_fronts.rs
@@ -14,7 +14,7 @@
 
 fn fleet_settings() -> Settings {
     let mut settings = settings();
-    settings.initiators = FRONTS as u32;
+    settings.front_count = FRONTS as u32;
     settings
 }
 
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -58,7 +58,7 @@
 impl Simulation {
     fn new(seed: u64) -> Simulation {
         let mut set = settings();
-        set.initiators = FRONTS as u32;
+        set.front_count = FRONTS as u32;
         set.plans[0].nominal = 100.0;
         let fronts: Vec<TestFront> = (0..FRONTS)
             .map(|i| TestFront::seeded(set.clone(), NODES, seed * 1000 + i as u64))
--- a/crates/core/tests/pacing.rs
+++ b/crates/core/tests/pacing.rs
@@ -10,7 +10,7 @@
 /// minimum. Returns whether the next request after an answer is sent at once.
 fn next_request_is_sent_at_once(front_count: u32) -> bool {
     let mut settings = settings();
-    settings.initiators = front_count;
+    settings.front_count = front_count;
     let mut front = TestFront::new(settings, 1);
     front.warm(0, 20, 0, 10 * MS);
     let mut id = 100;
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -44,7 +44,7 @@
         |s| s.classes.clear(),
         |s| s.plans[0].limit_rate = f64::NAN,
         |s| s.mean_units = 0.0,
-        |s| s.initiators = 0,
+        |s| s.front_count = 0,
     ];
     for f in corruptions {
         let mut settings = settings();
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -16,7 +16,7 @@
 
 fn site(front_count: usize) -> Settings {
     let mut settings = settings();
-    settings.initiators = front_count as u32;
+    settings.front_count = front_count as u32;
     settings.warmup_floor = 0.18;
     settings.warmup_duration = 17 * S;
     settings.overload_span = 2 * S;
@@ -175,7 +175,7 @@
 
     fn new() -> Restart {
         let mut settings = settings();
-        settings.initiators = Self::FRONTS as u32;
+        settings.front_count = Self::FRONTS as u32;
         settings.warmup_units = 24.0;
         settings.warmup_floor = 0.2;
         let fleet = Fleet::new(&settings, 1, 0..Self::FRONTS as u64);
--- a/crates/model-checker/src/configs/settings.rs
+++ b/crates/model-checker/src/configs/settings.rs
@@ -13,7 +13,7 @@
 /// attempts.
 pub fn settings() -> Settings {
     Settings {
-        initiators: 1,
+        front_count: 1,
         classes: vec![class(Semantics::Idempotent), class(Semantics::AtMostOnce)],
         plans: vec![plan()],
         quantum: 2 * MS,
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -19,7 +19,7 @@
     let classes = read_classes(value, family)?;
     let retry_budget = read_retry_budget(rules)?;
     Ok(Settings {
-        initiators: number(value, "Balancers")? as u32,
+        front_count: number(value, "Balancers")? as u32,
         classes,
         plans: array(value, "Grades")?
             .iter()
--- a/src/frontend/platform/request_tables.rs
+++ b/src/frontend/platform/request_tables.rs
@@ -62,7 +62,7 @@
             plans: VersionedTable::new(plan_entries(config)),
             metrics: Vec::new(),
             shards: config.shards,
-            fronts: config.settings.initiators,
+            fronts: config.settings.front_count,
             max_units: config.settings.max_units,
         };
         tables.add_class_metrics(metrics);
@@ -74,7 +74,7 @@
         let replaced_classes = self.classes.reload(class_entries(&config));
         self.plans.reload(plan_entries(&config));
         self.shards = config.shards;
-        self.fronts = config.settings.initiators;
+        self.fronts = config.settings.front_count;
         self.max_units = config.settings.max_units;
         self.add_class_metrics(metrics);
         let classes = self
