--- a/crates/core/src/interface/endpoints.rs
+++ b/crates/core/src/interface/endpoints.rs
@@ -4,7 +4,7 @@
 
 /// The state of a chunk server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Listed {
+pub enum EndpointState {
     /// In service.
     Up,
     /// Finishing its work before it leaves.
@@ -23,7 +23,7 @@
     /// The shard that it holds.
     pub shard: ShardId,
     /// Its state.
-    pub listed: Listed,
+    pub state: EndpointState,
     /// When it last started; 0 is long ago.
     pub started_at: Nanos,
 }
--- a/crates/core/src/interface/mod.rs
+++ b/crates/core/src/interface/mod.rs
@@ -11,7 +11,7 @@
 mod request;
 mod settings;
 
-pub use endpoints::{Listed, NodeInfo, UpdateScope};
+pub use endpoints::{EndpointState, NodeInfo, UpdateScope};
 pub use events::{Action, Event, Outcome};
 pub use fleet::{ClassSet, FleetUpdate, SharedLimit};
 pub use ids::{KeyId, NodeId, RequestId, ShardId, VolumeId};
--- a/crates/core/src/invariant_monitor.rs
+++ b/crates/core/src/invariant_monitor.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 use crate::interface::{
-    Group, Listed, Nanos, NodeId, Outcome, RequestId, Semantics, Settings, UpdateScope,
+    EndpointState, Group, Nanos, NodeId, Outcome, RequestId, Semantics, Settings, UpdateScope,
 };
 use crate::request_tracker::{Effect, FinalAnswer, Input};
 
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct InvariantMonitor {
     requests: BTreeMap<RequestId, MonitoredRequest>,
-    listed: BTreeMap<NodeId, Listed>,
+    listed: BTreeMap<NodeId, EndpointState>,
 }
 
 impl InvariantMonitor {
@@ -125,10 +125,10 @@
                 if *scope == UpdateScope::Replace {
                     self.listed
                         .values_mut()
-                        .for_each(|listed| *listed = Listed::Removed);
+                        .for_each(|listed| *listed = EndpointState::Removed);
                 }
                 self.listed
-                    .extend(nodes.iter().map(|info| (info.node, info.listed)));
+                    .extend(nodes.iter().map(|info| (info.node, info.state)));
             }
             Input::Overdue(_) | Input::FleetUpdate(_) | Input::Timer(_) => {}
         }
@@ -169,7 +169,7 @@
         let is_up = self
             .listed
             .get(&node)
-            .is_none_or(|listed| *listed == Listed::Up);
+            .is_none_or(|listed| *listed == EndpointState::Up);
         let request = self.requests.get_mut(&id)?;
         let repeat_allowed = request
             .executed_since
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,7 +5,7 @@
 //! attempts, discovery and shutdown.
 //!
 //! ```
-//! use tulipbridge_core::{Action, Class, Event, Group, Listed, NodeInfo, Plan, Request, Scheduler, Semantics, Settings};
+//! use tulipbridge_core::{Action, Class, Event, Group, EndpointState, NodeInfo, Plan, Request, Scheduler, Semantics, Settings};
 //! use tulipbridge_core::{KeyId, NodeId, RequestId, ShardId, UpdateScope, VolumeId};
 //!
 //! let ms = 1_000_000;
@@ -53,7 +53,7 @@
 //! };
 //! let mut scheduler = Scheduler::new(settings, 7, 0).expect("valid settings");
 //! let mut actions = Vec::new();
-//! let node = NodeInfo { node: NodeId(0), zone: 0, shard: ShardId(4), listed: Listed::Up, started_at: 0 };
+//! let node = NodeInfo { node: NodeId(0), zone: 0, shard: ShardId(4), state: EndpointState::Up, started_at: 0 };
 //! scheduler.handle(0, Event::Endpoints { scope: UpdateScope::Restored, nodes: vec![node] }, &mut actions);
 //! let request = Request {
 //!     id: RequestId(1),
--- a/crates/core/src/maintenance.rs
+++ b/crates/core/src/maintenance.rs
@@ -12,7 +12,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::interface::{Listed, Nanos, NodeInfo};
+use crate::interface::{EndpointState, Nanos, NodeInfo};
 
 /// Why a server cannot enter or leave maintenance.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -51,7 +51,7 @@
     /// Records an entry of the endpoint list. Returns the entry to pass on to the decision module.
     pub fn endpoint_listed(&mut self, key: &K, info: NodeInfo) -> NodeInfo {
         self.ever_listed.insert(key.clone());
-        if info.listed == Listed::Removed {
+        if info.state == EndpointState::Removed {
             self.listed.remove(key);
         } else {
             self.listed.insert(key.clone(), info.clone());
@@ -136,8 +136,8 @@
 
     /// The entry of a server that the decision module gets.
     fn effective_entry(&self, key: &K, mut info: NodeInfo) -> NodeInfo {
-        if self.in_maintenance.contains(key) && info.listed == Listed::Up {
-            info.listed = Listed::Draining;
+        if self.in_maintenance.contains(key) && info.state == EndpointState::Up {
+            info.state = EndpointState::Draining;
         }
         info
     }
--- a/crates/core/src/policy/node.rs
+++ b/crates/core/src/policy/node.rs
@@ -12,14 +12,14 @@
 use super::weight::PlacementWeight;
 use crate::ejection::EjectionState;
 use crate::fleet_limits::NodeLimits;
-use crate::interface::{Listed, Nanos, NodeInfo, Outcome, Settings, ShardId};
+use crate::interface::{EndpointState, Nanos, NodeInfo, Outcome, Settings, ShardId};
 
 /// A chunk server.
 #[derive(Clone, Debug)]
 pub(crate) struct Node {
     shard: ShardId,
     zone: u32,
-    listed: Listed,
+    state: EndpointState,
     /// By the endpoint list; 0 is long ago.
     started_at: Nanos,
     /// Its latency as learned from its answers.
@@ -48,7 +48,7 @@
         Node {
             shard: info.shard,
             zone: info.zone,
-            listed: info.listed,
+            state: info.state,
             started_at: 0,
             latency: LatencyEstimate::new(now),
             window: CongestionWindow::new(),
@@ -79,17 +79,17 @@
 
     /// Whether it is in service by the endpoint list.
     pub fn is_up(&self) -> bool {
-        self.listed == Listed::Up
+        self.state == EndpointState::Up
     }
 
     /// Whether it finishes its work before it leaves.
     pub fn is_draining(&self) -> bool {
-        self.listed == Listed::Draining
+        self.state == EndpointState::Draining
     }
 
     /// Whether it was removed from the endpoint list.
     pub fn is_removed(&self) -> bool {
-        self.listed == Listed::Removed
+        self.state == EndpointState::Removed
     }
 
     /// Whether it takes regular requests.
@@ -154,7 +154,7 @@
     /// Takes over the zone and the state of an entry of the endpoint list.
     pub fn update_entry(&mut self, info: &NodeInfo) {
         self.zone = info.zone;
-        self.listed = info.listed;
+        self.state = info.state;
     }
 
     /// Moves the server to another shard and returns the old one.
@@ -164,7 +164,7 @@
 
     /// Marks the server as removed from the endpoint list.
     pub fn mark_removed(&mut self) {
-        self.listed = Listed::Removed;
+        self.state = EndpointState::Removed;
     }
 
     /// Takes over the time of the last start. Returns whether the server has started again.
@@ -268,7 +268,7 @@
 
     /// Hashes all that later decisions depend on, with times relative to `now`.
     pub fn fingerprint<H: Hasher>(&self, now: Nanos, hasher: &mut H) {
-        (self.shard, self.zone, self.listed).hash(hasher);
+        (self.shard, self.zone, self.state).hash(hasher);
         self.health.fingerprint(now, hasher);
         self.slow_start.fingerprint(now, hasher);
         self.weight.fingerprint(now, hasher);
--- a/crates/core/src/request_tracker.rs
+++ b/crates/core/src/request_tracker.rs
@@ -17,7 +17,7 @@
 pub use self::in_flight::{InFlightAttempt, InFlightRequest};
 pub use self::messages::{Effect, FinalAnswer, Input};
 use crate::interface::{
-    Action, Event, Listed, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, UpdateScope,
+    Action, EndpointState, Event, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, UpdateScope,
 };
 use crate::mutations::{mutated, Mutation};
 
@@ -390,7 +390,7 @@
             return;
         }
         let stays = |node: NodeId| match nodes.iter().rev().find(|info| info.node == node) {
-            Some(info) => info.listed == Listed::Up,
+            Some(info) => info.state == EndpointState::Up,
             None => scope != UpdateScope::Replace,
         };
         for (id, request) in &self.requests {
--- a/crates/core/tests/assigned_limits.rs
+++ b/crates/core/tests/assigned_limits.rs
@@ -127,7 +127,7 @@
         node: NodeId(1),
         zone: 0,
         shard: ShardId(7),
-        listed: Listed::Up,
+        state: EndpointState::Up,
         started_at,
     };
     front.event(Event::Endpoints {
--- a/crates/core/tests/attempt_withdrawal.rs
+++ b/crates/core/tests/attempt_withdrawal.rs
@@ -5,7 +5,7 @@
 use tulipbridge_core::request_tracker::{Decisions, Effect, Input, RequestTracker};
 use tulipbridge_core::server_connection::{ConnectionEvent, Execution, ServerConnection};
 use tulipbridge_core::{
-    Action, Event, Listed, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, ShardId,
+    Action, EndpointState, Event, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, ShardId,
     UpdateScope, VolumeId,
 };
 
@@ -70,12 +70,12 @@
     outcomes.collect()
 }
 
-fn node_info(node: usize, listed: Listed) -> NodeInfo {
+fn node_info(node: usize, state: EndpointState) -> NodeInfo {
     NodeInfo {
         node: NodeId(node),
         zone: 0,
         shard: ShardId(0),
-        listed,
+        state,
         started_at: 0,
     }
 }
@@ -117,34 +117,46 @@
     for (name, input, expected) in [
         (
             "drains",
-            endpoints(UpdateScope::Update, vec![node_info(0, Listed::Draining)]),
+            endpoints(
+                UpdateScope::Update,
+                vec![node_info(0, EndpointState::Draining)],
+            ),
             true,
         ),
         (
             "is removed",
-            endpoints(UpdateScope::Update, vec![node_info(0, Listed::Removed)]),
+            endpoints(
+                UpdateScope::Update,
+                vec![node_info(0, EndpointState::Removed)],
+            ),
             true,
         ),
         (
             "is not on the list",
-            endpoints(UpdateScope::Replace, vec![node_info(1, Listed::Up)]),
+            endpoints(UpdateScope::Replace, vec![node_info(1, EndpointState::Up)]),
             true,
         ),
         (
             "stays up",
-            endpoints(UpdateScope::Replace, vec![node_info(0, Listed::Up)]),
+            endpoints(UpdateScope::Replace, vec![node_info(0, EndpointState::Up)]),
             false,
         ),
         (
             "is not mentioned",
-            endpoints(UpdateScope::Update, vec![node_info(1, Listed::Draining)]),
+            endpoints(
+                UpdateScope::Update,
+                vec![node_info(1, EndpointState::Draining)],
+            ),
             false,
         ),
         (
             "is up in the last entry",
             endpoints(
                 UpdateScope::Update,
-                vec![node_info(0, Listed::Draining), node_info(0, Listed::Up)],
+                vec![
+                    node_info(0, EndpointState::Draining),
+                    node_info(0, EndpointState::Up),
+                ],
             ),
             false,
         ),
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -74,12 +74,12 @@
     }
 }
 
-pub fn node(node: usize, listed: Listed, started_at: Nanos) -> NodeInfo {
+pub fn node(node: usize, state: EndpointState, started_at: Nanos) -> NodeInfo {
     NodeInfo {
         node: NodeId(node),
         zone: (node % 2) as u32,
         shard: ShardId(node as u32),
-        listed,
+        state,
         started_at,
     }
 }
@@ -117,7 +117,7 @@
             scheduler,
             now: 100 * S,
         };
-        let list = (0..nodes).map(|n| node(n, Listed::Up, 0)).collect();
+        let list = (0..nodes).map(|n| node(n, EndpointState::Up, 0)).collect();
         front.event(Event::Endpoints {
             scope: UpdateScope::Restored,
             nodes: list,
--- a/crates/core/tests/ejection.rs
+++ b/crates/core/tests/ejection.rs
@@ -59,7 +59,7 @@
 /// Two servers of one shard and one of another.
 fn front_with_two_servers_of_a_shard() -> TestFront {
     let mut front = warm_front(3);
-    let mut second = node(1, Listed::Up, 0);
+    let mut second = node(1, EndpointState::Up, 0);
     second.shard = ShardId(0);
     front.event(Event::Endpoints {
         scope: UpdateScope::Update,
--- a/crates/core/tests/hundred_fronts.rs
+++ b/crates/core/tests/hundred_fronts.rs
@@ -77,10 +77,10 @@
             node: NodeId(NODES),
             zone: 0,
             shard: ShardId(0),
-            listed: Listed::Up,
+            state: EndpointState::Up,
             started_at: Self::STARTED_AT,
         };
-        [node(0, Listed::Removed, 0), started]
+        [node(0, EndpointState::Removed, 0), started]
     }
 
     fn answer_due_attempts(&mut self) -> Vec<FleetSend> {
@@ -179,7 +179,7 @@
             last_failure: vec![Self::STARTED_AT; FRONTS],
         };
         for front in 0..FRONTS {
-            let nodes = (0..4).map(|id| node(id, Listed::Up, 0)).collect();
+            let nodes = (0..4).map(|id| node(id, EndpointState::Up, 0)).collect();
             discovery.event(
                 front,
                 Event::Endpoints {
--- a/crates/core/tests/invariant_monitor.rs
+++ b/crates/core/tests/invariant_monitor.rs
@@ -15,7 +15,7 @@
 /// A monitor that has seen a server in service and the request 1 of a class.
 fn monitor(class: usize) -> InvariantMonitor {
     let mut monitor = InvariantMonitor::default();
-    let nodes = vec![node(NODE, Listed::Up, 0)];
+    let nodes = vec![node(NODE, EndpointState::Up, 0)];
     monitor.input(
         &Input::Endpoints {
             scope: UpdateScope::Replace,
@@ -87,7 +87,7 @@
     assert_eq!(send(&mut client_gone, 0), Some(Rule::NothingAfterTheEnd));
 
     let mut draining = monitor(IDEMPOTENT);
-    let nodes = vec![node(NODE, Listed::Draining, 0)];
+    let nodes = vec![node(NODE, EndpointState::Draining, 0)];
     draining.input(
         &Input::Endpoints {
             scope: UpdateScope::Update,
--- a/crates/core/tests/invariants.rs
+++ b/crates/core/tests/invariants.rs
@@ -52,7 +52,7 @@
 /// The state of a server in the endpoint list.
 #[derive(Clone, Copy)]
 struct ListEntry {
-    listed: Listed,
+    state: EndpointState,
     started_at: Nanos,
 }
 
@@ -110,7 +110,7 @@
             requests: BTreeMap::new(),
             listed: vec![
                 ListEntry {
-                    listed: Listed::Up,
+                    state: EndpointState::Up,
                     started_at: 0
                 };
                 NODES
@@ -207,14 +207,18 @@
     fn random_endpoint_event(&mut self) {
         let n = self.random.usize(0..NODES);
         let now = self.front.now;
-        let listed =
-            [Listed::Up, Listed::Up, Listed::Draining, Listed::Removed][self.random.usize(0..4)];
+        let listed = [
+            EndpointState::Up,
+            EndpointState::Up,
+            EndpointState::Draining,
+            EndpointState::Removed,
+        ][self.random.usize(0..4)];
         let started_at = match listed {
-            Listed::Up if self.random.bool() => now - self.random.i64(0..3000) * MS,
+            EndpointState::Up if self.random.bool() => now - self.random.i64(0..3000) * MS,
             _ => self.listed[n].started_at,
         };
         self.listed[n] = ListEntry {
-            listed,
+            state: listed,
             started_at: started_at.max(self.listed[n].started_at),
         };
         self.listed_at[n] = now;
@@ -223,7 +227,8 @@
             UpdateScope::Replace,
             UpdateScope::Unavailable,
         ][self.random.usize(0..3)];
-        let remaining = (0..NODES).filter(|index| self.listed[*index].listed != Listed::Removed);
+        let remaining =
+            (0..NODES).filter(|index| self.listed[*index].state != EndpointState::Removed);
         let nodes = match scope {
             UpdateScope::Replace => remaining.map(|index| self.node_info(index)).collect(),
             _ => vec![self.node_info(n)],
@@ -248,7 +253,7 @@
     }
 
     fn node_info(&self, id: usize) -> NodeInfo {
-        node(id, self.listed[id].listed, self.listed[id].started_at)
+        node(id, self.listed[id].state, self.listed[id].started_at)
     }
 
     fn random_client_leaves(&mut self) {
@@ -387,7 +392,7 @@
         assert!(!tracked.answered, "rule 1: request {id} sent after its end");
         self.check_semantics(id, at);
         assert!(
-            self.listed[at].listed == Listed::Up,
+            self.listed[at].state == EndpointState::Up,
             "rule 3: sent to a server that is not up"
         );
         self.check_slow_start(at, self.requests[&id].request.units);
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn a_draining_or_removed_server_gets_no_requests() {
-    for listed in [Listed::Draining, Listed::Removed] {
+    for listed in [EndpointState::Draining, EndpointState::Removed] {
         let mut front = TestFront::new(settings(), 2);
         front.event(Event::Endpoints {
             scope: UpdateScope::Update,
@@ -30,7 +30,7 @@
     let mut front = TestFront::new(settings(), 2);
     front.event(Event::Endpoints {
         scope: UpdateScope::Replace,
-        nodes: vec![node(1, Listed::Up, 0)],
+        nodes: vec![node(1, EndpointState::Up, 0)],
     });
     assert!(sends(&front.submit(request(1, 0, Some(0)))).is_empty());
 }
@@ -41,7 +41,7 @@
     let up = front.now;
     front.event(Event::Endpoints {
         scope: UpdateScope::Update,
-        nodes: vec![node(0, Listed::Up, up)],
+        nodes: vec![node(0, EndpointState::Up, up)],
     });
     let mut units = 0.0;
     for id in 0..50 {
@@ -64,7 +64,7 @@
         node: NodeId(1),
         zone: 0,
         shard: ShardId(0),
-        listed: Listed::Up,
+        state: EndpointState::Up,
         started_at: front.now,
     };
     front.event(Event::Endpoints {
@@ -74,7 +74,7 @@
     assert_eq!(sends(&front.submit(request(1, 0, Some(0)))), vec![(1, 0)]);
     front.event(Event::Endpoints {
         scope: UpdateScope::Update,
-        nodes: vec![node(0, Listed::Draining, 0)],
+        nodes: vec![node(0, EndpointState::Draining, 0)],
     });
     assert_eq!(sends(&front.submit(request(2, 0, Some(0)))), vec![(2, 1)]);
 }
@@ -88,7 +88,7 @@
     }
     front.event(Event::Endpoints {
         scope: UpdateScope::Update,
-        nodes: vec![node(0, Listed::Up, 0)],
+        nodes: vec![node(0, EndpointState::Up, 0)],
     });
     assert_eq!(
         sends(&front.advance(30 * MS)),
@@ -105,7 +105,7 @@
     front.submit(request(100, 0, Some(0)));
     front.event(Event::Endpoints {
         scope: UpdateScope::Update,
-        nodes: vec![node(0, Listed::Removed, 0)],
+        nodes: vec![node(0, EndpointState::Removed, 0)],
     });
     assert!(
         !front
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -83,7 +83,7 @@
     front.advance(100 * MS);
     let moved = NodeInfo {
         shard: ShardId(1),
-        ..node(0, Listed::Up, 0)
+        ..node(0, EndpointState::Up, 0)
     };
     front.event(Event::Endpoints {
         scope: UpdateScope::Update,
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -71,10 +71,10 @@
         node: NodeId(NODES),
         zone: 0,
         shard: ShardId(0),
-        listed: Listed::Up,
+        state: EndpointState::Up,
         started_at,
     };
-    let replacement = [node(0, Listed::Removed, 0), started];
+    let replacement = [node(0, EndpointState::Removed, 0), started];
     while fleet.now < started_at + 10 * S {
         fleet.step();
         let now = fleet.now;
@@ -217,7 +217,7 @@
         for front in 0..Self::FRONTS {
             let mut sent = Vec::new();
             if now == Self::STARTED_AT {
-                let nodes = vec![node(0, Listed::Up, now)];
+                let nodes = vec![node(0, EndpointState::Up, now)];
                 sent.extend(self.fleet.event(
                     front,
                     Event::Endpoints {
--- a/crates/model-checker/src/request_model/nodes.rs
+++ b/crates/model-checker/src/request_model/nodes.rs
@@ -2,7 +2,7 @@
 
 use std::hash::{Hash, Hasher};
 
-use tulipbridge_core::{Listed, Nanos, NodeId, NodeInfo, ShardId};
+use tulipbridge_core::{EndpointState, Nanos, NodeId, NodeInfo, ShardId};
 
 /// Number of zones, over which the nodes are spread in turn.
 const ZONES: u32 = 2;
@@ -12,7 +12,7 @@
 /// A node, as discovery has described it to the front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct NodeState {
-    listed: Listed,
+    state: EndpointState,
     shard: ShardId,
     started_at: Nanos,
     /// The front has forgotten it.
@@ -23,7 +23,7 @@
     /// A node that has started at a moment.
     fn started(shard: ShardId, started_at: Nanos) -> NodeState {
         NodeState {
-            listed: Listed::Up,
+            state: EndpointState::Up,
             shard,
             started_at,
             forgotten: false,
@@ -61,19 +61,19 @@
             node,
             zone: node.0 as u32 % ZONES,
             shard: state.shard,
-            listed: state.listed,
+            state: state.state,
             started_at: state.started_at,
         }
     }
 
     /// Whether a node is listed, and neither draining nor removed.
     pub(super) fn is_up(&self, node: NodeId) -> bool {
-        self.nodes[node.0].listed == Listed::Up
+        self.nodes[node.0].state == EndpointState::Up
     }
 
     /// Whether a node has been removed from the endpoint list.
     pub(super) fn is_removed(&self, node: NodeId) -> bool {
-        self.nodes[node.0].listed == Listed::Removed
+        self.nodes[node.0].state == EndpointState::Removed
     }
 
     /// Whether the front has forgotten a node.
@@ -83,15 +83,16 @@
 
     /// The shards of the nodes that are up and have warmed up.
     pub(super) fn warmed_up_shards(&self) -> Vec<ShardId> {
-        let is_warmed_up =
-            |node: &&NodeState| node.listed == Listed::Up && node.started_at == STARTED_LONG_AGO;
+        let is_warmed_up = |node: &&NodeState| {
+            node.state == EndpointState::Up && node.started_at == STARTED_LONG_AGO
+        };
         let warmed_up = self.nodes.iter().filter(is_warmed_up);
         warmed_up.map(|node| node.shard).collect()
     }
 
     /// Discovery lists a node differently.
-    pub(super) fn set_listed(&mut self, node: NodeId, listed: Listed) {
-        self.nodes[node.0].listed = listed;
+    pub(super) fn set_listed(&mut self, node: NodeId, state: EndpointState) {
+        self.nodes[node.0].state = state;
     }
 
     /// A node starts, either a new one with the next identifier or one that was there before.
@@ -114,7 +115,7 @@
     /// Leaves out when a node started: the policy keeps that, as far as it still matters.
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         for node in &self.nodes {
-            (node.listed, node.shard, node.forgotten).hash(hasher);
+            (node.state, node.shard, node.forgotten).hash(hasher);
         }
     }
 }
--- a/crates/model-checker/src/request_model/state/transitions.rs
+++ b/crates/model-checker/src/request_model/state/transitions.rs
@@ -3,7 +3,9 @@
 
 use tulipbridge_core::attempt::AttemptEvent;
 use tulipbridge_core::request_tracker::{Effect, FinalAnswer, Input};
-use tulipbridge_core::{Action, Listed, Nanos, NodeId, Outcome, RequestId, ShardId, UpdateScope};
+use tulipbridge_core::{
+    Action, EndpointState, Nanos, NodeId, Outcome, RequestId, ShardId, UpdateScope,
+};
 
 use super::RequestState;
 use crate::request_model::attempt::{AttemptKey, InFlightAttempt};
@@ -160,11 +162,11 @@
                 self.feed(model, lost);
             }
             WatchUpdate::NodeDraining(node) => {
-                self.nodes.set_listed(node, Listed::Draining);
+                self.nodes.set_listed(node, EndpointState::Draining);
                 self.report_node(model, node);
             }
             WatchUpdate::NodeRemoved(node) => {
-                self.nodes.set_listed(node, Listed::Removed);
+                self.nodes.set_listed(node, EndpointState::Removed);
                 self.report_node(model, node);
             }
             WatchUpdate::ShardTakenOver(node, shard) => {
--- a/src/bin/tulipbridge-adapter/instance.rs
+++ b/src/bin/tulipbridge-adapter/instance.rs
@@ -143,7 +143,7 @@
             node,
             zone: zone as u32,
             shard,
-            listed,
+            state: listed,
             started_at,
         })
     }
--- a/src/bin/tulipbridge-adapter/vocabulary.rs
+++ b/src/bin/tulipbridge-adapter/vocabulary.rs
@@ -1,6 +1,6 @@
 //! Conversion between the strings of the wire protocol and the types of the decision module.
 
-use tulipbridge::{Listed, Outcome, UpdateScope};
+use tulipbridge::{EndpointState, Outcome, UpdateScope};
 
 use crate::error::WireError;
 
@@ -70,11 +70,11 @@
 }
 
 /// The state of an endpoint.
-pub fn listed(word: &str) -> Result<Listed, WireError> {
+pub fn listed(word: &str) -> Result<EndpointState, WireError> {
     match word {
-        "up" => Ok(Listed::Up),
-        "draining" => Ok(Listed::Draining),
-        "removed" => Ok(Listed::Removed),
+        "up" => Ok(EndpointState::Up),
+        "draining" => Ok(EndpointState::Draining),
+        "removed" => Ok(EndpointState::Removed),
         _ => Err(unknown("Health", word)),
     }
 }
--- a/src/cluster/ejections/mod.rs
+++ b/src/cluster/ejections/mod.rs
@@ -13,7 +13,7 @@
 
 use tulipbridge_core::request_tracker::Input;
 use tulipbridge_core::{
-    ClassSet, FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, UpdateScope,
+    ClassSet, EndpointState, FleetUpdate, Nanos, NodeId, NodeInfo, Outcome, UpdateScope,
 };
 use tulipbridge_membership::{EntryKey, EnvelopeCodec, GossipStore};
 use tulipbridge_outlier_detection::{
@@ -141,7 +141,7 @@
                 .retain(|node, _| infos.iter().any(|info| info.node == *node));
         }
         for info in infos {
-            if info.listed == Listed::Removed {
+            if info.state == EndpointState::Removed {
                 self.nodes.remove(&info.node);
                 continue;
             }
@@ -155,7 +155,7 @@
                 ListedServer {
                     server,
                     name,
-                    is_up: info.listed == Listed::Up,
+                    is_up: info.state == EndpointState::Up,
                 },
             );
         }
--- a/src/control/endpoint_list.rs
+++ b/src/control/endpoint_list.rs
@@ -6,7 +6,7 @@
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
 use tulipbridge_core::server_start_times::ServerStartTimes;
-use tulipbridge_core::{Listed, Nanos, NodeInfo, ShardId, UpdateScope};
+use tulipbridge_core::{EndpointState, Nanos, NodeInfo, ShardId, UpdateScope};
 
 use crate::config::json::{array, boolean, integer, parse_address, string, JsonError};
 use crate::control::maintenance::Maintenance;
@@ -137,7 +137,7 @@
             node,
             zone,
             shard: ShardId(shard),
-            listed,
+            state: listed,
             started_at,
         };
         Ok(NamedEndpoint {
@@ -159,10 +159,10 @@
 
 /// The state of a chunk server for the scheduler, by its state in discovery. In a state that this
 /// version does not know, a server must not get new work.
-fn listed_state(lifecycle: &str) -> Listed {
+fn listed_state(lifecycle: &str) -> EndpointState {
     match lifecycle {
-        "Ready" => Listed::Up,
-        "Gone" => Listed::Removed,
-        _ => Listed::Draining,
+        "Ready" => EndpointState::Up,
+        "Gone" => EndpointState::Removed,
+        _ => EndpointState::Draining,
     }
 }
--- a/src/telemetry/trace/events.rs
+++ b/src/telemetry/trace/events.rs
@@ -4,7 +4,7 @@
 use simd_json::OwnedValue as Value;
 use tulipbridge_core::request_tracker::{Effect, FinalAnswer, Input};
 use tulipbridge_core::{
-    FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, SharedLimit,
+    EndpointState, FleetUpdate, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, SharedLimit,
     UpdateScope,
 };
 
@@ -255,10 +255,10 @@
 
 /// An entry of an endpoint list as the trace has it.
 fn endpoint(info: &NodeInfo, name: impl Fn(NodeId) -> String) -> TracedEndpoint {
-    let listed = match info.listed {
-        Listed::Up => "up",
-        Listed::Draining => "draining",
-        Listed::Removed => "removed",
+    let listed = match info.state {
+        EndpointState::Up => "up",
+        EndpointState::Draining => "draining",
+        EndpointState::Removed => "removed",
     };
     TracedEndpoint {
         node: name(info.node),
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -18,7 +18,7 @@
 use tulipbridge::exchange::AttemptKey;
 use tulipbridge::request_tracker::Input;
 use tulipbridge::telemetry::metrics::Metrics;
-use tulipbridge::{Listed, NodeInfo, Outcome, UpdateScope};
+use tulipbridge::{EndpointState, NodeInfo, Outcome, UpdateScope};
 use tulipbridge_core::{NodeId, RequestId, ShardId};
 use tulipbridge_fleet_limits::{Demand, GrantInUse, Heartbeat, Lease, LeaseGrant, Limit, Share};
 use tulipbridge_membership::{
@@ -222,7 +222,7 @@
         node: NodeId(node),
         zone: 0,
         shard: ShardId(0),
-        listed: Listed::Up,
+        state: EndpointState::Up,
         started_at,
     }
 }
