--- a/crates/core/src/interface/request.rs
+++ b/crates/core/src/interface/request.rs
@@ -16,7 +16,7 @@
     /// The piece of data that it reads or writes.
     pub key: Option<KeyId>,
     /// The time until the client gives up.
-    pub patience: Nanos,
+    pub client_timeout: Nanos,
     /// Its work in units.
     pub units: f64,
     /// The shard that holds its data; `None` for a new object.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -61,7 +61,7 @@
 //!     plan: 0,
 //!     volume: VolumeId(9),
 //!     key: Some(KeyId(3)),
-//!     patience: 1000 * ms,
+//!     client_timeout: 1000 * ms,
 //!     units: 2.0,
 //!     shard: Some(ShardId(4)),
 //!     front_count: 1,
--- a/crates/core/src/policy/retry.rs
+++ b/crates/core/src/policy/retry.rs
@@ -185,6 +185,6 @@
 
 /// When a request that was never sent is rejected.
 pub(crate) fn unsent_deadline(live: &LiveRequest, settings: &Settings) -> Nanos {
-    let time = (live.request().patience as f64 * UNSENT_TIMEOUT_FRACTION) as Nanos;
+    let time = (live.request().client_timeout as f64 * UNSENT_TIMEOUT_FRACTION) as Nanos;
     live.received_at() + time - settings.deadline_margin()
 }
--- a/crates/core/src/policy/scheduler/events.rs
+++ b/crates/core/src/policy/scheduler/events.rs
@@ -152,7 +152,7 @@
     fn remaining_objective(&mut self, request: &Request) -> Nanos {
         let class = &self.settings.classes[request.class];
         let patience = &mut self.client_patience[request.class];
-        let spent = patience.time_already_spent(request.patience, class.deadline);
+        let spent = patience.time_already_spent(request.client_timeout, class.deadline);
         let unit_cost = self.learned_cost.unit_cost(request.class);
         let stretch = class.objective_stretch * unit_cost * request.units;
         let objective = (class.latency_objective + stretch as Nanos).min(class.deadline);
--- a/crates/core/src/request_tracker.rs
+++ b/crates/core/src/request_tracker.rs
@@ -158,7 +158,7 @@
     }
 
     fn request_received(&mut self, now: Nanos, request: Request, effects: &mut Vec<Effect>) {
-        let deadline = now + request.patience.max(0);
+        let deadline = now + request.client_timeout.max(0);
         self.requests
             .insert(request.id, InFlightRequest::new(deadline));
         self.decide(now, Event::Request(request), effects);
--- a/crates/core/src/state/request.rs
+++ b/crates/core/src/state/request.rs
@@ -48,7 +48,7 @@
             shard: request.shard,
             received_at: now,
             objective_at: now + objective,
-            deadline_at: now + request.patience,
+            deadline_at: now + request.client_timeout,
             attempts: 0,
             in_flight: 0,
             possible_execution: None,
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -9,7 +9,7 @@
 fn a_request_with_less_patience_than_a_tick_is_rejected_at_once() {
     let mut front = TestFront::new(settings(), 0);
     let mut short = request(1, 0, Some(0));
-    short.patience = 3 * MS;
+    short.client_timeout = 3 * MS;
     assert!(rejected(&front.submit(short), 1));
 }
 
--- a/crates/core/tests/attempt_withdrawal.rs
+++ b/crates/core/tests/attempt_withdrawal.rs
@@ -34,7 +34,7 @@
         plan: 0,
         volume: VolumeId(1),
         key: None,
-        patience: 1_000_000_000,
+        client_timeout: 1_000_000_000,
         units: 1.0,
         shard: None,
         front_count: 1,
--- a/crates/core/tests/client_patience.rs
+++ b/crates/core/tests/client_patience.rs
@@ -71,7 +71,7 @@
     let mut front = TestFront::new(settings(), 2);
     run_reads(&mut front, 0, 40, MS / 4);
     let mut patient = request(1000, 0, Some(0));
-    patient.patience = 3600 * S;
+    patient.client_timeout = 3600 * S;
     front.submit(patient);
     front.end_attempt(1000, 0, 0, Outcome::Served, MS);
     // A late request is not sent to a server that does not answer; a timely one is.
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -91,7 +91,7 @@
         plan: 0,
         volume: VolumeId(1),
         key: Some(KeyId(id)),
-        patience: S,
+        client_timeout: S,
         units: 2.0,
         shard: shard.map(ShardId),
         front_count: 1,
--- a/crates/core/tests/congestion.rs
+++ b/crates/core/tests/congestion.rs
@@ -171,7 +171,7 @@
     front.warm(0, 30, 0, 20 * MS);
     front.warm(100, 12, 0, 180 * MS);
     let mut lost = request(200, 0, Some(0));
-    lost.patience = 5 * S;
+    lost.client_timeout = 5 * S;
     assert_eq!(sends(&front.submit(lost)).len(), 1);
     front.advance(S);
     let mut sent = sends(&front.submit(request(201, 0, Some(0))));
--- a/crates/core/tests/invariants.rs
+++ b/crates/core/tests/invariants.rs
@@ -183,7 +183,7 @@
             Some(KeyId(random.u64(0..12)))
         };
         request.units = f64::from(random.u32(1..8));
-        request.patience = if random.u32(0..5) == 0 {
+        request.client_timeout = if random.u32(0..5) == 0 {
             random.i64(0..40) * MS
         } else {
             S
@@ -370,7 +370,8 @@
         let now = self.front.now;
         for (id, tracked) in &self.requests {
             assert!(
-                tracked.answered || now <= tracked.at + tracked.request.patience + ANSWER_SLACK,
+                tracked.answered
+                    || now <= tracked.at + tracked.request.client_timeout + ANSWER_SLACK,
                 "rule 1: request {id} got no answer"
             );
             assert!(
@@ -414,7 +415,7 @@
 
     fn random_outcome(&mut self, id: u64, silent: bool) -> (Outcome, Nanos) {
         let tracked = &self.requests[&id];
-        let time_left = (tracked.at + tracked.request.patience - self.front.now).max(0);
+        let time_left = (tracked.at + tracked.request.client_timeout - self.front.now).max(0);
         let latency = self.random.i64(1..60) * MS;
         let outcome = match self.random.u32(0..20) {
             _ if silent && self.random.bool() => Outcome::TimedOut,
--- a/crates/model-checker/src/recovery.rs
+++ b/crates/model-checker/src/recovery.rs
@@ -82,7 +82,7 @@
         plan: 0,
         volume: VolumeId(1),
         key: None,
-        patience: READ_TIMEOUT,
+        client_timeout: READ_TIMEOUT,
         units: 2.0,
         shard: Some(shard),
         front_count: 1,
--- a/crates/model-checker/src/request_model/config.rs
+++ b/crates/model-checker/src/request_model/config.rs
@@ -118,7 +118,7 @@
             plan: PLAN,
             volume: VOLUME,
             key: Some(KeyId(client as u64)),
-            patience: timeout,
+            client_timeout: timeout,
             units: REQUEST_UNITS,
             shard,
             front_count: 1,
--- a/src/bin/tulipbridge-adapter/instance.rs
+++ b/src/bin/tulipbridge-adapter/instance.rs
@@ -176,7 +176,7 @@
                 .and_then(Value::as_str)
                 .map(stable_hash)
                 .map(KeyId),
-            patience: integer(row.get(6), "PatienceLeft")?,
+            client_timeout: integer(row.get(6), "PatienceLeft")?,
             units: optional_number(row.get(8), "Weight")?,
             shard: u32::try_from(shard).ok().map(ShardId),
             front_count: optional_number(row.get(10), "SetSize")? as u32,
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -217,8 +217,8 @@
         let now = self.clock.now();
         self.note_event(now);
         let waited = now - self.stalls.get().earliest_arrival(now);
-        request.patience = (request.patience - waited).max(0);
-        let patience = Duration::from_nanos(request.patience as u64);
+        request.client_timeout = (request.client_timeout - waited).max(0);
+        let patience = Duration::from_nanos(request.client_timeout as u64);
         let (sender, mut answer) = oneshot::channel();
         request.id = self.register(request.class, payload, sender);
         let id = request.id;
--- a/src/frontend/platform/request_parser.rs
+++ b/src/frontend/platform/request_parser.rs
@@ -111,7 +111,7 @@
             plan,
             volume: VolumeId(operation.volume.ok_or(RequestError::InvalidVolume)?),
             key: block_id(headers)?.map(KeyId),
-            patience,
+            client_timeout: patience,
             units: operation.units.ok_or(RequestError::InvalidUnits)? as f64,
             shard,
             front_count: operation
--- a/src/object/server_client.rs
+++ b/src/object/server_client.rs
@@ -118,7 +118,7 @@
             plan: request.bucket.plan,
             volume: VolumeId(request.bucket.volume),
             key: Some(KeyId(key_hash(request))),
-            patience: patience.as_nanos() as i64,
+            client_timeout: patience.as_nanos() as i64,
             units: server_request.units.clamp(1.0, self.max_units),
             shard: server_request.shard,
             front_count: request.bucket.front_count,
--- a/src/telemetry/trace/events.rs
+++ b/src/telemetry/trace/events.rs
@@ -201,7 +201,7 @@
         volume: format!("{:x}", request.volume.0),
         units: request.units,
         shard: request.shard.map_or(ANY_SHARD, |shard| i64::from(shard.0)),
-        patience_ms: milliseconds(request.patience),
+        patience_ms: milliseconds(request.client_timeout),
         front_count: request.front_count,
     }
 }
