--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -118,7 +118,7 @@
     /// The least fraction of its full capacity that a starting chunk server has.
     pub warmup_floor: f64,
     /// The multiple of its present capacity that a starting chunk server bears.
-    pub tip_multiple: f64,
+    pub overload_factor: f64,
     /// The span over which a starting chunk server must not be overloaded.
     pub overload_span: Nanos,
     /// How long a key rests after an attempt that may still be executed.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -46,7 +46,7 @@
 //!     poll_interval: 10_000 * ms,
 //!     warmup_duration: 13_000 * ms,
 //!     warmup_floor: 0.25,
-//!     tip_multiple: 3.0,
+//!     overload_factor: 3.0,
 //!     overload_span: 1000 * ms,
 //!     order_settle_time: 0,
 //!     retry_budget: None,
--- a/crates/core/src/policy/slow_start.rs
+++ b/crates/core/src/policy/slow_start.rs
@@ -234,7 +234,7 @@
     /// Adds to the budgets of the servers that are warming up what accrued since the last tick.
     pub fn accrue(&self, now: Nanos, elapsed: Nanos, settings: &Settings, nodes: &mut NodeTable) {
         let elapsed_seconds = elapsed as f64 / SECOND as f64;
-        let peak_factor = self.factor * settings.tip_multiple;
+        let peak_factor = self.factor * settings.overload_factor;
         let max_budget = settings.mean_units * BUDGET_MAX_MEAN_REQUESTS;
         nodes.for_each_active(|_, node| {
             let slow_start = &mut node.slow_start;
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -63,7 +63,7 @@
         poll_interval: 10 * S,
         warmup_duration: 10 * S,
         warmup_floor: 0.25,
-        tip_multiple: 3.0,
+        overload_factor: 3.0,
         overload_span: S,
         order_settle_time: 50 * MS,
         retry_budget: Some(RetryBudget {
--- a/crates/core/tests/hundred_fronts.rs
+++ b/crates/core/tests/hundred_fronts.rs
@@ -116,7 +116,7 @@
             return;
         }
         let age = age as f64 / self.settings.warmup_duration as f64;
-        let bearable = self.settings.tip_multiple * (0.2 + 0.8 * age) * Self::CAPACITY;
+        let bearable = self.settings.overload_factor * (0.2 + 0.8 * age) * Self::CAPACITY;
         let recent_units = self.recent_sends.len() as f64 * Self::UNITS_PER_REQUEST;
         assert!(
             recent_units <= bearable,
--- a/crates/core/tests/invariants.rs
+++ b/crates/core/tests/invariants.rs
@@ -494,7 +494,7 @@
         // the server has shown.
         let even =
             self.settings.warmup_units * (1.0 + 3.0 * age) / f64::from(self.settings.front_count);
-        let shown = self.settings.tip_multiple * (0.25 + 0.75 * age) * self.served[at].peak;
+        let shown = self.settings.overload_factor * (0.25 + 0.75 * age) * self.served[at].peak;
         // The largest request is an allowance for chance.
         let most = even + shown + self.settings.max_units;
         assert!(
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -20,7 +20,7 @@
     settings.warmup_floor = 0.18;
     settings.warmup_duration = 17 * S;
     settings.overload_span = 2 * S;
-    settings.tip_multiple = 2.0;
+    settings.overload_factor = 2.0;
     settings.mean_units = 2.0;
     // What any starting server of the site bears, by the slowest machines.
     settings.warmup_units = 11.0;
@@ -31,7 +31,7 @@
 fn bearable_requests(settings: &Settings, age: Nanos) -> f64 {
     let progress = (age as f64 / settings.warmup_duration as f64).min(1.0);
     let warm_fraction = settings.warmup_floor + (1.0 - settings.warmup_floor) * progress;
-    settings.tip_multiple * warm_fraction * FULL_CAPACITY * settings.overload_span as f64
+    settings.overload_factor * warm_fraction * FULL_CAPACITY * settings.overload_span as f64
         / 1e9
         / settings.mean_units
 }
@@ -106,7 +106,7 @@
                 load.requests += 1;
                 recent.push_back(now);
                 let bearable = bearable_requests(&settings, now - started_at);
-                let rate = bearable / settings.tip_multiple / settings.overload_span as f64;
+                let rate = bearable / settings.overload_factor / settings.overload_span as f64;
                 idle_at = idle_at.max(now) + (1.0 / rate) as Nanos;
                 answered_at = answered_at.max(idle_at);
             }
@@ -255,7 +255,7 @@
 
     fn check_overload(&self) {
         let age = (self.fleet.now - Self::STARTED_AT) as f64 / self.settings.warmup_duration as f64;
-        let bearable = self.settings.tip_multiple * (0.2 + 0.8 * age) * Self::CAPACITY;
+        let bearable = self.settings.overload_factor * (0.2 + 0.8 * age) * Self::CAPACITY;
         let since_start = self
             .recent
             .iter()
--- a/crates/model-checker/src/configs/settings.rs
+++ b/crates/model-checker/src/configs/settings.rs
@@ -31,7 +31,7 @@
         poll_interval: 10_000 * MS,
         warmup_duration: 10_000 * MS,
         warmup_floor: 0.25,
-        tip_multiple: 3.0,
+        overload_factor: 3.0,
         overload_span: 1000 * MS,
         order_settle_time: 0,
         retry_budget: None,
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -42,7 +42,7 @@
         poll_interval: number(rules, "AskEvery")? as Nanos,
         warmup_duration: number(rules, "Cold")? as Nanos,
         warmup_floor: number(rules, "ColdFrom")?,
-        tip_multiple: number(rules, "TipMultiple")?,
+        overload_factor: number(rules, "TipMultiple")?,
         overload_span: number(rules, "Fall")? as Nanos,
         order_settle_time: number(rules, "OrderSettle")? as Nanos,
         retry_budget,
