--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -99,7 +99,7 @@
     /// The value of units beyond the fair share, as a fraction of the full value.
     pub idle_value: f64,
     /// The period of the usage meter; 0 is no meter.
-    pub use_period: Nanos,
+    pub usage_report_interval: Nanos,
     /// The most attempts of a request.
     pub max_attempts: u32,
     /// Whether two attempts of a request may be in flight.
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -54,7 +54,7 @@
         max_units: 8.0,
         fair_share_value: 0.4,
         idle_value: 0.05,
-        use_period: 0,
+        usage_report_interval: 0,
         max_attempts: 3,
         hedging: false,
         cancellation: true,
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -31,7 +31,7 @@
         max_units: number(family, "MostUnits")?,
         fair_share_value: number(family, "FairWorth")?,
         idle_value: number(family, "IdleWorth")?,
-        use_period: number(family, "UsePeriod")? as Nanos,
+        usage_report_interval: number(family, "UsePeriod")? as Nanos,
         max_attempts: number(limits, "MostTries")? as u32,
         hedging: boolean(limits, "SecondCopies")?,
         cancellation: boolean(limits, "Cancelling")?,
