--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -59,11 +59,11 @@
     /// The reserve in units per second.
     pub reserve_rate: f64,
     /// The units per second for which a volume is sized.
-    pub nominal: f64,
+    pub nominal_rate: f64,
     /// The weight in shares beyond the reserve.
     pub weight: f64,
     /// A factor on the value.
-    pub price: f64,
+    pub value_factor: f64,
 }
 
 /// A budget for retries.
--- a/crates/core/src/policy/value.rs
+++ b/crates/core/src/policy/value.rs
@@ -104,9 +104,9 @@
     }
 
     fn full_value_per_work(&self, request: &Request) -> f64 {
-        let price = self.settings.plans[request.plan].price;
+        let value_factor = self.settings.plans[request.plan].value_factor;
         let unit_cost = self.learned_cost.unit_cost(request.class);
-        self.class(request).priority_weight * price / unit_cost.max(UNIT_COST_MIN)
+        self.class(request).priority_weight * value_factor / unit_cost.max(UNIT_COST_MIN)
     }
 
     fn class(&self, request: &Request) -> &Class {
--- a/crates/core/src/policy/volume_limits.rs
+++ b/crates/core/src/policy/volume_limits.rs
@@ -189,7 +189,7 @@
     let rates = settings
         .plans
         .iter()
-        .map(|plan| plan.nominal / plan.weight.max(PLAN_WEIGHT_MIN));
+        .map(|plan| plan.nominal_rate / plan.weight.max(PLAN_WEIGHT_MIN));
     let min_rate = rates
         .filter(|rate| *rate > 0.0)
         .fold(f64::INFINITY, f64::min);
--- a/crates/core/src/state/settings_check.rs
+++ b/crates/core/src/state/settings_check.rs
@@ -52,7 +52,7 @@
         plan.limit_burst,
         plan.reserve_rate,
         plan.weight,
-        plan.price,
+        plan.value_factor,
     ];
     values.into_iter().all(is_non_negative)
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -29,9 +29,9 @@
         limit_rate,
         limit_burst: limit_rate * 2.0,
         reserve_rate,
-        nominal: 10.0,
+        nominal_rate: 10.0,
         weight: 1.0,
-        price: 1.0,
+        value_factor: 1.0,
     }
 }
 
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -59,7 +59,7 @@
     fn new(seed: u64) -> Simulation {
         let mut set = settings();
         set.front_count = FRONTS as u32;
-        set.plans[0].nominal = 100.0;
+        set.plans[0].nominal_rate = 100.0;
         let fronts: Vec<TestFront> = (0..FRONTS)
             .map(|i| TestFront::seeded(set.clone(), NODES, seed * 1000 + i as u64))
             .collect();
--- a/crates/model-checker/src/configs/settings.rs
+++ b/crates/model-checker/src/configs/settings.rs
@@ -66,8 +66,8 @@
         limit_rate: 0.0,
         limit_burst: 0.0,
         reserve_rate: 50.0,
-        nominal: 10.0,
+        nominal_rate: 10.0,
         weight: 1.0,
-        price: 1.0,
+        value_factor: 1.0,
     }
 }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -112,8 +112,8 @@
         limit_rate: number(entry, "CeilingRate")?,
         limit_burst: number(entry, "LimitBurst")?,
         reserve_rate: number(entry, "FloorRate")?,
-        nominal: number(entry, "Nominal")?,
+        nominal_rate: number(entry, "Nominal")?,
         weight: number(entry, "Parts")?,
-        price: number(entry, "Pays")?,
+        value_factor: number(entry, "Pays")?,
     })
 }
