--- a/crates/core/src/policy/scheduler/events.rs
+++ b/crates/core/src/policy/scheduler/events.rs
@@ -2,7 +2,8 @@
 
 use super::Scheduler;
 use crate::interface::{
-    Action, Event, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, Semantics, UpdateScope,
+    Action, Event, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, RuntimeCommand, Semantics,
+    UpdateScope,
 };
 use crate::mutations::{mutated, Mutation};
 use crate::policy::admission::{AdmissionControl, AdmissionDecision};
@@ -304,10 +305,10 @@
             return;
         };
         if node.record_outcome(self.now, end.outcome, sent.sent_at()) {
-            actions.push(Action::Log {
+            actions.push(Action::Runtime(RuntimeCommand::Log {
                 text: "node answers again",
                 node: end.node,
-            });
+            }));
         }
     }
 
@@ -324,12 +325,12 @@
     }
 
     fn on_tick(&mut self, actions: &mut Vec<Action>) {
-        actions.push(Action::SetTimer {
+        actions.push(Action::Runtime(RuntimeCommand::SetTimer {
             after: TICK_INTERVAL,
             cookie: TICK_COOKIE,
-        });
+        }));
         if self.subscription.take_due(self.now) {
-            actions.push(Action::Subscribe);
+            actions.push(Action::Runtime(RuntimeCommand::Subscribe));
         }
         self.count_overdue();
         let elapsed = self.nodes.start_tick(self.now);
@@ -371,10 +372,10 @@
         let window = self.settings.overload_window();
         self.nodes.for_each_active(|id, node| {
             if node.detect_silence(now) {
-                actions.push(Action::Log {
+                actions.push(Action::Runtime(RuntimeCommand::Log {
                     text: "node is silent",
                     node: id,
-                });
+                }));
             }
             node.end_period(now);
             node.slow_start.expire(now, window);
@@ -391,6 +392,7 @@
         self.retry_history.expire_retries(self.now, retry_window);
         let referenced = self.requests.possible_executors();
         let removed = self.nodes.forget_removed(&referenced);
-        actions.extend(removed.into_iter().map(Action::ForgetNode));
+        let forgotten = removed.into_iter().map(RuntimeCommand::ForgetNode);
+        actions.extend(forgotten.map(Action::Runtime));
     }
 }
--- a/crates/core/src/policy/scheduler/mod.rs
+++ b/crates/core/src/policy/scheduler/mod.rs
@@ -25,6 +25,7 @@
 use crate::interface::{
     Class, FleetUpdate, Nanos, Request, RequestId, Settings, SettingsError, SharedLimit,
 };
+use crate::settings_reload::ReplacedEntry;
 use crate::state::{RateLimit, RequestTable};
 
 /// The decision module of one front: it takes events and returns actions. See the crate's
@@ -93,8 +94,8 @@
     }
 
     /// Applies reloaded settings. Classes and plans keep their numbers, as a
-    /// [`VersionedTable`](crate::settings_reload::VersionedTable) assigns them; `carried` pairs a
-    /// class with the older one that it replaces, whose learned values it takes. Requests under way
+    /// [`VersionedTable`](crate::settings_reload::VersionedTable) assigns them; a class in
+    /// `replaced` takes the learned values of the older one that it replaces. Requests under way
     /// keep their class and the number of attempts they were allowed.
     ///
     /// # Errors
@@ -103,7 +104,7 @@
     pub fn apply_settings(
         &mut self,
         settings: Settings,
-        carried: &[(usize, usize)],
+        replaced: &[ReplacedEntry],
     ) -> Result<(), SettingsError> {
         settings.check()?;
         let keeps_classes = settings.classes.len() >= self.settings.classes.len();
@@ -115,12 +116,12 @@
         self.learned_cost.resize(classes);
         self.client_patience
             .resize(classes, ClientPatience::default());
-        for &(new, old) in carried
-            .iter()
-            .filter(|(new, old)| *new < classes && *old < classes)
-        {
-            self.learned_cost.copy_class(old, new);
-            self.client_patience[new] = self.client_patience[old].clone();
+        for &ReplacedEntry { index, previous } in replaced {
+            if index >= classes || previous >= classes {
+                continue;
+            }
+            self.learned_cost.copy_class(previous, index);
+            self.client_patience[index] = self.client_patience[previous].clone();
         }
         self.settings = settings;
         Ok(())
--- a/crates/model-checker/src/request_model/state/exchange.rs
+++ b/crates/model-checker/src/request_model/state/exchange.rs
@@ -30,7 +30,7 @@
         self.run_attempt(model, key, AttemptStep::AcquireConnection);
     }
 
-    /// Passes an event to the machine of an attempt and does what it asks for.
+    /// Passes an event to the machine of an attempt and carries out what it requests.
     pub(super) fn drive_attempt(
         &mut self,
         model: &RequestModel,
@@ -44,7 +44,7 @@
         self.run_attempt(model, key, next);
     }
 
-    /// Does what the machine of an attempt asks for, until it has to wait.
+    /// Carries out what the machine of an attempt requests, until it has to wait.
     fn run_attempt(&mut self, model: &RequestModel, key: AttemptKey, mut next: AttemptStep) {
         loop {
             match next {
@@ -67,18 +67,18 @@
         let connections = &self.connections;
         let is_reusable =
             |id: &ConnectionId| connections.get(id).is_some_and(Connection::is_reusable);
-        let (found, unusable) = self.pool.take(node, self.now, is_reusable);
-        for id in unusable {
+        let taken = self.pool.take(node, self.now, is_reusable);
+        for id in taken.unusable {
             self.close(id);
         }
-        let event = match found {
+        let event = match taken.reusable {
             Some(_) => AttemptEvent::PooledConnectionFound,
             None => AttemptEvent::NoPooledConnection {
                 may_open: self.ensure_capacity(node),
             },
         };
         let attempt = self.attempts.get_mut(&key)?;
-        attempt.set_connection(found);
+        attempt.set_connection(taken.reusable);
         Some(attempt.on(event))
     }
 
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -72,7 +72,7 @@
 
 impl Fleet {
     /// A fleet in which every front demands units of every volume.
-    fn new(fronts: PeerId, volumes: u64) -> Result<Fleet, EnvelopeError> {
+    fn new(fronts: u16, volumes: u64) -> Result<Fleet, EnvelopeError> {
         let codec = EnvelopeCodec::new(KEY)?;
         let coordinator = |front: PeerId| {
             let config = LimitsConfig::new(front, fronts, 1);
--- a/src/frontend/connection_table.rs
+++ b/src/frontend/connection_table.rs
@@ -9,7 +9,7 @@
 
 use tokio::time::Instant;
 use tulipbridge_core::client_connection::Phase;
-use tulipbridge_core::connection_limiter::{Accept, ConnectionLimiter};
+use tulipbridge_core::connection_limiter::{Accept, ConnectionLimiter, EvictionAttempt};
 
 use super::client_state::ClientState;
 use super::clock::ListenerClock;
@@ -87,7 +87,7 @@
     }
 
     /// The next step before one more connection is accepted: see [`ConnectionLimiter::accept`].
-    pub(super) fn next_step(&self, previous: Option<(Accept, bool)>) -> Accept {
+    pub(super) fn next_step(&self, previous: Option<EvictionAttempt>) -> Accept {
         self.limiter.accept(self.len(), previous)
     }
 
--- a/src/frontend/platform/request_tables.rs
+++ b/src/frontend/platform/request_tables.rs
@@ -2,7 +2,7 @@
 //! knows them by.
 
 use hyper::Method;
-use tulipbridge_core::settings_reload::VersionedTable;
+use tulipbridge_core::settings_reload::{NamedValue, ReplacedEntry, VersionedTable};
 use tulipbridge_core::{Class, Plan, Settings};
 
 use crate::config::Config;
@@ -49,8 +49,8 @@
 pub struct ReloadedSettings {
     /// The new settings.
     pub settings: Settings,
-    /// Pairs of a new class and the old one that it replaces.
-    pub replaced_classes: Vec<(usize, usize)>,
+    /// The classes that replace an older version.
+    pub replaced_classes: Vec<ReplacedEntry>,
 }
 
 impl RequestTables {
@@ -135,7 +135,7 @@
 }
 
 /// The classes of a configuration by their names, in its order.
-fn class_entries(config: &Config) -> Vec<(String, RequestClass)> {
+fn class_entries(config: &Config) -> Vec<NamedValue<RequestClass>> {
     let classes = config
         .settings
         .classes
@@ -143,15 +143,18 @@
         .cloned()
         .zip(config.class_writes.iter().copied());
     let classes = classes.map(|(class, writes)| RequestClass { class, writes });
-    config.classes.iter().cloned().zip(classes).collect()
+    named_values(&config.classes, classes)
 }
 
 /// The plans of a configuration by their names, in its order.
-fn plan_entries(config: &Config) -> Vec<(String, Plan)> {
-    config
-        .plans
-        .iter()
-        .cloned()
-        .zip(config.settings.plans.iter().cloned())
+fn plan_entries(config: &Config) -> Vec<NamedValue<Plan>> {
+    named_values(&config.plans, config.settings.plans.iter().cloned())
+}
+
+/// Values by their names, in the order of both.
+fn named_values<T>(names: &[String], values: impl Iterator<Item = T>) -> Vec<NamedValue<T>> {
+    let named = names.iter().cloned().zip(values);
+    named
+        .map(|(name, value)| NamedValue { name, value })
         .collect()
 }
