--- a/crates/membership/tests/gossip.rs
+++ b/crates/membership/tests/gossip.rs
@@ -268,22 +268,10 @@
     }
 }
 
-#[test]
-fn deltas_that_break_a_rule_are_rejected_with_the_cause() {
-    let mut fronts = three_fronts();
-    rounds(&mut fronts, 0..3, &[]);
-    for id in 0..MAX_ENTRIES as u64 {
-        fronts[0]
-            .put(0, EntryKey { kind: 2, id }, Some(b"x"))
-            .expect("it fits");
-    }
-    let nothing_known = KnownVersion {
-        origin: PeerId(1),
-        incarnation: Incarnation(101),
-        version: 0,
-    };
+/// Deltas that break a rule, each with the cause of its rejection.
+fn broken_deltas() -> Vec<(Delta, GossipError)> {
     let too_long = vec![0; MAX_VALUE_BYTES + 1];
-    for (delta, cause) in [
+    vec![
         (
             delta(PeerId(1), Incarnation(101), 0, 1, vec![entry(1, &too_long)]),
             GossipError::OutOfBounds,
@@ -318,7 +306,24 @@
             delta(PeerId(9), Incarnation(100), 0, 1, vec![entry(1, b"a")]),
             GossipError::UnknownOrigin,
         ),
-    ] {
+    ]
+}
+
+#[test]
+fn deltas_that_break_a_rule_are_rejected_with_the_cause() {
+    let mut fronts = three_fronts();
+    rounds(&mut fronts, 0..3, &[]);
+    for id in 0..MAX_ENTRIES as u64 {
+        fronts[0]
+            .put(0, EntryKey { kind: 2, id }, Some(b"x"))
+            .expect("it fits");
+    }
+    let nothing_known = KnownVersion {
+        origin: PeerId(1),
+        incarnation: Incarnation(101),
+        version: 0,
+    };
+    for (delta, cause) in broken_deltas() {
         let message = GossipMessage {
             echo: Some(echo(100)),
             deltas: vec![delta],
