--- a/crates/fleet-limits/src/coordinator/status.rs
+++ b/crates/fleet-limits/src/coordinator/status.rs
@@ -1,4 +1,6 @@
-//! Queries on the state of this front and of its peers.
+//! Queries on the state of this front and of its peers, for operators and model checkers.
+
+use std::hash::{Hash, Hasher};
 
 use tulipbridge_membership::MembershipTable;
 
@@ -42,12 +44,12 @@
 
     /// Whether every front is known to have adopted the roster.
     pub fn is_settled(&self) -> bool {
-        self.settled.len() == usize::from(self.config.fronts)
+        self.adoption.is_settled(&self.config)
     }
 
     /// Whether the front counts as just started, so that it uses nothing of its own yet.
     pub fn is_starting(&self, now: Nanos) -> bool {
-        now < self.quiet_until
+        self.adoption.is_starting(now)
     }
 
     /// Whether another process or another roster takes precedence, so that this front uses nothing.
@@ -58,8 +60,12 @@
     /// Whether another roster of the same revision takes precedence over this front's, so that it
     /// uses nothing.
     pub fn yields_to_roster(&self, now: Nanos) -> bool {
-        self.yields_at
-            .is_some_and(|at| now < at + self.lease_span())
+        self.adoption.is_preceded(now, &self.config)
+    }
+
+    /// Homes of the lease issuers that this front holds now.
+    pub fn issuers_held(&self, now: Nanos) -> Vec<PeerId> {
+        self.claims.held(now, &self.config).collect()
     }
 
     /// What this front knows about a peer.
@@ -67,7 +73,7 @@
     /// # Panics
     /// Where the roster has no such front.
     pub fn peer_report(&self, now: Nanos, peer: PeerId) -> PeerReport {
-        let leases = &self.peers[peer.index()];
+        let leases = self.peers.get(peer).leases();
         PeerReport {
             status: self.members.status(now, peer),
             incarnation: self.members.incarnation_of(peer),
@@ -78,4 +84,17 @@
             leased: leases.largest_held_share(now),
         }
     }
+
+    /// Hashes everything on which later decisions depend, with times relative to `now`. A model
+    /// checker treats states with equal fingerprints as equal.
+    pub fn fingerprint<H: Hasher>(&self, now: Nanos, hasher: &mut H) {
+        self.adoption.fingerprint(now, &self.config, hasher);
+        self.members.fingerprint(now, hasher);
+        self.peers.fingerprint(now, hasher);
+        self.votes.fingerprint(now, hasher);
+        self.claims.fingerprint(now, hasher);
+        self.peers.grant_number().hash(hasher);
+        self.reports.fingerprint(now, hasher);
+        self.demand.fingerprint(now, hasher);
+    }
 }
--- a/crates/fleet-limits/src/demand.rs
+++ b/crates/fleet-limits/src/demand.rs
@@ -5,11 +5,11 @@
 
 use tulipbridge_core::Rate;
 
-use crate::{Limit, Nanos};
+use crate::{Demand, Limit, Nanos};
 
 /// Time constant of the exponential moving average, in nanoseconds.
 const AVERAGING_TIME: f64 = 1.5e9;
-/// A limit without demand for this long is dropped.
+/// A limit without demand for this long, in nanoseconds, is dropped.
 const IDLE_TIMEOUT: Nanos = 15_000_000_000;
 /// Thousandths of units in one unit.
 const MILLI_UNITS: f64 = 1e3;
@@ -29,10 +29,11 @@
         is_new
     }
 
-    /// Each known limit with its demand in thousandths of units per second.
-    pub fn rates(&self, now: Nanos) -> impl Iterator<Item = (Limit, u64)> + '_ {
-        self.rates.iter().map(move |(limit, rate)| {
-            (*limit, (rate.now(now, AVERAGING_TIME) * MILLI_UNITS) as u64)
+    /// The demand for each known limit.
+    pub fn demands(&self, now: Nanos) -> impl Iterator<Item = Demand> + '_ {
+        self.rates.iter().map(move |(limit, rate)| Demand {
+            limit: *limit,
+            milli_units_per_second: (rate.now(now, AVERAGING_TIME) * MILLI_UNITS) as u64,
         })
     }
 
--- a/crates/fleet-limits/src/leases.rs
+++ b/crates/fleet-limits/src/leases.rs
@@ -3,21 +3,35 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
+use crate::fingerprint::time_until;
 use crate::mutations::{mutated, Mutation};
-use crate::{Limit, Nanos, PeerId, Share};
+use crate::{Lease, Limit, Nanos, Share, FULL_SHARE};
 
 /// Leased shares of several limits that were granted together and expire together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct LeaseSet {
     /// Sequence number of the grant.
-    pub number: u64,
+    number: u64,
     /// The shares may be used before this time, by this front's clock.
-    pub expires_at: Nanos,
+    expires_at: Nanos,
     /// The leased share of each limit.
-    pub shares: BTreeMap<Limit, Share>,
+    shares: BTreeMap<Limit, Share>,
 }
 
 impl LeaseSet {
+    /// The leases of a grant. None of them is larger than the whole limit, whatever the grantor
+    /// sent.
+    pub fn new(number: u64, expires_at: Nanos, leases: &[Lease]) -> LeaseSet {
+        let shares = leases
+            .iter()
+            .map(|lease| (lease.limit, lease.share.min(FULL_SHARE)));
+        LeaseSet {
+            number,
+            expires_at,
+            shares: shares.collect(),
+        }
+    }
+
     fn is_active(&self, now: Nanos) -> bool {
         now < self.expires_at
     }
@@ -41,20 +55,16 @@
     }
 }
 
-/// What this front knows about one peer, apart from its membership.
+/// The leases between this front and one peer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Peer {
-    /// Homes of the issuers that the peer claimed last and for which this front votes.
-    pub votes_for: Vec<PeerId>,
-    /// The peer's demand for each limit, in thousandths of units per second.
-    pub demands: BTreeMap<Limit, u64>,
+pub(crate) struct PeerLeases {
     /// Leases granted to the peer that it may still use, oldest first.
-    pub granted: Vec<LeaseSet>,
+    granted: Vec<LeaseSet>,
     /// The latest leases from the peer.
-    pub held: LeaseSet,
+    held: LeaseSet,
 }
 
-impl Peer {
+impl PeerLeases {
     /// The largest share of a limit that the peer may be using now by this front's grants.
     ///
     /// The peer uses one grant at a time, and it is unknown which, so that the largest one counts.
@@ -90,6 +100,30 @@
             .unwrap_or(Share::NONE)
     }
 
+    /// Records leases that are granted to the peer now.
+    pub fn record_grant(&mut self, grant: LeaseSet) {
+        self.granted.push(grant);
+    }
+
+    /// Drops grants that the peer no longer uses: those before the one it reports, and those that
+    /// have expired.
+    pub fn release_unused_grants(&mut self, now: Nanos, grant_in_use: Option<u64>) {
+        if let Some(in_use) = grant_in_use {
+            self.granted.retain(|grant| grant.number >= in_use);
+        }
+        self.granted.retain(|grant| grant.is_active(now));
+    }
+
+    /// The number of the grant that the held leases are from.
+    pub fn held_number(&self) -> u64 {
+        self.held.number
+    }
+
+    /// When the held leases expire.
+    pub fn held_expiry(&self) -> Nanos {
+        self.held.expires_at
+    }
+
     /// The share of a limit that this front may use now by leases from the peer.
     pub fn held_share(&self, now: Nanos, limit: Limit) -> Share {
         if !self.held.is_active(now) {
@@ -106,31 +140,12 @@
         self.held.largest_share()
     }
 
-    /// Forgets what an earlier incarnation of the peer said. Leases granted to it stay, since it
-    /// may still use them.
-    pub fn reset_for_new_incarnation(&mut self) {
-        let granted = std::mem::take(&mut self.granted);
-        let held = std::mem::take(&mut self.held);
-        *self = Peer {
-            granted,
-            ..Peer::default()
-        };
-        if mutated(Mutation::LeaseFromPredecessorKept) {
-            self.held = held;
-        }
-    }
-
-    /// Drops grants that the peer no longer uses: those before the one it reports, and those that
-    /// have expired.
-    pub fn release_unused_grants(&mut self, now: Nanos, grant_in_use: Option<u64>) {
-        if let Some(in_use) = grant_in_use {
-            self.granted.retain(|grant| grant.number >= in_use);
-        }
-        self.granted.retain(|grant| grant.is_active(now));
-    }
-
-    /// Replaces the held leases by later ones and returns the limits that are affected.
+    /// Replaces the held leases by those of a later grant and returns the limits that are affected.
+    /// An earlier grant changes nothing.
     pub fn replace_held(&mut self, next: LeaseSet) -> BTreeSet<Limit> {
+        if next.number <= self.held.number {
+            return BTreeSet::new();
+        }
         let mut changed = self.held.limits_changed_by(&next);
         // The same share for a shorter time is a reduction, too.
         if next.expires_at < self.held.expires_at && !mutated(Mutation::ShorterLeaseMissed) {
@@ -140,22 +155,19 @@
         changed
     }
 
+    /// Drops the leases from an earlier incarnation of the peer. Those granted to it stay, since it
+    /// may still use them.
+    pub fn reset_for_new_incarnation(&mut self) {
+        if !mutated(Mutation::LeaseFromPredecessorKept) {
+            self.held = LeaseSet::default();
+        }
+    }
+
     /// Hashes everything on which later decisions depend, with times relative to `now`.
     pub fn fingerprint<H: Hasher>(&self, now: Nanos, hasher: &mut H) {
-        (&self.votes_for, &self.demands).hash(hasher);
         for grant in self.granted.iter().filter(|grant| grant.is_active(now)) {
             grant.fingerprint(now, hasher);
         }
         self.held.fingerprint(now, hasher);
     }
 }
-
-/// The time from `now` until `at` for fingerprints, in which all moments that are not in the future
-/// are alike.
-pub(crate) fn time_until(now: Nanos, at: Nanos) -> Nanos {
-    if at <= now {
-        -1
-    } else {
-        at - now
-    }
-}
--- a/crates/fleet-limits/src/lib.rs
+++ b/crates/fleet-limits/src/lib.rs
@@ -24,15 +24,20 @@
 
 use serde::{Deserialize, Serialize};
 
+mod adoption;
 mod claims;
 mod config;
 mod coordinator;
 mod demand;
 mod event;
+mod fingerprint;
+mod granting;
 mod heartbeat;
 mod leases;
 pub mod mutations;
+mod peers;
 mod share;
+mod share_reports;
 mod votes;
 
 pub use config::{LimitsConfig, LimitsConfigError};
--- a/crates/fleet-limits/src/votes.rs
+++ b/crates/fleet-limits/src/votes.rs
@@ -2,7 +2,7 @@
 
 use std::hash::{Hash, Hasher};
 
-use crate::leases::time_until;
+use crate::fingerprint::time_until;
 use crate::mutations::{mutated, Mutation};
 use crate::{Incarnation, Nanos, PeerId};
 
--- a/crates/outlier-detection/src/attempt_observer.rs
+++ b/crates/outlier-detection/src/attempt_observer.rs
@@ -4,13 +4,13 @@
 
 use crate::{ClassId, Event, Nanos, SampleQuality, ServerId};
 
-/// An answer is slow if it takes longer than this many times the median.
+/// An answer is slow if it takes longer than this many times the estimated median latency.
 const SLOW_FACTOR: i64 = 4;
-/// No answer within this time is slow, whatever the median.
+/// No answer within this time in nanoseconds is slow, whatever the median.
 const MIN_SLOW_LATENCY: Nanos = 20_000_000;
 /// Each answer moves the median estimate by itself divided by this.
 const MEDIAN_STEP_DIVISOR: i64 = 20;
-/// A longer time between two steps means that the front itself was paused.
+/// A longer time in nanoseconds between two steps means that the front itself was paused.
 const PAUSE_THRESHOLD: Nanos = 100_000_000;
 
 /// How an attempt ended.
@@ -38,14 +38,22 @@
     counted: bool,
 }
 
-/// Observes the attempts of one front and classifies them. Attempts are identified by a key of the
-/// front's own.
+/// An attempt of this front.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AttemptId {
+    /// The number of the request, unique during the life of the front.
+    pub request: u64,
+    /// The number of the attempt among those of the request.
+    pub attempt: u32,
+}
+
+/// Observes the attempts of one front and classifies them.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptObserver {
-    pending: BTreeMap<(u64, u32), PendingAttempt>,
+    pending: BTreeMap<AttemptId, PendingAttempt>,
     /// Estimated median latency of answers, by class of work.
     medians: BTreeMap<ClassId, Nanos>,
-    /// Servers whose next repeatable attempt is a probe if it is sent before a time.
+    /// Servers whose next idempotent attempt is a probe if it is sent before this time.
     probes_due: BTreeMap<ServerId, Nanos>,
     last_step_at: Option<Nanos>,
 }
@@ -63,7 +71,7 @@
         }
     }
 
-    /// Makes the next repeatable attempt at a server a probe if it is sent before `until`.
+    /// Makes the next idempotent attempt at a server a probe if it is sent before `until`.
     pub fn probe_next(&mut self, server: ServerId, until: Nanos) {
         self.probes_due.insert(server, until);
     }
@@ -73,16 +81,16 @@
         self.probes_due.remove(&server);
     }
 
-    /// An attempt was sent. `repeatable` says whether the request may be executed more than once.
+    /// An attempt was sent. `idempotent` says whether the request may be executed more than once.
     pub fn attempt_sent(
         &mut self,
         now: Nanos,
-        key: (u64, u32),
+        id: AttemptId,
         server: ServerId,
         class: ClassId,
-        repeatable: bool,
+        idempotent: bool,
     ) {
-        let is_probe = repeatable
+        let is_probe = idempotent
             && self
                 .probes_due
                 .remove(&server)
@@ -94,7 +102,7 @@
             is_probe,
             counted: false,
         };
-        self.pending.insert(key, attempt);
+        self.pending.insert(id, attempt);
     }
 
     /// An attempt has ended. Returns the event for the detector, unless the result is inconclusive
@@ -102,10 +110,10 @@
     pub fn attempt_ended(
         &mut self,
         now: Nanos,
-        key: (u64, u32),
+        id: AttemptId,
         result: AttemptResult,
     ) -> Option<Event> {
-        let attempt = self.pending.remove(&key)?;
+        let attempt = self.pending.remove(&id)?;
         let latency = now - attempt.sent_at;
         let is_slow = self.is_slow(attempt.class, latency);
         if result == AttemptResult::Answered {
@@ -131,14 +139,14 @@
 
     /// Counts the attempts that are overdue as failed, each once, however they will end.
     pub fn take_overdue(&mut self, now: Nanos) -> Vec<Event> {
-        let overdue: Vec<(u64, u32)> = self
+        let overdue: Vec<AttemptId> = self
             .pending
             .iter()
             .filter(|(_, attempt)| self.is_overdue(now, attempt))
-            .map(|(key, _)| *key)
+            .map(|(id, _)| *id)
             .collect();
-        let count = |key| {
-            let attempt = self.pending.get_mut(&key)?;
+        let count = |id| {
+            let attempt = self.pending.get_mut(&id)?;
             attempt.counted = true;
             Some(attempt.event(SampleQuality::Failed))
         };
--- a/crates/outlier-detection/src/config.rs
+++ b/crates/outlier-detection/src/config.rs
@@ -8,6 +8,24 @@
 /// With fewer witnesses, a single front could have a server ejected.
 const MIN_WITNESSES: usize = 2;
 
+const DEFAULT_MIN_ATTEMPTS: f64 = 1.5;
+const DEFAULT_MAX_WEIGHT: f64 = 20.0;
+const DEFAULT_HEALTHY_FAILURE_RATE: f64 = 0.03;
+const DEFAULT_BASELINE_FACTOR: f64 = 1.5;
+const DEFAULT_OUTLIER_FAILURE_RATE: f64 = 0.3;
+const DEFAULT_WITNESS_THRESHOLD: f64 = 1.5;
+/// 100,000 to 1.
+const DEFAULT_EJECTION_THRESHOLD: f64 = 11.5;
+const DEFAULT_HALF_LIFE: Nanos = 5_000 * MILLISECOND;
+const DEFAULT_EVIDENCE_TTL: Nanos = 10_000 * MILLISECOND;
+const DEFAULT_VOTE_TTL: Nanos = 4_000 * MILLISECOND;
+const DEFAULT_VOTE_DELAY: Nanos = 300 * MILLISECOND;
+const DEFAULT_MAX_EJECTED_FRACTION: f64 = 0.5;
+const DEFAULT_PROBE_TURN: Nanos = 500 * MILLISECOND;
+const DEFAULT_PROBES_TO_READMIT: u8 = 8;
+/// In millionths.
+const DEFAULT_CLOCK_DRIFT: u32 = 1_000;
+
 /// Configuration of one front.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DetectorConfig {
@@ -98,21 +116,21 @@
             fronts,
             zone,
             witnesses: MIN_WITNESSES,
-            min_attempts: 1.5,
-            max_weight: 20.0,
-            healthy_failure_rate: 0.03,
-            baseline_factor: 1.5,
-            outlier_failure_rate: 0.3,
-            witness_threshold: 1.5,
-            ejection_threshold: 11.5,
-            half_life: 5_000 * MILLISECOND,
-            evidence_ttl: 10_000 * MILLISECOND,
-            vote_ttl: 4_000 * MILLISECOND,
-            vote_delay: 300 * MILLISECOND,
-            max_ejected_fraction: 0.5,
-            probe_turn: 500 * MILLISECOND,
-            probes_to_readmit: 8,
-            max_clock_drift: 1_000,
+            min_attempts: DEFAULT_MIN_ATTEMPTS,
+            max_weight: DEFAULT_MAX_WEIGHT,
+            healthy_failure_rate: DEFAULT_HEALTHY_FAILURE_RATE,
+            baseline_factor: DEFAULT_BASELINE_FACTOR,
+            outlier_failure_rate: DEFAULT_OUTLIER_FAILURE_RATE,
+            witness_threshold: DEFAULT_WITNESS_THRESHOLD,
+            ejection_threshold: DEFAULT_EJECTION_THRESHOLD,
+            half_life: DEFAULT_HALF_LIFE,
+            evidence_ttl: DEFAULT_EVIDENCE_TTL,
+            vote_ttl: DEFAULT_VOTE_TTL,
+            vote_delay: DEFAULT_VOTE_DELAY,
+            max_ejected_fraction: DEFAULT_MAX_EJECTED_FRACTION,
+            probe_turn: DEFAULT_PROBE_TURN,
+            probes_to_readmit: DEFAULT_PROBES_TO_READMIT,
+            max_clock_drift: DEFAULT_CLOCK_DRIFT,
         }
     }
 
@@ -146,7 +164,8 @@
                 return Err(DetectorConfigError::FractionOutOfRange { name, value });
             }
         }
-        let (healthy, outlier) = (self.healthy_failure_rate, self.outlier_failure_rate);
+        let healthy = self.healthy_failure_rate;
+        let outlier = self.outlier_failure_rate;
         if healthy <= 0.0 || healthy >= outlier {
             return Err(DetectorConfigError::RatesOutOfOrder { healthy, outlier });
         }
--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -5,63 +5,43 @@
 //! fleet vote for. Fronts take turns in probing an ejected server, until enough probes in a row
 //! have succeeded.
 
+mod ballot;
+mod context;
 mod ejections;
-mod evidence_sharing;
+mod evidence_exchange;
 mod outliers;
 mod probes;
 mod reports;
 mod suspects;
-mod voting;
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
-use crate::attempt_counts::AttemptCounts;
-use crate::gossip::{probe_key, ProbeEntry};
+use self::ballot::Ballot;
+use self::context::{EvaluationContext, ServerTable};
+use self::ejections::Ejections;
+use self::evidence_exchange::EvidenceExchange;
+use self::outliers::OutlierTest;
+use self::probes::{recovered_servers, ProbeScheduler};
+use self::suspects::find_suspects;
 use crate::{
-    ClassId, DetectorConfig, DetectorConfigError, Effect, EjectionTarget, Event, Evidence,
-    GossipStore, Nanos, PeerId, SampleQuality, ServerId,
+    ClassId, DetectorConfig, DetectorConfigError, Effect, EjectionTarget, Event, GossipStore,
+    KnownServer, Nanos, PeerId, SampleQuality, ServerId,
 };
 
-use evidence_sharing::SharedEvidence;
-use probes::ProbeState;
-use voting::OwnVote;
-
-/// One front's evidence on a server, as another or the front itself sees it.
-#[derive(Clone, Debug)]
-struct View {
-    front: PeerId,
-    evidence: Evidence,
-    /// Upper bound of the time since the evidence was published.
-    age: Nanos,
-}
-
-/// The evidence of all fronts, by server.
-type Views = BTreeMap<ServerId, Vec<View>>;
-
-/// The age of the latest report of each server that enough probes in a row have succeeded.
-type RecoveryAges = BTreeMap<ServerId, Nanos>;
-
 /// One front's side of the outlier detection of the whole fleet.
+///
+/// It consists of parts that know nothing of each other: the exchange of evidence, the votes, the
+/// ejections and the probes. [`OutlierDetector::on`] passes on to each what it needs of the others.
 #[derive(Clone, Debug)]
 pub struct OutlierDetector {
     config: DetectorConfig,
-    /// The known servers, each with whether it is up.
-    servers: BTreeMap<ServerId, bool>,
-    counts: AttemptCounts,
-    /// What this front has published of each server.
-    shared: BTreeMap<ServerId, SharedEvidence>,
-    /// What the evidence proves to be an outlier, and since when.
-    outliers: BTreeMap<EjectionTarget, Nanos>,
-    /// This front's votes, including withdrawn ones that may still count at peers.
-    votes: BTreeMap<EjectionTarget, OwnVote>,
-    /// What a quorum votes for, including what does not concern this front.
-    agreed: BTreeSet<EjectionTarget>,
-    /// What this front has ejected, and since when.
-    ejected: BTreeMap<EjectionTarget, Nanos>,
-    probes: BTreeMap<ServerId, ProbeState>,
-    /// The time of the recovery for which a server's earlier evidence was dropped.
-    cleared: BTreeMap<ServerId, Nanos>,
-    suspect: bool,
+    servers: ServerTable,
+    evidence: EvidenceExchange,
+    ballot: Ballot,
+    ejections: Ejections,
+    probes: ProbeScheduler,
+    /// Whether this front's own evidence was found to be suspect.
+    is_suspect: bool,
 }
 
 impl OutlierDetector {
@@ -72,16 +52,12 @@
     pub fn new(config: DetectorConfig) -> Result<OutlierDetector, DetectorConfigError> {
         config.check()?;
         Ok(OutlierDetector {
-            servers: BTreeMap::new(),
-            counts: AttemptCounts::new(config.half_life),
-            shared: BTreeMap::new(),
-            outliers: BTreeMap::new(),
-            votes: BTreeMap::new(),
-            agreed: BTreeSet::new(),
-            ejected: BTreeMap::new(),
-            probes: BTreeMap::new(),
-            cleared: BTreeMap::new(),
-            suspect: false,
+            servers: ServerTable::default(),
+            evidence: EvidenceExchange::new(config.half_life),
+            ballot: Ballot::default(),
+            ejections: Ejections::default(),
+            probes: ProbeScheduler::default(),
+            is_suspect: false,
             config,
         })
     }
@@ -108,7 +84,7 @@
                 quality,
             } => {
                 self.record_attempt(now, server, class, quality);
-                self.record_probe(server, quality, effects);
+                self.probes.record(server, quality, effects);
             }
             Event::Evaluate => self.evaluate(now, entries, effects),
         }
@@ -121,30 +97,24 @@
 
     /// What this front has ejected.
     pub fn ejected(&self) -> impl Iterator<Item = EjectionTarget> + '_ {
-        self.ejected.keys().copied()
+        self.ejections.targets()
     }
 
     /// Whether this front's evidence contradicts that of most peers, so that it is ignored.
     pub fn is_suspect(&self) -> bool {
-        self.suspect
+        self.is_suspect
     }
 
     /// Whether a recently proven outlier waits for this front's vote: evidence of peers may still
     /// arrive.
     pub fn is_waiting(&self, now: Nanos) -> bool {
-        let has_vote = |target| self.votes.get(target).is_some_and(|vote| vote.active);
-        let is_recent = |since: &Nanos| now - since < 2 * self.config.vote_delay;
-        self.outliers
-            .iter()
-            .any(|(target, since)| is_recent(since) && !has_vote(target))
+        self.ballot.is_waiting(now, self.config.vote_delay)
     }
 
-    fn set_servers(&mut self, servers: Vec<(ServerId, bool)>) {
-        self.servers = servers.into_iter().collect();
-        let known = &self.servers;
-        self.counts
-            .retain_servers(|server| known.contains_key(&server));
-        self.probes.retain(|server, _| known.contains_key(server));
+    fn set_servers(&mut self, servers: Vec<KnownServer>) {
+        self.servers = ServerTable::new(servers);
+        self.evidence.retain_servers(&self.servers);
+        self.probes.retain_servers(&self.servers);
     }
 
     fn record_attempt(
@@ -154,39 +124,55 @@
         class: ClassId,
         quality: SampleQuality,
     ) {
-        if self.servers.contains_key(&server) {
-            self.counts.add(now, server, class, quality);
+        if self.servers.contains(server) {
+            self.evidence.record_attempt(now, server, class, quality);
         }
     }
 
-    fn record_probe(
-        &mut self,
-        server: ServerId,
-        quality: SampleQuality,
-        effects: &mut Vec<Effect>,
-    ) {
-        let probe = self.probes.entry(server).or_default();
-        probe.successes = match quality {
-            SampleQuality::Healthy => probe.successes.saturating_add(1),
-            SampleQuality::Failed => 0,
+    /// One evaluation: from the evidence of all fronts to votes, from votes to ejections, and from
+    /// ejections to probes.
+    fn evaluate(&mut self, now: Nanos, entries: &GossipStore, effects: &mut Vec<Effect>) {
+        let context = EvaluationContext {
+            now,
+            config: &self.config,
+            servers: &self.servers,
+            entries,
         };
-        let entry = ProbeEntry {
-            successes: probe.successes,
+        self.evidence.drop_negligible(now);
+        let recovered = recovered_servers(&context);
+        self.evidence.clear_recovered(&context, &recovered, effects);
+        let collected = self.evidence.collect(&context);
+        self.evidence.publish(&context, &collected, effects);
+
+        let suspects = find_suspects(&self.config, &collected);
+        update_suspect(&mut self.is_suspect, &suspects, self.config.me, effects);
+        let test = OutlierTest {
+            config: &self.config,
+            agreed: self.ejections.agreed(),
         };
-        effects.push(Effect::Put(probe_key(server), Some(entry.encode())));
+        let outliers = test.find_outliers(&collected, &suspects, &recovered);
+        self.ballot.cast(&context, &outliers, effects);
+
+        let votes = self.ballot.count(now, &self.config, entries);
+        let readmitted = self.ejections.update(&context, &votes, &recovered, effects);
+        for target in readmitted {
+            self.probes.forget(target.server);
+        }
+        self.probes
+            .schedule(&context, &votes, &suspects, &self.ejections, effects);
     }
+}
 
-    fn evaluate(&mut self, now: Nanos, entries: &GossipStore, effects: &mut Vec<Effect>) {
-        self.counts.drop_negligible(now);
-        let recovered = self.recovered(now, entries);
-        self.clear_recovered(now, &recovered, effects);
-        let views = self.views(now, entries);
-        self.share_evidence(now, &views, effects);
-        let suspects = self.suspects(&views);
-        self.update_suspect(&suspects, effects);
-        let outliers = self.find_outliers(&views, &suspects, &recovered);
-        self.cast_votes(now, &outliers, effects);
-        self.update_ejections(now, entries, &recovered, effects);
-        self.schedule_probes(now, entries, &suspects, effects);
+/// Reports whether the front `me` has become suspect or is so no more.
+fn update_suspect(
+    was_suspect: &mut bool,
+    suspects: &BTreeSet<PeerId>,
+    me: PeerId,
+    effects: &mut Vec<Effect>,
+) {
+    let is_suspect = suspects.contains(&me);
+    if *was_suspect != is_suspect {
+        *was_suspect = is_suspect;
+        effects.push(Effect::Suspect(is_suspect));
     }
 }
--- a/crates/outlier-detection/src/detector/ejections.rs
+++ b/crates/outlier-detection/src/detector/ejections.rs
@@ -1,64 +1,113 @@
 //! Ejection and readmission by a quorum of votes.
 
 use std::collections::btree_map::Entry;
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 
-use super::{OutlierDetector, RecoveryAges};
+use super::ballot::VotesByTarget;
+use super::context::EvaluationContext;
+use super::probes::RecoveryAges;
 use crate::mutations::{mutated, Mutation};
-use crate::{Effect, EjectionTarget, GossipStore, Nanos};
+use crate::{DetectorConfig, Effect, EjectionTarget, Nanos, ServerId};
+
+/// An ejection by this front, ordered by when it began.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Ejection {
+    pub(super) since: Nanos,
+    pub(super) target: EjectionTarget,
+}
+
+/// What a quorum of the fleet votes for, and what this front has ejected accordingly.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Ejections {
+    /// What a quorum votes for, including what does not concern this front.
+    agreed: BTreeSet<EjectionTarget>,
+    /// What this front has ejected, and since when.
+    ejected: BTreeMap<EjectionTarget, Nanos>,
+}
+
+impl Ejections {
+    /// What a quorum voted for at the last update.
+    pub(super) fn agreed(&self) -> &BTreeSet<EjectionTarget> {
+        &self.agreed
+    }
+
+    /// What this front has ejected.
+    pub(super) fn targets(&self) -> impl Iterator<Item = EjectionTarget> + '_ {
+        self.ejected.keys().copied()
+    }
+
+    /// Since when this front has ejected a target, if it has.
+    pub(super) fn ejected_since(&self, target: EjectionTarget) -> Option<Nanos> {
+        self.ejected.get(&target).copied()
+    }
+
+    /// The oldest ejection of each server: a server that is ejected for several scopes is probed
+    /// once at a time.
+    pub(super) fn oldest_by_server(&self) -> BTreeMap<ServerId, Ejection> {
+        let mut oldest: BTreeMap<ServerId, Ejection> = BTreeMap::new();
+        for (target, since) in &self.ejected {
+            let ejection = Ejection {
+                since: *since,
+                target: *target,
+            };
+            let first = oldest.entry(target.server).or_insert(ejection);
+            *first = ejection.min(*first);
+        }
+        oldest
+    }
 
-impl OutlierDetector {
     /// Ejects what a quorum votes for and concerns this front, and readmits what no longer has a
-    /// quorum.
-    pub(super) fn update_ejections(
+    /// quorum. Returns what was readmitted.
+    pub(super) fn update(
         &mut self,
-        now: Nanos,
-        entries: &GossipStore,
+        context: &EvaluationContext,
+        votes: &VotesByTarget,
         recovered: &RecoveryAges,
         effects: &mut Vec<Effect>,
-    ) {
-        self.agreed = self.targets_with_quorum(now, entries);
-        let concerns_us = |target: &EjectionTarget| {
-            let is_up = self.servers.get(&target.server).is_some_and(|up| *up);
-            is_up && target.scope.includes_zone(self.config.zone)
+    ) -> Vec<EjectionTarget> {
+        self.agreed = targets_with_quorum(context.config, votes);
+        let concerns_this_front = |target: &EjectionTarget| {
+            context.servers.is_up(target.server) && target.scope.includes_zone(context.config.zone)
         };
-        let to_eject: BTreeSet<EjectionTarget> =
-            self.agreed.iter().copied().filter(concerns_us).collect();
-        self.readmit_others(&to_eject, recovered, effects);
+        let agreed = self.agreed.iter().copied();
+        let to_eject: BTreeSet<EjectionTarget> = agreed.filter(concerns_this_front).collect();
+        let readmitted = self.readmit_all_but(&to_eject, recovered, effects);
         for target in to_eject {
             if let Entry::Vacant(entry) = self.ejected.entry(target) {
-                entry.insert(now);
+                entry.insert(context.now);
                 effects.push(Effect::Ejected(target));
             }
         }
+        readmitted
     }
 
-    fn targets_with_quorum(&self, now: Nanos, entries: &GossipStore) -> BTreeSet<EjectionTarget> {
-        let quorum = if mutated(Mutation::HalfIsEnough) {
-            usize::from(self.config.fronts).div_ceil(2)
-        } else {
-            self.config.quorum()
-        };
-        let votes = self.all_votes(now, entries);
-        let agreed = votes.iter().filter(|(_, votes)| votes.len() >= quorum);
-        agreed.map(|(target, _)| *target).collect()
-    }
-
-    fn readmit_others(
+    fn readmit_all_but(
         &mut self,
         to_eject: &BTreeSet<EjectionTarget>,
         recovered: &RecoveryAges,
         effects: &mut Vec<Effect>,
-    ) {
-        let ejected = self.ejected.keys().copied();
-        let to_readmit: Vec<EjectionTarget> = ejected
+    ) -> Vec<EjectionTarget> {
+        let to_readmit: Vec<EjectionTarget> = self
+            .targets()
             .filter(|target| !to_eject.contains(target))
             .collect();
-        for target in to_readmit {
-            self.ejected.remove(&target);
-            self.probes.remove(&target.server);
-            let healthy = recovered.contains_key(&target.server);
-            effects.push(Effect::Readmitted { target, healthy });
+        for target in &to_readmit {
+            self.ejected.remove(target);
+            effects.push(Effect::Readmitted {
+                target: *target,
+                healthy: recovered.contains_key(&target.server),
+            });
         }
+        to_readmit
     }
 }
+
+fn targets_with_quorum(config: &DetectorConfig, votes: &VotesByTarget) -> BTreeSet<EjectionTarget> {
+    let quorum = if mutated(Mutation::HalfIsEnough) {
+        usize::from(config.fronts).div_ceil(2)
+    } else {
+        config.quorum()
+    };
+    let agreed = votes.iter().filter(|(_, votes)| votes.len() >= quorum);
+    agreed.map(|(target, _)| *target).collect()
+}
--- a/crates/outlier-detection/src/detector/outliers.rs
+++ b/crates/outlier-detection/src/detector/outliers.rs
@@ -2,10 +2,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{OutlierDetector, RecoveryAges, View, Views};
+use super::evidence_exchange::{EvidenceByServer, FrontEvidence};
+use super::probes::RecoveryAges;
 use crate::evidence::EvidenceSummary;
 use crate::mutations::{mutated, Mutation};
-use crate::{ClassId, EjectionTarget, PeerId, Scope, ServerId, ZoneId};
+use crate::{ClassId, DetectorConfig, EjectionTarget, PeerId, Scope, ServerId, ZoneId};
 
 /// At or below this log-likelihood ratio, evidence says that a server is healthy.
 const HEALTHY_THRESHOLD: f64 = -1.0;
@@ -19,22 +20,30 @@
 /// The log-likelihood ratio of each proven outlier.
 pub(super) type Outliers = BTreeMap<EjectionTarget, f64>;
 
-impl OutlierDetector {
+/// The test whether a server is an outlier.
+pub(super) struct OutlierTest<'a> {
+    pub(super) config: &'a DetectorConfig,
+    /// What a quorum of the fleet votes for already.
+    pub(super) agreed: &'a BTreeSet<EjectionTarget>,
+}
+
+impl OutlierTest<'_> {
     /// The outliers by the evidence of all fronts that are not suspect. Evidence from before a
     /// server recovered is ignored.
     pub(super) fn find_outliers(
         &self,
-        views: &Views,
+        collected: &EvidenceByServer,
         suspects: &BTreeSet<PeerId>,
         recovered: &RecoveryAges,
     ) -> Outliers {
         let mut outliers = Outliers::new();
-        for (server, of_server) in views {
+        for (server, of_server) in collected {
             let recovered_age = recovered.get(server);
-            let is_trusted = |view: &&View| {
-                !suspects.contains(&view.front) && recovered_age.is_none_or(|age| view.age < *age)
+            let is_trusted = |evidence: &&FrontEvidence| {
+                let is_recent = recovered_age.is_none_or(|age| evidence.age < *age);
+                !suspects.contains(&evidence.front) && is_recent
             };
-            let trusted: Vec<&View> = of_server.iter().filter(is_trusted).collect();
+            let trusted: Vec<&FrontEvidence> = of_server.iter().filter(is_trusted).collect();
             for scope in self.outlier_scopes(*server, &trusted) {
                 let target = EjectionTarget {
                     server: *server,
@@ -47,7 +56,7 @@
     }
 
     /// The scopes for which a server is an outlier: [`Scope::All`] alone, or several others.
-    fn outlier_scopes(&self, server: ServerId, trusted: &[&View]) -> BTreeSet<Scope> {
+    fn outlier_scopes(&self, server: ServerId, trusted: &[&FrontEvidence]) -> BTreeSet<Scope> {
         // An ejected server is seen by probes alone, by one front at a time: it stays ejected while
         // those fail.
         let agreed = self
@@ -66,84 +75,86 @@
     }
 
     /// The scopes for which evidence proves a server to be an outlier.
-    fn proven_scopes(&self, views: &[&View]) -> Vec<Scope> {
-        let classes = classes_of(views);
+    fn proven_scopes(&self, fronts: &[&FrontEvidence]) -> Vec<Scope> {
+        let classes = classes_of(fronts);
         let is_healthy = |class: &ClassId| {
-            self.total_log_likelihood_ratio(views, Scope::Class(*class)) <= HEALTHY_THRESHOLD
+            self.total_log_likelihood_ratio(fronts, Scope::Class(*class)) <= HEALTHY_THRESHOLD
         };
-        if classes.iter().any(is_healthy) {
-            let threshold = CLASS_THRESHOLD_FACTOR * self.config.ejection_threshold;
-            let scopes = classes.into_iter().map(Scope::Class);
-            return scopes
-                .filter(|scope| self.is_proven(views, *scope, threshold))
-                .collect();
+        if !classes.iter().any(is_healthy) {
+            return self.proven_zones(fronts);
         }
+        let threshold = CLASS_THRESHOLD_FACTOR * self.config.ejection_threshold;
+        let scopes = classes.into_iter().map(Scope::Class);
+        scopes
+            .filter(|scope| self.is_proven(fronts, *scope, threshold))
+            .collect()
+    }
+
+    /// [`Scope::All`], or the zones for which evidence proves a server to be an outlier.
+    fn proven_zones(&self, fronts: &[&FrontEvidence]) -> Vec<Scope> {
         let threshold = self.config.ejection_threshold;
-        let zones: BTreeSet<ZoneId> = views.iter().map(|view| view.evidence.zone).collect();
+        let zones: BTreeSet<ZoneId> = fronts.iter().map(|front| front.evidence.zone).collect();
         let has_half = |zone: &&ZoneId| {
-            self.total_log_likelihood_ratio(views, Scope::Zone(**zone)) >= threshold / 2.0
+            self.total_log_likelihood_ratio(fronts, Scope::Zone(**zone)) >= threshold / 2.0
         };
         let is_fleet_wide =
             zones.iter().filter(has_half).count() >= MIN_ZONES || mutated(Mutation::ZoneIsAll);
-        if is_fleet_wide && self.is_proven(views, Scope::All, threshold) {
+        if is_fleet_wide && self.is_proven(fronts, Scope::All, threshold) {
             return vec![Scope::All];
         }
         let scopes = zones.into_iter().map(Scope::Zone);
         scopes
-            .filter(|scope| self.is_proven(views, *scope, threshold))
+            .filter(|scope| self.is_proven(fronts, *scope, threshold))
             .collect()
     }
 
     /// Whether the evidence for a scope reaches a threshold and has enough witnesses.
-    fn is_proven(&self, views: &[&View], scope: Scope, threshold: f64) -> bool {
-        self.total_log_likelihood_ratio(views, scope) >= threshold
-            && self.is_witnessed(views, scope)
+    fn is_proven(&self, fronts: &[&FrontEvidence], scope: Scope, threshold: f64) -> bool {
+        self.total_log_likelihood_ratio(fronts, scope) >= threshold
+            && self.is_witnessed(fronts, scope)
     }
 
     /// Whether enough fronts have evidence of their own.
-    fn is_witnessed(&self, views: &[&View], scope: Scope) -> bool {
+    fn is_witnessed(&self, fronts: &[&FrontEvidence], scope: Scope) -> bool {
         let needed = if mutated(Mutation::OneWitness) {
             1
         } else {
             self.config.witnesses
         };
-        let is_witness = |view: &&&View| {
-            self.summary(view, scope).log_likelihood_ratio >= self.config.witness_threshold
+        let is_witness = |front: &&&FrontEvidence| {
+            self.summary(front, scope).log_likelihood_ratio >= self.config.witness_threshold
         };
-        views.iter().filter(is_witness).count() >= needed
+        fronts.iter().filter(is_witness).count() >= needed
     }
 
     /// A front's evidence for a scope.
-    fn summary(&self, view: &View, scope: Scope) -> EvidenceSummary {
-        if !scope.includes_zone(view.evidence.zone) {
+    fn summary(&self, front: &FrontEvidence, scope: Scope) -> EvidenceSummary {
+        if !scope.includes_zone(front.evidence.zone) {
             return EvidenceSummary::default();
         }
-        EvidenceSummary::of(&view.evidence, scope.class(), &self.config)
+        EvidenceSummary::of(&front.evidence, scope.class(), self.config)
     }
 
     /// The evidence of all fronts together. Each contributes half of the ejection threshold at
     /// most, so that a front that cannot reach a server and a chance failure at another do not
     /// suffice.
-    fn total_log_likelihood_ratio(&self, views: &[&View], scope: Scope) -> f64 {
+    fn total_log_likelihood_ratio(&self, fronts: &[&FrontEvidence], scope: Scope) -> f64 {
         let max_ratio = if mutated(Mutation::OneFrontSuffices) {
             f64::INFINITY
         } else {
             self.config.ejection_threshold / 2.0
         };
-        views
+        let ratios = fronts
             .iter()
-            .map(|view| {
-                self.summary(view, scope)
-                    .log_likelihood_ratio
-                    .min(max_ratio)
-            })
-            .sum()
+            .map(|front| self.summary(front, scope).log_likelihood_ratio);
+        ratios.map(|ratio| ratio.min(max_ratio)).sum()
     }
 }
 
-fn classes_of(views: &[&View]) -> BTreeSet<ClassId> {
-    views
+/// The classes of work that any front has evidence on.
+fn classes_of(fronts: &[&FrontEvidence]) -> BTreeSet<ClassId> {
+    fronts
         .iter()
-        .flat_map(|view| view.evidence.classes.iter().map(|listed| listed.class))
+        .flat_map(|front| front.evidence.classes.iter().map(|listed| listed.class))
         .collect()
 }
--- a/crates/outlier-detection/src/detector/probes.rs
+++ b/crates/outlier-detection/src/detector/probes.rs
@@ -2,112 +2,124 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{OutlierDetector, RecoveryAges};
-use crate::gossip::ProbeEntry;
+use super::ballot::VotesByTarget;
+use super::context::{EvaluationContext, ServerTable};
+use super::ejections::{Ejection, Ejections};
+use crate::gossip::{probe_key, ProbeEntry};
 use crate::mutations::{mutated, Mutation};
 use crate::target::mix;
-use crate::{Effect, EjectionTarget, GossipStore, Nanos, PeerId, ServerId, Vote, PROBE};
+use crate::{DetectorConfig, Effect, Nanos, PeerId, SampleQuality, ServerId, Vote, PROBE};
 
 /// Fraction of the golden ratio, which spreads small numbers over 32 bits.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9;
 
+/// The age of the latest report of each server that enough probes in a row have succeeded.
+pub(super) type RecoveryAges = BTreeMap<ServerId, Nanos>;
+
 /// This front's probes of a server.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct ProbeState {
-    /// The latest turn in which this front has probed it.
-    turn: Option<Nanos>,
+struct ProbeState {
+    /// The latest turn in which this front has probed it, counted from the ejection.
+    last_turn: Option<Nanos>,
     /// Probes that have succeeded in a row.
-    pub successes: u8,
+    successes: u8,
 }
 
-/// An ejection of a server, ordered by when it began.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Ejection {
-    since: Nanos,
-    target: EjectionTarget,
+/// This front's probes.
+#[derive(Clone, Debug, Default)]
+pub(super) struct ProbeScheduler {
+    probes: BTreeMap<ServerId, ProbeState>,
 }
 
-impl OutlierDetector {
-    /// Servers of which a prober reports that enough probes in a row have succeeded, with the age
-    /// of its report.
-    pub(super) fn recovered(&self, now: Nanos, entries: &GossipStore) -> RecoveryAges {
-        let mut recovered = RecoveryAges::new();
-        for entry in entries.all(now, PROBE) {
-            let server = ServerId(entry.id);
-            let needed = self.config.probes_to_readmit;
-            let is_recovered =
-                ProbeEntry::decode(entry.value).is_some_and(|probes| probes.successes >= needed);
-            if is_recovered && entry.age <= self.config.evidence_ttl {
-                let youngest = recovered.entry(server).or_insert(entry.age);
-                *youngest = entry.age.min(*youngest);
-            }
-        }
-        recovered
+impl ProbeScheduler {
+    /// Drops the probes of servers that the endpoint list no longer has.
+    pub(super) fn retain_servers(&mut self, servers: &ServerTable) {
+        self.probes.retain(|server, _| servers.contains(*server));
+    }
+
+    /// Drops the probes of a server that was readmitted.
+    pub(super) fn forget(&mut self, server: ServerId) {
+        self.probes.remove(&server);
+    }
+
+    /// Counts the result of a probe and publishes how many have succeeded in a row.
+    pub(super) fn record(
+        &mut self,
+        server: ServerId,
+        quality: SampleQuality,
+        effects: &mut Vec<Effect>,
+    ) {
+        let probe = self.probes.entry(server).or_default();
+        probe.successes = match quality {
+            SampleQuality::Healthy => probe.successes.saturating_add(1),
+            SampleQuality::Failed => 0,
+        };
+        let entry = ProbeEntry {
+            successes: probe.successes,
+        };
+        effects.push(Effect::Put(probe_key(server), Some(entry.encode())));
     }
 
     /// Starts the probes that are this front's turn.
-    pub(super) fn schedule_probes(
+    pub(super) fn schedule(
         &mut self,
-        now: Nanos,
-        entries: &GossipStore,
+        context: &EvaluationContext,
+        votes: &VotesByTarget,
         suspects: &BTreeSet<PeerId>,
+        ejections: &Ejections,
         effects: &mut Vec<Effect>,
     ) {
-        let votes = self.all_votes(now, entries);
-        for (server, ejection) in self.oldest_ejections() {
-            let turn = (now - ejection.since) / self.config.probe_turn;
+        for (server, ejection) in ejections.oldest_by_server() {
             let voters = votes.get(&ejection.target).map_or(&[][..], Vec::as_slice);
-            let prober = self.prober(now, voters, suspects, ejection.target, ejection.since);
+            let prober = prober(context.now, context.config, voters, suspects, ejection);
+            let turn = (context.now - ejection.since) / context.config.probe_turn;
             // Nobody probes in the first turn: by the second one, all fronts know the voters.
-            let is_our_turn = turn > 0 && prober == Some(self.config.me);
+            let is_own_turn = turn > 0 && prober == Some(context.config.me);
             let probe = self.probes.entry(server).or_default();
-            if (is_our_turn || mutated(Mutation::AllProbe)) && probe.turn != Some(turn) {
-                probe.turn = Some(turn);
+            if (is_own_turn || mutated(Mutation::AllProbe)) && probe.last_turn != Some(turn) {
+                probe.last_turn = Some(turn);
                 effects.push(Effect::Probe(server));
             }
         }
     }
+}
 
-    /// The oldest ejection of each server: a server that is ejected for several scopes is probed
-    /// once at a time.
-    fn oldest_ejections(&self) -> BTreeMap<ServerId, Ejection> {
-        let mut oldest: BTreeMap<ServerId, Ejection> = BTreeMap::new();
-        for (target, since) in &self.ejected {
-            let ejection = Ejection {
-                since: *since,
-                target: *target,
-            };
-            let first = oldest.entry(target.server).or_insert(ejection);
-            *first = ejection.min(*first);
+/// The servers of which a prober reports that enough probes in a row have succeeded.
+pub(super) fn recovered_servers(context: &EvaluationContext) -> RecoveryAges {
+    let mut recovered = RecoveryAges::new();
+    let needed = context.config.probes_to_readmit;
+    for entry in context.entries.all(context.now, PROBE) {
+        let is_recovered =
+            ProbeEntry::decode(entry.value).is_some_and(|probes| probes.successes >= needed);
+        if is_recovered && entry.age <= context.config.evidence_ttl {
+            let youngest = recovered.entry(ServerId(entry.id)).or_insert(entry.age);
+            *youngest = entry.age.min(*youngest);
         }
-        oldest
     }
+    recovered
+}
 
-    /// The front whose turn it is to probe a target that has been ejected since a time: one of its
-    /// voters that the target concerns and that is not suspect.
-    pub(super) fn prober(
-        &self,
-        now: Nanos,
-        voters: &[Vote],
-        suspects: &BTreeSet<PeerId>,
-        target: EjectionTarget,
-        since: Nanos,
-    ) -> Option<PeerId> {
-        let may_probe =
-            |vote: &&Vote| target.scope.includes_zone(vote.zone) && !suspects.contains(&vote.front);
-        let mut fronts: Vec<PeerId> = voters
-            .iter()
-            .filter(may_probe)
-            .map(|vote| vote.front)
-            .collect();
-        // In another order for each server, so that the probes of several servers are spread over
-        // the fronts.
-        fronts.sort_by_key(|front| {
-            mix(target.server.0 ^ (u64::from(front.0) + 1).wrapping_mul(GOLDEN_RATIO))
-        });
-        // A front has several turns on end, so that enough of its probes can succeed in a row.
-        let turns_on_end = Nanos::from(self.config.probes_to_readmit) + 1;
-        let shift = (now - since) / self.config.probe_turn / turns_on_end;
-        fronts.get(shift as usize % fronts.len().max(1)).copied()
-    }
+/// The front whose turn it is to probe an ejected server: one of the voters for the ejection that
+/// it concerns and that is not suspect.
+pub(super) fn prober(
+    now: Nanos,
+    config: &DetectorConfig,
+    voters: &[Vote],
+    suspects: &BTreeSet<PeerId>,
+    ejection: Ejection,
+) -> Option<PeerId> {
+    let Ejection { since, target } = ejection;
+    let may_probe =
+        |vote: &&Vote| target.scope.includes_zone(vote.zone) && !suspects.contains(&vote.front);
+    let eligible = voters.iter().filter(may_probe);
+    let mut fronts: Vec<PeerId> = eligible.map(|vote| vote.front).collect();
+    // In another order for each server, so that the probes of several servers are spread over the
+    // fronts.
+    fronts.sort_by_key(|front| {
+        mix(target.server.0 ^ (u64::from(front.0) + 1).wrapping_mul(GOLDEN_RATIO))
+    });
+    // A front has several turns on end, so that enough of its probes can succeed in a row.
+    let turns_on_end = Nanos::from(config.probes_to_readmit) + 1;
+    let shift = (now - since) / config.probe_turn / turns_on_end;
+    fronts.get(shift as usize % fronts.len().max(1)).copied()
 }
--- a/crates/outlier-detection/src/detector/reports.rs
+++ b/crates/outlier-detection/src/detector/reports.rs
@@ -2,41 +2,42 @@
 
 use std::collections::BTreeSet;
 
-use super::{OutlierDetector, View, Views};
+use super::ballot::VotesByTarget;
+use super::context::EvaluationContext;
+use super::ejections::Ejection;
+use super::evidence_exchange::{EvidenceByServer, FrontEvidence};
+use super::probes::prober;
+use super::suspects::find_suspects;
+use super::OutlierDetector;
 use crate::evidence::EvidenceSummary;
 use crate::{
-    ClassId, EjectionReport, EjectionTarget, GossipStore, Nanos, Observation, PeerId, ServerId,
+    ClassId, DetectorConfig, EjectionReport, EjectionTarget, GossipStore, Nanos, Observation,
+    PeerId, ServerId,
 };
 
+/// What the reports of one moment are made of.
+struct ReportInputs<'a> {
+    now: Nanos,
+    config: &'a DetectorConfig,
+    collected: EvidenceByServer,
+    suspects: BTreeSet<PeerId>,
+}
+
 impl OutlierDetector {
     /// Explains each target that any front votes for, or that this front has ejected or finds to be
     /// an outlier.
     pub fn reports(&self, now: Nanos, entries: &GossipStore) -> Vec<EjectionReport> {
-        let views = self.views(now, entries);
-        let suspects = self.suspects(&views);
-        let all_votes = self.all_votes(now, entries);
-        let targets: BTreeSet<EjectionTarget> = all_votes
+        let inputs = self.report_inputs(now, entries);
+        let votes = self.ballot.count(now, &self.config, entries);
+        let targets: BTreeSet<EjectionTarget> = votes
             .keys()
-            .chain(self.outliers.keys())
-            .chain(self.ejected.keys())
+            .chain(self.ballot.proven_targets())
             .copied()
+            .chain(self.ejections.targets())
             .collect();
-        let report = |target: EjectionTarget| {
-            let ejected_since = self.ejected.get(&target).copied();
-            let votes = all_votes.get(&target).cloned().unwrap_or_default();
-            EjectionReport {
-                target,
-                ejected_since,
-                observations: self.observations_of(
-                    &views,
-                    &suspects,
-                    target.server,
-                    target.scope.class(),
-                ),
-                prober: ejected_since
-                    .and_then(|since| self.prober(now, &votes, &suspects, target, since)),
-                votes,
-            }
+        let report = |target| {
+            let ejected_since = self.ejections.ejected_since(target);
+            inputs.report(target, ejected_since, &votes)
         };
         targets.into_iter().map(report).collect()
     }
@@ -48,32 +49,61 @@
         entries: &GossipStore,
         server: ServerId,
     ) -> Vec<Observation> {
-        let views = self.views(now, entries);
-        self.observations_of(&views, &self.suspects(&views), server, None)
+        self.report_inputs(now, entries).observations(server, None)
     }
 
-    fn observations_of(
+    fn report_inputs(&self, now: Nanos, entries: &GossipStore) -> ReportInputs<'_> {
+        let context = EvaluationContext {
+            now,
+            config: &self.config,
+            servers: &self.servers,
+            entries,
+        };
+        let collected = self.evidence.collect(&context);
+        let suspects = find_suspects(&self.config, &collected);
+        ReportInputs {
+            now,
+            config: &self.config,
+            collected,
+            suspects,
+        }
+    }
+}
+
+impl ReportInputs<'_> {
+    fn report(
         &self,
-        views: &Views,
-        suspects: &BTreeSet<PeerId>,
-        server: ServerId,
-        class: Option<ClassId>,
-    ) -> Vec<Observation> {
-        let observation = |view: &View| {
-            let summary = EvidenceSummary::of(&view.evidence, class, &self.config);
+        target: EjectionTarget,
+        ejected_since: Option<Nanos>,
+        votes: &VotesByTarget,
+    ) -> EjectionReport {
+        let votes = votes.get(&target).cloned().unwrap_or_default();
+        let prober = ejected_since.and_then(|since| {
+            let ejection = Ejection { since, target };
+            prober(self.now, self.config, &votes, &self.suspects, ejection)
+        });
+        EjectionReport {
+            target,
+            ejected_since,
+            observations: self.observations(target.server, target.scope.class()),
+            prober,
+            votes,
+        }
+    }
+
+    /// The evidence of each front on a server, for one class of work or for all.
+    fn observations(&self, server: ServerId, class: Option<ClassId>) -> Vec<Observation> {
+        let observation = |front: &FrontEvidence| {
+            let summary = EvidenceSummary::of(&front.evidence, class, self.config);
             Observation {
-                front: view.front,
+                front: front.front,
                 attempts: summary.attempts,
                 failures: summary.failures,
-                age: view.age,
-                counts: !suspects.contains(&view.front),
+                age: front.age,
+                counts: !self.suspects.contains(&front.front),
             }
         };
-        views
-            .get(&server)
-            .into_iter()
-            .flatten()
-            .map(observation)
-            .collect()
+        let of_server = self.collected.get(&server).into_iter().flatten();
+        of_server.map(observation).collect()
     }
 }
--- a/crates/outlier-detection/src/detector/suspects.rs
+++ b/crates/outlier-detection/src/detector/suspects.rs
@@ -3,10 +3,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{OutlierDetector, View, Views};
+use super::evidence_exchange::{EvidenceByServer, FrontEvidence};
 use crate::evidence::EvidenceSummary;
 use crate::mutations::{mutated, Mutation};
-use crate::{Effect, PeerId};
+use crate::{DetectorConfig, PeerId};
 
 /// Other fronts with enough evidence on a server that a front is compared with.
 const MIN_COMPARED_FRONTS: usize = 2;
@@ -32,58 +32,50 @@
     }
 }
 
-impl OutlierDetector {
-    /// The fronts that contradict most others on more than half of the servers.
-    pub(super) fn suspects(&self, views: &Views) -> BTreeSet<PeerId> {
-        if mutated(Mutation::SuspectCounts) {
-            return BTreeSet::new();
-        }
-        let mut comparisons: BTreeMap<PeerId, Comparison> = BTreeMap::new();
-        for of_server in views.values() {
-            let opinions = self.opinions(of_server);
-            let outlier_opinions = opinions.iter().filter(|opinion| opinion.is_outlier).count();
-            let others = opinions.len().saturating_sub(1);
-            if others < MIN_COMPARED_FRONTS {
-                continue;
-            }
-            for Opinion { front, is_outlier } in opinions {
-                let others_outlier = outlier_opinions - usize::from(is_outlier);
-                let is_outlier_to_most = 2 * others_outlier > others;
-                let comparison = comparisons.entry(front).or_default();
-                comparison.servers += 1;
-                comparison.contradicted += u32::from(is_outlier != is_outlier_to_most);
-            }
-        }
-        let suspects = comparisons
-            .iter()
-            .filter(|(_, comparison)| comparison.is_suspect());
-        suspects.map(|(front, _)| *front).collect()
+/// The fronts that contradict most others on more than half of the servers.
+pub(super) fn find_suspects(
+    config: &DetectorConfig,
+    collected: &EvidenceByServer,
+) -> BTreeSet<PeerId> {
+    if mutated(Mutation::SuspectCounts) {
+        return BTreeSet::new();
     }
-
-    /// Reports whether this front has become suspect or is so no more.
-    pub(super) fn update_suspect(
-        &mut self,
-        suspects: &BTreeSet<PeerId>,
-        effects: &mut Vec<Effect>,
-    ) {
-        let is_suspect = suspects.contains(&self.config.me);
-        if self.suspect != is_suspect {
-            self.suspect = is_suspect;
-            effects.push(Effect::Suspect(is_suspect));
-        }
+    let mut comparisons: BTreeMap<PeerId, Comparison> = BTreeMap::new();
+    for of_server in collected.values() {
+        compare(opinions(config, of_server), &mut comparisons);
     }
+    let suspects = comparisons
+        .iter()
+        .filter(|(_, comparison)| comparison.is_suspect());
+    suspects.map(|(front, _)| *front).collect()
+}
 
-    /// The opinions of the fronts that have enough evidence on a server.
-    fn opinions(&self, of_server: &[View]) -> Vec<Opinion> {
-        let opinion = |view: &View| {
-            let summary = EvidenceSummary::of(&view.evidence, None, &self.config);
-            let is_outlier = summary.log_likelihood_ratio >= self.config.witness_threshold;
-            let has_enough = summary.attempts >= self.config.min_attempts;
-            has_enough.then_some(Opinion {
-                front: view.front,
-                is_outlier,
-            })
-        };
-        of_server.iter().filter_map(opinion).collect()
+/// Compares each opinion of a server with those of the other fronts, if there are enough.
+fn compare(opinions: Vec<Opinion>, comparisons: &mut BTreeMap<PeerId, Comparison>) {
+    let others = opinions.len().saturating_sub(1);
+    if others < MIN_COMPARED_FRONTS {
+        return;
+    }
+    let outlier_opinions = opinions.iter().filter(|opinion| opinion.is_outlier).count();
+    for Opinion { front, is_outlier } in opinions {
+        let others_outlier = outlier_opinions - usize::from(is_outlier);
+        let is_outlier_to_most = 2 * others_outlier > others;
+        let comparison = comparisons.entry(front).or_default();
+        comparison.servers += 1;
+        comparison.contradicted += u32::from(is_outlier != is_outlier_to_most);
     }
 }
+
+/// The opinions of the fronts that have enough evidence on a server.
+fn opinions(config: &DetectorConfig, of_server: &[FrontEvidence]) -> Vec<Opinion> {
+    let opinion = |front: &FrontEvidence| {
+        let summary = EvidenceSummary::of(&front.evidence, None, config);
+        let is_outlier = summary.log_likelihood_ratio >= config.witness_threshold;
+        let has_enough = summary.attempts >= config.min_attempts;
+        has_enough.then_some(Opinion {
+            front: front.front,
+            is_outlier,
+        })
+    };
+    of_server.iter().filter_map(opinion).collect()
+}
--- a/crates/outlier-detection/src/event.rs
+++ b/crates/outlier-detection/src/event.rs
@@ -2,11 +2,20 @@
 
 use crate::{ClassId, EjectionTarget, EntryKey, SampleQuality, ServerId};
 
+/// A server of the endpoint list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct KnownServer {
+    /// The server.
+    pub id: ServerId,
+    /// Whether the list has it as up.
+    pub is_up: bool,
+}
+
 /// An input of the detector.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The known servers, each with whether the endpoint list has it as up.
-    Servers(Vec<(ServerId, bool)>),
+    /// The endpoint list has changed: all servers that it has now.
+    Servers(Vec<KnownServer>),
     /// An attempt has ended.
     Attempt {
         /// The server that it was sent to.
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -18,10 +18,10 @@
 mod report;
 mod target;
 
-pub use attempt_observer::{AttemptObserver, AttemptResult};
+pub use attempt_observer::{AttemptId, AttemptObserver, AttemptResult};
 pub use config::{DetectorConfig, DetectorConfigError};
 pub use detector::OutlierDetector;
-pub use event::{Effect, Event};
+pub use event::{Effect, Event, KnownServer};
 pub use evidence::{ClassEvidence, Evidence, SampleQuality};
 pub use gossip::{EVIDENCE, PROBE, VOTE};
 pub use ids::{ClassId, ServerId, ZoneId};
--- a/crates/outlier-detection/tests/attempt_observer.rs
+++ b/crates/outlier-detection/tests/attempt_observer.rs
@@ -5,7 +5,10 @@
 const MS: Nanos = 1_000_000;
 const SERVER: ServerId = ServerId(3);
 const CLASS: ClassId = ClassId(1);
-const KEY: (u64, u32) = (7, 0);
+const KEY: AttemptId = AttemptId {
+    request: 7,
+    attempt: 0,
+};
 
 /// What the detector is told of an attempt.
 #[derive(Debug, PartialEq)]
--- a/crates/outlier-detection/tests/detector.rs
+++ b/crates/outlier-detection/tests/detector.rs
@@ -32,7 +32,10 @@
         let config = DetectorConfig::new(me, fronts, zone);
         let mut detector = OutlierDetector::new(config).expect("the configuration is valid");
         let servers = (0..SERVERS)
-            .map(|server| (ServerId(server), true))
+            .map(|server| KnownServer {
+                id: ServerId(server),
+                is_up: true,
+            })
             .collect();
         detector.on(0, &entries, Event::Servers(servers), &mut Vec::new());
         let members = MembershipTable::new(me, fronts, incarnation, FAILURE_TIMEOUT);
--- a/crates/outlier-detection/tests/golden.rs
+++ b/crates/outlier-detection/tests/golden.rs
@@ -250,7 +250,7 @@
     let servers = HEALTHY_SERVERS
         .map(ServerId)
         .chain([SERVER])
-        .map(|server| (server, true))
+        .map(|id| KnownServer { id, is_up: true })
         .collect();
     detector.on(now, &entries, Event::Servers(servers), &mut Vec::new());
     record_attempts(&mut detector, now, &entries, SERVER, 18);
--- a/crates/testbed/src/simulation/outliers.rs
+++ b/crates/testbed/src/simulation/outliers.rs
@@ -13,8 +13,8 @@
 use fastrand::Rng;
 use tulipbridge_membership::{EntryKey, GossipAction, Incarnation, Nanos, PeerId};
 use tulipbridge_outlier_detection::{
-    ClassId, DetectorConfig, Effect, EjectionTarget, Event as DetectorEvent, OutlierDetector,
-    ServerId, ZoneId,
+    ClassId, DetectorConfig, Effect, EjectionTarget, Event as DetectorEvent, KnownServer,
+    OutlierDetector, ServerId, ZoneId,
 };
 
 use self::audit::{VoteAudit, VoteWithoutEvidence};
@@ -140,7 +140,10 @@
         let config = DetectorConfig::new(PeerId::at(front), peer_count, zone_of(front));
         let mut detector = OutlierDetector::new(config).expect("the configuration is valid");
         let servers = (0..SERVERS)
-            .map(|server| (ServerId(server), true))
+            .map(|server| KnownServer {
+                id: ServerId(server),
+                is_up: true,
+            })
             .collect();
         detector.on(
             now,
--- a/src/cluster/ejections/mod.rs
+++ b/src/cluster/ejections/mod.rs
@@ -13,12 +13,12 @@
 
 use tulipbridge_core::request_tracker::Input;
 use tulipbridge_core::{
-    ClassSet, FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, UpdateScope,
+    ClassSet, FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, RequestId, UpdateScope,
 };
 use tulipbridge_membership::{EntryKey, EnvelopeCodec, GossipStore};
 use tulipbridge_outlier_detection::{
-    AttemptObserver, AttemptResult, ClassId, DetectorConfig, DetectorConfigError, Effect,
-    EjectionTarget, Event, OutlierDetector, SampleQuality, Scope, ServerId,
+    AttemptId, AttemptObserver, AttemptResult, ClassId, DetectorConfig, DetectorConfigError,
+    Effect, EjectionTarget, Event, KnownServer, OutlierDetector, SampleQuality, Scope, ServerId,
 };
 
 pub use self::config::EjectionConfig;
@@ -171,32 +171,41 @@
         class: usize,
         idempotent: bool,
     ) {
-        if let (Some(listed), Ok(class)) = (self.nodes.get(&node), u8::try_from(class)) {
-            self.observer.attempt_sent(
-                now,
-                (key.request.0, key.attempt),
-                listed.server,
-                ClassId(class),
-                idempotent,
-            );
-        }
+        let Some(listed) = self.nodes.get(&node) else {
+            return;
+        };
+        let Ok(class) = u8::try_from(class) else {
+            return;
+        };
+        self.observer.attempt_sent(
+            now,
+            attempt_id(key.request, key.attempt),
+            listed.server,
+            ClassId(class),
+            idempotent,
+        );
     }
 
     /// The observation of an attempt's server in an input, if any.
     fn attempt_event(&mut self, now: Nanos, input: &Input) -> Option<Event> {
-        let (attempt, result) = match input {
+        match input {
             Input::AttemptEnded {
                 id,
                 attempt,
                 outcome,
                 ..
-            } => ((id.0, *attempt), attempt_result(*outcome)),
+            } => {
+                let ended = attempt_id(*id, *attempt);
+                self.observer
+                    .attempt_ended(now, ended, attempt_result(*outcome))
+            }
             Input::AttemptTimedOut { id, attempt } | Input::AttemptCancelled { id, attempt } => {
-                ((id.0, *attempt), AttemptResult::Cancelled)
+                let ended = attempt_id(*id, *attempt);
+                self.observer
+                    .attempt_ended(now, ended, AttemptResult::Cancelled)
             }
-            _ => return None,
-        };
-        self.observer.attempt_ended(now, attempt, result)
+            _ => None,
+        }
     }
 
     /// Has the detector evaluate all observations, this front's and those in `gossip`. `module_now`
@@ -228,7 +237,10 @@
             let servers = self
                 .nodes
                 .values()
-                .map(|listed| (listed.server, listed.is_up))
+                .map(|listed| KnownServer {
+                    id: listed.server,
+                    is_up: listed.is_up,
+                })
                 .collect();
             events.push(Event::Servers(servers));
         }
@@ -246,16 +258,16 @@
     ) {
         match effect {
             Effect::Put(key, value) => changes.entries.push(EntryChange { key, value }),
-            Effect::Ejected(target) => log!("verdicts: {} is held out", self.name(target.server)),
+            Effect::Ejected(target) => log!("ejections: {}: ejected", self.name(target.server)),
             Effect::Readmitted { target, healthy } => {
                 self.observer.readmitted(target.server);
                 let reason = if healthy {
-                    "it did well in trials"
+                    "enough probes have succeeded"
                 } else {
-                    "the verdict on it has ended"
+                    "no quorum votes for its ejection"
                 };
                 log!(
-                    "verdicts: {} is held out no more: {reason}",
+                    "ejections: {}: readmitted: {reason}",
                     self.name(target.server)
                 );
             }
@@ -283,9 +295,9 @@
         self.metrics.suspect.set(i64::from(suspect));
         match suspect {
             true => log!(
-                "verdicts: what this front sees contradicts its peers, and counts for nothing: look at its own network"
+                "ejections: this front is suspect: its observations contradict those of its peers and are ignored; check its own network"
             ),
-            false => log!("verdicts: what this front sees agrees with its peers again"),
+            false => log!("ejections: this front is not suspect any more: its observations agree with those of its peers"),
         }
     }
 
@@ -329,6 +341,14 @@
     }
 }
 
+/// An attempt of a request as the observer identifies it.
+fn attempt_id(request: RequestId, attempt: u32) -> AttemptId {
+    AttemptId {
+        request: request.0,
+        attempt,
+    }
+}
+
 /// The result of an attempt with this outcome, as the detector counts it.
 fn attempt_result(outcome: Outcome) -> AttemptResult {
     match outcome {
