--- a/src/cluster/limits/config.rs
+++ b/src/cluster/limits/config.rs
@@ -7,7 +7,7 @@
 use tulipbridge_core::{Outcome, Settings, SharedLimit};
 use tulipbridge_fleet_limits::{Limit, Share};
 
-use super::{fraction, LimitDemand, LimitRate, LimitUpdate};
+use super::{LimitDemand, LimitRate, LimitUpdate};
 use crate::cluster::fields::{self, FieldError};
 
 /// Retries that each request demands in advance, where a failed attempt demands 1: a front with
@@ -19,6 +19,17 @@
 const RETRIES_KEY: &str = "further_attempts";
 const WARMING_UP_KEY: &str = "starting_server";
 const IN_FLIGHT_KEY: &str = "out_at_server";
+/// The label of the limits on the load of servers, which share one share.
+const SERVER_LOAD_LABEL: &str = "servers";
+
+/// A limit with its name for operators.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LabeledLimit {
+    /// The limit.
+    pub limit: Limit,
+    /// Its label in metrics and on the console.
+    pub label: &'static str,
+}
 
 /// The fleet-wide limits of `peers.limits`, beside those of the volumes' plans. Each may be
 /// missing.
@@ -59,15 +70,16 @@
             && stays_configured(self.in_flight.is_some(), other.in_flight.is_some())
     }
 
-    /// The configured limits, each with its label in metrics and on the console.
-    pub fn limits(&self) -> impl Iterator<Item = (Limit, &'static str)> {
-        let retries = self
-            .retries
-            .is_some()
-            .then_some((Limit::Retries, RETRIES_KEY));
-        let server_load = self
-            .limits_server_load()
-            .then_some((Limit::ServerLoad, "servers"));
+    /// The configured limits.
+    pub fn limits(&self) -> impl Iterator<Item = LabeledLimit> {
+        let retries = self.retries.is_some().then_some(LabeledLimit {
+            limit: Limit::Retries,
+            label: RETRIES_KEY,
+        });
+        let server_load = self.limits_server_load().then_some(LabeledLimit {
+            limit: Limit::ServerLoad,
+            label: SERVER_LOAD_LABEL,
+        });
         retries.into_iter().chain(server_load)
     }
 
@@ -138,7 +150,7 @@
 
     fn in_flight_update(&self, share: Share) -> Option<LimitUpdate> {
         let rate = LimitRate {
-            rate: self.in_flight? * fraction(share),
+            rate: self.in_flight? * share.as_fraction(),
             burst: 0.0,
         };
         Some(LimitUpdate {
--- a/src/cluster/limits/mod.rs
+++ b/src/cluster/limits/mod.rs
@@ -7,12 +7,7 @@
 use tulipbridge_core::{Settings, SharedLimit, VolumeId};
 use tulipbridge_fleet_limits::{Limit, Share};
 
-pub use self::config::ConfiguredLimits;
-
-/// A share as a fraction of the whole limit, from 0 to 1.
-pub(super) fn fraction(share: Share) -> f64 {
-    share.as_fraction()
-}
+pub use self::config::{ConfiguredLimits, LabeledLimit};
 
 /// The values of a limit, of the whole fleet or of one front.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -27,7 +22,7 @@
     /// A front's share of the limit. The bucket has room for at least one request of size
     /// `min_burst`, so that a small share is a low rate and not a bound on the size of a request.
     fn scaled(self, share: Share, min_burst: f64) -> LimitRate {
-        let fraction = fraction(share);
+        let fraction = share.as_fraction();
         let burst = if share == Share::NONE {
             0.0
         } else {
@@ -100,7 +95,10 @@
         self.configured = configured;
         configured
             .limits()
-            .flat_map(|(limit, _)| configured.updates(limit, self.share(limit), settings))
+            .flat_map(|configured_limit| {
+                let limit = configured_limit.limit;
+                configured.updates(limit, self.share(limit), settings)
+            })
             .collect()
     }
 
--- a/src/cluster/metrics.rs
+++ b/src/cluster/metrics.rs
@@ -4,10 +4,10 @@
 use tulipbridge_fleet_limits::Share;
 use tulipbridge_membership::{EnvelopeError, GossipError, MessageStatus};
 
-use crate::cluster::limits::fraction;
 use crate::telemetry::metrics::Metrics;
 
 /// The metrics. Names, help texts and labels are what operators' dashboards use.
+#[derive(Clone)]
 pub(super) struct ClusterMetrics {
     messages: IntCounterVec,
     pub(super) alive: IntGauge,
@@ -96,7 +96,9 @@
 
     /// Sets this front's share of a limit, by the limit's label.
     pub(super) fn set_share(&self, limit: &str, share: Share) {
-        self.shares.with_label_values(&[limit]).set(fraction(share));
+        self.shares
+            .with_label_values(&[limit])
+            .set(share.as_fraction());
     }
 
     fn count(&self, result: &str) {
--- a/src/cluster/peers/reload.rs
+++ b/src/cluster/peers/reload.rs
@@ -1,21 +1,19 @@
 //! A new configuration of the peers while the front runs.
 
-use tulipbridge_fleet_limits::{Event, LimitsConfig};
-use tulipbridge_membership::PeerStatus;
+use tulipbridge_core::Nanos;
 
-use super::Peers;
-use crate::cluster::clock;
+use super::state::PeersState;
 use crate::cluster::config::ClusterConfig;
 use crate::cluster::errors::ReloadError;
 
-impl Peers {
+impl PeersState {
     /// Checks whether a new configuration can be applied without a restart.
     ///
     /// # Errors
     /// A change that needs a restart, or an invalid configuration.
-    pub fn check(&self, new: Option<&ClusterConfig>) -> Result<(), ReloadError> {
+    pub(super) fn check(&self, new: Option<&ClusterConfig>) -> Result<(), ReloadError> {
         let new = new.ok_or(ReloadError::PeersRemoved)?;
-        let current = self.config.borrow();
+        let current = &self.config;
         if current.listen != new.listen || current.key_file != new.key_file {
             return Err(ReloadError::SocketOrKeyChanged);
         }
@@ -29,49 +27,35 @@
         Ok(())
     }
 
-    /// Applies a new configuration that [`Peers::check`] has accepted.
-    pub fn reload(&self, new: ClusterConfig) {
-        let limits_config = new.limits_config.clone();
-        *self.logged_status.borrow_mut() = vec![PeerStatus::Unknown; new.roster.members().len()];
-        *self.config.borrow_mut() = new;
-        self.apply_fleet_limits();
-        self.reload_gossip(&limits_config);
-        self.reload_ejections();
-        self.update_limits(Event::Reconfigure(limits_config), None);
-        self.evaluate_ejections();
+    /// Replaces the configuration by one that [`PeersState::check`] has accepted. The parts follow
+    /// in [`PeersState::reconfigure_parts`].
+    pub(super) fn set_config(&mut self, new: ClusterConfig) {
+        self.status_log = self.status_log.restarted(new.roster.members().len());
+        self.config = new;
     }
 
-    fn reload_gossip(&self, limits_config: &LimitsConfig) {
-        let mut gossip = self.gossip.borrow_mut();
+    /// Applies the configuration to gossip and to ejections.
+    pub(super) fn reconfigure_parts(&mut self, now: Nanos) {
+        let new = &self.config.limits_config;
         // Another digest may mean other fronts, or for the same fronts at other positions.
-        if self.coordinator.borrow().config().roster != limits_config.roster {
-            *gossip = gossip.with_roster(limits_config.me, limits_config.fronts, clock::now());
+        if self.coordinator.config().roster != new.roster {
+            self.gossip = self.gossip.with_roster(new.me, new.fronts, now);
         }
-        gossip.set_rate(self.config.borrow().gossip_bytes_per_second);
+        self.gossip.set_rate(self.config.gossip_bytes_per_second);
+        self.reconfigure_ejections();
     }
 
-    fn reload_ejections(&self) {
-        let detector_config = self.config.borrow().detector_config();
-        if let (Some(ejections), Ok(Some(new))) =
-            (self.ejections.borrow_mut().as_mut(), detector_config)
-        {
-            if *ejections.config() != new {
-                // `check` has found the configuration valid.
-                let _ = ejections.reconfigure(new);
-            }
-        }
-    }
-
-    /// Passes the decision module its share of the configured limits: nothing, where this front has
-    /// no share.
-    pub(super) fn apply_fleet_limits(&self) {
-        let configured = self.config.borrow().fleet_limits;
-        let updates = self
-            .exchange
-            .with_settings(|settings| self.limits.borrow_mut().configure(configured, settings));
-        for update in updates {
-            self.exchange
-                .apply_fleet_update(self.fleet_update(update, clock::now()));
+    fn reconfigure_ejections(&mut self) {
+        let Some(ejections) = &mut self.ejections else {
+            return;
+        };
+        // `check` has found the configuration valid, and that ejections stay shared.
+        let Ok(Some(new)) = self.config.detector_config() else {
+            return;
+        };
+        if *ejections.config() != new {
+            let reconfigured = ejections.reconfigure(new);
+            debug_assert!(reconfigured.is_ok(), "the configuration is valid");
         }
     }
 }
--- a/src/cluster/peers/status.rs
+++ b/src/cluster/peers/status.rs
@@ -1,121 +1,169 @@
 //! The status of the peers for operators: log lines about changes, gauges, and JSON for the
 //! console. The keys of the JSON are part of the console's interface.
 
+use std::net::SocketAddr;
+
 use simd_json::{json, OwnedValue as Value};
 use tulipbridge_core::Nanos;
-use tulipbridge_fleet_limits::{Limit, LimitCoordinator, Share};
+use tulipbridge_fleet_limits::{LimitCoordinator, Share};
 use tulipbridge_membership::{Incarnation, PeerId, PeerStatus};
 
-use super::{Peers, VERSION_KEY};
-use crate::cluster::clock::{self, millis};
+use super::state::{PeersState, VERSION_KEY};
+use crate::cluster::clock::millis;
 use crate::cluster::ejections::DisplayNames;
 use crate::cluster::errors::EjectionStatusError;
-use crate::cluster::limits::fraction;
+use crate::cluster::limits::LabeledLimit;
+use crate::cluster::roster::Roster;
 use crate::telemetry::log::log;
 
-impl Peers {
-    /// Logs what has changed since the last call and sets the gauges.
-    pub(super) fn report_status(&self) {
-        let now = clock::now();
-        let coordinator = self.coordinator.borrow();
-        let standby = self.is_standby(&coordinator, now);
-        self.log_peer_changes(&coordinator, now);
-        self.log_standby_change(&coordinator, standby, now);
-        let is_alive =
-            |peer: &PeerId| coordinator.members().status(now, *peer) == PeerStatus::Alive;
-        self.metrics
-            .alive
-            .set(coordinator.members().others().filter(is_alive).count() as i64);
-        self.metrics
-            .issuers_held
-            .set(coordinator.issuers_held(now).len() as i64);
-        self.metrics.standby.set(i64::from(standby));
-        for (limit, share) in self.configured_shares() {
-            self.metrics.set_share(limit, share);
+/// What the log has last said, so that it says each change once.
+pub(super) struct StatusLog {
+    /// The status of each front, by position.
+    peers: Vec<PeerStatus>,
+    is_standby: bool,
+}
+
+impl StatusLog {
+    /// The log of a front that has heard none of its peers.
+    pub(super) fn new(fronts: usize) -> StatusLog {
+        StatusLog {
+            peers: vec![PeerStatus::Unknown; fronts],
+            is_standby: false,
         }
     }
 
-    /// Whether this front uses no fleet-wide limit, because another process has its name or its
-    /// address or because it yields to a conflicting roster.
-    fn is_standby(&self, coordinator: &LimitCoordinator, now: Nanos) -> bool {
-        coordinator.is_standby(now) || !self.socket.is_bound()
+    /// The log for another roster: no front of it has been mentioned.
+    pub(super) fn restarted(&self, fronts: usize) -> StatusLog {
+        StatusLog {
+            is_standby: self.is_standby,
+            ..StatusLog::new(fronts)
+        }
     }
 
-    fn log_peer_changes(&self, coordinator: &LimitCoordinator, now: Nanos) {
-        let config = self.config.borrow();
-        let mut logged_status = self.logged_status.borrow_mut();
+    /// Logs each peer whose status has changed.
+    fn log_peers(&mut self, coordinator: &LimitCoordinator, roster: &Roster, now: Nanos) {
         for peer in coordinator.members().others() {
             let status = coordinator.members().status(now, peer);
-            let previous = std::mem::replace(&mut logged_status[peer.index()], status);
+            let previous = std::mem::replace(&mut self.peers[peer.index()], status);
             if previous != status {
-                log!(
-                    "peers: {} is {}",
-                    config.roster.name(peer),
-                    status_name(status)
-                );
+                log!("peers: {}: {}", roster.name(peer), status_name(status));
             }
         }
     }
 
-    fn log_standby_change(&self, coordinator: &LimitCoordinator, standby: bool, now: Nanos) {
-        if self.was_standby.replace(standby) == standby {
+    /// Logs whether this front has begun or ceased to use no fleet-wide limit.
+    fn log_standby(
+        &mut self,
+        is_standby: bool,
+        coordinator: &LimitCoordinator,
+        roster: &Roster,
+        now: Nanos,
+    ) {
+        if std::mem::replace(&mut self.is_standby, is_standby) == is_standby {
             return;
         }
-        if !standby {
-            log!("peers: this front shares limits again");
+        if !is_standby {
+            log!("peers: standby ended: this front uses its shares of the fleet's limits");
         } else if coordinator.yields_to_roster(now) {
             let revision = coordinator.config().revision;
             log!(
-                "peers: others run with another roster of revision {revision}; this one uses no shared limit"
+                "peers: standby, no share of the fleet's limits: other fronts have another roster of revision {revision}"
             );
         } else {
-            let config = self.config.borrow();
-            let name = config.roster.name(coordinator.config().me);
-            log!(
-                "peers: another process has the name {name}; this one uses no shared limit until it is gone"
-            );
+            let name = roster.name(coordinator.config().me);
+            log!("peers: standby, no share of the fleet's limits: another process has the name {name}");
+        }
+    }
+}
+
+/// This front's share of a configured limit.
+struct ConfiguredShare {
+    /// The limit's label in metrics and on the console.
+    label: &'static str,
+    share: Share,
+}
+
+impl PeersState {
+    /// The interval between two heartbeats in nanoseconds.
+    pub(super) fn heartbeat_interval(&self) -> u64 {
+        self.coordinator.config().heartbeat_interval as u64
+    }
+
+    /// Where this front receives the messages of its peers.
+    pub(super) fn listen_address(&self) -> SocketAddr {
+        self.config.listen
+    }
+
+    /// Logs what has changed since the last call and sets the gauges.
+    pub(super) fn report_status(&mut self, now: Nanos) {
+        let is_standby = self.is_standby(now);
+        let roster = &self.config.roster;
+        self.status_log.log_peers(&self.coordinator, roster, now);
+        self.status_log
+            .log_standby(is_standby, &self.coordinator, roster, now);
+        self.set_gauges(now, is_standby);
+    }
+
+    fn set_gauges(&self, now: Nanos, is_standby: bool) {
+        let members = self.coordinator.members();
+        let is_alive = |peer: &PeerId| members.status(now, *peer) == PeerStatus::Alive;
+        let alive = members.others().filter(is_alive).count();
+        let issuers_held = self.coordinator.issuers_held(now).len();
+        let metrics = &self.parts.metrics;
+        metrics.alive.set(alive as i64);
+        metrics.issuers_held.set(issuers_held as i64);
+        metrics.standby.set(i64::from(is_standby));
+        for configured in self.configured_shares() {
+            metrics.set_share(configured.label, configured.share);
         }
     }
 
-    /// This front's share of each configured limit, by the limit's label.
-    fn configured_shares(&self) -> Vec<(&'static str, Share)> {
-        let limits = self.limits.borrow();
-        let share_of = |(limit, label): (Limit, &'static str)| (label, limits.share(limit));
-        limits.configured().limits().map(share_of).collect()
+    /// Whether this front uses no fleet-wide limit, because another process has its name or its
+    /// address or because it yields to a conflicting roster.
+    fn is_standby(&self, now: Nanos) -> bool {
+        self.coordinator.is_standby(now) || !self.parts.socket.is_bound()
+    }
+
+    fn configured_shares(&self) -> impl Iterator<Item = ConfiguredShare> + '_ {
+        let share_of = move |limit: LabeledLimit| ConfiguredShare {
+            label: limit.label,
+            share: self.limits.share(limit.limit),
+        };
+        self.limits.configured().limits().map(share_of)
     }
 
     /// The status of all ejections, or of those of one chunk server, as JSON.
     ///
     /// # Errors
     /// Ejections are not shared, or there is no such server.
-    pub fn ejection_status(&self, server_name: Option<&str>) -> Result<Value, EjectionStatusError> {
-        let ejections = self.ejections.borrow();
-        let ejections = ejections.as_ref().ok_or(EjectionStatusError::NotShared)?;
-        let config = self.config.borrow();
-        let fronts = config.roster.names();
+    pub(super) fn ejection_status(
+        &self,
+        now: Nanos,
+        server_name: Option<&str>,
+    ) -> Result<Value, EjectionStatusError> {
+        let ejections = self
+            .ejections
+            .as_ref()
+            .ok_or(EjectionStatusError::NotShared)?;
         let names = DisplayNames {
-            fronts: &fronts,
-            zones: config.roster.zones(),
+            fronts: &self.config.roster.names(),
+            zones: self.config.roster.zones(),
             classes: &self.class_names,
         };
-        let status = ejections.status(clock::now(), &self.gossip.borrow(), &names, server_name);
+        let status = ejections.status(now, &self.gossip, &names, server_name);
         let unknown =
             || EjectionStatusError::UnknownServer(server_name.unwrap_or_default().to_owned());
         status.ok_or_else(unknown)
     }
 
     /// The status of this front and of its peers as JSON.
-    pub fn status(&self) -> Value {
-        let (coordinator, config, now) = (
-            self.coordinator.borrow(),
-            self.config.borrow(),
-            clock::now(),
-        );
-        let roster = &config.roster;
+    pub(super) fn status(&self, now: Nanos) -> Value {
+        let coordinator = &self.coordinator;
+        let roster = &self.config.roster;
         let peers: Vec<Value> = coordinator
             .members()
             .others()
-            .map(|peer| self.peer_json(&coordinator, peer, now))
+            .map(|peer| self.peer_json(peer, now))
             .collect();
         let issuers: Vec<&str> = coordinator
             .issuers_held(now)
@@ -124,8 +172,7 @@
             .collect();
         let limits: Vec<Value> = self
             .configured_shares()
-            .into_iter()
-            .map(|(limit, share)| json!({"limit": limit, "part": fraction(share)}))
+            .map(|limit| json!({"limit": limit.label, "part": limit.share.as_fraction()}))
             .collect();
         json!({
             "name": roster.name(coordinator.config().me),
@@ -133,7 +180,7 @@
             "revision": coordinator.config().revision,
             "settled": coordinator.is_settled(),
             "just_started": coordinator.is_starting(now),
-            "standing_back": self.is_standby(&coordinator, now),
+            "standing_back": self.is_standby(now),
             "other_roster": coordinator.yields_to_roster(now),
             "banks": issuers,
             "limits": limits,
@@ -141,11 +188,10 @@
         })
     }
 
-    fn peer_json(&self, coordinator: &LimitCoordinator, peer: PeerId, now: Nanos) -> Value {
-        let (config, gossip) = (self.config.borrow(), self.gossip.borrow());
-        let roster = &config.roster;
-        let report = coordinator.peer_report(now, peer);
-        let version = gossip.get(now, peer, VERSION_KEY);
+    fn peer_json(&self, peer: PeerId, now: Nanos) -> Value {
+        let roster = &self.config.roster;
+        let report = self.coordinator.peer_report(now, peer);
+        let version = self.gossip.get(now, peer, VERSION_KEY);
         let heard_by: Vec<&str> = report
             .reachable_from
             .iter()
@@ -161,8 +207,8 @@
             "second_process": report.conflicting.map(incarnation_text),
             "version": version.map(|entry| String::from_utf8_lossy(entry.value).into_owned()),
             "told_ms": version.map(|entry| millis(entry.age)),
-            "lent": fraction(report.granted),
-            "borrowed": fraction(report.leased),
+            "lent": report.granted.as_fraction(),
+            "borrowed": report.leased.as_fraction(),
         })
     }
 }
--- a/src/cluster/peers/tasks.rs
+++ b/src/cluster/peers/tasks.rs
@@ -1,6 +1,7 @@
 //! The tasks that run for as long as the front: receiving, heartbeats, and the evaluation of
 //! ejections.
 
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,11 +11,10 @@
 
 use super::Peers;
 use crate::cluster::clock;
-use crate::cluster::ejections::{EjectionChanges, EntryChange};
 use crate::cluster::messages::IncomingMessage;
 use crate::cluster::socket::ReceivedDatagram;
 
-/// Pause before the next try to receive, after the system has reported an error.
+/// Pause before the next attempt to receive, after the system has reported an error.
 const RECEIVE_RETRY_PAUSE: Duration = Duration::from_millis(10);
 /// Least time between two evaluations of ejections that observations trigger.
 const EVALUATION_PAUSE: Duration = Duration::from_millis(50);
@@ -25,12 +25,12 @@
     /// Sends a heartbeat to each peer after each interval, with a round of gossip.
     pub(super) async fn heartbeat_loop(self: Rc<Self>) {
         loop {
-            let interval = self.coordinator.borrow().config().heartbeat_interval as u64;
+            let interval = self.state.borrow().heartbeat_interval();
             tokio::time::sleep(Duration::from_nanos(with_jitter(interval))).await;
             self.update_limits(Event::HeartbeatDue, None);
             self.evaluate_ejections();
             self.update_gossip(GossipInput::Round);
-            self.report_status();
+            self.state.borrow_mut().report_status(clock::now());
         }
     }
 
@@ -45,34 +45,6 @@
         }
     }
 
-    /// Evaluates the observations of all fronts. Returns whether there are new gossip entries of
-    /// this front.
-    pub(super) fn evaluate_ejections(&self) -> bool {
-        let Some(EjectionChanges { entries, updates }) = self.ejection_changes() else {
-            return false;
-        };
-        let has_entries = !entries.is_empty();
-        for EntryChange { key, value } in entries {
-            self.publish(key, value);
-        }
-        for update in updates {
-            self.exchange.apply_fleet_update(update);
-        }
-        has_entries
-    }
-
-    /// The changes of an evaluation; `None` where ejections are not shared.
-    fn ejection_changes(&self) -> Option<EjectionChanges> {
-        let now = clock::now();
-        let mut ejections = self.ejections.borrow_mut();
-        let ejections = ejections.as_mut()?;
-        let changes = ejections.evaluate(now, self.exchange.now(), &self.gossip.borrow());
-        if ejections.is_waiting(now) {
-            self.evaluation_due.notify_one();
-        }
-        Some(changes)
-    }
-
     /// Receives the messages of the peers, once the address can be bound.
     pub(super) async fn receive_loop(self: Rc<Self>) {
         let mut buffer = vec![0; MAX_MESSAGE_BYTES + 1];
@@ -81,8 +53,8 @@
                 Some(Ok(ReceivedDatagram { length, source })) => {
                     self.receive(&buffer[..length], source)
                 }
-                // The system reports a peer that is gone, once; an error that persists must not
-                // take all of the CPU.
+                // The system reports once that a peer's port is closed; an error that persists must
+                // not take all of the CPU.
                 Some(Err(_)) => tokio::time::sleep(RECEIVE_RETRY_PAUSE).await,
                 None => self.retry_bind().await,
             }
@@ -92,12 +64,11 @@
     /// Tries again to bind the address that another process has.
     async fn retry_bind(&self) {
         tokio::time::sleep(RECEIVE_RETRY_PAUSE).await;
-        let address = self.config.borrow().listen;
+        let address = self.state.borrow().listen_address();
         // Before binding, so that the waiting time of a front that starts is counted from the
         // moment of the bind.
-        self.note_address_in_use();
-        // Where the address is still in use, the receive loop comes back here.
-        let _ = self.socket.bind(address);
+        self.state.borrow_mut().note_address_in_use(clock::now());
+        retry_later(self.socket.bind(address));
     }
 
     fn receive(&self, datagram: &[u8], source: SocketAddr) {
@@ -105,20 +76,19 @@
             Ok(envelope) => envelope,
             Err(error) => return self.metrics.count_undecodable(error),
         };
-        let (from, incarnation) = (envelope.from, envelope.incarnation);
         match envelope.message {
             IncomingMessage::Heartbeat(heartbeat) => {
                 let event = Event::HeartbeatReceived {
-                    from,
-                    incarnation,
+                    from: envelope.from,
+                    incarnation: envelope.incarnation,
                     heartbeat,
                 };
                 self.update_limits(event, Some(source));
             }
             IncomingMessage::Gossip(message) => {
                 self.update_gossip(GossipInput::Received {
-                    from,
-                    incarnation,
+                    from: envelope.from,
+                    incarnation: envelope.incarnation,
                     message,
                 });
             }
@@ -132,3 +102,6 @@
     let jitter = interval / HEARTBEAT_JITTER_DIVISOR;
     interval - jitter / 2 + fastrand::u64(0..=jitter)
 }
+
+/// Ignores that the address is still in use: the receive loop tries again.
+fn retry_later(_bound: io::Result<()>) {}
--- a/src/cluster/socket.rs
+++ b/src/cluster/socket.rs
@@ -40,7 +40,7 @@
             Ok(socket) => OnceCell::from(socket),
             Err(error) if error.kind() == io::ErrorKind::AddrInUse => {
                 log!(
-                    "peers: another process has {address}; this one uses no shared limit until that is free"
+                    "peers: standby, no share of the fleet's limits: another process has {address}"
                 );
                 OnceCell::new()
             }
@@ -60,8 +60,7 @@
     /// Where the address is still in use, or cannot be bound for another reason.
     pub(super) fn bind(&self, address: SocketAddr) -> io::Result<()> {
         let socket = bind_socket(address)?;
-        // Only the receive loop binds, and only while the cell is empty.
-        let _ = self.socket.set(socket);
+        ignore_bound_before(self.socket.set(socket));
         Ok(())
     }
 
@@ -101,13 +100,19 @@
     ) -> Result<(), EnvelopeError> {
         let datagram = self.codec.seal(from, incarnation, message)?;
         if let Some(socket) = self.socket.get() {
-            // A lost datagram is not an error, see above.
-            let _ = socket.try_send_to(&datagram, to);
+            ignore_lost_datagram(socket.try_send_to(&datagram, to));
         }
         Ok(())
     }
 }
 
+/// Ignores a socket for a cell that has one: only the receive loop binds, and only while the cell is
+/// empty.
+fn ignore_bound_before(_result: Result<(), UdpSocket>) {}
+
+/// Ignores that the system has rejected a datagram: later messages repeat its content.
+fn ignore_lost_datagram(_result: io::Result<usize>) {}
+
 fn read_key(file: &Path) -> Result<EnvelopeCodec, JoinError> {
     let key = std::fs::read(file).map_err(|source| JoinError::KeyFile {
         file: file.to_owned(),
