--- a/crates/model-checker/tests/checker.rs
+++ b/crates/model-checker/tests/checker.rs
@@ -9,7 +9,7 @@
 use tulipbridge_model_checker::explore::{explore, random_walk, Report, SearchLimits};
 use tulipbridge_model_checker::history::{minimize, History};
 use tulipbridge_model_checker::model::Model;
-use tulipbridge_model_checker::request_model::{RequestModel, State};
+use tulipbridge_model_checker::request_model::{RequestModel, RequestState};
 use tulipbridge_model_checker::{configs, properties, with_config};
 
 /// Memory limit that no search of these tests reaches, in MB.
@@ -79,11 +79,12 @@
     assert_ne!(steps, random_walk(&model, SEED + 1, WALK_STEPS));
     let history = History::of(&model, &steps);
     let file = write_temporary("walk", history.to_string().as_bytes());
-    let (config, read) = History::read(&file).expect("the history can be read");
-    assert_eq!(read, history);
-    assert_eq!(config.summary().name, "large");
+    let stored = History::read(&file).expect("the history can be read");
+    assert_eq!(stored.history, history);
+    assert_eq!(stored.config.summary().name, "large");
     let mut steps_replayed = 0;
-    let state = read
+    let state = stored
+        .history
         .replay(&model, |_, _| steps_replayed += 1)
         .expect("the history replays");
     assert_eq!(steps_replayed, WALK_STEPS);
@@ -94,7 +95,7 @@
 fn minimized_history_has_no_step_that_can_be_left_out() {
     let model = configs::large();
     let steps = random_walk(&model, SEED, WALK_STEPS);
-    let is_goal = |state: &State| state.answered_clients() > 0;
+    let is_goal = |state: &RequestState| state.answered_clients() > 0;
     let minimized = minimize(&model, &steps, is_goal);
     // Sent, connected, written, executed and answered, or sent and rejected: no more is needed.
     assert!(
