--- a/crates/core/src/discovery_watch.rs
+++ b/crates/core/src/discovery_watch.rs
@@ -29,13 +29,13 @@
 /// What must remain of [`STALE_AFTER`] to apply the update.
 const APPLY_MARGIN: Nanos = 300 * MILLISECOND;
 const _: () = assert!(SILENCE_TIMEOUT + CALL_JITTER + CALL_TIMEOUT <= STALE_AFTER - APPLY_MARGIN);
-/// Pause after a failed call to a new address of discovery, whose updates must take effect sooner.
-const RETRY_AFTER_MOVE: Nanos = 200 * MILLISECOND;
+/// Delay after a failed call to a new address of discovery, whose updates must take effect sooner.
+const RETRY_AFTER_ADDRESS_CHANGE: Nanos = 200 * MILLISECOND;
 /// The first calls of fronts that start together are spread over this time. It is short: a starting
 /// front cannot know how old its list is, and what discovery has counts as known soon.
 pub const FIRST_CALL_SPREAD: Nanos = 300 * MILLISECOND;
-/// How long after a change of discovery's address [`RETRY_AFTER_MOVE`] applies.
-const MOVE_SPAN: Nanos = 4_000 * MILLISECOND;
+/// How long after a change of discovery's address [`RETRY_AFTER_ADDRESS_CHANGE`] applies.
+const ADDRESS_CHANGE_SPAN: Nanos = 4_000 * MILLISECOND;
 
 /// An event of the watch or of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -116,11 +116,12 @@
     /// Hashes all state that later steps depend on, with times relative to `now`.
     pub fn fingerprint<H: Hasher>(&self, now: Nanos, hasher: &mut H) {
         let elapsed = |since: Option<Nanos>| since.map(|at| now - at);
-        let since_move = elapsed(self.address_changed_at).map(|time| time.min(MOVE_SPAN));
+        let since_address_change =
+            elapsed(self.address_changed_at).map(|time| time.min(ADDRESS_CHANGE_SPAN));
         elapsed(self.last_message_at).hash(hasher);
         elapsed(self.call_started_at).hash(hasher);
         elapsed(self.next_call_at).hash(hasher);
-        since_move.hash(hasher);
+        since_address_change.hash(hasher);
         self.phase.to_bits().hash(hasher);
     }
 
@@ -154,6 +155,7 @@
         steps
     }
 
+    /// A call has opened a new watch.
     fn opened(&mut self, now: Nanos) {
         self.last_message_at = Some(now);
         self.call_started_at = None;
@@ -161,6 +163,7 @@
         self.address_changed_at = None;
     }
 
+    /// Handles the timeouts that are due: silence of the watch, of the call, and the next call.
     fn timer_due(&mut self, now: Nanos, steps: &mut Vec<WatchStep>) {
         if let Some(silent_since) = self
             .last_message_at
@@ -182,21 +185,23 @@
         }
     }
 
+    /// Starts a call, in place of any call in flight or scheduled.
     fn call(&mut self, now: Nanos, steps: &mut Vec<WatchStep>) {
         self.call_started_at = Some(now);
         self.next_call_at = None;
         steps.push(WatchStep::Call);
     }
 
+    /// Schedules the next call after a failed one. A call that was abandoned before has no effect.
     fn call_failed(&mut self, now: Nanos, steps: &mut Vec<WatchStep>) {
         let Some(started_at) = self.call_started_at.take() else {
             return;
         };
         if self
             .address_changed_at
-            .is_some_and(|at| now - at < MOVE_SPAN)
+            .is_some_and(|at| now - at < ADDRESS_CHANGE_SPAN)
         {
-            self.next_call_at = Some(now + RETRY_AFTER_MOVE);
+            self.next_call_at = Some(now + RETRY_AFTER_ADDRESS_CHANGE);
         } else if self.last_message_at.is_some() {
             self.next_call_at = Some(self.latest_call(now, started_at));
         } else {
@@ -214,6 +219,7 @@
         }
     }
 
+    /// When the next call is made at the latest, if no update was received since `since`.
     fn latest_call(&self, now: Nanos, since: Nanos) -> Nanos {
         if mutated(Mutation::CallsOnlyOnRequest) {
             return Nanos::MAX;
--- a/crates/core/src/invariant_monitor.rs
+++ b/crates/core/src/invariant_monitor.rs
@@ -69,6 +69,7 @@
 struct MonitoredRequest {
     semantics: Semantics,
     group: Group,
+    /// How long the chunk servers deduplicate retries of the request.
     window: Nanos,
     /// Its final answer was given, or its client has gone.
     ended: bool,
@@ -140,8 +141,8 @@
         match effect {
             Effect::Send {
                 id, attempt, node, ..
-            } => self.sent(now, *id, *attempt, *node),
-            Effect::Answer { id, answer } => self.answered(*id, answer),
+            } => self.attempt_sent(now, *id, *attempt, *node),
+            Effect::Answer { id, answer } => self.request_answered(*id, answer),
             Effect::Release(id) => {
                 self.requests.remove(id);
                 None
@@ -154,6 +155,7 @@
         }
     }
 
+    /// Records the end of an attempt, and whether it may have been executed.
     fn attempt_ended(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -166,7 +168,14 @@
         }
     }
 
-    fn sent(&mut self, now: Nanos, id: RequestId, attempt: u32, node: NodeId) -> Option<Violation> {
+    /// Records an attempt, and checks whether it may be sent.
+    fn attempt_sent(
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        attempt: u32,
+        node: NodeId,
+    ) -> Option<Violation> {
         let is_up = self
             .listed
             .get(&node)
@@ -194,7 +203,8 @@
         rule.map(|rule| Violation { rule, request: id })
     }
 
-    fn answered(&mut self, id: RequestId, answer: &FinalAnswer) -> Option<Violation> {
+    /// Records a final answer, and checks whether it may be given.
+    fn request_answered(&mut self, id: RequestId, answer: &FinalAnswer) -> Option<Violation> {
         let request = self.requests.get_mut(&id)?;
         let may_have_executed = request.executed_since.is_some() || !request.in_flight.is_empty();
         let is_harmless = match request.semantics {
--- a/crates/core/src/maintenance_changes.rs
+++ b/crates/core/src/maintenance_changes.rs
@@ -1,9 +1,9 @@
 //! Changes to the servers in maintenance that are in force here and not in the shared file yet.
 //!
-//! A call of the operators is owed from the moment at which it is answered, and other processes of
-//! this front learn of it from the file alone. While the file cannot be read, locked or written,
-//! the change waits here. It is applied to whatever the file holds then, so that it overwrites
-//! nothing that another process has changed meanwhile.
+//! A change must not be lost once the operators' call is answered, and other processes of this
+//! front learn of it from the file alone. While the file cannot be read, locked or written, the
+//! change is kept here. It is later applied to the present content of the file, so that it
+//! overwrites nothing that another process has changed meanwhile.
 //!
 //! No I/O and no clock.
 
@@ -18,7 +18,7 @@
     Exited,
 }
 
-/// The changes that wait to be written: of each server the latest.
+/// The changes that are not written yet: the latest of each server.
 #[derive(Clone, Debug)]
 pub struct UnwrittenChanges<K> {
     changes: BTreeMap<K, MaintenanceChange>,
@@ -38,12 +38,12 @@
         self.changes.insert(key.clone(), change);
     }
 
-    /// Whether nothing waits.
+    /// Whether all changes are written.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 
-    /// The set that the file should hold, by what it holds now.
+    /// The set that the file should hold, given the set that it holds now.
     pub fn apply_to(&self, mut written: BTreeSet<K>) -> BTreeSet<K> {
         for (key, change) in &self.changes {
             match change {
@@ -54,7 +54,7 @@
         written
     }
 
-    /// The file holds all changes.
+    /// Records that the file holds all changes.
     pub fn written(&mut self) {
         self.changes.clear();
     }
--- a/crates/core/src/server_start_times.rs
+++ b/crates/core/src/server_start_times.rs
@@ -1,15 +1,15 @@
 //! When chunk servers started, in the clock of this front.
 //!
-//! Discovery tells the start of a server in Unix time. The wall clock of this machine, or of the
-//! server's, may be wrong by seconds or by hours, and then the age of a server that has just
-//! started would be too: it would get no slow start, or one that lasts for as long as the clocks
-//! differ. So a listed start is taken only as far as it is plausible:
+//! Discovery reports the start of a server in Unix time. The wall clock of this machine, or of the
+//! server, may be wrong by seconds or by hours, and so may the age of a server that has just
+//! started: it would get no slow start, or one that lasts for as long as the clocks differ.
+//! Therefore a listed start is corrected until it is plausible:
 //!
 //! - none lies in the future;
 //! - a start that is new to this front came after the list that discovery confirmed last, which is
 //!   at most [`MAX_LIST_DELAY`] old; one that is listed as older is taken to be now;
-//! - where discovery tells its own time, the difference to the clock of this front is taken out
-//!   before.
+//! - where discovery reports its own time, the difference to the clock of this front is subtracted
+//!   first.
 //!
 //! No I/O and no clock: the caller passes the time.
 
@@ -18,10 +18,10 @@
 use crate::discovery_watch::STALE_AFTER;
 use crate::interface::Nanos;
 
-/// The age of the state that discovery tells, at the most.
+/// The greatest age of the list that discovery reports.
 pub const MAX_LIST_DELAY: Nanos = STALE_AFTER;
-/// Differences below this are no sign of a wrong clock: discovery tells its time in whole seconds,
-/// and late.
+/// Differences below this are no sign of a wrong clock: discovery reports its time in whole seconds,
+/// and with a delay.
 pub const MIN_CLOCK_DIFFERENCE: Nanos = 3_000_000_000;
 /// The listed start of a server that has run for long.
 const LONG_AGO: Nanos = 0;
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub struct ServerStartTimes<K> {
     known: BTreeMap<K, KnownStart>,
-    /// When discovery last told or confirmed the list.
+    /// When discovery last sent or confirmed the list.
     confirmed_at: Option<Nanos>,
     /// What to add to a listed time to get the time of this front's clock.
     clock_difference: Nanos,
@@ -61,7 +61,7 @@
         ServerStartTimes::default()
     }
 
-    /// Discovery has told its own time.
+    /// Records the present time by discovery's clock.
     pub fn discovery_time(&mut self, now: Nanos, discovery: Nanos) {
         let difference = now - discovery;
         self.clock_difference = if difference.abs() < MIN_CLOCK_DIFFERENCE {
@@ -85,7 +85,7 @@
         start
     }
 
-    /// Discovery has told all that it had until now.
+    /// Records that discovery has reported all that it had until now.
     pub fn confirmed(&mut self, now: Nanos) {
         self.confirmed_at = Some(now);
     }
@@ -95,6 +95,8 @@
         self.known.retain(|key, _| keys.contains(key));
     }
 
+    /// The start in this front's clock; `now` where the listed one lies in the future or before the
+    /// last confirmed list.
     fn plausible_start(&self, now: Nanos, listed: Nanos) -> Nanos {
         let start = listed.saturating_add(self.clock_difference);
         let is_too_old = self
--- a/crates/core/src/startup_readiness.rs
+++ b/crates/core/src/startup_readiness.rs
@@ -1,26 +1,26 @@
-//! When a starting front may say that it is ready.
+//! When a starting front reports that it is ready.
 //!
-//! A front starts with the endpoint list that it had last, which may name servers that have drained
-//! or gone since. Where discovery can be reached, a change counts as known a few seconds after
-//! discovery had it, whenever the front started. So a front is ready only once discovery has
-//! confirmed or replaced its list, or has shown that it cannot do so: then the last known list is
-//! the best there is. The wait is bounded, as a front that is not ready serves nobody.
+//! A front starts with the endpoint list that it stored last, which may name servers that have
+//! drained or were removed since. Where discovery is reachable, a change must be known a few seconds
+//! after discovery had it, whenever the front started. So a front is ready only once discovery has
+//! confirmed or replaced its list, or is known to be unable to: then the last known list is the best
+//! there is. The wait is bounded, as a front that is not ready serves nobody.
 //!
 //! No I/O and no clock: the caller passes the time.
 
 use crate::interface::Nanos;
 use crate::time_unit::MILLISECOND;
 
-/// A call that fails within this time has found no discovery, or one that refuses at once. One that
-/// fails later has waited in a crowd of callers, and discovery has an answer for the next.
+/// A call that fails within this time found no discovery, or one that rejects at once. One that
+/// fails later was queued behind other callers, and discovery will answer the next.
 pub const UNREACHABLE_WITHIN: Nanos = 500 * MILLISECOND;
-/// A watch that has opened and tells nothing for this long has nothing to tell: the list is that of
+/// An open watch without a message for this long has nothing to report: the list is that of
 /// discovery.
 pub const CONFIRMED_BY_SILENCE_AFTER: Nanos = 250 * MILLISECOND;
 /// The longest time until a front is ready, where discovery is one service for all fronts.
 pub const READY_WITHIN: Nanos = 5_000 * MILLISECOND;
 /// The same where lists are pushed: the agent on the front's own machine answers at once, or has
-/// nothing to tell.
+/// nothing to report.
 pub const READY_WITHIN_OF_AGENT: Nanos = 500 * MILLISECOND;
 
 /// Whether a starting front is ready.
@@ -28,7 +28,7 @@
 pub enum StartupReadiness {
     /// Discovery has not confirmed the list yet.
     Unconfirmed {
-        /// By when it is ready all the same.
+        /// When it is ready at the latest.
         ready_by: Nanos,
         /// When a watch opened, if one has.
         opened_at: Option<Nanos>,
@@ -70,8 +70,8 @@
         }
     }
 
-    /// A call to discovery was given up, for it had no answer: whoever waits in a crowd is turned
-    /// away before.
+    /// A call to discovery was abandoned without an answer. Discovery is then unreachable: where it
+    /// is overloaded, it rejects a call earlier.
     pub fn call_unanswered(&mut self) {
         *self = StartupReadiness::Ready;
     }
--- a/src/upstream/connections.rs
+++ b/src/upstream/connections.rs
@@ -1,22 +1,17 @@
-//! All connections to chunk servers: the pool, dialing, and carrying out attempts.
+//! All connections to chunk servers: the pool, and dialing.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
-use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 use simd_json::json;
 use tokio::net::TcpStream;
-use tulipbridge_core::attempt::{Attempt, AttemptEvent, AttemptStep};
 use tulipbridge_core::connection_pool::{Capacity, ConnectionPool};
-use tulipbridge_core::server_connection::Execution;
 use tulipbridge_core::{Nanos, NodeId, ShardId};
 
 use super::connection::PooledConnection;
 use super::open_connections::OpenConnections;
-use super::payload::{Answer, Payload};
 use super::server_table::{Located, ServerTable};
-use crate::exchange::{AttemptReport, Withdrawal};
 use crate::telemetry::trace;
 
 /// The part of the servers' idle timeout after which this side closes an idle connection.
@@ -98,102 +93,13 @@
         self.pool.borrow_mut().sweep(now, PooledConnection::is_open);
     }
 
-    /// Carries out an attempt in the steps that its state machine requests.
-    pub async fn attempt(
-        self: Rc<Self>,
-        node: NodeId,
-        payload: &Payload,
-        deadline: Instant,
-        mut withdrawal: Withdrawal,
-    ) -> AttemptReport<Answer> {
-        let mut attempt = Attempt::AcquiringConnection;
-        let mut step = AttemptStep::AcquireConnection;
-        let mut connection = None;
-        loop {
-            let event = match step {
-                AttemptStep::AcquireConnection => {
-                    connection = self.take_pooled(node);
-                    match connection {
-                        Some(_) => AttemptEvent::PooledConnectionFound,
-                        None => AttemptEvent::NoPooledConnection {
-                            may_open: self.may_open(node),
-                        },
-                    }
-                }
-                AttemptStep::Dial => tokio::select! {
-                    biased;
-                    outcome = withdrawal.withdrawn() => AttemptEvent::Withdrawn(outcome),
-                    dialed = self.dial(node) => {
-                        connection = dialed;
-                        match connection {
-                            Some(_) => AttemptEvent::Connected,
-                            None => AttemptEvent::ConnectFailed,
-                        }
-                    }
-                },
-                AttemptStep::Send => match connection.take() {
-                    Some(connection) => {
-                        match self
-                            .send(node, connection, payload, deadline, &withdrawal)
-                            .await
-                        {
-                            Ok(report) => {
-                                attempt.on(AttemptEvent::Answered(report.outcome));
-                                return report;
-                            }
-                            Err(event) => event,
-                        }
-                    }
-                    None => AttemptEvent::ConnectionBroke(Execution::MayHaveRun),
-                },
-                AttemptStep::End(outcome) => return outcome.into(),
-            };
-            step = attempt.on(event);
-        }
-    }
-
-    /// Sends a request on a connection, which returns to the pool after the response.
-    ///
-    /// # Errors
-    /// How the attempt failed.
-    async fn send(
-        self: &Rc<Self>,
-        node: NodeId,
-        mut connection: PooledConnection,
-        payload: &Payload,
-        deadline: Instant,
-        withdrawal: &Withdrawal,
-    ) -> Result<AttemptReport<Answer>, AttemptEvent> {
-        let result = connection.send(payload, deadline, withdrawal).await;
-        let mut report = result.map_err(|execution| match (execution, withdrawal.outcome()) {
-            // A request whose writing has begun cannot be withdrawn any more.
-            (Execution::NotStarted, Some(outcome)) => AttemptEvent::Withdrawn(outcome),
-            _ => AttemptEvent::ConnectionBroke(execution),
-        })?;
-        // A streamed body keeps its connection until it is complete.
-        match report
-            .answer
-            .as_mut()
-            .and_then(|answer| answer.streamed.as_mut())
-        {
-            Some(streamed) => {
-                let pool = Rc::clone(self);
-                streamed.keep_connection(move || {
-                    connection.response_complete();
-                    pool.release(node, connection);
-                });
-            }
-            None => self.release(node, connection),
-        }
-        Ok(report)
-    }
-
+    /// Time since the epoch of the pool.
     fn now(&self) -> Nanos {
         self.epoch.elapsed().as_nanos() as Nanos
     }
 
     /// Takes an idle connection to a server from the pool.
-    fn take_pooled(&self, node: NodeId) -> Option<PooledConnection> {
+    pub fn take_pooled(&self, node: NodeId) -> Option<PooledConnection> {
         self.pool
             .borrow_mut()
             .take(node, self.now(), PooledConnection::is_quiet)
@@ -212,7 +118,7 @@
 
     /// Whether a connection to a server may be opened. At the limit this closes the connection that
     /// has been idle longest.
-    fn may_open(&self, node: NodeId) -> bool {
+    pub fn may_open(&self, node: NodeId) -> bool {
         let is_known = self.servers.borrow().get(node).is_some();
         is_known
             && !matches!(
@@ -222,7 +128,7 @@
     }
 
     /// Opens a connection to a server; `None` where this fails or takes longer than the timeout.
-    async fn dial(self: &Rc<Self>, node: NodeId) -> Option<PooledConnection> {
+    pub async fn dial(&self, node: NodeId) -> Option<PooledConnection> {
         let (address, shard) = self
             .servers
             .borrow()
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,6 +1,7 @@
 //! The chunk-server side: attempts over HTTP/1.1, a bounded pool of connections, and the mapping of
 //! responses to outcomes.
 
+mod attempt_run;
 pub mod connection;
 mod connections;
 mod open_connections;
@@ -16,6 +17,7 @@
 
 use tulipbridge_core::{NodeId, ShardId};
 
+use self::attempt_run::AttemptRun;
 use self::connections::Connections;
 use crate::exchange::{AttemptReport, Transport, Withdrawal};
 
@@ -78,10 +80,6 @@
         withdrawal: Withdrawal,
     ) -> impl Future<Output = AttemptReport<Answer>> + 'static {
         let connections = Rc::clone(&self.connections);
-        async move {
-            connections
-                .attempt(node, &payload, deadline, withdrawal)
-                .await
-        }
+        AttemptRun::new(connections, node, payload, deadline, withdrawal).run()
     }
 }
