--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -95,4 +95,5 @@
 mod time_unit;
 
 pub use interface::*;
-pub use state::{Rate, Scheduler};
+pub use policy::{NodeCounts, Scheduler};
+pub use state::Rate;
--- a/crates/testbed/src/simulation/outliers/scenario.rs
+++ b/crates/testbed/src/simulation/outliers/scenario.rs
@@ -1,11 +1,10 @@
-//! What is wrong in a simulation of outlier detection, drawn from its seed.
+//! What is wrong in a simulation of outlier detection, sampled from its seed.
 
 use fastrand::Rng;
 use serde::Serialize;
-use tulipbridge_outlier_detection::{Class, EjectionTarget, Scope, Server, Zone};
+use tulipbridge_outlier_detection::{ClassId, EjectionTarget, Scope, ServerId, ZoneId};
 
 use super::{CLASSES, SERVERS};
-use crate::schedule::Millis;
 
 /// Distinguishes the random choices here from those of the simulation itself.
 const SEED_SALT: u64 = 0x7e4d;
@@ -17,9 +16,9 @@
     #[serde(rename = "All")]
     Failing(u32),
     /// All attempts of fronts in one zone fail.
-    Zone(Zone),
+    ZoneId(ZoneId),
     /// All attempts of one class fail.
-    Class(Class),
+    ClassId(ClassId),
 }
 
 /// What is wrong with a front.
@@ -36,22 +35,22 @@
     LossyNetwork(u32),
     /// It cannot reach one server.
     #[serde(rename = "Link")]
-    UnreachableServer(Server),
+    UnreachableServer(ServerId),
 }
 
 /// A server with a fault. Serialized as an array, as in stored results.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-#[serde(into = "(Millis, Server, ServerFault)")]
+#[serde(into = "(u64, ServerId, ServerFault)")]
 pub struct FaultyServer {
     /// When the fault begins, in milliseconds; it lasts until the schedule ends.
-    pub from_ms: Millis,
+    pub from_ms: u64,
     /// Which server.
-    pub server: Server,
+    pub server: ServerId,
     /// What is wrong with it.
     pub fault: ServerFault,
 }
 
-impl From<FaultyServer> for (Millis, Server, ServerFault) {
+impl From<FaultyServer> for (u64, ServerId, ServerFault) {
     fn from(faulty: FaultyServer) -> Self {
         (faulty.from_ms, faulty.server, faulty.fault)
     }
@@ -92,11 +91,11 @@
 
 impl Scenario {
     /// The scenario of a seed for so many fronts.
-    pub fn draw(seed: u64, fronts: usize) -> Scenario {
+    pub fn sample(seed: u64, fronts: usize) -> Scenario {
         let mut rng = Rng::with_seed(seed ^ SEED_SALT);
         let count = [0, 1, 1, 2, 2, 6][rng.usize(0..6)];
-        let faulty_servers = (0..count).map(|_| draw_faulty_server(&mut rng)).collect();
-        let faulty_front = (rng.u8(0..3) == 0).then(|| draw_faulty_front(&mut rng, fronts));
+        let faulty_servers = (0..count).map(|_| sample_faulty_server(&mut rng)).collect();
+        let faulty_front = (rng.u8(0..3) == 0).then(|| sample_faulty_front(&mut rng, fronts));
         let attempts_per_second = [4, 16, 40][rng.usize(0..3)];
         let without_schedule = rng.u8(0..4) == 0;
         Scenario {
@@ -114,24 +113,24 @@
             .map(|faulty| faulty.fault)
     }
 
-    /// Whether attempts at a server fail for a front in a zone, at a time in milliseconds. `draw`
+    /// Whether attempts at a server fail for a front in a zone, at a time in milliseconds. `random`
     /// is a random number below 1,000.
     pub fn attempt_fails(
         &self,
-        server: Server,
-        zone: Zone,
-        class: Class,
-        at_ms: Millis,
-        draw: u32,
+        server: ServerId,
+        zone: ZoneId,
+        class: ClassId,
+        at_ms: u64,
+        random: u32,
     ) -> bool {
         let active = self
             .faulty_servers
             .iter()
             .filter(|f| f.server == server && at_ms >= f.from_ms);
         active.into_iter().any(|faulty| match faulty.fault {
-            ServerFault::Failing(per_mille) => draw < per_mille,
-            ServerFault::Zone(faulty_zone) => faulty_zone == zone,
-            ServerFault::Class(faulty_class) => faulty_class == class,
+            ServerFault::Failing(per_mille) => random < per_mille,
+            ServerFault::ZoneId(faulty_zone) => faulty_zone == zone,
+            ServerFault::ClassId(faulty_class) => faulty_class == class,
         })
     }
 
@@ -140,6 +139,7 @@
         self.has_fault_covering(target) || self.fails_in_every_zone(target.server)
     }
 
+    /// Whether a fault of the server concerns fronts or work of the ejection.
     fn has_fault_covering(&self, target: EjectionTarget) -> bool {
         let faults = self
             .faulty_servers
@@ -149,17 +149,20 @@
             .into_iter()
             .any(|faulty| match (target.scope, faulty.fault) {
                 (_, ServerFault::Failing(_)) => true,
-                (Scope::Zone(zone), ServerFault::Zone(faulty_zone)) => zone == faulty_zone,
-                (Scope::Class(class), ServerFault::Class(faulty_class)) => class == faulty_class,
+                (Scope::ZoneId(zone), ServerFault::ZoneId(faulty_zone)) => zone == faulty_zone,
+                (Scope::ClassId(class), ServerFault::ClassId(faulty_class)) => {
+                    class == faulty_class
+                }
                 // The work of one class is part of all work; the fronts of another zone are not.
-                (Scope::All | Scope::Zone(_), ServerFault::Class(_)) => true,
+                (Scope::All | Scope::ZoneId(_), ServerFault::ClassId(_)) => true,
                 _ => false,
             })
     }
 
-    fn fails_in_every_zone(&self, server: Server) -> bool {
-        let fails_in = |zone: Zone| {
-            let fault = ServerFault::Zone(zone);
+    /// Whether a server fails for the fronts of both zones by separate faults.
+    fn fails_in_every_zone(&self, server: ServerId) -> bool {
+        let fails_in = |zone: ZoneId| {
+            let fault = ServerFault::ZoneId(zone);
             self.faulty_servers
                 .iter()
                 .any(|faulty| faulty.server == server && faulty.fault == fault)
@@ -170,19 +173,22 @@
         let joined = self
             .faulty_front
             .is_some_and(|faulty| faulty.fault == unreachable);
-        (fails_in(0) && fails_in(1)) || (joined && (fails_in(0) || fails_in(1)))
+        let fails_in_first = fails_in(ZoneId(0));
+        let fails_in_second = fails_in(ZoneId(1));
+        (fails_in_first && fails_in_second) || (joined && (fails_in_first || fails_in_second))
     }
 }
 
-fn draw_faulty_server(rng: &mut Rng) -> FaultyServer {
+/// A random fault of a random server.
+fn sample_faulty_server(rng: &mut Rng) -> FaultyServer {
     let fault = match rng.u8(0..6) {
         0..=2 => ServerFault::Failing([1_000, 600, 300][rng.usize(0..3)]),
-        3 => ServerFault::Zone(rng.u8(0..2)),
-        4 => ServerFault::Class(rng.u8(0..CLASSES)),
+        3 => ServerFault::ZoneId(ZoneId(rng.u8(0..2))),
+        4 => ServerFault::ClassId(ClassId(rng.u8(0..CLASSES))),
         _ => ServerFault::Failing(1_000),
     };
     let from_ms = rng.u64(2_000..8_000);
-    let server = rng.u64(0..SERVERS);
+    let server = ServerId(rng.u64(0..SERVERS));
     FaultyServer {
         from_ms,
         server,
@@ -190,11 +196,12 @@
     }
 }
 
-fn draw_faulty_front(rng: &mut Rng, fronts: usize) -> FaultyFront {
+/// A random fault of a random front.
+fn sample_faulty_front(rng: &mut Rng, fronts: usize) -> FaultyFront {
     let fault = match rng.u8(0..4) {
         0 => FrontFault::ReportsAllFailed,
         1 => FrontFault::ReportsAllHealthy,
-        2 => FrontFault::UnreachableServer(rng.u64(0..SERVERS)),
+        2 => FrontFault::UnreachableServer(ServerId(rng.u64(0..SERVERS))),
         _ => FrontFault::LossyNetwork(rng.u32(100..400)),
     };
     FaultyFront {
--- a/src/exchange/state.rs
+++ b/src/exchange/state.rs
@@ -85,8 +85,11 @@
 
     /// How many chunk servers the decision module has.
     pub fn endpoint_counts(&self) -> EndpointCounts {
-        let (listed, avoided) = self.tracker.decisions().node_counts();
-        EndpointCounts { listed, avoided }
+        let counts = self.tracker.decisions().node_counts();
+        EndpointCounts {
+            listed: counts.listed,
+            avoided: counts.avoided,
+        }
     }
 
     /// The number of requests that are not answered or have attempts in flight.
