--- a/crates/results/src/error.rs
+++ b/crates/results/src/error.rs
@@ -4,7 +4,7 @@
 
 use parquet::errors::ParquetError;
 
-/// A table cannot be made, read, stored or drawn.
+/// A table cannot be created, read, stored or shown as a chart.
 #[derive(Debug, thiserror::Error)]
 pub enum TableError {
     /// A row cannot be serialized.
--- a/crates/testbed/src/chunk_server.rs
+++ b/crates/testbed/src/chunk_server.rs
@@ -138,6 +138,7 @@
         }
     }
 
+    /// Serves a connection until it ends.
     async fn serve_connection(self, stream: TcpStream) {
         let service = service_fn(|request| self.answer(request));
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
--- a/crates/testbed/src/cli/replay.rs
+++ b/crates/testbed/src/cli/replay.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// Prints whether a run kept every bound, and what it observed.
+/// Prints whether a run violated a bound, and what it observed.
 fn print(is_valid: bool, report: &impl Display) -> Outcome {
     println!("{}: {report}", if is_valid { "holds" } else { "broken" });
     Outcome::of(is_valid)
--- a/crates/testbed/src/cli/sweep.rs
+++ b/crates/testbed/src/cli/sweep.rs
@@ -16,7 +16,7 @@
     pub file_prefix: &'static str,
     /// Simulates one schedule.
     pub run: fn(&Schedule) -> R,
-    /// Whether a run kept every bound.
+    /// Whether a run violated no bound.
     pub is_valid: fn(&R) -> bool,
 }
 
--- a/crates/testbed/src/discovery_server.rs
+++ b/crates/testbed/src/discovery_server.rs
@@ -52,7 +52,7 @@
         self.generation.send_modify(|generation| *generation += 1);
     }
 
-    /// The whole list as JSON, for a front that reaches the servers at these addresses.
+    /// The complete list as JSON, for a front that reaches the servers at these addresses.
     pub fn endpoint_list(&self, addresses: &[SocketAddr]) -> String {
         let started_ms = self.started_ms.borrow();
         let servers = started_ms.iter().zip(addresses).enumerate();
--- a/crates/testbed/src/limit_experiments/load_cases.rs
+++ b/crates/testbed/src/limit_experiments/load_cases.rs
@@ -170,7 +170,7 @@
     })
 }
 
-/// For how many fronts each is configured where they do not communicate.
+/// For how many fronts each is configured if they do not communicate.
 fn configured_fronts(case: LoadCase, fronts: usize) -> u32 {
     match case {
         LoadCase::UnderstatedFleet => fronts as u32 / 2,
@@ -205,7 +205,7 @@
     )
 }
 
-/// The median of the served fractions, and the one that differs most from the whole limit.
+/// The median of the served fractions, and the one that differs most from the complete limit.
 fn median_and_worst(results: &[&LoadCaseResult]) -> String {
     let mut served: Vec<f64> = results
         .iter()
--- a/crates/testbed/src/outlier_experiments/single_fault.rs
+++ b/crates/testbed/src/outlier_experiments/single_fault.rs
@@ -23,7 +23,7 @@
 const RECOVERY_DURATION: Duration = Duration::from_secs(15);
 /// How often the fronts' ejections are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// For how long after the fault the requests are ignored that were held up on a silent link and
+/// For how long after the fault the requests are ignored that were delayed on a silent link and
 /// arrive at once.
 const BACKLOG_TIME: Duration = Duration::from_millis(500);
 /// How long the slowest request may take to end: the clients' timeout and some more.
--- a/crates/testbed/src/shared_limit_experiments.rs
+++ b/crates/testbed/src/shared_limit_experiments.rs
@@ -1,5 +1,5 @@
-//! Limits of the fleet that are no volume's, held by real processes while the load moves, links are
-//! cut and a front is killed.
+//! Limits of the fleet apart from those of volumes: whether real processes keep to them while the
+//! load moves, links are cut and a front is killed.
 
 use std::fmt;
 use std::path::Path;
@@ -197,7 +197,7 @@
         }
     }
 
-    /// The highest usage over the whole run. `slack` is how long an attempt may take until it is
+    /// The highest usage during the run. `slack` is how long an attempt may take until it is
     /// recorded.
     fn usage(self, testbed: &Testbed, slack: Duration) -> Usage {
         let fronts = FRONTS as f64;
--- a/crates/testbed/src/simulation/gossip/report.rs
+++ b/crates/testbed/src/simulation/gossip/report.rs
@@ -30,7 +30,7 @@
 }
 
 impl GossipReport {
-    /// Whether the run kept every bound. Within a second a front may send that second's bytes and
+    /// Whether the run violated no bound. Within a second a front may send that second's bytes and
     /// as many that it had saved up.
     pub fn is_valid(&self) -> bool {
         !self.inconsistent
--- a/crates/testbed/src/simulation/limits.rs
+++ b/crates/testbed/src/simulation/limits.rs
@@ -156,6 +156,7 @@
         self.now = deadline;
     }
 
+    /// Handles an event that is due now.
     fn handle(&mut self, event: Event) {
         match event {
             Event::Heartbeat(process) => self.heartbeat(process),
--- a/crates/testbed/src/simulation/limits/checks.rs
+++ b/crates/testbed/src/simulation/limits/checks.rs
@@ -79,7 +79,7 @@
         })
     }
 
-    /// Checks that nearly the whole limit is in use once the fleet has recovered.
+    /// Checks that nearly the complete limit is in use once the fleet has recovered.
     pub(super) fn check_recovery(&mut self, samples: &[Option<Share>]) {
         let Some(shares) = samples.iter().copied().collect::<Option<Vec<Share>>>() else {
             return;
--- a/crates/testbed/src/simulation/limits/report.rs
+++ b/crates/testbed/src/simulation/limits/report.rs
@@ -35,7 +35,7 @@
 }
 
 impl LimitsReport {
-    /// Whether the run kept every bound.
+    /// Whether the run violated no bound.
     pub fn is_valid(&self) -> bool {
         let recovered = self
             .healed_share
--- a/crates/testbed/src/simulation/outliers.rs
+++ b/crates/testbed/src/simulation/outliers.rs
@@ -52,7 +52,7 @@
     evaluation_scheduled: bool,
 }
 
-/// A probe of a server by any front.
+/// A health check of an ejected server by any front.
 struct Probe {
     at: Nanos,
     server: Server,
--- a/crates/testbed/src/simulation/outliers/report.rs
+++ b/crates/testbed/src/simulation/outliers/report.rs
@@ -50,7 +50,7 @@
 }
 
 impl OutlierReport {
-    /// Whether the run kept every bound.
+    /// Whether the run violated no bound.
     pub fn is_valid(&self) -> bool {
         self.max_ejected <= self.ejection_limit
             && self.max_probes <= MAX_PROBES
--- a/crates/testbed/src/soak/checker/attempts.rs
+++ b/crates/testbed/src/soak/checker/attempts.rs
@@ -39,6 +39,7 @@
     }
 }
 
+/// Whether an attempt began after its client had cancelled, with slack for what was in flight.
 fn begins_after_cancellation(request: &ClientRequest, arrival: &Arrival) -> bool {
     let limit = request.ended_at + CANCELLATION_SLACK + MACHINE_SLACK;
     request.end == End::Cancelled && arrival.first_byte_at > limit
--- a/crates/testbed/src/soak/checker/processes.rs
+++ b/crates/testbed/src/soak/checker/processes.rs
@@ -35,6 +35,7 @@
     has_ended && (has_failed || !was_signaled)
 }
 
+/// Whether a process took too long to end after SIGTERM; pauses do not count.
 fn has_ended_late(process: &ProcessRecord) -> bool {
     let (Some(terminated_at), Some(ended_at)) = (process.terminated_at, process.ended_at) else {
         return false;
@@ -42,6 +43,7 @@
     ended_at > terminated_at + EXIT_LIMIT + MACHINE_SLACK + process.total_pause()
 }
 
+/// Whether a process was ready in time; pauses do not count.
 fn was_ready_in_time(process: &ProcessRecord) -> bool {
     let limit = process.started_at + READY_LIMIT + process.total_pause();
     process.ready_at.is_some_and(|ready_at| ready_at <= limit)
--- a/crates/testbed/src/soak/checker/requests.rs
+++ b/crates/testbed/src/soak/checker/requests.rs
@@ -34,6 +34,7 @@
     }
 }
 
+/// Whether a response came too late; pauses of the front do not count.
 fn is_late(recording: &Recording, request: &ClientRequest) -> bool {
     let pause = recording.pause_within(request.front, request.sent_at, request.ended_at);
     let deadline = request.sent_at + request.timeout;
@@ -57,6 +58,7 @@
     }
 }
 
+/// Whether an incomplete request stayed open too long; pauses and kills of the front excuse it.
 fn is_open_too_long(recording: &Recording, request: &IncompleteRequest) -> bool {
     let until = request
         .ended_at
--- a/crates/testbed/src/soak/config.rs
+++ b/crates/testbed/src/soak/config.rs
@@ -15,7 +15,7 @@
 pub struct SoakSetup {
     /// The program under test.
     pub program: PathBuf,
-    /// The seed from which faults and requests are drawn.
+    /// The seed from which faults and requests are sampled.
     pub seed: u64,
     /// Whether no fault is injected.
     pub calm: bool,
--- a/crates/testbed/src/soak/discovery.rs
+++ b/crates/testbed/src/soak/discovery.rs
@@ -177,6 +177,7 @@
         }
     }
 
+    /// Serves a watch until the front closes it or discovery is down.
     async fn serve_connection(self: Rc<Self>, front: usize, mut stream: TcpStream) {
         best_effort::ignore_closed_connection(self.serve_watch(front, &mut stream).await);
     }
--- a/crates/testbed/src/testbed/clients.rs
+++ b/crates/testbed/src/testbed/clients.rs
@@ -141,7 +141,7 @@
     }
 }
 
-/// Sends a request and reads the whole answer; `None` if the connection fails.
+/// Sends a request and reads the complete response; `None` if the connection fails.
 async fn exchange(address: SocketAddr, request: &str) -> Option<Vec<u8>> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     stream.write_all(request.as_bytes()).await.ok()?;
