--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -92,6 +92,8 @@
 pub mod stall_detector;
 pub mod startup_readiness;
 mod state;
+mod time_unit;
 
 pub use interface::*;
-pub use state::{Rate, Scheduler};
+pub use policy::{NodeCounts, Scheduler};
+pub use state::Rate;
--- a/crates/testbed/src/simulation/gossip.rs
+++ b/crates/testbed/src/simulation/gossip.rs
@@ -10,7 +10,9 @@
 use std::convert::Infallible;
 
 use fastrand::Rng;
-use tulipbridge_membership::{Delta, EntryKey, GossipAction, Incarnation, Nanos, PeerId};
+use tulipbridge_membership::{
+    Delta, EntryKey, GossipAction, Incarnation, KnownVersion, Nanos, PeerId,
+};
 
 use self::history::WriteHistory;
 pub use self::report::GossipReport;
@@ -30,13 +32,6 @@
 /// Distinguishes the random choices here from those of other simulations of the same schedule.
 const SEED_SALT: u64 = 0xe27;
 
-/// The version up to which a front has received the entries of another.
-#[derive(Clone, Copy)]
-struct KnownVersion {
-    incarnation: Incarnation,
-    version: u64,
-}
-
 /// Gossip that a front sent.
 struct SentGossip {
     at: Nanos,
@@ -152,8 +147,8 @@
         };
         let version = |peer: &Peer| {
             peer.gossip
-                .known(front as PeerId)
-                .map_or(0, |(_, version)| version)
+                .known(PeerId::at(front))
+                .map_or(0, |known| known.version)
         };
         let before = version(&running.peer);
         running.peer.put(now, key, value.clone());
@@ -230,25 +225,21 @@
             return;
         };
         for origin in running.peer.membership.others() {
-            let Some((incarnation, version)) = running.peer.gossip.known(origin) else {
+            let Some(known) = running.peer.gossip.known(origin) else {
                 continue;
             };
-            let known = KnownVersion {
-                incarnation,
-                version,
-            };
             let previous = running.state.known.insert(origin, known);
             let went_back = previous.is_some_and(|previous| {
-                previous.incarnation == incarnation && version < previous.version
+                previous.incarnation == known.incarnation && known.version < previous.version
             });
             self.report.inconsistent |= went_back;
             for id in 0..KEYS {
                 let key = entry_key(id);
                 let entry = running.peer.gossip.get(now, origin, key);
-                let writes = self.history.of_key(incarnation, version, key);
+                let writes = self.history.of_key(known.incarnation, known.version, key);
                 self.report.age_understated |= writes.understates_age(entry, now);
-                let value = entry.map(|(value, _)| value);
-                self.report.inconsistent |= version > 0 && !writes.allows(value);
+                let value = entry.map(|entry| entry.value);
+                self.report.inconsistent |= known.version > 0 && !writes.allows(value);
             }
         }
     }
@@ -266,8 +257,12 @@
             for (origin, writer) in
                 running().filter(|(origin, writer)| *origin != index && writer.state.written > 0)
             {
-                let expected = Some((writer.peer.incarnation, writer.state.written));
-                let known = front.peer.gossip.known(origin as PeerId);
+                let expected = Some(KnownVersion {
+                    origin: PeerId::at(origin),
+                    incarnation: writer.peer.incarnation,
+                    version: writer.state.written,
+                });
+                let known = front.peer.gossip.known(PeerId::at(origin));
                 self.report.not_converged |= known != expected;
             }
         }
--- a/crates/testbed/src/simulation/limits.rs
+++ b/crates/testbed/src/simulation/limits.rs
@@ -16,7 +16,7 @@
 use fastrand::Rng;
 use tulipbridge_fleet_limits::{
     Effect, Event as CoordinatorEvent, Heartbeat, Incarnation, Limit, LimitCoordinator,
-    LimitsConfig, Nanos, PeerId,
+    LimitsConfig, Nanos, PeerId, Share,
 };
 
 use self::process::{DriftingClock, Message, Process};
@@ -111,7 +111,7 @@
         let fronts = schedule.fronts;
         let config = |front: usize| LimitsConfig {
             max_clock_drift: MAX_CLOCK_DRIFT_PPM,
-            ..LimitsConfig::new(front as PeerId, fronts as PeerId, 1)
+            ..LimitsConfig::new(PeerId::at(front), fronts as u16, 1)
         };
         let mut simulation = LimitsSimulation {
             schedule,
@@ -302,7 +302,7 @@
         let process = self.processes.len();
         let drift_ppm = Nanos::from(self.rng.i32(-CLOCK_DRIFT_PPM..CLOCK_DRIFT_PPM));
         let initial_reading = Nanos::from(self.rng.u32(1..4_000_000)) * MILLISECOND;
-        let incarnation = self.rng.u64(1..u64::MAX);
+        let incarnation = Incarnation(self.rng.u64(1..u64::MAX));
         let config = self.configs[front].clone();
         let coordinator = LimitCoordinator::new(config, incarnation, initial_reading)
             .expect("the configuration is valid");
@@ -336,7 +336,7 @@
             self.apply(process, via, effect);
         }
         if let Some(running) = &self.processes[process] {
-            let used = running.shares.get(&VOLUME).copied().unwrap_or(0);
+            let used = running.shares.get(&VOLUME).copied().unwrap_or(Share::NONE);
             self.report.stale_share_used |= used > running.coordinator.share(clock, VOLUME);
         }
     }
@@ -356,7 +356,7 @@
                 running.shares.remove(&limit);
             }
             Effect::Send { to, heartbeat } => {
-                if let Some(to) = self.address[usize::from(to)] {
+                if let Some(to) = self.address[to.index()] {
                     self.send(process, to, front, incarnation, *heartbeat);
                 }
             }
@@ -382,7 +382,7 @@
             let message = Message {
                 to,
                 via,
-                from: sender as PeerId,
+                from: PeerId::at(sender),
                 incarnation,
                 heartbeat: heartbeat.clone(),
             };
--- a/crates/testbed/src/simulation/limits/faults.rs
+++ b/crates/testbed/src/simulation/limits/faults.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tulipbridge_fleet_limits::{Event as CoordinatorEvent, Share, FULL_SHARE};
+use tulipbridge_fleet_limits::{Event as CoordinatorEvent, FULL_SHARE};
 
 use super::{Event, LimitsSimulation};
 use crate::schedule::Fault;
@@ -99,7 +99,7 @@
                 .roster
                 .wrapping_mul(31)
                 .wrapping_add(u64::from(floor_percent));
-            config.floor = FULL_SHARE / 100 * Share::from(floor_percent);
+            config.floor = FULL_SHARE / 100 * u32::from(floor_percent);
             self.schedule_in(interval * front as u32, Event::Reconfigure(front));
         }
     }
--- a/src/front/assembly.rs
+++ b/src/front/assembly.rs
@@ -1,6 +1,6 @@
 //! Assembles the parts behind a front and starts their background tasks.
 
-use std::cell::{Cell, RefCell};
+use std::cell::Cell;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,17 +14,17 @@
 use tulipbridge_core::invariant_monitor::Violation;
 use tulipbridge_core::{Nanos, Settings};
 
-use crate::body_budget::BodyBudget;
 use crate::cluster::peers::Peers;
 use crate::config::Config;
 use crate::control::console::{self, Console, ConsoleParts};
-use crate::control::discovery::Discovery;
+use crate::control::discovery::{Discovery, FirstCall};
 use crate::control::endpoint_list::EndpointListReader;
 use crate::control::maintenance::{state_folder, Maintenance};
 use crate::control::readiness::Readiness;
 use crate::exchange::Exchange;
 use crate::front::error::FrontError;
-use crate::frontend::listener::{Handler, Listener, ListenerState};
+use crate::frontend::listener::{Handler, Listener, ListenerLimits};
+use crate::frontend::listener_status::ListenerStatus;
 use crate::limits::MAX_BODY;
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::Upstream;
@@ -54,13 +54,13 @@
     /// The front's metrics.
     pub metrics: Rc<Metrics>,
     /// The state that the listener shares with the console.
-    pub listener_state: ListenerState,
+    pub listener_status: ListenerStatus,
     /// The front's peers, where it has any.
     pub peers: Option<Rc<Peers>>,
     /// Whether the front is ready for clients.
     pub readiness: Readiness,
-    /// The most connections with clients.
-    pub max_clients: usize,
+    /// The connections with clients, and the memory for their bodies.
+    pub listener_limits: ListenerLimits,
 }
 
 impl FrontParts {
@@ -77,7 +77,7 @@
             shutdown.await;
             shutdown_at.set(Instant::now());
         };
-        Listener::new(handler, self.max_clients, self.listener_state.clone())
+        Listener::new(handler, self.listener_limits, self.listener_status.clone())
             .serve(listener, shutdown)
             .await;
         if let Some(peers) = &self.peers {
@@ -100,12 +100,13 @@
 ) -> Result<FrontParts, FrontError> {
     let limits = ConnectionLimits::new(config);
     let upstream = Upstream::new(config.dial_timeout, config.idle_close, limits.servers);
-    let exchange = Exchange::new(config.settings.clone(), config.seed, upstream)?;
     let metrics = Rc::new(Metrics::new());
     let counters = Rc::clone(&metrics);
-    exchange.set_violation_observer(Box::new(move |violation: Violation| {
-        counters.count_violation(violation.rule)
-    }));
+    let count_violation = Box::new(move |violation: Violation| {
+        counters.count_violation(violation.rule);
+    });
+    let settings = config.settings.clone();
+    let exchange = Exchange::new(settings, config.seed, upstream, count_violation)?;
     // Before the first endpoint list, since the peers follow every list.
     let peers = join_peers(config, &exchange, &metrics)?;
     let maintenance = Maintenance::new(state_folder(), &config.name, Rc::clone(&exchange));
@@ -123,13 +124,11 @@
         exchange,
         maintenance,
         metrics,
-        listener_state: ListenerState {
-            body_budget: Some(BodyBudget::new(config.memory_bytes / BODY_MEMORY_DIVISOR)),
-            ..ListenerState::default()
-        },
+        listener_status: ListenerStatus::default(),
         peers,
         readiness,
-        max_clients: limits.clients,
+        listener_limits: ListenerLimits::new(limits.clients)
+            .with_body_budget(config.memory_bytes / BODY_MEMORY_DIVISOR),
     };
     if let Some(address) = config.console {
         start_console(address, &parts)?;
@@ -158,6 +157,7 @@
     }
 }
 
+/// Joins the peers, where the configuration names any.
 fn join_peers(
     config: &Config,
     exchange: &Rc<Exchange<Upstream>>,
@@ -178,22 +178,16 @@
     maintenance: &Rc<Maintenance>,
     readiness: Readiness,
 ) -> Result<(), FrontError> {
-    let reader = EndpointListReader {
-        zones: config.zones.clone(),
-        maintenance: Rc::clone(maintenance),
-        start_times: RefCell::default(),
-    };
-    let phase = fastrand::Rng::with_seed(config.seed).f64();
-    let mut discovery = Discovery::new(
-        max_first_call_delay(&config.settings),
-        phase,
-        reader,
-        readiness,
-    );
+    let reader = EndpointListReader::new(config.zones.clone(), Rc::clone(maintenance));
+    let mut discovery = Discovery::new(reader, readiness);
     discovery
         .restore(&config.known_endpoints, exchange)
         .map_err(FrontError::KnownEndpoints)?;
-    spawn_local(discovery.follow(address, Rc::clone(exchange)));
+    let first_call = FirstCall {
+        max_delay: max_first_call_delay(&config.settings),
+        phase: fastrand::Rng::with_seed(config.seed).f64(),
+    };
+    spawn_local(discovery.follow(first_call, address, Rc::clone(exchange)));
     Ok(())
 }
 
@@ -217,11 +211,11 @@
     }
 }
 
+/// Opens the console and serves it in the background.
 fn start_console(address: SocketAddr, parts: &FrontParts) -> Result<(), FrontError> {
     let listener = console::listen(address)?;
     let console = Console::new(ConsoleParts {
-        accepting: Rc::clone(&parts.listener_state.accepting),
-        active_requests: Rc::clone(&parts.listener_state.active_requests),
+        listener_status: parts.listener_status.clone(),
         metrics: Rc::clone(&parts.metrics),
         exchange: Rc::clone(&parts.exchange),
         maintenance: Rc::clone(&parts.maintenance),
--- /dev/null
+++ b/src/object/server_request.rs
@@ -0,0 +1,45 @@
+//! Requests to chunk servers on behalf of an API request. One API request may take several of them.
+
+use std::borrow::Cow;
+
+use bytes::Bytes;
+use hyper::header::HeaderMap;
+use hyper::Method;
+use percent_encoding::{utf8_percent_encode, NON_ALPHANUMERIC};
+use tulipbridge_core::ShardId;
+
+/// A request to a chunk server, for the path of the API request.
+pub(super) struct ServerRequest {
+    /// Class by which the decision module schedules it.
+    pub class: usize,
+    /// The shard that must serve it; `None` leaves the choice to the decision module.
+    pub shard: Option<ShardId>,
+    pub method: Method,
+    /// Query without the question mark, encoded; empty for none.
+    pub query: String,
+    pub headers: HeaderMap,
+    pub body: Bytes,
+    /// Size of the request in units of the bucket.
+    pub units: f64,
+}
+
+impl ServerRequest {
+    /// A request of one unit to any shard, without query, headers and body.
+    pub fn new(class: usize, method: Method) -> ServerRequest {
+        ServerRequest {
+            class,
+            shard: None,
+            method,
+            query: String::new(),
+            headers: HeaderMap::new(),
+            body: Bytes::new(),
+            units: 1.0,
+        }
+    }
+}
+
+/// A query field with its value encoded.
+pub(super) fn query_field(name: &str, value: &str) -> String {
+    let value = Cow::from(utf8_percent_encode(value, NON_ALPHANUMERIC));
+    format!("{name}={value}")
+}
