--- a/crates/model-checker/src/request_model/step_generation.rs
+++ b/crates/model-checker/src/request_model/step_generation.rs
@@ -118,8 +118,8 @@
         } else if !closed_by_server && self.may_fail(Fault::IdleConnectionClosed) {
             self.steps.push(Step::ServerCloses(id));
         }
-        // After the last byte of a request, unsolicited bytes cannot be distinguished from its response: no
-        // front can detect it.
+        // After the last byte of a request, no front can distinguish unsolicited bytes from its
+        // response.
         let may_arrive = !connection.has_unsolicited_bytes()
             && !closed_by_server
             && connection.written() != Written::All;
