--- a/crates/model-checker/src/request_model/state/transitions.rs
+++ b/crates/model-checker/src/request_model/state/transitions.rs
@@ -3,7 +3,9 @@
 
 use tulipbridge_core::attempt::AttemptEvent;
 use tulipbridge_core::request_tracker::{Effect, FinalAnswer, Input};
-use tulipbridge_core::{Action, Listed, Nanos, NodeId, Outcome, RequestId, ShardId, UpdateScope};
+use tulipbridge_core::{
+    Action, Listed, Nanos, NodeId, Outcome, RequestId, RuntimeCommand, ShardId, UpdateScope,
+};
 
 use super::RequestState;
 use crate::request_model::attempt::{AttemptKey, InFlightAttempt};
@@ -172,7 +174,7 @@
                 self.report_node(model, node);
             }
             WatchUpdate::AddressChanged(node) => {
-                for (id, _) in self.pool.address_changed(node) {
+                for id in self.pool.address_changed(node) {
                     self.close(id);
                 }
             }
@@ -259,9 +261,16 @@
                     .and_modify(|attempt| attempt.withdraw(outcome));
             }
             Effect::Answer { id, answer } => self.answer_client(model, id, answer, origin),
-            Effect::SetTimer { after, cookie } => self.timers.set(self.now + after, cookie),
-            Effect::ForgetNode(node) => self.forget_node(node),
-            Effect::Release(_) | Effect::Log { .. } | Effect::Subscribe => {}
+            Effect::Runtime(command) => self.run_command(command),
+            Effect::Release(_) => {}
+        }
+    }
+
+    fn run_command(&mut self, command: RuntimeCommand) {
+        match command {
+            RuntimeCommand::SetTimer { after, cookie } => self.timers.set(self.now + after, cookie),
+            RuntimeCommand::ForgetNode(node) => self.forget_node(node),
+            RuntimeCommand::Log { .. } | RuntimeCommand::Subscribe => {}
         }
     }
 
@@ -269,7 +278,7 @@
     fn forget_node(&mut self, node: NodeId) {
         self.violations.node_forgotten_in_use |= self.is_node_in_use(node);
         self.nodes.forget(node);
-        for (id, _) in self.pool.remove(node) {
+        for id in self.pool.remove(node) {
             self.close(id);
         }
     }
--- a/crates/model-checker/src/request_model/step_generation.rs
+++ b/crates/model-checker/src/request_model/step_generation.rs
@@ -3,7 +3,7 @@
 //! The order in which steps are generated is part of the model: random walks choose by position.
 
 use tulipbridge_core::request_tracker::InFlightRequest;
-use tulipbridge_core::{Action, Nanos, NodeId, RequestId, Semantics};
+use tulipbridge_core::{Action, Nanos, NodeId, RequestId, RuntimeCommand, Semantics};
 
 use super::attempt::AttemptKey;
 use super::clients::ClientState;
@@ -223,7 +223,7 @@
         for node in nodes.ids() {
             let may_be_forgotten = nodes.is_removed(node) && !nodes.is_forgotten(node);
             if may_be_forgotten && !self.state.is_node_in_use(node) {
-                self.decide(Action::ForgetNode(node));
+                self.decide(Action::Runtime(RuntimeCommand::ForgetNode(node)));
             }
         }
         for (&id, request) in self.state.tracker().requests() {
--- a/crates/testbed/src/simulation/outliers.rs
+++ b/crates/testbed/src/simulation/outliers.rs
@@ -95,8 +95,8 @@
 }
 
 /// The zone of a front: fronts are in two zones in turn.
-fn zone_of(front: usize) -> Zone {
-    (front % 2) as Zone
+fn zone_of(front: usize) -> ZoneId {
+    ZoneId((front % 2) as u8)
 }
 
 impl<'a> OutlierSimulation<'a> {
@@ -144,8 +144,8 @@
         let peer = self.fleet.new_peer(front, GOSSIP_RATE);
         let incarnation = peer.incarnation;
         let now = self.fleet.now;
-        let peer_count = self.fleet.fronts.len() as PeerId;
-        let config = DetectorConfig::new(front as PeerId, peer_count, zone_of(front));
+        let peer_count = self.fleet.fronts.len() as u16;
+        let config = DetectorConfig::new(PeerId::at(front), peer_count, zone_of(front));
         let mut detector = OutlierDetector::new(config).expect("the configuration is valid");
         let servers = (0..SERVERS)
             .map(|server| (ServerId(server), true))
@@ -340,7 +340,7 @@
     }
 
     /// Sends a health check to a server and gives the detector its outcome.
-    fn probe(&mut self, front: usize, server: Server) {
+    fn probe(&mut self, front: usize, server: ServerId) {
         self.probes.push(Probe {
             at: self.fleet.now,
             server,
--- a/crates/testbed/src/simulation/outliers/scenario.rs
+++ b/crates/testbed/src/simulation/outliers/scenario.rs
@@ -40,7 +40,7 @@
 
 /// A server with a fault. Serialized as an array, as in stored results.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-#[serde(into = "(u64, Server, ServerFault)")]
+#[serde(into = "(u64, ServerId, ServerFault)")]
 pub struct FaultyServer {
     /// When the fault begins, in milliseconds; it lasts until the schedule ends.
     pub from_ms: u64,
@@ -50,7 +50,7 @@
     pub fault: ServerFault,
 }
 
-impl From<FaultyServer> for (u64, Server, ServerFault) {
+impl From<FaultyServer> for (u64, ServerId, ServerFault) {
     fn from(faulty: FaultyServer) -> Self {
         (faulty.from_ms, faulty.server, faulty.fault)
     }
@@ -117,9 +117,9 @@
     /// is a random number below 1,000.
     pub fn attempt_fails(
         &self,
-        server: Server,
-        zone: Zone,
-        class: Class,
+        server: ServerId,
+        zone: ZoneId,
+        class: ClassId,
         at_ms: u64,
         random: u32,
     ) -> bool {
@@ -158,8 +158,8 @@
     }
 
     /// Whether a server fails for the fronts of both zones by separate faults.
-    fn fails_in_every_zone(&self, server: Server) -> bool {
-        let fails_in = |zone: Zone| {
+    fn fails_in_every_zone(&self, server: ServerId) -> bool {
+        let fails_in = |zone: ZoneId| {
             let fault = ServerFault::Zone(zone);
             self.faulty_servers
                 .iter()
