--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -59,11 +59,11 @@
     /// The reserve in units per second.
     pub reserve_rate: f64,
     /// The units per second for which a volume is sized.
-    pub nominal: f64,
+    pub nominal_rate: f64,
     /// The weight in shares beyond the reserve.
     pub weight: f64,
     /// A factor on the value.
-    pub price: f64,
+    pub value_factor: f64,
 }
 
 /// A budget for retries.
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The number of fronts.
-    pub initiators: u32,
+    pub front_count: u32,
     /// The request classes.
     pub classes: Vec<Class>,
     /// The plans.
@@ -99,7 +99,7 @@
     /// The value of units beyond the fair share, as a fraction of the full value.
     pub idle_value: f64,
     /// The period of the usage meter; 0 is no meter.
-    pub use_period: Nanos,
+    pub usage_report_interval: Nanos,
     /// The most attempts of a request.
     pub max_attempts: u32,
     /// Whether two attempts of a request may be in flight.
@@ -118,7 +118,7 @@
     /// The least fraction of its full capacity that a starting chunk server has.
     pub warmup_floor: f64,
     /// The multiple of its present capacity that a starting chunk server bears.
-    pub tip_multiple: f64,
+    pub overload_factor: f64,
     /// The span over which a starting chunk server must not be overloaded.
     pub overload_span: Nanos,
     /// How long a key rests after an attempt that may still be executed.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,12 +5,12 @@
 //! attempts, discovery and shutdown.
 //!
 //! ```
-//! use tulipbridge_core::{Action, Class, Event, Group, Listed, NodeInfo, Plan, Request, Scheduler, Semantics, Settings};
+//! use tulipbridge_core::{Action, Class, Event, Group, EndpointState, NodeInfo, Plan, Request, Scheduler, Semantics, Settings};
 //! use tulipbridge_core::{KeyId, NodeId, RequestId, ShardId, UpdateScope, VolumeId};
 //!
 //! let ms = 1_000_000;
 //! let settings = Settings {
-//!     initiators: 1,
+//!     front_count: 1,
 //!     classes: vec![Class {
 //!         latency_objective: 150 * ms,
 //!         objective_stretch: 0.0,
@@ -27,9 +27,9 @@
 //!         limit_rate: 0.0,
 //!         limit_burst: 0.0,
 //!         reserve_rate: 10.0,
-//!         nominal: 12.0,
+//!         nominal_rate: 12.0,
 //!         weight: 1.0,
-//!         price: 1.0,
+//!         value_factor: 1.0,
 //!     }],
 //!     quantum: ms,
 //!     warmup_units: 20.0,
@@ -37,7 +37,7 @@
 //!     max_units: 8.0,
 //!     fair_share_value: 0.4,
 //!     idle_value: 0.05,
-//!     use_period: 0,
+//!     usage_report_interval: 0,
 //!     max_attempts: 3,
 //!     hedging: false,
 //!     cancellation: true,
@@ -46,14 +46,14 @@
 //!     poll_interval: 10_000 * ms,
 //!     warmup_duration: 13_000 * ms,
 //!     warmup_floor: 0.25,
-//!     tip_multiple: 3.0,
+//!     overload_factor: 3.0,
 //!     overload_span: 1000 * ms,
 //!     order_settle_time: 0,
 //!     retry_budget: None,
 //! };
 //! let mut scheduler = Scheduler::new(settings, 7, 0).expect("valid settings");
 //! let mut actions = Vec::new();
-//! let node = NodeInfo { node: NodeId(0), zone: 0, shard: ShardId(4), listed: Listed::Up, started_at: 0 };
+//! let node = NodeInfo { node: NodeId(0), zone: 0, shard: ShardId(4), state: EndpointState::Up, started_at: 0 };
 //! scheduler.handle(0, Event::Endpoints { scope: UpdateScope::Restored, nodes: vec![node] }, &mut actions);
 //! let request = Request {
 //!     id: RequestId(1),
@@ -61,7 +61,7 @@
 //!     plan: 0,
 //!     volume: VolumeId(9),
 //!     key: Some(KeyId(3)),
-//!     patience: 1000 * ms,
+//!     client_timeout: 1000 * ms,
 //!     units: 2.0,
 //!     shard: Some(ShardId(4)),
 //!     front_count: 1,
--- a/crates/core/tests/invariants.rs
+++ b/crates/core/tests/invariants.rs
@@ -52,7 +52,7 @@
 /// The state of a server in the endpoint list.
 #[derive(Clone, Copy)]
 struct ListEntry {
-    listed: Listed,
+    state: EndpointState,
     started_at: Nanos,
 }
 
@@ -110,7 +110,7 @@
             requests: BTreeMap::new(),
             listed: vec![
                 ListEntry {
-                    listed: Listed::Up,
+                    state: EndpointState::Up,
                     started_at: 0
                 };
                 NODES
@@ -183,7 +183,7 @@
             Some(KeyId(random.u64(0..12)))
         };
         request.units = f64::from(random.u32(1..8));
-        request.patience = if random.u32(0..5) == 0 {
+        request.client_timeout = if random.u32(0..5) == 0 {
             random.i64(0..40) * MS
         } else {
             S
@@ -207,14 +207,18 @@
     fn random_endpoint_event(&mut self) {
         let n = self.random.usize(0..NODES);
         let now = self.front.now;
-        let listed =
-            [Listed::Up, Listed::Up, Listed::Draining, Listed::Removed][self.random.usize(0..4)];
+        let listed = [
+            EndpointState::Up,
+            EndpointState::Up,
+            EndpointState::Draining,
+            EndpointState::Removed,
+        ][self.random.usize(0..4)];
         let started_at = match listed {
-            Listed::Up if self.random.bool() => now - self.random.i64(0..3000) * MS,
+            EndpointState::Up if self.random.bool() => now - self.random.i64(0..3000) * MS,
             _ => self.listed[n].started_at,
         };
         self.listed[n] = ListEntry {
-            listed,
+            state: listed,
             started_at: started_at.max(self.listed[n].started_at),
         };
         self.listed_at[n] = now;
@@ -223,7 +227,8 @@
             UpdateScope::Replace,
             UpdateScope::Unavailable,
         ][self.random.usize(0..3)];
-        let remaining = (0..NODES).filter(|index| self.listed[*index].listed != Listed::Removed);
+        let remaining =
+            (0..NODES).filter(|index| self.listed[*index].state != EndpointState::Removed);
         let nodes = match scope {
             UpdateScope::Replace => remaining.map(|index| self.node_info(index)).collect(),
             _ => vec![self.node_info(n)],
@@ -248,7 +253,7 @@
     }
 
     fn node_info(&self, id: usize) -> NodeInfo {
-        node(id, self.listed[id].listed, self.listed[id].started_at)
+        node(id, self.listed[id].state, self.listed[id].started_at)
     }
 
     fn random_client_leaves(&mut self) {
@@ -365,7 +370,8 @@
         let now = self.front.now;
         for (id, tracked) in &self.requests {
             assert!(
-                tracked.answered || now <= tracked.at + tracked.request.patience + ANSWER_SLACK,
+                tracked.answered
+                    || now <= tracked.at + tracked.request.client_timeout + ANSWER_SLACK,
                 "rule 1: request {id} got no answer"
             );
             assert!(
@@ -387,7 +393,7 @@
         assert!(!tracked.answered, "rule 1: request {id} sent after its end");
         self.check_semantics(id, at);
         assert!(
-            self.listed[at].listed == Listed::Up,
+            self.listed[at].state == EndpointState::Up,
             "rule 3: sent to a server that is not up"
         );
         self.check_slow_start(at, self.requests[&id].request.units);
@@ -409,7 +415,7 @@
 
     fn random_outcome(&mut self, id: u64, silent: bool) -> (Outcome, Nanos) {
         let tracked = &self.requests[&id];
-        let time_left = (tracked.at + tracked.request.patience - self.front.now).max(0);
+        let time_left = (tracked.at + tracked.request.client_timeout - self.front.now).max(0);
         let latency = self.random.i64(1..60) * MS;
         let outcome = match self.random.u32(0..20) {
             _ if silent && self.random.bool() => Outcome::TimedOut,
@@ -487,8 +493,8 @@
         // The even part of what is always bearable, and what the rule allows of the capacity that
         // the server has shown.
         let even =
-            self.settings.warmup_units * (1.0 + 3.0 * age) / f64::from(self.settings.initiators);
-        let shown = self.settings.tip_multiple * (0.25 + 0.75 * age) * self.served[at].peak;
+            self.settings.warmup_units * (1.0 + 3.0 * age) / f64::from(self.settings.front_count);
+        let shown = self.settings.overload_factor * (0.25 + 0.75 * age) * self.served[at].peak;
         // The largest request is an allowance for chance.
         let most = even + shown + self.settings.max_units;
         assert!(
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -44,7 +44,7 @@
         |s| s.classes.clear(),
         |s| s.plans[0].limit_rate = f64::NAN,
         |s| s.mean_units = 0.0,
-        |s| s.initiators = 0,
+        |s| s.front_count = 0,
     ];
     for f in corruptions {
         let mut settings = settings();
@@ -83,7 +83,7 @@
     front.advance(100 * MS);
     let moved = NodeInfo {
         shard: ShardId(1),
-        ..node(0, Listed::Up, 0)
+        ..node(0, EndpointState::Up, 0)
     };
     front.event(Event::Endpoints {
         scope: UpdateScope::Update,
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -16,11 +16,11 @@
 
 fn site(front_count: usize) -> Settings {
     let mut settings = settings();
-    settings.initiators = front_count as u32;
+    settings.front_count = front_count as u32;
     settings.warmup_floor = 0.18;
     settings.warmup_duration = 17 * S;
     settings.overload_span = 2 * S;
-    settings.tip_multiple = 2.0;
+    settings.overload_factor = 2.0;
     settings.mean_units = 2.0;
     // What any starting server of the site bears, by the slowest machines.
     settings.warmup_units = 11.0;
@@ -31,7 +31,7 @@
 fn bearable_requests(settings: &Settings, age: Nanos) -> f64 {
     let progress = (age as f64 / settings.warmup_duration as f64).min(1.0);
     let warm_fraction = settings.warmup_floor + (1.0 - settings.warmup_floor) * progress;
-    settings.tip_multiple * warm_fraction * FULL_CAPACITY * settings.overload_span as f64
+    settings.overload_factor * warm_fraction * FULL_CAPACITY * settings.overload_span as f64
         / 1e9
         / settings.mean_units
 }
@@ -71,10 +71,10 @@
         node: NodeId(NODES),
         zone: 0,
         shard: ShardId(0),
-        listed: Listed::Up,
+        state: EndpointState::Up,
         started_at,
     };
-    let replacement = [node(0, Listed::Removed, 0), started];
+    let replacement = [node(0, EndpointState::Removed, 0), started];
     while fleet.now < started_at + 10 * S {
         fleet.step();
         let now = fleet.now;
@@ -106,7 +106,7 @@
                 load.requests += 1;
                 recent.push_back(now);
                 let bearable = bearable_requests(&settings, now - started_at);
-                let rate = bearable / settings.tip_multiple / settings.overload_span as f64;
+                let rate = bearable / settings.overload_factor / settings.overload_span as f64;
                 idle_at = idle_at.max(now) + (1.0 / rate) as Nanos;
                 answered_at = answered_at.max(idle_at);
             }
@@ -175,7 +175,7 @@
 
     fn new() -> Restart {
         let mut settings = settings();
-        settings.initiators = Self::FRONTS as u32;
+        settings.front_count = Self::FRONTS as u32;
         settings.warmup_units = 24.0;
         settings.warmup_floor = 0.2;
         let fleet = Fleet::new(&settings, 1, 0..Self::FRONTS as u64);
@@ -217,7 +217,7 @@
         for front in 0..Self::FRONTS {
             let mut sent = Vec::new();
             if now == Self::STARTED_AT {
-                let nodes = vec![node(0, Listed::Up, now)];
+                let nodes = vec![node(0, EndpointState::Up, now)];
                 sent.extend(self.fleet.event(
                     front,
                     Event::Endpoints {
@@ -255,7 +255,7 @@
 
     fn check_overload(&self) {
         let age = (self.fleet.now - Self::STARTED_AT) as f64 / self.settings.warmup_duration as f64;
-        let bearable = self.settings.tip_multiple * (0.2 + 0.8 * age) * Self::CAPACITY;
+        let bearable = self.settings.overload_factor * (0.2 + 0.8 * age) * Self::CAPACITY;
         let since_start = self
             .recent
             .iter()
--- a/crates/model-checker/src/recovery.rs
+++ b/crates/model-checker/src/recovery.rs
@@ -122,7 +122,7 @@
         plan: 0,
         volume: VolumeId(1),
         key: None,
-        patience: READ_TIMEOUT,
+        client_timeout: READ_TIMEOUT,
         units: READ_UNITS,
         shard: Some(shard),
         front_count: 1,
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -19,7 +19,7 @@
     let classes = read_classes(value, family)?;
     let retry_budget = read_retry_budget(rules)?;
     Ok(Settings {
-        initiators: number(value, "Balancers")? as u32,
+        front_count: number(value, "Balancers")? as u32,
         classes,
         plans: array(value, "Grades")?
             .iter()
@@ -31,7 +31,7 @@
         max_units: number(family, "MostUnits")?,
         fair_share_value: number(family, "FairWorth")?,
         idle_value: number(family, "IdleWorth")?,
-        use_period: number(family, "UsePeriod")? as Nanos,
+        usage_report_interval: number(family, "UsePeriod")? as Nanos,
         max_attempts: number(limits, "MostTries")? as u32,
         hedging: boolean(limits, "SecondCopies")?,
         cancellation: boolean(limits, "Cancelling")?,
@@ -42,7 +42,7 @@
         poll_interval: number(rules, "AskEvery")? as Nanos,
         warmup_duration: number(rules, "Cold")? as Nanos,
         warmup_floor: number(rules, "ColdFrom")?,
-        tip_multiple: number(rules, "TipMultiple")?,
+        overload_factor: number(rules, "TipMultiple")?,
         overload_span: number(rules, "Fall")? as Nanos,
         order_settle_time: number(rules, "OrderSettle")? as Nanos,
         retry_budget,
@@ -112,8 +112,8 @@
         limit_rate: number(entry, "CeilingRate")?,
         limit_burst: number(entry, "LimitBurst")?,
         reserve_rate: number(entry, "FloorRate")?,
-        nominal: number(entry, "Nominal")?,
+        nominal_rate: number(entry, "Nominal")?,
         weight: number(entry, "Parts")?,
-        price: number(entry, "Pays")?,
+        value_factor: number(entry, "Pays")?,
     })
 }
