--- a/src/bin/tulipbridge-adapter/error.rs
+++ b/src/bin/tulipbridge-adapter/error.rs
@@ -2,9 +2,11 @@
 
 use std::io;
 
-use tulipbridge::config::json::JsonError;
+use tulipbridge::control::json_object::JsonObjectError;
 use tulipbridge::SettingsError;
 
+use crate::json::WrongKind;
+
 /// Why the adapter ends before its input does.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
@@ -58,7 +60,10 @@
     UnknownInstance { index: i64 },
     /// A value is missing or of the wrong kind.
     #[error(transparent)]
-    Value(#[from] JsonError),
+    Value(#[from] WrongKind),
+    /// The description of the site is invalid.
+    #[error(transparent)]
+    Site(#[from] JsonObjectError),
     /// The settings contradict each other.
     #[error(transparent)]
     Settings(#[from] SettingsError),
--- a/src/bin/tulipbridge-adapter/instance.rs
+++ b/src/bin/tulipbridge-adapter/instance.rs
@@ -5,11 +5,11 @@
 
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue as Value};
-use tulipbridge::config::json::{array, integer, names, optional_number, string};
 use tulipbridge::config::settings;
 use tulipbridge::*;
 
 use crate::error::WireError;
+use crate::json::{array, integer, names, optional_number, string};
 use crate::request_registry::RequestRegistry;
 use crate::vocabulary::{self, action, EventKind};
 
--- a/src/bin/tulipbridge-adapter/main.rs
+++ b/src/bin/tulipbridge-adapter/main.rs
@@ -3,6 +3,7 @@
 
 mod error;
 mod instance;
+mod json;
 mod request_registry;
 mod session;
 mod vocabulary;
--- a/src/bin/tulipbridge-adapter/session.rs
+++ b/src/bin/tulipbridge-adapter/session.rs
@@ -4,11 +4,11 @@
 
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue as Value};
-use tulipbridge::config::json::{integer, string};
 use tulipbridge::Nanos;
 
 use crate::error::WireError;
 use crate::instance::Instance;
+use crate::json::{integer, string};
 use crate::vocabulary::{event_kind, EventKind};
 
 /// The instances that this process hosts, by their index.
--- a/src/cluster/config.rs
+++ b/src/cluster/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use simd_json::prelude::*;
+use serde::Deserialize;
 use simd_json::OwnedValue as Value;
 use tulipbridge_core::Nanos;
 use tulipbridge_fleet_limits::{LimitsConfig, Share, FULL_SHARE};
@@ -12,27 +12,51 @@
 
 use crate::cluster::ejections::EjectionConfig;
 use crate::cluster::errors::ClusterConfigError;
-use crate::cluster::fields::{self, FieldError};
+use crate::cluster::fields::non_negative;
 use crate::cluster::limits::ConfiguredLimits;
-use crate::cluster::roster::Roster;
+use crate::cluster::roster::{Roster, RosterEntry};
+use crate::config::values::{objects, present, text, Address};
+use crate::control::json_object::decode;
 use crate::limits::MAX_FRONTS;
 
 /// Bytes a second of gossip, unless the file has a limit.
 const DEFAULT_GOSSIP_BYTES_PER_SECOND: f64 = 20_000.0;
+/// Nanoseconds per millisecond, the unit of the file's times.
 const NANOS_PER_MILLISECOND: f64 = 1e6;
+/// The revision of a roster, unless the file has one.
+const DEFAULT_REVISION: f64 = 1.0;
 
-const KNOWN_KEYS: [&str; 10] = [
-    "listen",
-    "key_file",
-    "roster",
-    "revision",
-    "life_ms",
-    "beat_ms",
-    "floor",
-    "limits",
-    "verdicts",
-    "entry_bytes_per_s",
-];
+/// The section `peers` as it is written in the file. Missing numbers have defaults.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct PeersSection {
+    listen: Address,
+    #[serde(deserialize_with = "text")]
+    key_file: String,
+    #[serde(deserialize_with = "objects")]
+    roster: Vec<RosterEntry>,
+    #[serde(default, deserialize_with = "non_negative")]
+    revision: Option<f64>,
+    #[serde(rename = "life_ms", default, deserialize_with = "non_negative")]
+    lease_duration_ms: Option<f64>,
+    #[serde(rename = "beat_ms", default, deserialize_with = "non_negative")]
+    heartbeat_interval_ms: Option<f64>,
+    /// The share of each limit that no front lends, as a fraction.
+    #[serde(default, deserialize_with = "non_negative")]
+    floor: Option<f64>,
+    /// See [`ConfiguredLimits::read`].
+    #[serde(default, deserialize_with = "present")]
+    limits: Option<Value>,
+    /// See [`EjectionConfig::read`].
+    #[serde(rename = "verdicts", default, deserialize_with = "present")]
+    ejections: Option<Value>,
+    #[serde(
+        rename = "entry_bytes_per_s",
+        default,
+        deserialize_with = "non_negative"
+    )]
+    gossip_bytes_per_second: Option<f64>,
+}
 
 /// How this front takes part in the fleet.
 #[derive(Clone, Debug, PartialEq)]
@@ -59,28 +83,32 @@
     /// # Errors
     /// The first value found that cannot be used.
     pub fn read(value: &Value, front_name: &str) -> Result<ClusterConfig, ClusterConfigError> {
-        fields::check_object(value, "peers", &KNOWN_KEYS)?;
-        let roster = Roster::read(value.get("roster"))?;
-        let mut limits_config = read_limits_config(value, &roster, front_name)?;
-        let gossip_bytes_per_second =
-            number_or(value, "entry_bytes_per_s", DEFAULT_GOSSIP_BYTES_PER_SECOND)? as u64;
+        let section: PeersSection = decode(value.clone()).map_err(|error| error.at("peers"))?;
+        let ejections = section
+            .ejections
+            .as_ref()
+            .map(EjectionConfig::read)
+            .transpose()?;
+        let fleet_limits = ConfiguredLimits::read(section.limits.as_ref())?;
+        let numbers = LimitNumbers::of(&section);
+        let gossip_bytes_per_second = section
+            .gossip_bytes_per_second
+            .unwrap_or(DEFAULT_GOSSIP_BYTES_PER_SECOND);
+        let roster = Roster::new(section.roster)?;
+        let mut limits_config = numbers.limits_config(&roster, front_name)?;
         if limits_config.revision == 0 {
             return Err(ClusterConfigError::RevisionZero);
         }
-        let ejections = value
-            .get("verdicts")
-            .map(EjectionConfig::read)
-            .transpose()?;
         limits_config.roster = roster_digest(&limits_config, &roster, ejections);
         limits_config.check().map_err(ClusterConfigError::Limits)?;
         Ok(ClusterConfig {
-            listen: fields::address(value.get("listen"), "peers.listen")?,
-            key_file: PathBuf::from(fields::text(value.get("key_file"), "peers.key_file")?),
+            listen: section.listen.0,
+            key_file: PathBuf::from(section.key_file),
             roster,
             ejections,
             limits_config,
-            fleet_limits: ConfiguredLimits::read(value.get("limits"))?,
-            gossip_bytes_per_second,
+            fleet_limits,
+            gossip_bytes_per_second: gossip_bytes_per_second as u64,
         })
     }
 
@@ -97,43 +125,52 @@
     }
 }
 
-/// The limits' configuration, without the digest of the roster.
-fn read_limits_config(
-    value: &Value,
-    roster: &Roster,
-    front_name: &str,
-) -> Result<LimitsConfig, ClusterConfigError> {
-    let me = roster.position(front_name);
-    let me = me.ok_or_else(|| ClusterConfigError::NotInRoster(front_name.to_owned()))?;
-    let fronts = PeerId::try_from(roster.members().len())
-        .ok()
-        .filter(|fronts| *fronts <= MAX_FRONTS);
-    let fronts = fronts.ok_or(ClusterConfigError::TooManyFronts)?;
-    let mut config = LimitsConfig::new(me as PeerId, fronts, 0);
-    config.revision = number_or(value, "revision", 1.0)? as u32;
-    config.lease_duration = millis_or(value, "life_ms", config.lease_duration)?;
-    config.heartbeat_interval = millis_or(value, "beat_ms", config.heartbeat_interval)?;
-    let full_share = f64::from(FULL_SHARE);
-    let floor = number_or(value, "floor", f64::from(config.floor) / full_share)?;
-    config.floor = (floor * full_share) as Share;
-    Ok(config)
+/// The numbers of the section that the limits' configuration consists of.
+struct LimitNumbers {
+    revision: Option<f64>,
+    lease_duration_ms: Option<f64>,
+    heartbeat_interval_ms: Option<f64>,
+    floor: Option<f64>,
 }
 
-/// The number under a key of `peers`, which must not be negative, or a default where there is no
-/// such key.
-fn number_or(value: &Value, key: &str, default: f64) -> Result<f64, FieldError> {
-    if value.get(key).is_none() {
-        return Ok(default);
+impl LimitNumbers {
+    /// Those of a section.
+    fn of(section: &PeersSection) -> LimitNumbers {
+        LimitNumbers {
+            revision: section.revision,
+            lease_duration_ms: section.lease_duration_ms,
+            heartbeat_interval_ms: section.heartbeat_interval_ms,
+            floor: section.floor,
+        }
+    }
+
+    /// The limits' configuration, without the digest of the roster.
+    fn limits_config(
+        &self,
+        roster: &Roster,
+        front_name: &str,
+    ) -> Result<LimitsConfig, ClusterConfigError> {
+        let me = roster.position(front_name);
+        let me = me.ok_or_else(|| ClusterConfigError::NotInRoster(front_name.to_owned()))?;
+        let fronts = PeerId::try_from(roster.members().len())
+            .ok()
+            .filter(|fronts| *fronts <= MAX_FRONTS);
+        let fronts = fronts.ok_or(ClusterConfigError::TooManyFronts)?;
+        let mut config = LimitsConfig::new(me as PeerId, fronts, 0);
+        config.revision = self.revision.unwrap_or(DEFAULT_REVISION) as u32;
+        config.lease_duration = nanos_or(self.lease_duration_ms, config.lease_duration);
+        config.heartbeat_interval = nanos_or(self.heartbeat_interval_ms, config.heartbeat_interval);
+        let full_share = f64::from(FULL_SHARE);
+        let floor = self.floor.unwrap_or(f64::from(config.floor) / full_share);
+        config.floor = (floor * full_share) as Share;
+        Ok(config)
     }
-    let number = fields::number(value, key).filter(|number| *number >= 0.0);
-    number.ok_or_else(|| FieldError::Negative(format!("peers.{key}")))
 }
 
-/// The number of milliseconds under a key of `peers` as nanoseconds, or a default where there is no
-/// such key.
-fn millis_or(value: &Value, key: &str, default: Nanos) -> Result<Nanos, FieldError> {
-    let millis = number_or(value, key, default as f64 / NANOS_PER_MILLISECOND)?;
-    Ok((millis * NANOS_PER_MILLISECOND) as Nanos)
+/// A number of milliseconds in nanoseconds, or a default, which is in nanoseconds.
+fn nanos_or(millis: Option<f64>, default: Nanos) -> Nanos {
+    let millis = millis.unwrap_or(default as f64 / NANOS_PER_MILLISECOND);
+    (millis * NANOS_PER_MILLISECOND) as Nanos
 }
 
 /// Digest of all that fronts must agree on before they grant each other leases.
--- a/src/cluster/ejections/config.rs
+++ b/src/cluster/ejections/config.rs
@@ -1,17 +1,34 @@
 //! The object `peers.verdicts` of a front's configuration file.
 
-use simd_json::prelude::*;
+use serde::{Deserialize, Deserializer};
 use simd_json::OwnedValue as Value;
 use tulipbridge_membership::PeerId;
 use tulipbridge_outlier_detection::{DetectorConfig, DetectorConfigError, Zone};
 
-use crate::cluster::fields::{self, FieldError};
+use crate::cluster::fields::{count_between, fraction};
+use crate::control::json_object::{decode, JsonObjectError};
 
 /// Fewest witnesses of an ejection: no front alone may eject a server.
 const MIN_WITNESSES: f64 = 2.0;
 /// Most witnesses that can be configured.
 const MAX_WITNESSES: f64 = 1_000.0;
 
+/// The section `peers.verdicts` as it is written in the file.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct EjectionSection {
+    #[serde(rename = "most_out", default, deserialize_with = "fraction")]
+    max_ejected_fraction: Option<f64>,
+    #[serde(default, deserialize_with = "witnesses")]
+    witnesses: Option<usize>,
+}
+
+/// Deserializes the number of witnesses.
+fn witnesses<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<usize>, D::Error> {
+    let witnesses = count_between(deserializer, MIN_WITNESSES, MAX_WITNESSES)?;
+    Ok(Some(witnesses as usize))
+}
+
 /// How ejections are decided, as far as operators configure it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EjectionConfig {
@@ -26,20 +43,15 @@
     ///
     /// # Errors
     /// The first value found that cannot be used.
-    pub fn read(value: &Value) -> Result<EjectionConfig, FieldError> {
-        fields::check_object(value, "peers.verdicts", &["most_out", "witnesses"])?;
+    pub fn read(value: &Value) -> Result<EjectionConfig, JsonObjectError> {
+        let section: EjectionSection =
+            decode(value.clone()).map_err(|error| error.at("peers.verdicts"))?;
         let defaults = DetectorConfig::new(0, 1, 0);
-        let max_ejected_fraction = match value.get("most_out") {
-            None => defaults.max_ejected_fraction,
-            Some(_) => read_fraction(value, "most_out")?,
-        };
-        let witnesses = match value.get("witnesses") {
-            None => defaults.witnesses,
-            Some(_) => read_witnesses(value, "witnesses")?,
-        };
         Ok(EjectionConfig {
-            max_ejected_fraction,
-            witnesses,
+            max_ejected_fraction: section
+                .max_ejected_fraction
+                .unwrap_or(defaults.max_ejected_fraction),
+            witnesses: section.witnesses.unwrap_or(defaults.witnesses),
         })
     }
 
@@ -62,17 +74,3 @@
         Ok(config)
     }
 }
-
-fn read_fraction(value: &Value, key: &str) -> Result<f64, FieldError> {
-    let fraction = fields::number(value, key).filter(|number| (0.0..1.0).contains(number));
-    fraction.ok_or_else(|| FieldError::NotAFraction(format!("peers.verdicts.{key}")))
-}
-
-fn read_witnesses(value: &Value, key: &str) -> Result<usize, FieldError> {
-    let is_valid =
-        |number: &f64| (MIN_WITNESSES..=MAX_WITNESSES).contains(number) && number.fract() == 0.0;
-    let witnesses = fields::number(value, key).filter(is_valid);
-    let witnesses =
-        witnesses.ok_or_else(|| FieldError::CountTooSmall(format!("peers.verdicts.{key}")))?;
-    Ok(witnesses as usize)
-}
--- a/src/cluster/errors.rs
+++ b/src/cluster/errors.rs
@@ -8,15 +8,15 @@
 use tulipbridge_membership::EnvelopeError;
 use tulipbridge_outlier_detection::DetectorConfigError;
 
-use crate::cluster::fields::FieldError;
+use crate::control::json_object::JsonObjectError;
 use crate::limits::{MAX_FRONTS, MAX_ZONES};
 
 /// Why `peers` of a front's file cannot be used.
-#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+#[derive(Debug, PartialEq, thiserror::Error)]
 pub enum ClusterConfigError {
     /// A value is missing, of the wrong type or out of range.
     #[error(transparent)]
-    Field(#[from] FieldError),
+    Value(#[from] JsonObjectError),
     /// A name or an address occurs twice in the roster.
     #[error("'{path}' {value} is there twice")]
     Duplicate {
--- a/src/cluster/fields.rs
+++ b/src/cluster/fields.rs
@@ -1,118 +1,67 @@
-//! Reads typed values from the JSON under `peers` in a front's configuration file.
-//!
-//! Each error message starts with the path of the offending key in single quotes: the reader of the
-//! whole file looks up the line of the error from that path.
-
-use std::net::SocketAddr;
+//! The types of numbers in the section `peers` of a front's configuration file. A number may be
+//! null, which is 0.
 
+use serde::de::Error;
+use serde::{Deserialize, Deserializer};
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
 
-use crate::config::json::number as read_number;
-
-/// Why a value under `peers` cannot be used.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum FieldError {
-    /// The value at this path is not an object.
-    #[error("'{0}' must be an object")]
-    NotAnObject(String),
-    /// The value at this path is not an array.
-    #[error("'{0}' must be an array")]
-    NotAnArray(String),
-    /// The value at this path is not a string, or is missing.
-    #[error("'{0}' must be a text")]
-    NotAText(String),
-    /// The configuration has no key of this path.
-    #[error("'{0}' is not known")]
-    UnknownKey(String),
-    /// The value is not an IP address with a port.
-    #[error("'{path}' {value} is no address")]
-    NotAnAddress {
-        /// Path of the key.
-        path: String,
-        /// The text found there.
-        value: String,
-    },
-    /// The value at this path is not a number greater than 0.
-    #[error("'{0}' must be a number above 0")]
-    NotPositive(String),
-    /// The value at this path is not a number, or is negative.
-    #[error("'{0}' must be a number of 0 or more")]
-    Negative(String),
-    /// The value at this path is not a number in `0.0..1.0`.
-    #[error("'{0}' must be a part from 0 to under 1")]
-    NotAFraction(String),
-    /// The value at this path is not an integer of at least 2, or is far too large.
-    #[error("'{0}' must be a whole number of 2 or more")]
-    CountTooSmall(String),
-}
+use crate::config::values::wrong_kind;
 
-/// Checks that a value is an object with no keys but the known ones.
-///
-/// # Errors
-/// [`FieldError::NotAnObject`] or [`FieldError::UnknownKey`].
-pub(super) fn check_object(
-    value: &Value,
-    path: &str,
-    known_keys: &[&str],
-) -> Result<(), FieldError> {
-    let object = value
-        .as_object()
-        .ok_or_else(|| FieldError::NotAnObject(path.to_owned()))?;
-    match object
-        .keys()
-        .find(|key| !known_keys.contains(&key.as_str()))
-    {
-        Some(unknown) => Err(FieldError::UnknownKey(format!("{path}.{unknown}"))),
-        None => Ok(()),
-    }
+/// Deserializes a number that is not negative.
+pub(super) fn non_negative<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Option<f64>, D::Error> {
+    let is_valid = |number: f64| number >= 0.0;
+    checked(deserializer, "a number of 0 or more", is_valid).map(Some)
 }
 
-/// The array at a path.
-///
-/// # Errors
-/// [`FieldError::NotAnArray`], also where there is no value.
-pub(super) fn array<'a>(value: Option<&'a Value>, path: &str) -> Result<&'a [Value], FieldError> {
-    let array = value
-        .and_then(Value::as_array)
-        .ok_or_else(|| FieldError::NotAnArray(path.to_owned()))?;
-    Ok(array.as_slice())
+/// Deserializes a number greater than 0.
+pub(super) fn positive<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
+    let is_valid = |number: f64| number > 0.0;
+    checked(deserializer, "a number above 0", is_valid)
 }
 
-/// The string at a path.
-///
-/// # Errors
-/// [`FieldError::NotAText`], also where there is no value.
-pub(super) fn text<'a>(value: Option<&'a Value>, path: &str) -> Result<&'a str, FieldError> {
-    value
-        .and_then(Value::as_str)
-        .ok_or_else(|| FieldError::NotAText(path.to_owned()))
+/// Deserializes a number greater than 0, where there is one.
+pub(super) fn optional_positive<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Option<f64>, D::Error> {
+    positive(deserializer).map(Some)
 }
 
-/// The IP address and port at a path.
-///
-/// # Errors
-/// [`FieldError::NotAText`] or [`FieldError::NotAnAddress`].
-pub(super) fn address(value: Option<&Value>, path: &str) -> Result<SocketAddr, FieldError> {
-    let text = text(value, path)?;
-    text.parse().map_err(|_| FieldError::NotAnAddress {
-        path: path.to_owned(),
-        value: text.to_owned(),
-    })
+/// Deserializes a number in `0.0..1.0`.
+pub(super) fn fraction<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Option<f64>, D::Error> {
+    let is_valid = |number: f64| (0.0..1.0).contains(&number);
+    checked(deserializer, "a part from 0 to under 1", is_valid).map(Some)
 }
 
-/// The number under a key of `object`, 0 where it is missing or null; `None` where the value is of
-/// another type.
-pub(super) fn number(object: &Value, key: &str) -> Option<f64> {
-    read_number(object, key).ok()
+/// Deserializes an integer from `min` to `max`, which the message leaves out: it is far above all
+/// that makes sense.
+pub(super) fn count_between<'de, D: Deserializer<'de>>(
+    deserializer: D,
+    min: f64,
+    max: f64,
+) -> Result<f64, D::Error> {
+    let is_valid = |number: f64| (min..=max).contains(&number) && number.fract() == 0.0;
+    let expected = format!("a whole number of {min} or more");
+    checked(deserializer, &expected, is_valid)
 }
 
-/// The number under a key of `object`, which must be greater than 0.
-///
-/// # Errors
-/// [`FieldError::NotPositive`] with `path`.
-pub(super) fn positive_number(object: &Value, key: &str, path: &str) -> Result<f64, FieldError> {
-    number(object, key)
-        .filter(|number| *number > 0.0)
-        .ok_or_else(|| FieldError::NotPositive(path.to_owned()))
+/// Deserializes a number that `is_valid`, which an error describes as `expected`.
+fn checked<'de, D: Deserializer<'de>>(
+    deserializer: D,
+    expected: &str,
+    is_valid: impl Fn(f64) -> bool,
+) -> Result<f64, D::Error> {
+    let value = Value::deserialize(deserializer)?;
+    let number = if value.is_null() {
+        Some(0.0)
+    } else {
+        value.cast_f64()
+    };
+    number
+        .filter(|number| is_valid(*number))
+        .ok_or_else(|| D::Error::custom(wrong_kind(&value, expected)))
 }
--- a/src/cluster/limits/config.rs
+++ b/src/cluster/limits/config.rs
@@ -1,14 +1,16 @@
 //! The object `peers.limits` of a front's configuration file: fleet-wide limits beside those of the
 //! volumes' plans.
 
-use simd_json::prelude::*;
+use serde::{Deserialize, Deserializer};
 use simd_json::OwnedValue as Value;
 use tulipbridge_core::request_tracker::Input;
 use tulipbridge_core::{Outcome, Settings, SharedLimit};
 use tulipbridge_fleet_limits::{Limit, Share};
 
 use super::{fraction, LimitDemand, LimitRate, LimitUpdate};
-use crate::cluster::fields::{self, FieldError};
+use crate::cluster::fields::{optional_positive, positive};
+use crate::config::values::object;
+use crate::control::json_object::{decode, JsonObjectError};
 
 /// Retries that each request demands in advance, where a failed attempt demands 1: a front with
 /// traffic then has a share of the retries before its first failure.
@@ -16,9 +18,42 @@
 /// Retries that a failed attempt demands.
 const RETRIES_PER_FAILURE: f64 = 1.0;
 
-const RETRIES_KEY: &str = "further_attempts";
-const WARMING_UP_KEY: &str = "starting_server";
-const IN_FLIGHT_KEY: &str = "out_at_server";
+/// The label of the limit on retries in metrics and on the console.
+const RETRIES_LABEL: &str = "further_attempts";
+/// The label of the limits on the load of servers in metrics and on the console.
+const SERVER_LOAD_LABEL: &str = "servers";
+
+/// The section `peers.limits` as it is written in the file.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct LimitsSection {
+    #[serde(rename = "further_attempts", default, deserialize_with = "rate")]
+    retries: Option<LimitRate>,
+    #[serde(rename = "starting_server", default, deserialize_with = "rate")]
+    warming_up: Option<LimitRate>,
+    #[serde(
+        rename = "out_at_server",
+        default,
+        deserialize_with = "optional_positive"
+    )]
+    in_flight: Option<f64>,
+}
+
+/// A limit of `peers.limits` as it is written in the file.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct RateSection {
+    #[serde(deserialize_with = "positive")]
+    rate: f64,
+    #[serde(deserialize_with = "positive")]
+    burst: f64,
+}
+
+/// Deserializes a rate and a burst.
+fn rate<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<LimitRate>, D::Error> {
+    let RateSection { rate, burst } = object(deserializer)?;
+    Ok(Some(LimitRate { rate, burst }))
+}
 
 /// The fleet-wide limits of `peers.limits`, beside those of the volumes' plans. Each may be
 /// missing.
@@ -35,19 +70,16 @@
     ///
     /// # Errors
     /// The first value found that cannot be used.
-    pub fn read(value: Option<&Value>) -> Result<ConfiguredLimits, FieldError> {
+    pub fn read(value: Option<&Value>) -> Result<ConfiguredLimits, JsonObjectError> {
         let Some(value) = value else {
             return Ok(ConfiguredLimits::default());
         };
-        fields::check_object(
-            value,
-            "peers.limits",
-            &[RETRIES_KEY, WARMING_UP_KEY, IN_FLIGHT_KEY],
-        )?;
+        let section: LimitsSection =
+            decode(value.clone()).map_err(|error| error.at("peers.limits"))?;
         Ok(ConfiguredLimits {
-            retries: read_rate(value, RETRIES_KEY)?,
-            warming_up: read_rate(value, WARMING_UP_KEY)?,
-            in_flight: read_in_flight(value)?,
+            retries: section.retries,
+            warming_up: section.warming_up,
+            in_flight: section.in_flight,
         })
     }
 
@@ -64,10 +96,10 @@
         let retries = self
             .retries
             .is_some()
-            .then_some((Limit::Retries, RETRIES_KEY));
+            .then_some((Limit::Retries, RETRIES_LABEL));
         let server_load = self
             .limits_server_load()
-            .then_some((Limit::ServerLoad, "servers"));
+            .then_some((Limit::ServerLoad, SERVER_LOAD_LABEL));
         retries.into_iter().chain(server_load)
     }
 
@@ -120,6 +152,7 @@
         }
     }
 
+    /// The update of the limit on retries.
     fn retries_update(&self, share: Share) -> Option<LimitUpdate> {
         let rate = self.retries?.scaled(share, 1.0);
         Some(LimitUpdate {
@@ -128,6 +161,7 @@
         })
     }
 
+    /// The update of the limit on servers that are warming up.
     fn warming_up_update(&self, share: Share, settings: &Settings) -> Option<LimitUpdate> {
         let rate = self.warming_up?.scaled(share, settings.max_units);
         Some(LimitUpdate {
@@ -136,6 +170,7 @@
         })
     }
 
+    /// The update of the limit on requests in flight at one server.
     fn in_flight_update(&self, share: Share) -> Option<LimitUpdate> {
         let rate = LimitRate {
             rate: self.in_flight? * fraction(share),
@@ -148,31 +183,6 @@
     }
 }
 
-/// Reads the object of a rate and a burst under a key of `peers.limits`.
-fn read_rate(limits: &Value, key: &str) -> Result<Option<LimitRate>, FieldError> {
-    let Some(value) = limits.get(key) else {
-        return Ok(None);
-    };
-    let path = format!("peers.limits.{key}");
-    fields::check_object(value, &path, &["rate", "burst"])?;
-    let rate = fields::positive_number(value, "rate", &format!("{path}.rate"))?;
-    let burst = fields::positive_number(value, "burst", &format!("{path}.burst"))?;
-    Ok(Some(LimitRate { rate, burst }))
-}
-
-/// Reads the number of requests in flight at one server.
-fn read_in_flight(limits: &Value) -> Result<Option<f64>, FieldError> {
-    if limits.get(IN_FLIGHT_KEY).is_none() {
-        return Ok(None);
-    }
-    fields::positive_number(
-        limits,
-        IN_FLIGHT_KEY,
-        &format!("peers.limits.{IN_FLIGHT_KEY}"),
-    )
-    .map(Some)
-}
-
 /// Whether an input reports that an attempt has failed.
 fn is_failed_attempt(input: &Input) -> bool {
     match input {
--- a/src/cluster/roster.rs
+++ b/src/cluster/roster.rs
@@ -2,13 +2,12 @@
 
 use std::net::SocketAddr;
 
-use simd_json::prelude::*;
-use simd_json::OwnedValue as Value;
+use serde::Deserialize;
 use tulipbridge_membership::PeerId;
 use tulipbridge_outlier_detection::Zone;
 
 use crate::cluster::errors::ClusterConfigError;
-use crate::cluster::fields;
+use crate::config::values::{text, Address};
 use crate::limits::MAX_ZONES;
 
 /// One front of the roster.
@@ -31,28 +30,29 @@
     zones: Vec<String>,
 }
 
-/// An entry of `peers.roster` before zones have numbers.
-struct RosterEntry {
+/// An entry of `peers.roster` as it is written in the file.
+#[derive(Clone, Debug, Deserialize)]
+pub(super) struct RosterEntry {
+    #[serde(deserialize_with = "text")]
     name: String,
-    address: SocketAddr,
+    address: Address,
+    /// The name of its zone; empty for a front without one.
+    #[serde(default, deserialize_with = "text")]
     zone: String,
 }
 
 impl Roster {
-    /// Reads the array `peers.roster`.
+    /// The roster with these entries.
     ///
     /// # Errors
-    /// A value of the wrong type, a name or an address that occurs twice, or more than 255 zones.
-    pub(super) fn read(value: Option<&Value>) -> Result<Roster, ClusterConfigError> {
-        let mut entries = Vec::new();
-        for (index, value) in fields::array(value, "peers.roster")?.iter().enumerate() {
-            let entry = RosterEntry::read(value, index, &entries)?;
-            entries.push(entry);
-        }
+    /// A name or an address that occurs twice, or more than 255 zones.
+    pub(super) fn new(mut entries: Vec<RosterEntry>) -> Result<Roster, ClusterConfigError> {
+        check_unique(&entries)?;
         entries.sort_by(|left, right| left.name.cmp(&right.name));
         Roster::number_zones(entries)
     }
 
+    /// Gives the zones of the entries their numbers, in the order of their names.
     fn number_zones(entries: Vec<RosterEntry>) -> Result<Roster, ClusterConfigError> {
         let mut zones: Vec<String> = entries.iter().map(|entry| entry.zone.clone()).collect();
         zones.sort();
@@ -71,7 +71,7 @@
             .map(|entry| RosterMember {
                 zone: zone_number(&entry.zone),
                 name: entry.name,
-                address: entry.address,
+                address: entry.address.0,
             })
             .collect();
         Ok(Roster { members, zones })
@@ -124,36 +124,20 @@
     }
 }
 
-impl RosterEntry {
-    fn read(
-        value: &Value,
-        index: usize,
-        earlier: &[RosterEntry],
-    ) -> Result<RosterEntry, ClusterConfigError> {
-        let name = fields::text(value.get("name"), &entry_path(index, "name"))?.to_owned();
-        let address = fields::address(value.get("address"), &entry_path(index, "address"))?;
-        let duplicate = |key: &str, value: String| ClusterConfigError::Duplicate {
-            path: entry_path(index, key),
-            value,
-        };
-        if earlier.iter().any(|entry| entry.name == name) {
-            return Err(duplicate("name", name));
+/// Checks that no name and no address occurs twice.
+fn check_unique(entries: &[RosterEntry]) -> Result<(), ClusterConfigError> {
+    let duplicate = |index: usize, key: &str, value: String| ClusterConfigError::Duplicate {
+        path: format!("peers.roster[{index}].{key}"),
+        value,
+    };
+    for (index, entry) in entries.iter().enumerate() {
+        let earlier = &entries[..index];
+        if earlier.iter().any(|other| other.name == entry.name) {
+            return Err(duplicate(index, "name", entry.name.clone()));
         }
-        if earlier.iter().any(|entry| entry.address == address) {
-            return Err(duplicate("address", address.to_string()));
+        if earlier.iter().any(|other| other.address == entry.address) {
+            return Err(duplicate(index, "address", entry.address.0.to_string()));
         }
-        let zone = match value.get("zone") {
-            None => String::new(),
-            zone => fields::text(zone, &entry_path(index, "zone"))?.to_owned(),
-        };
-        Ok(RosterEntry {
-            name,
-            address,
-            zone,
-        })
     }
-}
-
-fn entry_path(index: usize, key: &str) -> String {
-    format!("peers.roster[{index}].{key}")
+    Ok(())
 }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -5,7 +5,7 @@
 
 use crate::cluster;
 use crate::cluster::errors::ClusterConfigError;
-use crate::config::json::JsonError;
+use crate::control::json_object::JsonObjectError;
 
 /// Why a configuration file cannot be used.
 #[derive(Debug, thiserror::Error)]
@@ -41,7 +41,7 @@
     },
     /// A value is missing or invalid.
     #[error(transparent)]
-    Json(#[from] JsonError),
+    Value(#[from] JsonObjectError),
     /// The section on the front's peers is invalid.
     #[error("line {line}: {reason}")]
     Peers {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -2,9 +2,10 @@
 //! keys.
 
 pub mod error;
-pub mod json;
+mod file;
 pub mod reload;
 pub mod settings;
+pub mod values;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,16 +16,21 @@
 
 use crate::cluster::config::ClusterConfig;
 use crate::config::error::ConfigError;
-use crate::config::json::{
-    array, names, number, object, parse_address, parse_hex, positive_number_or, string,
-};
-use crate::config::json::{JsonError, Kind};
+use crate::config::file::{FrontFile, NamedEntry, SiteSettings};
+use crate::config::values::{positive_or, Address, Deferred};
+use crate::control::json_object::{self, JsonObjectError};
 use crate::telemetry::trace;
 
 /// The largest configuration file that is read, in bytes.
 const MAX_FILE_BYTES: u64 = 8 << 20;
 /// The environment variable with the path of the configuration file.
 const FILE_VARIABLE: &str = "BALANCER_CONFIG";
+/// The environment variable with the name of the front.
+const NAME_VARIABLE: &str = "BALANCER_NAME";
+/// The environment variable with the address for clients.
+const LISTEN_VARIABLE: &str = "BALANCER_LISTEN";
+/// The environment variable with the address of the console.
+const CONSOLE_VARIABLE: &str = "BALANCER_CONSOLE";
 /// The environment variable with the address of discovery.
 const DISCOVERY_VARIABLE: &str = "BALANCER_DISCOVERY";
 /// The name of a front without one in file and environment.
@@ -104,15 +110,11 @@
                 .then(|| environment_variable(name))
                 .flatten()
         };
-        let read = Config::read(&file.content, variable);
-        let mut config = read.map_err(|error| error.in_file(&file.path))?;
-        let document = json::parse(&file.content).map_err(ConfigError::from);
-        let document = document.map_err(|error| error.in_file(&file.path))?;
-        if document.get("discovery").is_none() {
-            let address = environment_variable(DISCOVERY_VARIABLE);
-            config.discovery = address
-                .map(|address| parse_address("discovery", &address))
-                .transpose()?;
+        let mut config =
+            Config::read(&file.content, variable).map_err(|error| error.in_file(&file.path))?;
+        if config.discovery.is_none() {
+            config.discovery =
+                overriding_address(environment_variable(DISCOVERY_VARIABLE), "discovery")?;
         }
         Ok(config)
     }
@@ -125,41 +127,47 @@
         json: &[u8],
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Config, ConfigError> {
-        let document = json::parse(json)?;
+        // The parser decodes strings in place, so it needs a copy to write to.
+        let document =
+            simd_json::to_owned_value(&mut json.to_vec()).map_err(JsonObjectError::Syntax)?;
         trace_start(&document);
-        let raw_settings = object(&document, "settings")?;
-        let family = required_part(raw_settings, "FamilyInfo")?;
-        let limits = required_part(raw_settings, "Limits")?;
-        let seed = string(document.get("seed"), "seed")?;
-        let name = front_name(&document, &variable);
-        let peers = read_peers(json, &document, &name)?;
-        let addresses = Addresses {
-            document: &document,
-            variable,
-        };
+        let file: FrontFile = json_object::decode(document)?;
+        let name = variable(NAME_VARIABLE)
+            .or(file.name)
+            .unwrap_or_else(|| DEFAULT_NAME.to_owned());
+        let peers = read_peers(json, file.peers.as_ref(), &name)?;
+        let listen = overriding_address(variable(LISTEN_VARIABLE), "listen")?;
+        let console = overriding_address(variable(CONSOLE_VARIABLE), "console")?;
+        let discovery = overriding_address(variable(DISCOVERY_VARIABLE), "discovery")?;
+        let in_settings = |error: JsonObjectError| error.at("settings");
+        let settings = settings::read(&file.settings).map_err(in_settings)?;
+        let site: SiteSettings = json_object::decode(file.settings.clone()).map_err(in_settings)?;
+        let class_count = site.classes.len();
         Ok(Config {
-            peers,
             name,
-            listen: addresses.required("BALANCER_LISTEN", "listen")?,
-            console: addresses.optional("BALANCER_CONSOLE", "console")?,
-            discovery: addresses.optional(DISCOVERY_VARIABLE, "discovery")?,
-            seed: parse_hex("seed", seed)?,
-            max_descriptors: process_limit(&document, "sockets", DEFAULT_DESCRIPTORS)?,
-            memory_bytes: process_limit(&document, "memory_mb", DEFAULT_MEMORY_MIB)?
+            listen: match listen {
+                Some(address) => address,
+                None => file.listen.required("listen")?.0,
+            },
+            console: optional_address(console, file.console, "console")?,
+            discovery: optional_address(discovery, file.discovery, "discovery")?,
+            peers,
+            seed: file.seed.0,
+            max_descriptors: positive_or(file.limits.max_descriptors, DEFAULT_DESCRIPTORS) as usize,
+            memory_bytes: (positive_or(file.limits.memory_mb, DEFAULT_MEMORY_MIB) as usize)
                 .saturating_mul(BYTES_PER_MIB),
-            known_endpoints: document
-                .get("known")
-                .cloned()
-                .ok_or_else(|| JsonError::missing("known"))?,
-            settings: settings::read(raw_settings)?,
-            raw_settings: raw_settings.clone(),
-            classes: names(raw_settings, "Services")?,
-            class_writes: read_writes(raw_settings, family)?,
-            plans: names(raw_settings, "Grades")?,
-            zones: read_zones(raw_settings)?,
-            shards: number(family, "Shards")? as u32,
-            dial_timeout: read_timeout(limits, "DialTimeout", DEFAULT_DIAL_TIMEOUT_NANOS)?,
-            idle_close: read_timeout(limits, "IdleClose", DEFAULT_IDLE_CLOSE_NANOS)?,
+            known_endpoints: file.known,
+            settings,
+            raw_settings: file.settings,
+            classes: names(site.classes),
+            class_writes: (0..class_count)
+                .map(|class| site.family.writes.of(class))
+                .collect(),
+            plans: names(site.plans),
+            zones: site.zones.into_iter().map(|zone| zone.0).collect(),
+            shards: site.family.shards as u32,
+            dial_timeout: timeout(site.limits.dial_timeout, DEFAULT_DIAL_TIMEOUT_NANOS),
+            idle_close: timeout(site.limits.idle_close, DEFAULT_IDLE_CLOSE_NANOS),
         })
     }
 }
@@ -169,28 +177,33 @@
     std::env::var(name).ok()
 }
 
-/// Addresses from the environment or, where it does not set them, from the file.
-struct Addresses<'a, F> {
-    document: &'a Value,
-    variable: F,
-}
-
-impl<F: Fn(&str) -> Option<String>> Addresses<'_, F> {
-    /// The address in `variable` or under `key`, one of which must have it.
-    fn required(&self, variable: &str, key: &str) -> Result<SocketAddr, JsonError> {
-        match (self.variable)(variable) {
-            Some(address) => parse_address(key, &address),
-            None => parse_address(key, string(self.document.get(key), key)?),
-        }
+/// The address in an environment variable that overrides `key`, where it is set.
+fn overriding_address(
+    variable: Option<String>,
+    key: &str,
+) -> Result<Option<SocketAddr>, JsonObjectError> {
+    let Some(text) = variable else {
+        return Ok(None);
+    };
+    match text.parse() {
+        Ok(address) => Ok(Some(address)),
+        Err(_) => Err(JsonObjectError::invalid(
+            key,
+            format!("{text} is no address"),
+        )),
     }
+}
 
-    /// The address in `variable` or under `key`, where either has it.
-    fn optional(&self, variable: &str, key: &str) -> Result<Option<SocketAddr>, JsonError> {
-        match ((self.variable)(variable), self.document.get(key)) {
-            (None, None) => Ok(None),
-            _ => self.required(variable, key).map(Some),
-        }
+/// The overriding address or, without one, that under `key` of the file.
+fn optional_address(
+    overriding: Option<SocketAddr>,
+    in_file: Deferred<Address>,
+    key: &str,
+) -> Result<Option<SocketAddr>, JsonObjectError> {
+    if overriding.is_some() || in_file.is_missing() {
+        return Ok(overriding);
     }
+    in_file.required(key).map(|address| Some(address.0))
 }
 
 /// Writes the settings to the decision trace, where that is on.
@@ -200,33 +213,13 @@
     }
 }
 
-/// A part of the settings that must be there. [`settings::read`] checks later that it is an object.
-fn required_part<'a>(settings: &'a Value, key: &str) -> Result<&'a Value, JsonError> {
-    settings
-        .get(key)
-        .ok_or_else(|| JsonError::wrong_kind(key, Kind::Object))
-}
-
-/// The name of the front.
-fn front_name(document: &Value, variable: impl Fn(&str) -> Option<String>) -> String {
-    let in_file = || {
-        document
-            .get("name")
-            .and_then(|name| name.as_str())
-            .map(str::to_owned)
-    };
-    variable("BALANCER_NAME")
-        .or_else(in_file)
-        .unwrap_or_else(|| DEFAULT_NAME.to_owned())
-}
-
 /// The section on the front's peers, where the file has one.
 fn read_peers(
     json: &[u8],
-    document: &Value,
+    section: Option<&Value>,
     name: &str,
 ) -> Result<Option<ClusterConfig>, ConfigError> {
-    let Some(section) = document.get("peers") else {
+    let Some(section) = section else {
         return Ok(None);
     };
     ClusterConfig::read(section, name)
@@ -264,38 +257,14 @@
     text[..position].matches('\n').count() + 1
 }
 
-/// A limit of the process, under `limits` in the file.
-fn process_limit(document: &Value, key: &str, default: f64) -> Result<usize, JsonError> {
-    match document.get("limits") {
-        Some(limits) => Ok(positive_number_or(limits, key, default)? as usize),
-        None => Ok(default as usize),
-    }
-}
-
-/// Whether each class writes, where the settings have that.
-fn read_writes(settings: &Value, family: &Value) -> Result<Vec<Option<bool>>, JsonError> {
-    let writes = family.get("ChangesData").and_then(Value::as_array);
-    let classes = array(settings, "Services")?.len();
-    let of_class = |index| {
-        writes
-            .and_then(|writes| writes.get(index))
-            .and_then(Value::as_bool)
-    };
-    Ok((0..classes).map(of_class).collect())
-}
-
-/// The names of the zones, in the order of the settings.
-fn read_zones(settings: &Value) -> Result<Vec<String>, JsonError> {
-    let zones = array(settings, "FailureDomains")?.iter();
-    zones
-        .map(|zone| string(Some(zone), "FailureDomains").map(str::to_owned))
-        .collect()
+/// A timeout of the file, or its default where it is 0, negative or missing, both in nanoseconds.
+fn timeout(nanos: f64, default_nanos: f64) -> Duration {
+    Duration::from_nanos(positive_or(nanos, default_nanos) as u64)
 }
 
-/// A timeout under `limits` in the settings, or its default, which is in nanoseconds too.
-fn read_timeout(limits: &Value, key: &str, default_nanos: f64) -> Result<Duration, JsonError> {
-    let nanos = positive_number_or(limits, key, default_nanos)?;
-    Ok(Duration::from_nanos(nanos as u64))
+/// The names of entries, in their order.
+fn names(entries: Vec<NamedEntry>) -> Vec<String> {
+    entries.into_iter().map(|entry| entry.name).collect()
 }
 
 /// A configuration file as read.
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -2,118 +2,278 @@
 //! simulator's adapter and the fronts read the same object, so that both schedule by the same
 //! parameters.
 
+use serde::Deserialize;
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
 use tulipbridge_core::{Class, Group, Nanos, Plan, RetryBudget, Semantics, Settings};
 
-use crate::config::json::{array, boolean, number, object, optional_number, string, JsonError};
+use crate::config::values::{
+    boolean, lenient, number, object, objects, optional_number, text, Deferred, Number,
+};
+use crate::control::json_object::{decode, JsonObjectError};
 
-/// Reads the scheduler's settings. Times are in nanoseconds.
+/// The name in the file of the policy to poll discovery.
+const POLLING: &str = "on_request";
+
+/// The part of the settings that the scheduler needs. Times are in nanoseconds.
+#[derive(Deserialize)]
+#[serde(rename_all = "PascalCase")]
+struct SettingsFile {
+    #[serde(rename = "Balancers", default, deserialize_with = "number")]
+    initiators: f64,
+    #[serde(rename = "Services", deserialize_with = "objects")]
+    classes: Vec<ClassEntry>,
+    #[serde(rename = "Grades", deserialize_with = "objects")]
+    plans: Vec<PlanEntry>,
+    #[serde(default, deserialize_with = "number")]
+    quantum: f64,
+    /// How a front follows discovery. It polls it where this is [`POLLING`].
+    #[serde(default, deserialize_with = "lenient")]
+    discovery: Option<String>,
+    #[serde(rename = "FamilyInfo", deserialize_with = "object")]
+    family: FamilySection,
+    #[serde(deserialize_with = "object")]
+    limits: LimitsSection,
+    #[serde(deserialize_with = "object")]
+    rules: RulesSection,
+}
+
+/// The object `FamilyInfo`: what requests are like.
+#[derive(Deserialize)]
+#[serde(rename_all = "PascalCase")]
+struct FamilySection {
+    #[serde(rename = "ColdUnits", default, deserialize_with = "number")]
+    warmup_units: f64,
+    #[serde(rename = "UnitMean", default, deserialize_with = "number")]
+    mean_units: f64,
+    #[serde(rename = "MostUnits", default, deserialize_with = "number")]
+    max_units: f64,
+    #[serde(rename = "FairWorth", default, deserialize_with = "number")]
+    fair_share_value: f64,
+    #[serde(rename = "IdleWorth", default, deserialize_with = "number")]
+    idle_value: f64,
+    #[serde(default, deserialize_with = "number")]
+    use_period: f64,
+    #[serde(rename = "ChangesData", default)]
+    writes: ClassWrites,
+}
+
+/// The object `Limits`.
+#[derive(Deserialize)]
+#[serde(rename_all = "PascalCase")]
+struct LimitsSection {
+    #[serde(rename = "MostTries", default, deserialize_with = "number")]
+    max_attempts: f64,
+    #[serde(rename = "SecondCopies", default, deserialize_with = "boolean")]
+    hedging: bool,
+    #[serde(rename = "Cancelling", default, deserialize_with = "boolean")]
+    cancellation: bool,
+    #[serde(default, deserialize_with = "number")]
+    max_retry_after: f64,
+}
+
+/// The object `Rules`.
+#[derive(Deserialize)]
+#[serde(rename_all = "PascalCase")]
+struct RulesSection {
+    #[serde(rename = "AskEvery", default, deserialize_with = "number")]
+    poll_interval: f64,
+    #[serde(rename = "Cold", default, deserialize_with = "number")]
+    warmup_duration: f64,
+    #[serde(rename = "ColdFrom", default, deserialize_with = "number")]
+    warmup_floor: f64,
+    #[serde(default, deserialize_with = "number")]
+    tip_multiple: f64,
+    #[serde(rename = "Fall", default, deserialize_with = "number")]
+    overload_span: f64,
+    #[serde(rename = "OrderSettle", default, deserialize_with = "number")]
+    order_settle_time: f64,
+    /// Retries for each request; without it there is no budget of retries.
+    #[serde(rename = "FurtherRatio", default, deserialize_with = "optional_number")]
+    retry_ratio: Option<f64>,
+    /// Retries that need no request. Only used with a ratio.
+    #[serde(rename = "ExtraFree", default)]
+    retry_base_allowance: Deferred<Number>,
+    /// The time over which retries are counted. Only used with a ratio.
+    #[serde(rename = "LookBack", default)]
+    retry_window: Deferred<Number>,
+}
+
+/// An entry of `Services`.
+#[derive(Deserialize)]
+#[serde(rename_all = "PascalCase")]
+struct ClassEntry {
+    #[serde(rename = "Aim", default, deserialize_with = "number")]
+    latency_objective: f64,
+    #[serde(rename = "AimStretch", default, deserialize_with = "number")]
+    objective_stretch: f64,
+    #[serde(default, deserialize_with = "number")]
+    deadline: f64,
+    semantics: SemanticsName,
+    #[serde(default, deserialize_with = "lenient")]
+    group: Option<String>,
+    #[serde(default, deserialize_with = "number")]
+    window: f64,
+    #[serde(default, deserialize_with = "boolean")]
+    keep_order: bool,
+    #[serde(rename = "LateWorth", default, deserialize_with = "number")]
+    late_value: f64,
+    #[serde(rename = "Points", default, deserialize_with = "number")]
+    priority_weight: f64,
+}
+
+/// An entry of `Grades`.
+#[derive(Deserialize)]
+#[serde(rename_all = "PascalCase")]
+struct PlanEntry {
+    #[serde(rename = "CeilingRate", default, deserialize_with = "number")]
+    limit_rate: f64,
+    #[serde(default, deserialize_with = "number")]
+    limit_burst: f64,
+    #[serde(rename = "FloorRate", default, deserialize_with = "number")]
+    reserve_rate: f64,
+    #[serde(default, deserialize_with = "number")]
+    nominal: f64,
+    #[serde(rename = "Parts", default, deserialize_with = "number")]
+    weight: f64,
+    #[serde(rename = "Pays", default, deserialize_with = "number")]
+    price: f64,
+}
+
+/// Whether each class writes, in the order of the classes. It says so of a class whose entry is a
+/// boolean; a value that is no array says it of none.
+#[derive(Clone, Debug, Default, Deserialize)]
+#[serde(from = "Value")]
+pub struct ClassWrites(Vec<Option<bool>>);
+
+impl ClassWrites {
+    /// Whether the class with this number writes, where that is known.
+    pub fn of(&self, class: usize) -> Option<bool> {
+        self.0.get(class).copied().flatten()
+    }
+}
+
+impl From<Value> for ClassWrites {
+    fn from(value: Value) -> ClassWrites {
+        let entries = value.as_array().into_iter().flatten();
+        ClassWrites(entries.map(Value::as_bool).collect())
+    }
+}
+
+/// The semantics of a class by their name.
+#[derive(Clone, Copy, Deserialize)]
+#[serde(try_from = "SemanticsText")]
+struct SemanticsName(Semantics);
+
+/// The name of the semantics of a class.
+#[derive(Deserialize)]
+struct SemanticsText(#[serde(deserialize_with = "text")] String);
+
+impl TryFrom<SemanticsText> for SemanticsName {
+    type Error = UnknownSemantics;
+
+    fn try_from(name: SemanticsText) -> Result<SemanticsName, UnknownSemantics> {
+        match name.0.as_str() {
+            "idempotent" => Ok(SemanticsName(Semantics::Idempotent)),
+            "deduplicated" => Ok(SemanticsName(Semantics::Deduplicated)),
+            "at_most_once" => Ok(SemanticsName(Semantics::AtMostOnce)),
+            _ => Err(UnknownSemantics(name.0)),
+        }
+    }
+}
+
+/// A name that is none of those of the semantics.
+#[derive(Debug, thiserror::Error)]
+#[error("{0} is not known")]
+struct UnknownSemantics(String);
+
+/// Reads the scheduler's settings.
 ///
 /// # Errors
 /// The first key that is missing or has a value of the wrong kind.
-pub fn read(value: &Value) -> Result<Settings, JsonError> {
-    let family = object(value, "FamilyInfo")?;
-    let limits = object(value, "Limits")?;
-    let rules = object(value, "Rules")?;
-    let classes = read_classes(value, family)?;
-    let retry_budget = read_retry_budget(rules)?;
+pub fn read(value: &Value) -> Result<Settings, JsonObjectError> {
+    let file: SettingsFile = decode(value.clone())?;
+    let retry_budget = retry_budget(&file.rules)?;
+    let writes = file.family.writes;
+    let classes = file
+        .classes
+        .iter()
+        .enumerate()
+        .map(|(index, entry)| class(entry, writes.of(index).unwrap_or(false)))
+        .collect();
     Ok(Settings {
-        initiators: number(value, "Balancers")? as u32,
+        initiators: file.initiators as u32,
         classes,
-        plans: array(value, "Grades")?
-            .iter()
-            .map(read_plan)
-            .collect::<Result<_, _>>()?,
-        quantum: number(value, "Quantum")? as Nanos,
-        warmup_units: number(family, "ColdUnits")?,
-        mean_units: number(family, "UnitMean")?,
-        max_units: number(family, "MostUnits")?,
-        fair_share_value: number(family, "FairWorth")?,
-        idle_value: number(family, "IdleWorth")?,
-        use_period: number(family, "UsePeriod")? as Nanos,
-        max_attempts: number(limits, "MostTries")? as u32,
-        hedging: boolean(limits, "SecondCopies")?,
-        cancellation: boolean(limits, "Cancelling")?,
+        plans: file.plans.iter().map(plan).collect(),
+        quantum: file.quantum as Nanos,
+        warmup_units: file.family.warmup_units,
+        mean_units: file.family.mean_units,
+        max_units: file.family.max_units,
+        fair_share_value: file.family.fair_share_value,
+        idle_value: file.family.idle_value,
+        use_period: file.family.use_period as Nanos,
+        max_attempts: file.limits.max_attempts as u32,
+        hedging: file.limits.hedging,
+        cancellation: file.limits.cancellation,
         // Set also where the simulator does not pass it on to its clients: a rejection says when to
         // retry.
-        max_retry_after: number(limits, "MaxRetryAfter")? as Nanos,
-        polls_discovery: value.get("Discovery").and_then(Value::as_str) == Some("on_request"),
-        poll_interval: number(rules, "AskEvery")? as Nanos,
-        warmup_duration: number(rules, "Cold")? as Nanos,
-        warmup_floor: number(rules, "ColdFrom")?,
-        tip_multiple: number(rules, "TipMultiple")?,
-        overload_span: number(rules, "Fall")? as Nanos,
-        order_settle_time: number(rules, "OrderSettle")? as Nanos,
+        max_retry_after: file.limits.max_retry_after as Nanos,
+        polls_discovery: file.discovery.as_deref() == Some(POLLING),
+        poll_interval: file.rules.poll_interval as Nanos,
+        warmup_duration: file.rules.warmup_duration as Nanos,
+        warmup_floor: file.rules.warmup_floor,
+        tip_multiple: file.rules.tip_multiple,
+        overload_span: file.rules.overload_span as Nanos,
+        order_settle_time: file.rules.order_settle_time as Nanos,
         retry_budget,
     })
 }
 
-/// The classes. A separate list, in the same order, has whether each writes.
-fn read_classes(value: &Value, family: &Value) -> Result<Vec<Class>, JsonError> {
-    let writes = family.get("ChangesData").and_then(Value::as_array);
-    let mut classes = Vec::new();
-    for (index, entry) in array(value, "Services")?.iter().enumerate() {
-        let mut class = read_class(entry)?;
-        class.writes = writes
-            .and_then(|writes| writes.get(index))
-            .and_then(Value::as_bool)
-            .unwrap_or(false);
-        classes.push(class);
-    }
-    Ok(classes)
-}
-
 /// The budget of retries; none where the settings state no ratio.
-fn read_retry_budget(rules: &Value) -> Result<Option<RetryBudget>, JsonError> {
-    let Some(ratio) = rules.get("FurtherRatio").filter(|ratio| !ratio.is_null()) else {
+fn retry_budget(rules: &RulesSection) -> Result<Option<RetryBudget>, JsonObjectError> {
+    let Some(ratio) = rules.retry_ratio else {
         return Ok(None);
     };
+    let base_allowance = rules
+        .retry_base_allowance
+        .clone()
+        .or_default("Rules.ExtraFree")?;
+    let window = rules.retry_window.clone().or_default("Rules.LookBack")?;
     Ok(Some(RetryBudget {
-        base_allowance: number(rules, "ExtraFree")?,
-        ratio: optional_number(Some(ratio), "FurtherRatio")?,
-        window: number(rules, "LookBack")? as Nanos,
+        base_allowance: base_allowance.0,
+        ratio,
+        window: window.0 as Nanos,
     }))
 }
 
-/// A class of requests. Whether it writes is not part of its entry.
-fn read_class(entry: &Value) -> Result<Class, JsonError> {
-    Ok(Class {
-        latency_objective: number(entry, "Aim")? as Nanos,
-        objective_stretch: number(entry, "AimStretch")?,
-        deadline: number(entry, "Deadline")? as Nanos,
-        semantics: read_semantics(entry)?,
-        group: match entry.get("Group").and_then(Value::as_str) {
+/// A class, which `writes` or not.
+fn class(entry: &ClassEntry, writes: bool) -> Class {
+    Class {
+        latency_objective: entry.latency_objective as Nanos,
+        objective_stretch: entry.objective_stretch,
+        deadline: entry.deadline as Nanos,
+        semantics: entry.semantics.0,
+        group: match entry.group.as_deref() {
             Some("all") => Group::All,
             Some("zone") => Group::Zone,
             _ => Group::Shard,
         },
-        window: number(entry, "Window")? as Nanos,
-        keep_order: boolean(entry, "KeepOrder")?,
-        late_value: number(entry, "LateWorth")?,
-        priority_weight: number(entry, "Points")?,
-        writes: false,
-    })
-}
-
-/// What a repetition of a request of the class does.
-fn read_semantics(entry: &Value) -> Result<Semantics, JsonError> {
-    match string(entry.get("Semantics"), "Semantics")? {
-        "idempotent" => Ok(Semantics::Idempotent),
-        "deduplicated" => Ok(Semantics::Deduplicated),
-        "at_most_once" => Ok(Semantics::AtMostOnce),
-        other => Err(JsonError::unknown_value("Semantics", other)),
+        window: entry.window as Nanos,
+        keep_order: entry.keep_order,
+        late_value: entry.late_value,
+        priority_weight: entry.priority_weight,
+        writes,
     }
 }
 
-/// A plan of volumes.
-fn read_plan(entry: &Value) -> Result<Plan, JsonError> {
-    Ok(Plan {
-        limit_rate: number(entry, "CeilingRate")?,
-        limit_burst: number(entry, "LimitBurst")?,
-        reserve_rate: number(entry, "FloorRate")?,
-        nominal: number(entry, "Nominal")?,
-        weight: number(entry, "Parts")?,
-        price: number(entry, "Pays")?,
-    })
+/// A plan.
+fn plan(entry: &PlanEntry) -> Plan {
+    Plan {
+        limit_rate: entry.limit_rate,
+        limit_burst: entry.limit_burst,
+        reserve_rate: entry.reserve_rate,
+        nominal: entry.nominal,
+        weight: entry.weight,
+        price: entry.price,
+    }
 }
--- a/src/control/discovery/error.rs
+++ b/src/control/discovery/error.rs
@@ -2,8 +2,8 @@
 
 use hyper::StatusCode;
 
-use crate::control::endpoint_list::EndpointListError;
 use crate::control::http_client::HttpError;
+use crate::control::json_object::JsonObjectError;
 
 /// Why a watch cannot be opened or read.
 #[derive(Debug, thiserror::Error)]
@@ -19,7 +19,7 @@
     Syntax(simd_json::Error),
     /// A message is not an endpoint list.
     #[error(transparent)]
-    EndpointList(#[from] EndpointListError),
+    EndpointList(#[from] JsonObjectError),
 }
 
 impl DiscoveryError {
--- a/src/control/discovery/mod.rs
+++ b/src/control/discovery/mod.rs
@@ -18,7 +18,8 @@
 use crate::control::discovery::connection::{OpenWatch, WatchMessage};
 use crate::control::discovery::error::DiscoveryError;
 use crate::control::discovery::follower::Follower;
-use crate::control::endpoint_list::{EndpointListError, EndpointListReader, EndpointUpdate};
+use crate::control::endpoint_list::{EndpointListReader, EndpointUpdate};
+use crate::control::json_object::JsonObjectError;
 use crate::control::json_stream::Message;
 use crate::control::readiness::Readiness;
 use crate::exchange::Exchange;
@@ -63,10 +64,10 @@
         &mut self,
         known: &Value,
         exchange: &Rc<Exchange<Upstream>>,
-    ) -> Result<(), EndpointListError> {
+    ) -> Result<(), JsonObjectError> {
         let update = self
             .reader
-            .read(known, exchange.transport(), exchange.now())?;
+            .read(known.clone(), exchange.transport(), exchange.now())?;
         self.generation = update.generation;
         exchange.update_endpoints(UpdateScope::Restored, update.nodes);
         Ok(())
@@ -136,6 +137,6 @@
         now: Nanos,
     ) -> Result<EndpointUpdate, DiscoveryError> {
         let value = simd_json::to_owned_value(json).map_err(DiscoveryError::Syntax)?;
-        Ok(self.reader.read(&value, exchange.transport(), now)?)
+        Ok(self.reader.read(value, exchange.transport(), now)?)
     }
 }
--- a/src/control/endpoint_list.rs
+++ b/src/control/endpoint_list.rs
@@ -1,29 +1,72 @@
 //! Reads endpoint lists: the messages of discovery, and the last known list in a front's
 //! configuration.
 
+use std::net::SocketAddr;
 use std::rc::Rc;
 
+use serde::{Deserialize, Deserializer};
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
 use tulipbridge_core::server_start_times::ServerStartTimes;
 use tulipbridge_core::{Listed, Nanos, NodeInfo, ShardId, UpdateScope};
 
-use crate::config::json::{array, boolean, integer, parse_address, string, JsonError};
+use crate::control::json_object::{decode, JsonObjectError};
 use crate::control::maintenance::Maintenance;
 use crate::upstream::Upstream;
 
 /// Nanoseconds per millisecond, the unit of the list's times.
 const NANOS_PER_MILLISECOND: i64 = 1_000_000;
 
-/// Why an endpoint list cannot be used.
+/// An endpoint list, or changes to one, as discovery sends it.
+#[derive(Deserialize)]
+struct EndpointListMessage {
+    /// The version of the list after the update.
+    generation: i64,
+    /// Whether the entries replace the list; they change some of it where this is missing or null.
+    reset: Option<bool>,
+    /// The entries. Each is decoded by itself, when it is read.
+    instances: Vec<Value>,
+}
+
+/// An entry of an endpoint list as discovery sends it.
+#[derive(Deserialize)]
+#[serde(rename_all = "camelCase")]
+struct EndpointMessage {
+    #[serde(rename = "instanceId")]
+    name: String,
+    #[serde(rename = "hostPort")]
+    address: EndpointAddress,
+    /// The name of the zone; anything but a string counts as an unknown zone.
+    #[serde(default, deserialize_with = "optional_string")]
+    zone: Option<String>,
+    /// The state of the server in discovery.
+    lifecycle: String,
+    #[serde(rename = "cell")]
+    shard: u32,
+    /// When the server started, in milliseconds since the Unix epoch; 0 where that is not known.
+    #[serde(default, deserialize_with = "integer_or_zero")]
+    started_at_ms: i64,
+}
+
+/// The address of a chunk server.
+#[derive(Deserialize)]
+#[serde(try_from = "String")]
+struct EndpointAddress(SocketAddr);
+
+/// A text that is not an IP address with a port.
 #[derive(Debug, thiserror::Error)]
-pub enum EndpointListError {
-    /// A value is missing or invalid.
-    #[error(transparent)]
-    Json(#[from] JsonError),
-    /// The number of a shard is too large.
-    #[error("'cell' is out of range")]
-    ShardOutOfRange,
+#[error("{0} is no address")]
+struct InvalidAddress(String);
+
+impl TryFrom<String> for EndpointAddress {
+    type Error = InvalidAddress;
+
+    fn try_from(text: String) -> Result<EndpointAddress, InvalidAddress> {
+        match text.parse() {
+            Ok(address) => Ok(EndpointAddress(address)),
+            Err(_) => Err(InvalidAddress(text)),
+        }
+    }
 }
 
 /// An endpoint list, or changes to one.
@@ -74,26 +117,27 @@
     }
 
     /// Reads an update that arrived at `now`. Chunk servers that are new get their number from
-    /// `upstream`.
+    /// `upstream`, those before an invalid entry too.
     ///
     /// # Errors
     /// The first value that is missing or invalid.
     pub fn read(
         &mut self,
-        value: &Value,
+        value: Value,
         upstream: &Upstream,
         now: Nanos,
-    ) -> Result<EndpointUpdate, EndpointListError> {
-        let generation = integer(value.get("generation"), "generation")?;
-        let scope = if boolean(value, "reset")? {
-            UpdateScope::Replace
-        } else {
-            UpdateScope::Update
+    ) -> Result<EndpointUpdate, JsonObjectError> {
+        let message: EndpointListMessage = decode(value)?;
+        let scope = match message.reset {
+            Some(true) => UpdateScope::Replace,
+            Some(false) | None => UpdateScope::Update,
         };
-        let entries = array(value, "instances")?.iter();
-        let endpoints: Vec<NamedEndpoint> = entries
-            .map(|entry| self.read_endpoint(entry, upstream, now))
-            .collect::<Result<_, _>>()?;
+        let mut endpoints = Vec::new();
+        for (index, entry) in message.instances.into_iter().enumerate() {
+            let entry: EndpointMessage =
+                decode(entry).map_err(|error| error.at(&format!("instances[{index}]")))?;
+            endpoints.push(self.read_endpoint(entry, upstream, now));
+        }
         if scope == UpdateScope::Replace {
             let names = endpoints
                 .iter()
@@ -107,43 +151,33 @@
             .map(|endpoint| self.maintenance.listed(&endpoint.name, endpoint.info))
             .collect();
         Ok(EndpointUpdate {
-            generation,
+            generation: message.generation,
             scope,
             nodes,
         })
     }
 
-    /// Reads one entry of an update.
+    /// Converts one entry of an update.
     fn read_endpoint(
         &mut self,
-        entry: &Value,
+        entry: EndpointMessage,
         upstream: &Upstream,
         now: Nanos,
-    ) -> Result<NamedEndpoint, EndpointListError> {
-        let name = string(entry.get("instanceId"), "instanceId")?;
-        let address = parse_address("hostPort", string(entry.get("hostPort"), "hostPort")?)?;
-        let zone = self.zone_index(entry.get("zone").and_then(Value::as_str));
-        let listed = listed_state(string(entry.get("lifecycle"), "lifecycle")?);
-        let shard = integer(entry.get("cell"), "cell")?;
-        let shard = u32::try_from(shard).map_err(|_| EndpointListError::ShardOutOfRange)?;
-        let started_at_ms = entry
-            .get("startedAtMs")
-            .and_then(Value::as_i64)
-            .unwrap_or(0);
-        let listed_start = started_at_ms.saturating_mul(NANOS_PER_MILLISECOND);
-        let started_at = self.start_times.listed(&name.to_owned(), now, listed_start);
-        let node = upstream.locate(name, address, ShardId(shard));
+    ) -> NamedEndpoint {
+        let shard = ShardId(entry.shard);
+        let listed_start = entry.started_at_ms.saturating_mul(NANOS_PER_MILLISECOND);
+        let started_at = self.start_times.listed(&entry.name, now, listed_start);
         let info = NodeInfo {
-            node,
-            zone,
-            shard: ShardId(shard),
-            listed,
+            node: upstream.locate(&entry.name, entry.address.0, shard),
+            zone: self.zone_index(entry.zone.as_deref()),
+            shard,
+            listed: listed_state(&entry.lifecycle),
             started_at,
         };
-        Ok(NamedEndpoint {
-            name: name.to_owned(),
+        NamedEndpoint {
+            name: entry.name,
             info,
-        })
+        }
     }
 
     /// The number of a zone; all zones that the settings do not name share the first number past
@@ -166,3 +200,15 @@
         _ => Listed::Draining,
     }
 }
+
+/// Deserializes a string; `None` where the value is of another type.
+fn optional_string<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<String>, D::Error> {
+    let value = Value::deserialize(deserializer)?;
+    Ok(value.as_str().map(str::to_owned))
+}
+
+/// Deserializes an integer; 0 where the value is of another type.
+fn integer_or_zero<'de, D: Deserializer<'de>>(deserializer: D) -> Result<i64, D::Error> {
+    let value = Value::deserialize(deserializer)?;
+    Ok(value.as_i64().unwrap_or(0))
+}
--- a/src/front/assembly.rs
+++ b/src/front/assembly.rs
@@ -183,7 +183,7 @@
     let mut discovery = Discovery::new(reader, readiness);
     discovery
         .restore(&config.known_endpoints, exchange)
-        .map_err(FrontError::KnownEndpoints)?;
+        .map_err(|error| FrontError::KnownEndpoints(error.at("known")))?;
     let first_call = FirstCall {
         max_delay: max_first_call_delay(&config.settings),
         phase: fastrand::Rng::with_seed(config.seed).f64(),
--- a/src/front/error.rs
+++ b/src/front/error.rs
@@ -4,7 +4,7 @@
 
 use crate::cluster::errors::JoinError;
 use crate::control::console::ConsoleError;
-use crate::control::endpoint_list::EndpointListError;
+use crate::control::json_object::JsonObjectError;
 use crate::frontend::socket::ListenError;
 use crate::runtime::RuntimeError;
 
@@ -24,8 +24,8 @@
     #[error(transparent)]
     Peers(#[from] JoinError),
     /// The last known endpoint list is invalid.
-    #[error("'known': {0}")]
-    KnownEndpoints(#[source] EndpointListError),
+    #[error(transparent)]
+    KnownEndpoints(JsonObjectError),
     /// The operators' console cannot be opened.
     #[error(transparent)]
     Console(#[from] ConsoleError),
--- a/src/object/config.rs
+++ b/src/object/config.rs
@@ -1,14 +1,15 @@
 //! The configuration of an object front: that of any front, and the buckets it serves.
 
-use std::collections::HashMap;
+use std::collections::{BTreeMap, HashMap};
 use std::path::Path;
 
-use simd_json::prelude::*;
+use serde::Deserialize;
 use simd_json::OwnedValue as Value;
 use tulipbridge_core::Semantics;
 
 use crate::config;
-use crate::config::json::{self, parse_hex, positive_number_or, string, JsonError, Kind};
+use crate::config::values::{number, positive_or, text, HexNumber};
+use crate::control::json_object::{self, JsonObjectError};
 
 /// The size of a unit of work, in bytes, unless the bucket has one.
 const DEFAULT_UNIT_BYTES: f64 = 16.0 * 1024.0;
@@ -39,7 +40,7 @@
     Base(#[from] config::error::ConfigError),
     /// A value is missing or invalid.
     #[error(transparent)]
-    Json(#[from] JsonError),
+    Value(#[from] JsonObjectError),
     /// A bucket is invalid.
     #[error("bucket {name}: {source}")]
     Bucket {
@@ -55,7 +56,7 @@
 pub enum BucketError {
     /// A value is missing or invalid.
     #[error(transparent)]
-    Json(#[from] JsonError),
+    Value(#[from] JsonObjectError),
     /// The class or plan is not among those of the settings.
     #[error("'{key}' {name} is not in the settings")]
     NotInSettings {
@@ -122,51 +123,74 @@
     pub fn read(json: &[u8]) -> Result<Config, ConfigError> {
         // The environment is for the platform's front only.
         let base = config::Config::read(json, |_| None)?;
-        let document = json::parse(json)?;
-        let entries = document
-            .get("buckets")
-            .and_then(|buckets| buckets.as_object());
-        let entries = entries.ok_or_else(|| JsonError::wrong_kind("buckets", Kind::Object))?;
+        // The parser decodes strings in place, so it needs a copy to write to.
+        let file: ObjectFile = json_object::parse(&mut json.to_vec())?;
         let mut buckets = HashMap::new();
-        for (name, entry) in entries {
-            let bucket = Bucket::read(entry, &base);
-            let in_bucket = |source| ConfigError::Bucket {
-                name: name.clone(),
-                source,
+        for (name, entry) in file.buckets {
+            match Bucket::read(entry, &base) {
+                Ok(bucket) => buckets.insert(name, bucket),
+                Err(source) => return Err(ConfigError::Bucket { name, source }),
             };
-            buckets.insert(name.clone(), bucket.map_err(in_bucket)?);
         }
         Ok(Config { base, buckets })
     }
 }
 
+/// The part of the file that only an object front has.
+#[derive(Deserialize)]
+struct ObjectFile {
+    /// The buckets by their names; see [`BucketEntry`].
+    buckets: BTreeMap<String, Value>,
+}
+
+/// A bucket as it is written in the file.
+#[derive(Deserialize)]
+struct BucketEntry {
+    volume: HexNumber,
+    /// The name of its plan.
+    #[serde(deserialize_with = "text")]
+    plan: String,
+    /// The name of the class for requests that may be repeated.
+    #[serde(rename = "read", deserialize_with = "text")]
+    read_class: String,
+    /// The name of the class for requests that must not run twice.
+    #[serde(rename = "write", deserialize_with = "text")]
+    write_class: String,
+    /// The size of a unit of work, in bytes; 0 or less counts as missing.
+    #[serde(default, deserialize_with = "number")]
+    unit_bytes: f64,
+    /// The number of fronts through which its requests come; 0 or less counts as missing.
+    #[serde(rename = "hosts", default, deserialize_with = "number")]
+    front_count: f64,
+}
+
 impl Bucket {
-    fn read(entry: &Value, base: &config::Config) -> Result<Bucket, BucketError> {
-        let volume = string(entry.get("volume"), "volume")?;
-        let read = index_of(entry, "read", &base.classes)?;
-        let write = index_of(entry, "write", &base.classes)?;
+    /// Reads a bucket whose class and plan are those of `base`.
+    fn read(entry: Value, base: &config::Config) -> Result<Bucket, BucketError> {
+        let entry: BucketEntry = json_object::decode(entry)?;
+        let read_class = index_of(&entry.read_class, "read", &base.classes)?;
+        let write_class = index_of(&entry.write_class, "write", &base.classes)?;
         // A write repeated after an uncertain outcome could store twice; the settings must not
         // allow it.
-        if base.settings.classes[write].semantics == Semantics::Idempotent {
+        if base.settings.classes[write_class].semantics == Semantics::Idempotent {
             return Err(BucketError::RepeatableWrites);
         }
-        if base.settings.classes[read].semantics != Semantics::Idempotent {
+        if base.settings.classes[read_class].semantics != Semantics::Idempotent {
             return Err(BucketError::UnrepeatableReads);
         }
         Ok(Bucket {
-            volume: parse_hex("volume", volume)?,
-            plan: index_of(entry, "plan", &base.plans)?,
-            read_class: read,
-            write_class: write,
-            unit_bytes: positive_number_or(entry, "unit_bytes", DEFAULT_UNIT_BYTES)?,
-            front_count: positive_number_or(entry, "hosts", DEFAULT_FRONTS)? as u32,
+            volume: entry.volume.0,
+            plan: index_of(&entry.plan, "plan", &base.plans)?,
+            read_class,
+            write_class,
+            unit_bytes: positive_or(entry.unit_bytes, DEFAULT_UNIT_BYTES),
+            front_count: positive_or(entry.front_count, DEFAULT_FRONTS) as u32,
         })
     }
 }
 
-/// The position in `names` of the name under `key`.
-fn index_of(entry: &Value, key: &str, names: &[String]) -> Result<usize, BucketError> {
-    let name = string(entry.get(key), key)?;
+/// The position in `names` of the `name` that was found under `key`.
+fn index_of(name: &str, key: &str, names: &[String]) -> Result<usize, BucketError> {
     let position = names.iter().position(|other| other == name);
     position.ok_or_else(|| BucketError::NotInSettings {
         key: key.to_owned(),
--- a/tests/cluster/config.rs
+++ b/tests/cluster/config.rs
@@ -38,7 +38,7 @@
         (
             "\"b\", \"address\": \"127.0.0.1:2\"",
             "\"b\", \"address\": \"here\"",
-            "'peers.roster[0].address' here is no address",
+            "'peers.roster[0].address': here is no address",
         ),
         ("\"a\"", "\"b\"", "'peers.roster[1].name' b is there twice"),
         (
@@ -59,14 +59,14 @@
         (
             "\"listen\"",
             "\"beat\": 2, \"listen\"",
-            "'peers.beat' is not known",
+            "'peers.beat': unknown field `beat`, expected one of `listen`, `key_file`, `roster`, `revision`, `life_ms`, `beat_ms`, `floor`, `limits`, `verdicts`, `entry_bytes_per_s`",
         ),
         (
             "\"listen\"",
             "\"revision\": 0, \"listen\"",
             "'peers.revision' counts from 1",
         ),
-        ("\"k\"", "7", "'peers.key_file' must be a text"),
+        ("\"k\"", "7", "'peers.key_file': must be a text, not 7"),
     ] {
         let error = read(&VALID.replacen(from, to, 1))
             .err()
--- a/tests/cluster/limits.rs
+++ b/tests/cluster/limits.rs
@@ -1,7 +1,7 @@
 //! Reading `peers.limits` of a front's file, and what this front's shares of limits come to.
 
-use tulipbridge::cluster::fields::FieldError;
 use tulipbridge::cluster::limits::{ConfiguredLimits, FleetLimits, LimitRate, LimitUpdate};
+use tulipbridge::control::json_object::JsonObjectError;
 use tulipbridge::{Settings, SharedLimit};
 use tulipbridge_fleet_limits::{Limit, FULL_SHARE};
 
@@ -16,7 +16,7 @@
     tulipbridge::config::settings::read(&value).expect("the settings are valid")
 }
 
-fn read(text: &str) -> Result<ConfiguredLimits, FieldError> {
+fn read(text: &str) -> Result<ConfiguredLimits, JsonObjectError> {
     ConfiguredLimits::read(Some(&json(text)))
 }
 
@@ -102,32 +102,32 @@
         (
             "64",
             "0",
-            "'peers.limits.out_at_server' must be a number above 0",
+            "'peers.limits.out_at_server': must be a number above 0, not 0",
         ),
         (
             "64",
             "\"x\"",
-            "'peers.limits.out_at_server' must be a number above 0",
+            "'peers.limits.out_at_server': must be a number above 0, not \"x\"",
         ),
         (
             "20",
             "-1",
-            "'peers.limits.further_attempts.rate' must be a number above 0",
+            "'peers.limits.further_attempts.rate': must be a number above 0, not -1",
         ),
         (
             ", \"burst\": 40",
             "",
-            "'peers.limits.starting_server.burst' must be a number above 0",
+            "'peers.limits.starting_server.burst': is missing",
         ),
         (
             "\"burst\": 8",
             "\"bust\": 8",
-            "'peers.limits.further_attempts.bust' is not known",
+            "'peers.limits.further_attempts.bust': unknown field `bust`, expected `rate` or `burst`",
         ),
         (
             "out_at_server",
             "out_at",
-            "'peers.limits.out_at' is not known",
+            "'peers.limits.out_at': unknown field `out_at`, expected one of `further_attempts`, `starting_server`, `out_at_server`",
         ),
     ] {
         let error = read(&ALL.replacen(from, to, 1))
--- a/tests/object_config.rs
+++ b/tests/object_config.rs
@@ -26,14 +26,18 @@
         (
             "127.0.0.1:7402",
             "nowhere",
-            "line 11: 'peers.roster[1].address' nowhere is no address",
+            "line 11: 'peers.roster[1].address': nowhere is no address",
         ),
         (
             "\"object-1\", \"address\"",
             "\"object-9\", \"address\"",
             "line 9: 'peers.roster' does not name this front, object-1",
         ),
-        ("\"floor\"", "\"flor\"", "line 8: 'peers.flor' is not known"),
+        (
+            "\"floor\"",
+            "\"flor\"",
+            "line 8: 'peers.flor': unknown field `flor`, expected one of `listen`, ",
+        ),
     ] {
         let read = Config::read(FILE_WITH_PEERS.replacen(from, to, 1).as_bytes());
         let error = read
