--- a/crates/model-checker/src/configs/discovery.rs
+++ b/crates/model-checker/src/configs/discovery.rs
@@ -8,17 +8,18 @@
     vec![
         base(
             "watch-early",
-            "the watch on discovery, a front that calls first, two troubles",
+            "the discovery watch of the front that calls first, two faults",
             0.0,
         ),
         base(
             "watch-late",
-            "the watch on discovery, a front that calls last, two troubles",
+            "the discovery watch of the front that calls last, two faults",
             1.0,
         ),
     ]
 }
 
+/// A configuration with a front whose calls are at this position within their jitter, from 0 to 1.
 fn base(name: &'static str, description: &'static str, jitter: f64) -> DiscoveryModel {
     DiscoveryModel {
         summary: ModelSummary {
--- a/src/cluster/config.rs
+++ b/src/cluster/config.rs
@@ -152,17 +152,17 @@
     ) -> Result<LimitsConfig, ClusterConfigError> {
         let me = roster.position(front_name);
         let me = me.ok_or_else(|| ClusterConfigError::NotInRoster(front_name.to_owned()))?;
-        let fronts = PeerId::try_from(roster.members().len())
+        let fronts = u16::try_from(roster.members().len())
             .ok()
             .filter(|fronts| *fronts <= MAX_FRONTS);
         let fronts = fronts.ok_or(ClusterConfigError::TooManyFronts)?;
-        let mut config = LimitsConfig::new(me as PeerId, fronts, 0);
+        let mut config = LimitsConfig::new(PeerId::at(me), fronts, 0);
         config.revision = self.revision.unwrap_or(DEFAULT_REVISION) as u32;
         config.lease_duration = nanos_or(self.lease_duration_ms, config.lease_duration);
         config.heartbeat_interval = nanos_or(self.heartbeat_interval_ms, config.heartbeat_interval);
-        let full_share = f64::from(FULL_SHARE);
-        let floor = self.floor.unwrap_or(f64::from(config.floor) / full_share);
-        config.floor = (floor * full_share) as Share;
+        let full_share = f64::from(FULL_SHARE.0);
+        let floor = self.floor.unwrap_or(config.floor.as_fraction());
+        config.floor = Share((floor * full_share) as u32);
         Ok(config)
     }
 }
--- a/src/cluster/ejections/config.rs
+++ b/src/cluster/ejections/config.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Deserializer};
 use simd_json::OwnedValue as Value;
 use tulipbridge_membership::PeerId;
-use tulipbridge_outlier_detection::{DetectorConfig, DetectorConfigError, Zone};
+use tulipbridge_outlier_detection::{DetectorConfig, DetectorConfigError, ZoneId};
 
 use crate::cluster::fields::{count_between, fraction};
 use crate::control::json_object::{decode, JsonObjectError};
@@ -46,7 +46,7 @@
     pub fn read(value: &Value) -> Result<EjectionConfig, JsonObjectError> {
         let section: EjectionSection =
             decode(value.clone()).map_err(|error| error.at("peers.verdicts"))?;
-        let defaults = DetectorConfig::new(0, 1, 0);
+        let defaults = DetectorConfig::new(PeerId(0), 1, ZoneId(0));
         Ok(EjectionConfig {
             max_ejected_fraction: section
                 .max_ejected_fraction
@@ -62,8 +62,8 @@
     pub fn detector_config(
         &self,
         me: PeerId,
-        fronts: PeerId,
-        zone: Zone,
+        fronts: u16,
+        zone: ZoneId,
     ) -> Result<DetectorConfig, DetectorConfigError> {
         let config = DetectorConfig {
             max_ejected_fraction: self.max_ejected_fraction,
--- a/src/telemetry/trace/events.rs
+++ b/src/telemetry/trace/events.rs
@@ -4,8 +4,8 @@
 use simd_json::OwnedValue as Value;
 use tulipbridge_core::request_tracker::{Effect, FinalAnswer, Input};
 use tulipbridge_core::{
-    FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, SharedLimit,
-    UpdateScope,
+    FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, RuntimeCommand,
+    SharedLimit, UpdateScope,
 };
 
 /// Nanoseconds per microsecond.
@@ -181,17 +181,28 @@
             attempt: *attempt,
         },
         Effect::Answer { id, answer } => final_answer(*id, answer),
-        Effect::Subscribe => TraceEvent::Subscribe,
-        Effect::ForgetNode(node) => TraceEvent::ForgetNode { node: name(*node) },
-        Effect::Log { text, node } => TraceEvent::Log {
-            text: (*text).to_string(),
-            node: name(*node),
-        },
-        Effect::Release(_) | Effect::SetTimer { .. } => return None,
+        Effect::Runtime(command) => return command_event(command, name),
+        Effect::Release(_) => return None,
     };
     Some(event)
 }
 
+/// The event of a runtime command; `None` for commands that are not traced.
+fn command_event(
+    command: &RuntimeCommand,
+    name: impl Fn(NodeId) -> String,
+) -> Option<TraceEvent<'static>> {
+    match command {
+        RuntimeCommand::Subscribe => Some(TraceEvent::Subscribe),
+        RuntimeCommand::ForgetNode(node) => Some(TraceEvent::ForgetNode { node: name(*node) }),
+        RuntimeCommand::Log { text, node } => Some(TraceEvent::Log {
+            text: (*text).to_string(),
+            node: name(*node),
+        }),
+        RuntimeCommand::SetTimer { .. } => None,
+    }
+}
+
 /// The event of a request that was received.
 fn request_received(request: &Request) -> TraceEvent<'static> {
     TraceEvent::RequestReceived {
