--- a/crates/core/tests/attempt_withdrawal.rs
+++ b/crates/core/tests/attempt_withdrawal.rs
@@ -111,53 +111,36 @@
     );
 }
 
+/// An update of the endpoint list.
+fn update(nodes: Vec<NodeInfo>) -> Input {
+    Input::Endpoints {
+        scope: UpdateScope::Update,
+        nodes,
+    }
+}
+
+/// A complete endpoint list.
+fn complete_list(nodes: Vec<NodeInfo>) -> Input {
+    Input::Endpoints {
+        scope: UpdateScope::Replace,
+        nodes,
+    }
+}
+
 #[test]
 fn an_unstarted_attempt_is_withdrawn_from_a_server_that_leaves() {
-    let endpoints = |scope, nodes| Input::Endpoints { scope, nodes };
+    let up = |node| node_info(node, EndpointState::Up);
+    let draining = |node| node_info(node, EndpointState::Draining);
+    let removed = |node| node_info(node, EndpointState::Removed);
     for (name, input, expected) in [
-        (
-            "drains",
-            endpoints(
-                UpdateScope::Update,
-                vec![node_info(0, EndpointState::Draining)],
-            ),
-            true,
-        ),
-        (
-            "is removed",
-            endpoints(
-                UpdateScope::Update,
-                vec![node_info(0, EndpointState::Removed)],
-            ),
-            true,
-        ),
-        (
-            "is not on the list",
-            endpoints(UpdateScope::Replace, vec![node_info(1, EndpointState::Up)]),
-            true,
-        ),
-        (
-            "stays up",
-            endpoints(UpdateScope::Replace, vec![node_info(0, EndpointState::Up)]),
-            false,
-        ),
-        (
-            "is not mentioned",
-            endpoints(
-                UpdateScope::Update,
-                vec![node_info(1, EndpointState::Draining)],
-            ),
-            false,
-        ),
+        ("drains", update(vec![draining(0)]), true),
+        ("is removed", update(vec![removed(0)]), true),
+        ("is not on the list", complete_list(vec![up(1)]), true),
+        ("stays up", complete_list(vec![up(0)]), false),
+        ("is not mentioned", update(vec![draining(1)]), false),
         (
             "is up in the last entry",
-            endpoints(
-                UpdateScope::Update,
-                vec![
-                    node_info(0, EndpointState::Draining),
-                    node_info(0, EndpointState::Up),
-                ],
-            ),
+            update(vec![draining(0), up(0)]),
             false,
         ),
     ] {
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -49,86 +49,149 @@
     requests: usize,
 }
 
-fn simulate_start(front_count: usize, seed: u64) -> StartLoad {
-    let settings = site(front_count);
-    let mut random = fastrand::Rng::with_seed(seed);
-    let mut fleet = Fleet::new(
-        &settings,
-        NODES,
-        (0..front_count as u64).map(|i| seed * 1000 + i),
-    );
-    let mut in_flight = VecDeque::<InFlight>::new();
-    let mut recent = VecDeque::new();
-    let mut load = StartLoad {
-        peak: 0.0,
-        requests: 0,
-    };
-    let (mut next_id, mut due_requests) = (0, 0.0);
-    // The starting server answers in order: when it will have served all it has.
-    let mut idle_at = 0;
-    let started_at = 110 * S;
-    let started = NodeInfo {
-        node: NodeId(NODES),
-        zone: 0,
-        shard: ShardId(0),
-        state: EndpointState::Up,
-        started_at,
-    };
-    let replacement = [node(0, EndpointState::Removed, 0), started];
-    while fleet.now < started_at + 10 * S {
-        fleet.step();
-        let now = fleet.now;
+/// A fleet of which one server is replaced by one that starts.
+struct StartingServer {
+    front_count: usize,
+    settings: Settings,
+    random: fastrand::Rng,
+    fleet: Fleet,
+    /// In the order of their answers.
+    in_flight: VecDeque<InFlight>,
+    /// When requests were sent to the starting server, within the overload span.
+    recent_sends: VecDeque<Nanos>,
+    load: StartLoad,
+    next_id: u64,
+    /// Requests that have come and were not submitted yet.
+    due_requests: f64,
+    /// The starting server answers in order: when it will have served all it has.
+    idle_at: Nanos,
+}
+
+impl StartingServer {
+    const STARTED_AT: Nanos = 110 * S;
+
+    fn new(front_count: usize, seed: u64) -> StartingServer {
+        let settings = site(front_count);
+        let seeds = (0..front_count as u64).map(|i| seed * 1000 + i);
+        StartingServer {
+            front_count,
+            random: fastrand::Rng::with_seed(seed),
+            fleet: Fleet::new(&settings, NODES, seeds),
+            settings,
+            in_flight: VecDeque::new(),
+            recent_sends: VecDeque::new(),
+            load: StartLoad {
+                peak: 0.0,
+                requests: 0,
+            },
+            next_id: 0,
+            due_requests: 0.0,
+            idle_at: 0,
+        }
+    }
+
+    fn step(&mut self) {
+        self.fleet.step();
+        let mut sent = self.answer_due_attempts();
+        sent.extend(self.submit_due_requests());
+        let replacement = Self::replacement();
+        let is_replaced_now = self.fleet.now == Self::STARTED_AT;
+        sent.extend(self.fleet.tick(is_replaced_now.then_some(&replacement[..])));
+        for attempt in sent {
+            self.record_send(attempt);
+        }
+        self.update_peak();
+    }
+
+    fn replacement() -> [NodeInfo; 2] {
+        let started = NodeInfo {
+            node: NodeId(NODES),
+            zone: 0,
+            shard: ShardId(0),
+            state: EndpointState::Up,
+            started_at: Self::STARTED_AT,
+        };
+        [node(0, EndpointState::Removed, 0), started]
+    }
+
+    fn answer_due_attempts(&mut self) -> Vec<FleetSend> {
+        let now = self.fleet.now;
         let mut sent = Vec::new();
-        while in_flight
+        while self
+            .in_flight
             .front()
             .is_some_and(|oldest| oldest.answered_at <= now)
         {
-            let Some(served) = in_flight.pop_front() else {
+            let Some(served) = self.in_flight.pop_front() else {
                 break;
             };
-            sent.extend(fleet.serve(served.attempt, now - served.sent_at));
+            sent.extend(self.fleet.serve(served.attempt, now - served.sent_at));
         }
-        // Half of the warm capacity is used; four seconds after the start five times as much comes
-        // at once.
-        let is_burst = (started_at + 4 * S..started_at + 6 * S).contains(&now);
+        sent
+    }
+
+    /// Half of the warm capacity is used; four seconds after the start five times as much comes at
+    /// once.
+    fn submit_due_requests(&mut self) -> Vec<FleetSend> {
+        let burst = Self::STARTED_AT + 4 * S..Self::STARTED_AT + 6 * S;
+        let is_burst = burst.contains(&self.fleet.now);
         let use_ratio = if is_burst { 2.5 } else { 0.5 };
-        due_requests += 0.01 * NODES as f64 * FULL_CAPACITY / settings.mean_units * use_ratio;
-        while due_requests >= 1.0 {
-            due_requests -= 1.0;
-            let (front, shard) = (random.usize(0..front_count), random.usize(0..NODES) as u32);
-            sent.extend(fleet.submit(front, request(next_id, 0, Some(shard))));
-            next_id += 1;
+        let mean_units = self.settings.mean_units;
+        self.due_requests += 0.01 * NODES as f64 * FULL_CAPACITY / mean_units * use_ratio;
+        let mut sent = Vec::new();
+        while self.due_requests >= 1.0 {
+            self.due_requests -= 1.0;
+            let front = self.random.usize(0..self.front_count);
+            let shard = self.random.usize(0..NODES) as u32;
+            let request = request(self.next_id, 0, Some(shard));
+            sent.extend(self.fleet.submit(front, request));
+            self.next_id += 1;
         }
-        sent.extend(fleet.tick((now == started_at).then_some(&replacement[..])));
-        for attempt in sent {
-            let mut answered_at = now + 20 * MS;
-            if attempt.node == NODES {
-                load.requests += 1;
-                recent.push_back(now);
-                let bearable = bearable_requests(&settings, now - started_at);
-                let rate = bearable / settings.overload_factor / settings.overload_span as f64;
-                idle_at = idle_at.max(now) + (1.0 / rate) as Nanos;
-                answered_at = answered_at.max(idle_at);
-            }
-            let position = in_flight.partition_point(|other| other.answered_at <= answered_at);
-            in_flight.insert(
-                position,
-                InFlight {
-                    answered_at,
-                    sent_at: now,
-                    attempt,
-                },
-            );
+        sent
+    }
+
+    fn record_send(&mut self, attempt: FleetSend) {
+        let now = self.fleet.now;
+        let mut answered_at = now + 20 * MS;
+        if attempt.node == NODES {
+            self.load.requests += 1;
+            self.recent_sends.push_back(now);
+            let bearable = bearable_requests(&self.settings, now - Self::STARTED_AT);
+            let span = self.settings.overload_span as f64;
+            let rate = bearable / self.settings.overload_factor / span;
+            self.idle_at = self.idle_at.max(now) + (1.0 / rate) as Nanos;
+            answered_at = answered_at.max(self.idle_at);
         }
-        recent.retain(|at| *at > now - settings.overload_span);
-        if now > started_at {
-            let bearable = bearable_requests(&settings, now - started_at);
-            load.peak = load
-                .peak
-                .max(recent.len() as f64 / (bearable + 2.0 * bearable.sqrt() + 2.0));
+        let in_flight = InFlight {
+            answered_at,
+            sent_at: now,
+            attempt,
+        };
+        let position = self
+            .in_flight
+            .partition_point(|other| other.answered_at <= answered_at);
+        self.in_flight.insert(position, in_flight);
+    }
+
+    fn update_peak(&mut self) {
+        let now = self.fleet.now;
+        let span = self.settings.overload_span;
+        self.recent_sends.retain(|at| *at > now - span);
+        if now > Self::STARTED_AT {
+            let bearable = bearable_requests(&self.settings, now - Self::STARTED_AT);
+            let allowed = bearable + 2.0 * bearable.sqrt() + 2.0;
+            let ratio = self.recent_sends.len() as f64 / allowed;
+            self.load.peak = self.load.peak.max(ratio);
         }
     }
-    load
+}
+
+fn simulate_start(front_count: usize, seed: u64) -> StartLoad {
+    let mut run = StartingServer::new(front_count, seed);
+    while run.fleet.now < StartingServer::STARTED_AT + 10 * S {
+        run.step();
+    }
+    run.load
 }
 
 #[test]
--- a/src/cluster/peers/mod.rs
+++ b/src/cluster/peers/mod.rs
@@ -6,7 +6,7 @@
 //! the module, so that a front that was stopped for a while uses nothing of a lease that has expired
 //! meanwhile.
 //!
-//! All that changes is in one [`PeersState`], which knows nothing of the exchange and never waits:
+//! All that changes is in one `PeersState`, which knows nothing of the exchange and never waits:
 //! it returns the updates for the decision module, and [`Peers`] passes them on once it has released
 //! the state. The decision module may call back then ([`FleetState`]).
 //!
--- a/src/control/maintenance/mod.rs
+++ b/src/control/maintenance/mod.rs
@@ -41,7 +41,7 @@
 }
 
 /// Waits until the file of the front `name` can be read or does not exist, but no longer than
-/// [`STARTUP_READ_TIMEOUT`]. A front that served before it has read the file would send requests to
+/// `STARTUP_READ_TIMEOUT`. A front that served before it has read the file would send requests to
 /// servers in maintenance.
 pub async fn wait_until_readable(folder: Option<&Path>, name: &str) {
     let Some(file) = folder.map(|folder| MaintenanceFile::new(folder, name)) else {
@@ -95,7 +95,7 @@
     }
 
     /// Puts a server in maintenance: it gets no new requests from now on. Returns once that is
-    /// written, or has been attempted for [`WRITE_TIMEOUT`]; the attempts go on after that.
+    /// written, or has been attempted for `WRITE_TIMEOUT`; the attempts go on after that.
     ///
     /// # Errors
     /// The endpoint list has never named it.
--- a/tests/agent.rs
+++ b/tests/agent.rs
@@ -16,7 +16,8 @@
 
 #[test]
 fn fronts_declared_in_a_file_are_started_drained_restarted_and_stopped() {
-    let (mut a, mut b) = (String::new(), String::new());
+    let mut a = String::new();
+    let mut b = String::new();
     let mut agent = RunningAgent::start("file", |folder| {
         (a, b) = (declare_front(folder, "a"), declare_front(folder, "b"));
         write_declarations(folder, &[("a", &a), ("b", &b)]);
@@ -55,15 +56,9 @@
     assert!(!is_running(&pid), "the agent's fronts end with it");
 }
 
-#[test]
-fn fronts_declared_in_etcd_follow_the_list_the_watch_and_a_compaction() {
-    let etcd = FakeEtcd::start();
-    let (mut a, mut b) = (String::new(), String::new());
-    let agent = RunningAgent::start("etcd", |folder| {
-        (a, b) = (declare_front(folder, "a"), declare_front(folder, "b"));
-        vec!["--etcd".into(), etcd.address().to_string()]
-    });
-    // The list is read in pages, all at the revision of the first.
+/// Answers the two pages of the first list, which name the front `a` with its declaration. Both are
+/// read at the revision of the first.
+fn respond_to_the_paged_list(etcd: &FakeEtcd, declaration: &str) {
     let call = etcd.accept();
     let range = [
         encode("/tulipbridge/fronts/"),
@@ -73,7 +68,7 @@
         "/v3/kv/range",
         &["\"revision\":\"0\"", &range[0], &range[1]],
     );
-    let pair = key_value("a", &a);
+    let pair = key_value("a", declaration);
     call.respond(&format!(
         r#"{{"header":{{"revision":"7"}},"kvs":[{pair}],"more":true,"count":"2"}}"#
     ));
@@ -83,6 +78,18 @@
         &["\"revision\":\"7\"", &encode("/tulipbridge/fronts/a\0")],
     );
     call.respond(r#"{"header":{"revision":"9"},"count":"2"}"#);
+}
+
+#[test]
+fn fronts_declared_in_etcd_follow_the_list_the_watch_and_a_compaction() {
+    let etcd = FakeEtcd::start();
+    let mut a = String::new();
+    let mut b = String::new();
+    let agent = RunningAgent::start("etcd", |folder| {
+        (a, b) = (declare_front(folder, "a"), declare_front(folder, "b"));
+        vec!["--etcd".into(), etcd.address().to_string()]
+    });
+    respond_to_the_paged_list(&etcd, &a);
     let mut watch = etcd.accept();
     watch.assert_request("/v3/watch", &["\"start_revision\":\"8\""]);
     watch.begin_stream();
--- a/tests/golden/ejection_status.rs
+++ b/tests/golden/ejection_status.rs
@@ -7,6 +7,7 @@
 use crate::fleet::{complete_ejection, fleet_with_silent_server, read_json, shape};
 use crate::masking::{line_with, up_to};
 use crate::program::TIMEOUT;
+use simd_json::OwnedValue as Value;
 
 /// Runs a command, concurrently with the lab's tasks, until its output contains all of these texts.
 async fn wait_for_output(arguments: &[&str], texts: &[&str]) -> String {
@@ -28,6 +29,16 @@
     }
 }
 
+/// The shapes of the status of ejections and of the peers.
+fn status_shapes(verdicts: &Value, peers: &Value) -> String {
+    let verdict = complete_ejection(verdicts).expect("there is one");
+    let mut actual = format!("verdict: {}\n", shape(&verdict));
+    actual += &format!("median: {}\n", shape(&verdicts["medians"][0]));
+    actual += &format!("peer: {}\n", shape(&peers["peers"][0]));
+    actual += &format!("belief: {}\n", peers["peers"][0]["belief"]);
+    actual
+}
+
 /// The status of an ejected server, without names and times.
 async fn ejection_status() -> String {
     let testbed = fleet_with_silent_server().await;
@@ -53,13 +64,7 @@
         testbed.wait_for_peers(0, all_reachable).await,
         "all hear each other"
     );
-    let verdicts = verdicts.into_inner();
-    let peers = peers.into_inner();
-    let verdict = complete_ejection(&verdicts).expect("there is one");
-    let mut actual = format!("verdict: {}\n", shape(&verdict));
-    actual += &format!("median: {}\n", shape(&verdicts["medians"][0]));
-    actual += &format!("peer: {}\n", shape(&peers["peers"][0]));
-    actual += &format!("belief: {}\n", peers["peers"][0]["belief"]);
+    let mut actual = status_shapes(&verdicts.into_inner(), &peers.into_inner());
     let texts = [
         "has been held out for ",
         " s unless it is renewed",
--- a/tests/golden/trace_events.rs
+++ b/tests/golden/trace_events.rs
@@ -92,12 +92,45 @@
 /// The full name of [`trace_event_vocabulary`], which the child process runs alone.
 const WRITER_TEST: &str = "trace_events::trace_event_vocabulary";
 
+/// The request that the events are about.
+const REQUEST: RequestId = RequestId(7);
+/// The chunk server that the events are about.
+const NODE: NodeId = NodeId(3);
+
 /// Writes the events that a short scenario does not cause, as the program would.
 fn write_trace() {
     let name = |node| format!("s-{node}");
-    let id = 7;
-    let attempt = 1;
-    for outcome in [
+    for input in attempt_ends()
+        .chain(endpoint_updates())
+        .chain(limit_updates())
+        .chain(ejections())
+    {
+        trace::input(&input, name);
+    }
+    let probe = FleetUpdate::Probe {
+        node: NODE,
+        until: 0,
+    };
+    trace::input(&Input::FleetUpdate(probe), name);
+    trace::input(&Input::Overdue(REQUEST), name);
+    trace::input(&Input::Timer(1), name);
+    for answer in [
+        FinalAnswer::Served,
+        FinalAnswer::Rejected(1_500_000),
+        FinalAnswer::Failed,
+    ] {
+        let effect = Effect::Answer {
+            id: REQUEST,
+            answer,
+        };
+        trace::effect(&effect, name);
+    }
+    trace::effect(&Effect::Release(REQUEST), name);
+}
+
+/// The end of an attempt with each outcome.
+fn attempt_ends() -> impl Iterator<Item = Input> {
+    let outcomes = [
         Outcome::Served,
         Outcome::Error,
         Outcome::Rejected,
@@ -106,80 +139,57 @@
         Outcome::Reset,
         Outcome::Cancelled,
         Outcome::NotSent,
-    ] {
-        trace::input(
-            &Input::AttemptEnded {
-                id: RequestId(id),
-                attempt,
-                outcome,
-                observed_use: 1.5,
-                foreign_units: 0.0,
-            },
-            name,
-        );
-    }
-    for scope in [
+    ];
+    outcomes.into_iter().map(|outcome| Input::AttemptEnded {
+        id: REQUEST,
+        attempt: 1,
+        outcome,
+        observed_use: 1.5,
+        foreign_units: 0.0,
+    })
+}
+
+/// An empty endpoint update of each scope.
+fn endpoint_updates() -> impl Iterator<Item = Input> {
+    let scopes = [
         UpdateScope::Update,
         UpdateScope::Replace,
         UpdateScope::Restored,
         UpdateScope::Unavailable,
-    ] {
-        trace::input(
-            &Input::Endpoints {
-                scope,
-                nodes: Vec::new(),
-            },
-            name,
-        );
-    }
-    for limit in [
+    ];
+    scopes.into_iter().map(|scope| Input::Endpoints {
+        scope,
+        nodes: Vec::new(),
+    })
+}
+
+/// An update of each shared limit.
+fn limit_updates() -> impl Iterator<Item = Input> {
+    let limits = [
         SharedLimit::Volume(VolumeId(0x1f)),
         SharedLimit::Retries,
         SharedLimit::WarmingUpNode,
         SharedLimit::InFlightPerNode,
-    ] {
-        trace::input(
-            &Input::FleetUpdate(FleetUpdate::SharedLimit {
-                limit,
-                rate: 2.5,
-                burst: 4.0,
-                at: 0,
-            }),
-            name,
-        );
-    }
-    for classes in [ClassSet::NONE, ClassSet::NONE.with(1), ClassSet::ALL] {
-        trace::input(
-            &Input::FleetUpdate(FleetUpdate::Ejection {
-                node: NodeId(3),
-                classes,
-            }),
-            name,
-        );
-    }
-    trace::input(
-        &Input::FleetUpdate(FleetUpdate::Probe {
-            node: NodeId(3),
-            until: 0,
-        }),
-        name,
-    );
-    trace::input(&Input::Overdue(RequestId(id)), name);
-    trace::input(&Input::Timer(1), name);
-    for answer in [
-        FinalAnswer::Served,
-        FinalAnswer::Rejected(1_500_000),
-        FinalAnswer::Failed,
-    ] {
-        trace::effect(
-            &Effect::Answer {
-                id: RequestId(id),
-                answer,
-            },
-            name,
-        );
-    }
-    trace::effect(&Effect::Release(RequestId(id)), name);
+    ];
+    limits.into_iter().map(|limit| {
+        Input::FleetUpdate(FleetUpdate::SharedLimit {
+            limit,
+            rate: 2.5,
+            burst: 4.0,
+            at: 0,
+        })
+    })
+}
+
+/// The ejection of a server for no class, for one and for all.
+fn ejections() -> impl Iterator<Item = Input> {
+    let classes = [ClassSet::NONE, ClassSet::NONE.with(1), ClassSet::ALL];
+    classes.into_iter().map(|classes| {
+        Input::FleetUpdate(FleetUpdate::Ejection {
+            node: NODE,
+            classes,
+        })
+    })
 }
 
 /// Events go to standard error, so a child process of this test writes them.
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -71,8 +71,8 @@
     );
 }
 
-#[test]
-fn heartbeat_datagram() {
+/// A heartbeat in which every field has a value of its own.
+fn distinct_heartbeat() -> Heartbeat {
     let state = PeerState {
         sent_at: 3_000,
         echo: Some(Echo {
@@ -87,7 +87,7 @@
         limit: Limit::Volume(131),
         share: Share(132),
     };
-    let heartbeat = Heartbeat {
+    Heartbeat {
         roster: 0x8877_6655_4433_2211,
         revision: 257,
         state,
@@ -109,9 +109,13 @@
             duration: -2_500,
             leases: vec![volume],
         },
-    };
+    }
+}
+
+#[test]
+fn heartbeat_datagram() {
     assert_golden(
-        &Message::Heartbeat(Box::new(heartbeat)),
+        &Message::Heartbeat(Box::new(distinct_heartbeat())),
         concat!(
             "54425002",             // the letters TBP, version
             "0302",                 // the sender's peer id, low byte first
@@ -442,6 +446,22 @@
     })
 }
 
+/// Asserts that the first entry of the program is its version, under the key 0 of the kind 0.
+fn assert_own_version(incarnation: Incarnation, delta: &Delta) {
+    let [entry] = &delta.entries[..] else {
+        panic!("one item: {delta:?}")
+    };
+    assert_eq!(
+        (delta.incarnation, delta.after, delta.to),
+        (incarnation, 0, 1)
+    );
+    assert_eq!((entry.key, entry.version), (EntryKey { kind: 0, id: 0 }, 1));
+    assert_eq!(
+        entry.value.as_deref(),
+        Some(env!("CARGO_PKG_VERSION").as_bytes())
+    );
+}
+
 #[test]
 fn program_sends_and_receives_the_golden_format() {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
@@ -491,18 +511,6 @@
             }
         }
     }
-    // The program's own first entry is its version, under the key 0 of the kind 0.
     let (incarnation, delta) = first_delta.expect("entries came");
-    let [entry] = &delta.entries[..] else {
-        panic!("one item: {delta:?}")
-    };
-    assert_eq!(
-        (delta.incarnation, delta.after, delta.to),
-        (incarnation, 0, 1)
-    );
-    assert_eq!((entry.key, entry.version), (EntryKey { kind: 0, id: 0 }, 1));
-    assert_eq!(
-        entry.value.as_deref(),
-        Some(env!("CARGO_PKG_VERSION").as_bytes())
-    );
+    assert_own_version(incarnation, &delta);
 }
