--- a/crates/core/src/invariant_monitor.rs
+++ b/crates/core/src/invariant_monitor.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 use crate::interface::{
-    Group, Listed, Nanos, NodeId, Outcome, RequestId, RuntimeCommand, Semantics, Settings,
+    EndpointState, Group, Nanos, NodeId, Outcome, RequestId, RuntimeCommand, Semantics, Settings,
     UpdateScope,
 };
 use crate::request_tracker::{Effect, FinalAnswer, Input};
@@ -69,6 +69,7 @@
 struct MonitoredRequest {
     semantics: Semantics,
     group: Group,
+    /// How long the chunk servers deduplicate retries of the request.
     window: Nanos,
     /// Its final answer was given, or its client has gone.
     ended: bool,
@@ -83,7 +84,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct InvariantMonitor {
     requests: BTreeMap<RequestId, MonitoredRequest>,
-    listed: BTreeMap<NodeId, Listed>,
+    listed: BTreeMap<NodeId, EndpointState>,
 }
 
 impl InvariantMonitor {
@@ -126,10 +127,10 @@
                 if *scope == UpdateScope::Replace {
                     self.listed
                         .values_mut()
-                        .for_each(|listed| *listed = Listed::Removed);
+                        .for_each(|listed| *listed = EndpointState::Removed);
                 }
                 self.listed
-                    .extend(nodes.iter().map(|info| (info.node, info.listed)));
+                    .extend(nodes.iter().map(|info| (info.node, info.state)));
             }
             Input::Overdue(_) | Input::FleetUpdate(_) | Input::Timer(_) => {}
         }
@@ -140,8 +141,8 @@
         match effect {
             Effect::Send {
                 id, attempt, node, ..
-            } => self.sent(now, *id, *attempt, *node),
-            Effect::Answer { id, answer } => self.answered(*id, answer),
+            } => self.attempt_sent(now, *id, *attempt, *node),
+            Effect::Answer { id, answer } => self.request_answered(*id, answer),
             Effect::Release(id) => {
                 self.requests.remove(id);
                 None
@@ -154,6 +155,7 @@
         }
     }
 
+    /// Records the end of an attempt, and whether it may have been executed.
     fn attempt_ended(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -166,11 +168,18 @@
         }
     }
 
-    fn sent(&mut self, now: Nanos, id: RequestId, attempt: u32, node: NodeId) -> Option<Violation> {
+    /// Records an attempt, and checks whether it may be sent.
+    fn attempt_sent(
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        attempt: u32,
+        node: NodeId,
+    ) -> Option<Violation> {
         let is_up = self
             .listed
             .get(&node)
-            .is_none_or(|listed| *listed == Listed::Up);
+            .is_none_or(|listed| *listed == EndpointState::Up);
         let request = self.requests.get_mut(&id)?;
         let repeat_allowed = request
             .executed_since
@@ -194,7 +203,8 @@
         rule.map(|rule| Violation { rule, request: id })
     }
 
-    fn answered(&mut self, id: RequestId, answer: &FinalAnswer) -> Option<Violation> {
+    /// Records a final answer, and checks whether it may be given.
+    fn request_answered(&mut self, id: RequestId, answer: &FinalAnswer) -> Option<Violation> {
         let request = self.requests.get_mut(&id)?;
         let may_have_executed = request.executed_since.is_some() || !request.in_flight.is_empty();
         let is_harmless = match request.semantics {
--- a/crates/core/src/request_tracker/attempts.rs
+++ b/crates/core/src/request_tracker/attempts.rs
@@ -1,7 +1,9 @@
 //! Attempts of the tracked requests: their start, cancellation, withdrawal and end.
 
 use super::{Decisions, Effect, FinalAnswer, InFlightAttempt, RequestTracker};
-use crate::interface::{Event, Listed, Nanos, NodeId, NodeInfo, Outcome, RequestId, UpdateScope};
+use crate::interface::{
+    EndpointState, Event, Nanos, NodeId, NodeInfo, Outcome, RequestId, UpdateScope,
+};
 use crate::mutations::{mutated, Mutation};
 
 /// How far [`Mutation::TimeoutPastClientDeadline`] moves the deadline of an attempt past that of
@@ -184,7 +186,7 @@
 /// of a server counts; a complete list removes those that it does not name.
 fn stays_up(node: NodeId, scope: UpdateScope, nodes: &[NodeInfo]) -> bool {
     match nodes.iter().rev().find(|info| info.node == node) {
-        Some(info) => info.listed == Listed::Up,
+        Some(info) => info.state == EndpointState::Up,
         None => scope != UpdateScope::Replace,
     }
 }
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -9,7 +9,7 @@
 fn a_request_with_less_patience_than_a_tick_is_rejected_at_once() {
     let mut front = TestFront::new(settings(), 0);
     let mut short = request(1, 0, Some(0));
-    short.patience = 3 * MS;
+    short.client_timeout = 3 * MS;
     assert!(rejected(&front.submit(short), 1));
 }
 
@@ -159,7 +159,7 @@
 #[test]
 fn overdue_attempts_count_as_failed_before_they_end() {
     let mut settings = settings();
-    settings.initiators = 200;
+    settings.front_count = 200;
     let mut front = TestFront::new(settings, 10);
     for id in 0..10 {
         assert_eq!(
@@ -181,7 +181,7 @@
 fn an_overtaken_attempt_does_not_count_as_failed() {
     // Every third answer is lost, later ones arrive: the server must still get all requests.
     let mut settings = settings();
-    settings.initiators = 200;
+    settings.front_count = 200;
     let mut front = TestFront::new(settings, 1);
     front.warm(0, 30, 0, 20 * MS);
     for id in 100..190 {
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -29,9 +29,9 @@
         limit_rate,
         limit_burst: limit_rate * 2.0,
         reserve_rate,
-        nominal: 10.0,
+        nominal_rate: 10.0,
         weight: 1.0,
-        price: 1.0,
+        value_factor: 1.0,
     }
 }
 
@@ -39,7 +39,7 @@
     let mut ordered = class(Semantics::Idempotent, Group::All);
     ordered.keep_order = true;
     Settings {
-        initiators: 2,
+        front_count: 2,
         classes: vec![
             class(Semantics::Idempotent, Group::All),
             class(Semantics::Deduplicated, Group::Shard),
@@ -54,7 +54,7 @@
         max_units: 8.0,
         fair_share_value: 0.4,
         idle_value: 0.05,
-        use_period: 0,
+        usage_report_interval: 0,
         max_attempts: 3,
         hedging: false,
         cancellation: true,
@@ -63,7 +63,7 @@
         poll_interval: 10 * S,
         warmup_duration: 10 * S,
         warmup_floor: 0.25,
-        tip_multiple: 3.0,
+        overload_factor: 3.0,
         overload_span: S,
         order_settle_time: 50 * MS,
         retry_budget: Some(RetryBudget {
@@ -74,12 +74,12 @@
     }
 }
 
-pub fn node(node: usize, listed: Listed, started_at: Nanos) -> NodeInfo {
+pub fn node(node: usize, state: EndpointState, started_at: Nanos) -> NodeInfo {
     NodeInfo {
         node: NodeId(node),
         zone: (node % 2) as u32,
         shard: ShardId(node as u32),
-        listed,
+        state,
         started_at,
     }
 }
@@ -91,7 +91,7 @@
         plan: 0,
         volume: VolumeId(1),
         key: Some(KeyId(id)),
-        patience: S,
+        client_timeout: S,
         units: 2.0,
         shard: shard.map(ShardId),
         front_count: 1,
@@ -117,7 +117,7 @@
             scheduler,
             now: 100 * S,
         };
-        let list = (0..nodes).map(|n| node(n, Listed::Up, 0)).collect();
+        let list = (0..nodes).map(|n| node(n, EndpointState::Up, 0)).collect();
         front.event(Event::Endpoints {
             scope: UpdateScope::Restored,
             nodes: list,
--- a/crates/core/tests/hundred_fronts.rs
+++ b/crates/core/tests/hundred_fronts.rs
@@ -14,7 +14,7 @@
 
 fn fleet_settings() -> Settings {
     let mut settings = settings();
-    settings.initiators = FRONTS as u32;
+    settings.front_count = FRONTS as u32;
     settings
 }
 
@@ -77,10 +77,10 @@
             node: NodeId(NODES),
             zone: 0,
             shard: ShardId(0),
-            listed: Listed::Up,
+            state: EndpointState::Up,
             started_at: Self::STARTED_AT,
         };
-        [node(0, Listed::Removed, 0), started]
+        [node(0, EndpointState::Removed, 0), started]
     }
 
     fn answer_due_attempts(&mut self) -> Vec<FleetSend> {
@@ -116,7 +116,7 @@
             return;
         }
         let age = age as f64 / self.settings.warmup_duration as f64;
-        let bearable = self.settings.tip_multiple * (0.2 + 0.8 * age) * Self::CAPACITY;
+        let bearable = self.settings.overload_factor * (0.2 + 0.8 * age) * Self::CAPACITY;
         let recent_units = self.recent_sends.len() as f64 * Self::UNITS_PER_REQUEST;
         assert!(
             recent_units <= bearable,
@@ -179,7 +179,7 @@
             last_failure: vec![Self::STARTED_AT; FRONTS],
         };
         for front in 0..FRONTS {
-            let nodes = (0..4).map(|id| node(id, Listed::Up, 0)).collect();
+            let nodes = (0..4).map(|id| node(id, EndpointState::Up, 0)).collect();
             discovery.event(
                 front,
                 Event::Endpoints {
--- a/crates/model-checker/src/configs/settings.rs
+++ b/crates/model-checker/src/configs/settings.rs
@@ -13,7 +13,7 @@
 /// attempts.
 pub fn settings() -> Settings {
     Settings {
-        initiators: 1,
+        front_count: 1,
         classes: vec![class(Semantics::Idempotent), class(Semantics::AtMostOnce)],
         plans: vec![plan()],
         quantum: 2 * MS,
@@ -22,7 +22,7 @@
         max_units: 8.0,
         fair_share_value: 0.4,
         idle_value: 0.05,
-        use_period: 0,
+        usage_report_interval: 0,
         max_attempts: 2,
         hedging: false,
         cancellation: true,
@@ -31,7 +31,7 @@
         poll_interval: 10_000 * MS,
         warmup_duration: 10_000 * MS,
         warmup_floor: 0.25,
-        tip_multiple: 3.0,
+        overload_factor: 3.0,
         overload_span: 1000 * MS,
         order_settle_time: 0,
         retry_budget: None,
@@ -68,8 +68,8 @@
         limit_rate: 0.0,
         limit_burst: 0.0,
         reserve_rate: 50.0,
-        nominal: 10.0,
+        nominal_rate: 10.0,
         weight: 1.0,
-        price: 1.0,
+        value_factor: 1.0,
     }
 }
--- a/crates/testbed/src/simulation/outliers.rs
+++ b/crates/testbed/src/simulation/outliers.rs
@@ -13,8 +13,8 @@
 use fastrand::Rng;
 use tulipbridge_membership::{EntryKey, GossipAction, Incarnation, Nanos, PeerId};
 use tulipbridge_outlier_detection::{
-    ClassId, DetectorConfig, Effect, EjectionTarget, Event as DetectorEvent, OutlierDetector,
-    ServerId, ZoneId,
+    ClassId, DetectorConfig, Effect, EjectionTarget, Event as DetectorEvent, KnownServer,
+    OutlierDetector, ServerId, ZoneId,
 };
 
 use self::audit::{VoteAudit, VoteWithoutEvidence};
@@ -52,7 +52,7 @@
     evaluation_scheduled: bool,
 }
 
-/// A probe of a server by any front.
+/// A health check of an ejected server by any front.
 struct Probe {
     at: Nanos,
     server: ServerId,
@@ -148,7 +148,10 @@
         let config = DetectorConfig::new(PeerId::at(front), peer_count, zone_of(front));
         let mut detector = OutlierDetector::new(config).expect("the configuration is valid");
         let servers = (0..SERVERS)
-            .map(|server| (ServerId(server), true))
+            .map(|server| KnownServer {
+                id: ServerId(server),
+                is_up: true,
+            })
             .collect();
         detector.on(
             now,
--- a/src/cluster/limits/config.rs
+++ b/src/cluster/limits/config.rs
@@ -7,7 +7,7 @@
 use tulipbridge_core::{Outcome, Settings, SharedLimit};
 use tulipbridge_fleet_limits::{Limit, Share};
 
-use super::{fraction, LimitDemand, LimitRate, LimitUpdate};
+use super::{LimitDemand, LimitRate, LimitUpdate};
 use crate::cluster::fields::{optional_positive, positive};
 use crate::config::values::object;
 use crate::control::json_object::{decode, JsonObjectError};
@@ -23,6 +23,15 @@
 /// The label of the limits on the load of servers in metrics and on the console.
 const SERVER_LOAD_LABEL: &str = "servers";
 
+/// A limit with its name for operators.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LabeledLimit {
+    /// The limit.
+    pub limit: Limit,
+    /// Its label in metrics and on the console.
+    pub label: &'static str,
+}
+
 /// The section `peers.limits` as it is written in the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -91,15 +100,16 @@
             && stays_configured(self.in_flight.is_some(), other.in_flight.is_some())
     }
 
-    /// The configured limits, each with its label in metrics and on the console.
-    pub fn limits(&self) -> impl Iterator<Item = (Limit, &'static str)> {
-        let retries = self
-            .retries
-            .is_some()
-            .then_some((Limit::Retries, RETRIES_LABEL));
-        let server_load = self
-            .limits_server_load()
-            .then_some((Limit::ServerLoad, SERVER_LOAD_LABEL));
+    /// The configured limits.
+    pub fn limits(&self) -> impl Iterator<Item = LabeledLimit> {
+        let retries = self.retries.is_some().then_some(LabeledLimit {
+            limit: Limit::Retries,
+            label: RETRIES_LABEL,
+        });
+        let server_load = self.limits_server_load().then_some(LabeledLimit {
+            limit: Limit::ServerLoad,
+            label: SERVER_LOAD_LABEL,
+        });
         retries.into_iter().chain(server_load)
     }
 
@@ -173,7 +183,7 @@
     /// The update of the limit on requests in flight at one server.
     fn in_flight_update(&self, share: Share) -> Option<LimitUpdate> {
         let rate = LimitRate {
-            rate: self.in_flight? * fraction(share),
+            rate: self.in_flight? * share.as_fraction(),
             burst: 0.0,
         };
         Some(LimitUpdate {
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -20,7 +20,7 @@
 #[serde(rename_all = "PascalCase")]
 struct SettingsFile {
     #[serde(rename = "Balancers", default, deserialize_with = "number")]
-    initiators: f64,
+    front_count: f64,
     #[serde(rename = "Services", deserialize_with = "objects")]
     classes: Vec<ClassEntry>,
     #[serde(rename = "Grades", deserialize_with = "objects")]
@@ -52,8 +52,8 @@
     fair_share_value: f64,
     #[serde(rename = "IdleWorth", default, deserialize_with = "number")]
     idle_value: f64,
-    #[serde(default, deserialize_with = "number")]
-    use_period: f64,
+    #[serde(rename = "UsePeriod", default, deserialize_with = "number")]
+    usage_report_interval: f64,
     #[serde(rename = "ChangesData", default)]
     writes: ClassWrites,
 }
@@ -82,8 +82,8 @@
     warmup_duration: f64,
     #[serde(rename = "ColdFrom", default, deserialize_with = "number")]
     warmup_floor: f64,
-    #[serde(default, deserialize_with = "number")]
-    tip_multiple: f64,
+    #[serde(rename = "TipMultiple", default, deserialize_with = "number")]
+    overload_factor: f64,
     #[serde(rename = "Fall", default, deserialize_with = "number")]
     overload_span: f64,
     #[serde(rename = "OrderSettle", default, deserialize_with = "number")]
@@ -132,12 +132,12 @@
     limit_burst: f64,
     #[serde(rename = "FloorRate", default, deserialize_with = "number")]
     reserve_rate: f64,
-    #[serde(default, deserialize_with = "number")]
-    nominal: f64,
+    #[serde(rename = "Nominal", default, deserialize_with = "number")]
+    nominal_rate: f64,
     #[serde(rename = "Parts", default, deserialize_with = "number")]
     weight: f64,
     #[serde(rename = "Pays", default, deserialize_with = "number")]
-    price: f64,
+    value_factor: f64,
 }
 
 /// Whether each class writes, in the order of the classes. It says so of a class whose entry is a
@@ -202,7 +202,7 @@
         .map(|(index, entry)| class(entry, writes.of(index).unwrap_or(false)))
         .collect();
     Ok(Settings {
-        initiators: file.initiators as u32,
+        front_count: file.front_count as u32,
         classes,
         plans: file.plans.iter().map(plan).collect(),
         quantum: file.quantum as Nanos,
@@ -211,7 +211,7 @@
         max_units: file.family.max_units,
         fair_share_value: file.family.fair_share_value,
         idle_value: file.family.idle_value,
-        use_period: file.family.use_period as Nanos,
+        usage_report_interval: file.family.usage_report_interval as Nanos,
         max_attempts: file.limits.max_attempts as u32,
         hedging: file.limits.hedging,
         cancellation: file.limits.cancellation,
@@ -222,7 +222,7 @@
         poll_interval: file.rules.poll_interval as Nanos,
         warmup_duration: file.rules.warmup_duration as Nanos,
         warmup_floor: file.rules.warmup_floor,
-        tip_multiple: file.rules.tip_multiple,
+        overload_factor: file.rules.overload_factor,
         overload_span: file.rules.overload_span as Nanos,
         order_settle_time: file.rules.order_settle_time as Nanos,
         retry_budget,
@@ -272,8 +272,8 @@
         limit_rate: entry.limit_rate,
         limit_burst: entry.limit_burst,
         reserve_rate: entry.reserve_rate,
-        nominal: entry.nominal,
+        nominal_rate: entry.nominal_rate,
         weight: entry.weight,
-        price: entry.price,
+        value_factor: entry.value_factor,
     }
 }
--- a/src/control/endpoint_list.rs
+++ b/src/control/endpoint_list.rs
@@ -8,7 +8,7 @@
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
 use tulipbridge_core::server_start_times::ServerStartTimes;
-use tulipbridge_core::{Listed, Nanos, NodeInfo, ShardId, UpdateScope};
+use tulipbridge_core::{EndpointState, Nanos, NodeInfo, ShardId, UpdateScope};
 
 use crate::control::json_object::{decode, JsonObjectError};
 use crate::control::maintenance::Maintenance;
@@ -171,7 +171,7 @@
             node: upstream.locate(&entry.name, entry.address.0, shard),
             zone: self.zone_index(entry.zone.as_deref()),
             shard,
-            listed: listed_state(&entry.lifecycle),
+            state: listed_state(&entry.lifecycle),
             started_at,
         };
         NamedEndpoint {
@@ -193,11 +193,11 @@
 
 /// The state of a chunk server for the scheduler, by its state in discovery. In a state that this
 /// version does not know, a server must not get new work.
-fn listed_state(lifecycle: &str) -> Listed {
+fn listed_state(lifecycle: &str) -> EndpointState {
     match lifecycle {
-        "Ready" => Listed::Up,
-        "Gone" => Listed::Removed,
-        _ => Listed::Draining,
+        "Ready" => EndpointState::Up,
+        "Gone" => EndpointState::Removed,
+        _ => EndpointState::Draining,
     }
 }
 
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -201,8 +201,8 @@
     ) -> FinalResponse<T::Answer> {
         let now = self.clock.now();
         let arrived_at = self.state.borrow_mut().earliest_arrival(now);
-        request.patience = (request.patience - (now - arrived_at)).max(0);
-        let patience = Duration::from_nanos(request.patience as u64);
+        request.client_timeout = (request.client_timeout - (now - arrived_at)).max(0);
+        let patience = Duration::from_nanos(request.client_timeout as u64);
         let (sender, mut answer) = oneshot::channel();
         let id = self
             .state
--- a/src/telemetry/trace/events.rs
+++ b/src/telemetry/trace/events.rs
@@ -4,8 +4,8 @@
 use simd_json::OwnedValue as Value;
 use tulipbridge_core::request_tracker::{Effect, FinalAnswer, Input};
 use tulipbridge_core::{
-    FleetUpdate, Listed, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, RuntimeCommand,
-    SharedLimit, UpdateScope,
+    EndpointState, FleetUpdate, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId,
+    RuntimeCommand, SharedLimit, UpdateScope,
 };
 
 /// Nanoseconds per microsecond.
@@ -212,7 +212,7 @@
         volume: format!("{:x}", request.volume.0),
         units: request.units,
         shard: request.shard.map_or(ANY_SHARD, |shard| i64::from(shard.0)),
-        patience_ms: milliseconds(request.patience),
+        patience_ms: milliseconds(request.client_timeout),
         front_count: request.front_count,
     }
 }
@@ -266,10 +266,10 @@
 
 /// An entry of an endpoint list as the trace has it.
 fn endpoint(info: &NodeInfo, name: impl Fn(NodeId) -> String) -> TracedEndpoint {
-    let listed = match info.listed {
-        Listed::Up => "up",
-        Listed::Draining => "draining",
-        Listed::Removed => "removed",
+    let listed = match info.state {
+        EndpointState::Up => "up",
+        EndpointState::Draining => "draining",
+        EndpointState::Removed => "removed",
     };
     TracedEndpoint {
         node: name(info.node),
