--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -52,7 +52,7 @@
     fair_share_value: f64,
     #[serde(rename = "IdleWorth", default, deserialize_with = "number")]
     idle_value: f64,
-    #[serde(default, deserialize_with = "number")]
+    #[serde(rename = "UsePeriod", default, deserialize_with = "number")]
     usage_report_interval: f64,
     #[serde(rename = "ChangesData", default)]
     writes: ClassWrites,
@@ -82,7 +82,7 @@
     warmup_duration: f64,
     #[serde(rename = "ColdFrom", default, deserialize_with = "number")]
     warmup_floor: f64,
-    #[serde(default, deserialize_with = "number")]
+    #[serde(rename = "TipMultiple", default, deserialize_with = "number")]
     overload_factor: f64,
     #[serde(rename = "Fall", default, deserialize_with = "number")]
     overload_span: f64,
@@ -132,7 +132,7 @@
     limit_burst: f64,
     #[serde(rename = "FloorRate", default, deserialize_with = "number")]
     reserve_rate: f64,
-    #[serde(default, deserialize_with = "number")]
+    #[serde(rename = "Nominal", default, deserialize_with = "number")]
     nominal_rate: f64,
     #[serde(rename = "Parts", default, deserialize_with = "number")]
     weight: f64,
