--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -17,7 +17,6 @@
 
 /// The part of the settings that the scheduler needs. Times are in nanoseconds.
 #[derive(Deserialize)]
-#[serde(rename_all = "PascalCase")]
 struct SettingsFile {
     #[serde(rename = "Balancers", default, deserialize_with = "number")]
     front_count: f64,
@@ -25,22 +24,21 @@
     classes: Vec<ClassEntry>,
     #[serde(rename = "Grades", deserialize_with = "objects")]
     plans: Vec<PlanEntry>,
-    #[serde(default, deserialize_with = "number")]
+    #[serde(rename = "Quantum", default, deserialize_with = "number")]
     quantum: f64,
     /// How a front follows discovery. It polls it where this is [`POLLING`].
-    #[serde(default, deserialize_with = "lenient")]
+    #[serde(rename = "Discovery", default, deserialize_with = "lenient")]
     discovery: Option<String>,
     #[serde(rename = "FamilyInfo", deserialize_with = "object")]
     family: FamilySection,
-    #[serde(deserialize_with = "object")]
+    #[serde(rename = "Limits", deserialize_with = "object")]
     limits: LimitsSection,
-    #[serde(deserialize_with = "object")]
+    #[serde(rename = "Rules", deserialize_with = "object")]
     rules: RulesSection,
 }
 
 /// The object `FamilyInfo`: what requests are like.
 #[derive(Deserialize)]
-#[serde(rename_all = "PascalCase")]
 struct FamilySection {
     #[serde(rename = "ColdUnits", default, deserialize_with = "number")]
     warmup_units: f64,
@@ -60,7 +58,6 @@
 
 /// The object `Limits`.
 #[derive(Deserialize)]
-#[serde(rename_all = "PascalCase")]
 struct LimitsSection {
     #[serde(rename = "MostTries", default, deserialize_with = "number")]
     max_attempts: f64,
@@ -68,13 +65,12 @@
     hedging: bool,
     #[serde(rename = "Cancelling", default, deserialize_with = "boolean")]
     cancellation: bool,
-    #[serde(default, deserialize_with = "number")]
+    #[serde(rename = "MaxRetryAfter", default, deserialize_with = "number")]
     max_retry_after: f64,
 }
 
 /// The object `Rules`.
 #[derive(Deserialize)]
-#[serde(rename_all = "PascalCase")]
 struct RulesSection {
     #[serde(rename = "AskEvery", default, deserialize_with = "number")]
     poll_interval: f64,
@@ -101,20 +97,20 @@
 
 /// An entry of `Services`.
 #[derive(Deserialize)]
-#[serde(rename_all = "PascalCase")]
 struct ClassEntry {
     #[serde(rename = "Aim", default, deserialize_with = "number")]
     latency_objective: f64,
     #[serde(rename = "AimStretch", default, deserialize_with = "number")]
     objective_stretch: f64,
-    #[serde(default, deserialize_with = "number")]
+    #[serde(rename = "Deadline", default, deserialize_with = "number")]
     deadline: f64,
+    #[serde(rename = "Semantics")]
     semantics: SemanticsName,
-    #[serde(default, deserialize_with = "lenient")]
+    #[serde(rename = "Group", default, deserialize_with = "lenient")]
     group: Option<String>,
-    #[serde(default, deserialize_with = "number")]
+    #[serde(rename = "Window", default, deserialize_with = "number")]
     window: f64,
-    #[serde(default, deserialize_with = "boolean")]
+    #[serde(rename = "KeepOrder", default, deserialize_with = "boolean")]
     keep_order: bool,
     #[serde(rename = "LateWorth", default, deserialize_with = "number")]
     late_value: f64,
@@ -124,11 +120,10 @@
 
 /// An entry of `Grades`.
 #[derive(Deserialize)]
-#[serde(rename_all = "PascalCase")]
 struct PlanEntry {
     #[serde(rename = "CeilingRate", default, deserialize_with = "number")]
     limit_rate: f64,
-    #[serde(default, deserialize_with = "number")]
+    #[serde(rename = "LimitBurst", default, deserialize_with = "number")]
     limit_burst: f64,
     #[serde(rename = "FloorRate", default, deserialize_with = "number")]
     reserve_rate: f64,
--- a/src/control/endpoint_list.rs
+++ b/src/control/endpoint_list.rs
@@ -30,21 +30,21 @@
 
 /// An entry of an endpoint list as discovery sends it.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
 struct EndpointMessage {
     #[serde(rename = "instanceId")]
     name: String,
     #[serde(rename = "hostPort")]
     address: EndpointAddress,
     /// The name of the zone; anything but a string counts as an unknown zone.
-    #[serde(default, deserialize_with = "optional_string")]
+    #[serde(rename = "zone", default, deserialize_with = "optional_string")]
     zone: Option<String>,
     /// The state of the server in discovery.
+    #[serde(rename = "lifecycle")]
     lifecycle: String,
     #[serde(rename = "cell")]
     shard: u32,
     /// When the server started, in milliseconds since the Unix epoch; 0 where that is not known.
-    #[serde(default, deserialize_with = "integer_or_zero")]
+    #[serde(rename = "startedAtMs", default, deserialize_with = "integer_or_zero")]
     started_at_ms: i64,
 }
 
--- a/tests/unit/main.rs
+++ b/tests/unit/main.rs
@@ -3,4 +3,5 @@
 mod framing;
 mod listener;
 mod range;
+mod settings_keys;
 mod upstream;
