--- a/src/bin/tulipbridge-adapter/instance.rs
+++ b/src/bin/tulipbridge-adapter/instance.rs
@@ -5,7 +5,6 @@
 
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue as Value};
-use tulipbridge::config::json::{array, integer, names, optional_number, string};
 use tulipbridge::config::settings;
 use tulipbridge::{
     Action, Event, KeyId, Nanos, NodeId, NodeInfo, Request, RequestId, RuntimeCommand, Scheduler,
@@ -13,6 +12,7 @@
 };
 
 use crate::error::WireError;
+use crate::json::{array, integer, names, optional_number, string};
 use crate::request_registry::RequestRegistry;
 use crate::vocabulary::{self, action, EventKind};
 
