--- a/crates/core/src/policy/scheduler/events.rs
+++ b/crates/core/src/policy/scheduler/events.rs
@@ -392,10 +392,7 @@
         self.retry_history.expire_retries(self.now, retry_window);
         let referenced = self.requests.possible_executors();
         let removed = self.nodes.forget_removed(&referenced);
-        actions.extend(
-            removed
-                .into_iter()
-                .map(|node| Action::Runtime(RuntimeCommand::ForgetNode(node))),
-        );
+        let forgotten = removed.into_iter().map(RuntimeCommand::ForgetNode);
+        actions.extend(forgotten.map(Action::Runtime));
     }
 }
--- a/crates/core/src/policy/scheduler/mod.rs
+++ b/crates/core/src/policy/scheduler/mod.rs
@@ -94,9 +94,9 @@
     }
 
     /// Applies reloaded settings. Classes and plans keep their numbers, as a
-    /// [`VersionedTable`](crate::settings_reload::VersionedTable) assigns them; a
-    /// class in `replaced` takes the learned values of the older one that it replaces. Requests
-    /// under way keep their class and the number of attempts they were allowed.
+    /// [`VersionedTable`](crate::settings_reload::VersionedTable) assigns them; a class in
+    /// `replaced` takes the learned values of the older one that it replaces. Requests under way
+    /// keep their class and the number of attempts they were allowed.
     ///
     /// # Errors
     /// [`SettingsError`] for settings that are not valid or have fewer classes or plans; then
--- a/crates/testbed/src/simulation/limits.rs
+++ b/crates/testbed/src/simulation/limits.rs
@@ -381,7 +381,7 @@
             let message = Message {
                 to,
                 via,
-                from: sender as PeerId,
+                from: PeerId::at(sender),
                 incarnation,
                 heartbeat: heartbeat.clone(),
             };
--- a/crates/testbed/src/simulation/outliers/scenario.rs
+++ b/crates/testbed/src/simulation/outliers/scenario.rs
@@ -16,9 +16,9 @@
     #[serde(rename = "All")]
     Failing(u32),
     /// All attempts of fronts in one zone fail.
-    ZoneId(ZoneId),
+    Zone(ZoneId),
     /// All attempts of one class fail.
-    ClassId(ClassId),
+    Class(ClassId),
 }
 
 /// What is wrong with a front.
@@ -129,8 +129,8 @@
             .filter(|f| f.server == server && at_ms >= f.from_ms);
         active.into_iter().any(|faulty| match faulty.fault {
             ServerFault::Failing(per_mille) => random < per_mille,
-            ServerFault::ZoneId(faulty_zone) => faulty_zone == zone,
-            ServerFault::ClassId(faulty_class) => faulty_class == class,
+            ServerFault::Zone(faulty_zone) => faulty_zone == zone,
+            ServerFault::Class(faulty_class) => faulty_class == class,
         })
     }
 
@@ -149,12 +149,10 @@
             .into_iter()
             .any(|faulty| match (target.scope, faulty.fault) {
                 (_, ServerFault::Failing(_)) => true,
-                (Scope::ZoneId(zone), ServerFault::ZoneId(faulty_zone)) => zone == faulty_zone,
-                (Scope::ClassId(class), ServerFault::ClassId(faulty_class)) => {
-                    class == faulty_class
-                }
+                (Scope::Zone(zone), ServerFault::Zone(faulty_zone)) => zone == faulty_zone,
+                (Scope::Class(class), ServerFault::Class(faulty_class)) => class == faulty_class,
                 // The work of one class is part of all work; the fronts of another zone are not.
-                (Scope::All | Scope::ZoneId(_), ServerFault::ClassId(_)) => true,
+                (Scope::All | Scope::Zone(_), ServerFault::Class(_)) => true,
                 _ => false,
             })
     }
@@ -162,7 +160,7 @@
     /// Whether a server fails for the fronts of both zones by separate faults.
     fn fails_in_every_zone(&self, server: ServerId) -> bool {
         let fails_in = |zone: ZoneId| {
-            let fault = ServerFault::ZoneId(zone);
+            let fault = ServerFault::Zone(zone);
             self.faulty_servers
                 .iter()
                 .any(|faulty| faulty.server == server && faulty.fault == fault)
@@ -183,8 +181,8 @@
 fn sample_faulty_server(rng: &mut Rng) -> FaultyServer {
     let fault = match rng.u8(0..6) {
         0..=2 => ServerFault::Failing([1_000, 600, 300][rng.usize(0..3)]),
-        3 => ServerFault::ZoneId(ZoneId(rng.u8(0..2))),
-        4 => ServerFault::ClassId(ClassId(rng.u8(0..CLASSES))),
+        3 => ServerFault::Zone(ZoneId(rng.u8(0..2))),
+        4 => ServerFault::Class(ClassId(rng.u8(0..CLASSES))),
         _ => ServerFault::Failing(1_000),
     };
     let from_ms = rng.u64(2_000..8_000);
--- a/src/frontend/platform/request_tables.rs
+++ b/src/frontend/platform/request_tables.rs
@@ -151,6 +151,7 @@
     named_values(&config.plans, config.settings.plans.iter().cloned())
 }
 
+/// Values by their names, in the order of both.
 fn named_values<T>(names: &[String], values: impl Iterator<Item = T>) -> Vec<NamedValue<T>> {
     let named = names.iter().cloned().zip(values);
     named
