--- a/src/frontend/lingering_close.rs
+++ b/src/frontend/lingering_close.rs
@@ -24,6 +24,7 @@
 }
 
 impl LingeringClose {
+    /// Allocates the buffer.
     pub(super) fn new() -> LingeringClose {
         LingeringClose {
             discard_buffer: RefCell::new(vec![0; DISCARD_BUFFER_BYTES]),
--- a/src/object/locate.rs
+++ b/src/object/locate.rs
@@ -8,7 +8,8 @@
 use tulipbridge_core::ShardId;
 
 use super::error::ApiError;
-use super::request::{query_names, ObjectRequest, VersionId};
+use super::query::query_names;
+use super::request::{ObjectRequest, VersionId};
 use super::server_client::ServerClient;
 use crate::upstream::Answer;
 
@@ -41,7 +42,8 @@
         shard: version.shard,
         query: version.query().unwrap_or_default(),
         version_id: request
-            .query_value(query_names::VERSION_ID)
+            .query
+            .get(query_names::VERSION_ID)
             .and_then(|id| HeaderValue::try_from(id).ok()),
     })
 }
--- a/src/object/mod.rs
+++ b/src/object/mod.rs
@@ -18,6 +18,7 @@
 mod pending_completions;
 mod piece;
 mod put;
+mod query;
 pub mod range;
 mod replies;
 mod request;
--- a/src/object/pending_completions.rs
+++ b/src/object/pending_completions.rs
@@ -38,7 +38,7 @@
 }
 
 /// The claim to the completion of one upload. It lasts for its time where this is dropped, since
-/// the attempt goes on when the client disconnects, and ends before only by [`release`].
+/// the attempt continues when the client disconnects, and ends earlier only by [`release`].
 ///
 /// [`release`]: CompletionClaim::release
 pub(super) struct CompletionClaim<'a> {
--- a/src/object/request.rs
+++ b/src/object/request.rs
@@ -9,49 +9,15 @@
     IF_NONE_MATCH, IF_UNMODIFIED_SINCE,
 };
 use hyper::{Method, StatusCode, Uri};
-use percent_encoding::percent_decode_str;
 use tulipbridge_core::ShardId;
 
 use super::error::ApiError;
+use super::query::{decode, query_field, query_names, Query};
 use super::server_client::ServerClient;
-use super::server_request::query_field;
 use super::Bucket;
 
 /// Prefix of the headers with metadata of the user.
 pub(super) const METADATA_PREFIX: &str = "x-amz-meta-";
-/// Names of the query fields of the API.
-pub(super) mod query_names {
-    /// Selects the operations on all uploads of an object.
-    pub const UPLOADS: &str = "uploads";
-    /// Names an upload.
-    pub const UPLOAD_ID: &str = "uploadId";
-    /// Number of the part that is uploaded.
-    pub const PART_NUMBER: &str = "partNumber";
-    /// Names a version of an object.
-    pub const VERSION_ID: &str = "versionId";
-    /// The largest number of parts in a page.
-    pub const MAX_PARTS: &str = "max-parts";
-    /// The part number after which a page starts.
-    pub const PART_NUMBER_MARKER: &str = "part-number-marker";
-    /// Name of the operation, which some clients add; ignored.
-    pub const OPERATION: &str = "x-id";
-    /// Encoding of keys in lists; ignored.
-    pub const ENCODING_TYPE: &str = "encoding-type";
-}
-
-/// Query fields that may be present; only some of them have an effect.
-const KNOWN_QUERY_FIELDS: [&str; 8] = [
-    query_names::UPLOADS,
-    query_names::UPLOAD_ID,
-    query_names::PART_NUMBER,
-    query_names::VERSION_ID,
-    query_names::MAX_PARTS,
-    query_names::PART_NUMBER_MARKER,
-    query_names::OPERATION,
-    query_names::ENCODING_TYPE,
-];
-/// Prefix of the query fields of signatures, which are ignored.
-const SIGNATURE_QUERY_PREFIX: &str = "X-Amz-";
 /// Content encoding of bodies that hold a signature between the chunks.
 const SIGNED_CHUNKS: &[u8] = b"aws-chunked";
 /// Header with the hash of the body, or with the kind of its signature.
@@ -102,8 +68,7 @@
     pub key: String,
     /// The path as it was received, percent-encoded.
     pub path: String,
-    /// The query, decoded.
-    pub query: HashMap<String, String>,
+    pub query: Query,
     pub headers: HeaderMap,
     /// When the client stops waiting.
     pub deadline: Instant,
@@ -161,7 +126,7 @@
         }
         let bucket_name = decode(bucket_name);
         let bucket = self.find_bucket(&bucket_name)?;
-        let query = parse_query(uri.query().unwrap_or_default())?;
+        let query = Query::parse(uri.query().unwrap_or_default())?;
         reject_unsupported(&headers)?;
         let is_write = matches!(*method, Method::PUT | Method::POST);
         let class = if is_write {
@@ -192,32 +157,6 @@
     }
 }
 
-/// Decodes percent-encoded text; bytes that are no UTF-8 are replaced.
-fn decode(text: &str) -> String {
-    percent_decode_str(text).decode_utf8_lossy().into_owned()
-}
-
-/// Decodes the fields of a query. One without `=` has an empty value.
-///
-/// # Errors
-/// `NotImplemented` for a field that the API does not have.
-fn parse_query(query: &str) -> Result<HashMap<String, String>, ApiError> {
-    let fields = query.split('&').filter(|field| !field.is_empty());
-    let fields = fields.map(|field| field.split_once('=').unwrap_or((field, "")));
-    let query: HashMap<_, _> = fields
-        .map(|(name, value)| (decode(name), decode(value)))
-        .collect();
-    let is_known = |name: &String| {
-        KNOWN_QUERY_FIELDS.contains(&name.as_str()) || name.starts_with(SIGNATURE_QUERY_PREFIX)
-    };
-    if !query.keys().all(is_known) {
-        return Err(ApiError::not_implemented(
-            "A part of the query is not served.",
-        ));
-    }
-    Ok(query)
-}
-
 /// Rejects requests that use a part of the API that is not supported.
 fn reject_unsupported(headers: &HeaderMap) -> Result<(), ApiError> {
     if has_signed_chunks(headers) {
@@ -250,8 +189,8 @@
     /// # Errors
     /// `MethodNotAllowed` where they select none.
     pub fn operation(&self, method: &Method) -> Result<Operation, ApiError> {
-        let has_upload_id = self.query.contains_key(query_names::UPLOAD_ID);
-        let has_uploads = self.query.contains_key(query_names::UPLOADS);
+        let has_upload_id = self.query.contains(query_names::UPLOAD_ID);
+        let has_uploads = self.query.contains(query_names::UPLOADS);
         match (method, has_upload_id, has_uploads) {
             (&Method::GET, false, false) => Ok(Operation::GetObject),
             (&Method::HEAD, false, false) => Ok(Operation::HeadObject),
@@ -270,11 +209,6 @@
         }
     }
 
-    /// The value of a query field, where it is present.
-    pub fn query_value(&self, name: &str) -> Option<&str> {
-        self.query.get(name).map(String::as_str)
-    }
-
     /// The headers that are stored with the object.
     pub fn stored_headers(&self) -> HeaderMap {
         select_headers(&self.headers, &STORED_HEADERS)
@@ -293,7 +227,7 @@
     /// # Errors
     /// `InvalidArgument` where the id is none of this front's.
     pub fn version(&self) -> Result<Option<VersionId>, ApiError> {
-        let Some(id) = self.query_value(query_names::VERSION_ID) else {
+        let Some(id) = self.query.get(query_names::VERSION_ID) else {
             return Ok(None);
         };
         let version = id.split_once('.').and_then(|(shard, own)| {
--- a/src/object/server_request.rs
+++ b/src/object/server_request.rs
@@ -1,11 +1,8 @@
 //! Requests to chunk servers on behalf of an API request. One API request may take several of them.
 
-use std::borrow::Cow;
-
 use bytes::Bytes;
 use hyper::header::HeaderMap;
 use hyper::Method;
-use percent_encoding::{utf8_percent_encode, NON_ALPHANUMERIC};
 use tulipbridge_core::ShardId;
 
 /// A request to a chunk server, for the path of the API request.
@@ -37,9 +34,3 @@
         }
     }
 }
-
-/// A query field with its value encoded.
-pub(super) fn query_field(name: &str, value: &str) -> String {
-    let value = Cow::from(utf8_percent_encode(value, NON_ALPHANUMERIC));
-    format!("{name}={value}")
-}
--- a/src/object/upload_id.rs
+++ b/src/object/upload_id.rs
@@ -4,8 +4,9 @@
 use tulipbridge_core::ShardId;
 
 use super::error::ApiError;
-use super::request::{query_names, ObjectRequest};
-use super::server_request::{query_field, ServerRequest};
+use super::query::{query_field, query_names};
+use super::request::ObjectRequest;
+use super::server_request::ServerRequest;
 
 /// An upload id of this front, `SHARD.TOKEN.OWN`.
 pub(super) struct UploadId {
@@ -24,7 +25,7 @@
     /// # Errors
     /// `NoSuchUpload` where the id is none of this front's.
     pub fn of(request: &ObjectRequest) -> Result<UploadId, ApiError> {
-        let id = request.query_value(query_names::UPLOAD_ID);
+        let id = request.query.get(query_names::UPLOAD_ID);
         id.and_then(UploadId::parse)
             .ok_or_else(ApiError::no_such_upload)
     }
--- a/src/object/uploads.rs
+++ b/src/object/uploads.rs
@@ -11,10 +11,11 @@
 use super::answer::NotFound;
 use super::error::ApiError;
 use super::pending_completions::PendingCompletions;
+use super::query::{query_field, query_names};
 use super::replies::{copy_header, document, empty};
-use super::request::{query_names, ObjectRequest};
+use super::request::ObjectRequest;
 use super::server_client::{body_units, ServerClient};
-use super::server_request::{query_field, ServerRequest};
+use super::server_request::ServerRequest;
 use super::upload_id::UploadId;
 use super::xml;
 use crate::frontend::replies::Reply;
@@ -139,7 +140,8 @@
 /// The number of the part that a request uploads.
 fn part_number(request: &ObjectRequest) -> Result<u32, ApiError> {
     let number = request
-        .query_value(query_names::PART_NUMBER)
+        .query
+        .get(query_names::PART_NUMBER)
         .and_then(|number| number.parse().ok());
     number
         .filter(|number| (1..=MAX_PART_NUMBER).contains(number))
@@ -148,6 +150,6 @@
 
 /// The value of one of the [`PAGE_FIELDS`], where it is present.
 fn page_number(request: &ObjectRequest, name: &str) -> Result<Option<u32>, ApiError> {
-    let number = request.query_value(name).map(str::parse).transpose();
+    let number = request.query.get(name).map(str::parse).transpose();
     number.map_err(|_| ApiError::invalid_argument("A page is told in whole numbers."))
 }
