--- a/crates/model-checker/src/cli/list.rs
+++ b/crates/model-checker/src/cli/list.rs
@@ -16,7 +16,10 @@
         let quick = if summary.quick { " (quick)" } else { "" };
         print_line!("  {:<14} {}{quick}", summary.name, summary.description);
     }
-    print_line!("configurations that check recovery, which a search of all leaves out (see docs/ROADMAP.md):");
+    print_line!(
+        "configurations that check recovery, \
+        which a search of all leaves out (see docs/ROADMAP.md):"
+    );
     for model in configs::recovery_checks() {
         print_line!("  {:<14} {}", model.summary.name, model.summary.description);
     }
--- a/crates/model-checker/src/cli/mutations/mod.rs
+++ b/crates/model-checker/src/cli/mutations/mod.rs
@@ -1,5 +1,5 @@
-//! `mutations`: mutation testing of the properties. Activates one mutation of the state machines at a
-//! time and searches for a history that violates a property.
+//! `mutations`: mutation testing of the properties. Activates one mutation of the state machines at
+//! a time and searches for a history that violates a property.
 
 #[cfg(feature = "mutations")]
 mod fleet_limits;
--- a/crates/model-checker/src/request_model/state/transitions.rs
+++ b/crates/model-checker/src/request_model/state/transitions.rs
@@ -266,6 +266,7 @@
         }
     }
 
+    /// Carries out a command of the policy to the code around it.
     fn run_command(&mut self, command: RuntimeCommand) {
         match command {
             RuntimeCommand::SetTimer { after, cookie } => self.timers.set(self.now + after, cookie),
