--- a/crates/core/src/policy/client_patience.rs
+++ b/crates/core/src/policy/client_patience.rs
@@ -50,7 +50,7 @@
     }
 
     /// Records that a client left after a wait, before its timeout and without an answer.
-    pub fn record_left(&mut self, now: Nanos, wait: Nanos, latency_objective: Nanos) {
+    pub fn record_disconnect(&mut self, now: Nanos, wait: Nanos, latency_objective: Nanos) {
         let wait = wait as f64;
         if wait < latency_objective as f64 * WAITED_OBJECTIVE_FRACTION {
             return;
@@ -68,7 +68,7 @@
     }
 
     /// Records that a client waited for its answer, whatever the answer is.
-    pub fn record_stayed(&mut self, now: Nanos, wait: Nanos) {
+    pub fn record_answered(&mut self, now: Nanos, wait: Nanos) {
         if wait as f64 >= self.typical_wait {
             self.record(now, false);
         }
--- a/crates/core/src/policy/health.rs
+++ b/crates/core/src/policy/health.rs
@@ -105,7 +105,7 @@
     }
 
     /// Takes a pause of this front for no silence of the server.
-    pub fn forgive_silence(&mut self, now: Nanos) {
+    pub fn restart_silence(&mut self, now: Nanos) {
         self.last_answer_at = now;
     }
 
--- a/crates/core/src/policy/key_order.rs
+++ b/crates/core/src/policy/key_order.rs
@@ -25,12 +25,12 @@
 
 impl KeyOrder {
     /// Appends a request to a key's queue.
-    pub fn join(&mut self, key: KeyId, id: RequestId) {
+    pub fn enqueue(&mut self, key: KeyId, id: RequestId) {
         self.queues.entry(key).or_default().requests.push_back(id);
     }
 
     /// Takes a request out of its key's queue, if it is there.
-    pub fn leave(&mut self, now: Nanos, key: KeyId, id: RequestId) {
+    pub fn remove(&mut self, now: Nanos, key: KeyId, id: RequestId) {
         let Some(queue) = self.queues.get_mut(&key) else {
             return;
         };
@@ -41,7 +41,7 @@
     }
 
     /// Lets a key with a queue rest until a time.
-    pub fn settle(&mut self, key: KeyId, until: Nanos) {
+    pub fn block_until(&mut self, key: KeyId, until: Nanos) {
         if let Some(queue) = self.queues.get_mut(&key) {
             queue.settles_at = until;
         }
--- a/crates/core/src/policy/node.rs
+++ b/crates/core/src/policy/node.rs
@@ -261,8 +261,8 @@
     }
 
     /// A pause of this front is no silence of the server, and no lateness of its answers.
-    pub fn forgive_local_pause(&mut self, now: Nanos, pause: Nanos) {
-        self.health.forgive_silence(now);
+    pub fn exclude_local_pause(&mut self, now: Nanos, pause: Nanos) {
+        self.health.restart_silence(now);
         self.in_flight.extend_due_times(pause);
     }
 
--- a/crates/core/src/policy/node_table.rs
+++ b/crates/core/src/policy/node_table.rs
@@ -168,7 +168,7 @@
     }
 
     /// Ends the visits to servers that have come to rest.
-    pub fn retire_resting(&mut self) {
+    pub fn deactivate_idle(&mut self) {
         let nodes = &self.nodes;
         self.active
             .retain(|id| nodes.get(id).is_some_and(Node::needs_ticks));
--- a/crates/core/src/policy/scheduler/dispatch.rs
+++ b/crates/core/src/policy/scheduler/dispatch.rs
@@ -220,14 +220,14 @@
     pub(super) fn record_client_stayed(&mut self, id: RequestId) {
         if let Some(live) = self.requests.unfinished(id) {
             let wait = self.now - live.received_at();
-            self.client_patience[live.request().class].record_stayed(self.now, wait);
+            self.client_patience[live.request().class].record_answered(self.now, wait);
         }
     }
 
     /// Gives up all requests that cannot be answered in time.
     pub(super) fn give_up_hopeless(&mut self, actions: &mut Vec<Action>) {
         let rules = self.send_rules();
-        let hopeless = self.requests.ids_where(|live| rules.is_hopeless(live));
+        let hopeless = self.requests.ids_where(|live| rules.should_give_up(live));
         for id in hopeless {
             self.give_up(id, actions);
         }
@@ -250,7 +250,7 @@
         }
         let key = self.requests.remove(id).and_then(|live| live.request().key);
         if let Some(key) = key {
-            self.key_order.leave(self.now, key, id);
+            self.key_order.remove(self.now, key, id);
         }
     }
 
--- a/crates/core/src/policy/scheduler/events.rs
+++ b/crates/core/src/policy/scheduler/events.rs
@@ -79,7 +79,7 @@
         self.now = self.now.max(now);
         if elapsed > LOCAL_PAUSE_MIN {
             for node in self.nodes.values_mut() {
-                node.forgive_local_pause(self.now, elapsed);
+                node.exclude_local_pause(self.now, elapsed);
             }
         }
     }
@@ -145,7 +145,7 @@
 
     fn is_hopeless(&self, id: RequestId) -> bool {
         let live = self.requests.get(id);
-        live.is_some_and(|live| self.send_rules().is_hopeless(live))
+        live.is_some_and(|live| self.send_rules().should_give_up(live))
     }
 
     /// The time left to a request's latency objective, less what its client has spent on earlier
@@ -163,7 +163,7 @@
     fn join_key_order(&mut self, request: &Request) {
         if self.class(request).keep_order {
             if let Some(key) = request.key {
-                self.key_order.join(key, request.id);
+                self.key_order.enqueue(key, request.id);
             }
         }
     }
@@ -195,7 +195,7 @@
         let class = live.request().class;
         let wait = self.now - live.received_at();
         let objective = self.settings.classes[class].latency_objective;
-        self.client_patience[class].record_left(self.now, wait, objective);
+        self.client_patience[class].record_disconnect(self.now, wait, objective);
     }
 
     /// Cancels the attempt of a client that is gone to save work, unless that leaves a write in
@@ -262,7 +262,7 @@
     fn settle_key(&mut self, request: &Request, outcome: Outcome) {
         if let Some(key) = request.key.filter(|_| outcome.may_still_execute()) {
             let settles_at = self.now + self.settings.order_settle_time;
-            self.key_order.settle(key, settles_at);
+            self.key_order.block_until(key, settles_at);
         }
     }
 
@@ -380,7 +380,7 @@
             node.end_period(now);
             node.slow_start.expire(now, window);
         });
-        self.nodes.retire_resting();
+        self.nodes.deactivate_idle();
     }
 
     fn on_second(&mut self, actions: &mut Vec<Action>) {
--- a/crates/core/src/policy/send_rules.rs
+++ b/crates/core/src/policy/send_rules.rs
@@ -73,7 +73,7 @@
     }
 
     /// Whether a request cannot be answered in time, so that its client learns it early.
-    pub fn is_hopeless(&self, live: &LiveRequest) -> bool {
+    pub fn should_give_up(&self, live: &LiveRequest) -> bool {
         let is_expired = self.is_expired(live);
         if live.is_finished() || live.is_streaming() || !(is_expired || live.is_queued()) {
             return false;
@@ -89,7 +89,7 @@
             .shard()
             .and_then(|shard| self.nodes.preferred_node(shard))
         {
-            Some(node) => self.is_hopeless_at(live, node),
+            Some(node) => self.should_give_up_at(live, node),
             None => self.now > live.objective_at(),
         }
     }
@@ -167,7 +167,7 @@
     }
 
     /// Whether a queued request cannot be answered in time by the server that would get it.
-    fn is_hopeless_at(&self, live: &LiveRequest, node: &Node) -> bool {
+    fn should_give_up_at(&self, live: &LiveRequest, node: &Node) -> bool {
         let request = live.request();
         if self.valuation.expected_answer_at(live, node) > live.deadline_at() {
             return true;
