--- a/crates/core/src/policy/client_patience.rs
+++ b/crates/core/src/policy/client_patience.rs
@@ -1,47 +1,50 @@
-//! How long the clients of a class wait before they leave.
+//! How long the clients of a class wait before they disconnect.
 //!
-//! Some clients abandon a request long before its timeout. Where many do, an answer that comes
-//! after their typical wait is wasted work, so the other decisions treat that wait as the end of
-//! the request.
+//! Some clients abandon a request long before its timeout. If many do, an answer after their
+//! typical wait is wasted work, so other decisions count an answer as late from then on.
 
 use std::hash::{Hash, Hasher};
 
 use crate::interface::Nanos;
 use crate::state::{decayed, moving_average};
 
-/// Smoothing of the typical wait towards a client that left earlier.
+/// Smoothing factor of the typical wait for a client that disconnected earlier.
 const SHORTER_WAIT_ALPHA: f64 = 0.1;
-/// Smoothing of the typical wait towards a client that left later. It is smaller, as clients that
-/// leave for other reasons than impatience also leave late.
+/// Smoothing factor of the typical wait for a client that disconnected later. It is smaller
+/// because clients that disconnect for other reasons than impatience also do so late.
 const LONGER_WAIT_ALPHA: f64 = 0.02;
-/// Smoothing of the ratio of clients that abandon their request.
+/// Smoothing factor of the abandon ratio.
 const ABANDON_RATIO_ALPHA: f64 = 0.03;
-/// Time constant, in nanoseconds, with which that ratio decays without new observations.
+/// Time constant, in nanoseconds, with which the abandon ratio decays without new observations.
 const ABANDON_RATIO_MEMORY_NS: f64 = 2e10;
-/// Below this ratio the class counts as one whose clients wait until their timeout.
+/// Below this abandon ratio the clients of a class are assumed to wait until their timeout.
 const ABANDON_RATIO_MIN: f64 = 0.3;
-/// A client that leaves before this fraction of the latency objective did not wait for an answer.
+/// A client that disconnects before this fraction of the latency objective did not wait for an
+/// answer.
 const WAITED_OBJECTIVE_FRACTION: f64 = 0.25;
-/// Each of two similar waits is at least this fraction of the other.
+/// Two waits are similar if each is at least this fraction of the other.
 const SIMILAR_WAIT_FRACTION: f64 = 0.5;
-/// The wait of clients that do not leave early: no bound, yet safe to add to a time.
+/// The wait of clients that do not disconnect early: unbounded in effect, but small enough that
+/// adding it to a time does not overflow.
 const UNBOUNDED_WAIT: Nanos = Nanos::MAX / 4;
 
-/// How long clients of one class wait where they leave early, and how often they leave then.
+/// Estimates of how long clients of one class wait if they disconnect early, and how often they
+/// do.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClientPatience {
-    /// Typical time in nanoseconds after which early leavers leave; 0 until the first.
+    /// Typical time in nanoseconds after which clients disconnect early; 0 until the first does.
     typical_wait: f64,
-    /// Of the clients that waited about as long, the fraction that left, as of `updated_at`.
+    /// Moving average, as of `updated_at`, of 1 for each client that disconnected after about the
+    /// typical wait, and 0 for each one that waited longer or disconnected at another time.
     abandon_ratio: f64,
     updated_at: Nanos,
-    /// The longest client timeout seen.
+    /// The longest client timeout seen, limited to the deadline of the class.
     longest_timeout: Nanos,
 }
 
 impl ClientPatience {
-    /// How long clients typically wait. Where few leave early it has no bound, and is safe to add
-    /// to a time.
+    /// Returns how long clients typically wait. If few disconnect early, that is a wait without
+    /// effective bound that can still be added to a time without overflow.
     pub fn typical_wait(&self, now: Nanos) -> Nanos {
         if self.abandon_ratio(now) < ABANDON_RATIO_MIN {
             return UNBOUNDED_WAIT;
@@ -49,7 +52,7 @@
         self.typical_wait as Nanos
     }
 
-    /// Records that a client left after a wait, before its timeout and without an answer.
+    /// Records that a client disconnected after a wait, before its timeout and without an answer.
     pub fn record_disconnect(&mut self, now: Nanos, wait: Nanos, latency_objective: Nanos) {
         let wait = wait as f64;
         if wait < latency_objective as f64 * WAITED_OBJECTIVE_FRACTION {
@@ -67,15 +70,16 @@
         self.record(now, is_similar);
     }
 
-    /// Records that a client waited for its answer, whatever the answer is.
+    /// Records that a client waited until its answer, whatever the answer is.
     pub fn record_answered(&mut self, now: Nanos, wait: Nanos) {
         if wait as f64 >= self.typical_wait {
             self.record(now, false);
         }
     }
 
-    /// The time that a client has spent on earlier requests for the same work: one with a shorter
-    /// timeout than the longest seen has tried before.
+    /// Returns the time that a client has presumably spent on earlier requests for the same work: a
+    /// timeout shorter than the longest seen is taken as a sign of a retry with the rest of the
+    /// client's time.
     pub fn time_already_spent(&mut self, timeout: Nanos, class_deadline: Nanos) -> Nanos {
         self.longest_timeout = self.longest_timeout.max(timeout.min(class_deadline));
         (self.longest_timeout - timeout).max(0)
@@ -89,8 +93,7 @@
         self.longest_timeout.hash(hasher);
     }
 
-    /// The fraction of clients that left of those that waited about as long; it decays without new
-    /// observations.
+    /// Returns the abandon ratio at `now`, after its decay since the last observation.
     fn abandon_ratio(&self, now: Nanos) -> f64 {
         decayed(
             self.abandon_ratio,
--- a/crates/core/src/policy/congestion_window.rs
+++ b/crates/core/src/policy/congestion_window.rs
@@ -1,34 +1,36 @@
-//! The congestion window of one chunk server: how many requests this front keeps in flight there.
+//! The congestion window of one chunk server: how many requests this front may have in flight
+//! there.
 
 use std::hash::{Hash, Hasher};
 
-/// Design: the most requests in flight.
+/// Maximum window, in requests.
 const WINDOW_MAX: f64 = 32.0;
-/// Design: the least window, which paces requests, whatever the number of fronts.
+/// Minimum window, in requests, whatever the number of fronts. A window below 1 paces requests.
 const WINDOW_MIN: f64 = 0.3;
-/// The first window in requests. It is small, as all fronts start at once on all servers.
+/// Initial window, in requests. It is small because all fronts may start at once and send to all
+/// servers.
 const INITIAL_WINDOW: f64 = 4.0;
-/// A window below 1, which paces, recovers by this fraction of itself for each good answer.
+/// A window below 1 grows by this fraction of itself for each uncongested answer.
 const PACE_GROWTH: f64 = 0.5;
-/// The strongest reduction of the window, as a factor: that after a rejection or a timeout.
+/// Smallest factor by which the window is reduced; it applies after a rejection or a timeout.
 const STRONGEST_REDUCTION: f64 = 0.5;
-/// Requests in flight at a chunk server from all fronts together for which no front is paced: fewer
-/// than a server with one core keeps in its queue.
+/// Number of requests in flight at a chunk server, from all fronts together, up to which no front
+/// has to be paced: fewer than a server with one core keeps in its queue.
 const UNPACED_REQUESTS_PER_NODE: f64 = 16.0;
 
-/// The window, adapted at most once down for each control period.
+/// The congestion window of one server. It is reduced at most once in each control period.
 #[derive(Clone, Debug)]
 pub(crate) struct CongestionWindow {
-    /// In requests; below 1 it is a pace.
+    /// In requests; below 1 requests are paced.
     size: f64,
-    /// The least size, by the number of fronts that share the server; 0 until known.
+    /// Minimum size, derived from the number of fronts that share the server; 0 until known.
     min_size: f64,
-    /// Whether it was reduced in this control period.
+    /// Whether the window was reduced in this control period.
     is_reduced: bool,
 }
 
 impl CongestionWindow {
-    /// The window of a new server.
+    /// Creates the window of a server that is new to this front.
     pub fn new() -> CongestionWindow {
         CongestionWindow {
             size: INITIAL_WINDOW,
@@ -37,24 +39,25 @@
         }
     }
 
-    /// The window in requests; below 1 it is a pace.
+    /// Returns the window in requests; below 1 requests are paced.
     pub fn size(&self) -> f64 {
         self.size
     }
 
-    /// Whether it was reduced in this control period.
+    /// Returns whether the window was reduced in this control period.
     pub fn is_reduced(&self) -> bool {
         self.is_reduced
     }
 
-    /// Sets the least window for a number of fronts. A window below 1 is paced, which keeps the sum
-    /// over many fronts within what a server can queue; few fronts with one request each stay
-    /// within it without pacing.
+    /// Sets the minimum window by the number of fronts. A window below 1 paces requests, which
+    /// keeps the sum over many fronts within what a server can queue. A few fronts with one request
+    /// each stay within it without pacing.
     pub fn set_front_count(&mut self, fronts: f64) {
         self.min_size = (UNPACED_REQUESTS_PER_NODE / fronts).min(1.0);
     }
 
-    /// Grows the window by a request for each round trip, if it is in use.
+    /// Grows the window for an uncongested answer if the window is in use: by one request per round
+    /// trip, or by a fraction of itself below 1.
     pub fn grow(&mut self, in_flight: usize) {
         if (in_flight + 1) as f64 >= self.size.floor() {
             let step = if self.size < 1.0 {
@@ -66,8 +69,8 @@
         }
     }
 
-    /// Reduces the window by a factor once a period, from the part in use, as shrinking the unused
-    /// part has no effect.
+    /// Reduces the window by a factor, at most once per control period. The reduction starts from
+    /// the part in use, because reducing the unused part would have no effect.
     pub fn reduce(&mut self, factor: f64, in_flight: usize) {
         if !self.is_reduced {
             let in_use = in_flight.max(1) as f64;
@@ -77,12 +80,12 @@
         }
     }
 
-    /// Reduces the window as far as a period allows.
+    /// Reduces the window by the largest step that a control period allows.
     pub fn reduce_strongly(&mut self, in_flight: usize) {
         self.reduce(STRONGEST_REDUCTION, in_flight);
     }
 
-    /// Starts a control period.
+    /// Starts a control period, in which the window may be reduced again.
     pub fn start_period(&mut self) {
         self.is_reduced = false;
     }
--- a/crates/core/src/policy/endpoint_subscription.rs
+++ b/crates/core/src/policy/endpoint_subscription.rs
@@ -1,38 +1,41 @@
-//! When to subscribe to the endpoint list.
+//! The schedule of this front's calls to subscribe to the endpoint list of discovery.
 
 use std::hash::{Hash, Hasher};
 
 use super::{MILLISECOND, SECOND};
 use crate::interface::{Nanos, Settings};
 
-/// The least backoff after a call that failed.
+/// Minimum backoff after a failed call.
 const BACKOFF_MIN: Nanos = 300 * MILLISECOND;
-/// The most backoff, where the calls of all fronts take less than half of it.
+/// Maximum backoff, unless the calls of all fronts together take more than half of it.
 const BACKOFF_MAX: Nanos = 3 * SECOND;
-/// Time that discovery is given for the call of one front, as all may call at once.
+/// Time allowed to discovery for the call of one front. The backoff scales with the number of
+/// fronts, because all may call at once.
 const CALL_TIME_PER_FRONT: Nanos = 50 * MILLISECOND;
-/// A call is made within this fraction of the poll interval at the latest.
+/// Maximum wait before another call, as a fraction of the poll interval.
 const POLL_INTERVAL_FRACTION: f64 = 0.7;
 
-/// The subscription of this front. Waits are spread at random, as all fronts start together and
-/// lose discovery together.
+/// The schedule of calls to discovery. Waits are randomized because all fronts may start at the
+/// same time and lose discovery at the same time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EndpointSubscription {
-    /// When to subscribe, while that is due.
+    /// Time of the next scheduled call; `None` if there is none.
     subscribe_at: Option<Nanos>,
+    /// Mean wait after the next failed call; it doubles with each failure up to a maximum.
     backoff: Nanos,
 }
 
 impl EndpointSubscription {
-    /// Schedules the first call. A list restored from disk serves meanwhile. `draw` is uniform in
-    /// 0..1.
+    /// Schedules the first call if the settings have this front poll discovery. A list restored
+    /// from disk is used until then. `draw` is a random number uniform in 0..1.
     pub fn schedule_first(&mut self, now: Nanos, settings: &Settings, draw: f64) {
         self.reset_backoff(settings);
         let wait = (draw * call_time_of_fleet(settings) as f64) as Nanos;
         self.subscribe_at = settings.polls_discovery.then_some(now + wait);
     }
 
-    /// Schedules another call after one that failed. `draw` is uniform in 0..1.
+    /// Schedules another call after one that failed, and doubles the backoff. `draw` is a random
+    /// number uniform in 0..1.
     pub fn back_off(&mut self, now: Nanos, settings: &Settings, draw: f64) {
         let wait = (self.backoff as f64 * (0.5 + draw)) as Nanos;
         let interval = settings.poll_interval;
@@ -43,12 +46,12 @@
         self.backoff = (self.backoff * 2).min(max_backoff);
     }
 
-    /// Resets the backoff after a call that succeeded.
+    /// Resets the backoff to its minimum after a successful call.
     pub fn reset_backoff(&mut self, settings: &Settings) {
         self.backoff = BACKOFF_MIN.max(call_time_of_fleet(settings) / 2);
     }
 
-    /// Whether to subscribe now; true once for each scheduled call.
+    /// Returns whether to subscribe now, and clears the schedule if so.
     pub fn take_due(&mut self, now: Nanos) -> bool {
         self.subscribe_at.take_if(|at| now >= *at).is_some()
     }
@@ -60,7 +63,7 @@
     }
 }
 
-/// The time that discovery needs for a call of every front.
+/// Returns the time allowed to discovery for one call of every front.
 fn call_time_of_fleet(settings: &Settings) -> Nanos {
     i64::from(settings.front_count) * CALL_TIME_PER_FRONT
 }
--- a/crates/core/src/policy/health.rs
+++ b/crates/core/src/policy/health.rs
@@ -1,50 +1,55 @@
-//! Health of one chunk server, one notion for every kind of failure, and the probes of a suspect.
+//! Health of one chunk server, and the probe schedule of a suspect server.
+//!
+//! One health state covers every kind of failure.
 
 use std::hash::{Hash, Hasher};
 
 use super::{MILLISECOND, SECOND};
 use crate::interface::{Nanos, Outcome};
 
-/// A server is silent after this multiple of the longest latency expected of a request in flight.
+/// A server is silent if it has not answered for this multiple of the longest latency expected of a
+/// request in flight.
 const SILENCE_RATIO: f64 = 4.0;
-/// The least time without an answer that counts as silence.
+/// Minimum time without an answer that counts as silence.
 pub(super) const SILENCE_MIN: Nanos = 150 * MILLISECOND;
-/// Losses in a row that make a server suspect; one or two are chance where a third of the packets
-/// is lost.
+/// Number of consecutive losses that make a server suspect. One or two may be chance on a network
+/// that loses a third of the packets.
 const SUSPECT_AFTER_LOSSES: u32 = 3;
-/// The time until the first probe of a suspect, and between the first two.
+/// The time until the first probe of a suspect server, and between the first two probes.
 const PROBE_INTERVAL_MIN: Nanos = 200 * MILLISECOND;
-/// The most time between two probes of few fronts.
+/// Maximum time between two probes of one front, unless the fleet's probe rate requires more.
 const PROBE_INTERVAL_MAX: Nanos = SECOND;
-/// Probes per second of all fronts together, where the longest interval would allow more.
+/// Probes per second that a suspect server gets from all fronts together at the longest interval,
+/// if [`PROBE_INTERVAL_MAX`] would allow more.
 const FLEET_PROBES_PER_SECOND: Nanos = 10;
 
-/// Whether a chunk server is trusted, whatever the kind of failure.
+/// Whether a chunk server is trusted with regular requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Health {
     /// It takes regular requests.
     Healthy,
-    /// It does not answer or its connections fail: it gets probe requests only.
+    /// It does not answer or its connections fail; it gets only probe requests.
     Suspect,
 }
 
-/// The health of a server and what it is judged by.
+/// The health of a server, the observations behind it, and the probe schedule.
 #[derive(Clone, Debug)]
 pub(crate) struct HealthState {
     health: Health,
     /// Lost attempts since the last answer.
     consecutive_losses: u32,
+    /// When the server last answered, or a pause of this front ended.
     last_answer_at: Nanos,
     /// Send time of the latest-sent attempt that was answered.
     newest_answered_send: Nanos,
-    /// When a suspect may be probed next.
+    /// When a suspect server may be probed next.
     probe_at: Nanos,
-    /// The time between two probes.
+    /// The time from the next probe to the one after it, before jitter; it doubles up to a maximum.
     probe_interval: Nanos,
 }
 
 impl HealthState {
-    /// A server without failures.
+    /// Creates the state of a healthy server without failures.
     pub fn new(now: Nanos) -> HealthState {
         HealthState {
             health: Health::Healthy,
@@ -56,23 +61,23 @@
         }
     }
 
-    /// Whether the server takes regular requests.
+    /// Returns whether the server takes regular requests.
     pub fn is_healthy(&self) -> bool {
         self.health == Health::Healthy
     }
 
-    /// When the server last answered, or a pause of this front ended.
+    /// Returns when the server last answered, or a pause of this front ended.
     pub fn last_answer_at(&self) -> Nanos {
         self.last_answer_at
     }
 
-    /// Send time of the latest-sent attempt that was answered. Servers answer in order: an attempt
-    /// sent before it that has no answer is lost.
+    /// Returns the send time of the latest-sent attempt that was answered. Servers answer in order,
+    /// so an attempt that was sent earlier and has no answer is lost.
     pub fn newest_answered_send(&self) -> Nanos {
         self.newest_answered_send
     }
 
-    /// Updates the health by the end of an attempt. Returns whether the server has recovered.
+    /// Updates the health with the outcome of an attempt. Returns whether the server has recovered.
     pub fn record_outcome(&mut self, now: Nanos, outcome: Outcome, sent_at: Nanos) -> bool {
         let was_healthy = self.is_healthy();
         match outcome {
@@ -87,7 +92,7 @@
         !was_healthy && self.is_healthy()
     }
 
-    /// Makes a healthy server a suspect.
+    /// Marks a healthy server as suspect and schedules its first probe.
     pub fn mark_suspect(&mut self, now: Nanos) {
         if self.is_healthy() {
             self.health = Health::Suspect;
@@ -96,25 +101,26 @@
         }
     }
 
-    /// Whether nothing was answered for longer than the longest request in flight should take, by
-    /// the send time of the oldest request in flight and the longest latency expected.
+    /// Returns whether the server has not answered for much longer than the slowest request in
+    /// flight should take. `oldest_sent_at` is the send time of the oldest request in flight,
+    /// `expected_latency` the longest latency expected of one, in nanoseconds.
     pub fn is_silent(&self, now: Nanos, oldest_sent_at: Nanos, expected_latency: f64) -> bool {
         let silence = now - oldest_sent_at.max(self.last_answer_at);
         let longest_silence = (expected_latency * SILENCE_RATIO) as Nanos;
         silence > longest_silence.max(SILENCE_MIN)
     }
 
-    /// Takes a pause of this front for no silence of the server.
+    /// Restarts the measurement of silence, after a pause of this front.
     pub fn restart_silence(&mut self, now: Nanos) {
         self.last_answer_at = now;
     }
 
-    /// Whether a suspect may be probed by its own schedule.
+    /// Returns whether the probe schedule of a suspect server allows a probe now.
     pub fn is_probe_due(&self, now: Nanos) -> bool {
         now >= self.probe_at
     }
 
-    /// Schedules the next probe of a suspect after one was sent. `jitter` is a factor on the
+    /// Schedules the next probe of a suspect server after one was sent. `jitter` is a factor on the
     /// interval.
     pub fn schedule_probe(&mut self, now: Nanos, jitter: f64, front_count: u32) {
         if self.is_healthy() {
@@ -139,7 +145,8 @@
         self.health = Health::Healthy;
     }
 
-    /// A lost answer says little: the work was done, and a dead server shows with the next attempt.
+    /// Records a lost attempt. A single loss is weak evidence: the server may have executed the
+    /// work, and if the server is dead, the next attempts fail as well.
     fn record_loss(&mut self, now: Nanos) {
         self.consecutive_losses += 1;
         if self.consecutive_losses >= SUSPECT_AFTER_LOSSES {
--- a/crates/core/src/policy/in_flight.rs
+++ b/crates/core/src/policy/in_flight.rs
@@ -1,4 +1,4 @@
-//! The attempts in flight at one chunk server, and when one of them counts as failed.
+//! The attempts in flight at one chunk server, and when an attempt counts as failed.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -7,34 +7,36 @@
 use crate::interface::{Nanos, Outcome, RequestId, Settings};
 use crate::mutations::{mutated, Mutation};
 
-/// An attempt in flight for this fraction of the tightest objective, and for a silence, has failed.
+/// Fraction of the tightest latency objective after which an attempt of mean size counts as failed,
+/// though not before [`SILENCE_MIN`].
 const FAILED_OBJECTIVE_FRACTION: f64 = 0.6;
 
-/// Identifies an attempt of a request.
+/// Identifies one attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct AttemptKey {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// The number of the attempt, from 0.
+    /// The number of the attempt within its request, from 0.
     pub attempt: u32,
 }
 
-/// An attempt in flight.
+/// What is recorded of an attempt when it is sent.
 #[derive(Clone, Debug)]
 pub(crate) struct SentAttempt {
     sent_at: Nanos,
+    /// Index of the request class.
     class: usize,
-    /// In nanoseconds.
+    /// Latency expected when it was sent, in nanoseconds.
     expected_latency: f64,
-    /// After this time it counts as failed.
+    /// Time after which it counts as failed.
     due_at: Nanos,
-    /// Whether it was already counted as failed while in flight.
+    /// Whether it was already found overdue while in flight.
     is_counted: bool,
 }
 
 impl SentAttempt {
-    /// An attempt of a request class that is sent now, with its expected latency in nanoseconds and
-    /// the time after which it counts as failed.
+    /// Creates the record of an attempt of a request class that is sent now. `expected_latency` is
+    /// in nanoseconds; after `due_at` the attempt counts as failed.
     pub fn new(now: Nanos, class: usize, expected_latency: f64, due_at: Nanos) -> SentAttempt {
         SentAttempt {
             sent_at: now,
@@ -45,14 +47,14 @@
         }
     }
 
-    /// When it was sent.
+    /// Returns when the attempt was sent.
     pub fn sent_at(&self) -> Nanos {
         self.sent_at
     }
 
-    /// Whether it failed to be answered in time, by its end. Absent if its end says nothing about
-    /// the server's load, if it was counted while in flight, or if an answer to a later one shows
-    /// that it was lost on its way.
+    /// Returns whether the attempt was answered in time, given its outcome and duration. Returns
+    /// `None` if the outcome says nothing about the server's load, if the attempt was already found
+    /// overdue, or if it was lost in transit, as the answer to a later attempt shows.
     pub fn result(
         &self,
         outcome: Outcome,
@@ -74,17 +76,17 @@
     }
 }
 
-/// The result of an attempt, for admission control.
+/// The result of an attempt, for admission control and ejection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptResult {
-    /// The request class.
+    /// Index of the request class.
     pub class: usize,
-    /// Whether it failed to be answered in time.
+    /// Whether the attempt was not answered in time.
     pub failed: bool,
 }
 
-/// When an attempt sent now counts as failed: after a fraction of the tightest objective, scaled to
-/// its work by its latency relative to that of the mean request.
+/// Returns the time after which an attempt sent now counts as failed: a fraction of the tightest
+/// objective later, scaled by the request's latency relative to that of the mean request.
 pub(crate) fn failure_due_at(now: Nanos, settings: &Settings, relative_latency: f64) -> Nanos {
     let objectives = settings.classes.iter().map(|class| class.latency_objective);
     let tightest = objectives.min().unwrap_or(0);
@@ -99,22 +101,22 @@
 }
 
 impl InFlightAttempts {
-    /// The number of attempts.
+    /// Returns the number of attempts in flight.
     pub fn len(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether no attempt is in flight.
     pub fn is_empty(&self) -> bool {
         self.attempts.is_empty()
     }
 
-    /// Adds an attempt that is sent.
+    /// Adds an attempt when it is sent.
     pub fn insert(&mut self, key: AttemptKey, sent: SentAttempt) {
         self.attempts.insert(key, sent);
     }
 
-    /// Takes out an attempt that has ended.
+    /// Removes and returns an attempt that has ended.
     pub fn take(&mut self, key: AttemptKey) -> Option<SentAttempt> {
         if mutated(Mutation::EndedStaysInFlight) {
             self.attempts.get(&key).cloned()
@@ -123,8 +125,8 @@
         }
     }
 
-    /// The number of attempts that still take up the server. One sent before another that was
-    /// answered is lost and frees its place.
+    /// Returns the number of attempts that still occupy the server. An attempt sent before an
+    /// answered one is lost and no longer counts against the window.
     pub fn pending(&self, newest_answered_send: Nanos) -> usize {
         self.attempts
             .values()
@@ -132,18 +134,19 @@
             .count()
     }
 
-    /// When the oldest attempt was sent.
+    /// Returns when the oldest attempt in flight was sent.
     pub fn oldest_sent_at(&self) -> Option<Nanos> {
         self.attempts.values().map(|sent| sent.sent_at).min()
     }
 
-    /// The longest latency expected of an attempt in nanoseconds, and at least `least`.
-    pub fn longest_expected_latency(&self, least: f64) -> f64 {
+    /// Returns the longest latency expected of any attempt in flight, but at least `minimum`. Both
+    /// are in nanoseconds.
+    pub fn longest_expected_latency(&self, minimum: f64) -> f64 {
         let expected = self.attempts.values().map(|sent| sent.expected_latency);
-        expected.fold(least, f64::max)
+        expected.fold(minimum, f64::max)
     }
 
-    /// Gives all attempts more time until they count as failed.
+    /// Extends the due times of all attempts by the length of a pause of this front.
     pub fn extend_due_times(&mut self, pause: Nanos) {
         for sent in self.attempts.values_mut() {
             sent.due_at += pause;
@@ -151,7 +154,7 @@
     }
 
     /// Marks the overdue attempts as counted and calls `on_failure` with the class of each that
-    /// shows load. One that a later one overtook was lost on its way, which does not.
+    /// indicates load. One sent before an answered attempt was lost in transit and does not.
     pub fn count_overdue(
         &mut self,
         now: Nanos,
--- a/crates/core/src/policy/latency.rs
+++ b/crates/core/src/policy/latency.rs
@@ -1,6 +1,6 @@
-//! The latency of one chunk server: two moving averages and a recent minimum.
+//! The latency of one chunk server: a fast and a slow moving average, and a recent minimum.
 //!
-//! All latencies are in nanoseconds and scaled to a request of mean size.
+//! All latencies are in nanoseconds and scaled to the mean request.
 
 use std::hash::{Hash, Hasher};
 
@@ -8,59 +8,60 @@
 use crate::interface::Nanos;
 use crate::state::{time_aware_alpha, SlidingMinimum};
 
-/// Least weight of a new latency in the fast average.
+/// Minimum weight of a new latency in the fast average.
 const FAST_ALPHA: f64 = 0.25;
-/// Time constant of the fast average, where answers are rare.
+/// Time constant of the fast average when answers are rare.
 const FAST_MEMORY: Nanos = SECOND;
-/// Least weight of a new latency in the slow average.
+/// Minimum weight of a new latency in the slow average.
 const SLOW_ALPHA: f64 = 0.02;
-/// Time constant of the slow average, where answers are rare.
+/// Time constant of the slow average when answers are rare.
 const SLOW_MEMORY: Nanos = 12 * SECOND;
-/// The best latency is that of the current and the previous span of this length.
+/// The best latency is the minimum over the current and the previous span of this length.
 const BEST_LATENCY_SPAN: Nanos = 5 * SECOND;
-/// Up to this multiple of the best latency a server is uncongested.
+/// Up to this multiple of its best latency a server is uncongested.
 const UNCONGESTED_BEST_RATIO: f64 = 1.6;
-/// Above this multiple of the best latency a server is congested.
+/// Above this multiple of its best latency a server is congested.
 const CONGESTED_BEST_RATIO: f64 = 2.6;
-/// The least uncongested latency, as a fraction of the tightest objective: a server far within it
-/// is not congested, however fast it was.
+/// Minimum of the uncongested latency, as a fraction of the tightest objective: a server far within
+/// the objective is not congested, however fast it was before.
 const UNCONGESTED_OBJECTIVE_MIN: f64 = 0.15;
-/// The least congested latency, as a fraction of the tightest objective.
+/// Minimum of the congested latency, as a fraction of the tightest objective.
 const CONGESTED_OBJECTIVE_MIN: f64 = 0.5;
-/// The most of both, as a fraction of the tightest objective, so that most answers keep it.
+/// Maximum of the uncongested and the congested latency, as a fraction of the tightest objective,
+/// so that most answers meet the objective.
 const OBJECTIVE_MAX: f64 = 0.8;
-/// Design: the fast average over the slow one from which a control period is congested.
+/// Ratio of the fast to the slow average above which a control period is congested.
 const CONGESTION_RATIO: f64 = 1.10;
-/// A rejection counts as a latency of this multiple of the tightest objective.
+/// A rejection counts as a latency of at least this multiple of the tightest objective.
 const REJECTION_OBJECTIVE_RATIO: f64 = 1.5;
-/// Bounds of the round trip by which sends are paced, in nanoseconds.
+/// Limits of the round trip time by which requests are paced, in nanoseconds.
 const PACING_ROUND_TRIP_MIN_NS: f64 = 1.0;
 const PACING_ROUND_TRIP_MAX_NS: f64 = SECOND as f64;
 
-/// What a measured latency says about the load of a server.
+/// What the latency of a server says about its load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum LoadSignal {
     /// The server can take more.
     Uncongested,
-    /// The server has as much as it should.
+    /// The server has as much load as it should.
     Balanced,
-    /// The server has too much.
+    /// The server has too much load.
     Congested {
-        /// The latency at which it would not be congested, as a fraction of its latency.
-        relief: f64,
+        /// The highest latency that is not congested, as a fraction of the fast average.
+        target_ratio: f64,
     },
 }
 
-/// The latency of a server as learned from its answers.
+/// The latency of one server, learned from its answers.
 #[derive(Clone, Debug)]
 pub(crate) struct LatencyEstimate {
-    /// Moving average over few answers; absent until the first.
+    /// Moving average over few answers; `None` until the first.
     fast: Option<f64>,
-    /// Moving average over many answers.
+    /// Moving average over many answers; 0 until the first.
     slow: f64,
     /// The recent minimum of the fast average.
     best: SlidingMinimum,
-    /// Up to this latency the server is uncongested, as of the last answer.
+    /// Latency up to which the server is uncongested, as of the last answer.
     uncongested: f64,
     /// The tightest latency objective of any class, as of the last answer.
     tightest_objective: f64,
@@ -69,7 +70,7 @@
 }
 
 impl LatencyEstimate {
-    /// The estimate of a server that has not answered yet.
+    /// Creates the estimate of a server that has not answered yet.
     pub fn new(now: Nanos) -> LatencyEstimate {
         LatencyEstimate {
             fast: None,
@@ -81,22 +82,23 @@
         }
     }
 
-    /// The average over few answers; absent until the first.
+    /// Returns the average over few answers, or `None` before the first.
     pub fn fast(&self) -> Option<f64> {
         self.fast
     }
 
-    /// The average over many answers; 0 until the first.
+    /// Returns the average over many answers, or 0 before the first.
     pub fn slow(&self) -> f64 {
         self.slow
     }
 
-    /// When a latency was last recorded.
+    /// Returns when a latency was last recorded.
     pub fn updated_at(&self) -> Nanos {
         self.updated_at
     }
 
-    /// Takes a latency into the averages. `objective` is the tightest of any class.
+    /// Adds a latency to the averages and returns what the fast average says about the load.
+    /// `objective` is the tightest latency objective of any class, in nanoseconds.
     pub fn record(&mut self, now: Nanos, latency: f64, objective: f64) -> LoadSignal {
         let elapsed = now - self.updated_at;
         self.updated_at = now;
@@ -112,15 +114,15 @@
         if fast <= self.uncongested {
             LoadSignal::Uncongested
         } else if fast > congested {
-            let relief = congested / fast;
-            LoadSignal::Congested { relief }
+            let target_ratio = congested / fast;
+            LoadSignal::Congested { target_ratio }
         } else {
             LoadSignal::Balanced
         }
     }
 
-    /// Records a rejection. It means a full queue, which is a latency above the tightest objective,
-    /// though it comes at once.
+    /// Records a rejection. It comes at once, but it means a full queue, so it counts as a latency
+    /// above the tightest objective.
     pub fn record_rejection(&mut self) {
         if self.tightest_objective.is_finite() {
             let latency = self.tightest_objective * REJECTION_OBJECTIVE_RATIO;
@@ -128,26 +130,26 @@
         }
     }
 
-    /// Forgets the latencies learned before a start.
+    /// Discards the latencies learned so far, which no longer apply when a warm-up starts.
     pub fn reset(&mut self) {
         self.fast = None;
         self.slow = 0.0;
         self.best.clear();
     }
 
-    /// Whether the latency has risen so far that the control period is congested.
+    /// Returns whether the latency has risen so far that the control period is congested.
     pub fn is_rising(&self) -> bool {
         self.fast
             .is_some_and(|fast| fast > self.slow * CONGESTION_RATIO)
     }
 
-    /// Whether the server is slower than the tightest objective of any class.
+    /// Returns whether the fast average exceeds the tightest latency objective of any class.
     pub fn exceeds_tightest_objective(&self) -> bool {
         self.fast.is_some_and(|fast| fast > self.tightest_objective)
     }
 
-    /// The pause after an answer by which a window below 1 is kept: one request at a time, and none
-    /// for the rest of 1 / `window` round trips.
+    /// Returns the pause after an answer that enforces a window below 1: one request at a time, and
+    /// at most one in 1 / `window` round trips.
     pub fn pacing_pause(&self, window: f64) -> Nanos {
         let best = self.best.minimum();
         let round_trip = best.clamp(PACING_ROUND_TRIP_MIN_NS, PACING_ROUND_TRIP_MAX_NS);
@@ -164,7 +166,7 @@
         (now - self.updated_at).hash(hasher);
     }
 
-    /// Returns the fast average.
+    /// Adds a latency to both averages and returns the fast one.
     fn update_averages(&mut self, elapsed: Nanos, latency: f64) -> f64 {
         let fast = self.fast.unwrap_or(latency);
         let slow = self.fast.map_or(latency, |_| self.slow);
@@ -175,8 +177,8 @@
     }
 }
 
-/// Whether the highest latency of any server differs so much from an earlier one that base weights
-/// are shifted again.
+/// Returns whether the highest latency of any server differs so much from an earlier one that base
+/// weights are shifted again.
 pub(crate) fn has_changed(latency: f64, earlier: f64) -> bool {
     latency > earlier * CONGESTION_RATIO || latency < earlier / CONGESTION_RATIO
 }
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -1,6 +1,5 @@
-//! All decisions: the [`Scheduler`] takes events and coordinates, and each other module owns one
-//! concern and its state. "Design" marks a constant of the design document; all others are starting
-//! values of this project.
+//! All decisions of a front. The [`Scheduler`] takes events and coordinates; each other module owns
+//! one concern and its state.
 
 mod admission;
 mod client_patience;
@@ -32,5 +31,5 @@
 
 const MILLISECOND: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MILLISECOND;
-/// The time between two ticks: well below the shortest latency objective anyone would configure.
+/// The time between two ticks, well below any latency objective that is likely to be configured.
 const TICK_INTERVAL: Nanos = 10 * MILLISECOND;
--- a/crates/core/src/policy/node.rs
+++ b/crates/core/src/policy/node.rs
@@ -1,5 +1,5 @@
-//! One chunk server: its entry in the endpoint list, and a part for each concern, which owns its
-//! state.
+//! What this front knows of one chunk server: its entry in the endpoint list, and the state of each
+//! policy for it.
 
 use std::hash::{Hash, Hasher};
 
@@ -14,36 +14,36 @@
 use crate::fleet_limits::NodeLimits;
 use crate::interface::{EndpointState, Nanos, NodeInfo, Outcome, Settings, ShardId};
 
-/// A chunk server.
+/// The state that this front keeps for one chunk server.
 #[derive(Clone, Debug)]
 pub(crate) struct Node {
     shard: ShardId,
     zone: u32,
     state: EndpointState,
-    /// By the endpoint list; 0 is long ago.
+    /// Time of its last start according to the endpoint list; 0 is long ago.
     started_at: Nanos,
-    /// Its latency as learned from its answers.
+    /// Its latency, learned from its answers.
     pub latency: LatencyEstimate,
-    /// How many requests this front keeps in flight there.
+    /// How many requests this front may have in flight there.
     pub window: CongestionWindow,
     /// Its weight in the placement of new objects.
     pub weight: PlacementWeight,
-    /// Whether it is trusted.
+    /// Whether it gets regular requests, and when a suspect is probed.
     pub health: HealthState,
-    /// Its warm-up.
+    /// Its warm-up, which limits the units sent to it after a start or a readmission.
     pub slow_start: SlowStart,
-    /// The attempts in flight.
+    /// The attempts of this front in flight there.
     pub in_flight: InFlightAttempts,
-    /// Requests that its timely answers admit.
+    /// The requests that its timely answers admit.
     pub credit: AdmissionCredit,
-    /// The front's part of the limits of the fleet.
+    /// This front's part of the fleet's limits for the server.
     pub limits: NodeLimits,
-    /// Its ejection by the fleet.
+    /// Its ejection by the fleet, and the probes that may readmit it.
     pub ejection: EjectionState,
 }
 
 impl Node {
-    /// A server of which only the entry in the endpoint list is known.
+    /// Creates the state of a server from its first entry in the endpoint list.
     pub fn new(info: &NodeInfo, now: Nanos, limits: NodeLimits) -> Node {
         Node {
             shard: info.shard,
@@ -62,63 +62,64 @@
         }
     }
 
-    /// The shard that it holds.
+    /// Returns the shard that the server holds.
     pub fn shard(&self) -> ShardId {
         self.shard
     }
 
-    /// Its zone.
+    /// Returns the zone that the endpoint list gives for the server.
     pub fn zone(&self) -> u32 {
         self.zone
     }
 
-    /// When it last started, by the endpoint list; 0 is long ago.
+    /// Returns when the server last started according to the endpoint list; 0 is long ago.
     pub fn started_at(&self) -> Nanos {
         self.started_at
     }
 
-    /// Whether it is in service by the endpoint list.
+    /// Returns whether the endpoint list has the server in service.
     pub fn is_up(&self) -> bool {
         self.state == EndpointState::Up
     }
 
-    /// Whether it finishes its work before it leaves.
+    /// Returns whether the server finishes its work before it goes out of service.
     pub fn is_draining(&self) -> bool {
         self.state == EndpointState::Draining
     }
 
-    /// Whether it was removed from the endpoint list.
+    /// Returns whether the server was removed from the endpoint list.
     pub fn is_removed(&self) -> bool {
         self.state == EndpointState::Removed
     }
 
-    /// Whether it takes regular requests.
+    /// Returns whether the server takes regular requests.
     pub fn is_healthy(&self) -> bool {
         self.health.is_healthy()
     }
 
-    /// Whether it is up and past its warm-up: what it serves is what such a server can do.
+    /// Returns whether the server is up, healthy and not warming up. The rate that it serves then
+    /// shows what such a server can do.
     pub fn is_warm(&self) -> bool {
         self.is_up() && self.is_healthy() && !self.slow_start.is_active()
     }
 
-    /// Whether it is up and trusted, and its timely answers admit a request.
+    /// Returns whether the server is up and healthy, and its timely answers admit a request.
     pub fn has_admission_credit(&self) -> bool {
         self.is_up() && self.is_healthy() && self.credit.is_available()
     }
 
-    /// Whether the limits of the fleet allow no further attempt.
+    /// Returns whether the limits of the fleet allow no further attempt in flight.
     pub fn is_full(&self) -> bool {
         self.limits.is_full(self.in_flight.len())
     }
 
-    /// Whether a suspect may be sent a probe now.
+    /// Returns whether a probe may be sent to a suspect server now.
     pub fn may_probe(&self, now: Nanos) -> bool {
         (self.ejection.is_probe_due(now) || self.health.is_probe_due(now)) && !self.is_full()
     }
 
-    /// Whether a window allows one more request. Below 1 it paces, as one of each front may be too
-    /// many.
+    /// Returns whether a window allows one more request. A window below 1 paces requests, because
+    /// one request from each front may already be too many.
     pub fn has_capacity(&self, window: f64, now: Nanos) -> bool {
         let window = if self.is_full() {
             0.0
@@ -133,7 +134,7 @@
         (pending as f64) < window.floor()
     }
 
-    /// Units that it may get now; without bound once it is warm.
+    /// Returns the units that the server may get now; infinite unless it is warming up.
     pub fn warmup_quota(&self, now: Nanos, settings: &Settings) -> f64 {
         let Some(growth) = self.slow_start.growth(now, settings) else {
             return f64::INFINITY;
@@ -144,14 +145,14 @@
         }
     }
 
-    /// Whether anything changes at this server with time alone.
+    /// Returns whether the server's state can change by the passage of time alone.
     pub fn needs_ticks(&self) -> bool {
         let has_sends = !self.in_flight.is_empty() || self.slow_start.has_recent_sends();
         let is_recovering = self.weight.is_recovering() || self.window.is_reduced();
         has_sends || is_recovering || self.slow_start.is_active()
     }
 
-    /// Takes over the zone and the state of an entry of the endpoint list.
+    /// Updates the zone and the state from an entry of the endpoint list.
     pub fn update_entry(&mut self, info: &NodeInfo) {
         self.zone = info.zone;
         self.state = info.state;
@@ -167,20 +168,21 @@
         self.state = EndpointState::Removed;
     }
 
-    /// Takes over the time of the last start. Returns whether the server has started again.
+    /// Updates the time of the last start. Returns whether the server has started again.
     pub fn update_start(&mut self, started_at: Nanos) -> bool {
         let has_started = started_at > self.started_at;
         self.started_at = self.started_at.max(started_at);
         has_started
     }
 
-    /// Starts a warm-up with a budget in units: the latencies learned before no longer hold.
+    /// Starts a warm-up with a budget in units, and discards the latencies learned before it, which
+    /// no longer apply.
     pub fn start_warmup(&mut self, started_at: Nanos, ends_at: Nanos, budget: f64) {
         self.slow_start.start(started_at, ends_at, budget);
         self.latency.reset();
     }
 
-    /// Records an attempt that is sent.
+    /// Records an attempt that is sent to the server, and its units.
     pub fn record_send(
         &mut self,
         key: AttemptKey,
@@ -203,22 +205,23 @@
         self.ejection.record_result(result.class, result.failed);
     }
 
-    /// Takes the latency of an answer, scaled to the mean request, into the averages and adapts the
-    /// window. `objective` is the tightest of any class.
+    /// Records the latency of an answer, scaled to the mean request, and adapts the window.
+    /// `objective` is the tightest latency objective of any class. Both are in nanoseconds.
     pub fn record_latency(&mut self, now: Nanos, latency: f64, objective: f64) {
         let in_flight = self.in_flight.len();
         match self.latency.record(now, latency, objective) {
             LoadSignal::Uncongested => self.window.grow(in_flight),
             LoadSignal::Balanced => {}
-            LoadSignal::Congested { relief } => self.window.reduce(relief, in_flight),
+            LoadSignal::Congested { target_ratio } => self.window.reduce(target_ratio, in_flight),
         }
         if self.latency.is_rising() {
             self.weight.mark_congested();
         }
     }
 
-    /// Updates the congestion state and the health by the end of an attempt. A failure, however
-    /// quick, marks the period as congested. Returns whether the server has recovered.
+    /// Updates the congestion state and the health with the outcome of an attempt. A failure marks
+    /// the control period as congested, however quick it was. Returns whether the server has
+    /// recovered.
     pub fn record_outcome(&mut self, now: Nanos, outcome: Outcome, sent_at: Nanos) -> bool {
         if matches!(outcome, Outcome::Rejected | Outcome::TimedOut) {
             self.window.reduce_strongly(self.in_flight.len());
@@ -237,8 +240,8 @@
         has_recovered
     }
 
-    /// Makes the server a suspect if it is silent: guards against hangs, partitions, dead machines
-    /// and long stalls. Returns whether it was healthy until now.
+    /// Marks the server as suspect if it is silent, which detects hangs, network partitions, dead
+    /// machines and long stalls. Returns whether it has just become suspect.
     pub fn detect_silence(&mut self, now: Nanos) -> bool {
         let Some(oldest_sent_at) = self.in_flight.oldest_sent_at() else {
             return false;
@@ -253,14 +256,16 @@
         was_healthy
     }
 
-    /// Ends the control period if it is over.
+    /// Ends the control period if it is over: updates the weight and lets the window be reduced
+    /// again.
     pub fn end_period(&mut self, now: Nanos) {
         if self.weight.end_period(now, self.latency.fast()) {
             self.window.start_period();
         }
     }
 
-    /// A pause of this front is no silence of the server, and no lateness of its answers.
+    /// Excludes a pause of this front from the silence of the server and the lateness of its
+    /// answers.
     pub fn exclude_local_pause(&mut self, now: Nanos, pause: Nanos) {
         self.health.restart_silence(now);
         self.in_flight.extend_due_times(pause);
--- a/crates/core/src/policy/node_table.rs
+++ b/crates/core/src/policy/node_table.rs
@@ -1,8 +1,8 @@
-//! The table of chunk servers, its index by shard, and the servers that ticks visit.
+//! The table of chunk servers, its index by shard, and the set of servers that ticks visit.
 //!
-//! A front of a large fleet knows thousands of servers and has work for a few. At a server at rest
-//! nothing changes with time: nothing is in flight, it does not warm up, and its weight is
-//! restored. Only the others, the active ones, are visited, so that the cost of a tick grows with
+//! A front of a large fleet knows thousands of servers and has work for a few. The state of an idle
+//! server does not change with time: nothing is in flight, it is not warming up, and its weight has
+//! recovered. A tick visits only the other servers, the active ones, so that its cost grows with
 //! the work of this front and not with the fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,13 +14,13 @@
 use crate::interface::{Nanos, NodeId, NodeInfo, Settings, ShardId};
 use crate::mutations::{mutated, Mutation};
 
-/// All chunk servers that are listed or to which something still refers.
+/// All chunk servers that are in the endpoint list or still referred to.
 #[derive(Clone, Debug)]
 pub(crate) struct NodeTable {
     nodes: BTreeMap<NodeId, Node>,
-    /// The servers of each shard, also those that were removed from the endpoint list.
+    /// The servers of each shard, including those removed from the endpoint list.
     shards: BTreeMap<ShardId, Vec<NodeId>>,
-    /// The servers that the next tick visits.
+    /// The servers that the next tick visits because their state may change with time.
     active: BTreeSet<NodeId>,
     last_tick_at: Nanos,
 }
@@ -29,14 +29,14 @@
     type Output = Node;
 
     /// # Panics
-    /// If there is no such server. The table keeps each server to which a request refers.
+    /// Panics if the table has no such server. It keeps each server to which a request refers.
     fn index(&self, id: NodeId) -> &Node {
         &self.nodes[&id]
     }
 }
 
 impl NodeTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(now: Nanos) -> NodeTable {
         NodeTable {
             nodes: BTreeMap::new(),
@@ -46,37 +46,37 @@
         }
     }
 
-    /// The number of servers.
+    /// Returns the number of servers, including removed ones that are still referred to.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// The number of servers that the next tick visits.
+    /// Returns the number of servers that the next tick visits.
     pub fn active_count(&self) -> usize {
         self.active.len()
     }
 
-    /// A server to change.
+    /// Returns mutable access to a server, if the table has it.
     pub fn get_mut(&mut self, id: NodeId) -> Option<&mut Node> {
         self.nodes.get_mut(&id)
     }
 
-    /// The servers in the order of their ids.
+    /// Iterates over the servers with their ids, in the order of the ids.
     pub fn iter(&self) -> impl Iterator<Item = (NodeId, &Node)> {
         self.nodes.iter().map(|(id, node)| (*id, node))
     }
 
-    /// The servers in the order of their ids.
+    /// Iterates over the servers in the order of their ids.
     pub fn values(&self) -> impl Iterator<Item = &Node> {
         self.nodes.values()
     }
 
-    /// The servers in the order of their ids, to change.
+    /// Iterates mutably over the servers in the order of their ids.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Node> {
         self.nodes.values_mut()
     }
 
-    /// The servers that are listed up for a shard.
+    /// Iterates over the servers of a shard that are in service according to the endpoint list.
     pub fn up_nodes(&self, shard: ShardId) -> impl Iterator<Item = (NodeId, &Node)> {
         let members = self.shards.get(&shard).into_iter().flatten();
         let nodes = members.map(|id| (*id, &self.nodes[id]));
@@ -84,8 +84,8 @@
         nodes.filter(move |(_, node)| node.is_up() || drain_missed(node))
     }
 
-    /// Whether the timely answers of the preferred server of a shard, or of any server, admit a
-    /// request.
+    /// Returns whether the preferred server of a shard, or any server if no shard is given, has a
+    /// credit that admits a request.
     pub fn has_admission_credit(&self, shard: Option<ShardId>) -> bool {
         match shard {
             Some(shard) => self
@@ -96,8 +96,8 @@
     }
 
     /// Applies an entry of the endpoint list. A new server gets the limits of the fleet, and one
-    /// that has started warms up. `jitter` spreads the first budgets of all fronts, in requests of
-    /// mean size.
+    /// that has recently started begins its warm-up. `jitter` is the initial warm-up budget in
+    /// requests of mean size, random so as to spread the first sends of all fronts.
     pub fn apply_entry(
         &mut self,
         now: Nanos,
@@ -106,7 +106,7 @@
         settings: &Settings,
         jitter: f64,
     ) {
-        // A new server is taken to serve what its shard's other servers serve.
+        // The server is assumed to serve at least what the other servers of its shard served.
         let warm_rate = self.warm_rate_of_shard(info.shard);
         let node = self.upsert(now, info, limits);
         node.slow_start.raise_warm_rate(warm_rate);
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Marks the servers that are missing in a complete list as removed.
+    /// Marks all servers that a complete endpoint list does not contain as removed.
     pub fn mark_unlisted_removed(&mut self, listed: &[NodeInfo]) {
         let listed: BTreeSet<NodeId> = listed.iter().map(|info| info.node).collect();
         for (id, node) in &mut self.nodes {
@@ -129,9 +129,9 @@
         }
     }
 
-    /// Drops removed servers that nothing refers to any more and returns their ids. Without this
-    /// the table would grow with every replacement. `referenced` are the servers to which requests
-    /// refer.
+    /// Drops the removed servers that nothing refers to any more and returns their ids. Without
+    /// this the table would grow with every replacement of a server. `referenced` lists the servers
+    /// to which requests refer.
     pub fn forget_removed(&mut self, referenced: &[NodeId]) -> Vec<NodeId> {
         let is_unused = |id: &NodeId, node: &Node| {
             let is_idle = node.in_flight.is_empty() && !node.slow_start.has_recent_sends();
@@ -147,7 +147,7 @@
         removed
     }
 
-    /// Has ticks visit a server again.
+    /// Makes ticks visit a server again and aligns its control period.
     pub fn activate(&mut self, id: NodeId) {
         if !self.active.insert(id) {
             return;
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Visits the active servers in the order of their ids.
+    /// Calls `visit` for each active server, in the order of their ids.
     pub fn for_each_active(&mut self, mut visit: impl FnMut(NodeId, &mut Node)) {
         for id in &self.active {
             if let Some(node) = self.nodes.get_mut(id) {
@@ -167,14 +167,14 @@
         }
     }
 
-    /// Ends the visits to servers that have come to rest.
+    /// Removes the servers from the active set whose state no longer changes with time.
     pub fn deactivate_idle(&mut self) {
         let nodes = &self.nodes;
         self.active
             .retain(|id| nodes.get(id).is_some_and(Node::needs_ticks));
     }
 
-    /// Starts a tick and returns the time since the last one.
+    /// Records the start of a tick and returns the time since the previous one.
     pub fn start_tick(&mut self, now: Nanos) -> Nanos {
         let elapsed = now - self.last_tick_at;
         self.last_tick_at = now;
@@ -191,7 +191,8 @@
         (now - self.last_tick_at).hash(hasher);
     }
 
-    /// The highest rate in units per second that any server of a shard served when it was warm.
+    /// Returns the highest rate in units per second that any server of a shard served this front
+    /// when it was last warm.
     fn warm_rate_of_shard(&self, shard: ShardId) -> f64 {
         let members = self.shards.get(&shard).into_iter().flatten();
         members
@@ -199,7 +200,7 @@
             .fold(0.0, f64::max)
     }
 
-    /// Applies the shard, zone and state of an entry of the endpoint list.
+    /// Inserts or updates a server with the shard, zone and state of its endpoint list entry.
     fn upsert(&mut self, now: Nanos, info: &NodeInfo, limits: &FleetLimits) -> &mut Node {
         self.assign_shard(info.node, info.shard);
         let new_node = || Node::new(info, now, limits.node_limits(now));
@@ -208,7 +209,7 @@
         node
     }
 
-    /// Keeps the index by shard; a server may move to another shard.
+    /// Updates the index by shard for a server, which may have moved to another shard.
     fn assign_shard(&mut self, id: NodeId, shard: ShardId) {
         let old = self
             .nodes
--- a/crates/core/src/policy/placement.rs
+++ b/crates/core/src/policy/placement.rs
@@ -1,4 +1,4 @@
-//! Which chunk server is preferred for a shard, and the shard of a new object.
+//! The choice of the preferred chunk server of a shard, and of the shard for a new object.
 
 use super::node::Node;
 use super::node_table::NodeTable;
@@ -6,29 +6,30 @@
 use crate::interface::{Nanos, NodeId, Request, Settings, ShardId};
 use crate::state::{mean, weighted_choice};
 
-/// The weight is multiplied by this power of a server's speed relative to the mean.
+/// Exponent of a server's speed relative to the mean, in the factor on its weight.
 const SPEED_EXPONENT: i32 = 2;
-/// Most factor by speed; its inverse is the least.
+/// Maximum speed factor before its decay; its inverse is the minimum.
 const SPEED_FACTOR_MAX: f64 = 30.0;
-/// Time constant, in nanoseconds, with which the factor decays without answers.
+/// Time constant, in nanoseconds, with which the speed factor decays without answers.
 const SPEED_MEMORY_NS: f64 = 5.0 * SECOND as f64;
-/// The least that is left of the factor after that decay.
+/// Fraction of the speed factor that always remains after its decay; also the factor of a server
+/// that has not answered yet.
 const SPEED_DECAY_MIN: f64 = 0.03;
 
-/// The rank of a server among those of its shard; the least is preferred.
+/// Sort key of a server among those of its shard; the lowest is preferred.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Preference {
-    /// Suspect, or ejected for all classes.
+    /// Whether it is suspect, or ejected for all classes.
     is_avoided: bool,
     is_warming_up: bool,
-    /// The negative time of the last start, as the server that started last is preferred.
+    /// The negated time of the last start, so that the server that started last sorts first.
     negative_start: Nanos,
     id: NodeId,
 }
 
 impl Preference {
-    /// While one server of a shard replaces another both are listed, and the old one is warm and
-    /// preferred.
+    /// Returns the sort key of a server. While one server of a shard replaces another, both are
+    /// listed; the old one is preferred until the new one has warmed up.
     fn of(id: NodeId, node: &Node) -> Preference {
         Preference {
             is_avoided: !node.is_healthy() || node.ejection.is_fully_ejected(),
@@ -40,14 +41,15 @@
 }
 
 impl NodeTable {
-    /// The server of a shard that is preferred.
+    /// Returns the preferred server of a shard, if any is in service.
     pub fn preferred_node(&self, shard: ShardId) -> Option<&Node> {
         let up_nodes = self.up_nodes(shard);
         let preferred = up_nodes.min_by_key(|(id, node)| Preference::of(*id, node));
         preferred.map(|(_, node)| node)
     }
 
-    /// The servers of a shard, first those that are to be probed, then by preference.
+    /// Returns the servers of a shard that are in service: first those for which the fleet has
+    /// requested a probe, and otherwise by preference.
     pub fn nodes_by_preference(&self, now: Nanos, shard: ShardId) -> Vec<NodeId> {
         let mut nodes: Vec<(NodeId, &Node)> = self.up_nodes(shard).collect();
         nodes.sort_by_key(|(id, node)| {
@@ -57,8 +59,10 @@
         nodes.iter().map(|(id, _)| *id).collect()
     }
 
-    /// Chooses the shard of a new object by weight, among servers with free capacity if there are
-    /// any. `draw` is uniform in 0..1.
+    /// Chooses the shard of a new object. A server to be probed comes first. Otherwise the choice
+    /// is random by weight: among healthy servers with free capacity that are not ejected for the
+    /// request's class, else among all that are not ejected for it, else among all. `draw` is a
+    /// random number uniform in 0..1.
     pub fn choose_shard(
         &self,
         now: Nanos,
@@ -96,8 +100,8 @@
     }
 }
 
-/// Prefers fast servers with recent answers, as the weight adapts too slowly for one front of a
-/// hundred.
+/// Returns a factor on the weight that favors fast servers with recent answers. The weight alone
+/// adapts too slowly if this front is one of a hundred.
 fn speed_factor(node: &Node, mean_latency: f64, now: Nanos) -> f64 {
     let Some(fast_latency) = node.latency.fast() else {
         return SPEED_DECAY_MIN;
--- a/crates/core/src/policy/retry.rs
+++ b/crates/core/src/policy/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: whether a request may be sent again, and how its final answer is chosen when not.
+//! Retries: whether and when a request may be sent again, and otherwise how it is given up.
 
 use super::node::Node;
 use super::node_table::NodeTable;
@@ -9,60 +9,63 @@
 use crate::mutations::{mutated, Mutation};
 use crate::state::{LiveRequest, PossibleExecution};
 
-/// The mean pause before a retry, as a fraction of the latency of the server that failed.
+/// Mean pause before a retry, as a fraction of the fast latency average of the server where the
+/// attempt failed.
 const RETRY_PAUSE_LATENCY_FRACTION: f64 = 0.5;
-/// A request never sent is rejected after this fraction of its timeout, while its client can retry.
+/// Fraction of the client timeout after which a request that was never sent is rejected, so that
+/// its client still has time to retry.
 const UNSENT_TIMEOUT_FRACTION: f64 = 0.5;
-/// The longest retry-after, as a multiple of the latency of a healthy server.
+/// The retry-after at a healthy server before it is stretched and spread, as a multiple of the
+/// server's fast latency average.
 const RETRY_AFTER_LATENCY_RATIO: f64 = 2.0;
-/// The least retry-after before it is stretched and spread, in nanoseconds.
+/// Minimum retry-after before it is stretched and spread, in nanoseconds.
 const RETRY_AFTER_MIN_NS: f64 = 5e7;
-/// The retry-after is stretched at most by the inverse of this admitted fraction.
+/// Minimum admitted fraction by whose inverse the retry-after is stretched.
 const ADMITTED_FRACTION_MIN: f64 = 0.01;
 
-/// Whether another attempt of a request may be sent.
+/// The decision whether another attempt of a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RetryDecision {
-    /// It may be sent.
+    /// Another attempt may be sent.
     Allowed,
-    /// It may not be sent.
+    /// No other attempt may be sent, for the given reason.
     Denied(RetryDenial),
 }
 
 /// Why no other attempt of a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RetryDenial {
-    /// All attempts that the request may have were sent.
+    /// The request has had its maximum number of attempts.
     AttemptsExhausted,
     /// An attempt is in flight.
     AttemptInFlight,
-    /// No answer can reach the client in time.
+    /// Too little time is left for an answer to reach the client before its deadline.
     Expired,
-    /// The limit of the fleet on retries allows none now.
+    /// The limit of the fleet on retries is used up for now.
     FleetLimitExhausted,
-    /// The retry budget of this front allows none now.
+    /// The retry budget of this front is used up for now.
     BudgetExhausted,
     /// An earlier attempt may have been executed, and a repeat would not be dropped.
     NotRepeatable,
 }
 
-/// What a decision on a retry depends on, at one moment.
+/// The state that decisions on retries depend on, at one moment.
 #[derive(Clone, Copy)]
 pub(crate) struct RetryRules<'a> {
-    /// The present time.
+    /// The time of the decision.
     pub now: Nanos,
-    /// The classes and the budget.
+    /// The settings, with the classes, the maximum of attempts and the retry budget.
     pub settings: &'a Settings,
-    /// The retries and requests that count against the budget.
+    /// The recent retries and requests, from which the use of the retry budget follows.
     pub history: &'a RetryHistory,
-    /// The limits of the fleet.
+    /// The limits that all fronts share, for the one on retries.
     pub fleet_limits: &'a FleetLimits,
-    /// The chunk servers, for the groups that drop repeats.
+    /// The chunk servers, whose zones and shards decide which of them drop repeats.
     pub nodes: &'a NodeTable,
 }
 
 impl RetryRules<'_> {
-    /// Whether another attempt is allowed, at a given server or at any.
+    /// Decides whether another attempt is allowed, at the server `at` or else at any server.
     pub fn decide(&self, live: &LiveRequest, at: Option<NodeId>) -> RetryDecision {
         match self.denial(live, at) {
             Some(denial) => RetryDecision::Denied(denial),
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Whether another attempt is allowed at any server.
+    /// Returns whether another attempt is allowed, whichever server gets it.
     pub fn allow(&self, live: &LiveRequest) -> bool {
         self.decide(live, None) == RetryDecision::Allowed
     }
@@ -98,8 +101,8 @@
         (!may_repeat).then_some(RetryDenial::NotRepeatable)
     }
 
-    /// Whether the budget of this front allows no other attempt. Without a configured budget the
-    /// default one holds for requests that may have been executed.
+    /// Returns whether the retry budget of this front allows no other attempt. Without a configured
+    /// budget the default one applies, but only to requests that may have been executed.
     fn exceeds_budget(&self, live: &LiveRequest) -> bool {
         let is_budgeted =
             self.settings.retry_budget.is_some() || live.possible_execution().is_some();
@@ -107,7 +110,8 @@
         is_budgeted && self.history.is_exhausted(self.now, budget)
     }
 
-    /// Whether a request may be executed again although an earlier attempt may have been executed.
+    /// Returns whether a request may be sent again although its attempt `first` may have been
+    /// executed.
     fn may_repeat(&self, live: &LiveRequest, first: PossibleExecution, at: Option<NodeId>) -> bool {
         let class = &self.settings.classes[live.request().class];
         match class.semantics {
@@ -120,7 +124,7 @@
         }
     }
 
-    /// Whether a server drops repeats of what another one executed.
+    /// Returns whether the server `other` drops repeats of what `executor` has executed.
     fn is_in_group(&self, group: Group, executor: NodeId, other: NodeId) -> bool {
         match group {
             Group::All => true,
@@ -131,15 +135,16 @@
 }
 
 impl Settings {
-    /// An answer goes out this long before its deadline, as a timer may be late by a tick and a
-    /// batch.
+    /// Returns how long before its deadline an answer has to be sent: a timer may be late by a tick
+    /// and a batch of events.
     pub(super) fn deadline_margin(&self) -> Nanos {
         TICK_INTERVAL + 2 * self.quantum
     }
 }
 
-/// Until when an attempt of a request may begin: one that may have been executed may be repeated
-/// only within its deduplication window, and a connection may take time to open.
+/// Returns the time until which an attempt of a request may begin. A deduplicated request that may
+/// have been executed may be repeated only within its deduplication window, and an attempt may be
+/// delayed by opening a connection.
 pub(crate) fn begin_deadline(live: &LiveRequest, class: &Class) -> Nanos {
     match live.possible_execution() {
         Some(first) if class.semantics == Semantics::Deduplicated => first.sent_at + class.window,
@@ -147,7 +152,7 @@
     }
 }
 
-/// Whether a request that is given up may be repeated by its client without harm, so that it is
+/// Returns whether the client may safely repeat a request that is given up. If so, the request is
 /// rejected; otherwise it fails.
 pub(crate) fn is_repeatable_by_client(live: &LiveRequest, class: &Class) -> bool {
     match class.semantics {
@@ -157,15 +162,16 @@
     }
 }
 
-/// The pause in nanoseconds before a retry after an attempt failed at a server, with jitter. `draw`
-/// is uniform in 0..1.
+/// Returns the pause in nanoseconds, with jitter, before a retry after an attempt failed at a
+/// server. `draw` is a random number uniform in 0..1.
 pub(crate) fn pause_before_retry(node: &Node, draw: f64) -> Nanos {
     let latency = node.latency.fast().unwrap_or(0.0);
     (latency * RETRY_PAUSE_LATENCY_FRACTION * (0.5 + draw)) as Nanos
 }
 
-/// When a client's retry may help, spread over the upper half so that clients do not return at
-/// once. `node` is the server that would serve it, `draw` is uniform in 0..1.
+/// Returns the time in nanoseconds after which a retry by the client may succeed. It is spread over
+/// the upper half of the range so that clients do not all return at once. `node` is the server that
+/// would get the request, `draw` a random number uniform in 0..1.
 pub(crate) fn retry_after(
     node: Option<&Node>,
     admitted_fraction: f64,
@@ -183,7 +189,7 @@
     (stretched.min(max_retry_after as f64) * (0.5 + 0.5 * draw)) as Nanos
 }
 
-/// When a request that was never sent is rejected.
+/// Returns the time at which a request that was never sent is rejected.
 pub(crate) fn unsent_deadline(live: &LiveRequest, settings: &Settings) -> Nanos {
     let time = (live.request().client_timeout as f64 * UNSENT_TIMEOUT_FRACTION) as Nanos;
     live.received_at() + time - settings.deadline_margin()
--- a/crates/core/src/policy/retry_budget.rs
+++ b/crates/core/src/policy/retry_budget.rs
@@ -1,4 +1,5 @@
-//! The retry budget: how many retries this front may send for the requests that it received.
+//! The retry budget: how many retries this front may send, relative to the requests that it
+//! received.
 
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
@@ -6,7 +7,7 @@
 use super::SECOND;
 use crate::interface::{Nanos, RetryBudget, Settings};
 
-/// The budget if none is configured, so that retries do not feed an overload.
+/// The budget if none is configured. It keeps retries from amplifying an overload.
 const DEFAULT_BUDGET: RetryBudget = RetryBudget {
     base_allowance: 3.0,
     ratio: 0.3,
@@ -14,13 +15,14 @@
 };
 
 impl Settings {
-    /// The retry budget in force.
+    /// Returns the configured retry budget, or the default one.
     pub(crate) fn effective_retry_budget(&self) -> &RetryBudget {
         self.retry_budget.as_ref().unwrap_or(&DEFAULT_BUDGET)
     }
 }
 
-/// When retries were sent and requests received, within the budget's window. Times are in order.
+/// The times of the retries sent and the requests received within the budget's window, in ascending
+/// order.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RetryHistory {
     retries_sent: VecDeque<Nanos>,
@@ -28,7 +30,7 @@
 }
 
 impl RetryHistory {
-    /// Records a request received and forgets those before the window.
+    /// Records a received request and drops the requests before the window.
     pub fn record_request(&mut self, now: Nanos, window: Nanos) {
         self.requests_received.push_back(now);
         while self
@@ -40,12 +42,12 @@
         }
     }
 
-    /// Records a retry that is sent.
+    /// Records a retry when it is sent.
     pub fn record_retry(&mut self, now: Nanos) {
         self.retries_sent.push_back(now);
     }
 
-    /// Whether a further retry would exceed the budget.
+    /// Returns whether one more retry would exceed the budget.
     pub fn is_exhausted(&self, now: Nanos, budget: &RetryBudget) -> bool {
         let since = now - budget.window;
         let retries = self.retries_sent.iter().rev();
@@ -56,7 +58,7 @@
         (recent_retries + 1) as f64 > allowed
     }
 
-    /// Forgets the retries before the window.
+    /// Drops the retries before the window.
     pub fn expire_retries(&mut self, now: Nanos, window: Nanos) {
         while self
             .retries_sent
--- a/crates/core/src/policy/send_rules.rs
+++ b/crates/core/src/policy/send_rules.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be sent to a chunk server, and for how long it is worth waiting.
+//! The rules on whether a queued request may be sent to a chunk server, and when to give it up.
 
 use super::admission::AdmissionControl;
 use super::key_order::KeyOrder;
@@ -9,62 +9,63 @@
 use crate::interface::{Class, Nanos, NodeId, Request, Semantics, Settings};
 use crate::state::LiveRequest;
 
-/// A request that would earn less than this fraction of its full value is of low value.
+/// A request that would earn less than this fraction of its full value has low value.
 const LOW_VALUE_FRACTION: f64 = 0.25;
-/// The fraction of a server's window that requests of low value may use.
+/// Fraction of a server's window that requests of low value may use.
 const LOW_VALUE_WINDOW_FRACTION: f64 = 0.5;
 
-/// Whether a queued request may be sent to a server now.
+/// The decision whether a queued request may be sent to a server now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendDecision {
-    /// It may be sent.
+    /// The request may be sent.
     Allowed,
-    /// It has to wait.
+    /// The request has to wait, for the given reason.
     Denied(SendDenial),
 }
 
 /// Why a queued request may not be sent to a server now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendDenial {
-    /// Its pause before a retry goes on.
+    /// Its pause before a retry is not over.
     RetryPause,
-    /// No answer can reach its client in time.
+    /// Too little time is left for an answer to reach the client before its deadline.
     Expired,
-    /// The server is ejected for its class, and another one takes it.
+    /// The server is ejected for its class, and another server can take it.
     Ejected,
-    /// Its volume's limit is used up.
+    /// The limit of its volume does not allow it now.
     VolumeLimit,
-    /// It may not be sent again.
+    /// It is a retry that is not allowed, for the given reason.
     Retry(RetryDenial),
-    /// The server is warming up and may not get as many units.
+    /// The server is warming up and may not get that many units now.
     SlowStart,
-    /// The rest of the window is left to requests of higher value.
+    /// The rest of the window is reserved for requests of higher value.
     ReservedWindow,
-    /// Another request of its key comes first.
+    /// An earlier request of its key must be executed first, or may still be executed.
     KeyOrder,
 }
 
-/// What a decision on sending depends on, at one moment.
+/// The state that decisions on sending depend on, at one moment.
 #[derive(Clone, Copy)]
 pub(crate) struct SendRules<'a> {
-    /// The present time.
+    /// The time of the decision.
     pub now: Nanos,
-    /// The classes and the site.
+    /// The settings, for the classes, the warm-up and the deadline margin.
     pub settings: &'a Settings,
-    /// The chunk servers.
+    /// The chunk servers that requests may be sent to.
     pub nodes: &'a NodeTable,
-    /// The order of each key.
+    /// The execution order of the requests of each key.
     pub key_order: &'a KeyOrder,
-    /// Admission control, for its failure ratio.
+    /// Admission control, which knows whether many attempts fail.
     pub admission: &'a AdmissionControl,
-    /// The values of requests, and the limits of their volumes.
+    /// The values and expected latencies of requests, and the limits of their volumes.
     pub valuation: Valuation<'a>,
     /// The rules for attempts after the first.
     pub retry_rules: RetryRules<'a>,
 }
 
 impl SendRules<'_> {
-    /// Whether the rules allow a request at a server now, and whether it is worth the capacity.
+    /// Decides whether a request may be sent to a server now: the rules have to allow it, and its
+    /// value has to justify its use of the window.
     pub fn decide(&self, live: &LiveRequest, at: NodeId) -> SendDecision {
         match self.denial(live, at) {
             Some(denial) => SendDecision::Denied(denial),
@@ -72,7 +73,8 @@
         }
     }
 
-    /// Whether a request cannot be answered in time, so that its client learns it early.
+    /// Returns whether a request should be given up now, so that its client learns early that it
+    /// cannot be answered in time.
     pub fn should_give_up(&self, live: &LiveRequest) -> bool {
         let is_expired = self.is_expired(live);
         if live.is_finished() || live.is_streaming() || !(is_expired || live.is_queued()) {
@@ -94,13 +96,15 @@
         }
     }
 
-    /// Whether no answer can reach the client in time.
+    /// Returns whether too little time is left for an answer to reach the client before its
+    /// deadline.
     pub fn is_expired(&self, live: &LiveRequest) -> bool {
         live.is_expired(self.now, self.settings.deadline_margin())
     }
 
-    /// The timeout of an attempt that is sent now; 0 is the client's own. While many attempts fail,
-    /// a late read has less value than the work queued behind it.
+    /// Returns the timeout in nanoseconds of an attempt that is sent now; 0 stands for the client's
+    /// own timeout. While many attempts fail, a late read has less value than the work queued
+    /// behind it, so the attempt is cut off when its answer would be late.
     pub fn attempt_timeout(&self, live: &LiveRequest) -> Nanos {
         let class = self.class(live.request());
         let is_read =
@@ -141,9 +145,11 @@
         (!self.is_next_for_key(live)).then_some(SendDenial::KeyOrder)
     }
 
-    /// Low value keeps to a part of the window and to the pace, so as not to delay better work.
-    /// Servers answer in order: work with a wide objective must not fill the queue ahead of a tight
-    /// one either.
+    /// Returns whether a request may use the window of a server now. A request of low value is
+    /// limited to a part of the window and is paced, so that it does not delay more valuable work.
+    /// The same limit applies to every request at a server slower than the tightest objective:
+    /// servers answer in order, so work with a wide objective must not fill the queue ahead of work
+    /// with a tight one.
     fn may_use_window(&self, live: &LiveRequest, node: &Node) -> bool {
         let is_slow = node.latency.exceeds_tightest_objective();
         let is_valuable = self.valuation.value_fraction(live, node) >= LOW_VALUE_FRACTION;
@@ -166,16 +172,16 @@
             .is_none_or(|key| self.key_order.allows(self.now, key, request.id, is_retry))
     }
 
-    /// Whether a queued request cannot be answered in time by the server that would get it.
+    /// Returns whether the server that would get a queued request cannot answer it in time.
     fn should_give_up_at(&self, live: &LiveRequest, node: &Node) -> bool {
         let request = live.request();
         if self.valuation.expected_answer_at(live, node) > live.deadline_at() {
             return true;
         }
         let is_limited = live.attempts() == 0 && !self.valuation.volume_limit_allows(request);
-        let client_leaves =
+        let client_disconnects =
             self.valuation.typical_wait(request.class) < live.deadline_at() - live.received_at();
-        let is_stuck = client_leaves || is_limited || !node.is_healthy();
+        let is_stuck = client_disconnects || is_limited || !node.is_healthy();
         is_stuck && self.valuation.would_be_late(live, node)
     }
 
--- a/crates/core/src/policy/slow_start.rs
+++ b/crates/core/src/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start of chunk servers that warm up: the units that this front may send them.
+//! Slow start: how many units of work this front may send to chunk servers that are warming up.
 
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
@@ -7,36 +7,37 @@
 use crate::interface::{Nanos, Settings};
 use crate::state::{mean, Rate};
 
-/// Bounds of the learned factor on the rate to servers that are warming up.
+/// Lower and upper limit of the learned factor on the rate to servers that are warming up.
 const FACTOR_MIN: f64 = 0.4;
 const FACTOR_MAX: f64 = 2.0;
-/// Change of that factor with each timely attempt.
+/// The learned factor is multiplied by this after each timely attempt.
 const FACTOR_GROWTH: f64 = 1.2;
-/// Change of that factor with each failed attempt.
-const FACTOR_CUT: f64 = 0.8;
-/// Most units that the budget of a server accumulates, in requests of mean size.
+/// The learned factor is multiplied by this after each failed attempt.
+const FACTOR_REDUCTION: f64 = 0.8;
+/// Maximum budget that a server accumulates, in requests of mean size.
 const BUDGET_MAX_MEAN_REQUESTS: f64 = 3.0;
-/// Time constant, in nanoseconds, of the rate that a server serves.
+/// Time constant, in nanoseconds, of the rate at which a server serves units.
 const SERVED_RATE_MEMORY_NS: f64 = 4e9;
-/// Bounds of the configured fraction of its capacity that a server has at its start.
+/// Lower and upper limit applied to the configured fraction of its capacity that a server has when
+/// it starts.
 const INITIAL_FRACTION_MIN: f64 = 0.05;
 const INITIAL_FRACTION_MAX: f64 = 1.0;
 
 impl Settings {
-    /// The window in which a starting server must not be overloaded, and what a batch of events may
-    /// add.
+    /// Returns the length of the window in which a starting server must not be overloaded, extended
+    /// by the delay that batches of events may add.
     pub(super) fn overload_window(&self) -> Nanos {
         self.overload_span + 2 * self.quantum
     }
 
-    /// What a server must be able to serve at an age, as a multiple of what it could when its
-    /// warm-up began.
+    /// Returns the minimum capacity of a server at an age, as a multiple of that when its warm-up
+    /// began.
     pub(super) fn warmup_growth(&self, age: Nanos) -> f64 {
         self.warm_fraction(age) / self.warm_fraction(0)
     }
 
-    /// The least fraction of its full capacity that a server has at an age, an overload span
-    /// behind.
+    /// Returns the minimum fraction of its full capacity that a server has at an age, with a lag of
+    /// one overload span.
     fn warm_fraction(&self, age: Nanos) -> f64 {
         let initial = self
             .warmup_floor
@@ -47,31 +48,32 @@
     }
 }
 
-/// Units sent to a server that may be warming up.
+/// Units sent to a server, which count against its warm-up limit if it is warming up.
 #[derive(Clone, Copy, Debug)]
 struct RecentSend {
     sent_at: Nanos,
     units: f64,
 }
 
-/// The warm-up of one server.
+/// The warm-up state of one server.
 #[derive(Clone, Debug)]
 pub(crate) struct SlowStart {
-    /// When the warm-up began, while it goes on.
+    /// When the warm-up began; `None` while the server is not warming up.
     started_at: Option<Nanos>,
+    /// When the warm-up ends, or the last one ended.
     ends_at: Nanos,
-    /// Sends within the overload window.
+    /// Sends within the overload window, oldest first.
     recent_sends: VecDeque<RecentSend>,
-    /// Units that this front may send during the warm-up, by the rate served before.
+    /// Units that this front may send during the warm-up, accrued from the rate served before it.
     budget: f64,
     /// Units per second that the server serves this front.
     served_rate: Rate,
-    /// Units per second that it served this front when it was last up, healthy and warm.
+    /// Units per second that it served this front when it was last up, healthy and not warming up.
     warm_rate: f64,
 }
 
 impl SlowStart {
-    /// A server that is warm.
+    /// Creates the state of a server that is not warming up.
     pub fn new(now: Nanos) -> SlowStart {
         SlowStart {
             started_at: None,
@@ -83,24 +85,25 @@
         }
     }
 
-    /// Whether the server is warming up.
+    /// Returns whether the server is warming up.
     pub fn is_active(&self) -> bool {
         self.started_at.is_some()
     }
 
-    /// Whether sends are kept that may still count.
+    /// Returns whether any recorded send may still be within the overload window.
     pub fn has_recent_sends(&self) -> bool {
         !self.recent_sends.is_empty()
     }
 
-    /// Starts a warm-up with a budget in units.
+    /// Starts a warm-up with an initial budget in units.
     pub fn start(&mut self, started_at: Nanos, ends_at: Nanos, budget: f64) {
         self.started_at = Some(started_at);
         self.ends_at = ends_at;
         self.budget = budget;
     }
 
-    /// Ends a warm-up that is over and drops sends before the overload window.
+    /// Ends a warm-up that is over, and drops the sends before the overload window, whose length is
+    /// `window`.
     pub fn expire(&mut self, now: Nanos, window: Nanos) {
         if self.is_active() && now >= self.ends_at {
             self.started_at = None;
@@ -115,28 +118,29 @@
         }
     }
 
-    /// What the server must be able to serve, as a multiple of what it could when its warm-up
-    /// began; absent for a warm server.
+    /// Returns the minimum capacity of the server as a multiple of that when its warm-up began, or
+    /// `None` if it is not warming up.
     pub fn growth(&self, now: Nanos, settings: &Settings) -> Option<f64> {
         let started_at = self.started_at?;
         Some(settings.warmup_growth(now - started_at))
     }
 
-    /// Units that a server in warm-up may get now, by the larger of two budgets: an even part of
-    /// what a starting server can always bear, growing with its age, and one that accrues by the
-    /// rate that it served before.
+    /// Returns the units that a server that is warming up may get now: the larger of two budgets.
+    /// One is this front's equal share of what any starting server can bear, which grows with the
+    /// server's age. The other accrues from the rate that the server served before its warm-up;
+    /// once it covers a request of mean size, it allows a request of any size.
     pub fn allowance(&self, now: Nanos, settings: &Settings, growth: f64) -> f64 {
-        let even_part = settings.warmup_units / settings.fronts() * growth;
-        let even_budget = even_part - self.units_sent_after(now - settings.overload_window());
-        let own_budget = if self.budget >= settings.mean_units {
+        let equal_share = settings.warmup_units / settings.fronts() * growth;
+        let shared_budget = equal_share - self.units_sent_after(now - settings.overload_window());
+        let accrued_budget = if self.budget >= settings.mean_units {
             settings.max_units
         } else {
             self.budget
         };
-        own_budget.max(even_budget)
+        accrued_budget.max(shared_budget)
     }
 
-    /// Records units that are sent.
+    /// Records units that are sent to the server.
     pub fn record_send(&mut self, now: Nanos, units: f64) {
         self.recent_sends.push_back(RecentSend {
             sent_at: now,
@@ -147,8 +151,8 @@
         }
     }
 
-    /// What this front had sent to a starting server before the front was restarted is unknown: the
-    /// server counts as fully used until the overload window has passed.
+    /// Treats a server that is warming up as fully used until the overload window has passed. After
+    /// a restart of this front it is unknown what the front had sent to the server before.
     pub fn assume_fully_used(&mut self, now: Nanos) {
         if self.is_active() {
             self.recent_sends.push_back(RecentSend {
@@ -158,19 +162,19 @@
         }
     }
 
-    /// Counts units served, other than during the warm-up.
+    /// Records units that the server has served, unless it is warming up.
     pub fn record_served(&mut self, now: Nanos, units: f64) {
         if !self.is_active() {
             self.served_rate.add(now, units, SERVED_RATE_MEMORY_NS);
         }
     }
 
-    /// Units per second that the server served this front when it was last warm.
+    /// Returns the units per second that the server served this front when it was last warm.
     pub fn warm_rate(&self) -> f64 {
         self.warm_rate
     }
 
-    /// Takes a server to serve at least this many units per second when it is warm.
+    /// Raises the assumed rate of the warm server to at least this many units per second.
     pub fn raise_warm_rate(&mut self, rate: f64) {
         self.warm_rate = self.warm_rate.max(rate);
     }
@@ -197,17 +201,18 @@
     }
 }
 
-/// What this front learns from all servers that warm up together, as each is met too seldom.
+/// Rates learned from all servers together, because one front sends too little to each server that
+/// is warming up.
 #[derive(Clone, Debug)]
 pub(crate) struct WarmupRates {
-    /// Factor on the rate to servers that are warming up.
+    /// Learned factor on the rate to servers that are warming up.
     factor: f64,
-    /// Units per second that a warm server serves this front on average, as last known.
+    /// Mean units per second that a warm server serves this front; kept while no server is warm.
     mean_warm_rate: f64,
 }
 
 impl WarmupRates {
-    /// Nothing learned yet.
+    /// Creates the state before anything is learned.
     pub fn new() -> WarmupRates {
         WarmupRates {
             factor: 1.0,
@@ -215,13 +220,18 @@
         }
     }
 
-    /// Learns from an attempt at a server that is warming up.
+    /// Adapts the factor to the result of an attempt at a server that is warming up.
     pub fn record_result(&mut self, failed: bool) {
-        let step = if failed { FACTOR_CUT } else { FACTOR_GROWTH };
+        let step = if failed {
+            FACTOR_REDUCTION
+        } else {
+            FACTOR_GROWTH
+        };
         self.factor = (self.factor * step).clamp(FACTOR_MIN, FACTOR_MAX);
     }
 
-    /// Notes the rate that each warm server serves and their mean, for servers that start anew.
+    /// Updates the rate that each warm server serves and the mean of these rates, for use when a
+    /// server starts again.
     pub fn update(&mut self, now: Nanos, nodes: &mut NodeTable) {
         for node in nodes.values_mut().filter(|node| node.is_warm()) {
             node.slow_start.update_warm_rate(now);
@@ -231,7 +241,8 @@
         self.mean_warm_rate = mean(warm_rates).unwrap_or(self.mean_warm_rate);
     }
 
-    /// Adds to the budgets of the servers that are warming up what accrued since the last tick.
+    /// Adds what accrued since the last tick, `elapsed` ago, to the budgets of the servers that are
+    /// warming up.
     pub fn accrue(&self, now: Nanos, elapsed: Nanos, settings: &Settings, nodes: &mut NodeTable) {
         let elapsed_seconds = elapsed as f64 / SECOND as f64;
         let peak_factor = self.factor * settings.overload_factor;
--- a/crates/core/src/policy/value.rs
+++ b/crates/core/src/policy/value.rs
@@ -1,4 +1,4 @@
-//! The value of a request, and the latency to expect of it at a server.
+//! The value of a request, and its expected latency at a server.
 
 use super::client_patience::ClientPatience;
 use super::learned_cost::LearnedCost;
@@ -7,32 +7,32 @@
 use crate::interface::{Class, Nanos, Request, Settings};
 use crate::state::LiveRequest;
 
-/// A class counts as costing at least this many nanoseconds per unit.
+/// Minimum cost that is assumed for a unit of a class, in nanoseconds.
 const UNIT_COST_MIN: f64 = 1.0;
 
-/// Values requests at one moment, by all that is known then.
+/// The state that the values and expected latencies of requests depend on, at one moment.
 #[derive(Clone, Copy)]
 pub(crate) struct Valuation<'a> {
-    /// The present time.
+    /// The time of the valuation.
     pub now: Nanos,
-    /// The classes and plans.
+    /// The settings, with the classes and the plans.
     pub settings: &'a Settings,
-    /// The cost of a unit of each class.
+    /// The learned cost of a unit of work of each class.
     pub learned_cost: &'a LearnedCost,
-    /// How long the clients of each class wait.
+    /// How long the clients of each class wait, by class.
     pub client_patience: &'a [ClientPatience],
-    /// The limits and shares of volumes.
+    /// The limits and fair shares of volumes.
     pub volumes: &'a VolumeTable,
 }
 
 impl Valuation<'_> {
-    /// The expected value per unit of work of a request at a server.
+    /// Returns the expected value per unit of work of a request at a server.
     pub fn score(&self, live: &LiveRequest, node: &Node) -> f64 {
         self.value_fraction(live, node) * self.full_value_per_work(live.request())
     }
 
-    /// The fraction of its full value that a request would earn at a server, by its volume's share
-    /// and its lateness.
+    /// Returns the fraction of its full value that a request would earn at a server. It depends on
+    /// its volume's reserve and fair share, and on whether the answer would be late.
     pub fn value_fraction(&self, live: &LiveRequest, node: &Node) -> f64 {
         let lateness_value = if self.would_be_late(live, node) {
             self.class(live.request()).late_value
@@ -42,40 +42,42 @@
         self.share_value(live.request()) * lateness_value
     }
 
-    /// Whether the limit of its volume allows a request.
+    /// Returns whether the limit of its volume allows a request now.
     pub fn volume_limit_allows(&self, request: &Request) -> bool {
         self.volumes.allows(self.now, request, self.settings)
     }
 
-    /// The value per unit of work of a request that is answered in time.
+    /// Returns the value per unit of work of a request if it is answered in time.
     pub fn timely_value_per_work(&self, request: &Request) -> f64 {
         self.share_value(request) * self.full_value_per_work(request)
     }
 
-    /// Whether an answer from a server would come too late for the latency objective or for the
-    /// client's patience.
+    /// Returns whether an answer from a server would be expected after the latency objective or
+    /// after the client's typical wait.
     pub fn would_be_late(&self, live: &LiveRequest, node: &Node) -> bool {
         self.expected_answer_at(live, node) > self.answer_due_at(live)
     }
 
-    /// When a server is expected to answer a request that is sent now.
+    /// Returns when a server is expected to answer a request that is sent now.
     pub fn expected_answer_at(&self, live: &LiveRequest, node: &Node) -> Nanos {
         self.now + self.expected_latency(live.request(), node) as Nanos
     }
 
-    /// Until when an answer is in time.
+    /// Returns the time until which an answer meets the latency objective and comes within the
+    /// typical wait of the clients.
     pub fn answer_due_at(&self, live: &LiveRequest) -> Nanos {
-        let client_leaves_at = live.received_at() + self.typical_wait(live.request().class);
-        live.objective_at().min(client_leaves_at)
+        let client_disconnects_at = live.received_at() + self.typical_wait(live.request().class);
+        live.objective_at().min(client_disconnects_at)
     }
 
-    /// How long the clients of a class typically wait.
+    /// Returns how long the clients of a class typically wait.
     pub fn typical_wait(&self, class: usize) -> Nanos {
         self.client_patience[class].typical_wait(self.now)
     }
 
-    /// The latency of a request at a server in nanoseconds: the server's fast average, scaled from
-    /// the mean request to this one, or its work alone before the first answer.
+    /// Returns the expected latency of a request at a server in nanoseconds: the server's fast
+    /// average, scaled from the mean request to this one. Before the first answer of the server it
+    /// is the learned work of the request alone.
     pub fn expected_latency(&self, request: &Request, node: &Node) -> f64 {
         let Some(fast) = node.latency.fast() else {
             return self.learned_cost.work(request);
@@ -83,7 +85,7 @@
         fast * self.relative_latency(request, node)
     }
 
-    /// A request's latency at a server as a multiple of that of the mean request.
+    /// Returns a request's latency at a server as a multiple of that of the mean request.
     pub fn relative_latency(&self, request: &Request, node: &Node) -> f64 {
         let mean_units = self.settings.mean_units;
         let slow_latency = node.latency.slow();
@@ -91,7 +93,7 @@
             .relative_latency(request, mean_units, slow_latency)
     }
 
-    /// The tightest latency objective or typical wait of any class.
+    /// Returns the smallest latency objective or typical wait of any class.
     pub fn tightest_objective(&self) -> Nanos {
         let classes = self.settings.classes.iter().enumerate();
         let objectives =
--- a/crates/core/src/policy/volume_limits.rs
+++ b/crates/core/src/policy/volume_limits.rs
@@ -1,8 +1,8 @@
-//! The limits and shares of volumes: what a volume may send, and how much of it is worth its full
-//! value.
+//! The limits and fair shares of volumes: what a volume may send, and at which value.
 //!
-//! Each volume has this front's part of its plan's limit, reserve and fair share. Its reserve has
-//! the full value, use beyond that within the fair share less, and any other the least.
+//! Each volume has this front's part of the limit, reserve and fair share of its plan. Units within
+//! the reserve have their full value, units beyond it a lower one while the volume is within its
+//! fair share, and all others the lowest.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -11,45 +11,48 @@
 use crate::interface::{Nanos, Plan, Request, Settings, VolumeId};
 use crate::state::{Rate, RateLimit, TokenBucket};
 
-/// A volume's rate beyond its reserve is fair up to this multiple of the smallest rate by weight.
+/// The fair share of a volume is this multiple of the smallest nominal rate per plan weight of any
+/// plan, times the weight of its own plan.
 const FAIR_SHARE_RATIO: f64 = 2.0;
-/// Fraction of a limit's burst that the class with the lowest priority weight leaves to others.
+/// Fraction of a limit's burst that a class with priority weight 0 has to leave to other classes.
 const LIMIT_HEADROOM: f64 = 0.4;
-/// Time constant, in nanoseconds, of the rate beyond the reserve.
+/// Time constant, in nanoseconds, of the excess rate.
 const EXCESS_RATE_MEMORY_NS: f64 = 1.5e9;
-/// Requests count as at least this many units, so that a tiny one divides by no zero.
+/// Minimum units that a request counts as, which avoids a division by zero for a tiny request.
 const UNITS_MIN: f64 = 0.1;
-/// Plans count with at least this weight, so that one without divides by no zero.
+/// Minimum weight that a plan counts with, which avoids a division by zero for a plan without one.
 const PLAN_WEIGHT_MIN: f64 = 0.01;
-/// The least of the highest priority weight, so that classes without divide by no zero.
+/// Minimum of the highest priority weight, which avoids a division by zero if no class has one.
 const PRIORITY_WEIGHT_MIN: f64 = 1e-9;
-/// An idle volume is dropped after this time; its buckets restart empty, which is safe.
+/// Time after which an idle volume is dropped. Its limit then restarts empty, which is safe.
 const IDLE_MAX: Nanos = 60 * SECOND;
 
-/// The limits and the use of a volume, each as the part of this front.
+/// The limits and the use of one volume, each for the part of this front.
 #[derive(Clone, Debug)]
 struct Volume {
-    /// The limit in units; absent where the plan has none.
+    /// The limit in units; `None` if the plan has none.
     limit: Option<TokenBucket>,
     /// The reserve in units.
     reserve: TokenBucket,
     /// Units per second sent beyond the reserve.
     excess_rate: Rate,
-    /// Units per second beyond the reserve that are within its fair share.
+    /// Maximum excess rate that is within the fair share of the volume, in units per second.
     fair_share: f64,
 }
 
-/// All volumes in use, and the limits that the fleet has assigned.
+/// The volumes in use, and the limits that the fleet has assigned to volumes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct VolumeTable {
     volumes: BTreeMap<VolumeId, Volume>,
-    /// Assigned in place of an even part of the plan's limit.
+    /// The part of a volume's limit assigned to this front, in place of an equal part of the plan's
+    /// limit.
     assigned_limits: BTreeMap<VolumeId, RateLimit>,
 }
 
 impl VolumeTable {
-    /// Creates a volume at its first request. Its limit starts empty, as a restarted front forgets
-    /// its use, and its reserve always holds the largest request.
+    /// Creates the volume of a request if it is new. Its limit starts empty, because a restarted
+    /// front does not know its earlier use, and the capacity of its reserve always covers the
+    /// largest request.
     pub fn ensure(&mut self, now: Nanos, request: &Request, settings: &Settings) {
         let assigned = &self.assigned_limits;
         self.volumes
@@ -57,8 +60,8 @@
             .or_insert_with(|| Volume::new(now, request, settings, assigned.get(&request.volume)));
     }
 
-    /// Whether a volume's limit allows a request. Classes of lower priority weight leave a part of
-    /// the burst to others.
+    /// Returns whether the limit of its volume allows a request now. Classes with a lower priority
+    /// weight than the highest have to leave a part of the burst to others.
     pub fn allows(&self, now: Nanos, request: &Request, settings: &Settings) -> bool {
         let volume = self.volumes.get(&request.volume);
         let Some(limit) = volume.and_then(|volume| volume.limit.as_ref()) else {
@@ -72,8 +75,8 @@
         limit.rate() > 0.0 && limit.level_at(now) >= required
     }
 
-    /// The fraction of its full value that a request has by its volume's share: full within the
-    /// reserve, less within the fair share, least beyond.
+    /// Returns the fraction of its full value that a request has: 1 for units within the reserve of
+    /// its volume, and for the others the settings' value for use within or beyond the fair share.
     pub fn share_value(&self, now: Nanos, request: &Request, settings: &Settings) -> f64 {
         let Some(volume) = self.volumes.get(&request.volume) else {
             return 1.0;
@@ -89,21 +92,22 @@
         reserved + (1.0 - reserved) * excess_value
     }
 
-    /// Charges the units of a first attempt.
+    /// Charges the units of a first attempt to its volume.
     pub fn charge(&mut self, now: Nanos, id: VolumeId, units: f64) {
         if let Some(volume) = self.volumes.get_mut(&id) {
             volume.charge(now, units);
         }
     }
 
-    /// Returns the units of a first attempt that was not sent after all to the limit.
+    /// Gives the units of a first attempt that was not sent after all back to the limit.
     pub fn refund(&mut self, id: VolumeId, units: f64) {
         if let Some(limit) = self.limit_mut(id) {
             limit.refund(units);
         }
     }
 
-    /// Assigns a limit. Tokens that accrued before stay, as far as they fit.
+    /// Assigns a limit to a volume from `effective_at` on. Tokens that accrued before are kept up
+    /// to the new burst.
     pub fn assign_limit(&mut self, id: VolumeId, limit: RateLimit, effective_at: Nanos) {
         self.assigned_limits.insert(id, limit);
         if let Some(bucket) = self.limit_mut(id) {
@@ -111,7 +115,7 @@
         }
     }
 
-    /// Drops idle volumes. An assigned limit of 0 is forgotten with its volume.
+    /// Drops idle volumes. An assigned limit with rate 0 is dropped with its volume.
     pub fn expire_idle(&mut self, now: Nanos) {
         self.volumes
             .retain(|_, volume| now - volume.excess_rate.updated_at() < IDLE_MAX);
@@ -137,7 +141,8 @@
 }
 
 impl Volume {
-    /// A volume that has sent nothing yet, with an assigned limit or an even part of its plan's.
+    /// Creates a volume that has sent nothing yet, with the assigned limit or else an equal part of
+    /// its plan's.
     fn new(
         now: Nanos,
         request: &Request,
@@ -146,11 +151,11 @@
     ) -> Volume {
         let plan = &settings.plans[request.plan];
         let fronts = f64::from(request.front_count.max(1));
-        let even_part = RateLimit {
+        let equal_part = RateLimit {
             rate: plan.limit_rate / fronts,
             burst: plan.limit_burst / fronts,
         };
-        let limit = assigned.copied().unwrap_or(even_part);
+        let limit = assigned.copied().unwrap_or(equal_part);
         let reserve_rate = plan.reserve_rate / fronts;
         Volume {
             limit: (plan.limit_rate > 0.0).then(|| limit.empty_bucket(now)),
@@ -165,7 +170,8 @@
         }
     }
 
-    /// Charges units to the limit, the reserve and, past that, the excess rate.
+    /// Charges units to the limit and to the reserve, and adds those beyond the reserve to the
+    /// excess rate.
     fn charge(&mut self, now: Nanos, units: f64) {
         if let Some(limit) = &mut self.limit {
             limit.charge(now, units);
@@ -184,7 +190,8 @@
     }
 }
 
-/// The units per second beyond the reserve that are within the fair share of a plan's volume.
+/// Returns the maximum excess rate within the fair share of a volume of a plan, in units per second
+/// for one of `fronts` fronts.
 fn fair_share(plan: &Plan, settings: &Settings, fronts: f64) -> f64 {
     let rates = settings
         .plans
--- a/crates/core/src/policy/weight.rs
+++ b/crates/core/src/policy/weight.rs
@@ -1,42 +1,43 @@
-//! The weight by which new objects are placed on a chunk server, and its base.
+//! The weight by which a chunk server is chosen for new objects, and its base weight.
 //!
-//! Congestion cuts the weight for a while; the base weight is shifted slowly from slow servers to
-//! fast ones.
+//! Congestion reduces the weight for some time. The base weight, to which it recovers, is shifted
+//! slowly from slow servers to fast ones.
 
 use std::hash::{Hash, Hasher};
 
 use super::{latency, node_table::NodeTable, MILLISECOND, SECOND, TICK_INTERVAL};
 use crate::interface::Nanos;
 
-/// Design: factor on the weight after a congested period.
-const WEIGHT_CUT: f64 = 0.5;
-/// Design: recovery after a clean period, and shift of base weight each second, as a fraction of
-/// it.
+/// Factor on the weight after a congested control period.
+const WEIGHT_REDUCTION: f64 = 0.5;
+/// Recovery of the weight after an uncongested control period, as a fraction of the base weight;
+/// also the base weight shifted by each rebalancing, once a second.
 const WEIGHT_STEP: f64 = 0.01;
-/// The weight stays above this fraction of base, so that a server is tried again in some hundred
-/// choices.
+/// Minimum weight as a fraction of the base weight, so that a server is tried again within some
+/// hundred choices.
 const WEIGHT_MIN_FRACTION: f64 = 0.02;
-/// The base weight stays above this fraction of an even share, so that rebalancing cannot starve a
-/// server.
+/// Minimum base weight as a fraction of an equal share, so that rebalancing cannot starve a server.
 const BASE_WEIGHT_MIN: f64 = 0.25;
 /// The control period of a server that has not answered yet.
 const INITIAL_PERIOD: Nanos = SECOND / 10;
-/// The least control period, for servers that answer at once.
+/// Minimum control period, for servers that answer at once.
 const PERIOD_MIN: Nanos = MILLISECOND;
 
-/// The weight of one server and its control period, which is one round trip.
+/// The weight of one server, and its control period, which lasts one round trip.
 #[derive(Clone, Debug)]
 pub(crate) struct PlacementWeight {
-    /// The weight without recent congestion.
+    /// The base weight, which is the weight without recent congestion.
     base: f64,
+    /// The weight in effect; congestion reduces it below the base weight.
     current: f64,
+    /// When the control period began.
     period_started_at: Nanos,
-    /// Whether congestion was seen in this period.
+    /// Whether congestion was seen in this control period.
     is_congested: bool,
 }
 
 impl PlacementWeight {
-    /// The weight of a new server: an even share.
+    /// Creates the weight of a new server: an equal share.
     pub fn new(now: Nanos) -> PlacementWeight {
         PlacementWeight {
             base: 1.0,
@@ -46,29 +47,29 @@
         }
     }
 
-    /// The present weight.
+    /// Returns the weight in effect.
     pub fn current(&self) -> f64 {
         self.current
     }
 
-    /// Records that congestion was seen in this period.
+    /// Records that congestion was seen in this control period.
     pub fn mark_congested(&mut self) {
         self.is_congested = true;
     }
 
-    /// Whether the ends of periods change the weight.
+    /// Returns whether the end of the control period would change the weight.
     pub fn is_recovering(&self) -> bool {
         self.current < self.base || self.is_congested
     }
 
-    /// Ends the period if it is over, which it is after a round trip: a congested one cuts the
-    /// weight, a clean one restores a step. Returns whether another period has begun.
+    /// Ends the control period if a round trip has passed. A congested period reduces the weight,
+    /// an uncongested one restores a step of it. Returns whether a new period has begun.
     pub fn end_period(&mut self, now: Nanos, fast_latency: Option<f64>) -> bool {
         if now - self.period_started_at < period_length(fast_latency) {
             return false;
         }
         self.current = if self.is_congested {
-            (self.current * WEIGHT_CUT).max(self.base * WEIGHT_MIN_FRACTION)
+            (self.current * WEIGHT_REDUCTION).max(self.base * WEIGHT_MIN_FRACTION)
         } else {
             (self.current + self.base * WEIGHT_STEP).min(self.base)
         };
@@ -77,8 +78,8 @@
         true
     }
 
-    /// Starts the period that would have begun last, had ticks ended the periods of a server at
-    /// rest.
+    /// Moves the start of the control period to where it would be if ticks had also visited the
+    /// server while it was idle.
     pub fn align_period(&mut self, last_tick_at: Nanos, fast_latency: Option<f64>) {
         let length = period_length(fast_latency);
         let span = (length + TICK_INTERVAL - 1) / TICK_INTERVAL * TICK_INTERVAL;
@@ -94,12 +95,12 @@
         self.is_congested.hash(hasher);
     }
 
-    /// Whether a step of base weight can be taken from the server.
+    /// Returns whether the server has enough base weight to give up a step of it.
     fn has_step(&self) -> bool {
         self.base - WEIGHT_STEP >= BASE_WEIGHT_MIN
     }
 
-    /// Shifts the base weight; the weight keeps its ratio to it.
+    /// Changes the base weight; the weight in effect keeps its ratio to it.
     fn shift_base(&mut self, amount: f64) {
         let ratio = self.current / self.base;
         self.base += amount;
@@ -107,24 +108,25 @@
     }
 }
 
-/// The length of a control period: one round trip.
+/// Returns the length of a control period: one round trip, estimated by the fast latency average.
 fn period_length(fast_latency: Option<f64>) -> Nanos {
     fast_latency
         .map_or(INITIAL_PERIOD, |fast| fast as Nanos)
         .max(PERIOD_MIN)
 }
 
-/// Rebalances the base weights of all servers.
+/// Shifts base weight between the servers to lower the highest latency.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BaseWeightRebalancer {
-    /// The highest latency at the last rebalancing.
+    /// The highest slow latency average, in nanoseconds, when a shift was last considered.
     last_max_latency: Option<f64>,
+    /// Whether shifts are paused because the last one did not lower the highest latency.
     is_paused: bool,
 }
 
 impl BaseWeightRebalancer {
-    /// Design: shifts base weight from the slowest server to the fastest, until the highest latency
-    /// stays.
+    /// Shifts a step of base weight from the slowest server to the fastest, unless the last shift
+    /// did not lower the highest latency.
     pub fn rebalance(&mut self, nodes: &mut NodeTable) {
         let table: &NodeTable = nodes;
         let measured = || {
@@ -154,8 +156,8 @@
         (last_max_latency, self.is_paused).hash(hasher);
     }
 
-    /// Whether a shift may lower the highest latency. A shift that did not is followed by a pause
-    /// until that latency changes.
+    /// Returns whether a shift may lower the highest latency. After a shift that did not, further
+    /// shifts are paused until that latency changes.
     fn is_shift_due(&mut self, max_latency: f64) -> bool {
         let last = self.last_max_latency.unwrap_or(f64::INFINITY);
         if self.is_paused && !latency::has_changed(max_latency, last) {
