--- a/crates/core/src/invariant_monitor.rs
+++ b/crates/core/src/invariant_monitor.rs
@@ -106,7 +106,7 @@
                 };
                 self.requests.insert(request.id, monitored);
             }
-            Input::ClientGone(id) => {
+            Input::ClientDisconnected(id) => {
                 self.requests
                     .entry(*id)
                     .and_modify(|request| request.ended = true);
--- a/crates/core/src/request_tracker.rs
+++ b/crates/core/src/request_tracker.rs
@@ -68,7 +68,7 @@
     pub fn on(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>) {
         match input {
             Input::RequestReceived(request) => self.request_received(now, request, effects),
-            Input::ClientGone(id) => self.client_gone(now, id, effects),
+            Input::ClientDisconnected(id) => self.client_gone(now, id, effects),
             Input::Overdue(id) => self.overdue(now, id, effects),
             Input::AttemptEnded {
                 id,
--- a/crates/core/src/request_tracker/messages.rs
+++ b/crates/core/src/request_tracker/messages.rs
@@ -12,7 +12,7 @@
     /// [`RequestTracker::allocate_id`]: super::RequestTracker::allocate_id
     RequestReceived(Request),
     /// The client of the request disconnected.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// The client's deadline and a grace period have passed without a final answer.
     Overdue(RequestId),
     /// An attempt ended by itself.
--- a/crates/core/tests/attempt_withdrawal.rs
+++ b/crates/core/tests/attempt_withdrawal.rs
@@ -85,7 +85,7 @@
     assert_eq!(
         withdrawals(
             &mut tracker_with_one_attempt(),
-            Input::ClientGone(RequestId(0))
+            Input::ClientDisconnected(RequestId(0))
         ),
         [Outcome::NotSent]
     );
--- a/crates/core/tests/invariant_monitor.rs
+++ b/crates/core/tests/invariant_monitor.rs
@@ -83,7 +83,7 @@
     assert_eq!(send(&mut second_answer, 0), Some(Rule::NothingAfterTheEnd));
 
     let mut client_gone = monitor(IDEMPOTENT);
-    client_gone.input(&Input::ClientGone(RequestId(1)), &settings());
+    client_gone.input(&Input::ClientDisconnected(RequestId(1)), &settings());
     assert_eq!(send(&mut client_gone, 0), Some(Rule::NothingAfterTheEnd));
 
     let mut draining = monitor(IDEMPOTENT);
--- a/crates/model-checker/src/request_model/state/transitions.rs
+++ b/crates/model-checker/src/request_model/state/transitions.rs
@@ -94,7 +94,7 @@
     fn client_disconnects(&mut self, model: &RequestModel, client: usize) {
         if let Some(id) = self.clients.waiting_request(client) {
             self.clients.leave(client, id);
-            self.feed(model, Input::ClientGone(id));
+            self.feed(model, Input::ClientDisconnected(id));
         }
     }
 
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -229,6 +229,6 @@
 
 impl<T: Transport> Drop for WaitingClient<'_, T> {
     fn drop(&mut self) {
-        self.exchange.handle(Input::ClientGone(self.id));
+        self.exchange.handle(Input::ClientDisconnected(self.id));
     }
 }
--- a/src/telemetry/trace/events.rs
+++ b/src/telemetry/trace/events.rs
@@ -131,7 +131,7 @@
 ) -> Option<TraceEvent<'static>> {
     let event = match input {
         Input::RequestReceived(request) => request_received(request),
-        Input::ClientGone(id) => TraceEvent::ClientGone { id: id.0 },
+        Input::ClientDisconnected(id) => TraceEvent::ClientGone { id: id.0 },
         Input::Overdue(id) => TraceEvent::Overdue { id: id.0 },
         Input::AttemptEnded {
             id,
