--- a/crates/core/src/mutations.rs
+++ b/crates/core/src/mutations.rs
@@ -1,15 +1,16 @@
-//! Mutation testing: deliberate defects in the machines, used to verify that the model checker
+//! Mutation testing: deliberate defects in the state machines, which show whether the model checker
 //! detects them.
 //!
-//! Exactly one mutation, or none, is active in a process. Without the feature `mutations`
-//! [`mutated`] is the constant `false`, so that no defect is compiled in.
+//! At most one mutation is active in a process. Without the feature `mutations`, [`mutated`] always
+//! returns `false`, so that no defect is compiled in.
 
 /// Defines the switch for the mutations of a crate.
 ///
-/// The caller has an enum `Mutation` in scope that is `Copy` and fieldless, and a Cargo feature
-/// `mutations`. With the feature the macro defines `activate(Option<Mutation>)`, which activates
-/// one mutation or none for the process, and `mutated(Mutation) -> bool`, which tells whether it is
-/// active. Without the feature it defines `mutated` alone, as a constant `false`.
+/// The calling module must define a fieldless `Copy` enum `Mutation`, and its crate the Cargo
+/// feature `mutations`. With the feature, the macro defines `activate(Option<Mutation>)`, which
+/// activates at most one mutation for the process, and `mutated(Mutation) -> bool`, which returns
+/// whether a mutation is active. Without the feature, it defines only `mutated`, which always
+/// returns `false`.
 #[macro_export]
 macro_rules! mutation_switch {
     () => {
@@ -19,19 +20,19 @@
 
             /// Value of [`ACTIVE`] while no mutation is active.
             const NONE: usize = 0;
-            /// One plus the discriminant of the active mutation, or [`NONE`].
+            /// The discriminant of the active mutation plus one, or [`NONE`].
             static ACTIVE: AtomicUsize = AtomicUsize::new(NONE);
 
             const fn encode(mutation: super::Mutation) -> usize {
                 mutation as usize + 1
             }
 
-            /// Whether this mutation is active.
+            /// Returns whether a mutation is active in this process.
             pub fn mutated(mutation: super::Mutation) -> bool {
                 ACTIVE.load(Ordering::Relaxed) == encode(mutation)
             }
 
-            /// Activates one mutation for this process, or none.
+            /// Activates a mutation for this process, or deactivates all with `None`.
             pub fn activate(mutation: Option<super::Mutation>) {
                 ACTIVE.store(mutation.map_or(NONE, encode), Ordering::Relaxed);
             }
@@ -40,7 +41,7 @@
         #[cfg(feature = "mutations")]
         pub use switch::{activate, mutated};
 
-        /// Whether this mutation is active: never, in a build without the feature `mutations`.
+        /// Returns `false`: a build without the feature `mutations` contains no defect.
         #[cfg(not(feature = "mutations"))]
         #[inline(always)]
         pub const fn mutated(_: Mutation) -> bool {
@@ -49,96 +50,98 @@
     };
 }
 
-/// A deliberate defect in a machine of this crate. [`ALL`] has its stable name for the command
+/// A deliberate defect in a state machine of this crate. [`ALL`] lists its name on the command
 /// line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mutation {
-    /// The last byte of a request counts as written when the request is assigned to a connection.
+    /// The last byte of a request counts as written as soon as the request is assigned to a
+    /// connection.
     LastByteCountedAtAssignment,
-    /// The write of the last byte is not recorded: a request that may have run counts as partially
-    /// written.
+    /// The write of the last byte is not recorded, so that a request that may have been executed
+    /// counts as partially written.
     LastByteNotRecorded,
-    /// Bytes that arrive before the request is written completely are taken as its response.
+    /// Bytes that arrive before the request is completely written are taken as its response.
     EarlyBytesTakenAsResponse,
     /// A partially written request is resent on another pooled connection.
     PartiallyWrittenRequestResent,
     /// A completely written request is resent on another pooled connection.
     WrittenRequestResent,
-    /// A reset after the last byte counts as a refused connection.
+    /// A connection reset after the last byte was written counts as a refused connection.
     ResetCountsAsNotExecuted,
-    /// A request is written to a connection on which bytes wait unread.
+    /// A request is written to a connection that has unread bytes.
     WritesOverUnreadBytes,
-    /// A connection is reused past the time after which servers close idle connections.
+    /// A connection is reused after it was idle for so long that the server may close it.
     IdleTimeoutIgnored,
-    /// A connection to the old address of a node is reused after the address has changed.
+    /// A connection to a node's previous address is reused after the address has changed.
     ReusedAfterAddressChange,
-    /// Connections to servers are opened past their cap.
+    /// More connections to servers are opened than the limit allows.
     ServerConnectionCapIgnored,
     /// A cancelled attempt counts as not executed.
     CancelCountsAsNotExecuted,
-    /// A request is answered although its client is gone.
-    AnswerAfterClientGone,
-    /// A request whose client is gone is never released.
-    NoReleaseAfterClientGone,
+    /// A request is answered although its client has disconnected.
+    AnswerAfterDisconnect,
+    /// A request whose client has disconnected is never released.
+    NoReleaseAfterDisconnect,
     /// A request gets a second final answer.
     SecondFinalAnswer,
-    /// An attempt is started for a request that is answered.
+    /// An attempt is started for a request that is already answered.
     AttemptAfterAnswer,
-    /// An attempt that has ended stays in the table of attempts in flight.
+    /// An attempt that has ended stays in its request's list of attempts in flight.
     EndedAttemptRetained,
-    /// A request is released while it has an attempt in flight.
+    /// A request is released while an attempt is still in flight.
     ReleasedWithAttemptInFlight,
     /// An attempt that timed out counts as not executed.
     TimeoutCountsAsNotExecuted,
-    /// The timeout of an attempt exceeds its client's deadline.
+    /// The deadline of an attempt is later than that of its client.
     TimeoutPastClientDeadline,
-    /// A connection that was never established counts as one that may have carried the request.
+    /// A request counts as possibly executed although its connection was never established.
     DialFailureMayHaveRun,
     /// The idle connections of a removed node are kept.
     RemovedNodeKeepsConnections,
-    /// A draining node still gets queued requests.
+    /// A draining node still receives queued requests.
     DrainIgnoresQueue,
-    /// A request that must not run twice is retried after a reset.
+    /// A request that must not be executed twice is retried although it may have been executed.
     RetriesUnsafeWrite,
-    /// A request that must not run twice is rejected as harmless to repeat although it may have
-    /// run.
+    /// A request that must not be executed twice is rejected, which tells the client that a repeat
+    /// is safe, although it may have been executed.
     RejectsUnsafeWrite,
-    /// The cap on attempts is ignored.
+    /// The limit on the attempts of a request is ignored.
     UnlimitedRetry,
-    /// A finished request stays in its node's queue.
+    /// A finished request stays in the queue of its shard.
     FinishedStaysQueued,
-    /// A request whose client is gone is still scheduled.
-    IgnoresClientGone,
-    /// A node keeps an ended attempt in its count of attempts in flight.
+    /// The scheduler keeps a request whose client has disconnected.
+    IgnoresDisconnect,
+    /// An attempt that has ended still counts as in flight at its node.
     EndedStaysInFlight,
-    /// A request's timeout restarts when its body begins.
+    /// The timeout of a request restarts when its body begins.
     BodyRestartsTimeout,
     /// A client connection is closed although a request has arrived on it.
     ClosesOverArrivedRequest,
-    /// A client connection with an open request is evicted.
+    /// A client connection with an open request is evicted to make room for another.
     RespondingConnectionEvicted,
-    /// Client connections are accepted past the cap.
+    /// More client connections are accepted than the limit allows.
     ClientConnectionCapIgnored,
     /// The process exits while requests are open.
     ExitsWithOpenRequests,
-    /// Attempts that have not begun are not withdrawn when the client leaves or the request is
+    /// Attempts that have not begun are not withdrawn when the client disconnects or the request is
     /// answered.
     WithdrawalOmitted,
-    /// Attempts that are still dialing a node are not withdrawn when the node drains.
+    /// Attempts that are still connecting to a node are not withdrawn when the node drains.
     DrainIgnoresDialing,
     /// A withdrawn request is written.
     WithdrawnRequestWritten,
-    /// A watch that has fallen silent counts as open.
+    /// A watch that no longer receives messages counts as open.
     SilentWatchCountsAsOpen,
-    /// A call to discovery may hang for ever.
+    /// A call to discovery has no timeout.
     CallTimeoutIgnored,
-    /// A graceful shutdown closes connections on which a request is arriving.
+    /// Graceful shutdown closes connections on which a request is arriving.
     ShutdownClosesArrivingRequest,
-    /// Discovery is called only when the decision module requests the list.
+    /// Discovery is called only when the decision module requests the endpoint list.
     CallsOnlyOnRequest,
 }
 
-/// The group of machines that a mutation is in. Each group has its own world in the model checker.
+/// The group of state machines that contains a mutation. The model checker searches the
+/// configurations of that group first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineGroup {
     /// Client connections, their limit and graceful shutdown.
@@ -149,7 +152,7 @@
     DiscoveryWatch,
 }
 
-/// All mutations, each with its name on the command line and its group of machines.
+/// All mutations, each with its name on the command line and its group of state machines.
 pub const ALL: &[(Mutation, &str, MachineGroup)] = &[
     (
         Mutation::LastByteCountedAtAssignment,
@@ -207,12 +210,12 @@
         MachineGroup::Requests,
     ),
     (
-        Mutation::AnswerAfterClientGone,
+        Mutation::AnswerAfterDisconnect,
         "answer-to-client-that-left",
         MachineGroup::Requests,
     ),
     (
-        Mutation::NoReleaseAfterClientGone,
+        Mutation::NoReleaseAfterDisconnect,
         "left-charged-for-ever",
         MachineGroup::Requests,
     ),
@@ -282,7 +285,7 @@
         MachineGroup::Requests,
     ),
     (
-        Mutation::IgnoresClientGone,
+        Mutation::IgnoresDisconnect,
         "gone-not-finished",
         MachineGroup::Requests,
     ),
--- a/crates/core/src/policy/scheduler/dispatch.rs
+++ b/crates/core/src/policy/scheduler/dispatch.rs
@@ -1,4 +1,5 @@
-//! From the queues to the chunk servers, or to the final answer.
+//! Dispatch of queued requests to chunk servers, retries, and the final answers that come from the
+//! scheduler itself.
 
 use super::Scheduler;
 use crate::interface::{Action, Nanos, NodeId, Outcome, RequestId, ShardId};
@@ -10,20 +11,21 @@
 use crate::policy::value::Valuation;
 use crate::state::LiveRequest;
 
-/// Most requests in the queue of a shard; a further one is rejected, as it would wait too long.
+/// The maximum length of a shard's queue. A further request is rejected, as it would wait too long.
 const QUEUE_MAX_REQUESTS: usize = 160;
 
-/// A queued request that may be sent, among those of its queue.
+/// A queued request that may be sent now.
 struct Candidate {
-    /// Its place in the queue.
+    /// The index of the request in its queue.
     index: usize,
-    /// The expected value per unit of work.
+    /// The expected value of the request per unit of work.
     score: f64,
     objective_at: Nanos,
 }
 
 impl Candidate {
-    /// The highest score comes first, then the earliest objective, then the place in the queue.
+    /// Returns the better of two candidates: the one with the higher score, then the one with the
+    /// earlier objective, then the one that is earlier in the queue.
     fn better(self, later: Candidate) -> Candidate {
         let is_urgent = later.objective_at < self.objective_at;
         if later.score > self.score || (later.score == self.score && is_urgent) {
@@ -35,8 +37,8 @@
 }
 
 impl Scheduler {
-    /// Queues a request at its shard, choosing the shard of a new object, and sends from that
-    /// queue.
+    /// Adds a request to the queue of its shard and sends from that queue. Chooses a shard for a
+    /// new object.
     pub(super) fn enqueue(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let draw = self.random.f64();
         let Some(live) = self.requests.get(id) else {
@@ -46,7 +48,7 @@
         if let Some(live) = self.requests.get_mut(id) {
             live.enqueue(shard);
         }
-        // Without any listed server a new object waits for one outside of the queues.
+        // If no server is listed, a new object waits for one outside of the queues.
         let Some(shard) = shard else { return };
         if self.queues.push(shard, id) > QUEUE_MAX_REQUESTS {
             self.give_up(id, actions);
@@ -54,7 +56,7 @@
         self.dispatch(shard, actions);
     }
 
-    /// Sends from all queues.
+    /// Sends requests from all queues.
     pub(super) fn dispatch_all(&mut self, actions: &mut Vec<Action>) {
         let waiting: Vec<ShardId> = self.queues.waiting_shards().collect();
         for shard in waiting {
@@ -62,34 +64,34 @@
         }
     }
 
-    /// Sends from a shard's queue while its servers have capacity.
+    /// Sends requests from the queue of a shard while its servers have capacity.
     pub(super) fn dispatch(&mut self, shard: ShardId, actions: &mut Vec<Action>) {
         if self.queues.requests(shard).is_empty() {
             return;
         }
-        for at in self.nodes.nodes_by_preference(self.now, shard) {
-            while let Some(id) = self.take_next(shard, at) {
-                self.send(id, at, actions);
+        for node_id in self.nodes.nodes_by_preference(self.now, shard) {
+            while let Some(id) = self.take_next(shard, node_id) {
+                self.send(id, node_id, actions);
             }
         }
     }
 
-    /// Takes the request that a server should get now.
-    fn take_next(&mut self, shard: ShardId, at: NodeId) -> Option<RequestId> {
-        let node = &self.nodes[at];
-        let is_open = if node.is_healthy() {
+    /// Removes the request that a server should get now from its queue and returns it.
+    fn take_next(&mut self, shard: ShardId, node_id: NodeId) -> Option<RequestId> {
+        let node = &self.nodes[node_id];
+        let accepts_request = if node.is_healthy() {
             node.has_capacity(node.window.size().max(1.0), self.now)
         } else {
             node.may_probe(self.now)
         };
-        if !is_open {
+        if !accepts_request {
             return None;
         }
         let rules = self.send_rules();
         let queued = self.queues.requests(shard).iter().enumerate();
         let candidates = queued.filter_map(|(index, id)| {
             let live = &self.requests[*id];
-            let is_allowed = rules.decide(live, at) == SendDecision::Allowed;
+            let is_allowed = rules.decide(live, node_id) == SendDecision::Allowed;
             is_allowed.then(|| Candidate {
                 index,
                 score: rules.valuation.score(live, node),
@@ -100,13 +102,13 @@
         self.queues.take(shard, best.index)
     }
 
-    fn send(&mut self, id: RequestId, at: NodeId, actions: &mut Vec<Action>) {
+    fn send(&mut self, id: RequestId, node_id: NodeId, actions: &mut Vec<Action>) {
         let Some(live) = self.requests.get(id) else {
             return;
         };
         let timeout = self.send_rules().attempt_timeout(live);
-        let sent = self.new_attempt(live, at);
-        if !self.nodes[at].credit.is_available() {
+        let sent = self.new_attempt(live, node_id);
+        if !self.nodes[node_id].credit.is_available() {
             self.admission.record_uncredited_send(self.now);
         }
         if live.attempts() == 0 {
@@ -114,20 +116,22 @@
             self.volumes.charge(self.now, request.volume, request.units);
         }
         let jitter = 0.5 + self.random.f64();
-        self.record_send(id, at, sent);
-        if let Some(node) = self.nodes.get_mut(at) {
+        self.record_send(id, node_id, sent);
+        if let Some(node) = self.nodes.get_mut(node_id) {
             let front_count = self.settings.front_count;
             node.health.schedule_probe(self.now, jitter, front_count);
         }
         actions.push(Action::Send {
             id,
-            node: at,
+            node: node_id,
             timeout,
         });
     }
 
-    fn new_attempt(&self, live: &LiveRequest, at: NodeId) -> SentAttempt {
-        let node = &self.nodes[at];
+    /// Creates an attempt sent now, with the latency expected of it and the time after which it
+    /// counts as failed.
+    fn new_attempt(&self, live: &LiveRequest, node_id: NodeId) -> SentAttempt {
+        let node = &self.nodes[node_id];
         let request = live.request();
         let valuation = self.valuation();
         let expected_latency = valuation.expected_latency(request, node);
@@ -136,13 +140,13 @@
         SentAttempt::new(self.now, request.class, expected_latency, due_at)
     }
 
-    /// Records an attempt that is sent.
-    fn record_send(&mut self, id: RequestId, at: NodeId, sent: SentAttempt) {
-        self.nodes.activate(at);
+    /// Records that an attempt is sent: for the request, its server and the limits on retries.
+    fn record_send(&mut self, id: RequestId, node_id: NodeId, sent: SentAttempt) {
+        self.nodes.activate(node_id);
         let Some(live) = self.requests.get_mut(id) else {
             return;
         };
-        let Some(node) = self.nodes.get_mut(at) else {
+        let Some(node) = self.nodes.get_mut(node_id) else {
             return;
         };
         let request = live.request();
@@ -162,11 +166,11 @@
         node.record_send(key, sent, units, &self.settings);
     }
 
-    /// Retries a request whose attempt at a server has failed, or gives it up.
+    /// Retries a request whose attempt at a server has failed, or answers it without a retry.
     pub(super) fn on_failure(
         &mut self,
         id: RequestId,
-        at: NodeId,
+        node_id: NodeId,
         outcome: Outcome,
         actions: &mut Vec<Action>,
     ) {
@@ -179,7 +183,7 @@
             return;
         }
         let draw = self.random.f64();
-        let pause = retry::pause_before_retry(&self.nodes[at], draw);
+        let pause = retry::pause_before_retry(&self.nodes[node_id], draw);
         if let Some(live) = self.requests.get_mut(id) {
             live.pause_until(self.now + pause);
             live.release_shard();
@@ -187,9 +191,9 @@
         self.enqueue(id, actions);
     }
 
-    /// Whether a retry after a failure is allowed and worth its load.
+    /// Returns whether a retry after a failure is allowed and worth the load.
     fn should_retry(&self, live: &LiveRequest, outcome: Outcome) -> bool {
-        // A new object that found no connection has cost no server anything.
+        // An attempt for a new object that found no connection caused no load at any server.
         let is_free = outcome == Outcome::NotExecuted && live.request().shard.is_none();
         let is_overloaded = self.admission.admitted_fraction(self.now) < 1.0 && !is_free;
         let answer_due_at = self.valuation().answer_due_at(live);
@@ -198,11 +202,11 @@
         !is_pointless && self.retry_rules().allow(live)
     }
 
-    /// Answers a request at once: rejected if repeating it is harmless, failed if it may have been
-    /// executed.
+    /// Answers a request without another attempt: it is rejected if it is safe to repeat, and fails
+    /// otherwise, as it may have been executed.
     pub(super) fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let draw = self.random.f64();
-        self.record_client_stayed(id);
+        self.record_client_waited(id);
         let Some(live) = self.requests.unfinished(id) else {
             return;
         };
@@ -216,15 +220,15 @@
         self.finish(id);
     }
 
-    /// The client waited until its answer, whatever the answer is.
-    pub(super) fn record_client_stayed(&mut self, id: RequestId) {
+    /// Records that the client waited until its answer, whatever the answer is.
+    pub(super) fn record_client_waited(&mut self, id: RequestId) {
         if let Some(live) = self.requests.unfinished(id) {
             let wait = self.now - live.received_at();
             self.client_patience[live.request().class].record_stayed(self.now, wait);
         }
     }
 
-    /// Gives up all requests that cannot be answered in time.
+    /// Rejects or fails all requests that cannot be answered in time.
     pub(super) fn give_up_hopeless(&mut self, actions: &mut Vec<Action>) {
         let rules = self.send_rules();
         let hopeless = self.requests.ids_where(|live| rules.is_hopeless(live));
@@ -233,8 +237,8 @@
         }
     }
 
-    /// Marks a request as finished. It stays known while attempts are in flight, as they still hold
-    /// its key.
+    /// Marks a request as finished and removes it from its queue. It stays in the table while
+    /// attempts are in flight, as they still block the next request of its key.
     pub(super) fn finish(&mut self, id: RequestId) {
         let Some(live) = self.requests.get_mut(id) else {
             return;
@@ -254,10 +258,13 @@
         }
     }
 
-    /// Chooses another shard for new objects that wait for a server that is suspect, ejected or not
-    /// listed.
+    /// Moves new objects that wait for a server that is suspect, ejected or not listed to another
+    /// shard.
     pub(super) fn move_waiting_objects(&mut self, actions: &mut Vec<Action>) {
-        for id in self.requests.ids_where(|live| self.waits_in_vain(live)) {
+        for id in self
+            .requests
+            .ids_where(|live| self.waits_for_unavailable_node(live))
+        {
             let draw = self.random.f64();
             let live = self.requests.get(id).filter(|live| live.is_queued());
             let shard = live.and_then(|live| self.choose_shard(live, draw));
@@ -267,7 +274,7 @@
         }
     }
 
-    /// Moves a waiting request to another shard's queue; false if it waits there already.
+    /// Moves a waiting request to the queue of a shard. Returns `false` if it already waits there.
     fn move_to_shard(&mut self, id: RequestId, shard: ShardId) -> bool {
         let Some(live) = self.requests.get_mut(id) else {
             return false;
@@ -283,7 +290,9 @@
         true
     }
 
-    fn waits_in_vain(&self, live: &LiveRequest) -> bool {
+    /// Returns whether a new object waits for a server that is suspect, ejected or not listed, and
+    /// may move to another shard.
+    fn waits_for_unavailable_node(&self, live: &LiveRequest) -> bool {
         let class = live.request().class;
         let is_available = |node: &Node| node.is_healthy() && !node.ejection.is_ejected(class);
         let is_movable = live.is_queued() && live.is_unplaced_object();
@@ -295,7 +304,7 @@
             .choose_shard(self.now, live.request(), &self.settings, draw)
     }
 
-    /// The server that would get a request.
+    /// Returns the server that would get a request.
     fn preferred_node(&self, live: &LiveRequest) -> Option<&Node> {
         self.nodes.preferred_node(live.shard()?)
     }
@@ -307,7 +316,7 @@
         retry::retry_after(node, admitted_fraction, max_retry_after, draw)
     }
 
-    /// The values of requests at this moment.
+    /// Returns the valuation of requests at the present time.
     pub(super) fn valuation(&self) -> Valuation<'_> {
         Valuation {
             now: self.now,
@@ -318,7 +327,7 @@
         }
     }
 
-    /// The rules for sending at this moment.
+    /// Returns the rules for sending requests at the present time.
     pub(super) fn send_rules(&self) -> SendRules<'_> {
         SendRules {
             now: self.now,
@@ -331,7 +340,7 @@
         }
     }
 
-    /// The rules for retries at this moment.
+    /// Returns the rules for retries at the present time.
     fn retry_rules(&self) -> RetryRules<'_> {
         RetryRules {
             now: self.now,
--- a/crates/core/src/policy/scheduler/events.rs
+++ b/crates/core/src/policy/scheduler/events.rs
@@ -1,4 +1,4 @@
-//! What the scheduler does at each event: a function of steps for each.
+//! The handlers of the scheduler's events.
 
 use super::Scheduler;
 use crate::interface::{
@@ -11,11 +11,11 @@
 use crate::policy::{MILLISECOND, SECOND, TICK_INTERVAL};
 use crate::state::LiveRequest;
 
-/// Marks the timer of the ticks.
+/// The cookie of the timer that triggers ticks.
 const TICK_COOKIE: u64 = 1;
-/// Without an event for this long, many ticks, the front itself was paused.
+/// Without an event for this long, which is many ticks, this front itself was paused.
 const LOCAL_PAUSE_MIN: Nanos = 100 * MILLISECOND;
-/// The least relative latency by which an answer is scaled to the mean request.
+/// The minimum relative latency by which an answer is scaled to the mean request.
 const RELATIVE_LATENCY_MIN: f64 = 0.05;
 
 /// The end of an attempt.
@@ -43,7 +43,7 @@
             } => self.on_discovery_unavailable(),
             Event::Endpoints { scope, nodes } => self.on_endpoints(scope, &nodes, actions),
             Event::Request(request) => self.on_request(request, actions),
-            Event::ClientGone(id) => self.on_client_gone(id, actions),
+            Event::ClientGone(id) => self.on_client_disconnected(id, actions),
             Event::ResponseStarted(id) => self.on_response_started(id),
             Event::AttemptEnded {
                 id,
@@ -72,8 +72,8 @@
         }
     }
 
-    /// A pause of this front is no silence of the servers. If timers are always late, failures show
-    /// later.
+    /// Advances the clock. A pause of this front must not count as silence of the servers, although
+    /// failures are detected later if timers are always late.
     fn advance_clock(&mut self, now: Nanos) {
         let elapsed = now - self.now;
         self.now = self.now.max(now);
@@ -137,7 +137,7 @@
         if is_admitted {
             self.enqueue(id, actions);
         }
-        // A request may come with less time left than a tick takes.
+        // A request may arrive with less time left than a tick takes.
         if !is_admitted || self.is_hopeless(id) {
             self.give_up(id, actions);
         }
@@ -148,8 +148,8 @@
         live.is_some_and(|live| self.send_rules().is_hopeless(live))
     }
 
-    /// The time left to a request's latency objective, less what its client has spent on earlier
-    /// requests for the same work.
+    /// Returns the time left to a request's latency objective, less what its client has spent on
+    /// earlier requests for the same work.
     fn remaining_objective(&mut self, request: &Request) -> Nanos {
         let class = &self.settings.classes[request.class];
         let patience = &mut self.client_patience[request.class];
@@ -177,15 +177,15 @@
         self.admission.decide_uncredited(self.now, value, draw)
     }
 
-    fn on_client_gone(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        self.record_client_left(id);
+    fn on_client_disconnected(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        self.record_client_disconnected(id);
         self.cancel_abandoned(id, actions);
-        if !mutated(Mutation::IgnoresClientGone) {
+        if !mutated(Mutation::IgnoresDisconnect) {
             self.finish(id);
         }
     }
 
-    fn record_client_left(&mut self, id: RequestId) {
+    fn record_client_disconnected(&mut self, id: RequestId) {
         let Some(live) = self.requests.unfinished(id) else {
             return;
         };
@@ -198,8 +198,8 @@
         self.client_patience[class].record_left(self.now, wait, objective);
     }
 
-    /// Cancels the attempt of a client that is gone to save work, unless that leaves a write in
-    /// doubt.
+    /// Cancels the attempt of a disconnected client to save work. Only idempotent requests qualify,
+    /// as it is unknown whether a cancelled write was executed.
     fn cancel_abandoned(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(live) = self.requests.unfinished(id) else {
             return;
@@ -209,7 +209,7 @@
         }
         let is_idempotent = self.class(live.request()).semantics == Semantics::Idempotent;
         if self.settings.cancellation && is_idempotent {
-            // Never more than one attempt is in flight.
+            // At most one attempt is in flight, so it is the last one sent.
             let attempt = live.attempts() - 1;
             actions.push(Action::Cancel { id, attempt });
         }
@@ -224,7 +224,7 @@
     fn on_attempt_ended(&mut self, end: AttemptEnd, actions: &mut Vec<Action>) {
         let id = end.key.request;
         if end.is_answered {
-            self.record_client_stayed(id);
+            self.record_client_waited(id);
         }
         let Some(sent) = self.record_end(end) else {
             return;
@@ -247,7 +247,7 @@
         self.dispatch_after_end(&request, end.node, actions);
     }
 
-    /// Records the end of an attempt. Returns the attempt, or nothing for an unknown one.
+    /// Records the end of an attempt and returns the attempt, or `None` if it is unknown.
     fn record_end(&mut self, end: AttemptEnd) -> Option<SentAttempt> {
         let live = self.requests.get_mut(end.key.request)?;
         let sent = self.nodes.get_mut(end.node)?.in_flight.take(end.key)?;
@@ -258,7 +258,7 @@
         Some(sent)
     }
 
-    /// Lets a key rest after an attempt that may still be executed.
+    /// Holds back the other requests of a key after an attempt that may still be executed.
     fn settle_key(&mut self, request: &Request, outcome: Outcome) {
         if let Some(key) = request.key.filter(|_| outcome.may_still_execute()) {
             let settles_at = self.now + self.settings.order_settle_time;
@@ -266,7 +266,7 @@
         }
     }
 
-    /// Learns the class's cost and the server's latency from an answer.
+    /// Updates the cost of the class and the latency of the server from an answer.
     fn learn_from_answer(&mut self, request: &Request, end: AttemptEnd) {
         self.learned_cost.record(request, end.took);
         let valuation = self.valuation();
@@ -288,8 +288,8 @@
         }
     }
 
-    fn record_result(&mut self, at: NodeId, result: AttemptResult) {
-        if let Some(node) = self.nodes.get_mut(at) {
+    fn record_result(&mut self, node_id: NodeId, result: AttemptResult) {
+        if let Some(node) = self.nodes.get_mut(node_id) {
             node.record_result(result);
             if node.slow_start.is_active() {
                 self.warmup_rates.record_result(result.failed);
@@ -312,10 +312,10 @@
         }
     }
 
-    /// Sends what the end of an attempt has made room for: at its server's shard, and the next
-    /// request of its key.
-    fn dispatch_after_end(&mut self, request: &Request, at: NodeId, actions: &mut Vec<Action>) {
-        let shard = self.nodes[at].shard();
+    /// Sends the requests that the end of an attempt allows: those queued at the shard of its
+    /// server and the next request of its key.
+    fn dispatch_after_end(&mut self, request: &Request, node: NodeId, actions: &mut Vec<Action>) {
+        let shard = self.nodes[node].shard();
         self.dispatch(shard, actions);
         let next = request.key.and_then(|key| self.key_order.first(key));
         let next_shard = next.and_then(|id| self.requests.get(id)?.shard());
@@ -341,13 +341,13 @@
         self.move_waiting_objects(actions);
         if self.now - self.last_second_at >= SECOND {
             self.last_second_at = self.now;
-            self.on_second(actions);
+            self.run_every_second(actions);
         }
         self.dispatch_all(actions);
     }
 
-    /// Counts overdue attempts as failed before any outcome, as a server without answers shows
-    /// nothing else.
+    /// Counts overdue attempts as failed before they end, as a server that does not answer gives no
+    /// other sign of its load.
     fn count_overdue(&mut self) {
         let now = self.now;
         let mut overdue = Vec::new();
@@ -357,16 +357,16 @@
             node.in_flight
                 .count_overdue(now, newest_answered_send, on_failure);
         });
-        for (at, class) in overdue {
+        for (node_id, class) in overdue {
             let result = AttemptResult {
                 class,
                 failed: true,
             };
-            self.record_result(at, result);
+            self.record_result(node_id, result);
         }
     }
 
-    /// Detects silent servers, and ends control periods and warm-ups that are over.
+    /// Detects silent servers, and ends the control periods and warm-ups that are over.
     fn visit_active_nodes(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let window = self.settings.overload_window();
@@ -383,7 +383,7 @@
         self.nodes.retire_resting();
     }
 
-    fn on_second(&mut self, actions: &mut Vec<Action>) {
+    fn run_every_second(&mut self, actions: &mut Vec<Action>) {
         self.rebalancer.rebalance(&mut self.nodes);
         self.warmup_rates.update(self.now, &mut self.nodes);
         self.volumes.expire_idle(self.now);
--- a/crates/core/src/policy/scheduler/mod.rs
+++ b/crates/core/src/policy/scheduler/mod.rs
@@ -1,8 +1,8 @@
-//! The coordinator of the decisions: its parts, its creation, its settings and the limits that the
-//! fleet assigns.
+//! The scheduler, which coordinates all decisions: its components, settings and updates from the
+//! fleet.
 //!
-//! [`events`] has a function of steps for each event, [`dispatch`] takes requests from the queues
-//! to the chunk servers or to their final answers.
+//! [`events`] handles each kind of event; [`dispatch`] sends queued requests to chunk servers or
+//! gives them their final answers.
 
 mod dispatch;
 mod events;
@@ -28,8 +28,8 @@
 use crate::settings_reload::ReplacedEntry;
 use crate::state::{RateLimit, RequestTable};
 
-/// The decision module of one front: it takes events and returns actions. See the crate's
-/// documentation for an example.
+/// The decision module of one front. It handles events and returns actions. The documentation of
+/// the crate has an example.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     settings: Settings,
@@ -45,7 +45,7 @@
     fleet_limits: FleetLimits,
     learned_cost: LearnedCost,
     retry_history: RetryHistory,
-    /// By class.
+    /// One entry for each class.
     client_patience: Vec<ClientPatience>,
     admission: AdmissionControl,
     warmup_rates: WarmupRates,
@@ -53,21 +53,22 @@
     subscription: EndpointSubscription,
 }
 
-/// The number of chunk servers that a front knows.
+/// How many chunk servers a front knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeCounts {
-    /// In the endpoint list.
+    /// The servers in the endpoint list.
     pub listed: usize,
-    /// Of those, the ones that get no regular requests: draining, suspect or ejected.
+    /// The listed servers that get no regular requests, as they are draining, suspect or ejected
+    /// for all classes.
     pub avoided: usize,
 }
 
 impl Scheduler {
-    /// A scheduler that knows only its settings. `seed` starts its random numbers.
+    /// Creates a scheduler without chunk servers. `seed` initializes its random number generator.
     ///
     /// # Errors
-    /// [`SettingsError`] for settings that are not valid, such as no classes or a rate that is not
-    /// finite.
+    /// Returns a [`SettingsError`] if the settings are not valid, for instance if there is no class
+    /// or a rate is not finite.
     pub fn new(settings: Settings, seed: u64, now: Nanos) -> Result<Self, SettingsError> {
         settings.check()?;
         let classes = settings.classes.len();
@@ -93,14 +94,14 @@
         })
     }
 
-    /// Applies reloaded settings. Classes and plans keep their numbers, as a
-    /// [`VersionedTable`](crate::settings_reload::VersionedTable) assigns them; a class in
-    /// `replaced` takes the learned values of the older one that it replaces. Requests under way
-    /// keep their class and the number of attempts they were allowed.
+    /// Applies reloaded settings. Classes and plans keep the indices that a
+    /// [`VersionedTable`](crate::settings_reload::VersionedTable) assigned to them. A class in
+    /// `replaced` copies the learned values of the class that it replaces. Requests in progress
+    /// keep their class, and the number of attempts that they were allowed as an upper limit.
     ///
     /// # Errors
-    /// [`SettingsError`] for settings that are not valid or have fewer classes or plans; then
-    /// nothing changes.
+    /// Returns a [`SettingsError`] and changes nothing if the settings are not valid or have fewer
+    /// classes or plans than before.
     pub fn apply_settings(
         &mut self,
         settings: Settings,
@@ -127,12 +128,12 @@
         Ok(())
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// The number of listed chunk servers, and of those that are avoided.
+    /// Returns the number of listed chunk servers, and how many of them are avoided.
     pub fn node_counts(&self) -> NodeCounts {
         let listed = || self.nodes.values().filter(|node| !node.is_removed());
         let avoided = listed().filter(|node| {
@@ -144,20 +145,20 @@
         }
     }
 
-    /// The number of chunk servers that the next tick visits.
+    /// Returns the number of chunk servers that the next tick visits.
     pub fn nodes_per_tick(&self) -> usize {
         self.nodes.active_count()
     }
 
-    /// Whether no request is waiting and no attempt is in flight.
+    /// Returns whether no request is in progress or queued and no attempt is in flight.
     pub fn is_at_rest(&self) -> bool {
         let has_in_flight = self.nodes.values().any(|node| !node.in_flight.is_empty());
         let has_queued = self.queues.waiting_shards().next().is_some();
         self.requests.is_empty() && !has_queued && !has_in_flight
     }
 
-    /// Hashes all that later decisions depend on, with times relative to `now`, for the model
-    /// checker, which takes states with the same fingerprint for the same state.
+    /// Hashes all state that later decisions depend on, with times relative to `now`. The model
+    /// checker treats states with the same fingerprint as equal.
     pub fn fingerprint<H: Hasher>(&self, now: Nanos, hasher: &mut H) {
         (now - self.now, self.is_started, self.random.get_seed()).hash(hasher);
         (now - self.last_second_at).hash(hasher);
@@ -178,7 +179,7 @@
         self.subscription.fingerprint(now, hasher);
     }
 
-    /// Until when an attempt of a request may begin.
+    /// Returns the time until which an attempt of a request may begin.
     pub(crate) fn begin_deadline(&self, id: RequestId) -> Nanos {
         self.requests.get(id).map_or(Nanos::MAX, |live| {
             let class = &self.settings.classes[live.request().class];
@@ -186,7 +187,7 @@
         })
     }
 
-    /// Applies an update from the fleet.
+    /// Applies an update of the state that all fronts share, or the shutdown of this front.
     fn on_fleet_update(&mut self, update: FleetUpdate) {
         match update {
             FleetUpdate::SharedLimit {
@@ -195,14 +196,20 @@
                 burst,
                 at,
             } => self.apply_shared_limit(limit, RateLimit { rate, burst }, at),
-            FleetUpdate::Ejection { node: at, classes } => {
-                let node = self.nodes.get_mut(at);
+            FleetUpdate::Ejection {
+                node: node_id,
+                classes,
+            } => {
+                let node = self.nodes.get_mut(node_id);
                 if node.is_some_and(|node| node.apply_ejection(self.now, classes)) {
-                    self.nodes.activate(at);
+                    self.nodes.activate(node_id);
                 }
             }
-            FleetUpdate::Probe { node: at, until } => {
-                if let Some(node) = self.nodes.get_mut(at) {
+            FleetUpdate::Probe {
+                node: node_id,
+                until,
+            } => {
+                if let Some(node) = self.nodes.get_mut(node_id) {
                     node.ejection.request_probe(until);
                 }
             }
@@ -226,7 +233,7 @@
         }
     }
 
-    /// The class of a request.
+    /// Returns the class of a request.
     fn class(&self, request: &Request) -> &Class {
         &self.settings.classes[request.class]
     }
--- a/crates/core/src/request_tracker.rs
+++ b/crates/core/src/request_tracker.rs
@@ -1,11 +1,11 @@
-//! Tracks client requests and their attempts, from receipt to the one final answer.
+//! Tracks client requests and their attempts, from receipt to the final answer.
 //!
 //! The [`RequestTracker`] connects three parties: the front that receives requests, the transport
-//! that carries attempts, and the policy that decides (the [`Scheduler`](crate::Scheduler), or
-//! another implementation of [`Decisions`]). It enforces what must hold whatever the policy
-//! decides: each request gets one final answer, each attempt starts once and ends once, and the
-//! state of a finished request is dropped. It does no I/O: feed it each [`Input`] and carry out the
-//! [`Effect`]s in their order.
+//! that sends attempts, and the policy, which is the [`Scheduler`](crate::Scheduler) or another
+//! implementation of [`Decisions`]. It enforces what must hold whatever the policy decides: each
+//! request gets exactly one final answer, each attempt starts once and ends once, and the state of
+//! a finished request is dropped. It does no I/O: the caller passes it each [`Input`] and carries
+//! out the resulting [`Effect`]s in their order.
 
 mod attempts;
 mod decisions;
@@ -21,18 +21,18 @@
 use crate::interface::{Action, Event, Nanos, Outcome, Request, RequestId};
 use crate::mutations::{mutated, Mutation};
 
-/// All requests of one front, and the policy that decides on them.
+/// The requests in progress at one front, and the policy that decides on them.
 #[derive(Clone, Debug)]
 pub struct RequestTracker<D> {
     decisions: D,
     requests: BTreeMap<RequestId, InFlightRequest>,
     next_id: RequestId,
-    /// Reused between events to avoid allocations.
+    /// Buffer for the policy's actions, reused between events to avoid allocations.
     actions: Vec<Action>,
 }
 
 impl<D: Decisions> RequestTracker<D> {
-    /// A tracker without requests.
+    /// Creates a tracker without requests.
     pub fn new(decisions: D) -> RequestTracker<D> {
         RequestTracker {
             decisions,
@@ -42,24 +42,24 @@
         }
     }
 
-    /// An id for a new request, unique within this tracker.
+    /// Returns an id for a new request, unique within this tracker.
     pub fn allocate_id(&mut self) -> RequestId {
         let id = self.next_id;
         self.next_id = RequestId(id.0 + 1);
         id
     }
 
-    /// Requests without a final answer, or with attempts in flight.
+    /// Returns the requests that have no final answer or have attempts in flight.
     pub fn requests(&self) -> &BTreeMap<RequestId, InFlightRequest> {
         &self.requests
     }
 
-    /// The policy.
+    /// Returns the policy that decides on the requests.
     pub fn decisions(&self) -> &D {
         &self.decisions
     }
 
-    /// The policy, for changes that are no event of a request, such as new settings.
+    /// Returns the policy, for changes that no [`Input`] covers, such as reloaded settings.
     pub fn decisions_mut(&mut self) -> &mut D {
         &mut self.decisions
     }
@@ -68,7 +68,7 @@
     pub fn on(&mut self, now: Nanos, input: Input, effects: &mut Vec<Effect>) {
         match input {
             Input::RequestReceived(request) => self.request_received(now, request, effects),
-            Input::ClientDisconnected(id) => self.client_gone(now, id, effects),
+            Input::ClientDisconnected(id) => self.client_disconnected(now, id, effects),
             Input::Overdue(id) => self.overdue(now, id, effects),
             Input::AttemptEnded {
                 id,
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Carries out one action of the policy. [`RequestTracker::on`] does so for the actions that an
-    /// input causes; a checker that takes the place of the policy calls it directly.
+    /// Applies one action of the policy. [`RequestTracker::on`] does so for the actions that an
+    /// input causes; a model checker that takes the place of the policy calls this directly.
     pub fn apply_decision(&mut self, now: Nanos, action: Action, effects: &mut Vec<Effect>) {
         let mut follow_ups = VecDeque::new();
         self.apply_action(now, action, &mut follow_ups, effects);
@@ -130,7 +130,7 @@
         self.decide(now, Event::Request(request), effects);
     }
 
-    /// Fails a request that the policy has left without a final answer past its deadline.
+    /// Fails a request that the policy has not answered by its deadline.
     fn overdue(&mut self, now: Nanos, id: RequestId, effects: &mut Vec<Effect>) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -140,28 +140,28 @@
                 id,
                 answer: FinalAnswer::Failed,
             });
-            self.client_gone(now, id, effects);
+            self.client_disconnected(now, id, effects);
         }
     }
 
-    /// Handles the disconnect of the client of a request without a final answer.
-    fn client_gone(&mut self, now: Nanos, id: RequestId, effects: &mut Vec<Effect>) {
+    /// Handles the disconnect of a client whose request has no final answer.
+    fn client_disconnected(&mut self, now: Nanos, id: RequestId, effects: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         if request.answered {
             return;
         }
-        request.answered = !mutated(Mutation::AnswerAfterClientGone);
+        request.answered = !mutated(Mutation::AnswerAfterDisconnect);
         self.withdraw_attempts(id, effects);
-        if !mutated(Mutation::NoReleaseAfterClientGone) {
+        if !mutated(Mutation::NoReleaseAfterDisconnect) {
             self.release_if_finished(id, effects);
         }
         self.decide(now, Event::ClientGone(id), effects);
     }
 
-    /// Passes an event to the policy and applies its actions. Events that the actions cause follow
-    /// after all actions of the same batch.
+    /// Passes an event to the policy and applies its actions. An event that an action causes is
+    /// passed on only after all actions of the same batch have been applied.
     fn decide(&mut self, now: Nanos, event: Event, effects: &mut Vec<Effect>) {
         let mut follow_ups = VecDeque::new();
         let mut next = Some(event);
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Emits a final answer, unless the request has one.
+    /// Emits a final answer, unless the request already has one.
     fn answer(&mut self, id: RequestId, answer: FinalAnswer, effects: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -209,7 +209,7 @@
         self.release_if_finished(id, effects);
     }
 
-    /// Drops a request that is answered and has no attempt in flight.
+    /// Drops a request that is answered or disconnected and has no attempt in flight.
     fn release_if_finished(&mut self, id: RequestId, effects: &mut Vec<Effect>) {
         let Some(request) = self.requests.get(&id) else {
             return;
--- a/crates/core/src/request_tracker/attempts.rs
+++ b/crates/core/src/request_tracker/attempts.rs
@@ -6,23 +6,25 @@
 };
 use crate::mutations::{mutated, Mutation};
 
-/// How far [`Mutation::TimeoutPastClientDeadline`] moves the deadline of an attempt past that of
-/// its client.
+/// Nanoseconds by which [`Mutation::TimeoutPastClientDeadline`] moves the deadline of an attempt
+/// past that of its client.
 const MUTATED_DEADLINE_EXCESS: Nanos = 1_000_000_000;
 
 /// How an attempt ended, with the use of its volume that the chunk server reported.
 pub(super) struct AttemptEnd {
+    /// The request that the attempt belongs to.
     pub id: RequestId,
+    /// The number of the attempt within the request, from 0.
     pub attempt: u32,
     pub outcome: Outcome,
-    /// 1 + the volume's use in percent of its plan's rate; 0 means unknown.
+    /// The volume's use in percent of its plan's rate, plus 1; 0 if unknown.
     pub observed_use: f64,
-    /// Units that the chunk server served to the volume through other fronts.
+    /// Units that the chunk server served for the volume through other fronts.
     pub foreign_units: f64,
 }
 
 impl AttemptEnd {
-    /// An end without a response, and so without a report of the volume's use.
+    /// Creates an end without a response, and so without a report of the volume's use.
     pub fn without_response(id: RequestId, attempt: u32, outcome: Outcome) -> AttemptEnd {
         AttemptEnd {
             id,
@@ -35,8 +37,8 @@
 }
 
 impl<D: Decisions> RequestTracker<D> {
-    /// Starts an attempt. For a request that is answered already, returns the event that ends it
-    /// unsent instead.
+    /// Starts an attempt. If the request is already answered, returns the event that ends the
+    /// attempt unsent instead.
     pub(super) fn send(
         &mut self,
         now: Nanos,
@@ -77,7 +79,7 @@
         None
     }
 
-    /// Requests the cancellation of an attempt in flight, once.
+    /// Requests the cancellation of an attempt in flight, at most once.
     pub(super) fn cancel(&mut self, id: RequestId, attempt: u32, effects: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Handles the end of an attempt. The first one that was served answers its request.
+    /// Handles the end of an attempt. The first attempt that is served answers its request.
     pub(super) fn attempt_ended(&mut self, now: Nanos, end: AttemptEnd, effects: &mut Vec<Effect>) {
         let id = end.id;
         let Some(request) = self.requests.get_mut(&id) else {
@@ -127,8 +129,8 @@
         self.decide(now, event, effects);
     }
 
-    /// Withdraws the attempts of a request whose response nobody waits for. Their end says nothing
-    /// about their chunk servers, hence [`Outcome::NotSent`].
+    /// Withdraws the attempts of a request whose client is answered or disconnected. The outcome is
+    /// [`Outcome::NotSent`], as the withdrawal says nothing about the chunk servers.
     pub(super) fn withdraw_attempts(&self, id: RequestId, effects: &mut Vec<Effect>) {
         if mutated(Mutation::WithdrawalOmitted) {
             return;
@@ -145,8 +147,8 @@
         }
     }
 
-    /// Withdraws the attempts at chunk servers that drain or are removed: one that has not begun
-    /// was not executed and may be retried elsewhere.
+    /// Withdraws the attempts at chunk servers that are draining or removed: an attempt that has
+    /// not begun was not executed and may be retried elsewhere.
     pub(super) fn withdraw_from_draining(
         &self,
         scope: UpdateScope,
@@ -171,7 +173,8 @@
     }
 }
 
-/// When an attempt times out: after `timeout`, where that is not 0, and no later than its client.
+/// Returns when an attempt times out: `timeout` nanoseconds from `now`, unless that is 0, but no
+/// later than the client's deadline.
 fn attempt_deadline(now: Nanos, timeout: Nanos, client_deadline: Nanos) -> Nanos {
     match timeout {
         0 if mutated(Mutation::TimeoutPastClientDeadline) => {
@@ -182,8 +185,8 @@
     }
 }
 
-/// Whether a chunk server that was up still is after an update of the endpoint list. The last entry
-/// of a server counts; a complete list removes those that it does not name.
+/// Returns whether a chunk server that was up is still up after an update of the endpoint list. The
+/// last entry of a server counts; a complete list removes the servers that it does not contain.
 fn stays_up(node: NodeId, scope: UpdateScope, nodes: &[NodeInfo]) -> bool {
     match nodes.iter().rev().find(|info| info.node == node) {
         Some(info) => info.state == EndpointState::Up,
--- a/crates/core/src/request_tracker/decisions.rs
+++ b/crates/core/src/request_tracker/decisions.rs
@@ -3,13 +3,13 @@
 use crate::interface::{Action, Event, Nanos, RequestId};
 use crate::policy::Scheduler;
 
-/// The policy that decides on requests: handles events in order and appends its actions.
+/// A policy that decides on requests. It receives events in order and returns actions.
 pub trait Decisions {
-    /// Handles one event. `now` never goes back between calls.
+    /// Handles one event and appends its actions. `now` never decreases between calls.
     fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>);
 
-    /// Until when the first byte of an attempt placed now may be written; later the request may no
-    /// longer be repeated.
+    /// Returns the time until which the first byte of an attempt sent now may be written. After it,
+    /// the request may no longer be repeated.
     fn begin_deadline(&self, _id: RequestId) -> Nanos {
         Nanos::MAX
     }
--- a/crates/core/src/request_tracker/in_flight.rs
+++ b/crates/core/src/request_tracker/in_flight.rs
@@ -1,4 +1,4 @@
-//! State of the requests and attempts that the tracker holds.
+//! The state of the requests and attempts that the tracker holds.
 
 use crate::interface::{Nanos, NodeId};
 use crate::mutations::{mutated, Mutation};
@@ -6,18 +6,18 @@
 /// A request that has no final answer yet, or has attempts in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct InFlightRequest {
-    /// When its client gives up.
+    /// When the client stops waiting for an answer.
     pub deadline: Nanos,
-    /// Whether its final answer was emitted, or its client is gone.
+    /// Whether the final answer was emitted or the client has disconnected.
     pub answered: bool,
-    /// Number of attempts started so far; also the number of the next one.
+    /// The number of attempts started so far, which is also the number of the next one.
     pub attempts_started: u32,
-    /// Its attempts in flight.
+    /// The attempts that have not ended.
     pub in_flight: Vec<InFlightAttempt>,
 }
 
 impl InFlightRequest {
-    /// A request without attempts.
+    /// Creates a request without attempts.
     pub(super) fn new(deadline: Nanos) -> InFlightRequest {
         InFlightRequest {
             deadline,
@@ -27,28 +27,28 @@
         }
     }
 
-    /// Counts one more attempt and returns its number.
+    /// Returns the number of a new attempt and counts it.
     pub(super) fn allocate_attempt(&mut self) -> u32 {
         self.attempts_started += 1;
         self.attempts_started - 1
     }
 
-    /// The attempt of a number, while it is in flight.
+    /// Returns the attempt with a number, if it is in flight.
     pub(super) fn attempt_mut(&mut self, attempt: u32) -> Option<&mut InFlightAttempt> {
         self.in_flight
             .iter_mut()
             .find(|in_flight| in_flight.attempt == attempt)
     }
 
-    /// The attempts in flight whose cancellation was not requested.
+    /// Returns the attempts in flight whose cancellation was not requested.
     pub(super) fn uncancelled_attempts(&self) -> impl Iterator<Item = &InFlightAttempt> {
         self.in_flight
             .iter()
             .filter(|in_flight| !in_flight.cancelled)
     }
 
-    /// Removes an attempt that has ended. `None` if it has ended before: a second report of its end
-    /// was already on its way.
+    /// Removes an attempt that has ended. Returns `None` if it ended before, as a second report of
+    /// its end may already be under way.
     pub(super) fn end_attempt(&mut self, attempt: u32) -> Option<InFlightAttempt> {
         let position = self
             .in_flight
@@ -65,12 +65,12 @@
 /// An attempt that has not ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct InFlightAttempt {
-    /// Its number, counted within the request.
+    /// The number of the attempt within its request, from 0.
     pub attempt: u32,
-    /// The chunk server that it was sent to.
+    /// The chunk server that the attempt was sent to.
     pub node: NodeId,
-    /// When it was started.
+    /// When the attempt was started.
     pub sent_at: Nanos,
-    /// Whether its cancellation was requested.
+    /// Whether the cancellation was requested.
     pub cancelled: bool,
 }
--- a/crates/core/src/request_tracker/messages.rs
+++ b/crates/core/src/request_tracker/messages.rs
@@ -1,4 +1,4 @@
-//! Inputs and effects of the request tracker.
+//! The inputs and effects of the request tracker.
 
 use crate::interface::{
     FleetUpdate, Nanos, NodeId, NodeInfo, Outcome, Request, RequestId, RuntimeCommand, UpdateScope,
@@ -7,100 +7,102 @@
 /// An event that the request tracker handles.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A request was received. Its id comes from [`RequestTracker::allocate_id`].
+    /// A request was received. Its id was allocated by [`RequestTracker::allocate_id`].
     ///
     /// [`RequestTracker::allocate_id`]: super::RequestTracker::allocate_id
     RequestReceived(Request),
-    /// The client of the request disconnected.
+    /// The client of a request disconnected.
     ClientDisconnected(RequestId),
-    /// The client's deadline and a grace period have passed without a final answer.
+    /// The client's deadline and a grace period have passed without a final answer to the request.
     Overdue(RequestId),
-    /// An attempt ended by itself.
+    /// An attempt ended, neither by its timeout nor by a cancellation.
     AttemptEnded {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// Number of the attempt.
+        /// The number of the attempt within the request, from 0.
         attempt: u32,
-        /// How it ended. Only [`Outcome::Served`] carries the response for the client.
+        /// How the attempt ended. Only [`Outcome::Served`] carries the response for the client.
         outcome: Outcome,
-        /// 1 + the volume's use in percent of its plan's rate; 0 means unknown.
+        /// The volume's use in percent of its plan's rate, plus 1; 0 if unknown.
         observed_use: f64,
-        /// Units that the chunk server served to the volume through other fronts.
+        /// Units that the chunk server served for the volume through other fronts.
         foreign_units: f64,
     },
-    /// The timeout of an attempt expired and the transport dropped it.
+    /// The timeout of an attempt expired, and the transport dropped the attempt.
     AttemptTimedOut {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// Number of the attempt.
+        /// The number of the attempt within the request, from 0.
         attempt: u32,
     },
     /// The transport dropped an attempt in response to [`Effect::Cancel`].
     AttemptCancelled {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// Number of the attempt.
+        /// The number of the attempt within the request, from 0.
         attempt: u32,
     },
     /// An update of the endpoint list.
     Endpoints {
-        /// What part of the list the update covers.
+        /// The part of the list that the update covers.
         scope: UpdateScope,
-        /// Its entries.
+        /// The entries of the update.
         nodes: Vec<NodeInfo>,
     },
-    /// An update of the state that all fronts share, or the shutdown of this one.
+    /// An update of the state that all fronts share, or the shutdown of this front.
     FleetUpdate(FleetUpdate),
-    /// A timer has expired; carries the cookie of [`RuntimeCommand::SetTimer`].
+    /// A timer expired. The value is the cookie of [`RuntimeCommand::SetTimer`].
     Timer(u64),
 }
 
-/// A command to the transport, the server of clients or the runtime, to be carried out in the order
-/// of emission.
+/// A command to the transport, to the code that answers clients or to the runtime. Commands are
+/// carried out in the order of emission.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Start an attempt, once.
+    /// Start an attempt. It is emitted once for each attempt.
     Send {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// Number of the attempt.
+        /// The number of the attempt within the request, from 0.
         attempt: u32,
         /// The chunk server to send it to.
         node: NodeId,
         /// When the attempt times out.
         deadline: Nanos,
-        /// When its first byte must have been written; otherwise it ends as if withdrawn with
-        /// [`Outcome::NotSent`].
+        /// The time by which the first byte must be written; otherwise the attempt ends as if
+        /// withdrawn with [`Outcome::NotSent`].
         begin_by: Nanos,
     },
-    /// Drop an attempt in flight and report [`Input::AttemptCancelled`], unless it ends first.
+    /// Drop an attempt in flight and report [`Input::AttemptCancelled`], unless the attempt ends
+    /// first.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// Number of the attempt.
+        /// The number of the attempt within the request, from 0.
         attempt: u32,
     },
-    /// The attempt is no longer wanted. If none of its bytes is written, it ends now with this
-    /// outcome and none will be; otherwise it goes on.
+    /// An attempt is no longer wanted. If none of its bytes is written yet, end it now with the
+    /// given outcome and write none; otherwise let it continue.
     Withdraw {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// Number of the attempt.
+        /// The number of the attempt within the request, from 0.
         attempt: u32,
-        /// Its outcome if nothing is written yet.
+        /// The outcome of the attempt if nothing is written yet.
         outcome: Outcome,
     },
-    /// The only final answer of a request. [`FinalAnswer::Served`] is emitted only while
-    /// [`Input::AttemptEnded`] is handled, and stands for the response that came with it.
+    /// Send the final answer to a request. It is emitted once for each request.
+    /// [`FinalAnswer::Served`] is emitted only while [`Input::AttemptEnded`] is handled, and stands
+    /// for the response of that attempt.
     Answer {
-        /// The request.
+        /// The request to answer.
         id: RequestId,
         /// The answer for the client.
         answer: FinalAnswer,
     },
-    /// The tracker has dropped the request; state that others keep for it may go.
+    /// The tracker has dropped the request; other components may drop their state for it.
     Release(RequestId),
-    /// A command of the policy that concerns no request.
+    /// Carry out a command of the policy that concerns no request.
     Runtime(RuntimeCommand),
 }
 
@@ -109,8 +111,8 @@
 pub enum FinalAnswer {
     /// The response of a chunk server.
     Served,
-    /// The request never ran, or repeating it does no harm; the client may retry after this time.
+    /// The request was not executed or is safe to repeat; the client may retry after this time.
     Rejected(Nanos),
-    /// The request failed, and may have run.
+    /// The request failed and may have been executed.
     Failed,
 }
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! The plain data of the decision module and its estimators. No decision is made here and no
-//! constant of a decision is chosen here: both are in [`crate::policy`].
+//! The state and the estimators of the decision module. The decisions and their constants are in
+//! [`crate::policy`].
 
 mod request;
 mod request_table;
--- a/crates/core/src/state/request.rs
+++ b/crates/core/src/state/request.rs
@@ -1,15 +1,15 @@
-//! A request under way.
+//! The state of a request in progress.
 
 use std::hash::{Hash, Hasher};
 
 use crate::interface::{Nanos, NodeId, Outcome, Request, ShardId};
 
-/// The first attempt that may have been executed.
+/// The first attempt of a request that has ended and may have been executed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PossibleExecution {
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Nanos,
-    /// Where it was sent.
+    /// The chunk server that it was sent to.
     pub node: NodeId,
 }
 
@@ -17,32 +17,34 @@
 #[derive(Clone, Debug)]
 pub(crate) struct LiveRequest {
     request: Request,
-    /// The shard it goes to; absent while a new object has none.
+    /// The shard that the request is for; `None` for a new object without a shard.
     shard: Option<ShardId>,
     received_at: Nanos,
-    /// Until then an answer meets the latency objective.
+    /// The time until which an answer meets the latency objective.
     objective_at: Nanos,
-    /// When its client gives up, or the front shuts down.
+    /// When the client stops waiting, or the front shuts down if that is earlier.
     deadline_at: Nanos,
-    /// Attempts sent.
+    /// The number of attempts sent.
     attempts: u32,
-    /// Attempts in flight.
+    /// The number of attempts in flight.
     in_flight: u32,
     possible_execution: Option<PossibleExecution>,
-    /// No attempt is sent before.
+    /// The time before which no attempt is sent.
     not_before: Nanos,
-    /// Whether it waits in a queue, or for a shard.
+    /// Whether the request waits in a queue, or for a shard.
     is_queued: bool,
-    /// Whether its client has its answer or is gone.
+    /// Whether the client has its final answer or has disconnected.
     is_finished: bool,
     /// Whether a streamed answer has begun.
     is_streaming: bool,
-    /// The attempts allowed when it was received; reloaded settings may allow fewer, never more.
+    /// The number of attempts allowed when the request was received. Reloaded settings may lower it
+    /// but not raise it.
     max_attempts: u32,
 }
 
 impl LiveRequest {
-    /// A request received at `now`, with the time left to its latency objective.
+    /// Creates a request received at `now`, with `objective` nanoseconds left to its latency
+    /// objective.
     pub fn new(request: Request, now: Nanos, objective: Nanos, max_attempts: u32) -> LiveRequest {
         LiveRequest {
             shard: request.shard,
@@ -61,87 +63,88 @@
         }
     }
 
-    /// The request as received.
+    /// Returns the request as it was received.
     pub fn request(&self) -> &Request {
         &self.request
     }
 
-    /// The shard it goes to; absent while a new object has none.
+    /// Returns the shard that the request is for; `None` for a new object without a shard.
     pub fn shard(&self) -> Option<ShardId> {
         self.shard
     }
 
-    /// When it was received.
+    /// Returns when the request was received.
     pub fn received_at(&self) -> Nanos {
         self.received_at
     }
 
-    /// Until then an answer meets the latency objective.
+    /// Returns the time until which an answer meets the latency objective.
     pub fn objective_at(&self) -> Nanos {
         self.objective_at
     }
 
-    /// When its client gives up, or the front shuts down.
+    /// Returns when the client stops waiting, or the front shuts down if that is earlier.
     pub fn deadline_at(&self) -> Nanos {
         self.deadline_at
     }
 
-    /// The number of attempts sent.
+    /// Returns the number of attempts sent.
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
 
-    /// The attempts allowed when it was received.
+    /// Returns the number of attempts allowed when the request was received.
     pub fn max_attempts(&self) -> u32 {
         self.max_attempts
     }
 
-    /// The first attempt that has ended and may have been executed.
+    /// Returns the first attempt that has ended and may have been executed.
     pub fn possible_execution(&self) -> Option<PossibleExecution> {
         self.possible_execution
     }
 
-    /// Whether an attempt is in flight.
+    /// Returns whether an attempt is in flight.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.in_flight > 0
     }
 
-    /// Whether it waits in a queue, or for a shard.
+    /// Returns whether the request waits in a queue, or for a shard.
     pub fn is_queued(&self) -> bool {
         self.is_queued
     }
 
-    /// Whether its client has its answer or is gone.
+    /// Returns whether the client has its final answer or has disconnected.
     pub fn is_finished(&self) -> bool {
         self.is_finished
     }
 
-    /// Whether a streamed answer has begun.
+    /// Returns whether a streamed answer has begun.
     pub fn is_streaming(&self) -> bool {
         self.is_streaming
     }
 
-    /// Whether its pause before a retry goes on.
+    /// Returns whether the pause before a retry has not ended yet.
     pub fn is_paused(&self, now: Nanos) -> bool {
         now < self.not_before
     }
 
-    /// Whether an answer must go out now to reach the client, given how late a timer may be.
+    /// Returns whether at most `margin` nanoseconds are left until the deadline. An answer must be
+    /// sent that early, as a timer may be late.
     pub fn is_expired(&self, now: Nanos, margin: Nanos) -> bool {
         now >= self.deadline_at - margin
     }
 
-    /// Whether any of its attempts may have been executed.
+    /// Returns whether any attempt may have been executed, including one in flight.
     pub fn may_have_executed(&self) -> bool {
         self.has_attempt_in_flight() || self.possible_execution.is_some()
     }
 
-    /// Whether it is a new object that no chunk server may hold yet.
+    /// Returns whether the request is for a new object that no ended attempt may have stored.
     pub fn is_unplaced_object(&self) -> bool {
         self.request.shard.is_none() && self.possible_execution.is_none()
     }
 
-    /// Brings the deadline forward.
+    /// Moves the deadline to an earlier time; a later one has no effect.
     pub fn limit_deadline(&mut self, deadline: Nanos) {
         self.deadline_at = self.deadline_at.min(deadline);
     }
@@ -151,31 +154,31 @@
         self.is_streaming = true;
     }
 
-    /// Lets the request wait for a shard, or for one to be found.
+    /// Marks the request as waiting in the queue of a shard, or for a shard to be found.
     pub fn enqueue(&mut self, shard: Option<ShardId>) {
         self.shard = shard;
         self.is_queued = true;
     }
 
-    /// Gives the request another shard and returns the one before.
+    /// Assigns another shard to the request and returns the previous one.
     pub fn replace_shard(&mut self, shard: ShardId) -> Option<ShardId> {
         self.shard.replace(shard)
     }
 
-    /// Takes the shard from a new object that no chunk server may hold yet, so that another one can
-    /// be chosen.
+    /// Clears the shard of a new object that no ended attempt may have stored, so that another
+    /// shard can be chosen.
     pub fn release_shard(&mut self) {
         if self.is_unplaced_object() {
             self.shard = None;
         }
     }
 
-    /// Sends no attempt before a time.
+    /// Delays the next attempt until a time.
     pub fn pause_until(&mut self, time: Nanos) {
         self.not_before = time;
     }
 
-    /// Records an attempt that is sent and returns its number, from 0.
+    /// Records that an attempt is sent and returns its number, from 0.
     pub fn record_send(&mut self) -> u32 {
         let attempt = self.attempts;
         self.attempts += 1;
@@ -184,7 +187,7 @@
         attempt
     }
 
-    /// Records the end of an attempt that was sent to a server at a time.
+    /// Records the end of an attempt that was sent to `node` at `sent_at`.
     pub fn record_end(&mut self, outcome: Outcome, sent_at: Nanos, node: NodeId) {
         self.in_flight -= 1;
         if outcome.may_have_executed() && self.possible_execution.is_none() {
@@ -192,18 +195,18 @@
         }
     }
 
-    /// Marks the request as finished. Returns whether it was waiting.
+    /// Marks the request as finished. Returns whether it was queued.
     pub fn finish(&mut self) -> bool {
         self.is_finished = true;
         std::mem::take(&mut self.is_queued)
     }
 
-    /// Records that the client has its answer.
+    /// Records that the client has its final answer.
     pub fn mark_answered(&mut self) {
         self.is_finished = true;
     }
 
-    /// Hashes all that later decisions depend on, with times relative to `now`.
+    /// Hashes all state that later decisions depend on, with times relative to `now`.
     pub fn fingerprint<H: Hasher>(&self, now: Nanos, hasher: &mut H) {
         (self.shard, now - self.received_at).hash(hasher);
         (now - self.objective_at, now - self.deadline_at).hash(hasher);
--- a/crates/core/src/state/request_table.rs
+++ b/crates/core/src/state/request_table.rs
@@ -1,4 +1,4 @@
-//! The table of requests under way.
+//! The table of requests in progress.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -7,11 +7,11 @@
 use crate::interface::{Nanos, NodeId, RequestId};
 use crate::state::LiveRequest;
 
-/// All requests that are not answered, or that have attempts in flight.
+/// All requests that are not finished or have attempts in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestTable {
     requests: BTreeMap<RequestId, LiveRequest>,
-    /// When all requests are answered, once the front shuts down.
+    /// The latest deadline of any request once the front shuts down; [`Nanos::MAX`] before.
     shutdown_deadline: Nanos,
 }
 
@@ -19,15 +19,15 @@
     type Output = LiveRequest;
 
     /// # Panics
-    /// If there is no such request. The table keeps each request that is queued or has attempts in
-    /// flight.
+    /// Panics if the table does not contain the request. It contains each request that is queued or
+    /// has attempts in flight.
     fn index(&self, id: RequestId) -> &LiveRequest {
         &self.requests[&id]
     }
 }
 
 impl RequestTable {
-    /// An empty table of a front that does not shut down.
+    /// Creates an empty table for a front that is not shutting down.
     pub fn new() -> RequestTable {
         RequestTable {
             requests: BTreeMap::new(),
@@ -35,49 +35,50 @@
         }
     }
 
-    /// Whether there is none.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Whether there is such a request.
+    /// Returns whether the table contains a request.
     pub fn contains(&self, id: RequestId) -> bool {
         self.requests.contains_key(&id)
     }
 
-    /// A request.
+    /// Returns a request, or `None` if the table does not contain it.
     pub fn get(&self, id: RequestId) -> Option<&LiveRequest> {
         self.requests.get(&id)
     }
 
-    /// A request to change.
+    /// Returns a request to be modified, or `None` if the table does not contain it.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut LiveRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// A request whose client waits for its answer.
+    /// Returns a request if its client still waits for the final answer.
     pub fn unfinished(&self, id: RequestId) -> Option<&LiveRequest> {
         self.get(id).filter(|live| !live.is_finished())
     }
 
-    /// Adds a request; it is answered before the front shuts down.
+    /// Adds a request and limits its deadline to that of the shutdown, if the front shuts down.
     pub fn insert(&mut self, mut live: LiveRequest) {
         live.limit_deadline(self.shutdown_deadline);
         self.requests.insert(live.request().id, live);
     }
 
-    /// Removes a request.
+    /// Removes a request and returns it.
     pub fn remove(&mut self, id: RequestId) -> Option<LiveRequest> {
         self.requests.remove(&id)
     }
 
-    /// The requests that satisfy a condition, in the order of their ids.
+    /// Returns the ids of the requests that satisfy a condition, in ascending order.
     pub fn ids_where(&self, condition: impl Fn(&LiveRequest) -> bool) -> Vec<RequestId> {
         let matching = self.requests.iter().filter(|(_, live)| condition(live));
         matching.map(|(id, _)| *id).collect()
     }
 
-    /// The chunk servers that may have executed an attempt of a request.
+    /// Returns the chunk servers of the first possible execution of each request. One server may
+    /// occur several times.
     pub fn possible_executors(&self) -> Vec<NodeId> {
         let executions = self
             .requests
@@ -86,7 +87,7 @@
         executions.map(|execution| execution.node).collect()
     }
 
-    /// Has all requests answered by a deadline.
+    /// Starts the shutdown: limits the deadlines of all present and later requests.
     pub fn shut_down(&mut self, deadline: Nanos) {
         self.shutdown_deadline = deadline;
         for live in self.requests.values_mut() {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Hashes all that later decisions depend on, with times relative to `now`.
+    /// Hashes all state that later decisions depend on, with times relative to `now`.
     pub fn fingerprint<H: Hasher>(&self, now: Nanos, hasher: &mut H) {
         for (id, live) in &self.requests {
             id.hash(hasher);
--- a/crates/core/src/state/settings_check.rs
+++ b/crates/core/src/state/settings_check.rs
@@ -1,14 +1,14 @@
-//! The check of the settings.
+//! Validation of the settings.
 
 use crate::interface::{Class, Plan, Request, Settings, SettingsError};
 
 impl Settings {
-    /// The number of fronts.
+    /// Returns the number of fronts, at least 1.
     pub(crate) fn fronts(&self) -> f64 {
         f64::from(self.front_count.max(1))
     }
 
-    /// Whether a request's class and plan are known.
+    /// Returns whether the class and the plan of a request exist.
     pub(crate) fn has_class_and_plan(&self, request: &Request) -> bool {
         request.class < self.classes.len() && request.plan < self.plans.len()
     }
@@ -16,7 +16,7 @@
     /// Checks that the settings are valid.
     ///
     /// # Errors
-    /// [`SettingsError`] with the first rule that is broken.
+    /// Returns a [`SettingsError`] for the first rule that the settings violate.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() || self.plans.is_empty() {
             return Err(SettingsError::MissingClassOrPlan);
--- a/crates/core/src/state/statistics.rs
+++ b/crates/core/src/state/statistics.rs
@@ -1,21 +1,22 @@
-//! Estimators shared by the decisions: decaying rates, moving averages, a sliding minimum, a
-//! weighted choice. Their time constants are chosen by the callers.
+//! Estimators for the decisions: decaying rates, moving averages, a sliding minimum and a weighted
+//! choice. The callers provide the time constants.
 
 use std::hash::{Hash, Hasher};
 
 use crate::interface::Nanos;
 
-/// A rate per second that decays exponentially with a given time constant, in nanoseconds.
+/// A rate per second that decays exponentially. The caller passes the same time constant, in
+/// nanoseconds, on each call.
 #[derive(Clone, Debug, Default)]
 pub struct Rate {
     /// The rate at `updated_at`.
     per_second: f64,
-    /// When an amount was last added.
+    /// When an amount was last added, or when the rate was created.
     updated_at: Nanos,
 }
 
 impl Rate {
-    /// A rate of zero.
+    /// Creates a rate of zero.
     pub fn new(now: Nanos) -> Rate {
         Rate {
             per_second: 0.0,
@@ -23,24 +24,24 @@
         }
     }
 
-    /// The rate at `now`.
-    pub fn now(&self, now: Nanos, memory: f64) -> f64 {
-        decayed(self.per_second, now - self.updated_at, memory)
+    /// Returns the rate at `now`.
+    pub fn now(&self, now: Nanos, time_constant: f64) -> f64 {
+        decayed(self.per_second, now - self.updated_at, time_constant)
     }
 
     /// Counts one event and returns the rate.
-    pub fn count(&mut self, now: Nanos, memory: f64) -> f64 {
-        self.add(now, 1.0, memory)
+    pub fn count(&mut self, now: Nanos, time_constant: f64) -> f64 {
+        self.add(now, 1.0, time_constant)
     }
 
     /// Adds an amount and returns the rate.
-    pub fn add(&mut self, now: Nanos, amount: f64, memory: f64) -> f64 {
-        self.per_second = self.now(now, memory) + amount * (1e9 / memory);
+    pub fn add(&mut self, now: Nanos, amount: f64, time_constant: f64) -> f64 {
+        self.per_second = self.now(now, time_constant) + amount * (1e9 / time_constant);
         self.updated_at = now;
         self.per_second
     }
 
-    /// When an amount was last added.
+    /// Returns when an amount was last added, or when the rate was created.
     pub fn updated_at(&self) -> Nanos {
         self.updated_at
     }
@@ -52,13 +53,13 @@
     }
 }
 
-/// What is left of a value after some time, decaying with the time constant `memory` in
+/// Returns a value after exponential decay for `elapsed` nanoseconds, with a time constant in
 /// nanoseconds.
-pub fn decayed(value: f64, elapsed: Nanos, memory: f64) -> f64 {
-    value * (-(elapsed.max(0) as f64) / memory).exp()
+pub fn decayed(value: f64, elapsed: Nanos, time_constant: f64) -> f64 {
+    value * (-(elapsed.max(0) as f64) / time_constant).exp()
 }
 
-/// The minimum over the current and the previous span of time; infinite without values.
+/// The minimum of the values in the current and the previous span of time; infinite without values.
 #[derive(Clone, Debug)]
 pub struct SlidingMinimum {
     current: f64,
@@ -67,7 +68,7 @@
 }
 
 impl SlidingMinimum {
-    /// A minimum without values whose first span starts at `now`.
+    /// Creates a minimum without values whose first span starts at `now`.
     pub fn new(now: Nanos) -> SlidingMinimum {
         SlidingMinimum {
             current: f64::INFINITY,
@@ -76,13 +77,14 @@
         }
     }
 
-    /// Forgets all values; the span goes on.
+    /// Drops all values and continues the current span.
     pub fn clear(&mut self) {
         self.current = f64::INFINITY;
         self.previous = f64::INFINITY;
     }
 
-    /// Records a value, after starting another span when the current one is longer than `span`.
+    /// Records a value. If the current span started more than `span` nanoseconds ago, starts a new
+    /// one first.
     pub fn record(&mut self, now: Nanos, value: f64, span: Nanos) {
         if now - self.span_started_at > span {
             self.previous = self.current;
@@ -92,12 +94,12 @@
         self.current = self.current.min(value);
     }
 
-    /// The minimum of both spans.
+    /// Returns the minimum over both spans.
     pub fn minimum(&self) -> f64 {
         self.current.min(self.previous)
     }
 
-    /// Hashes all that later minima depend on, with times relative to `now`.
+    /// Hashes all state that later minima depend on, with times relative to `now`.
     pub(crate) fn fingerprint<H: Hasher>(&self, now: Nanos, hasher: &mut H) {
         self.current.to_bits().hash(hasher);
         self.previous.to_bits().hash(hasher);
@@ -105,7 +107,8 @@
     }
 }
 
-/// An exponentially weighted moving average that starts at its first value.
+/// Returns the exponentially weighted moving average `old` after the value `new`, whose weight is
+/// `alpha`. An average of 0 has no value yet and becomes `new`.
 pub fn moving_average(old: f64, alpha: f64, new: f64) -> f64 {
     if old > 0.0 {
         old + alpha * (new - old)
@@ -114,19 +117,20 @@
     }
 }
 
-/// The weight of a new value in a moving average that also ages by time: at least `alpha`, more
-/// after a long pause.
+/// Returns the weight of a new value in a moving average that also ages with time: at least
+/// `alpha`, and more when `elapsed` is long relative to the time constant, both in nanoseconds.
 pub fn time_aware_alpha(alpha: f64, elapsed: Nanos, time_constant: Nanos) -> f64 {
     alpha.max(1.0 - (-(elapsed.max(0) as f64) / time_constant as f64).exp())
 }
 
-/// The arithmetic mean; absent without items.
+/// Returns the arithmetic mean, or `None` without items.
 pub fn mean(items: impl Iterator<Item = f64>) -> Option<f64> {
     let (sum, count) = items.fold((0.0, 0u32), |(sum, count), item| (sum + item, count + 1));
     (count > 0).then(|| sum / f64::from(count))
 }
 
-/// Chooses an item with a probability proportional to its weight; `draw` is uniform in 0..1.
+/// Chooses an item with a probability proportional to its weight, or returns `None` without items.
+/// `draw` is uniform in 0..1.
 pub fn weighted_choice<T: Copy>(draw: f64, items: &[(T, f64)]) -> Option<T> {
     let mut remaining = draw * items.iter().map(|(_, weight)| weight).sum::<f64>();
     let mut chosen = None;
--- a/crates/core/src/state/token_bucket.rs
+++ b/crates/core/src/state/token_bucket.rs
@@ -1,38 +1,38 @@
-//! Token buckets that are refilled lazily, from the time of the last update.
+//! Token buckets that are refilled when they are used, for the time since the last refill.
 
 use crate::interface::Nanos;
 
-/// A refill rate and a capacity, in the tokens of the limit: work units or attempts.
+/// The refill rate and the capacity of a token bucket. Tokens are work units or attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Tokens added per second.
+    /// The tokens added per second.
     pub rate: f64,
-    /// Most tokens that are kept.
+    /// The maximum number of tokens that accumulate.
     pub burst: f64,
 }
 
 impl RateLimit {
-    /// A bucket with this limit that is empty at `now`.
+    /// Creates a bucket with this limit that is empty at `now`.
     pub fn empty_bucket(self, now: Nanos) -> TokenBucket {
         TokenBucket::new(self.rate, self.burst, 0.0, now)
     }
 }
 
-/// A token bucket. Its level may be negative, as work larger than the level may be charged.
+/// A token bucket. Its level may be negative, as more tokens may be charged than it holds.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
-    /// Tokens added per second.
+    /// The tokens added per second.
     rate: f64,
-    /// Most tokens that are kept.
+    /// The maximum number of tokens that accumulate.
     capacity: f64,
-    /// Tokens available at `updated_at`.
+    /// The tokens available at `updated_at`.
     level: f64,
-    /// When `level` was last brought up to date.
+    /// When the bucket was last refilled.
     updated_at: Nanos,
 }
 
 impl TokenBucket {
-    /// A bucket that holds `level` tokens at `now`.
+    /// Creates a bucket that holds `level` tokens at `now`.
     pub fn new(rate: f64, capacity: f64, level: f64, now: Nanos) -> TokenBucket {
         TokenBucket {
             rate,
@@ -42,37 +42,38 @@
         }
     }
 
-    /// Tokens added per second.
+    /// Returns the tokens added per second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Most tokens that are kept.
+    /// Returns the maximum number of tokens that accumulate.
     pub fn capacity(&self) -> f64 {
         self.capacity
     }
 
-    /// The tokens available at a later time.
+    /// Returns the tokens available at `now` without refilling the bucket.
     pub fn level_at(&self, now: Nanos) -> f64 {
         let mut bucket = self.clone();
         bucket.refill(now);
         bucket.level
     }
 
-    /// Adds the tokens that accrued since the last update.
+    /// Adds the tokens that accrued since the last refill.
     fn refill(&mut self, now: Nanos) {
         let accrued = (now - self.updated_at).max(0) as f64 / 1e9 * self.rate;
         self.level = (self.level + accrued).min(self.capacity);
         self.updated_at = now;
     }
 
-    /// Refills the bucket and takes tokens, also more than it holds.
+    /// Refills the bucket and takes tokens, even if it holds fewer.
     pub fn charge(&mut self, now: Nanos, tokens: f64) {
         self.refill(now);
         self.level -= tokens;
     }
 
-    /// Takes up to this many tokens, as far as the bucket holds them, and returns how many.
+    /// Refills the bucket, takes at most `tokens` as far as it holds them, and returns how many
+    /// were taken.
     pub fn take_available(&mut self, now: Nanos, tokens: f64) -> f64 {
         self.refill(now);
         let taken = tokens.min(self.level);
@@ -80,13 +81,13 @@
         taken
     }
 
-    /// Puts tokens back that were charged and not used.
+    /// Adds tokens that were charged but not used, up to the capacity of the bucket.
     pub fn refund(&mut self, tokens: f64) {
         self.level = (self.level + tokens).min(self.capacity);
     }
 
-    /// Applies another limit from `effective_at` on. Where that is in the past, tokens that accrued
-    /// since at a higher rate are taken back.
+    /// Applies a new limit from `effective_at` on. If that is in the past, the excess tokens that
+    /// accrued since then at a higher rate are taken back.
     pub fn set_limit(&mut self, limit: RateLimit, effective_at: Nanos) {
         let already_elapsed = (self.updated_at - effective_at).max(0) as f64 / 1e9;
         let excess = already_elapsed * (self.rate - limit.rate).max(0.0);
