--- a/crates/fleet-limits/src/adoption.rs
+++ b/crates/fleet-limits/src/adoption.rs
@@ -116,7 +116,7 @@
     /// precedence; where both are, or neither is, the one with the smaller digest.
     pub fn compare_roster(&mut self, now: Nanos, config: &LimitsConfig, heartbeat: &Heartbeat) {
         let takes_precedence = if heartbeat.established == self.is_established {
-            heartbeat.roster < config.roster
+            heartbeat.membership_digest < config.membership_digest
         } else {
             heartbeat.established
         };
--- a/crates/fleet-limits/src/config.rs
+++ b/crates/fleet-limits/src/config.rs
@@ -28,7 +28,7 @@
     /// Number of fronts in the roster.
     pub fronts: u16,
     /// Digest of the roster: only fronts with the same one vote for and grant leases to each other.
-    pub roster: u64,
+    pub membership_digest: u64,
     /// Revision of the roster, from 1.
     pub revision: u32,
     /// How long votes and leases last, counted from when they were requested.
@@ -76,11 +76,11 @@
     /// The default configuration of front `me` of a roster of `fronts`: a lease duration of 2 s, a
     /// heartbeat every 200 ms, clocks that differ by 0.1% at most, and a tenth of each limit as
     /// floors.
-    pub fn new(me: PeerId, fronts: u16, roster: u64) -> LimitsConfig {
+    pub fn new(me: PeerId, fronts: u16, membership_digest: u64) -> LimitsConfig {
         LimitsConfig {
             me,
             fronts,
-            roster,
+            membership_digest,
             revision: 1,
             lease_duration: DEFAULT_LEASE_DURATION,
             heartbeat_interval: DEFAULT_HEARTBEAT_INTERVAL,
--- a/crates/fleet-limits/src/coordinator/heartbeats.rs
+++ b/crates/fleet-limits/src/coordinator/heartbeats.rs
@@ -107,7 +107,7 @@
     /// A heartbeat that identifies this front's roster and says nothing else.
     fn roster_heartbeat(&self) -> Heartbeat {
         Heartbeat {
-            roster: self.config.roster,
+            membership_digest: self.config.membership_digest,
             revision: self.config.revision,
             established: self.adoption.is_established(),
             ..Heartbeat::default()
@@ -176,7 +176,9 @@
 
     /// Takes over what a heartbeat says, if it is accepted.
     fn receive(&mut self, now: Nanos, sender: Holder, heartbeat: &Heartbeat) -> Reception {
-        if heartbeat.roster != self.config.roster && !mutated(Mutation::AnyRoster) {
+        if heartbeat.membership_digest != self.config.membership_digest
+            && !mutated(Mutation::AnyRoster)
+        {
             self.adoption.compare_roster(now, &self.config, heartbeat);
             return Reception::rejected(MessageStatus::RosterMismatch);
         }
--- a/crates/fleet-limits/src/heartbeat.rs
+++ b/crates/fleet-limits/src/heartbeat.rs
@@ -52,7 +52,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Digest of the sender's roster.
-    pub roster: u64,
+    #[serde(rename = "roster")]
+    pub membership_digest: u64,
     /// Revision of the sender's roster.
     pub revision: u32,
     /// What the sender says of itself and of the peers that it hears.
--- a/crates/fleet-limits/tests/coordinator.rs
+++ b/crates/fleet-limits/tests/coordinator.rs
@@ -12,10 +12,14 @@
 const HEARTBEAT_INTERVAL: Nanos = 200 * MS;
 const VOLUME: Limit = Limit::Volume(7);
 
-fn front(me: PeerId, fronts: u16, roster: u64) -> LimitCoordinator {
-    let incarnation = Incarnation(u64::from(me.0) * 100 + roster);
-    LimitCoordinator::new(LimitsConfig::new(me, fronts, roster), incarnation, 0)
-        .expect("the configuration is valid")
+fn front(me: PeerId, fronts: u16, membership_digest: u64) -> LimitCoordinator {
+    let incarnation = Incarnation(u64::from(me.0) * 100 + membership_digest);
+    LimitCoordinator::new(
+        LimitsConfig::new(me, fronts, membership_digest),
+        incarnation,
+        0,
+    )
+    .expect("the configuration is valid")
 }
 
 /// The event by which a heartbeat of a front arrives.
--- a/crates/fleet-limits/tests/golden.rs
+++ b/crates/fleet-limits/tests/golden.rs
@@ -131,7 +131,7 @@
         reachable: vec![PeerId(9)],
     };
     let heartbeat = Heartbeat {
-        roster: 0x8877_6655_4433_2211,
+        membership_digest: 0x8877_6655_4433_2211,
         revision: 257,
         state,
         established: false,
@@ -152,7 +152,7 @@
     assert_golden(
         &heartbeat,
         concat!(
-            "91c4cca1d4cad9bb8801", // roster
+            "91c4cca1d4cad9bb8801", // membership_digest
             "8102",                 // revision
             "f02e",                 // state, sent_at, as zigzag
             "01ad027f",             // state, echo: present, incarnation, sent_at
@@ -179,7 +179,7 @@
 #[test]
 fn heartbeat_without_optional_fields() {
     let heartbeat = Heartbeat {
-        roster: 1,
+        membership_digest: 1,
         revision: 2,
         state: PeerState {
             sent_at: 3,
@@ -204,7 +204,7 @@
     assert_golden(
         &heartbeat,
         concat!(
-            "01",         // roster
+            "01",         // membership_digest
             "02",         // revision
             "0600000000", // state: sent_at, then nothing
             "01",         // established
--- a/crates/testbed/src/simulation/limits/faults.rs
+++ b/crates/testbed/src/simulation/limits/faults.rs
@@ -95,8 +95,8 @@
         for front in 0..self.schedule.fronts {
             let config = &mut self.configs[front];
             config.revision += 1;
-            config.roster = config
-                .roster
+            config.membership_digest = config
+                .membership_digest
                 .wrapping_mul(31)
                 .wrapping_add(u64::from(floor_percent));
             config.floor = FULL_SHARE / 100 * u32::from(floor_percent);
--- a/src/cluster/config.rs
+++ b/src/cluster/config.rs
@@ -99,7 +99,7 @@
         if limits_config.revision == 0 {
             return Err(ClusterConfigError::RevisionZero);
         }
-        limits_config.roster = roster_digest(&limits_config, &roster, ejections);
+        limits_config.membership_digest = roster_digest(&limits_config, &roster, ejections);
         limits_config.check().map_err(ClusterConfigError::Limits)?;
         Ok(ClusterConfig {
             listen: section.listen.0,
--- a/src/cluster/peers/reload.rs
+++ b/src/cluster/peers/reload.rs
@@ -38,7 +38,7 @@
     pub(super) fn reconfigure_parts(&mut self, now: Nanos) {
         let new = &self.config.limits_config;
         // Another digest may mean other fronts, or for the same fronts at other positions.
-        if self.coordinator.config().roster != new.roster {
+        if self.coordinator.config().membership_digest != new.membership_digest {
             self.gossip = self.gossip.with_roster(new.me, new.fronts, now);
         }
         self.gossip.set_rate(self.config.gossip_bytes_per_second);
--- a/tests/cluster/config.rs
+++ b/tests/cluster/config.rs
@@ -33,7 +33,10 @@
     let other_address = read(&VALID.replace("127.0.0.1:3", "127.0.0.1:9")).expect("it is valid");
     assert_eq!(other_address.limits_config, config);
     let other_name = read(&VALID.replace("\"a\"", "\"c\"")).expect("it is valid");
-    assert_ne!(other_name.limits_config.roster, config.roster);
+    assert_ne!(
+        other_name.limits_config.membership_digest,
+        config.membership_digest
+    );
 }
 
 #[test]
--- a/tests/golden_messages.rs
+++ b/tests/golden_messages.rs
@@ -88,7 +88,7 @@
         share: Share(132),
     };
     Heartbeat {
-        roster: 0x8877_6655_4433_2211,
+        membership_digest: 0x8877_6655_4433_2211,
         revision: 257,
         state,
         established: false,
@@ -121,7 +121,7 @@
             "0302",                 // the sender's peer id, low byte first
             "8877665544332211",     // the sender's incarnation, low byte first
             "00",                   // message variant: Heartbeat
-            "91c4cca1d4cad9bb8801", // roster
+            "91c4cca1d4cad9bb8801", // membership_digest
             "8102",                 // revision
             "f02e",                 // state: sent_at
             "01ad027f",             // state: echo
@@ -199,7 +199,7 @@
     ClusterConfig::read(&value, "a")
         .expect("the peers can be read")
         .limits_config
-        .roster
+        .membership_digest
 }
 
 #[test]
@@ -409,9 +409,9 @@
         echo,
         ..PeerState::default()
     };
-    let (roster, revision) = (heartbeat.roster, heartbeat.revision);
+    let (membership_digest, revision) = (heartbeat.membership_digest, heartbeat.revision);
     Message::Heartbeat(Box::new(Heartbeat {
-        roster,
+        membership_digest,
         revision,
         state,
         ..Heartbeat::default()
