--- a/crates/fleet-limits/src/coordinator/heartbeats.rs
+++ b/crates/fleet-limits/src/coordinator/heartbeats.rs
@@ -167,7 +167,7 @@
                 self.report_all(now, now, effects);
             }
             MessageStatus::Accepted { .. } => self.report_some(now, &changed_limits, effects),
-            MessageStatus::RosterMismatch if self.yields_to_roster(now) => {
+            MessageStatus::RosterMismatch if self.yields_to_membership_list(now) => {
                 self.report_all(now, now, effects);
             }
             _ => {}
--- a/crates/fleet-limits/src/coordinator/status.rs
+++ b/crates/fleet-limits/src/coordinator/status.rs
@@ -54,12 +54,12 @@
 
     /// Whether another process or another roster takes precedence, so that this front uses nothing.
     pub fn is_standby(&self, now: Nanos) -> bool {
-        self.members.is_rejected(now) || self.yields_to_roster(now)
+        self.members.is_rejected(now) || self.yields_to_membership_list(now)
     }
 
     /// Whether another roster of the same revision takes precedence over this front's, so that it
     /// uses nothing.
-    pub fn yields_to_roster(&self, now: Nanos) -> bool {
+    pub fn yields_to_membership_list(&self, now: Nanos) -> bool {
         self.adoption.is_preceded(now, &self.config)
     }
 
--- a/crates/fleet-limits/tests/coordinator.rs
+++ b/crates/fleet-limits/tests/coordinator.rs
@@ -184,7 +184,7 @@
     }
     let yielding: Vec<bool> = fronts
         .iter()
-        .map(|front| front.yields_to_roster(now))
+        .map(|front| front.yields_to_membership_list(now))
         .collect();
     assert_eq!(yielding, vec![false, false, true, true]);
     assert!(shares(&fronts, now)[..2]
--- a/src/cluster/peers/status.rs
+++ b/src/cluster/peers/status.rs
@@ -64,7 +64,7 @@
         }
         if !is_standby {
             log!("peers: standby ended: this front uses its shares of the fleet's limits");
-        } else if coordinator.yields_to_roster(now) {
+        } else if coordinator.yields_to_membership_list(now) {
             let revision = coordinator.config().revision;
             log!(
                 "peers: standby, no share of the fleet's limits: other fronts have another roster of revision {revision}"
@@ -181,7 +181,7 @@
             "settled": coordinator.is_settled(),
             "just_started": coordinator.is_starting(now),
             "standing_back": self.is_standby(now),
-            "other_roster": coordinator.yields_to_roster(now),
+            "other_roster": coordinator.yields_to_membership_list(now),
             "banks": issuers,
             "limits": limits,
             "peers": peers,
