--- a/crates/fleet-limits/src/adoption.rs
+++ b/crates/fleet-limits/src/adoption.rs
@@ -1,5 +1,6 @@
-//! How far this front may act under its roster: whether it has waited long enough since its start,
-//! whether the whole fleet has adopted the roster, and whether another roster takes precedence.
+//! Adoption of a membership list, which decides how far this front may act under it: whether the
+//! front's startup period has ended, whether the whole fleet has adopted the list, and whether
+//! another list takes precedence.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -7,114 +8,126 @@
 use crate::fingerprint::time_until;
 use crate::{Heartbeat, LimitsConfig, Nanos, PeerId, Share};
 
-/// The state of one front under its present roster.
+/// One front's progress in adopting its current membership list.
 #[derive(Clone, Debug)]
-pub(crate) struct RosterAdoption {
-    /// Until then this front votes for nobody and uses nothing of its own: an earlier incarnation
-    /// may have.
-    quiet_until: Nanos,
-    /// Upper bound of the floor while the roster is not settled.
-    floor_before: Share,
-    /// The fronts that are known to have adopted the roster.
+pub(crate) struct MembershipAdoption {
+    /// End of the startup period, in which this front does not vote and uses nothing of its own,
+    /// because votes and leases of an earlier incarnation or configuration may not have expired.
+    startup_ends_at: Nanos,
+    /// Upper limit of the floor until the whole fleet has adopted the membership list.
+    previous_floor: Share,
+    /// The fronts that are known to have adopted the membership list.
     settled: BTreeSet<PeerId>,
-    /// Whether the own issuer has been held under this roster.
+    /// Whether this front has held its own issuer under this membership list.
     is_established: bool,
-    /// When a front was last heard whose roster has the same revision and takes precedence over
-    /// this one.
+    /// Time of the latest heartbeat from a front whose membership list has the same revision and
+    /// takes precedence over this front's.
     preceded_at: Option<Nanos>,
 }
 
-impl RosterAdoption {
-    /// A front that has just started.
-    pub fn new(now: Nanos, config: &LimitsConfig) -> RosterAdoption {
-        let mut adoption = RosterAdoption {
-            quiet_until: now + config.lease_span(),
-            floor_before: Share::NONE,
+impl MembershipAdoption {
+    /// Creates the state of a front that has just started.
+    pub fn new(now: Nanos, config: &LimitsConfig) -> MembershipAdoption {
+        let mut adoption = MembershipAdoption {
+            startup_ends_at: now + config.lease_span(),
+            previous_floor: Share::NONE,
             settled: BTreeSet::from([config.me]),
             is_established: false,
             preceded_at: None,
         };
-        // The first roster has no predecessor, so that every front counts as having adopted it.
+        // The first list has no predecessor, so that every front counts as having adopted it.
         if config.is_first_revision() {
-            adoption.floor_before = config.floor_share();
+            adoption.previous_floor = config.floor_share();
             adoption.settled = PeerId::all(config.fronts).collect();
         }
         adoption
     }
 
-    /// A front that changes from the configuration `old` to `new`. Leases and votes of the old one
-    /// may last as long as its own lease duration.
-    pub fn changed(&self, now: Nanos, old: &LimitsConfig, new: &LimitsConfig) -> RosterAdoption {
-        let fresh = RosterAdoption::new(now, new);
-        RosterAdoption {
-            quiet_until: fresh.quiet_until.max(now + old.lease_span()),
-            floor_before: self.usable_floor(old).min(new.floor_share()),
+    /// Returns the state of a front that changes from the configuration `old` to `new`. Leases and
+    /// votes under the old one may last as long as its lease duration.
+    pub fn changed(
+        &self,
+        now: Nanos,
+        old: &LimitsConfig,
+        new: &LimitsConfig,
+    ) -> MembershipAdoption {
+        let fresh = MembershipAdoption::new(now, new);
+        MembershipAdoption {
+            startup_ends_at: fresh.startup_ends_at.max(now + old.lease_span()),
+            previous_floor: self.usable_floor(old).min(new.floor_share()),
             settled: BTreeSet::from([new.me]),
             ..fresh
         }
     }
 
-    /// Counts the front as just started.
-    pub fn restart_quiet_time(&mut self, now: Nanos, config: &LimitsConfig) {
-        self.quiet_until = now + config.lease_span();
+    /// Starts the startup period again.
+    pub fn restart_startup_period(&mut self, now: Nanos, config: &LimitsConfig) {
+        self.startup_ends_at = now + config.lease_span();
     }
 
-    /// The end of the time after the start in which this front uses nothing of its own.
-    pub fn quiet_until(&self) -> Nanos {
-        self.quiet_until
+    /// Returns the end of the startup period.
+    pub fn startup_ends_at(&self) -> Nanos {
+        self.startup_ends_at
     }
 
-    /// Whether the front counts as just started.
+    /// Returns whether this front is in its startup period.
     pub fn is_starting(&self, now: Nanos) -> bool {
-        now < self.quiet_until
+        now < self.startup_ends_at
     }
 
-    /// Whether every front is known to have adopted the roster.
+    /// Returns whether every front is known to have adopted the membership list.
     pub fn is_settled(&self, config: &LimitsConfig) -> bool {
         self.settled.len() == usize::from(config.fronts)
     }
 
-    /// The fronts that are known to have adopted the roster.
+    /// Returns the fronts that are known to have adopted the membership list.
     pub fn settled_fronts(&self) -> impl Iterator<Item = PeerId> + '_ {
         self.settled.iter().copied()
     }
 
-    /// Notes a front that has adopted the roster, with those that it knows to have done so.
+    /// Records that `front` has adopted the membership list, and so have the fronts that it knows
+    /// to have done so (`known`).
     pub fn add_settled(&mut self, config: &LimitsConfig, front: PeerId, known: &[PeerId]) {
-        let in_roster = known.iter().filter(|known| known.0 < config.fronts);
-        self.settled.extend(in_roster);
+        let in_list = known.iter().filter(|known| known.0 < config.fronts);
+        self.settled.extend(in_list);
         self.settled.insert(front);
     }
 
-    /// The floor that this front may use: until the roster is settled, no more than under the one
-    /// before.
+    /// Returns the floor that this front may use. Until the whole fleet has adopted the membership
+    /// list, it does not exceed the floor under the previous one.
     pub fn usable_floor(&self, config: &LimitsConfig) -> Share {
         if self.is_settled(config) {
             config.floor_share()
         } else {
-            self.floor_before.min(config.floor_share())
+            self.previous_floor.min(config.floor_share())
         }
     }
 
-    /// Whether the own issuer has been held under this roster.
+    /// Returns whether this front has held its own issuer under this membership list.
     pub fn is_established(&self) -> bool {
         self.is_established
     }
 
-    /// Notes that the own issuer is held.
+    /// Records that this front holds its own issuer.
     pub fn set_established(&mut self) {
         self.is_established = true;
     }
 
-    /// Whether another roster of the same revision takes precedence over this front's.
+    /// Returns whether another membership list of the same revision takes precedence.
     pub fn is_preceded(&self, now: Nanos, config: &LimitsConfig) -> bool {
         self.preceded_at
             .is_some_and(|at| now < at + config.lease_span())
     }
 
-    /// Two different rosters of one revision are a mistake of configuration. The one in use takes
-    /// precedence; where both are, or neither is, the one with the smaller digest.
-    pub fn compare_roster(&mut self, now: Nanos, config: &LimitsConfig, heartbeat: &Heartbeat) {
+    /// Records whether the sender's membership list takes precedence over this front's. Two
+    /// different lists of the same revision are a configuration error: the list already in use
+    /// takes precedence, or the one with the smaller digest if both or neither are in use.
+    pub fn compare_membership_list(
+        &mut self,
+        now: Nanos,
+        config: &LimitsConfig,
+        heartbeat: &Heartbeat,
+    ) {
         let takes_precedence = if heartbeat.established == self.is_established {
             heartbeat.membership_digest < config.membership_digest
         } else {
@@ -128,8 +141,8 @@
 
     /// Hashes everything on which later decisions depend, with times relative to `now`.
     pub fn fingerprint<H: Hasher>(&self, now: Nanos, config: &LimitsConfig, hasher: &mut H) {
-        time_until(now, self.quiet_until).hash(hasher);
-        self.floor_before.hash(hasher);
+        time_until(now, self.startup_ends_at).hash(hasher);
+        self.previous_floor.hash(hasher);
         self.settled.hash(hasher);
         self.is_established.hash(hasher);
         let preceded_until = self.preceded_at.map(|at| at + config.lease_span());
--- a/crates/fleet-limits/src/claims.rs
+++ b/crates/fleet-limits/src/claims.rs
@@ -1,4 +1,4 @@
-//! The claims of this front on lease issuers, and the votes of the fleet for them.
+//! The claims of this front on lease issuers, and the votes of all fronts for these claims.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -10,21 +10,22 @@
 use crate::votes::{Holder, VoteTable};
 use crate::{LimitsConfig, Nanos, PeerId};
 
-/// A claim on a lease issuer. The issuer is held while a quorum of votes for the claim has not
-/// expired.
+/// A claim on a lease issuer. The claimant holds the issuer while a quorum of unexpired votes
+/// supports the claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct IssuerClaim {
-    /// Votes on heartbeats that were sent before this time belong to an earlier claim.
+    /// When the claim was made. Votes that answer heartbeats sent before this time belong to an
+    /// earlier claim.
     claimed_at: Nanos,
-    /// When the vote of each front expires, by this front's clock.
+    /// Expiry of the vote of each front, by this front's clock.
     vote_expiries: BTreeMap<PeerId, Nanos>,
-    /// Set once the issuer goes back to its home: nothing of it is used or granted any more, and
-    /// all leases from it have expired by this time.
+    /// Set when this front begins to return the issuer to its owner: nothing of it is used or
+    /// granted any more, and all leases from it have expired by this time.
     returns_at: Option<Nanos>,
 }
 
 impl IssuerClaim {
-    /// A claim without votes.
+    /// Creates a claim without votes.
     fn new(now: Nanos) -> IssuerClaim {
         IssuerClaim {
             claimed_at: now,
@@ -33,14 +34,14 @@
         }
     }
 
-    /// Extends a front's vote; an earlier expiry than the known one is ignored.
+    /// Extends a front's vote. An expiry earlier than the known one is ignored.
     fn extend_vote(&mut self, voter: PeerId, expires_at: Nanos) {
         let known = self.vote_expiries.entry(voter).or_insert(Nanos::MIN);
         *known = (*known).max(expires_at);
     }
 
-    /// Until when the issuer may be used: when the vote expires that completes the quorum.
-    /// [`Nanos::MIN`] where it may not be used at all.
+    /// Returns the time until which the issuer may be used: the time from which fewer than `quorum`
+    /// votes are unexpired. [`Nanos::MIN`] if the issuer may not be used at all.
     fn expires_at(&self, quorum: usize) -> Nanos {
         if self.returns_at.is_some() && !mutated(Mutation::IssuerReturnedEarly) {
             return Nanos::MIN;
@@ -64,32 +65,32 @@
     }
 }
 
-/// A vote of a peer for this front's claim on an issuer.
+/// A peer's vote for this front's claim on an issuer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReceivedVote {
-    /// Home of the issuer.
+    /// Owner of the issuer.
     pub issuer: PeerId,
-    /// The voter.
+    /// The front that voted.
     pub voter: PeerId,
-    /// When this front sent the heartbeat that the vote answers.
+    /// Time at which this front sent the heartbeat that the vote answers.
     pub requested_at: Nanos,
-    /// When the vote expires, by this front's clock.
+    /// Time at which the vote expires, by this front's clock.
     pub expires_at: Nanos,
 }
 
-/// All claims of this front, by the issuer's home.
+/// All claims of this front, by the issuer's owner.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct IssuerClaims {
     claims: BTreeMap<PeerId, IssuerClaim>,
 }
 
 impl IssuerClaims {
-    /// Homes of the claimed issuers.
+    /// Returns the owners of the claimed issuers.
     pub fn issuers(&self) -> impl Iterator<Item = PeerId> + '_ {
         self.claims.keys().copied()
     }
 
-    /// Homes of the issuers that this front holds now.
+    /// Returns the owners of the issuers that this front holds now.
     pub fn held<'a>(
         &'a self,
         now: Nanos,
@@ -100,46 +101,47 @@
         held.map(|(issuer, _)| *issuer)
     }
 
-    /// Until when each claimed issuer is this front's to use; some of these times may have passed.
+    /// Returns the time until which this front holds each claimed issuer, which may have passed.
     pub fn expiries<'a>(&'a self, config: &'a LimitsConfig) -> impl Iterator<Item = Nanos> + 'a {
         self.claims
             .iter()
             .map(|(issuer, claim)| expiry(config, *issuer, claim))
     }
 
-    /// When the first of the held issuers expires; [`Nanos::MAX`] without any.
+    /// Returns the earliest expiry of the held issuers, or [`Nanos::MAX`] if none is held.
     pub fn first_expiry(&self, now: Nanos, config: &LimitsConfig) -> Nanos {
         let remaining = self.expiries(config).filter(|expires_at| *expires_at > now);
         remaining.min().unwrap_or(Nanos::MAX)
     }
 
-    /// Updates the claims: the own issuer is always claimed, that of a silent front by its
-    /// successor in the ring.
+    /// Updates the claims. Each front always claims its own issuer. The issuer of a front that is
+    /// dead, has left or is unknown is claimed by that front's successor in the ring.
     pub fn update(&mut self, now: Nanos, config: &LimitsConfig, members: &MembershipTable) {
         let me = config.me;
         self.claims
             .entry(me)
             .or_insert_with(|| IssuerClaim::new(now));
         for issuer in PeerId::all(config.fronts).filter(|issuer| *issuer != me) {
-            self.update_foreign(now, config, members, issuer);
+            self.update_claim_on(now, config, members, issuer);
         }
         self.claims
             .retain(|_, claim| claim.returns_at.is_none_or(|returns_at| now < returns_at));
     }
 
-    /// Claims another front's issuer, or begins to give it up.
-    fn update_foreign(
+    /// Claims the issuer of another front, or begins to return it.
+    fn update_claim_on(
         &mut self,
         now: Nanos,
         config: &LimitsConfig,
         members: &MembershipTable,
         issuer: PeerId,
     ) {
-        let is_home_silent = matches!(
+        let is_owner_unavailable = matches!(
             members.status(now, issuer),
             PeerStatus::Dead | PeerStatus::Left | PeerStatus::Unknown
         );
-        let is_successor = is_home_silent && successor(now, config, members, issuer) == config.me;
+        let is_successor =
+            is_owner_unavailable && successor(now, config, members, issuer) == config.me;
         let Some(claim) = self.claims.get_mut(&issuer) else {
             if is_successor {
                 self.claims.insert(issuer, IssuerClaim::new(now));
@@ -150,8 +152,8 @@
             return;
         }
         let is_held = expiry(config, issuer, claim) > now;
-        if !is_home_silent {
-            // Leases from the issuer must expire before its home may use it again.
+        if !is_owner_unavailable {
+            // Leases from the issuer must expire before its owner may use it again.
             let delay = if is_held && !mutated(Mutation::IssuerReturnedEarly) {
                 config.lease_span()
             } else {
@@ -159,13 +161,13 @@
             };
             claim.returns_at = Some(now + delay);
         } else if !is_successor && !is_held {
-            // Another front claims it, too: two that compete may keep each other from a quorum.
+            // Another front claims it, too, and competing claims may keep both from a quorum.
             self.claims.remove(&issuer);
         }
     }
 
-    /// Votes for each claim as its holder, as far as this front has no other vote outstanding.
-    pub fn vote_for_own(
+    /// Casts this front's own vote for each claim where no vote for another holder rules it out.
+    pub fn cast_own_votes(
         &mut self,
         now: Nanos,
         config: &LimitsConfig,
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Counts a peer's vote, unless the claim is younger than the vote.
+    /// Counts a peer's vote, unless it was requested before the claim was made.
     pub fn count_vote(&mut self, vote: ReceivedVote) {
         let Some(claim) = self.claims.get_mut(&vote.issuer) else {
             return;
@@ -199,13 +201,14 @@
     }
 }
 
-/// Until when an issuer is the claimant's to use.
+/// Returns the time until which a claim holds an issuer.
 fn expiry(config: &LimitsConfig, issuer: PeerId, claim: &IssuerClaim) -> Nanos {
-    let is_home = issuer == config.me;
-    claim.expires_at(config.quorum(is_home))
+    let is_owner = issuer == config.me;
+    claim.expires_at(config.quorum(is_owner))
 }
 
-/// The first front after `peer` in the ring of the roster that is alive, this front included.
+/// Returns the first live front after `peer` in the ring that the membership list forms. This front
+/// counts as alive.
 fn successor(now: Nanos, config: &LimitsConfig, members: &MembershipTable, peer: PeerId) -> PeerId {
     let fronts = u32::from(config.fronts);
     let mut ring = (1..fronts).map(|step| PeerId(((u32::from(peer.0) + step) % fronts) as u16));
--- a/crates/fleet-limits/src/config.rs
+++ b/crates/fleet-limits/src/config.rs
@@ -1,57 +1,59 @@
 //! Configuration that all fronts of a fleet share, except for each front's own position in the
-//! roster.
+//! membership list.
 
 use crate::{Nanos, PeerId, Share, FULL_SHARE};
 
 /// Denominator of [`LimitsConfig::max_clock_drift`].
 pub(crate) const PARTS_PER_MILLION: i128 = 1_000_000;
 
+/// In nanoseconds.
 const MILLISECOND: Nanos = 1_000_000;
 const DEFAULT_LEASE_DURATION: Nanos = 2_000 * MILLISECOND;
 const DEFAULT_HEARTBEAT_INTERVAL: Nanos = 200 * MILLISECOND;
-/// In millionths.
+/// In parts per million.
 const DEFAULT_CLOCK_DRIFT: u32 = 1_000;
 const DEFAULT_FLOOR: Share = Share(FULL_SHARE.0 / 10);
-/// In limits for each heartbeat.
+/// Number of limits that one heartbeat may list.
 const DEFAULT_MAX_LIMITS: usize = 1_000;
 
-/// Heartbeats that must fit into a lease duration, so that votes and leases can be renewed in time.
+/// Minimum number of heartbeats in a lease duration, so that votes and leases are renewed in time.
 const MIN_HEARTBEATS_PER_LEASE: Nanos = 4;
-/// In millionths: clocks that differ by more are broken.
+/// In parts per million: clocks that differ by more are considered broken.
 const MAX_PLAUSIBLE_DRIFT: u32 = 100_000;
 
-/// Configuration of one front.
+/// Configuration of one front's [`LimitCoordinator`](crate::LimitCoordinator).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LimitsConfig {
-    /// This front: the position of its name in the sorted roster, from 0.
+    /// Identifier of this front: the position of its name in the sorted membership list, from 0.
     pub me: PeerId,
-    /// Number of fronts in the roster.
+    /// Number of fronts in the membership list.
     pub fronts: u16,
-    /// Digest of the roster: only fronts with the same one vote for and grant leases to each other.
+    /// Digest of the membership list. Only fronts with the same digest vote for and grant leases to
+    /// each other.
     pub membership_digest: u64,
-    /// Revision of the roster, from 1.
+    /// Revision of the membership list, counted from 1.
     pub revision: u32,
-    /// How long votes and leases last, counted from when they were requested.
+    /// How long votes and leases last, in nanoseconds from when they were requested.
     pub lease_duration: Nanos,
-    /// Interval between two heartbeats to each peer.
+    /// Interval between two heartbeats to the same peer, in nanoseconds.
     pub heartbeat_interval: Nanos,
-    /// How much two clocks may differ over any time span, in millionths of it.
+    /// Maximum difference of two clocks over any time span, in millionths of that span.
     pub max_clock_drift: u32,
-    /// The part of each limit that all fronts together own for good.
+    /// The part of each limit that the fronts own permanently, divided equally among them.
     pub floor: Share,
-    /// Maximum number of limits in a heartbeat.
+    /// Maximum number of limits for which one heartbeat reports demand.
     pub max_limits: usize,
 }
 
-/// Why a configuration is invalid.
+/// The reason why a configuration is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LimitsConfigError {
-    /// The front is not in the roster.
-    #[error("place {me} is not in a roster of {fronts}")]
+    /// The position of the front is not in the membership list.
+    #[error("position {me} is outside a membership list of {fronts} fronts")]
     UnknownPeer {
-        /// The front.
+        /// Configured position of the front.
         me: PeerId,
-        /// Number of fronts in the roster.
+        /// Number of fronts in the membership list.
         fronts: u16,
     },
     /// Heartbeats are too far apart for votes and leases to be renewed in time.
@@ -59,23 +61,23 @@
         "a life of {lease_duration} ns must hold at least four beats of {heartbeat_interval} ns"
     )]
     HeartbeatTooSlow {
-        /// The lease duration.
+        /// Configured lease duration, in nanoseconds.
         lease_duration: Nanos,
-        /// The heartbeat interval.
+        /// Configured heartbeat interval, in nanoseconds.
         heartbeat_interval: Nanos,
     },
-    /// The floor exceeds the limit.
+    /// The floor exceeds the whole limit.
     #[error("a floor of {0} millionths is more than the whole")]
     Floor(Share),
-    /// The clock drift is implausibly large.
-    #[error("a drift of {0} millionths is more than a tenth")]
+    /// The maximum clock drift exceeds a tenth; clocks that differ by more are considered broken.
+    #[error("a clock drift of {0} millionths exceeds one tenth")]
     Drift(u32),
 }
 
 impl LimitsConfig {
-    /// The default configuration of front `me` of a roster of `fronts`: a lease duration of 2 s, a
-    /// heartbeat every 200 ms, clocks that differ by 0.1% at most, and a tenth of each limit as
-    /// floors.
+    /// Returns the default configuration of front `me` in a membership list of `fronts` fronts: a
+    /// lease duration of 2 s, a heartbeat every 200 ms, clocks that differ by 0.1% at most, and a
+    /// tenth of each limit as floors.
     pub fn new(me: PeerId, fronts: u16, membership_digest: u64) -> LimitsConfig {
         LimitsConfig {
             me,
@@ -93,7 +95,7 @@
     /// Validates the configuration.
     ///
     /// # Errors
-    /// The first problem that is found.
+    /// Returns the first problem that is found.
     pub fn check(&self) -> Result<(), LimitsConfigError> {
         if self.me.0 >= self.fronts {
             return Err(LimitsConfigError::UnknownPeer {
@@ -117,40 +119,40 @@
         Ok(())
     }
 
-    /// A time span as this front must measure it to be sure that it has passed by every peer's
-    /// clock.
+    /// Returns how long this front must wait by its own clock to be sure that `span` has passed by
+    /// every peer's clock.
     pub fn with_drift(&self, span: Nanos) -> Nanos {
         let allowance = i128::from(span) * i128::from(self.max_clock_drift) / PARTS_PER_MILLION;
         span + allowance as Nanos + 1
     }
 
-    /// The lease duration with drift: after it, whatever this front has granted has expired by
-    /// every clock.
+    /// Returns the lease duration extended by the clock drift. Once it has passed, everything that
+    /// this front had granted before has expired by every peer's clock.
     pub(crate) fn lease_span(&self) -> Nanos {
         self.with_drift(self.lease_duration)
     }
 
-    /// Whether the roster is the first one, which has no predecessor to wait for.
+    /// Returns whether this is the first membership list, which has no predecessor to wait for.
     pub(crate) fn is_first_revision(&self) -> bool {
         self.revision <= 1
     }
 
-    /// The share of each limit that a front owns for good.
+    /// Returns the share of each limit that every front owns permanently.
     pub fn floor_share(&self) -> Share {
         self.floor / u32::from(self.fronts.max(1))
     }
 
-    /// The share of each limit that each lease issuer has.
+    /// Returns the share of each limit that belongs to every lease issuer.
     pub fn issuer_share(&self) -> Share {
         (FULL_SHARE - self.floor) / u32::from(self.fronts.max(1))
     }
 
-    /// Votes that are needed to hold a lease issuer, the holder's own included: half of the fronts
-    /// for its home (`home`), more than half for any other. Any two such groups of voters have a
-    /// front in common.
-    pub fn quorum(&self, home: bool) -> usize {
+    /// Returns the number of votes needed to hold a lease issuer, the holder's own included: half
+    /// of the fronts for the issuer's owner (`is_owner`), more than half for any other front. The
+    /// quorums of two different fronts for the same issuer always have a voter in common.
+    pub fn quorum(&self, is_owner: bool) -> usize {
         let fronts = usize::from(self.fronts);
-        if home {
+        if is_owner {
             fronts.div_ceil(2)
         } else {
             fronts / 2 + 1
--- a/crates/fleet-limits/src/coordinator.rs
+++ b/crates/fleet-limits/src/coordinator.rs
@@ -1,10 +1,10 @@
-//! The state machine of one front: the order of events and effects, and the share that follows from
-//! the parts of the state.
+//! The state machine of one front. It handles events, returns effects and computes the share of
+//! each limit that the front may use.
 //!
-//! Every limit is divided into equal parts, one for each front of the roster. A part consists of a
-//! floor, which its front owns for good, and a lease issuer, which is held by whichever front has a
-//! quorum of votes: normally its home. A front uses what it holds itself and leases the rest to its
-//! peers in proportion to their demand.
+//! Every limit is divided into equal parts, one for each front of the membership list. A part
+//! consists of a floor, which its front owns permanently, and a lease issuer, which is held by the
+//! front that has a quorum of votes for it: normally the issuer's owner. A front leases shares of
+//! what it holds to its peers in proportion to their demand and uses the rest itself.
 
 mod heartbeats;
 mod status;
@@ -13,7 +13,7 @@
 
 use tulipbridge_membership::MembershipTable;
 
-use crate::adoption::RosterAdoption;
+use crate::adoption::MembershipAdoption;
 use crate::claims::IssuerClaims;
 use crate::demand::DemandMeter;
 use crate::granting::GrantableShare;
@@ -28,12 +28,12 @@
 
 pub use self::status::PeerReport;
 
-/// One front's side of the limits that hold for the whole fleet.
+/// One front's participant in the protocol that divides the fleet's limits.
 #[derive(Clone, Debug)]
 pub struct LimitCoordinator {
     config: LimitsConfig,
     members: MembershipTable,
-    adoption: RosterAdoption,
+    adoption: MembershipAdoption,
     peers: PeerTable,
     votes: VoteTable,
     claims: IssuerClaims,
@@ -42,11 +42,11 @@
 }
 
 impl LimitCoordinator {
-    /// A front that has just started and remembers nothing. `incarnation` must differ for each run
-    /// of the front.
+    /// Creates the coordinator of a front that has just started and has no state of an earlier run.
+    /// `incarnation` must differ for each run of the front.
     ///
     /// # Errors
-    /// The configuration is invalid, see [`LimitsConfig::check`].
+    /// Returns an error if the configuration is invalid, see [`LimitsConfig::check`].
     pub fn new(
         config: LimitsConfig,
         incarnation: Incarnation,
@@ -56,7 +56,7 @@
         let lease_span = config.lease_span();
         Ok(LimitCoordinator {
             members: MembershipTable::new(config.me, config.fronts, incarnation, lease_span),
-            adoption: RosterAdoption::new(now, &config),
+            adoption: MembershipAdoption::new(now, &config),
             peers: PeerTable::new(config.fronts, 0),
             votes: VoteTable::new(config.fronts),
             claims: IssuerClaims::default(),
@@ -88,7 +88,7 @@
                 self.members.shut_down();
                 self.report_all(now, now, effects);
             }
-            Event::AddressInUse => self.adoption.restart_quiet_time(now, &self.config),
+            Event::AddressInUse => self.adoption.restart_startup_period(now, &self.config),
         }
     }
 
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Starts anew under another configuration. Nothing that was granted under the old one is
-    /// renewed, and it has expired before anything of the new one is used.
+    /// Resets the state for another configuration. Nothing that was granted under the old one is
+    /// renewed, and all of it has expired before anything is used under the new one.
     fn reconfigure(&mut self, now: Nanos, config: LimitsConfig, effects: &mut Vec<Effect>) {
         if config == self.config {
             return;
@@ -132,8 +132,8 @@
         self.report_all(now, now, effects);
     }
 
-    /// Updates the claims and the votes for them. Leases from issuers that were held continue to
-    /// run where this front claims nothing any more: they expire by themselves.
+    /// Updates this front's claims on issuers and its own votes for them. Leases from an issuer
+    /// that this front no longer claims are not revoked; they expire on their own.
     fn update_claims(&mut self, now: Nanos) {
         if self.members.is_shutting_down() || self.is_standby(now) || !self.is_settled() {
             return;
@@ -143,7 +143,7 @@
         self.claims.update(now, &self.config, &self.members);
         if !is_starting {
             self.claims
-                .vote_for_own(now, &self.config, holder, &mut self.votes);
+                .cast_own_votes(now, &self.config, holder, &mut self.votes);
         }
         let claimed: Vec<PeerId> = self.claims.issuers().collect();
         self.votes.release_unclaimed(holder, &claimed);
@@ -156,7 +156,7 @@
         }
     }
 
-    /// This run of this front as a holder of lease issuers.
+    /// Returns the current incarnation of this front as a holder of lease issuers.
     fn own_holder(&self) -> Holder {
         Holder {
             peer: self.config.me,
@@ -164,21 +164,22 @@
         }
     }
 
-    /// The time by which the coordinator needs an event, such as [`Event::Poll`]: something that
-    /// this front uses expires then.
+    /// Returns the time by which the coordinator needs an event, such as [`Event::Poll`], because
+    /// something that this front uses expires then.
     pub fn next_expiry(&self) -> Nanos {
         self.reports.next_expiry()
     }
 
-    /// The share of a limit that this front may use now.
+    /// Returns the share of a limit that this front may use now.
     pub fn share(&self, now: Nanos, limit: Limit) -> Share {
         self.effective_share(now, self.own_share(now), limit)
     }
 
-    /// What this front may use or grant of every limit: its floor and the issuers that it holds.
+    /// Returns the share of every limit that this front may use itself or lease to peers: its floor
+    /// and the shares of the issuers that it holds.
     fn own_share(&self, now: Nanos) -> Share {
-        let is_quiet = self.is_starting(now) && !mutated(Mutation::FloorAtOnce);
-        if is_quiet || self.is_standby(now) {
+        let is_starting = self.is_starting(now) && !mutated(Mutation::FloorAtOnce);
+        if is_starting || self.is_standby(now) {
             return Share::NONE;
         }
         let floor = self.adoption.usable_floor(&self.config);
@@ -189,7 +190,8 @@
         floor + self.config.issuer_share() * issuers
     }
 
-    /// The own share without what is granted to peers, plus what is leased from them.
+    /// Returns the share that this front may use: `own_share` less what it has granted to peers,
+    /// plus what it leases from them.
     fn effective_share(&self, now: Nanos, own_share: Share, limit: Limit) -> Share {
         if self.is_standby(now) || self.members.is_shutting_down() {
             return Share::NONE;
@@ -203,8 +205,8 @@
         (own_share.saturating_sub(granted) + leased).min(FULL_SHARE)
     }
 
-    /// The share that this front may grant leases from, none while the fleet adopts the roster or
-    /// this front shuts down.
+    /// Returns the share from which this front may grant leases: none until the whole fleet has
+    /// adopted the membership list, and none while this front shuts down.
     fn grantable_share(&self, now: Nanos) -> GrantableShare {
         let may_grant = self.is_settled() && !self.members.is_shutting_down();
         let share = if may_grant {
@@ -218,7 +220,7 @@
         }
     }
 
-    /// Reports what has expired since the last look.
+    /// Reports the shares that have changed because something expired since the last check.
     fn expire(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         let expired_at = self.next_expiry();
         if now >= expired_at && !mutated(Mutation::NoExpiryAfterPause) {
@@ -226,7 +228,7 @@
         }
     }
 
-    /// Reports the limits whose share has changed. A share that has become smaller is so since
+    /// Reports all shares that have changed. Reductions are reported as effective from
     /// `reduced_at`.
     fn report_all(&mut self, now: Nanos, reduced_at: Nanos, effects: &mut Vec<Effect>) {
         let own_share = self.own_share(now);
@@ -238,7 +240,7 @@
         self.update_next_expiry(now);
     }
 
-    /// Reports those of some limits that have been reported before and whose share has changed.
+    /// Reports the shares of `limits` that have changed, except of limits never reported before.
     fn report_some(&mut self, now: Nanos, limits: &BTreeSet<Limit>, effects: &mut Vec<Effect>) {
         if !limits.is_empty() {
             let own_share = self.own_share(now);
@@ -252,12 +254,12 @@
         self.update_next_expiry(now);
     }
 
-    /// Finds out when something that is used expires next.
+    /// Updates the next time at which a held lease, a claim or the startup period ends.
     fn update_next_expiry(&mut self, now: Nanos) {
         let leases = self.peers.held_expiries();
         let claims = self.claims.expiries(&self.config);
-        let quiet_time = [self.adoption.quiet_until()];
+        let startup_end = [self.adoption.startup_ends_at()];
         self.reports
-            .set_next_expiry(now, leases.chain(claims).chain(quiet_time));
+            .set_next_expiry(now, leases.chain(claims).chain(startup_end));
     }
 }
--- a/crates/fleet-limits/src/coordinator/heartbeats.rs
+++ b/crates/fleet-limits/src/coordinator/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Sending and receiving heartbeats.
+//! Sends heartbeats to the peers and handles those received from them.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -14,10 +14,10 @@
     Demand, Effect, GrantInUse, Heartbeat, LeaseGrant, Limit, MessageStatus, Nanos, PeerId,
 };
 
-/// What became of a received heartbeat.
+/// Outcome of handling a received heartbeat.
 struct Reception {
     status: MessageStatus,
-    /// The limits of which the leases from the sender have changed.
+    /// Limits for which the leases from the sender have changed.
     changed_limits: BTreeSet<Limit>,
 }
 
@@ -31,17 +31,17 @@
 }
 
 impl LimitCoordinator {
-    /// Sends a heartbeat to every peer, with the leases granted to it.
+    /// Sends every peer a heartbeat with the leases granted to it.
     pub(super) fn send_heartbeats(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         self.members.begin_round(now);
         let me = self.config.me;
-        let own = self.grantable_share(now);
+        let grantable = self.grantable_share(now);
         let common = self.common_heartbeat(now);
         let mut round = GrantRound::new(
             now,
             &self.config,
             &self.members,
-            own,
+            grantable,
             &self.peers,
             &self.demand,
         );
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The heartbeat for one peer: the common part and what is meant for this peer alone.
+    /// Returns the heartbeat for one peer: the common part with the fields specific to that peer.
     fn heartbeat_for(
         &self,
         now: Nanos,
@@ -74,9 +74,9 @@
         }
     }
 
-    /// The reply to a heartbeat that was not accepted: that this front exists, and which roster it
-    /// has. Under another roster the sender's number identifies nobody here, so that no peer state
-    /// is given.
+    /// Returns the reply to a heartbeat that was not accepted: it tells the sender that this front
+    /// exists and which membership list it has. A position in another membership list does not
+    /// identify a peer here, so that the reply to such a sender carries no peer state.
     fn reply_to(&self, now: Nanos, sender: PeerId, status: MessageStatus) -> Heartbeat {
         let state = if status == MessageStatus::Conflicting {
             self.members.state_for(now, sender)
@@ -86,26 +86,26 @@
         Heartbeat {
             is_reply: true,
             state,
-            ..self.roster_heartbeat()
+            ..self.membership_heartbeat()
         }
     }
 
-    /// The part of the heartbeats of one round that is the same for all peers.
+    /// Returns the part of one round's heartbeats that is the same for all peers.
     fn common_heartbeat(&self, now: Nanos) -> Heartbeat {
-        let mut heartbeat = self.roster_heartbeat();
+        let mut heartbeat = self.membership_heartbeat();
         heartbeat.demands = self.reported_demands(now);
         if !self.members.is_shutting_down() {
             heartbeat.claims = self.claims.issuers().collect();
         }
-        // At the first revision every front counts as having adopted the roster.
+        // At the first revision every front counts as having adopted the membership list.
         if !self.config.is_first_revision() {
             heartbeat.settled = self.adoption.settled_fronts().collect();
         }
         heartbeat
     }
 
-    /// A heartbeat that identifies this front's roster and says nothing else.
-    fn roster_heartbeat(&self) -> Heartbeat {
+    /// Returns a heartbeat that identifies this front's membership list and contains nothing else.
+    fn membership_heartbeat(&self) -> Heartbeat {
         Heartbeat {
             membership_digest: self.config.membership_digest,
             revision: self.config.revision,
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Demand for as many limits as a heartbeat may list. Where there are more, limits of the whole
-    /// fleet come before those of volumes, and then those with the highest demand.
+    /// Returns the demand for at most as many limits as a heartbeat may list. If there are more,
+    /// the limits of single volumes are dropped first, starting with the lowest demand.
     fn reported_demands(&self, now: Nanos) -> Vec<Demand> {
         let mut demands: Vec<Demand> = self
             .demand
@@ -136,8 +136,8 @@
         demands
     }
 
-    /// Handles a heartbeat: replies to one from a conflicting process or roster, and reports the
-    /// shares that have changed.
+    /// Handles a heartbeat: replies to a sender with a conflicting incarnation or membership list,
+    /// and reports the shares that have changed.
     pub(super) fn on_heartbeat_received(
         &mut self,
         now: Nanos,
@@ -155,13 +155,14 @@
             status,
             MessageStatus::Conflicting | MessageStatus::RosterMismatch
         );
-        // Two fronts that reject each other's heartbeats must not answer each other's replies
-        // without end.
+        // Replies are never answered: two fronts that reject each other's heartbeats would
+        // otherwise reply to each other forever.
         if needs_reply && !heartbeat.is_reply {
             let heartbeat = Box::new(self.reply_to(now, sender.peer, status));
             effects.push(Effect::Reply { heartbeat });
         }
-        // A larger share can wait for the next round of heartbeats, a smaller one cannot.
+        // An increased share can be reported with the next round of heartbeats, a reduction must be
+        // reported at once.
         match status {
             MessageStatus::Accepted { first } if first || self.is_standby(now) => {
                 self.report_all(now, now, effects);
@@ -174,12 +175,13 @@
         }
     }
 
-    /// Takes over what a heartbeat says, if it is accepted.
+    /// Applies the contents of a heartbeat if it is accepted.
     fn receive(&mut self, now: Nanos, sender: Holder, heartbeat: &Heartbeat) -> Reception {
         if heartbeat.membership_digest != self.config.membership_digest
             && !mutated(Mutation::AnyRoster)
         {
-            self.adoption.compare_roster(now, &self.config, heartbeat);
+            self.adoption
+                .compare_membership_list(now, &self.config, heartbeat);
             return Reception::rejected(MessageStatus::RosterMismatch);
         }
         let status = self
@@ -192,7 +194,7 @@
             self.peers.get_mut(sender.peer).reset_for_new_incarnation();
         }
         self.update_peer(now, sender.peer, heartbeat);
-        let changed_limits = self.take_answers(now, sender.peer, heartbeat);
+        let changed_limits = self.apply_votes_and_grant(now, sender.peer, heartbeat);
         self.adoption
             .add_settled(&self.config, sender.peer, &heartbeat.settled);
         self.answer_claims(now, sender, heartbeat);
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Notes the demand of the sender and which of its leases it still uses.
+    /// Records the sender's demand and releases the grants that it no longer uses.
     fn update_peer(&mut self, now: Nanos, sender: PeerId, heartbeat: &Heartbeat) {
         let own_incarnation = self.incarnation();
         let peer = self.peers.get_mut(sender);
@@ -213,10 +215,10 @@
         peer.release_unused_grants(now, in_use.map(|in_use| in_use.number));
     }
 
-    /// Takes the leases and the votes of a heartbeat, where it echoes one of this incarnation: they
-    /// are counted from when the echoed heartbeat was sent. Returns the limits of which the leases
-    /// have changed.
-    fn take_answers(
+    /// Applies the votes and the leases of a heartbeat if it echoes a heartbeat of this
+    /// incarnation. Their duration counts from when the echoed heartbeat was sent. Returns the
+    /// limits for which the leases have changed.
+    fn apply_votes_and_grant(
         &mut self,
         now: Nanos,
         sender: PeerId,
@@ -230,7 +232,7 @@
         let Some(echo) = echo else {
             return BTreeSet::new();
         };
-        // A heartbeat that is still to be sent cannot have been received.
+        // The sender cannot echo a heartbeat that this front has not sent yet.
         let requested_at = echo.sent_at.min(now);
         self.count_votes(now, sender, requested_at, &heartbeat.votes);
         let lease_starts_at = if mutated(Mutation::LeaseFromReceipt) {
@@ -239,10 +241,10 @@
             requested_at
         };
         self.peers
-            .take_grant(&self.config, sender, lease_starts_at, &heartbeat.grant)
+            .accept_grant(&self.config, sender, lease_starts_at, &heartbeat.grant)
     }
 
-    /// Counts the sender's votes for this front's claims.
+    /// Counts a peer's votes for this front's claims.
     fn count_votes(&mut self, now: Nanos, voter: PeerId, requested_at: Nanos, votes: &[PeerId]) {
         let starts_at = if mutated(Mutation::VoteFromReceipt) {
             now
@@ -260,18 +262,18 @@
         }
     }
 
-    /// Votes for the sender's claims as far as this front is free to, and keeps the result for its
-    /// next heartbeat.
+    /// Votes for each of the sender's claims that no other vote of this front rules out, and stores
+    /// these votes for the next heartbeat to the sender.
     fn answer_claims(&mut self, now: Nanos, sender: Holder, heartbeat: &Heartbeat) {
-        // A front that shuts down does not revoke its leases: its issuers are free once the votes
-        // have expired.
+        // A front that shuts down does not revoke its leases, so the votes for it are kept until
+        // they expire.
         let is_shutting_down =
             heartbeat.state.shutting_down && !mutated(Mutation::VotesReleasedOnShutdown);
         if !is_shutting_down {
             self.votes.release_unclaimed(sender, &heartbeat.claims);
         }
-        let is_quiet = self.is_starting(now) && !mutated(Mutation::VotesWhileStarting);
-        let claims: &[PeerId] = if is_quiet || is_shutting_down {
+        let is_starting = self.is_starting(now) && !mutated(Mutation::VotesWhileStarting);
+        let claims: &[PeerId] = if is_starting || is_shutting_down {
             &[]
         } else {
             &heartbeat.claims
--- a/crates/fleet-limits/src/coordinator/status.rs
+++ b/crates/fleet-limits/src/coordinator/status.rs
@@ -1,4 +1,4 @@
-//! Queries on the state of this front and of its peers, for operators and model checkers.
+//! Queries about the state of this front and of its peers, for operators and model checkers.
 
 use std::hash::{Hash, Hasher};
 
@@ -7,71 +7,72 @@
 use super::LimitCoordinator;
 use crate::{Incarnation, LimitsConfig, Nanos, PeerId, PeerStatus, Share};
 
-/// What this front knows about a peer, for its operators.
+/// One front's view of a peer, for status output.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerReport {
-    /// Whether the peer is considered alive.
+    /// State of the peer by this front's failure detector.
     pub status: PeerStatus,
-    /// Its incarnation, once one has been accepted.
+    /// The peer's latest accepted incarnation; `None` before the first one.
     pub incarnation: Option<Incarnation>,
-    /// Time since its latest accepted message.
+    /// Nanoseconds since the peer's latest accepted message; `None` before the first one.
     pub silent_for: Option<Nanos>,
-    /// The live fronts that report hearing it.
+    /// The live fronts that report receiving the peer's messages.
     pub reachable_from: Vec<PeerId>,
-    /// Another incarnation under its name that was heard within the last lease span.
+    /// Another incarnation of the peer from which a message arrived within the last lease span.
     pub conflicting: Option<Incarnation>,
-    /// The largest share of any limit that this front leases to it.
+    /// The largest share of any limit that this front leases to the peer.
     pub granted: Share,
-    /// The largest share of any limit that this front leases from it.
+    /// The largest share of any limit that this front leases from the peer.
     pub leased: Share,
 }
 
 impl LimitCoordinator {
-    /// The incarnation of this front.
+    /// Returns the incarnation of this front.
     pub fn incarnation(&self) -> Incarnation {
         self.members.incarnation()
     }
 
-    /// The membership of the fleet as this front sees it.
+    /// Returns the membership of the fleet as this front sees it.
     pub fn members(&self) -> &MembershipTable {
         &self.members
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in use.
     pub fn config(&self) -> &LimitsConfig {
         &self.config
     }
 
-    /// Whether every front is known to have adopted the roster.
+    /// Returns whether every front is known to have adopted the membership list.
     pub fn is_settled(&self) -> bool {
         self.adoption.is_settled(&self.config)
     }
 
-    /// Whether the front counts as just started, so that it uses nothing of its own yet.
+    /// Returns whether this front is in its startup period, in which it uses nothing of its own.
     pub fn is_starting(&self, now: Nanos) -> bool {
         self.adoption.is_starting(now)
     }
 
-    /// Whether another process or another roster takes precedence, so that this front uses nothing.
+    /// Returns whether another process or another membership list takes precedence, so that this
+    /// front uses nothing.
     pub fn is_standby(&self, now: Nanos) -> bool {
         self.members.is_rejected(now) || self.yields_to_membership_list(now)
     }
 
-    /// Whether another roster of the same revision takes precedence over this front's, so that it
-    /// uses nothing.
+    /// Returns whether another membership list of the same revision takes precedence over this
+    /// front's, so that this front uses nothing.
     pub fn yields_to_membership_list(&self, now: Nanos) -> bool {
         self.adoption.is_preceded(now, &self.config)
     }
 
-    /// Homes of the lease issuers that this front holds now.
+    /// Returns the owners of the lease issuers that this front holds now.
     pub fn issuers_held(&self, now: Nanos) -> Vec<PeerId> {
         self.claims.held(now, &self.config).collect()
     }
 
-    /// What this front knows about a peer.
+    /// Returns this front's view of a peer.
     ///
     /// # Panics
-    /// Where the roster has no such front.
+    /// Panics if the membership list has no such front.
     pub fn peer_report(&self, now: Nanos, peer: PeerId) -> PeerReport {
         let leases = self.peers.get(peer).leases();
         PeerReport {
--- a/crates/fleet-limits/src/demand.rs
+++ b/crates/fleet-limits/src/demand.rs
@@ -1,4 +1,4 @@
-//! Average demand for each limit at this front.
+//! Measures the average demand for each limit at this front.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -9,9 +9,9 @@
 
 /// Time constant of the exponential moving average, in nanoseconds.
 const AVERAGING_TIME: f64 = 1.5e9;
-/// A limit without demand for this long, in nanoseconds, is dropped.
+/// Time without demand after which a limit is dropped, in nanoseconds.
 const IDLE_TIMEOUT: Nanos = 15_000_000_000;
-/// Thousandths of units in one unit.
+/// Thousandths of a unit in one unit.
 const MILLI_UNITS: f64 = 1e3;
 
 /// Exponential moving averages of the demand for each limit.
@@ -21,7 +21,7 @@
 }
 
 impl DemandMeter {
-    /// Adds demanded units and returns whether the limit is new. A negative amount counts as zero.
+    /// Adds demanded units and returns whether the limit is new. Negative amounts count as zero.
     pub fn record(&mut self, now: Nanos, limit: Limit, units: f64) -> bool {
         let is_new = !self.rates.contains_key(&limit);
         let rate = self.rates.entry(limit).or_insert_with(|| Rate::new(now));
@@ -29,7 +29,7 @@
         is_new
     }
 
-    /// The demand for each known limit.
+    /// Returns the average demand for each known limit.
     pub fn demands(&self, now: Nanos) -> impl Iterator<Item = Demand> + '_ {
         self.rates.iter().map(move |(limit, rate)| Demand {
             limit: *limit,
@@ -52,7 +52,7 @@
         idle
     }
 
-    /// The known limits.
+    /// Returns the known limits.
     pub fn limits(&self) -> impl Iterator<Item = Limit> + '_ {
         self.rates.keys().copied()
     }
--- a/crates/fleet-limits/src/event.rs
+++ b/crates/fleet-limits/src/event.rs
@@ -1,4 +1,4 @@
-//! Inputs and outputs of a [`LimitCoordinator`](crate::LimitCoordinator).
+//! Inputs and outputs of the [`LimitCoordinator`](crate::LimitCoordinator).
 
 use crate::{Heartbeat, Incarnation, Limit, LimitsConfig, MessageStatus, Nanos, PeerId, Share};
 
@@ -7,30 +7,30 @@
 pub enum Event {
     /// The heartbeat interval has elapsed.
     HeartbeatDue,
-    /// A heartbeat has arrived whose sender and integrity have been verified.
+    /// A heartbeat has arrived. The caller has verified its sender and integrity.
     HeartbeatReceived {
-        /// The sender.
+        /// The front that sent the heartbeat.
         from: PeerId,
-        /// The sender's incarnation.
+        /// The incarnation of that front.
         incarnation: Incarnation,
-        /// The message.
+        /// The heartbeat as received.
         heartbeat: Box<Heartbeat>,
     },
     /// Units of a limit were demanded at this front.
     Demanded {
-        /// The limit.
+        /// The limit that the demand counts towards.
         limit: Limit,
-        /// The units; a negative amount counts as zero.
+        /// The demanded units. A negative amount counts as zero.
         units: f64,
     },
-    /// Time has passed: expired leases and claims must no longer be used.
+    /// Time has passed. The coordinator checks which leases and claims have expired.
     Poll,
-    /// The roster or another setting has changed. An invalid configuration is ignored.
+    /// The membership list or another setting has changed. An invalid configuration is ignored.
     Reconfigure(LimitsConfig),
-    /// The front is shutting down: it announces this and renews nothing.
+    /// The front is shutting down. It announces this to its peers and renews nothing.
     Shutdown,
-    /// Another process holds the front's address, so that this one cannot receive yet: it counts as
-    /// just started.
+    /// Another process has the front's address, so that this front cannot receive yet. Its startup
+    /// period begins again.
     AddressInUse,
 }
 
@@ -39,29 +39,29 @@
 pub enum Effect {
     /// Send a heartbeat to a peer.
     Send {
-        /// The receiver.
+        /// The peer that the heartbeat is for.
         to: PeerId,
-        /// The message.
+        /// The heartbeat to send.
         heartbeat: Box<Heartbeat>,
     },
-    /// Send a heartbeat back to the address that the event's message came from: its sender uses
-    /// another front's name or another roster.
+    /// Send a heartbeat back to the address from which the event's heartbeat came: its sender has a
+    /// conflicting incarnation or another membership list.
     Reply {
-        /// The message.
+        /// The heartbeat to send.
         heartbeat: Box<Heartbeat>,
     },
-    /// How the event's message was received.
+    /// Whether the event's heartbeat was accepted, and if not, why.
     Received(MessageStatus),
     /// The share of a limit that the front may use has changed.
     ShareChanged {
-        /// The limit.
+        /// The limit of which the share has changed.
         limit: Limit,
-        /// The new share.
+        /// The share that the front may use from `at` on.
         share: Share,
-        /// Since when it applies, which may be in the past.
+        /// Time from which the share applies, which may be in the past.
         at: Nanos,
     },
-    /// A limit has had no demand for a while: the front may use nothing of it, and its share is not
+    /// A limit has had no demand for a while. The front may use nothing of it, and its share is not
     /// reported again until there is new demand.
     Forget(Limit),
 }
--- a/crates/fleet-limits/src/fingerprint.rs
+++ b/crates/fleet-limits/src/fingerprint.rs
@@ -1,8 +1,8 @@
-//! Fingerprints of states, by which a model checker recognizes equal ones.
+//! Helpers for state fingerprints, by which a model checker recognizes equal states.
 
 use crate::Nanos;
 
-/// The time from `now` until `at`, in which all moments that are not in the future are alike.
+/// Returns the time from `now` until `at`, or -1 for any time that is not in the future.
 pub(crate) fn time_until(now: Nanos, at: Nanos) -> Nanos {
     if at <= now {
         -1
--- a/crates/fleet-limits/src/granting.rs
+++ b/crates/fleet-limits/src/granting.rs
@@ -1,4 +1,4 @@
-//! How the leases of one round of heartbeats are divided among the peers: in proportion to demand.
+//! Divides the leases of one round of heartbeats among the peers, in proportion to their demand.
 
 use std::collections::BTreeMap;
 
@@ -10,46 +10,46 @@
 use crate::peers::{PeerRecord, PeerTable};
 use crate::{Lease, Limit, LimitsConfig, Nanos, PeerId, Share};
 
-/// Demand and grants of one limit, as far as this front knows.
+/// Known demand for one limit and the total granted of it.
 #[derive(Clone, Copy, Debug, Default)]
 struct LimitTotals {
     /// Demand at this front and at the peers that may be granted leases, in thousandths of units
     /// per second.
     milli_units_per_second: u64,
-    /// Sum of the shares that peers may be using now by this front's grants.
+    /// Sum of the shares that peers may be using now under this front's grants.
     granted: Share,
 }
 
-/// The share that this front may grant leases from.
+/// The share from which this front may grant leases.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GrantableShare {
-    /// The share of each limit.
+    /// The grantable share, which is the same for every limit.
     pub share: Share,
-    /// Leases must expire before this time.
+    /// The time before which leases must expire, by this front's clock.
     pub expires_at: Nanos,
 }
 
-/// What one round of heartbeats may grant.
+/// The state of granting leases in one round of heartbeats.
 pub(crate) struct GrantRound<'a> {
     now: Nanos,
     config: &'a LimitsConfig,
     members: &'a MembershipTable,
-    own: GrantableShare,
-    /// How long leases may last that are granted now, in nanoseconds; not positive where there is
-    /// no time left.
+    grantable: GrantableShare,
+    /// Maximum duration of leases granted in this round, in nanoseconds. Zero or negative if no
+    /// time is left.
     duration: Nanos,
-    /// By position: whether the peer is alive and receives this front's heartbeats.
+    /// Whether each peer is alive and receives this front's heartbeats, indexed by its position.
     reachable: Vec<bool>,
     totals: BTreeMap<Limit, LimitTotals>,
 }
 
 impl<'a> GrantRound<'a> {
-    /// Collects the demand and the grants so far.
+    /// Starts a round with the known demand and the grants that have not expired.
     pub fn new(
         now: Nanos,
         config: &'a LimitsConfig,
         members: &'a MembershipTable,
-        own: GrantableShare,
+        grantable: GrantableShare,
         peers: &PeerTable,
         demand: &DemandMeter,
     ) -> GrantRound<'a> {
@@ -73,42 +73,43 @@
             now,
             config,
             members,
-            own,
-            duration: max_lease_duration(now, config, own.expires_at),
+            grantable,
+            duration: max_lease_duration(now, config, grantable.expires_at),
             reachable,
             totals,
         }
     }
 
-    /// The time of the round.
+    /// Returns the time at which the round started.
     pub fn now(&self) -> Nanos {
         self.now
     }
 
-    /// How long leases for a peer may last; `None` where it may be granted none.
+    /// Returns the duration of leases for a peer, or `None` if the peer may not be granted any.
     pub fn duration_for(&self, peer: PeerId) -> Option<Nanos> {
         let may_grant =
-            self.reachable[peer.index()] && self.duration > 0 && self.own.share > Share::NONE;
+            self.reachable[peer.index()] && self.duration > 0 && self.grantable.share > Share::NONE;
         may_grant.then_some(self.duration)
     }
 
-    /// When leases for a peer expire, by this front's clock. Their duration counts from when the
-    /// echoed heartbeat was sent, which was before it arrived here.
+    /// Returns the time by which leases for a peer have expired, by this front's clock. The peer
+    /// counts their duration from when it sent the echoed heartbeat, which was before that
+    /// heartbeat arrived here.
     pub fn expiry_of_leases(&self, peer: PeerId, duration: Nanos) -> Nanos {
         let received_at = self.members.last_message_at(peer).unwrap_or(self.now);
         received_at + self.config.with_drift(duration)
     }
 
-    /// The leases for a peer: of each limit the peer's part of the known demand, as far as it is
-    /// not granted already.
+    /// Returns the leases for a peer: of each limit a share in proportion to the peer's part of the
+    /// known demand, as far as that share is not granted to other peers.
     pub fn divide(&mut self, peer: &PeerRecord) -> Vec<Lease> {
         let demands = peer.demands().iter().filter(|(_, demand)| **demand > 0);
         let leases = demands.filter_map(|(limit, demand)| {
             let totals = self.totals.get_mut(limit)?;
-            let fair = fair_share(self.own.share, *demand, totals.milli_units_per_second);
+            let fair = fair_share(self.grantable.share, *demand, totals.milli_units_per_second);
             let granted_before = peer.leases().granted_share(self.now, *limit);
             let granted_to_others = totals.granted - granted_before;
-            let share = fair.min(self.own.share.saturating_sub(granted_to_others));
+            let share = fair.min(self.grantable.share.saturating_sub(granted_to_others));
             totals.granted = granted_to_others + granted_before.max(share);
             (share > Share::NONE).then_some(Lease {
                 limit: *limit,
@@ -119,14 +120,14 @@
     }
 }
 
-/// The part of a share in proportion to one demand among the sum of all.
+/// Returns the part of a share that is proportional to one demand out of the total demand.
 fn fair_share(share: Share, demand: u64, total_demand: u64) -> Share {
     let total_demand = u128::from(total_demand.max(1));
     Share((u128::from(share.0) * u128::from(demand) / total_demand) as u32)
 }
 
-/// How long leases may last that must have expired by `expires_at`, also by a peer's slower clock.
-/// Not positive where there is no time left.
+/// Returns the maximum duration in nanoseconds of leases that must have expired by `expires_at`,
+/// even by the slower clock of a peer. Zero or negative if no time is left.
 fn max_lease_duration(now: Nanos, config: &LimitsConfig, expires_at: Nanos) -> Nanos {
     if mutated(Mutation::LeaseOutlivesIssuer) {
         return config.lease_duration;
--- a/crates/fleet-limits/src/leases.rs
+++ b/crates/fleet-limits/src/leases.rs
@@ -1,4 +1,4 @@
-//! Leases between this front and one of its peers, in both directions.
+//! The leases between this front and one of its peers, in both directions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
@@ -7,20 +7,20 @@
 use crate::mutations::{mutated, Mutation};
 use crate::{Lease, Limit, Nanos, Share, FULL_SHARE};
 
-/// Leased shares of several limits that were granted together and expire together.
+/// The leases of one grant, which expire together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct LeaseSet {
     /// Sequence number of the grant.
     number: u64,
-    /// The shares may be used before this time, by this front's clock.
+    /// Time until which the shares may be used, by this front's clock.
     expires_at: Nanos,
     /// The leased share of each limit.
     shares: BTreeMap<Limit, Share>,
 }
 
 impl LeaseSet {
-    /// The leases of a grant. None of them is larger than the whole limit, whatever the grantor
-    /// sent.
+    /// Creates the leases of a grant. Each share is capped at the whole limit, since the grantor
+    /// may have sent any number.
     pub fn new(number: u64, expires_at: Nanos, leases: &[Lease]) -> LeaseSet {
         let shares = leases
             .iter()
@@ -36,12 +36,12 @@
         now < self.expires_at
     }
 
-    /// The largest leased share of any limit.
+    /// Returns the largest leased share of any limit.
     fn largest_share(&self) -> Share {
         self.shares.values().copied().max().unwrap_or(Share::NONE)
     }
 
-    /// The limits of which `next` leases another share than this set.
+    /// Returns the limits of which `next` leases a different share than this set.
     fn limits_changed_by(&self, next: &LeaseSet) -> BTreeSet<Limit> {
         let limits = self.shares.keys().chain(next.shares.keys());
         limits
@@ -55,19 +55,20 @@
     }
 }
 
-/// The leases between this front and one peer.
+/// The leases granted to one peer and those held from it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct PeerLeases {
-    /// Leases granted to the peer that it may still use, oldest first.
+    /// Grants to the peer that it may still be using, oldest first.
     granted: Vec<LeaseSet>,
-    /// The latest leases from the peer.
+    /// The leases of the latest grant from the peer.
     held: LeaseSet,
 }
 
 impl PeerLeases {
-    /// The largest share of a limit that the peer may be using now by this front's grants.
+    /// Returns the largest share of a limit that the peer may be using now under this front's
+    /// grants.
     ///
-    /// The peer uses one grant at a time, and it is unknown which, so that the largest one counts.
+    /// The peer uses one grant at a time. Since it is unknown which one, the largest share counts.
     pub fn granted_share(&self, now: Nanos, limit: Limit) -> Share {
         let considered = if mutated(Mutation::GrantFreedEarly) {
             1
@@ -83,7 +84,7 @@
             .unwrap_or(Share::NONE)
     }
 
-    /// The limits that are part of any grant to the peer.
+    /// Returns the limits that are part of any grant to the peer.
     pub fn granted_limits(&self) -> BTreeSet<Limit> {
         self.granted
             .iter()
@@ -91,7 +92,8 @@
             .collect()
     }
 
-    /// The largest share of any limit that the peer may be using now by this front's grants.
+    /// Returns the largest share of any limit that the peer may be using now under this front's
+    /// grants.
     pub fn largest_granted_share(&self, now: Nanos) -> Share {
         let active = self.granted.iter().filter(|grant| grant.is_active(now));
         active
@@ -100,13 +102,13 @@
             .unwrap_or(Share::NONE)
     }
 
-    /// Records leases that are granted to the peer now.
+    /// Records the leases of a new grant to the peer.
     pub fn record_grant(&mut self, grant: LeaseSet) {
         self.granted.push(grant);
     }
 
-    /// Drops grants that the peer no longer uses: those before the one it reports, and those that
-    /// have expired.
+    /// Drops the grants that the peer no longer uses: those before the one that it reports using
+    /// (`grant_in_use`), and those that have expired.
     pub fn release_unused_grants(&mut self, now: Nanos, grant_in_use: Option<u64>) {
         if let Some(in_use) = grant_in_use {
             self.granted.retain(|grant| grant.number >= in_use);
@@ -114,17 +116,17 @@
         self.granted.retain(|grant| grant.is_active(now));
     }
 
-    /// The number of the grant that the held leases are from.
+    /// Returns the number of the grant that the held leases belong to.
     pub fn held_number(&self) -> u64 {
         self.held.number
     }
 
-    /// When the held leases expire.
+    /// Returns the time at which the held leases expire.
     pub fn held_expiry(&self) -> Nanos {
         self.held.expires_at
     }
 
-    /// The share of a limit that this front may use now by leases from the peer.
+    /// Returns the share of a limit that this front may use now under leases from the peer.
     pub fn held_share(&self, now: Nanos, limit: Limit) -> Share {
         if !self.held.is_active(now) {
             return Share::NONE;
@@ -132,7 +134,8 @@
         self.held.shares.get(&limit).copied().unwrap_or(Share::NONE)
     }
 
-    /// The largest share of any limit that this front may use now by leases from the peer.
+    /// Returns the largest share of any limit that this front may use now under leases from the
+    /// peer.
     pub fn largest_held_share(&self, now: Nanos) -> Share {
         if !self.held.is_active(now) {
             return Share::NONE;
@@ -141,13 +144,13 @@
     }
 
     /// Replaces the held leases by those of a later grant and returns the limits that are affected.
-    /// An earlier grant changes nothing.
+    /// A grant that is not later is ignored.
     pub fn replace_held(&mut self, next: LeaseSet) -> BTreeSet<Limit> {
         if next.number <= self.held.number {
             return BTreeSet::new();
         }
         let mut changed = self.held.limits_changed_by(&next);
-        // The same share for a shorter time is a reduction, too.
+        // The same share with an earlier expiry is a reduction, too.
         if next.expires_at < self.held.expires_at && !mutated(Mutation::ShorterLeaseMissed) {
             changed.extend(next.shares.keys());
         }
@@ -155,8 +158,8 @@
         changed
     }
 
-    /// Drops the leases from an earlier incarnation of the peer. Those granted to it stay, since it
-    /// may still use them.
+    /// Drops the leases from an earlier incarnation of the peer. Grants to that incarnation are
+    /// kept, since it may still be using them.
     pub fn reset_for_new_incarnation(&mut self) {
         if !mutated(Mutation::LeaseFromPredecessorKept) {
             self.held = LeaseSet::default();
--- a/crates/fleet-limits/src/mutations.rs
+++ b/crates/fleet-limits/src/mutations.rs
@@ -1,6 +1,6 @@
-//! Mutations of the coordinator for mutation testing: each one breaks a rule of the protocol, and
-//! the simulation and the model checker must notice it. Without the feature `mutations`,
-//! [`mutated`] is the constant `false`, so that none of them is compiled in.
+//! Mutations of the coordinator for mutation testing. Each one breaks a rule of the protocol, and
+//! the simulation and the model checker must detect it. Without the feature `mutations`,
+//! [`mutated`] is the constant `false`, so that no mutation is compiled in.
 
 /// A deliberate fault in the coordinator. Tools print its [`Mutation::name`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -10,37 +10,38 @@
     LeaseFromReceipt,
     /// The duration of a vote counts from its receipt, not from when it was requested.
     VoteFromReceipt,
-    /// A restarted front votes at once, though an earlier incarnation may have votes outstanding.
+    /// A restarted front votes at once, although votes of its earlier incarnation may not have
+    /// expired.
     VotesWhileStarting,
     /// A front votes for a second holder of a lease issuer before its first vote has expired.
     VotesTwice,
     /// A lease issuer is held with one vote less than the quorum.
     SmallQuorum,
-    /// A share that was leased counts as free before the lessee has confirmed a later grant.
+    /// A leased share counts as free before the peer has confirmed a later grant.
     GrantFreedEarly,
-    /// A lease of the same share that expires earlier than the one before does not count as a
+    /// A lease of the same share that expires earlier than the previous one does not count as a
     /// reduction.
     ShorterLeaseMissed,
-    /// A lease may last longer than the votes for the issuer that it is granted from.
+    /// A lease may outlast the votes for the issuer from which it is granted.
     LeaseOutlivesIssuer,
-    /// A lease issuer returns to its home at once, while leases from it run.
+    /// A lease issuer returns to its owner at once, while leases from it have not expired.
     IssuerReturnedEarly,
-    /// The votes for a front that shuts down are released at once, while leases from it run.
+    /// The votes for a front that shuts down are released before the leases from it have expired.
     VotesReleasedOnShutdown,
-    /// A front goes on using leases from an earlier incarnation of the grantor.
+    /// A front continues to use leases from an earlier incarnation of the grantor.
     LeaseFromPredecessorKept,
-    /// A front that resumes after a pause does not check what has expired meanwhile.
+    /// A front that resumes after a pause does not check what has expired in the meantime.
     NoExpiryAfterPause,
-    /// Heartbeats from a front with another roster are accepted.
+    /// Heartbeats from a front with another membership list are accepted.
     AnyRoster,
-    /// A new incarnation uses its floor at once.
+    /// A new incarnation uses its floor without waiting for the end of its startup period.
     FloorAtOnce,
-    /// A front uses its own share without deducting what it has leased to peers.
+    /// A front uses its own share without deducting what it has granted to peers.
     GrantsNotDeducted,
 }
 
 impl Mutation {
-    /// The name that the tools print and accept. It does not change with the variant's name.
+    /// Returns the name that tools print and accept. It does not change with the variant's name.
     pub fn name(self) -> &'static str {
         match self {
             Mutation::LeaseFromReceipt => "LoanFromReceipt",
@@ -68,7 +69,7 @@
     }
 }
 
-/// All mutations.
+/// All mutations, in the order of their declaration.
 pub const ALL: [Mutation; 15] = [
     Mutation::LeaseFromReceipt,
     Mutation::VoteFromReceipt,
--- a/crates/fleet-limits/src/peers.rs
+++ b/crates/fleet-limits/src/peers.rs
@@ -1,4 +1,4 @@
-//! What this front knows about its peers, apart from their membership.
+//! The state that this front keeps about its peers, apart from their membership.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
@@ -7,38 +7,39 @@
 use crate::leases::{LeaseSet, PeerLeases};
 use crate::{Demand, LeaseGrant, Limit, LimitsConfig, Nanos, PeerId, Share};
 
-/// Upper bound of the demand that is believed of a peer, in thousandths of units per second, so
-/// that sums cannot overflow.
+/// Upper limit of the demand accepted from a peer, in thousandths of units per second, so that sums
+/// cannot overflow.
 const MAX_DEMAND: u64 = 1 << 40;
 
-/// What this front knows about one peer.
+/// This front's votes for a peer, the demand at the peer, and the leases between the two.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct PeerRecord {
-    /// Homes of the issuers that the peer claimed last and for which this front votes.
+    /// Owners of the issuers in the peer's latest claims for which this front votes.
     votes_for: Vec<PeerId>,
-    /// The peer's demand for each limit, in thousandths of units per second.
+    /// Demand at the peer for each limit, in thousandths of units per second.
     demands: BTreeMap<Limit, u64>,
     /// The leases granted to the peer and held from it.
     leases: PeerLeases,
 }
 
 impl PeerRecord {
-    /// Homes of the issuers that the peer claimed last and for which this front votes.
+    /// Returns the owners of the issuers in the peer's latest claims for which this front votes.
     pub fn votes_for(&self) -> &[PeerId] {
         &self.votes_for
     }
 
-    /// Sets the issuers that the peer claims and for which this front votes.
+    /// Sets the owners of the issuers in the peer's latest claims for which this front votes.
     pub fn set_votes_for(&mut self, issuers: Vec<PeerId>) {
         self.votes_for = issuers;
     }
 
-    /// The peer's demand for each limit, in thousandths of units per second.
+    /// Returns the demand at the peer for each limit, in thousandths of units per second.
     pub fn demands(&self) -> &BTreeMap<Limit, u64> {
         &self.demands
     }
 
-    /// Takes over the demand that the peer reports, of as many limits as a heartbeat may list.
+    /// Records the demand that the peer reports, for at most as many limits as a heartbeat may
+    /// list.
     pub fn set_demands(&mut self, config: &LimitsConfig, reported: &[Demand]) {
         let listed = reported.iter().take(config.max_limits);
         let bounded =
@@ -46,18 +47,18 @@
         self.demands = listed.map(bounded).collect();
     }
 
-    /// The leases granted to the peer and held from it.
+    /// Returns the leases granted to the peer and held from it.
     pub fn leases(&self) -> &PeerLeases {
         &self.leases
     }
 
-    /// Drops grants that the peer no longer uses: those before the one it reports, and those that
-    /// have expired.
+    /// Drops the grants that the peer no longer uses: those before the one that it reports using
+    /// (`grant_in_use`), and those that have expired.
     pub fn release_unused_grants(&mut self, now: Nanos, grant_in_use: Option<u64>) {
         self.leases.release_unused_grants(now, grant_in_use);
     }
 
-    /// Forgets what an earlier incarnation of the peer said.
+    /// Drops the state that an earlier incarnation of the peer reported.
     pub fn reset_for_new_incarnation(&mut self) {
         self.votes_for = Vec::new();
         self.demands = BTreeMap::new();
@@ -70,17 +71,16 @@
     }
 }
 
-/// The records of all fronts, by position in the roster; the one of this front stays empty.
+/// The records of all fronts, by position in the membership list. This front's own stays empty.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerTable {
     records: Vec<PeerRecord>,
-    /// Number of the latest grant to any peer.
+    /// Sequence number of the latest grant to any peer.
     grant_number: u64,
 }
 
 impl PeerTable {
-    /// The records of a fleet that nothing is known of. Grants are numbered from the one after
-    /// `grant_number`.
+    /// Creates empty records for `fronts` fronts. The first grant is numbered `grant_number` + 1.
     pub fn new(fronts: u16, grant_number: u64) -> PeerTable {
         PeerTable {
             records: vec![PeerRecord::default(); usize::from(fronts)],
@@ -88,33 +88,33 @@
         }
     }
 
-    /// The record of a peer.
+    /// Returns the record of a peer.
     ///
     /// # Panics
-    /// Where the roster has no such front.
+    /// Panics if the membership list has no such front.
     pub fn get(&self, peer: PeerId) -> &PeerRecord {
         &self.records[peer.index()]
     }
 
-    /// The record of a peer, to be changed.
+    /// Returns a mutable reference to the record of a peer.
     ///
     /// # Panics
-    /// Where the roster has no such front.
+    /// Panics if the membership list has no such front.
     pub fn get_mut(&mut self, peer: PeerId) -> &mut PeerRecord {
         &mut self.records[peer.index()]
     }
 
-    /// All records by position.
+    /// Returns the records of all fronts in the order of the membership list.
     pub fn iter(&self) -> impl Iterator<Item = &PeerRecord> + '_ {
         self.records.iter()
     }
 
-    /// Number of the latest grant to any peer.
+    /// Returns the sequence number of the latest grant to any peer.
     pub fn grant_number(&self) -> u64 {
         self.grant_number
     }
 
-    /// What all peers together may be using of a limit by this front's grants.
+    /// Returns the share of a limit that all peers together may be using under this front's grants.
     pub fn granted_share(&self, now: Nanos, limit: Limit) -> Share {
         let granted = self
             .iter()
@@ -122,20 +122,20 @@
         granted.sum()
     }
 
-    /// The share of a limit that this front may use now by leases from all peers.
+    /// Returns the share of a limit that this front may use now under leases from all peers.
     pub fn held_share(&self, now: Nanos, limit: Limit) -> Share {
         let held = self.iter().map(|peer| peer.leases.held_share(now, limit));
         held.fold(Share::NONE, Share::saturating_add)
     }
 
-    /// When the held leases expire; some of these times may have passed.
+    /// Returns the expiries of the held leases, some of which may have passed.
     pub fn held_expiries(&self) -> impl Iterator<Item = Nanos> + '_ {
         self.iter().map(|peer| peer.leases.held_expiry())
     }
 
-    /// Takes over the leases that a peer grants and returns the limits that are affected. The
-    /// duration of the leases counts from `starts_at`.
-    pub fn take_grant(
+    /// Replaces the leases held from a peer by those of a later grant and returns the limits that
+    /// are affected. The duration of the leases counts from `starts_at`.
+    pub fn accept_grant(
         &mut self,
         config: &LimitsConfig,
         grantor: PeerId,
--- a/crates/fleet-limits/src/share.rs
+++ b/crates/fleet-limits/src/share.rs
@@ -1,4 +1,4 @@
-//! Shares of limits.
+//! Shares of limits, as integers in millionths of a whole limit.
 
 use std::iter::Sum;
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
@@ -8,25 +8,25 @@
     Share(u32)
 }
 
-/// The whole of a limit.
+/// The whole limit.
 pub const FULL_SHARE: Share = Share(1_000_000);
 
 impl Share {
-    /// Nothing of a limit.
+    /// The empty share: nothing of the limit may be used.
     pub const NONE: Share = Share(0);
 
-    /// The share as a fraction of the whole limit, from 0 to 1.
+    /// Returns the share as a fraction of the whole limit, where 1 is [`FULL_SHARE`].
     pub fn as_fraction(self) -> f64 {
         f64::from(self.0) / f64::from(FULL_SHARE.0)
     }
 
-    /// The sum, or the largest number that can be represented.
+    /// Returns the sum, capped at the largest representable share.
     #[must_use]
     pub fn saturating_add(self, other: Share) -> Share {
         Share(self.0.saturating_add(other.0))
     }
 
-    /// The difference, or [`Share::NONE`] where `other` is larger.
+    /// Returns the difference, or [`Share::NONE`] if `other` is larger.
     #[must_use]
     pub fn saturating_sub(self, other: Share) -> Share {
         Share(self.0.saturating_sub(other.0))
@@ -66,7 +66,7 @@
 impl Div<u32> for Share {
     type Output = Share;
 
-    /// Rounds down.
+    /// Divides the share, rounding down to whole millionths.
     fn div(self, divisor: u32) -> Share {
         Share(self.0 / divisor)
     }
--- a/crates/fleet-limits/src/share_reports.rs
+++ b/crates/fleet-limits/src/share_reports.rs
@@ -1,4 +1,4 @@
-//! What the caller was last told of this front's shares.
+//! The shares of this front as last reported to the caller.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -6,16 +6,16 @@
 use crate::fingerprint::time_until;
 use crate::{Effect, Limit, Nanos, Share};
 
-/// The shares that were last reported to the caller, and until when they hold.
+/// The shares that were last reported to the caller, and when they must be checked again.
 #[derive(Clone, Debug)]
 pub(crate) struct ShareReports {
     shares: BTreeMap<Limit, Share>,
-    /// When something that a share depends on expires next.
+    /// The next time at which something that a share depends on expires.
     next_expiry: Nanos,
 }
 
 impl ShareReports {
-    /// No report so far.
+    /// Creates an instance without any reported share.
     pub fn new() -> ShareReports {
         ShareReports {
             shares: BTreeMap::new(),
@@ -23,7 +23,8 @@
         }
     }
 
-    /// The reports of a coordinator that starts anew: the shares stay reported.
+    /// Moves the reported shares to the reports of a reconfigured coordinator, which has no next
+    /// expiry yet.
     pub fn restarted(&mut self) -> ShareReports {
         ShareReports {
             shares: std::mem::take(&mut self.shares),
@@ -31,17 +32,17 @@
         }
     }
 
-    /// Whether a share of a limit has been reported.
+    /// Returns whether a share of a limit has been reported.
     pub fn contains(&self, limit: Limit) -> bool {
         self.shares.contains_key(&limit)
     }
 
-    /// Drops the report of a limit.
+    /// Removes the reported share of a limit.
     pub fn forget(&mut self, limit: Limit) {
         self.shares.remove(&limit);
     }
 
-    /// Reports a share if it has changed. One that has become smaller is so since `reduced_at`.
+    /// Reports a share if it has changed: from `reduced_at` if it is smaller, from `now` otherwise.
     pub fn report(
         &mut self,
         now: Nanos,
@@ -59,12 +60,13 @@
         effects.push(Effect::ShareChanged { limit, share, at });
     }
 
-    /// When something that a share depends on expires next.
+    /// Returns the next time at which something that a share depends on expires.
     pub fn next_expiry(&self) -> Nanos {
         self.next_expiry
     }
 
-    /// Sets the next expiry to the first of some times that has not passed.
+    /// Sets the next expiry to the earliest of `expiries` after `now`, or [`Nanos::MAX`] without
+    /// one.
     pub fn set_next_expiry(&mut self, now: Nanos, expiries: impl Iterator<Item = Nanos>) {
         self.next_expiry = expiries
             .filter(|expires_at| *expires_at > now)
--- a/crates/fleet-limits/src/votes.rs
+++ b/crates/fleet-limits/src/votes.rs
@@ -1,4 +1,4 @@
-//! Votes of this front on who holds which lease issuer.
+//! The votes of this front, which decide with those of its peers who holds each lease issuer.
 
 use std::hash::{Hash, Hasher};
 
@@ -6,39 +6,40 @@
 use crate::mutations::{mutated, Mutation};
 use crate::{Incarnation, Nanos, PeerId};
 
-/// A holder of a lease issuer: one incarnation of a front.
+/// One incarnation of a front, as the claimant or holder of a lease issuer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Holder {
-    /// The front.
+    /// Position of the front in the membership list.
     pub peer: PeerId,
-    /// Its incarnation.
+    /// The incarnation of the front that claims or holds the issuer.
     pub incarnation: Incarnation,
 }
 
-/// A vote for one holder, which binds this front until it expires.
+/// A vote for one holder. Until it expires, this front votes for no other one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Vote {
     holder: Holder,
     expires_at: Nanos,
 }
 
-/// At most one vote of this front for each lease issuer.
+/// The votes of this front, at most one for each lease issuer.
 #[derive(Clone, Debug)]
 pub(crate) struct VoteTable {
-    /// Indexed by the issuer's home.
+    /// Indexed by the position of the issuer's owner.
     votes: Vec<Option<Vote>>,
 }
 
 impl VoteTable {
-    /// A table without votes for the issuers of a fleet.
+    /// Creates a table without votes for the issuers of `fronts` fronts.
     pub fn new(fronts: u16) -> VoteTable {
         VoteTable {
             votes: vec![None; usize::from(fronts)],
         }
     }
 
-    /// Votes for a holder of an issuer, or renews that vote, unless a vote for another holder still
-    /// runs. Returns whether the holder has this front's vote; an unknown issuer gets none.
+    /// Votes for a holder of an issuer, or renews that vote, unless a vote for another holder has
+    /// not expired. Returns whether the holder has this front's vote, which is never the case for
+    /// an unknown issuer.
     pub fn vote_for(
         &mut self,
         now: Nanos,
@@ -57,7 +58,7 @@
         true
     }
 
-    /// Withdraws the votes for a holder on issuers that it no longer claims.
+    /// Withdraws the votes for a holder of issuers that it no longer claims.
     pub fn release_unclaimed(&mut self, holder: Holder, claims: &[PeerId]) {
         for (issuer, vote) in self.votes.iter_mut().enumerate() {
             let is_claimed = claims.contains(&PeerId::at(issuer));
@@ -67,11 +68,11 @@
         }
     }
 
-    /// Hashes the votes that still run, with times relative to `now`.
+    /// Hashes the votes that have not expired, with times relative to `now`.
     pub fn fingerprint<H: Hasher>(&self, now: Nanos, hasher: &mut H) {
         for vote in &self.votes {
-            let running = vote.filter(|vote| vote.expires_at > now);
-            running
+            let active = vote.filter(|vote| vote.expires_at > now);
+            active
                 .map(|vote| (vote.holder, time_until(now, vote.expires_at)))
                 .hash(hasher);
         }
--- a/crates/fleet-limits/tests/config.rs
+++ b/crates/fleet-limits/tests/config.rs
@@ -1,4 +1,4 @@
-//! Validation of configurations, and the invariants of quorums and shares.
+//! Tests of configuration validation and of the invariants of quorums and shares.
 
 use tulipbridge_fleet_limits::{LimitsConfig, PeerId, Share, FULL_SHARE};
 
@@ -43,7 +43,10 @@
         .iter()
         .map(|config| config.check().expect_err("it is invalid").to_string())
         .collect();
-    assert_eq!(reasons[0], "place 4 is not in a roster of 4");
+    assert_eq!(
+        reasons[0],
+        "position 4 is outside a membership list of 4 fronts"
+    );
     assert!(reasons[1].contains("four beats"));
     assert!(reasons[2].contains("floor"));
     assert!(reasons[3].contains("drift"));
--- a/crates/fleet-limits/tests/coordinator.rs
+++ b/crates/fleet-limits/tests/coordinator.rs
@@ -1,5 +1,5 @@
-//! Behavior of a few coordinators among themselves, step by step. Arbitrary orders of faults are
-//! covered by the simulation and by the model checker.
+//! Tests of small fleets of coordinators with fixed sequences of events. Arbitrary orders of faults
+//! are covered by the simulation and by the model checker.
 
 use std::hash::{DefaultHasher, Hasher};
 
@@ -22,7 +22,7 @@
     .expect("the configuration is valid")
 }
 
-/// The event by which a heartbeat of a front arrives.
+/// Returns the event that delivers a front's heartbeat.
 fn received(sender: &LimitCoordinator, heartbeat: Box<Heartbeat>) -> Event {
     Event::HeartbeatReceived {
         from: sender.config().me,
@@ -31,7 +31,7 @@
     }
 }
 
-/// The heartbeat to a peer, or to any peer where `to` is `None`.
+/// Returns the first heartbeat to a peer, or the first to any peer if `to` is `None`.
 fn heartbeat_to(effects: &[Effect], to: Option<PeerId>) -> Option<Box<Heartbeat>> {
     effects.iter().find_map(|effect| match effect {
         Effect::Send {
@@ -42,14 +42,14 @@
     })
 }
 
-/// The next heartbeat of a front to its first peer.
+/// Returns the next heartbeat of a front to its first peer.
 fn next_heartbeat(front: &mut LimitCoordinator, now: Nanos) -> Box<Heartbeat> {
     let mut effects = Vec::new();
     front.on(now, Event::HeartbeatDue, &mut effects);
     heartbeat_to(&effects[..1], None).expect("the first effect is a heartbeat")
 }
 
-/// The first change of a share among some effects, with the time from which it applies.
+/// Returns the first changed share among `effects` and the time from which it applies.
 fn first_share_change(effects: &[Effect]) -> Option<(Share, Nanos)> {
     effects.iter().find_map(|effect| match effect {
         Effect::ShareChanged { share, at, .. } => Some((*share, *at)),
@@ -57,8 +57,8 @@
     })
 }
 
-/// One round of heartbeats: all others receive each at once, and replies go back to the sender.
-fn round(fronts: &mut [LimitCoordinator], now: Nanos) {
+/// Delivers one heartbeat of every front to all others at once, and the replies to the senders.
+fn exchange_heartbeats(fronts: &mut [LimitCoordinator], now: Nanos) {
     for from in 0..fronts.len() {
         let mut effects = Vec::new();
         fronts[from].on(
@@ -71,8 +71,8 @@
         );
         fronts[from].on(now, Event::HeartbeatDue, &mut effects);
         for to in (0..fronts.len()).filter(|to| *to != from) {
-            // A receiver that is not in the sender's roster gets the heartbeat for some other
-            // front.
+            // A receiver that is not in the sender's membership list gets the heartbeat for some
+            // other front.
             let own = heartbeat_to(&effects, Some(fronts[to].config().me));
             let Some(heartbeat) = own.or_else(|| heartbeat_to(&effects, None)) else {
                 continue;
@@ -82,7 +82,7 @@
     }
 }
 
-/// Delivers a heartbeat, and the replies to it.
+/// Delivers a heartbeat, and the replies to its sender.
 fn deliver(
     fronts: &mut [LimitCoordinator],
     now: Nanos,
@@ -101,11 +101,11 @@
     }
 }
 
-/// Two fronts after 19 rounds, the last one at 3.8 s.
+/// Returns two fronts after 19 rounds of heartbeats, the last one at 3.8 s.
 fn established_pair() -> [LimitCoordinator; 2] {
     let mut fronts = [front(PeerId(0), 2, 1), front(PeerId(1), 2, 1)];
     for step in 1..20 {
-        round(&mut fronts, step * HEARTBEAT_INTERVAL);
+        exchange_heartbeats(&mut fronts, step * HEARTBEAT_INTERVAL);
     }
     fronts
 }
@@ -123,7 +123,7 @@
     let mut now = 0;
     while now < 1_900 * MS {
         now += HEARTBEAT_INTERVAL;
-        round(&mut fronts, now);
+        exchange_heartbeats(&mut fronts, now);
         assert_eq!(
             shares(&fronts, now),
             vec![Share::NONE; 2],
@@ -133,7 +133,7 @@
     }
     for _ in 0..10 {
         now += HEARTBEAT_INTERVAL;
-        round(&mut fronts, now);
+        exchange_heartbeats(&mut fronts, now);
     }
     let sum: Share = shares(&fronts, now).into_iter().sum();
     assert!(
@@ -152,7 +152,7 @@
     let mut now = 0;
     for _ in 0..20 {
         now += HEARTBEAT_INTERVAL;
-        round(&mut fronts, now);
+        exchange_heartbeats(&mut fronts, now);
     }
     let floor = fronts[0].config().floor_share();
     let mut effects = Vec::new();
@@ -161,14 +161,14 @@
     assert_eq!(share, floor);
     assert!(
         at <= now + 2_000 * MS,
-        "since it expired, not since it was noticed"
+        "the reduction applies from the expiry, not from its detection"
     );
 }
 
 #[test]
-fn of_two_rosters_with_the_same_revision_one_yields() {
-    // Two fronts whose roster has only the two, and two whose roster has all four: 0 and 1 are the
-    // same in both.
+fn of_two_membership_lists_with_the_same_revision_one_yields() {
+    // The membership list of the first two fronts has only these two, that of the other two has all
+    // four. Fronts 0 and 1 have the same positions in both lists.
     let mut fronts = [
         front(PeerId(0), 2, 1),
         front(PeerId(1), 2, 1),
@@ -178,7 +178,7 @@
     let mut now = 0;
     for _ in 0..40 {
         now += HEARTBEAT_INTERVAL;
-        round(&mut fronts, now);
+        exchange_heartbeats(&mut fronts, now);
         let sum: Share = shares(&fronts, now).into_iter().sum();
         assert!(sum <= FULL_SHARE, "{sum} at {} ms", now / MS);
     }
@@ -228,9 +228,9 @@
 
 #[test]
 fn a_volume_without_demand_is_forgotten_after_fifteen_seconds() {
-    let mut alone = front(PeerId(0), 1, 1);
+    let mut single_front = front(PeerId(0), 1, 1);
     let mut effects = Vec::new();
-    alone.on(
+    single_front.on(
         3_000 * MS,
         Event::Demanded {
             limit: VOLUME,
@@ -238,10 +238,10 @@
         },
         &mut effects,
     );
-    alone.on(3_200 * MS, Event::HeartbeatDue, &mut effects);
-    alone.on(17_000 * MS, Event::HeartbeatDue, &mut effects);
+    single_front.on(3_200 * MS, Event::HeartbeatDue, &mut effects);
+    single_front.on(17_000 * MS, Event::HeartbeatDue, &mut effects);
     assert!(!effects.contains(&Effect::Forget(VOLUME)));
-    alone.on(19_000 * MS, Event::HeartbeatDue, &mut effects);
+    single_front.on(19_000 * MS, Event::HeartbeatDue, &mut effects);
     assert!(effects.contains(&Effect::Forget(VOLUME)));
 }
 
@@ -271,34 +271,35 @@
     assert_ne!(
         fingerprint_after(0, 2.0),
         fingerprint_after(1, 2.0),
-        "the number of the held grant decides whether the next grant is taken"
+        "the number of the held grant decides whether the next grant is accepted"
     );
     assert_ne!(
         fingerprint_after(0, 2.0),
         fingerprint_after(0, 2.000_001),
-        "demands that are reported alike now drift apart later"
+        "demands that are reported as equal now may differ in later reports"
     );
 }
 
 #[test]
-fn a_heartbeat_with_arbitrary_peers_and_numbers_does_no_harm() {
+fn a_heartbeat_with_arbitrary_peers_and_numbers_keeps_the_share_within_the_limit() {
     let mut fronts = established_pair();
-    let mut wild = next_heartbeat(&mut fronts[1], 4_000 * MS);
-    wild.claims = [0, 1, 9, u16::MAX].map(PeerId).to_vec();
-    wild.votes = [0, 1, 9, u16::MAX].map(PeerId).to_vec();
-    wild.settled = [7, u16::MAX].map(PeerId).to_vec();
-    wild.state.reachable = [9, u16::MAX].map(PeerId).to_vec();
-    wild.grant.number = u64::MAX;
-    wild.grant.duration = Nanos::MAX;
-    wild.demands
+    let mut malformed = next_heartbeat(&mut fronts[1], 4_000 * MS);
+    malformed.claims = [0, 1, 9, u16::MAX].map(PeerId).to_vec();
+    malformed.votes = [0, 1, 9, u16::MAX].map(PeerId).to_vec();
+    malformed.settled = [7, u16::MAX].map(PeerId).to_vec();
+    malformed.state.reachable = [9, u16::MAX].map(PeerId).to_vec();
+    malformed.grant.number = u64::MAX;
+    malformed.grant.duration = Nanos::MAX;
+    malformed
+        .demands
         .iter_mut()
         .for_each(|demand| demand.milli_units_per_second = u64::MAX);
-    let boot = fronts[1].incarnation();
+    let incarnation = fronts[1].incarnation();
     for from in [0, 1, 2, u16::MAX].map(PeerId) {
         let event = Event::HeartbeatReceived {
             from,
-            incarnation: boot,
-            heartbeat: wild.clone(),
+            incarnation,
+            heartbeat: malformed.clone(),
         };
         fronts[0].on(4_001 * MS, event, &mut Vec::new());
         fronts[0].on(4_200 * MS, Event::HeartbeatDue, &mut Vec::new());
--- a/crates/fleet-limits/tests/golden.rs
+++ b/crates/fleet-limits/tests/golden.rs
@@ -1,9 +1,9 @@
-//! Golden bytes of the heartbeats by which fronts share limits.
+//! Golden bytes of the heartbeats that fronts exchange to share limits.
 //!
-//! Fronts of two versions run side by side during an upgrade, so the bytes are a contract: names of
-//! types and fields may change, their order, their widths and the numbers of enum variants may not.
-//! The expected bytes were derived from the postcard format by an independent encoder, not copied
-//! from a run.
+//! Fronts of two versions run side by side during an upgrade, so the encoding must not change:
+//! names of types and fields may change, but not their order, their widths and the numbers of enum
+//! variants. The expected bytes were derived from the postcard format by an independent encoder,
+//! not copied from a run.
 
 use std::fmt::Debug;
 
@@ -17,13 +17,13 @@
 /// Length of the digest at the end of a datagram, in bytes.
 const DIGEST_LENGTH: usize = 32;
 
-/// Lower-case hexadecimal digits of some bytes.
+/// Returns the bytes as lower-case hexadecimal digits.
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Checks that a value has exactly these bytes inside a datagram, and that decoding them gives an
-/// equal value.
+/// Checks that a value is encoded as exactly the expected bytes inside a datagram, and that
+/// decoding them gives an equal value.
 fn assert_golden<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, expected: &str) {
     let codec = EnvelopeCodec::new(b"golden key of the fronts").expect("the key is long enough");
     let datagram = codec
@@ -157,8 +157,8 @@
             "f02e",                 // state, sent_at, as zigzag
             "01ad027f",             // state, echo: present, incarnation, sent_at
             "00",                   // state, conflicting: absent
-            "01",                   // state, leaving
-            "0109",                 // state, hears: length, peers
+            "01",                   // state, shutting_down
+            "0109",                 // state, reachable: length, peers
             "00",                   // established
             "01",                   // is_reply
             "020102",               // claims: length, peers
@@ -206,7 +206,7 @@
         concat!(
             "01",         // membership_digest
             "02",         // revision
-            "0600000000", // state: sent_at, then nothing
+            "0600000000", // state: sent_at, all other fields absent, false or empty
             "01",         // established
             "00",         // is_reply
             "00",         // claims: none
