--- a/crates/outlier-detection/src/attempt_counts.rs
+++ b/crates/outlier-detection/src/attempt_counts.rs
@@ -5,7 +5,7 @@
 use crate::evidence::{to_tenths, MAX_CLASSES};
 use crate::{ClassEvidence, ClassId, Nanos, SampleQuality, ServerId};
 
-/// A count with fewer attempts than this is dropped.
+/// Counts that have decayed to fewer attempts than this are dropped.
 const NEGLIGIBLE_ATTEMPTS: f64 = 0.05;
 
 /// Attempts at one server for one class of work, with exponential decay.
@@ -13,7 +13,7 @@
 struct DecayingCount {
     attempts: f64,
     failures: f64,
-    /// The time as of which the numbers hold.
+    /// The time up to which the decay is included.
     at: Nanos,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Decaying counts of the attempts at all servers.
+/// Decaying counts of this front's attempts at all servers.
 #[derive(Clone, Debug)]
 pub(crate) struct AttemptCounts {
     half_life: Nanos,
@@ -53,7 +53,7 @@
 }
 
 impl AttemptCounts {
-    /// No attempts. After `half_life`, an attempt counts half.
+    /// Creates empty counts. An attempt counts half after `half_life`.
     pub fn new(half_life: Nanos) -> AttemptCounts {
         AttemptCounts {
             half_life,
@@ -70,7 +70,7 @@
             .add(now, quality, half_life);
     }
 
-    /// Drops the counts of all servers but some.
+    /// Drops the counts of all servers for which `keep` returns false.
     pub fn retain_servers(&mut self, keep: impl Fn(ServerId) -> bool) {
         self.counts.retain(|(server, _), _| keep(*server));
     }
@@ -82,7 +82,8 @@
             .retain(|_, count| count.decayed(now, half_life).attempts >= NEGLIGIBLE_ATTEMPTS);
     }
 
-    /// The evidence on a server, by class of work.
+    /// Returns the evidence on a server for each class of work with attempts, up to [`MAX_CLASSES`]
+    /// classes.
     pub fn evidence(&self, now: Nanos, server: ServerId) -> Vec<ClassEvidence> {
         let counts = self
             .counts
--- a/crates/outlier-detection/src/attempt_observer.rs
+++ b/crates/outlier-detection/src/attempt_observer.rs
@@ -1,16 +1,17 @@
-//! Classification of a front's own attempts as healthy, failed or inconclusive.
+//! Classification of a front's own attempts as healthy, failed or inconclusive, by their results
+//! and their latencies.
 
 use std::collections::BTreeMap;
 
 use crate::{ClassId, Event, Nanos, SampleQuality, ServerId};
 
-/// An answer is slow if it takes longer than this many times the estimated median latency.
+/// An answer is slow if its latency exceeds this multiple of the estimated median latency.
 const SLOW_FACTOR: i64 = 4;
-/// No answer within this time in nanoseconds is slow, whatever the median.
+/// Latency in nanoseconds up to which no answer is slow, whatever the median.
 const MIN_SLOW_LATENCY: Nanos = 20_000_000;
-/// Each answer moves the median estimate by itself divided by this.
+/// Each answer moves the estimated median latency by the estimate divided by this.
 const MEDIAN_STEP_DIVISOR: i64 = 20;
-/// A longer time in nanoseconds between two steps means that the front itself was paused.
+/// Time in nanoseconds between two steps; a longer one means that the front itself was paused.
 const PAUSE_THRESHOLD: Nanos = 100_000_000;
 
 /// How an attempt ended.
@@ -20,9 +21,9 @@
     Answered,
     /// The server failed, or its connection was refused or lost.
     Failed,
-    /// It was cancelled, or it timed out.
+    /// The attempt was cancelled, or it timed out.
     Cancelled,
-    /// The server rejected it.
+    /// The server rejected the attempt.
     Rejected,
 }
 
@@ -32,18 +33,18 @@
     server: ServerId,
     class: ClassId,
     sent_at: Nanos,
-    /// Whether this is a probe of an ejected server.
+    /// Whether the attempt is a probe of an ejected server.
     is_probe: bool,
-    /// Whether it was already counted as failed because it is overdue.
-    counted: bool,
+    /// Whether the attempt has already been counted as failed because it was overdue.
+    is_counted: bool,
 }
 
-/// An attempt of this front.
+/// Identifies an attempt of this front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The number of the request, unique during the life of the front.
+    /// Number of the request, unique while the front runs.
     pub request: u64,
-    /// The number of the attempt among those of the request.
+    /// Number of the attempt among those of the request.
     pub attempt: u32,
 }
 
@@ -53,14 +54,14 @@
     pending: BTreeMap<AttemptId, PendingAttempt>,
     /// Estimated median latency of answers, by class of work.
     medians: BTreeMap<ClassId, Nanos>,
-    /// Servers whose next idempotent attempt is a probe if it is sent before this time.
+    /// Servers whose next idempotent attempt is a probe if it is sent before the given time.
     probes_due: BTreeMap<ServerId, Nanos>,
     last_step_at: Option<Nanos>,
 }
 
 impl AttemptObserver {
-    /// Must be called at each step of the front. Time during which the front was paused is not held
-    /// against the attempts in flight.
+    /// Records a step of the front; must be called at each one. Time for which the front was paused
+    /// is not added to the latencies of the attempts in flight.
     pub fn step(&mut self, now: Nanos) {
         let elapsed = self.last_step_at.map_or(0, |at| now - at);
         self.last_step_at = Some(now);
@@ -76,12 +77,13 @@
         self.probes_due.insert(server, until);
     }
 
-    /// A server is no longer ejected: no probe of it is due.
+    /// Records that a server is no longer ejected, so that no probe of it is due.
     pub fn readmitted(&mut self, server: ServerId) {
         self.probes_due.remove(&server);
     }
 
-    /// An attempt was sent. `idempotent` says whether the request may be executed more than once.
+    /// Records that an attempt was sent. `idempotent` says whether the request may be executed more
+    /// than once.
     pub fn attempt_sent(
         &mut self,
         now: Nanos,
@@ -100,13 +102,13 @@
             class,
             sent_at: now,
             is_probe,
-            counted: false,
+            is_counted: false,
         };
         self.pending.insert(id, attempt);
     }
 
-    /// An attempt has ended. Returns the event for the detector, unless the result is inconclusive
-    /// or was counted.
+    /// Records that an attempt has ended. Returns the event for the detector, or `None` if the
+    /// result is inconclusive or the attempt has already been counted.
     pub fn attempt_ended(
         &mut self,
         now: Nanos,
@@ -126,18 +128,19 @@
             AttemptResult::Rejected => None,
         };
         quality
-            .filter(|_| !attempt.counted)
+            .filter(|_| !attempt.is_counted)
             .map(|quality| attempt.event(quality))
     }
 
-    /// Whether any attempt is overdue and not counted as failed yet.
+    /// Returns whether any attempt is overdue and has not been counted as failed yet.
     pub fn has_overdue(&self, now: Nanos) -> bool {
         self.pending
             .values()
             .any(|attempt| self.is_overdue(now, attempt))
     }
 
-    /// Counts the attempts that are overdue as failed, each once, however they will end.
+    /// Counts overdue attempts as failed and returns their events. Each attempt is counted once,
+    /// however it ends later.
     pub fn take_overdue(&mut self, now: Nanos) -> Vec<Event> {
         let overdue: Vec<AttemptId> = self
             .pending
@@ -147,19 +150,19 @@
             .collect();
         let count = |id| {
             let attempt = self.pending.get_mut(&id)?;
-            attempt.counted = true;
+            attempt.is_counted = true;
             Some(attempt.event(SampleQuality::Failed))
         };
         overdue.into_iter().filter_map(count).collect()
     }
 
-    /// The estimated median latency of a class of work, once there has been an answer.
+    /// Returns the estimated median latency of a class of work, or `None` before its first answer.
     pub fn median(&self, class: ClassId) -> Option<Nanos> {
         self.medians.get(&class).copied()
     }
 
-    /// Moves the estimate by a small step towards the latency, so that it settles where as many are
-    /// above as below.
+    /// Moves the estimate by a small step towards the latency. It converges to the median, where as
+    /// many latencies are above it as below.
     fn update_median(&mut self, class: ClassId, latency: Nanos) {
         let median = self.medians.entry(class).or_insert(latency);
         let step = (*median / MEDIAN_STEP_DIVISOR).max(1);
@@ -167,7 +170,7 @@
     }
 
     fn is_overdue(&self, now: Nanos, attempt: &PendingAttempt) -> bool {
-        !attempt.counted && self.is_slow(attempt.class, now - attempt.sent_at)
+        !attempt.is_counted && self.is_slow(attempt.class, now - attempt.sent_at)
     }
 
     fn is_slow(&self, class: ClassId, latency: Nanos) -> bool {
--- a/crates/outlier-detection/src/detector.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -1,9 +1,9 @@
-//! The state machine of one front.
+//! The state machine of outlier detection at one front.
 //!
-//! Every front publishes its evidence on servers that any front suspects, votes to eject what the
-//! evidence of all fronts together proves to be an outlier, and ejects what more than half of the
-//! fleet vote for. Fronts take turns in probing an ejected server, until enough probes in a row
-//! have succeeded.
+//! Every front publishes its evidence on servers that it or a peer finds to be failing, votes to
+//! eject the outliers that the evidence of all fronts together proves, and ejects what more than
+//! half of the fronts vote for. Fronts take turns to probe an ejected server until enough probes in
+//! a row have succeeded.
 
 mod ballot;
 mod context;
@@ -28,10 +28,10 @@
     KnownServer, Nanos, PeerId, SampleQuality, ServerId,
 };
 
-/// One front's side of the outlier detection of the whole fleet.
+/// One front's part in the outlier detection of the whole fleet.
 ///
-/// It consists of parts that know nothing of each other: the exchange of evidence, the votes, the
-/// ejections and the probes. [`OutlierDetector::on`] passes on to each what it needs of the others.
+/// It consists of four independent parts: the exchange of evidence, the votes, the ejections and
+/// the probes. [`OutlierDetector::on`] passes to each the results of the others that it needs.
 #[derive(Clone, Debug)]
 pub struct OutlierDetector {
     config: DetectorConfig,
@@ -40,15 +40,15 @@
     ballot: Ballot,
     ejections: Ejections,
     probes: ProbeScheduler,
-    /// Whether this front's own evidence was found to be suspect.
+    /// Whether this front was suspect at the last evaluation.
     is_suspect: bool,
 }
 
 impl OutlierDetector {
-    /// A front that has just started.
+    /// Creates the detector of a front that has just started.
     ///
     /// # Errors
-    /// The configuration is invalid, see [`DetectorConfig::check`].
+    /// Returns an error if the configuration is invalid, see [`DetectorConfig::check`].
     pub fn new(config: DetectorConfig) -> Result<OutlierDetector, DetectorConfigError> {
         config.check()?;
         Ok(OutlierDetector {
@@ -90,23 +90,23 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn config(&self) -> &DetectorConfig {
         &self.config
     }
 
-    /// What this front has ejected.
+    /// Returns the targets that this front has ejected.
     pub fn ejected(&self) -> impl Iterator<Item = EjectionTarget> + '_ {
         self.ejections.targets()
     }
 
-    /// Whether this front's evidence contradicts that of most peers, so that it is ignored.
+    /// Returns whether this front's evidence contradicts that of most peers, so that it is ignored.
     pub fn is_suspect(&self) -> bool {
         self.is_suspect
     }
 
-    /// Whether a recently proven outlier waits for this front's vote: evidence of peers may still
-    /// arrive.
+    /// Returns whether a recently proven outlier has no vote of this front yet. Evidence of peers
+    /// may still arrive before it votes.
     pub fn is_waiting(&self, now: Nanos) -> bool {
         self.ballot.is_waiting(now, self.config.vote_delay)
     }
@@ -129,8 +129,8 @@
         }
     }
 
-    /// One evaluation: from the evidence of all fronts to votes, from votes to ejections, and from
-    /// ejections to probes.
+    /// Runs one evaluation: derives votes from the evidence of all fronts, ejections from the
+    /// votes, and probes from the ejections.
     fn evaluate(&mut self, now: Nanos, entries: &GossipStore, effects: &mut Vec<Effect>) {
         let context = EvaluationContext {
             now,
@@ -163,7 +163,7 @@
     }
 }
 
-/// Reports whether the front `me` has become suspect or is so no more.
+/// Reports a change of whether the front `me` is suspect.
 fn update_suspect(
     was_suspect: &mut bool,
     suspects: &BTreeSet<PeerId>,
--- a/crates/outlier-detection/src/detector/ballot.rs
+++ b/crates/outlier-detection/src/detector/ballot.rs
@@ -10,7 +10,7 @@
     DetectorConfig, Effect, EjectionTarget, GossipStore, Nanos, Scope, ServerId, Vote, VOTE,
 };
 
-/// A vote is published again this many times within its time to live.
+/// Number of times that an active vote is published again within its time to live.
 const REFRESHES_PER_TTL: Nanos = 4;
 
 /// The votes of all fronts, by target.
@@ -20,27 +20,27 @@
 #[derive(Clone, Copy, Debug)]
 struct OwnVote {
     published_at: Nanos,
-    /// Whether it has not been withdrawn.
+    /// Whether the vote has not been withdrawn.
     is_active: bool,
 }
 
 /// This front's votes, and the outliers that it may vote to eject.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Ballot {
-    /// What the evidence proves to be an outlier, and since when.
+    /// The targets that the evidence proves to be outliers, and the times since which it does.
     proven_since: BTreeMap<EjectionTarget, Nanos>,
     /// This front's votes, including withdrawn ones that may still count at peers.
     votes: BTreeMap<EjectionTarget, OwnVote>,
 }
 
 impl Ballot {
-    /// The targets that the evidence proves to be outliers.
+    /// Returns the targets that the evidence proves to be outliers.
     pub(super) fn proven_targets(&self) -> impl Iterator<Item = &EjectionTarget> + '_ {
         self.proven_since.keys()
     }
 
-    /// Whether a recently proven outlier waits for this front's vote: evidence of peers may still
-    /// arrive.
+    /// Returns whether a recently proven outlier has no vote of this front yet. Evidence of peers
+    /// may still arrive before it votes.
     pub(super) fn is_waiting(&self, now: Nanos, vote_delay: Nanos) -> bool {
         let has_vote = |target| self.votes.get(target).is_some_and(|vote| vote.is_active);
         let is_recent = |since: &Nanos| now - since < 2 * vote_delay;
@@ -49,8 +49,9 @@
             .any(|(target, since)| is_recent(since) && !has_vote(target))
     }
 
-    /// Votes to eject outliers that have been proven for long enough, the surest first and as many
-    /// as one front may, and withdraws votes for what is no longer an outlier.
+    /// Votes to eject outliers that have been proven for long enough, up to the maximum number of
+    /// votes and those with the strongest evidence first. Withdraws votes for targets that are no
+    /// longer outliers.
     pub(super) fn cast(
         &mut self,
         context: &EvaluationContext,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Whether a vote is to be cast for an outlier, or to be renewed.
+    /// Returns whether a vote for an outlier is to be cast or to be published again.
     fn is_vote_due(&self, context: &EvaluationContext, target: EjectionTarget) -> bool {
         let active_vote = self.votes.get(&target).filter(|vote| vote.is_active);
         if let Some(vote) = active_vote {
@@ -88,12 +89,12 @@
             context.config.vote_delay
         };
         let is_delay_over = context.now - self.proven_since[&target] >= delay;
-        is_delay_over && self.has_vote_left(context, target.server)
+        is_delay_over && self.is_within_vote_limit(context, target.server)
     }
 
-    /// Whether another vote keeps the number of servers that this front may have ejected within its
-    /// bound.
-    fn has_vote_left(&self, context: &EvaluationContext, server: ServerId) -> bool {
+    /// Returns whether a vote to eject `server` keeps this front within its maximum number of
+    /// votes. Withdrawn votes that may still count at peers are included.
+    fn is_within_vote_limit(&self, context: &EvaluationContext, server: ServerId) -> bool {
         let span = context.config.vote_span();
         let counting = self
             .votes
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Drops withdrawn votes that count nowhere any more.
+    /// Drops withdrawn votes that no peer can count any more.
     fn drop_expired_votes(&mut self, context: &EvaluationContext) {
         let span = context.config.vote_span();
         let is_forgotten = mutated(Mutation::WithdrawnVoteForgotten);
@@ -151,8 +152,8 @@
         });
     }
 
-    /// The votes of all fronts that have not expired. A vote for [`Scope::All`] counts for every
-    /// narrower target of the same server, too.
+    /// Returns the votes of all fronts that have not expired. A vote for [`Scope::All`] counts for
+    /// every narrower target of the same server, too.
     pub(super) fn count(
         &self,
         now: Nanos,
@@ -199,16 +200,16 @@
     votes
 }
 
-/// The outliers with the highest log-likelihood ratio first.
+/// Returns the outliers, those with the highest log-likelihood ratio first.
 fn by_descending_ratio(outliers: &Outliers) -> Vec<EjectionTarget> {
     let mut targets: Vec<EjectionTarget> = outliers.keys().copied().collect();
-    // The targets are in their order already, which a stable sort keeps where ratios are equal.
+    // The sort is stable, so that targets with equal ratios stay in the order of the map.
     targets.sort_by(|left, right| outliers[right].total_cmp(&outliers[left]));
     targets
 }
 
-/// Adds each front's vote for [`Scope::All`] to the narrower targets of the same server that have
-/// none of it.
+/// Adds each front's vote for [`Scope::All`] to the narrower targets of the same server that the
+/// front has not voted for.
 fn extend_narrower_targets(votes: &mut VotesByTarget) {
     let for_all: Vec<(ServerId, Vec<Vote>)> = votes
         .iter()
@@ -224,7 +225,7 @@
     }
 }
 
-/// Adds the votes of the fronts that have none yet.
+/// Adds the votes of the fronts that have no vote in the list yet.
 fn add_missing_votes(votes: &mut Vec<Vote>, added: &[Vote]) {
     for vote in added {
         if !votes.iter().any(|known| known.front == vote.front) {
--- a/crates/outlier-detection/src/detector/context.rs
+++ b/crates/outlier-detection/src/detector/context.rs
@@ -1,4 +1,4 @@
-//! What the steps of an evaluation read.
+//! The inputs that the steps of an evaluation read.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 /// The servers of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServerTable {
-    /// Whether the endpoint list has the server as up.
+    /// Whether the endpoint list has each server as up.
     is_up: BTreeMap<ServerId, bool>,
 }
 
@@ -23,12 +23,12 @@
         self.is_up.contains_key(&server)
     }
 
-    /// Whether a server is known and up.
+    /// Returns whether a server is in the endpoint list and up.
     pub(super) fn is_up(&self, server: ServerId) -> bool {
         self.is_up.get(&server).is_some_and(|is_up| *is_up)
     }
 
-    /// All servers in the order of their identifiers.
+    /// Returns all servers in the order of their identifiers.
     pub(super) fn ids(&self) -> impl Iterator<Item = ServerId> + '_ {
         self.is_up.keys().copied()
     }
@@ -44,6 +44,6 @@
     pub(super) now: Nanos,
     pub(super) config: &'a DetectorConfig,
     pub(super) servers: &'a ServerTable,
-    /// What all fronts have published.
+    /// The gossip entries that all fronts have published.
     pub(super) entries: &'a GossipStore,
 }
--- a/crates/outlier-detection/src/detector/ejections.rs
+++ b/crates/outlier-detection/src/detector/ejections.rs
@@ -1,4 +1,4 @@
-//! Ejection and readmission by a quorum of votes.
+//! Ejection of targets by a quorum of votes, and readmission without one.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,40 +9,41 @@
 use crate::mutations::{mutated, Mutation};
 use crate::{DetectorConfig, Effect, EjectionTarget, Nanos, ServerId};
 
-/// An ejection by this front, ordered by when it began.
+/// An ejection by this front. Ejections are ordered by their start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Ejection {
     pub(super) since: Nanos,
     pub(super) target: EjectionTarget,
 }
 
-/// What a quorum of the fleet votes for, and what this front has ejected accordingly.
+/// The targets that a quorum of the fronts votes to eject, and those of them that this front has
+/// ejected.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Ejections {
-    /// What a quorum votes for, including what does not concern this front.
+    /// The targets that a quorum votes for, including those that do not concern this front.
     agreed: BTreeSet<EjectionTarget>,
-    /// What this front has ejected, and since when.
+    /// The targets that this front has ejected, and the times since which it has.
     ejected: BTreeMap<EjectionTarget, Nanos>,
 }
 
 impl Ejections {
-    /// What a quorum voted for at the last update.
+    /// Returns the targets that a quorum voted for at the last update.
     pub(super) fn agreed(&self) -> &BTreeSet<EjectionTarget> {
         &self.agreed
     }
 
-    /// What this front has ejected.
+    /// Returns the targets that this front has ejected.
     pub(super) fn targets(&self) -> impl Iterator<Item = EjectionTarget> + '_ {
         self.ejected.keys().copied()
     }
 
-    /// Since when this front has ejected a target, if it has.
+    /// Returns the time since which this front has ejected a target, if it has.
     pub(super) fn ejected_since(&self, target: EjectionTarget) -> Option<Nanos> {
         self.ejected.get(&target).copied()
     }
 
-    /// The oldest ejection of each server: a server that is ejected for several scopes is probed
-    /// once at a time.
+    /// Returns the oldest ejection of each server. Probes are scheduled by it alone, so that a
+    /// server that is ejected for several scopes is probed once at a time.
     pub(super) fn oldest_by_server(&self) -> BTreeMap<ServerId, Ejection> {
         let mut oldest: BTreeMap<ServerId, Ejection> = BTreeMap::new();
         for (target, since) in &self.ejected {
@@ -56,8 +57,8 @@
         oldest
     }
 
-    /// Ejects what a quorum votes for and concerns this front, and readmits what no longer has a
-    /// quorum. Returns what was readmitted.
+    /// Ejects the targets that a quorum votes for and that concern this front, and readmits all
+    /// other targets that it has ejected. Returns the readmitted targets.
     pub(super) fn update(
         &mut self,
         context: &EvaluationContext,
--- a/crates/outlier-detection/src/detector/evidence_exchange.rs
+++ b/crates/outlier-detection/src/detector/evidence_exchange.rs
@@ -1,5 +1,5 @@
-//! The exchange of evidence: what this front has counted and published, and what its peers have
-//! published.
+//! The exchange of evidence: the evidence that this front has counted and published, and that which
+//! its peers have published.
 
 use std::collections::BTreeMap;
 
@@ -14,26 +14,27 @@
     ServerId, EVIDENCE,
 };
 
-/// Evidence is published again this many times within its time to live.
+/// Number of times that evidence is published again within its time to live.
 const REFRESHES_PER_TTL: Nanos = 8;
 
-/// One front's evidence on a server, as another front or the front itself has it.
+/// One front's evidence on a server, either this front's own or as received from a peer.
 #[derive(Clone, Debug)]
 pub(super) struct FrontEvidence {
     pub(super) server: ServerId,
     pub(super) front: PeerId,
     pub(super) evidence: Evidence,
-    /// Upper bound of the time since the evidence was published.
+    /// Upper limit of the time since the evidence was published; 0 for this front's own.
     pub(super) age: Nanos,
 }
 
 /// The evidence of all fronts, by server.
 pub(super) type EvidenceByServer = BTreeMap<ServerId, Vec<FrontEvidence>>;
 
-/// What this front has published of a server.
+/// The state of the evidence on a server that this front last published.
 #[derive(Clone, Copy, Debug)]
 struct PublishedEvidence {
     published_at: Nanos,
+    /// Whether the evidence made this front a witness against the server.
     is_outlier: bool,
 }
 
@@ -43,18 +44,18 @@
     classes: Vec<ClassEvidence>,
 }
 
-/// This front's side of the exchange of evidence.
+/// This front's part in the exchange of evidence.
 #[derive(Clone, Debug)]
 pub(super) struct EvidenceExchange {
     counts: AttemptCounts,
     /// The evidence of this front that its peers may have.
     published: BTreeMap<ServerId, PublishedEvidence>,
-    /// The time of the recovery for which a server's earlier evidence was dropped.
+    /// The time of the recovery for which a server's earlier evidence was dropped, by server.
     cleared: BTreeMap<ServerId, Nanos>,
 }
 
 impl EvidenceExchange {
-    /// No evidence. After `half_life`, an attempt counts half.
+    /// Creates an exchange without evidence. An attempt counts half after `half_life`.
     pub(super) fn new(half_life: Nanos) -> EvidenceExchange {
         EvidenceExchange {
             counts: AttemptCounts::new(half_life),
@@ -85,7 +86,7 @@
         self.counts.drop_negligible(now);
     }
 
-    /// The evidence of all fronts that is recent enough, this front's own last.
+    /// Returns the evidence of all fronts that has not expired, this front's own last.
     pub(super) fn collect(&self, context: &EvaluationContext) -> EvidenceByServer {
         let mut collected = EvidenceByServer::new();
         for evidence in peer_evidence(context).chain(self.own_evidence(context)) {
@@ -94,7 +95,7 @@
         collected
     }
 
-    /// This front's evidence on each server with recent attempts.
+    /// Returns this front's evidence on each server whose attempts have not decayed to nothing.
     fn own_evidence(&self, context: &EvaluationContext) -> Vec<FrontEvidence> {
         let counted: Vec<CountedServer> = self.counted_servers(context).collect();
         let failure_rates = counted.iter().map(|server| failure_rate(&server.classes));
@@ -124,8 +125,8 @@
         servers.filter(|counted| !counted.classes.is_empty())
     }
 
-    /// Publishes this front's evidence on each server that it suspects or that others have evidence
-    /// on, and withdraws what is outdated.
+    /// Publishes this front's evidence on each server that it is a witness against or that others
+    /// have evidence on, and withdraws evidence that is outdated.
     pub(super) fn publish(
         &mut self,
         context: &EvaluationContext,
@@ -138,8 +139,8 @@
                 continue;
             };
             let is_outlier = is_witness(&own.evidence, context.config);
-            let is_contested = is_outlier || of_server.len() > 1;
-            if !is_contested || !self.is_publication_due(context, *server, is_outlier) {
+            let is_relevant = is_outlier || of_server.len() > 1;
+            if !is_relevant || !self.is_publication_due(context, *server, is_outlier) {
                 continue;
             }
             if let Some(value) = encode(&own.evidence) {
@@ -179,8 +180,8 @@
         });
     }
 
-    /// Drops and withdraws the evidence from before a server recovered: it says nothing about the
-    /// server now.
+    /// Drops and withdraws this front's evidence from before a server recovered, since it says
+    /// nothing about the server's present state.
     pub(super) fn clear_recovered(
         &mut self,
         context: &EvaluationContext,
@@ -191,8 +192,8 @@
             .retain(|server, _| recovered.contains_key(server));
         for (server, age) in recovered {
             let recovered_at = context.now - age;
-            // An age is an upper bound that may shrink: the same probes must not count as later
-            // ones.
+            // The age is an upper limit that may shrink later: the same probes must not be taken
+            // for a later recovery.
             let is_known = |known: &Nanos| recovered_at <= known + context.config.probe_turn;
             if self.cleared.get(server).is_some_and(is_known) {
                 continue;
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Drops what this front has counted of a server, and withdraws what it has published.
+    /// Drops this front's counts of a server and withdraws its published evidence on it.
     fn withdraw(&mut self, server: ServerId, effects: &mut Vec<Effect>) {
         self.counts.retain_servers(|counted| counted != server);
         if self.published.remove(&server).is_some() {
@@ -213,7 +214,7 @@
     }
 }
 
-/// The evidence of the peers on known servers that is recent enough.
+/// Returns the peers' evidence on servers of the endpoint list that has not expired.
 fn peer_evidence<'a>(context: &'a EvaluationContext) -> impl Iterator<Item = FrontEvidence> + 'a {
     let published = context.entries.all(context.now, EVIDENCE);
     published.filter_map(|entry| {
@@ -232,8 +233,8 @@
     })
 }
 
-/// Whether a front's evidence makes it a witness against the server, for all work or for any class
-/// of it.
+/// Returns whether a front's evidence makes it a witness against the server, for all work or for
+/// any class of it.
 fn is_witness(evidence: &Evidence, config: &DetectorConfig) -> bool {
     let exceeds_threshold = |class: Option<ClassId>| {
         let summary = EvidenceSummary::of(evidence, class, config);
--- a/crates/outlier-detection/src/detector/outliers.rs
+++ b/crates/outlier-detection/src/detector/outliers.rs
@@ -1,4 +1,5 @@
-//! Which servers the evidence of all fronts together proves to be outliers, and for which work.
+//! Detection of the servers that the evidence of all fronts together proves to be outliers, and of
+//! the work for which they are.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,28 +9,28 @@
 use crate::mutations::{mutated, Mutation};
 use crate::{ClassId, DetectorConfig, EjectionTarget, PeerId, Scope, ServerId, ZoneId};
 
-/// At or below this log-likelihood ratio, evidence says that a server is healthy.
+/// Maximum log-likelihood ratio of evidence that a server is healthy.
 const HEALTHY_THRESHOLD: f64 = -1.0;
-/// An outlier for one class of work alone must exceed the ejection threshold this many times, since
-/// classes differ by chance before all of a server's work is seen to fail.
+/// Multiple of the ejection threshold that the evidence for an outlier in one class of work must
+/// reach, since classes differ by chance before all of a server's work is seen to fail.
 const CLASS_THRESHOLD_FACTOR: f64 = 2.0;
-/// Zones that must have evidence of their own against a server before it is ejected for all:
-/// otherwise a zone that cannot reach the server would decide for the others.
+/// Minimum number of zones with evidence of their own against a server before it is ejected for
+/// all fronts. With fewer, a zone that cannot reach the server would decide for the others.
 const MIN_ZONES: usize = 2;
 
 /// The log-likelihood ratio of each proven outlier.
 pub(super) type Outliers = BTreeMap<EjectionTarget, f64>;
 
-/// The test whether a server is an outlier.
+/// Tests which servers are outliers.
 pub(super) struct OutlierTest<'a> {
     pub(super) config: &'a DetectorConfig,
-    /// What a quorum of the fleet votes for already.
+    /// The targets that a quorum of the fronts already votes to eject.
     pub(super) agreed: &'a BTreeSet<EjectionTarget>,
 }
 
 impl OutlierTest<'_> {
-    /// The outliers by the evidence of all fronts that are not suspect. Evidence from before a
-    /// server recovered is ignored.
+    /// Returns the outliers by the evidence of all fronts that are not suspect. Evidence from
+    /// before a server recovered is ignored.
     pub(super) fn find_outliers(
         &self,
         collected: &EvidenceByServer,
@@ -55,10 +56,11 @@
         outliers
     }
 
-    /// The scopes for which a server is an outlier: [`Scope::All`] alone, or several others.
+    /// Returns the scopes for which a server is an outlier: either [`Scope::All`] alone, or any
+    /// others.
     fn outlier_scopes(&self, server: ServerId, trusted: &[&FrontEvidence]) -> BTreeSet<Scope> {
-        // An ejected server is seen by probes alone, by one front at a time: it stays ejected while
-        // those fail.
+        // An ejected server gets no attempts but probes, from one front at a time. It stays ejected
+        // while these fail, for which the lower threshold of a witness suffices.
         let agreed = self
             .agreed
             .iter()
@@ -74,7 +76,8 @@
         scopes
     }
 
-    /// The scopes for which evidence proves a server to be an outlier.
+    /// Returns the scopes for which evidence proves a server to be an outlier: classes of work if
+    /// any class is healthy, or else [`Scope::All`] or zones.
     fn proven_scopes(&self, fronts: &[&FrontEvidence]) -> Vec<Scope> {
         let classes = classes_of(fronts);
         let is_healthy = |class: &ClassId| {
@@ -90,7 +93,7 @@
             .collect()
     }
 
-    /// [`Scope::All`], or the zones for which evidence proves a server to be an outlier.
+    /// Returns [`Scope::All`], or the zones for which evidence proves a server to be an outlier.
     fn proven_zones(&self, fronts: &[&FrontEvidence]) -> Vec<Scope> {
         let threshold = self.config.ejection_threshold;
         let zones: BTreeSet<ZoneId> = fronts.iter().map(|front| front.evidence.zone).collect();
@@ -108,13 +111,13 @@
             .collect()
     }
 
-    /// Whether the evidence for a scope reaches a threshold and has enough witnesses.
+    /// Returns whether the evidence for a scope reaches a threshold and has enough witnesses.
     fn is_proven(&self, fronts: &[&FrontEvidence], scope: Scope, threshold: f64) -> bool {
         self.total_log_likelihood_ratio(fronts, scope) >= threshold
             && self.is_witnessed(fronts, scope)
     }
 
-    /// Whether enough fronts have evidence of their own.
+    /// Returns whether enough fronts are witnesses for a scope by their own evidence.
     fn is_witnessed(&self, fronts: &[&FrontEvidence], scope: Scope) -> bool {
         let needed = if mutated(Mutation::OneWitness) {
             1
@@ -127,7 +130,7 @@
         fronts.iter().filter(is_witness).count() >= needed
     }
 
-    /// A front's evidence for a scope.
+    /// Summarizes a front's evidence for a scope; empty if the scope excludes the front's zone.
     fn summary(&self, front: &FrontEvidence, scope: Scope) -> EvidenceSummary {
         if !scope.includes_zone(front.evidence.zone) {
             return EvidenceSummary::default();
@@ -135,9 +138,9 @@
         EvidenceSummary::of(&front.evidence, scope.class(), self.config)
     }
 
-    /// The evidence of all fronts together. Each contributes half of the ejection threshold at
-    /// most, so that a front that cannot reach a server and a chance failure at another do not
-    /// suffice.
+    /// Returns the log-likelihood ratio of the evidence of all fronts together. Each front
+    /// contributes at most half of the ejection threshold, so that a front that cannot reach a
+    /// server and a chance failure at another front do not suffice.
     fn total_log_likelihood_ratio(&self, fronts: &[&FrontEvidence], scope: Scope) -> f64 {
         let max_ratio = if mutated(Mutation::OneFrontSuffices) {
             f64::INFINITY
@@ -151,7 +154,7 @@
     }
 }
 
-/// The classes of work that any front has evidence on.
+/// Returns the classes of work that any front has evidence on.
 fn classes_of(fronts: &[&FrontEvidence]) -> BTreeSet<ClassId> {
     fronts
         .iter()
--- a/crates/outlier-detection/src/detector/probes.rs
+++ b/crates/outlier-detection/src/detector/probes.rs
@@ -1,4 +1,4 @@
-//! Probes of ejected servers, in which the fronts take turns, and recoveries that they prove.
+//! Probes of ejected servers, for which the fronts take turns, and the recoveries that they prove.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,19 +13,20 @@
 /// Fraction of the golden ratio, which spreads small numbers over 32 bits.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9;
 
-/// The age of the latest report of each server that enough probes in a row have succeeded.
+/// The recovered servers, with the age of the latest report that enough probes in a row have
+/// succeeded.
 pub(super) type RecoveryAges = BTreeMap<ServerId, Nanos>;
 
 /// This front's probes of a server.
 #[derive(Clone, Copy, Debug, Default)]
 struct ProbeState {
-    /// The latest turn in which this front has probed it, counted from the ejection.
+    /// Number of the last turn in which this front probed the server, counted from the ejection.
     last_turn: Option<Nanos>,
-    /// Probes that have succeeded in a row.
+    /// Number of this front's probes that have succeeded in a row.
     successes: u8,
 }
 
-/// This front's probes.
+/// Schedules this front's probes and counts their results.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ProbeScheduler {
     probes: BTreeMap<ServerId, ProbeState>,
@@ -60,7 +61,7 @@
         effects.push(Effect::Put(probe_key(server), Some(entry.encode())));
     }
 
-    /// Starts the probes that are this front's turn.
+    /// Starts probes of the ejected servers for which it is this front's turn, one in each turn.
     pub(super) fn schedule(
         &mut self,
         context: &EvaluationContext,
@@ -73,7 +74,7 @@
             let voters = votes.get(&ejection.target).map_or(&[][..], Vec::as_slice);
             let prober = prober(context.now, context.config, voters, suspects, ejection);
             let turn = (context.now - ejection.since) / context.config.probe_turn;
-            // Nobody probes in the first turn: by the second one, all fronts know the voters.
+            // No front probes in the first turn: by the second one, all fronts know the voters.
             let is_own_turn = turn > 0 && prober == Some(context.config.me);
             let probe = self.probes.entry(server).or_default();
             if (is_own_turn || mutated(Mutation::AllProbe)) && probe.last_turn != Some(turn) {
@@ -84,7 +85,7 @@
     }
 }
 
-/// The servers of which a prober reports that enough probes in a row have succeeded.
+/// Returns the servers of which a front reports that enough probes in a row have succeeded.
 pub(super) fn recovered_servers(context: &EvaluationContext) -> RecoveryAges {
     let mut recovered = RecoveryAges::new();
     let needed = context.config.probes_to_readmit;
@@ -99,8 +100,8 @@
     recovered
 }
 
-/// The front whose turn it is to probe an ejected server: one of the voters for the ejection that
-/// it concerns and that is not suspect.
+/// Returns the front whose turn it is to probe an ejected server: one of the voters for the
+/// ejection that are in its scope and not suspect.
 pub(super) fn prober(
     now: Nanos,
     config: &DetectorConfig,
@@ -113,13 +114,13 @@
         |vote: &&Vote| target.scope.includes_zone(vote.zone) && !suspects.contains(&vote.front);
     let eligible = voters.iter().filter(may_probe);
     let mut fronts: Vec<PeerId> = eligible.map(|vote| vote.front).collect();
-    // In another order for each server, so that the probes of several servers are spread over the
+    // The order differs between servers, so that the probes of several servers are spread over the
     // fronts.
     fronts.sort_by_key(|front| {
         mix(target.server.0 ^ (u64::from(front.0) + 1).wrapping_mul(GOLDEN_RATIO))
     });
-    // A front has several turns on end, so that enough of its probes can succeed in a row.
-    let turns_on_end = Nanos::from(config.probes_to_readmit) + 1;
-    let shift = (now - since) / config.probe_turn / turns_on_end;
+    // A front has several consecutive turns, so that enough of its probes can succeed in a row.
+    let consecutive_turns = Nanos::from(config.probes_to_readmit) + 1;
+    let shift = (now - since) / config.probe_turn / consecutive_turns;
     fronts.get(shift as usize % fronts.len().max(1)).copied()
 }
--- a/crates/outlier-detection/src/detector/reports.rs
+++ b/crates/outlier-detection/src/detector/reports.rs
@@ -15,7 +15,7 @@
     PeerId, ServerId,
 };
 
-/// What the reports of one moment are made of.
+/// The inputs that all reports of one moment share.
 struct ReportInputs<'a> {
     now: Nanos,
     config: &'a DetectorConfig,
@@ -24,8 +24,8 @@
 }
 
 impl OutlierDetector {
-    /// Explains each target that any front votes for, or that this front has ejected or finds to be
-    /// an outlier.
+    /// Returns a report on each target that any front votes for, or that this front has ejected or
+    /// finds to be an outlier.
     pub fn reports(&self, now: Nanos, entries: &GossipStore) -> Vec<EjectionReport> {
         let inputs = self.report_inputs(now, entries);
         let votes = self.ballot.count(now, &self.config, entries);
@@ -42,7 +42,7 @@
         targets.into_iter().map(report).collect()
     }
 
-    /// The evidence of each front on a server, this front's included.
+    /// Returns the evidence of each front on a server, this front's included.
     pub fn observations(
         &self,
         now: Nanos,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The evidence of each front on a server, for one class of work or for all.
+    /// Returns the evidence of each front on a server, for one class of work or for all.
     fn observations(&self, server: ServerId, class: Option<ClassId>) -> Vec<Observation> {
         let observation = |front: &FrontEvidence| {
             let summary = EvidenceSummary::of(&front.evidence, class, self.config);
--- a/crates/outlier-detection/src/detector/suspects.rs
+++ b/crates/outlier-detection/src/detector/suspects.rs
@@ -1,5 +1,5 @@
-//! Fronts whose evidence contradicts that of most others, so that it is more likely about the front
-//! itself.
+//! Detection of suspect fronts. Their evidence contradicts that of most others, so that its cause
+//! is more likely the front itself than the servers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,21 +8,23 @@
 use crate::mutations::{mutated, Mutation};
 use crate::{DetectorConfig, PeerId};
 
-/// Other fronts with enough evidence on a server that a front is compared with.
+/// Minimum number of other fronts with enough evidence on a server to compare a front with.
 const MIN_COMPARED_FRONTS: usize = 2;
-/// Servers on which a front must have been compared before it can be suspect.
+/// Minimum number of servers on which a front must be compared before it can be suspect.
 const MIN_COMPARED_SERVERS: u32 = 2;
 
-/// A front's opinion of one server.
+/// Whether one server is an outlier by a front's own evidence.
 struct Opinion {
     front: PeerId,
     is_outlier: bool,
 }
 
-/// How often a front has been compared with most others, by server.
+/// The comparison of one front with the majority of the others.
 #[derive(Clone, Copy, Debug, Default)]
 struct Comparison {
+    /// Number of servers on which the front was compared.
     servers: u32,
+    /// Number of these on which it contradicts the majority.
     contradicted: u32,
 }
 
@@ -32,7 +34,8 @@
     }
 }
 
-/// The fronts that contradict most others on more than half of the servers.
+/// Returns the fronts that contradict most others on more than half of the servers on which they
+/// are compared.
 pub(super) fn find_suspects(
     config: &DetectorConfig,
     collected: &EvidenceByServer,
@@ -50,7 +53,7 @@
     suspects.map(|(front, _)| *front).collect()
 }
 
-/// Compares each opinion of a server with those of the other fronts, if there are enough.
+/// Compares each front's opinion of a server with those of the other fronts, if there are enough.
 fn compare(opinions: Vec<Opinion>, comparisons: &mut BTreeMap<PeerId, Comparison>) {
     let others = opinions.len().saturating_sub(1);
     if others < MIN_COMPARED_FRONTS {
@@ -66,7 +69,7 @@
     }
 }
 
-/// The opinions of the fronts that have enough evidence on a server.
+/// Returns the opinions of the fronts that have enough evidence on a server.
 fn opinions(config: &DetectorConfig, of_server: &[FrontEvidence]) -> Vec<Opinion> {
     let opinion = |front: &FrontEvidence| {
         let summary = EvidenceSummary::of(&front.evidence, None, config);
--- a/crates/outlier-detection/src/evidence.rs
+++ b/crates/outlier-detection/src/evidence.rs
@@ -1,42 +1,42 @@
-//! Evidence of one front on one server, and what it says about the server's health.
+//! Evidence of one front on one server, and the test whether the server is an outlier by it.
 
 use serde::{Deserialize, Serialize};
 
 use crate::mutations::{mutated, Mutation};
 use crate::{ClassId, DetectorConfig, ZoneId};
 
-/// Maximum number of classes of work in one [`Evidence`].
+/// Maximum number of classes of work in one [`Evidence`]; further ones are ignored.
 pub(crate) const MAX_CLASSES: usize = 16;
-/// Attempts are published in tenths.
+/// Numbers of attempts are published in tenths.
 const TENTHS: f64 = 10.0;
 /// Failure rates are published in thousandths.
 const THOUSANDTHS: f64 = 1_000.0;
-/// Where the failure rate of a front's median server exceeds this, the front cannot tell an outlier
-/// from the rest.
+/// Maximum failure rate of a front's median server. Above it, the front cannot tell an outlier from
+/// the other servers.
 const MAX_BASELINE: f64 = 0.4;
-/// Upper bound of the failure rate that is assumed of an outlier.
+/// Upper limit of the failure rate that is assumed of an outlier.
 const MAX_FAILURE_RATE: f64 = 0.95;
-/// The failure rate that is assumed of an outlier is at least this many times that of a healthy
+/// Minimum ratio between the failure rate that is assumed of an outlier and that of a healthy
 /// server.
 const MIN_RATE_RATIO: f64 = 2.0;
 
 /// The result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SampleQuality {
-    /// It was answered in time, compared to this front's median.
+    /// The attempt was answered, and not slowly compared to this front's median latency.
     Healthy,
-    /// It was slow compared to this front's median, failed, or was not answered.
+    /// The attempt was slow compared to this front's median latency, failed, or was not answered.
     Failed,
 }
 
 /// A front's attempts at one server for one class of work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClassEvidence {
-    /// The class of work.
+    /// The class of work of the attempts.
     pub class: ClassId,
-    /// All attempts, with exponential decay, in tenths.
+    /// Number of all attempts, with exponential decay, in tenths.
     pub attempts: u16,
-    /// The failed ones among these, in tenths.
+    /// Number of failed attempts among these, in tenths.
     pub failures: u16,
 }
 
@@ -47,19 +47,19 @@
     pub zone: ZoneId,
     /// Failure rate of the front's median server, in thousandths.
     pub baseline: u16,
-    /// The attempts, by class of work.
+    /// The front's attempts at the server, by class of work.
     pub classes: Vec<ClassEvidence>,
 }
 
-/// What a front's evidence says about a server.
+/// What a front's evidence says about a server, for one class of work or for all of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct EvidenceSummary {
-    /// All attempts.
+    /// Number of all attempts, with exponential decay.
     pub attempts: f64,
-    /// The failed ones among these.
+    /// Number of failed attempts among these.
     pub failures: f64,
-    /// Natural logarithm of how much more likely the evidence is for an outlier than for a healthy
-    /// server.
+    /// Natural logarithm of how many times more likely the evidence is for an outlier than for a
+    /// healthy server.
     pub log_likelihood_ratio: f64,
 }
 
@@ -70,7 +70,8 @@
 }
 
 impl FailureRates {
-    /// Both rates rise with the failure rate of the front's median server.
+    /// Returns the rates for a front, both of which rise with the failure rate of its median
+    /// server.
     fn new(baseline: f64, config: &DetectorConfig) -> FailureRates {
         let scaled_baseline = if mutated(Mutation::NoBaseline) {
             0.0
@@ -86,9 +87,9 @@
     }
 
     fn log_likelihood_ratio(&self, attempts: f64, failures: f64) -> f64 {
-        let of_failure = (self.outlier / self.healthy).ln();
-        let of_success = ((1.0 - self.outlier) / (1.0 - self.healthy)).ln();
-        failures * of_failure + (attempts - failures) * of_success
+        let per_failure = (self.outlier / self.healthy).ln();
+        let per_success = ((1.0 - self.outlier) / (1.0 - self.healthy)).ln();
+        failures * per_failure + (attempts - failures) * per_success
     }
 }
 
@@ -130,20 +131,20 @@
     }
 }
 
-/// A number of attempts in tenths, as it is published.
+/// Returns a number of attempts in tenths, as it is published.
 pub(crate) fn to_tenths(attempts: f64) -> u16 {
     (attempts * TENTHS).round().min(f64::from(u16::MAX)) as u16
 }
 
-/// A front's failure rate over all classes of work; NaN without attempts.
+/// Returns a front's failure rate over all classes of work, or NaN if there are no attempts.
 pub(crate) fn failure_rate(classes: &[ClassEvidence]) -> f64 {
     let failures: f64 = classes.iter().map(|class| f64::from(class.failures)).sum();
     let attempts: f64 = classes.iter().map(|class| f64::from(class.attempts)).sum();
     failures / attempts
 }
 
-/// The median of a front's failure rates, the upper one of two, in thousandths. The largest number
-/// without any, since nothing can be compared then.
+/// Returns the median of a front's failure rates at its servers, the upper one of two, in
+/// thousandths. Returns `u16::MAX` if there are none, since nothing can be compared then.
 pub(crate) fn baseline(mut failure_rates: Vec<f64>) -> u16 {
     failure_rates.sort_by(f64::total_cmp);
     let median = failure_rates.get(failure_rates.len() / 2);
--- a/crates/outlier-detection/src/ids.rs
+++ b/crates/outlier-detection/src/ids.rs
@@ -3,8 +3,8 @@
 use tulipbridge_membership::numeric_newtype;
 
 numeric_newtype! {
-    /// One run of a chunk server: a digest of its name and of its start time, so that a restarted
-    /// server is a new one.
+    /// One run of a chunk server, identified by a digest of its name and its start time, so that a
+    /// restarted server counts as a new one.
     ServerId(u64)
 }
 
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -1,10 +1,10 @@
-//! Outlier detection of chunk servers by a whole fleet of front ends. Each front runs one
-//! [`OutlierDetector`]: it is fed the results of the front's own attempts, reads the evidence and
-//! the votes of its peers in the [`GossipStore`], and answers which servers the front must eject
-//! and when it is the front's turn to probe one.
+//! Detection and ejection of outliers among chunk servers by a fleet of front ends. Each front runs
+//! one [`OutlierDetector`]. Its inputs are the results of the front's own attempts and the evidence
+//! and votes of the peers in the [`GossipStore`]; its outputs say which servers the front must
+//! eject and when it is the front's turn to probe one.
 //!
 //! The crate does no I/O and reads no clock. The protocol and its bounds are described in
-//! `docs/fleet-verdicts.md`.
+//! `docs/outlier-ejection.md`.
 
 mod attempt_counts;
 mod attempt_observer;
--- a/crates/outlier-detection/src/mutations.rs
+++ b/crates/outlier-detection/src/mutations.rs
@@ -1,26 +1,26 @@
 //! Mutations of the detector for mutation testing: each one breaks a rule of the protocol, and the
-//! simulation must notice it. Without the feature `mutations`, [`mutated`] is the constant `false`,
+//! simulation must detect it. Without the feature `mutations`, [`mutated`] is the constant `false`,
 //! so that none of them is compiled in.
 
 /// A deliberate fault in the detector. Tools print its [`Mutation::name`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mutation {
-    /// One witness suffices.
+    /// One witness suffices for an ejection.
     OneWitness,
-    /// The evidence of a suspect front counts.
+    /// The evidence of a suspect front counts like that of any other.
     SuspectCounts,
-    /// Half of the fronts suffice to eject a server.
+    /// Half of the fronts are a quorum.
     HalfIsEnough,
-    /// A withdrawn vote no longer counts for the bound on votes, though it may still count at
-    /// peers.
+    /// A withdrawn vote no longer counts towards the front's limit of votes, though it may still
+    /// count at peers.
     WithdrawnVoteForgotten,
     /// Evidence counts whatever its age.
     ExpiredEvidenceCounts,
     /// Votes count whatever their age.
     ExpiredVotesCount,
-    /// The failure rate of the median server is ignored.
+    /// The failure rate of a front's median server is ignored.
     NoBaseline,
-    /// The weight of a front grows with its attempts without bound.
+    /// The weight of a front's evidence grows with its attempts without limit.
     SamplesUncapped,
     /// A front votes without waiting for its peers' evidence.
     NoVoteDelay,
@@ -37,7 +37,8 @@
 }
 
 impl Mutation {
-    /// The name that the tools print and accept. It does not change with the variant's name.
+    /// Returns the name that the tools print and accept. It does not change with the variant's
+    /// name.
     pub fn name(self) -> &'static str {
         match self {
             Mutation::OneWitness => "OneWitness",
@@ -64,7 +65,7 @@
     }
 }
 
-/// All mutations.
+/// All mutations, in the order of their declaration.
 pub const ALL: [Mutation; 14] = [
     Mutation::OneWitness,
     Mutation::SuspectCounts,
--- a/crates/outlier-detection/src/report.rs
+++ b/crates/outlier-detection/src/report.rs
@@ -5,40 +5,41 @@
 /// A front's vote for an ejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Vote {
-    /// The voter.
+    /// The front that voted.
     pub front: PeerId,
-    /// The voter's zone.
+    /// The zone of that front.
     pub zone: ZoneId,
-    /// Upper bound of the time since the vote was published.
+    /// Upper limit of the time since the vote was published.
     pub age: Nanos,
 }
 
 /// A front's evidence on a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Observation {
-    /// The front.
+    /// The front whose evidence it is.
     pub front: PeerId,
-    /// Its attempts, with exponential decay.
+    /// Number of the front's attempts at the server, with exponential decay.
     pub attempts: f64,
-    /// Its failed attempts among these.
+    /// Number of failed attempts among these.
     pub failures: f64,
-    /// Upper bound of the time since the evidence was published.
+    /// Upper limit of the time since the evidence was published; 0 for the reporting
+    /// front's own evidence.
     pub age: Nanos,
-    /// Whether the evidence counts: that of a suspect front does not.
+    /// Whether the evidence counts. That of a suspect front does not.
     pub counts: bool,
 }
 
 /// Why a target is ejected, or why it is not.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EjectionReport {
-    /// The target.
+    /// The server and the scope that the report is about.
     pub target: EjectionTarget,
-    /// Since when this front has ejected it, if it has.
+    /// Time since which this front has ejected the target, if it has.
     pub ejected_since: Option<Nanos>,
-    /// The votes for its ejection.
+    /// The votes for the ejection that have not expired.
     pub votes: Vec<Vote>,
-    /// The evidence of each front.
+    /// The evidence of each front on the target's server.
     pub observations: Vec<Observation>,
-    /// The front whose turn it is to probe it, while it is ejected.
+    /// The front whose turn it is to probe the server, while it is ejected.
     pub prober: Option<PeerId>,
 }
--- a/crates/outlier-detection/src/target.rs
+++ b/crates/outlier-detection/src/target.rs
@@ -16,7 +16,7 @@
 }
 
 impl Scope {
-    /// The class of work that the scope is restricted to, if any.
+    /// Returns the class of work that the scope is restricted to, if any.
     pub(crate) fn class(self) -> Option<ClassId> {
         match self {
             Scope::Class(class) => Some(class),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Whether the scope concerns the fronts of a zone.
+    /// Returns whether the scope includes the fronts of a zone.
     pub(crate) fn includes_zone(self, zone: ZoneId) -> bool {
         match self {
             Scope::Zone(only) => only == zone,
@@ -33,12 +33,12 @@
     }
 }
 
-/// What fronts vote on and eject.
+/// What fronts vote to eject: a server, for a scope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EjectionTarget {
-    /// The server.
+    /// The run of the server to be ejected.
     pub server: ServerId,
-    /// The work for which it is ejected.
+    /// The work for which the server is ejected.
     pub scope: Scope,
 }
 
@@ -46,9 +46,9 @@
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl EjectionTarget {
-    /// The identifier of the target in the keys of votes. Where two targets collide, one vote
-    /// replaces the other: the entry names its target, so that a vote is lost, but none is counted
-    /// for the wrong target.
+    /// Returns the identifier of the target in the keys of votes. If the identifiers of two targets
+    /// collide, one vote replaces the other. The entry names its target, so that a vote is lost but
+    /// none is counted for the wrong target.
     pub fn id(&self) -> u64 {
         let scope = match self.scope {
             Scope::All => 0,
@@ -59,7 +59,8 @@
     }
 }
 
-/// A bijection in which every output bit depends on every input bit (the finalizer of splitmix64).
+/// Maps numbers one to one so that every output bit depends on every input bit (the finalizer of
+/// splitmix64).
 pub(crate) fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/outlier-detection/tests/attempt_observer.rs
+++ b/crates/outlier-detection/tests/attempt_observer.rs
@@ -5,12 +5,12 @@
 const MS: Nanos = 1_000_000;
 const SERVER: ServerId = ServerId(3);
 const CLASS: ClassId = ClassId(1);
-const KEY: AttemptId = AttemptId {
+const ATTEMPT: AttemptId = AttemptId {
     request: 7,
     attempt: 0,
 };
 
-/// What the detector is told of an attempt.
+/// The sample of an attempt that the detector receives, apart from its server and class.
 #[derive(Debug, PartialEq)]
 enum Sample {
     Attempt(SampleQuality),
@@ -33,11 +33,12 @@
     }
 }
 
-/// An observer with a median latency of 10 ms, so that answers after more than 40 ms are slow.
+/// Creates an observer with a median latency of 10 ms, so that answers after more than 40 ms are
+/// slow.
 fn observer() -> AttemptObserver {
     let mut observer = AttemptObserver::default();
-    observer.attempt_sent(0, KEY, SERVER, CLASS, true);
-    let first = observer.attempt_ended(10 * MS, KEY, AttemptResult::Answered);
+    observer.attempt_sent(0, ATTEMPT, SERVER, CLASS, true);
+    let first = observer.attempt_ended(10 * MS, ATTEMPT, AttemptResult::Answered);
     assert_eq!(
         first.map(sample),
         Some(Sample::Attempt(SampleQuality::Healthy))
@@ -45,12 +46,12 @@
     observer
 }
 
-/// The sample of an attempt that ends after a latency.
+/// Returns the sample of an attempt that ends after a latency.
 fn sample_after(latency: Nanos, result: AttemptResult) -> Option<Sample> {
     let mut observer = observer();
-    observer.attempt_sent(100 * MS, KEY, SERVER, CLASS, true);
+    observer.attempt_sent(100 * MS, ATTEMPT, SERVER, CLASS, true);
     observer
-        .attempt_ended(100 * MS + latency, KEY, result)
+        .attempt_ended(100 * MS + latency, ATTEMPT, result)
         .map(sample)
 }
 
@@ -82,7 +83,7 @@
 #[test]
 fn an_overdue_attempt_counts_once_however_it_ends() {
     let mut observer = observer();
-    observer.attempt_sent(100 * MS, KEY, SERVER, CLASS, true);
+    observer.attempt_sent(100 * MS, ATTEMPT, SERVER, CLASS, true);
     assert!(!observer.has_overdue(135 * MS));
     assert!(observer.has_overdue(145 * MS));
     let overdue: Vec<Sample> = observer
@@ -94,29 +95,29 @@
     assert!(!observer.has_overdue(146 * MS));
     assert!(observer.take_overdue(146 * MS).is_empty());
     assert!(observer
-        .attempt_ended(150 * MS, KEY, AttemptResult::Answered)
+        .attempt_ended(150 * MS, ATTEMPT, AttemptResult::Answered)
         .is_none());
 }
 
 #[test]
-fn a_pause_of_the_front_is_not_held_against_attempts_in_flight() {
+fn a_pause_of_the_front_does_not_make_attempts_in_flight_overdue() {
     let mut observer = observer();
     observer.step(100 * MS);
-    observer.attempt_sent(100 * MS, KEY, SERVER, CLASS, true);
+    observer.attempt_sent(100 * MS, ATTEMPT, SERVER, CLASS, true);
     observer.step(1_100 * MS);
     assert!(!observer.has_overdue(1_135 * MS));
     assert!(observer.has_overdue(1_145 * MS));
 }
 
 #[test]
-fn the_next_repeatable_attempt_is_the_probe_until_its_turn_ends() {
-    let is_probe = |sent_at: Nanos, repeatable: bool| {
+fn the_next_idempotent_attempt_is_the_probe_until_the_turn_ends() {
+    let is_probe = |sent_at: Nanos, idempotent: bool| {
         let mut observer = observer();
         observer.probe_next(SERVER, 500 * MS);
-        observer.attempt_sent(sent_at, KEY, SERVER, CLASS, repeatable);
+        observer.attempt_sent(sent_at, ATTEMPT, SERVER, CLASS, idempotent);
         let event = observer
-            .attempt_ended(sent_at + MS, KEY, AttemptResult::Answered)
-            .expect("it counts");
+            .attempt_ended(sent_at + MS, ATTEMPT, AttemptResult::Answered)
+            .expect("the attempt is counted");
         sample(event) == Sample::Probe(SampleQuality::Healthy)
     };
     assert!(is_probe(499 * MS, true));
@@ -132,14 +133,14 @@
         Sample::Probe(SampleQuality::Healthy),
         Sample::Attempt(SampleQuality::Healthy),
     ] {
-        observer.attempt_sent(100 * MS, KEY, SERVER, CLASS, true);
-        let event = observer.attempt_ended(101 * MS, KEY, AttemptResult::Answered);
+        observer.attempt_sent(100 * MS, ATTEMPT, SERVER, CLASS, true);
+        let event = observer.attempt_ended(101 * MS, ATTEMPT, AttemptResult::Answered);
         assert_eq!(event.map(sample), Some(expected));
     }
     observer.probe_next(SERVER, 500 * MS);
     observer.readmitted(SERVER);
-    observer.attempt_sent(100 * MS, KEY, SERVER, CLASS, true);
-    let event = observer.attempt_ended(101 * MS, KEY, AttemptResult::Answered);
+    observer.attempt_sent(100 * MS, ATTEMPT, SERVER, CLASS, true);
+    let event = observer.attempt_ended(101 * MS, ATTEMPT, AttemptResult::Answered);
     assert_eq!(
         event.map(sample),
         Some(Sample::Attempt(SampleQuality::Healthy))
@@ -151,11 +152,11 @@
     let mut observer = AttemptObserver::default();
     assert_eq!(observer.median(CLASS), None);
     let mut answer_after = |latency: Nanos| {
-        observer.attempt_sent(0, KEY, SERVER, CLASS, true);
-        observer.attempt_ended(latency, KEY, AttemptResult::Answered);
+        observer.attempt_sent(0, ATTEMPT, SERVER, CLASS, true);
+        observer.attempt_ended(latency, ATTEMPT, AttemptResult::Answered);
         observer.median(CLASS).expect("there has been an answer")
     };
-    // The first latency is the first estimate, and not above itself.
+    // The first latency becomes the estimate. Since it is not above itself, the estimate decreases.
     assert_eq!(answer_after(100 * MS), 95 * MS);
     assert_eq!(answer_after(200 * MS), 99_750_000);
     assert_eq!(answer_after(10 * MS), 94_762_500);
--- a/crates/outlier-detection/tests/detector.rs
+++ b/crates/outlier-detection/tests/detector.rs
@@ -1,5 +1,5 @@
-//! Behavior of a small fleet of detectors that gossip with each other, step by step. Arbitrary
-//! orders of faults are covered by the simulation.
+//! Behavior of small fleets of detectors that exchange gossip in rounds. The simulation covers
+//! arbitrary orders of faults.
 
 use tulipbridge_membership::{GossipAction, GossipInput, GossipStore, MembershipTable};
 use tulipbridge_outlier_detection::*;
@@ -15,13 +15,16 @@
     scope: Scope::All,
 };
 
+/// A front with its detector and the effects that the detector has returned.
 struct Front {
     me: PeerId,
     incarnation: Incarnation,
     members: MembershipTable,
     entries: GossipStore,
     detector: OutlierDetector,
+    /// The targets that the detector has ejected and not readmitted.
     ejected: Vec<EjectionTarget>,
+    /// Number of probes that the detector has started.
     probes: usize,
 }
 
@@ -50,7 +53,8 @@
         }
     }
 
-    /// Handles an event and its effects. `probe` gives the result of a probe of a server.
+    /// Handles an event and carries out its effects. `probe` returns the result of a probe of a
+    /// server.
     fn handle(&mut self, now: Nanos, event: Event, probe: &dyn Fn(ServerId) -> SampleQuality) {
         let mut effects = Vec::new();
         self.detector.on(now, &self.entries, event, &mut effects);
@@ -80,7 +84,7 @@
         }
     }
 
-    /// One attempt of each class at each server that is not ejected, and an evaluation.
+    /// Records one attempt of each class at each server that is not ejected, then evaluates.
     fn attempt_and_evaluate(
         &mut self,
         now: Nanos,
@@ -107,16 +111,16 @@
     }
 }
 
-/// Fronts in zones that alternate.
+/// Creates fronts that are assigned to the zones in turn.
 fn fleet(fronts: u16, zones: u8) -> Vec<Front> {
     PeerId::all(fronts)
         .map(|me| Front::new(me, fronts, ZoneId((me.0 % u16::from(zones)) as u8)))
         .collect()
 }
 
-/// Rounds of all fronts from one time to another. `is_linked(to, from)` says which messages arrive,
-/// and `fails(front, server, class)` which attempts fail.
-fn rounds(
+/// Runs rounds of all fronts from one time to another. `is_linked(to, from)` returns whether
+/// messages arrive, and `fails(front, server, class)` whether attempts fail.
+fn run_rounds(
     fleet: &mut [Front],
     from: Nanos,
     to: Nanos,
@@ -180,7 +184,7 @@
             receiver
                 .entries
                 .on(now, &receiver.members, received, &mut Vec::new())
-                .expect("it puts nothing");
+                .expect("a received message puts nothing");
         }
     }
 }
@@ -196,8 +200,8 @@
 #[test]
 fn an_outlier_is_ejected_by_all_probed_by_one_and_readmitted() {
     let mut fronts = fleet(4, 2);
-    rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
-    rounds(
+    run_rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
+    run_rounds(
         &mut fronts,
         2_000 * MS,
         6_000 * MS,
@@ -208,9 +212,9 @@
     let probes: usize = fronts.iter().map(|front| front.probes).sum();
     assert!(
         (3..=9).contains(&probes),
-        "one front at a time, every half second: {probes}"
+        "one front at a time probes every half second: {probes}"
     );
-    rounds(
+    run_rounds(
         &mut fronts,
         6_000 * MS,
         16_000 * MS,
@@ -219,9 +223,9 @@
     );
     assert!(
         fronts.iter().all(|front| front.ejected.is_empty()),
-        "it has recovered"
+        "the server has recovered"
     );
-    rounds(
+    run_rounds(
         &mut fronts,
         16_000 * MS,
         20_000 * MS,
@@ -230,7 +234,7 @@
     );
     assert!(
         fronts.iter().all(|front| front.ejected.is_empty()),
-        "earlier evidence is ignored"
+        "evidence from before the recovery is ignored"
     );
 }
 
@@ -238,8 +242,8 @@
 fn a_server_that_one_zone_cannot_reach_is_ejected_in_that_zone_alone() {
     let mut fronts = fleet(6, 2);
     let is_unreachable = |front: usize, server, _| server == OUTLIER.server && front % 2 == 1;
-    rounds(&mut fronts, 0, 1_000 * MS, all_linked, no_failures);
-    rounds(
+    run_rounds(&mut fronts, 0, 1_000 * MS, all_linked, no_failures);
+    run_rounds(
         &mut fronts,
         1_000 * MS,
         6_000 * MS,
@@ -267,8 +271,8 @@
 fn a_server_that_fails_for_one_class_of_work_is_ejected_for_that_class() {
     let mut fronts = fleet(4, 1);
     let fails = |_, server, class| server == OUTLIER.server && class == ClassId(1);
-    rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
-    rounds(&mut fronts, 2_000 * MS, 6_000 * MS, all_linked, fails);
+    run_rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
+    run_rounds(&mut fronts, 2_000 * MS, 6_000 * MS, all_linked, fails);
     let for_class = EjectionTarget {
         scope: Scope::Class(ClassId(1)),
         ..OUTLIER
@@ -283,8 +287,8 @@
 #[test]
 fn a_front_for_which_all_servers_fail_ejects_none_and_is_suspect() {
     let mut fronts = fleet(4, 2);
-    rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
-    rounds(
+    run_rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
+    run_rounds(
         &mut fronts,
         2_000 * MS,
         8_000 * MS,
@@ -292,10 +296,10 @@
         |front, _, _| front == 2,
     );
     assert!(fronts.iter().all(|front| front.ejected.is_empty()));
-    // Where one server in three fails, the front has a baseline by which it could be a witness.
+    // If only one server in three fails, the front's baseline is low enough for it to be a witness.
     let mut fronts = fleet(4, 2);
-    rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
-    rounds(
+    run_rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
+    run_rounds(
         &mut fronts,
         2_000 * MS,
         8_000 * MS,
@@ -309,8 +313,8 @@
 #[test]
 fn nothing_is_ejected_where_half_of_all_servers_are_slow_under_load() {
     let mut fronts = fleet(4, 2);
-    rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
-    rounds(
+    run_rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
+    run_rounds(
         &mut fronts,
         2_000 * MS,
         10_000 * MS,
@@ -329,13 +333,13 @@
     let mut fronts = fleet(4, 1);
     let same_half = |a: usize, b: usize| (a < 2) == (b < 2);
     let fails = |_, server, _| server == OUTLIER.server;
-    rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
-    rounds(&mut fronts, 2_000 * MS, 8_000 * MS, same_half, fails);
+    run_rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
+    run_rounds(&mut fronts, 2_000 * MS, 8_000 * MS, same_half, fails);
     assert!(
         fronts.iter().all(|front| front.ejected.is_empty()),
-        "two of four"
+        "two of four fronts are no quorum"
     );
-    rounds(&mut fronts, 8_000 * MS, 12_000 * MS, all_linked, fails);
+    run_rounds(&mut fronts, 8_000 * MS, 12_000 * MS, all_linked, fails);
     let in_zone = EjectionTarget {
         scope: Scope::Zone(ZoneId(0)),
         ..OUTLIER
@@ -343,7 +347,7 @@
     assert!(fronts
         .iter()
         .all(|front| front.ejected == [OUTLIER] || front.ejected == [in_zone]));
-    rounds(&mut fronts, 12_000 * MS, 17_000 * MS, same_half, fails);
+    run_rounds(&mut fronts, 12_000 * MS, 17_000 * MS, same_half, fails);
     assert!(
         fronts.iter().all(|front| front.ejected.is_empty()),
         "the votes have expired"
@@ -353,8 +357,8 @@
 #[test]
 fn no_more_than_the_maximum_fraction_is_ejected() {
     let mut fronts = fleet(4, 1);
-    rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
-    rounds(
+    run_rounds(&mut fronts, 0, 2_000 * MS, all_linked, no_failures);
+    run_rounds(
         &mut fronts,
         2_000 * MS,
         12_000 * MS,
@@ -365,7 +369,7 @@
         assert_eq!(
             front.ejected.len(),
             1,
-            "half of a half of six: {:?}",
+            "half of the maximum of three of six servers: {:?}",
             front.ejected
         );
     }
--- a/crates/outlier-detection/tests/golden.rs
+++ b/crates/outlier-detection/tests/golden.rs
@@ -1,12 +1,12 @@
 //! Golden bytes of the gossip entries of outlier detection.
 //!
-//! Fronts of two versions run side by side during an upgrade, so the bytes are a contract: names of
-//! types and fields may change, their order, their widths and the numbers of enum variants may not.
-//! The expected bytes were derived from the postcard format by an independent encoder, not copied
-//! from a run.
+//! Fronts of two versions run side by side during an upgrade, so these bytes must not change: names
+//! of types and fields may, but not their order, their widths and the numbers of enum variants. The
+//! expected bytes were derived from the postcard format by an independent encoder, not copied from
+//! a run.
 //!
-//! What a front publishes is also taken from a running [`OutlierDetector`], so that the values of
-//! votes (a target and a zone) and of probe results (one byte) are pinned as it encodes them.
+//! Entries are also taken from a running [`OutlierDetector`], to check the values of votes (a
+//! target and a zone) and of probe results (one byte) as it encodes them.
 
 use std::fmt::Debug;
 
@@ -20,12 +20,12 @@
 const MS: Nanos = 1_000_000;
 const SERVER: ServerId = ServerId(0x1122_3344_5566_7788);
 
-/// Lower-case hexadecimal digits of some bytes.
+/// Returns the bytes as lower-case hexadecimal digits.
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Checks that a value has exactly these bytes, and that decoding them gives an equal value.
+/// Checks that a value is encoded as exactly these bytes and that they decode to an equal value.
 fn assert_golden<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, expected: &str) {
     let bytes = postcard::to_stdvec(value).expect("the value can be encoded");
     assert_eq!(hex(&bytes), expected);
@@ -139,10 +139,10 @@
 const PEER_ZONE: ZoneId = ZoneId(7);
 /// The class of work of all attempts.
 const CLASS: ClassId = ClassId(201);
-/// The servers that are no outliers.
+/// Numbers of the servers that are no outliers.
 const HEALTHY_SERVERS: std::ops::Range<u64> = 10..15;
 
-/// The membership of the front, to which the peer is alive.
+/// Returns the membership table of the front, in which the peer is alive.
 fn membership(now: Nanos) -> MembershipTable {
     let mut members = MembershipTable::new(FRONT, 2, INCARNATION, 2_000 * MS);
     let mut peer = MembershipTable::new(PEER, 2, PEER_INCARNATION, 2_000 * MS);
@@ -154,7 +154,7 @@
     members
 }
 
-/// The entries of the front, which has received this evidence from the peer.
+/// Returns the gossip entries of the front after it has received this evidence from the peer.
 fn entries_with(now: Nanos, evidence: &Evidence) -> GossipStore {
     let value = postcard::to_stdvec(evidence).expect("the evidence can be encoded");
     let key = EntryKey {
@@ -185,7 +185,7 @@
     };
     let mut entries = GossipStore::new(FRONT, 2, INCARNATION, 100_000, now);
     let members = membership(now);
-    // Entries count from the first round on that knows the peer's incarnation.
+    // Entries are accepted only after a round in which the peer's incarnation is known.
     entries
         .on(now, &members, GossipInput::Round, &mut Vec::new())
         .expect("a round puts nothing");
@@ -197,7 +197,7 @@
     let mut actions = Vec::new();
     entries
         .on(now, &members, received, &mut actions)
-        .expect("it puts nothing");
+        .expect("a received message puts nothing");
     assert!(
         entries.get(now, PEER, key).is_some(),
         "the evidence is accepted: {actions:?}"
@@ -205,7 +205,7 @@
     entries
 }
 
-/// Records twenty attempts at a server, the first ones of which fail.
+/// Records twenty attempts at a server, the first `failures` of which fail.
 fn record_attempts(
     detector: &mut OutlierDetector,
     now: Nanos,
@@ -228,8 +228,8 @@
     }
 }
 
-/// What the front publishes of a server that is an outlier by its own attempts and by the peer's
-/// evidence.
+/// Returns the entries that the front publishes on a server that is an outlier by the front's own
+/// attempts and by the peer's evidence.
 fn entries_on_an_outlier() -> Vec<(EntryKey, Option<String>)> {
     let now = 1_000 * MS;
     let classes = vec![ClassEvidence {
@@ -263,7 +263,7 @@
     published(effects)
 }
 
-/// The entries that effects publish, with their values in hexadecimal.
+/// Returns the entries that effects publish, with their values in hexadecimal.
 fn published(effects: Vec<Effect>) -> Vec<(EntryKey, Option<String>)> {
     let put = |effect| match effect {
         Effect::Put(key, value) => Some((key, value.as_deref().map(hex))),
