--- a/crates/fleet-limits/src/coordinator.rs
+++ b/crates/fleet-limits/src/coordinator.rs
@@ -121,9 +121,9 @@
             return;
         };
         let lease_span = fresh.config.lease_span();
-        fresh.members = self
-            .members
-            .with_roster(fresh.config.me, fresh.config.fronts, lease_span);
+        fresh.members =
+            self.members
+                .with_membership_list(fresh.config.me, fresh.config.fronts, lease_span);
         fresh.adoption = self.adoption.changed(now, &self.config, &fresh.config);
         fresh.peers = PeerTable::new(fresh.config.fronts, self.peers.grant_number());
         fresh.demand = std::mem::take(&mut self.demand);
--- a/crates/fleet-limits/src/coordinator/heartbeats.rs
+++ b/crates/fleet-limits/src/coordinator/heartbeats.rs
@@ -153,7 +153,7 @@
         effects.push(Effect::Received(status));
         let needs_reply = matches!(
             status,
-            MessageStatus::Conflicting | MessageStatus::RosterMismatch
+            MessageStatus::Conflicting | MessageStatus::MembershipListMismatch
         );
         // Two fronts that reject each other's heartbeats must not answer each other's replies
         // without end.
@@ -167,7 +167,7 @@
                 self.report_all(now, now, effects);
             }
             MessageStatus::Accepted { .. } => self.report_some(now, &changed_limits, effects),
-            MessageStatus::RosterMismatch if self.yields_to_roster(now) => {
+            MessageStatus::MembershipListMismatch if self.yields_to_roster(now) => {
                 self.report_all(now, now, effects);
             }
             _ => {}
@@ -178,7 +178,7 @@
     fn receive(&mut self, now: Nanos, sender: Holder, heartbeat: &Heartbeat) -> Reception {
         if heartbeat.roster != self.config.roster && !mutated(Mutation::AnyRoster) {
             self.adoption.compare_roster(now, &self.config, heartbeat);
-            return Reception::rejected(MessageStatus::RosterMismatch);
+            return Reception::rejected(MessageStatus::MembershipListMismatch);
         }
         let status = self
             .members
--- a/crates/fleet-limits/src/granting.rs
+++ b/crates/fleet-limits/src/granting.rs
@@ -54,7 +54,7 @@
         demand: &DemandMeter,
     ) -> GrantRound<'a> {
         let is_reachable =
-            |peer| members.is_alive(now, peer) && members.receives_from_me(now, peer);
+            |peer| members.is_alive(now, peer) && members.has_recent_echo_from(now, peer);
         let reachable: Vec<bool> = PeerId::all(config.fronts).map(is_reachable).collect();
         let mut totals: BTreeMap<Limit, LimitTotals> = BTreeMap::new();
         for demand in demand.demands(now) {
--- a/crates/fleet-limits/src/votes.rs
+++ b/crates/fleet-limits/src/votes.rs
@@ -60,7 +60,7 @@
     /// Withdraws the votes for a holder on issuers that it no longer claims.
     pub fn release_unclaimed(&mut self, holder: Holder, claims: &[PeerId]) {
         for (issuer, vote) in self.votes.iter_mut().enumerate() {
-            let is_claimed = claims.contains(&PeerId::at(issuer));
+            let is_claimed = claims.contains(&PeerId::from_index(issuer));
             if vote.is_some_and(|vote| vote.holder == holder) && !is_claimed {
                 *vote = None;
             }
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -45,10 +45,10 @@
     NotAMessage,
     /// The envelope has another version of the format.
     #[error("it is of version {0}, and this program knows version {VERSION}")]
-    Version(u8),
+    UnsupportedVersion(u8),
     /// The HMAC does not match: the sender has another key, or the envelope is damaged.
     #[error("its digest is not that of the key")]
-    Digest,
+    MacMismatch,
     /// The HMAC matches, but the message cannot be decoded as its type, or encoded.
     #[error("what it says is not in the form of its version")]
     Malformed,
@@ -129,13 +129,13 @@
             return Err(EnvelopeError::NotAMessage);
         }
         if bytes[VERSION_AT] != VERSION {
-            return Err(EnvelopeError::Version(bytes[VERSION_AT]));
+            return Err(EnvelopeError::UnsupportedVersion(bytes[VERSION_AT]));
         }
         let (authenticated, digest) = bytes.split_at(bytes.len() - MAC_BYTES);
         let mut mac = self.key.clone();
         mac.update(authenticated);
         mac.verify_slice(digest)
-            .map_err(|_| EnvelopeError::Digest)?;
+            .map_err(|_| EnvelopeError::MacMismatch)?;
         let from = PeerId(little_endian(&authenticated[SENDER_AT..INCARNATION_AT]) as u16);
         let incarnation = Incarnation(little_endian(&authenticated[INCARNATION_AT..MESSAGE_AT]));
         match postcard::take_from_bytes(&authenticated[MESSAGE_AT..]) {
--- a/crates/membership/src/gossip/store.rs
+++ b/crates/membership/src/gossip/store.rs
@@ -63,7 +63,7 @@
 
     /// The store for another roster; it has this front's entries only.
     #[must_use]
-    pub fn with_roster(&self, me: PeerId, front_count: u16, now: Nanos) -> GossipStore {
+    pub fn with_membership_list(&self, me: PeerId, front_count: u16, now: Nanos) -> GossipStore {
         let own = self.origins[self.me.index()].clone();
         GossipStore::with_budget(me, front_count, own, self.budget.restarted(now))
     }
@@ -108,7 +108,9 @@
     /// All entries of a namespace that are not deleted, by origin and then by the id of the key.
     pub fn all(&self, now: Nanos, kind: u8) -> impl Iterator<Item = StoredValue<'_>> + '_ {
         let origins = self.origins.iter().enumerate();
-        origins.flat_map(move |(position, origin)| origin.values(now, PeerId::at(position), kind))
+        origins.flat_map(move |(position, origin)| {
+            origin.values(now, PeerId::from_index(position), kind)
+        })
     }
 
     /// The incarnation of a front whose entries are known, and the version up to which they are;
@@ -197,7 +199,8 @@
 
     fn known_versions(&self) -> impl Iterator<Item = KnownVersion> + '_ {
         let origins = self.origins.iter().enumerate();
-        let known = origins.map(|(position, origin)| origin.known_version(PeerId::at(position)));
+        let known =
+            origins.map(|(position, origin)| origin.known_version(PeerId::from_index(position)));
         known.filter(|known| known.version > 0)
     }
 
--- a/crates/membership/src/ids.rs
+++ b/crates/membership/src/ids.rs
@@ -53,7 +53,7 @@
     }
 
     /// The front at a position in the roster. A roster has fewer fronts than `u16` has values.
-    pub fn at(position: usize) -> PeerId {
+    pub fn from_index(position: usize) -> PeerId {
         PeerId(position as u16)
     }
 
--- a/crates/membership/src/membership_table.rs
+++ b/crates/membership/src/membership_table.rs
@@ -49,7 +49,7 @@
     /// The table of the same incarnation for another roster: no peer is known, and the order of
     /// messages continues.
     #[must_use]
-    pub fn with_roster(
+    pub fn with_membership_list(
         &self,
         me: PeerId,
         front_count: u16,
@@ -174,7 +174,7 @@
 
     /// Whether a peer has echoed a message of this front that is younger than three quarters of the
     /// failure timeout, so that a message sent to it now is expected to arrive.
-    pub fn receives_from_me(&self, now: Nanos, peer: PeerId) -> bool {
+    pub fn has_recent_echo_from(&self, now: Nanos, peer: PeerId) -> bool {
         let recent = self.failure_timeout - self.failure_timeout / 4;
         self.member(peer).has_echoed_within(now, recent)
     }
--- a/crates/membership/src/peer_state.rs
+++ b/crates/membership/src/peer_state.rs
@@ -49,7 +49,7 @@
     /// Another incarnation of the sender is alive.
     Conflicting,
     /// The sender uses another roster, by which its position means nothing here.
-    RosterMismatch,
+    MembershipListMismatch,
     /// The position is not in the roster, or is that of this front.
     UnknownPeer,
 }
--- a/crates/membership/tests/envelope.rs
+++ b/crates/membership/tests/envelope.rs
@@ -32,12 +32,12 @@
         EnvelopeCodec::new(b"another key of sixteen").expect("the key is long enough");
     assert_eq!(
         other_codec.open::<Message>(&bytes),
-        Err(EnvelopeError::Digest)
+        Err(EnvelopeError::MacMismatch)
     );
     let newer = [b"TBP\x03".as_slice(), &bytes[4..]].concat();
     assert_eq!(
         codec.open::<Message>(&newer),
-        Err(EnvelopeError::Version(3))
+        Err(EnvelopeError::UnsupportedVersion(3))
     );
     assert_eq!(
         codec.open::<(u32, Vec<String>, u8)>(&bytes),
--- a/crates/membership/tests/membership_table.rs
+++ b/crates/membership/tests/membership_table.rs
@@ -37,7 +37,7 @@
         [PeerStatus::Alive; 2]
     );
     assert_eq!(a.status(10, PeerId(2)), PeerStatus::Unknown);
-    assert!(a.receives_from_me(10, PeerId(1)));
+    assert!(a.has_recent_echo_from(10, PeerId(1)));
 }
 
 #[test]
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -123,7 +123,9 @@
         is_alive: &impl Fn(usize) -> bool,
     ) -> Result<(), EnvelopeError> {
         let incarnation = self.coordinators[from].incarnation();
-        let sealed = self.codec.seal(PeerId::at(from), incarnation, heartbeat)?;
+        let sealed = self
+            .codec
+            .seal(PeerId::from_index(from), incarnation, heartbeat)?;
         self.bytes_sent += sealed.len();
         self.datagrams_sent += 1;
         if is_alive(to) {
@@ -142,9 +144,9 @@
     /// Whether every other front knows that the victim has died.
     fn has_detected_death(&self) -> bool {
         let others = self.coordinators.iter().skip(VICTIM + 1);
-        others
-            .into_iter()
-            .all(|front| front.members().status(self.now, PeerId::at(VICTIM)) == PeerStatus::Dead)
+        others.into_iter().all(|front| {
+            front.members().status(self.now, PeerId::from_index(VICTIM)) == PeerStatus::Dead
+        })
     }
 }
 
--- a/crates/testbed/src/simulation/fleet.rs
+++ b/crates/testbed/src/simulation/fleet.rs
@@ -150,7 +150,7 @@
             let message = message.clone();
             let envelope = Envelope {
                 to,
-                from: PeerId::at(from),
+                from: PeerId::from_index(from),
                 incarnation,
                 message,
             };
--- a/crates/testbed/src/simulation/gossip.rs
+++ b/crates/testbed/src/simulation/gossip.rs
@@ -147,7 +147,7 @@
         };
         let version = |peer: &Peer| {
             peer.gossip
-                .known(PeerId::at(front))
+                .known(PeerId::from_index(front))
                 .map_or(0, |known| known.version)
         };
         let before = version(&running.peer);
@@ -258,11 +258,11 @@
                 running().filter(|(origin, writer)| *origin != index && writer.state.written > 0)
             {
                 let expected = Some(KnownVersion {
-                    origin: PeerId::at(origin),
+                    origin: PeerId::from_index(origin),
                     incarnation: writer.peer.incarnation,
                     version: writer.state.written,
                 });
-                let known = front.peer.gossip.known(PeerId::at(origin));
+                let known = front.peer.gossip.known(PeerId::from_index(origin));
                 self.report.not_converged |= known != expected;
             }
         }
--- a/crates/testbed/src/simulation/limits.rs
+++ b/crates/testbed/src/simulation/limits.rs
@@ -111,7 +111,7 @@
         let fronts = schedule.fronts;
         let config = |front: usize| LimitsConfig {
             max_clock_drift: MAX_CLOCK_DRIFT_PPM,
-            ..LimitsConfig::new(PeerId::at(front), fronts as u16, 1)
+            ..LimitsConfig::new(PeerId::from_index(front), fronts as u16, 1)
         };
         let mut simulation = LimitsSimulation {
             schedule,
@@ -382,7 +382,7 @@
             let message = Message {
                 to,
                 via,
-                from: PeerId::at(sender),
+                from: PeerId::from_index(sender),
                 incarnation,
                 heartbeat: heartbeat.clone(),
             };
--- a/crates/testbed/src/simulation/outliers.rs
+++ b/crates/testbed/src/simulation/outliers.rs
@@ -145,7 +145,7 @@
         let incarnation = peer.incarnation;
         let now = self.fleet.now;
         let peer_count = self.fleet.fronts.len() as u16;
-        let config = DetectorConfig::new(PeerId::at(front), peer_count, zone_of(front));
+        let config = DetectorConfig::new(PeerId::from_index(front), peer_count, zone_of(front));
         let mut detector = OutlierDetector::new(config).expect("the configuration is valid");
         let servers = (0..SERVERS)
             .map(|server| KnownServer {
--- a/crates/testbed/src/simulation/peer.rs
+++ b/crates/testbed/src/simulation/peer.rs
@@ -64,7 +64,7 @@
         gossip_rate: u64,
         now: Nanos,
     ) -> Peer {
-        let peer_id = PeerId::at(index);
+        let peer_id = PeerId::from_index(index);
         let peer_count = fronts as u16;
         Peer {
             incarnation,
--- a/src/cluster/config.rs
+++ b/src/cluster/config.rs
@@ -156,7 +156,7 @@
             .ok()
             .filter(|fronts| *fronts <= MAX_FRONTS);
         let fronts = fronts.ok_or(ClusterConfigError::TooManyFronts)?;
-        let mut config = LimitsConfig::new(PeerId::at(me), fronts, 0);
+        let mut config = LimitsConfig::new(PeerId::from_index(me), fronts, 0);
         config.revision = self.revision.unwrap_or(DEFAULT_REVISION) as u32;
         config.lease_duration = nanos_or(self.lease_duration_ms, config.lease_duration);
         config.heartbeat_interval = nanos_or(self.heartbeat_interval_ms, config.heartbeat_interval);
--- a/src/cluster/metrics.rs
+++ b/src/cluster/metrics.rs
@@ -62,7 +62,7 @@
             MessageStatus::Stale => "old",
             MessageStatus::Unconfirmed => "unproven",
             MessageStatus::Conflicting => "stranger",
-            MessageStatus::RosterMismatch => "other_roster",
+            MessageStatus::MembershipListMismatch => "other_roster",
             MessageStatus::UnknownPeer => "no_peer",
         });
     }
@@ -73,8 +73,8 @@
             EnvelopeError::NotAMessage | EnvelopeError::TooLong | EnvelopeError::KeyTooShort => {
                 "no_message"
             }
-            EnvelopeError::Version(_) => "other_version",
-            EnvelopeError::Digest => "wrong_digest",
+            EnvelopeError::UnsupportedVersion(_) => "other_version",
+            EnvelopeError::MacMismatch => "wrong_digest",
             EnvelopeError::Malformed => "wrong_form",
         });
     }
--- a/src/cluster/peers/reload.rs
+++ b/src/cluster/peers/reload.rs
@@ -39,7 +39,7 @@
         let new = &self.config.limits_config;
         // Another digest may mean other fronts, or for the same fronts at other positions.
         if self.coordinator.config().roster != new.roster {
-            self.gossip = self.gossip.with_roster(new.me, new.fronts, now);
+            self.gossip = self.gossip.with_membership_list(new.me, new.fronts, now);
         }
         self.gossip.set_rate(self.config.gossip_bytes_per_second);
         self.reconfigure_ejections();
