--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -2,12 +2,12 @@
 //!
 //! | bytes | content |
 //! | --- | --- |
-//! | 3 | the letters `TBP` |
-//! | 1 | the version of the format, 2 |
-//! | 2 | the sender's position in its roster, little-endian |
+//! | 3 | the ASCII letters `TBP` |
+//! | 1 | the format version, 2 |
+//! | 2 | the sender's position in its membership list, little-endian |
 //! | 8 | the sender's incarnation, little-endian |
-//! | all but 32 of the rest | the message, in the postcard format |
-//! | 32 | HMAC-SHA256 of all bytes before, with the operators' key |
+//! | variable | the message, in the postcard format |
+//! | 32 | HMAC-SHA256 of all preceding bytes, with the operators' key |
 
 use hmac::{Hmac, Mac};
 use serde::de::DeserializeOwned;
@@ -16,51 +16,54 @@
 
 use crate::{Incarnation, PeerId};
 
+/// Start of every envelope.
 const MAGIC: [u8; 3] = *b"TBP";
+/// Version of the envelope format and of the messages in it.
 const VERSION: u8 = 2;
 /// Index of the version byte.
-const VERSION_AT: usize = MAGIC.len();
+const VERSION_OFFSET: usize = MAGIC.len();
 /// Index of the first byte of the sender's position.
-const SENDER_AT: usize = VERSION_AT + 1;
+const SENDER_OFFSET: usize = VERSION_OFFSET + 1;
 /// Index of the first byte of the sender's incarnation.
-const INCARNATION_AT: usize = SENDER_AT + size_of::<u16>();
+const INCARNATION_OFFSET: usize = SENDER_OFFSET + size_of::<u16>();
 /// Index of the first byte of the message.
-const MESSAGE_AT: usize = INCARNATION_AT + size_of::<u64>();
+const MESSAGE_OFFSET: usize = INCARNATION_OFFSET + size_of::<u64>();
 /// Length of the HMAC in bytes.
 const MAC_BYTES: usize = 32;
-/// Cap on the length of an envelope in bytes: it must fit into one UDP datagram.
+/// Maximum length of an envelope in bytes: it must fit into one UDP datagram.
 pub const MAX_MESSAGE_BYTES: usize = 60_000;
-/// Shortest key in bytes.
+/// Minimum length of a key in bytes, without surrounding white space.
 const MIN_KEY_BYTES: usize = 16;
-/// Initial capacity of an envelope under construction, in bytes.
+/// Initial capacity of the buffer for an envelope, in bytes.
 const TYPICAL_ENVELOPE_BYTES: usize = 256;
-/// Bytes of a SHA-256 digest that [`EnvelopeCodec::digest`] uses.
+/// Number of leading bytes of a SHA-256 digest that [`EnvelopeCodec::digest`] keeps.
 const SHORT_DIGEST_BYTES: usize = 8;
 
 /// Why an envelope cannot be sealed or opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum EnvelopeError {
-    /// The bytes are no envelope.
-    #[error("it is no message of a front's")]
+    /// The bytes are not an envelope: their length or their first bytes are invalid.
+    #[error("not a message from a front")]
     NotAMessage,
-    /// The envelope has another version of the format.
-    #[error("it is of version {0}, and this program knows version {VERSION}")]
+    /// The envelope has this format version, which is not the supported one.
+    #[error("unsupported format version {0}, expected {VERSION}")]
     UnsupportedVersion(u8),
-    /// The HMAC does not match: the sender has another key, or the envelope is damaged.
-    #[error("its digest is not that of the key")]
+    /// The HMAC does not match: the sender has another key, or the envelope was altered.
+    #[error("authentication failed: HMAC mismatch")]
     MacMismatch,
-    /// The HMAC matches, but the message cannot be decoded as its type, or encoded.
-    #[error("what it says is not in the form of its version")]
+    /// The message cannot be encoded, or cannot be decoded as the expected type although its HMAC
+    /// matches.
+    #[error("the message cannot be encoded or decoded")]
     Malformed,
     /// The envelope would exceed [`MAX_MESSAGE_BYTES`].
-    #[error("it would be longer than {MAX_MESSAGE_BYTES} bytes")]
+    #[error("the envelope exceeds {MAX_MESSAGE_BYTES} bytes")]
     TooLong,
-    /// The key is too short to be safe.
+    /// The key is shorter than the minimum length.
     #[error("a key needs {MIN_KEY_BYTES} bytes or more")]
     KeyTooShort,
 }
 
-/// Seals and opens envelopes with a key that all fronts of the operators share.
+/// Encodes and decodes envelopes with a key that all fronts share.
 #[derive(Clone)]
 pub struct EnvelopeCodec {
     key: Hmac<Sha256>,
@@ -69,19 +72,19 @@
 /// An authenticated message with its sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Envelope<T> {
-    /// The sender's position in its roster.
+    /// The sender's position in its membership list.
     pub from: PeerId,
-    /// The sender's incarnation.
+    /// The sender's incarnation when it sealed the envelope.
     pub incarnation: Incarnation,
-    /// The message.
+    /// The decoded content.
     pub message: T,
 }
 
 impl EnvelopeCodec {
-    /// A codec with the content of a key file; white space around the key is ignored.
+    /// Creates a codec from the content of a key file. White space around the key is ignored.
     ///
     /// # Errors
-    /// [`EnvelopeError::KeyTooShort`].
+    /// [`EnvelopeError::KeyTooShort`] if fewer than 16 bytes remain.
     pub fn new(key: &[u8]) -> Result<EnvelopeCodec, EnvelopeError> {
         let key = key.trim_ascii();
         if key.len() < MIN_KEY_BYTES {
@@ -91,7 +94,7 @@
         Ok(EnvelopeCodec { key })
     }
 
-    /// Encodes a message as an envelope.
+    /// Encodes a message as an authenticated envelope.
     ///
     /// # Errors
     /// [`EnvelopeError::TooLong`], or [`EnvelopeError::Malformed`] if the message cannot be
@@ -118,27 +121,31 @@
         Ok(bytes)
     }
 
-    /// Decodes an envelope. Nothing but its version is interpreted before its HMAC is verified.
+    /// Verifies and decodes an envelope. Before the HMAC is verified, only the length, the first
+    /// letters and the version are checked.
     ///
     /// # Errors
-    /// Why the bytes are rejected; never [`EnvelopeError::TooLong`] or
+    /// The reason why the bytes are rejected; never [`EnvelopeError::TooLong`] or
     /// [`EnvelopeError::KeyTooShort`].
     pub fn open<T: DeserializeOwned>(&self, bytes: &[u8]) -> Result<Envelope<T>, EnvelopeError> {
-        let length_is_valid = (MESSAGE_AT + MAC_BYTES..=MAX_MESSAGE_BYTES).contains(&bytes.len());
+        let length_is_valid =
+            (MESSAGE_OFFSET + MAC_BYTES..=MAX_MESSAGE_BYTES).contains(&bytes.len());
         if !length_is_valid || !bytes.starts_with(&MAGIC) {
             return Err(EnvelopeError::NotAMessage);
         }
-        if bytes[VERSION_AT] != VERSION {
-            return Err(EnvelopeError::UnsupportedVersion(bytes[VERSION_AT]));
+        if bytes[VERSION_OFFSET] != VERSION {
+            return Err(EnvelopeError::UnsupportedVersion(bytes[VERSION_OFFSET]));
         }
         let (authenticated, digest) = bytes.split_at(bytes.len() - MAC_BYTES);
         let mut mac = self.key.clone();
         mac.update(authenticated);
         mac.verify_slice(digest)
             .map_err(|_| EnvelopeError::MacMismatch)?;
-        let from = PeerId(little_endian(&authenticated[SENDER_AT..INCARNATION_AT]) as u16);
-        let incarnation = Incarnation(little_endian(&authenticated[INCARNATION_AT..MESSAGE_AT]));
-        match postcard::take_from_bytes(&authenticated[MESSAGE_AT..]) {
+        let from = PeerId(little_endian(&authenticated[SENDER_OFFSET..INCARNATION_OFFSET]) as u16);
+        let incarnation = Incarnation(little_endian(
+            &authenticated[INCARNATION_OFFSET..MESSAGE_OFFSET],
+        ));
+        match postcard::take_from_bytes(&authenticated[MESSAGE_OFFSET..]) {
             Ok((message, [])) => Ok(Envelope {
                 from,
                 incarnation,
@@ -148,7 +155,8 @@
         }
     }
 
-    /// A short digest of a text, such as a roster: equal for fronts with the same text.
+    /// Returns the first eight bytes of a text's SHA-256 as a big-endian number. Fronts with the
+    /// same text, such as the same membership list, get the same digest.
     pub fn digest(text: &str) -> u64 {
         let digest = Sha256::digest(text.as_bytes());
         let bytes = digest.iter().take(SHORT_DIGEST_BYTES);
@@ -156,7 +164,7 @@
     }
 }
 
-/// The value of at most eight bytes, the lowest first.
+/// Decodes a little-endian number of at most eight bytes.
 fn little_endian(bytes: &[u8]) -> u64 {
     bytes
         .iter()
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,10 +1,10 @@
-//! Gossip: small key-value entries that each front replicates to all others.
+//! Gossip of small key-value entries that each front replicates to all others.
 //!
-//! Each front writes only its own entries and counts their versions. A front sends its changes
-//! directly to each peer as [`Delta`]s, and asks one peer per round for all that it lacks, so that
-//! entries also travel around bad links. Entries of an earlier incarnation are discarded once a
-//! later one is accepted. The number of entries, their size and the bytes sent per second are
-//! bounded.
+//! Each front writes only its own entries and numbers their versions. It sends its changes directly
+//! to every peer as [`Delta`]s, and requests all entries that it lacks from one peer per round, so
+//! that entries are also relayed around broken links. Entries of an earlier incarnation are
+//! discarded once a later one is accepted. The number of entries, their size and the bytes sent per
+//! second are limited.
 
 mod acknowledgement;
 mod byte_budget;
@@ -20,7 +20,7 @@
 pub use self::origin::StoredValue;
 pub use self::store::GossipStore;
 
-/// Cap on the entries of one front, including deleted ones.
+/// Maximum number of entries of one front, including deleted ones.
 pub const MAX_ENTRIES: usize = 4_096;
-/// Cap on the length of a value in bytes.
+/// Maximum length of a value in bytes.
 pub const MAX_VALUE_BYTES: usize = 512;
--- a/crates/membership/src/gossip/acknowledgement.rs
+++ b/crates/membership/src/gossip/acknowledgement.rs
@@ -1,8 +1,8 @@
-//! Acknowledgements of a front's own entries by its peers.
+//! Acknowledgements that peers send for this front's own entries.
 
 use crate::Incarnation;
 
-/// The version of this front's entries that an incarnation of a peer has acknowledged.
+/// The version of this front's entries up to which an incarnation of a peer has acknowledged them.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Acknowledgement {
     pub(super) incarnation: Incarnation,
@@ -10,7 +10,8 @@
 }
 
 impl Acknowledgement {
-    /// The acknowledged version, 0 if the peer now runs another incarnation.
+    /// Returns the version acknowledged by an incarnation of the peer, 0 if the acknowledgement is
+    /// from another incarnation.
     pub(super) fn version_by(self, incarnation: Incarnation) -> u64 {
         if self.incarnation == incarnation {
             self.version
--- a/crates/membership/src/gossip/messages.rs
+++ b/crates/membership/src/gossip/messages.rs
@@ -8,37 +8,38 @@
 use super::GossipError;
 use crate::{Echo, Incarnation, PeerId};
 
-/// The key of an entry.
+/// The key of an entry, unique among the entries of its origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EntryKey {
-    /// The namespace, one for each subsystem that uses gossip.
+    /// The namespace. Subsystems that use gossip have separate namespaces.
     pub kind: u8,
     /// The id within the namespace.
     pub id: u64,
 }
 
-/// An entry as sent in a message.
+/// An entry as it is sent in a message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GossipEntry {
-    /// The key.
+    /// The key that the entry is stored under.
     pub key: EntryKey,
-    /// The version, counted by the origin's incarnation over all its entries.
+    /// The version of the change. An incarnation of the origin numbers the changes of all its
+    /// entries in one sequence.
     pub version: u64,
-    /// Upper bound of its age when the message was sent, in milliseconds.
+    /// Upper limit of the entry's age when the message was sent, in milliseconds.
     pub age_ms: u32,
     /// The value; `None` if the entry was deleted.
     pub value: Option<Vec<u8>>,
 }
 
-/// The changes of one incarnation's entries within a range of versions, in the order of their
-/// versions.
+/// The changes of one incarnation's entries within a range of versions, in ascending order of
+/// version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Delta {
     /// The front that wrote the entries.
     pub origin: PeerId,
-    /// Its incarnation.
+    /// The incarnation of the origin that wrote them.
     pub incarnation: Incarnation,
-    /// The range starts after this version.
+    /// The version before the first one of the range.
     pub after: u64,
     /// The last version of the range.
     pub to: u64,
@@ -51,55 +52,56 @@
 pub struct KnownVersion {
     /// The front that wrote the entries.
     pub origin: PeerId,
-    /// Its incarnation.
+    /// The incarnation of the origin that wrote them.
     pub incarnation: Incarnation,
     /// The version of the latest known entry, 0 if there is none.
     pub version: u64,
 }
 
-/// A message from one front to another.
+/// A gossip message from one front to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GossipMessage {
-    /// The latest message of the receiver that the sender has. Bounds the transit time of this
-    /// message.
+    /// The latest message that the sender has received from the receiver. Bounds the transit time
+    /// of this message.
     pub echo: Option<Echo>,
-    /// What the sender knows; complete only with `requests_missing`.
+    /// Versions that the sender knows; complete only if `requests_missing` is set.
     pub knows: Vec<KnownVersion>,
-    /// Whether `knows` is complete and the receiver shall send what the sender lacks.
+    /// Whether the receiver is asked to send the entries that are missing from `knows`, which is
+    /// complete then.
     pub requests_missing: bool,
-    /// Changed entries.
+    /// Changes of entries that the receiver is not known to have.
     pub deltas: Vec<Delta>,
 }
 
 /// An event that the gossip store handles.
 #[derive(Clone, Debug)]
 pub enum GossipInput {
-    /// Write an entry of this front, or delete it if there is no value.
+    /// Write an entry of this front, or delete it if the value is `None`.
     Put(EntryKey, Option<Vec<u8>>),
-    /// A round of messages is due.
+    /// The next round of messages is due.
     Round,
     /// An authenticated message was received.
     Received {
-        /// Its sender.
+        /// The authenticated sender.
         from: PeerId,
         /// The sender's incarnation.
         incarnation: Incarnation,
-        /// Its content.
+        /// The decoded content.
         message: GossipMessage,
     },
 }
 
-/// A command to the caller, or a notification.
+/// A command or a notification from the gossip store to its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GossipAction {
-    /// Send a message.
+    /// The caller must send a message to a peer.
     Send {
-        /// The receiver.
+        /// The peer to send it to.
         to: PeerId,
-        /// The message.
+        /// The content to send.
         message: GossipMessage,
     },
-    /// An entry of a peer was written or deleted.
+    /// The replica of a peer's entry was written or deleted.
     Changed(PeerId, EntryKey),
     /// All entries of a peer's earlier incarnation were discarded.
     Dropped(PeerId),
--- a/crates/membership/src/gossip/origin.rs
+++ b/crates/membership/src/gossip/origin.rs
@@ -8,37 +8,38 @@
 };
 use crate::{Incarnation, Nanos, PeerId};
 
-/// Upper bound of the encoded length of an entry without its value.
+/// Upper limit of the encoded length of an entry without its value, in bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 24;
-/// Upper bound of the encoded length of a delta without its entries.
+/// Upper limit of the encoded length of a delta without its entries, in bytes.
 const DELTA_OVERHEAD_BYTES: usize = 32;
 const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
 
-/// An entry as a front holds it, of its own or replicated.
+/// A view of an entry that a front stores, either its own or a replica of a peer's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoredValue<'a> {
-    /// The front that wrote it.
+    /// The front that wrote the entry.
     pub origin: PeerId,
-    /// The id of its key within the namespace.
+    /// The id of the entry's key within its namespace.
     pub id: u64,
-    /// The value.
+    /// The value as the origin wrote it.
     pub value: &'a [u8],
-    /// Upper bound of the time since it was written.
+    /// Upper limit of the time since the entry was written.
     pub age: Nanos,
 }
 
-/// The latest version of an entry.
+/// The latest known version of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct StoredEntry {
+    /// The version of its latest change.
     version: u64,
-    /// When it was written, or a time before that.
+    /// Lower limit of the time of that change, by this front's clock.
     put_at: Nanos,
     /// The value; `None` if the entry was deleted.
     value: Option<Vec<u8>>,
 }
 
 impl StoredEntry {
-    /// The entry as this front holds it; `None` if it was deleted.
+    /// Returns a view of the entry, `None` if it was deleted.
     fn as_value(&self, now: Nanos, origin: PeerId, id: u64) -> Option<StoredValue<'_>> {
         let value = self.value.as_deref()?;
         Some(StoredValue {
@@ -49,12 +50,15 @@
         })
     }
 
+    /// Returns an upper limit of the encoded length of the entry.
     fn encoded_bytes(&self) -> i64 {
         let value_bytes = self.value.as_ref().map_or(0, Vec::len);
         (ENTRY_OVERHEAD_BYTES + value_bytes) as i64
     }
 
-    fn to_message(&self, now: Nanos, key: EntryKey) -> GossipEntry {
+    /// Converts the entry to its form in a message. Its age is rounded up, so that it stays an
+    /// upper limit.
+    fn to_gossip_entry(&self, now: Nanos, key: EntryKey) -> GossipEntry {
         let age = (now - self.put_at).max(0) as u64;
         let age_ms = age
             .div_ceil(NANOS_PER_MILLISECOND as u64)
@@ -68,7 +72,7 @@
     }
 }
 
-/// A delta to send, with an upper bound of its encoded length.
+/// A delta to send, with an upper limit of its encoded length in bytes.
 pub(super) struct SizedDelta {
     pub(super) delta: Delta,
     pub(super) bytes: i64,
@@ -78,12 +82,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Origin {
     incarnation: Incarnation,
+    /// The version up to which `entries` is complete.
     version: u64,
     entries: BTreeMap<EntryKey, StoredEntry>,
 }
 
 impl Origin {
-    /// An incarnation without entries.
+    /// Creates the state of an incarnation without entries.
     pub(super) fn new(incarnation: Incarnation) -> Origin {
         Origin {
             incarnation,
@@ -91,23 +96,25 @@
         }
     }
 
-    /// Follows a new incarnation. Returns whether entries of the old one were discarded.
+    /// Replaces the state by that of a new incarnation without entries. Returns whether entries of
+    /// the old one were discarded.
     pub(super) fn replace_incarnation(&mut self, incarnation: Incarnation) -> bool {
         let old = std::mem::replace(self, Origin::new(incarnation));
         !old.entries.is_empty()
     }
 
-    /// The incarnation whose entries these are.
+    /// Returns the incarnation that wrote the entries.
     pub(super) fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The version up to which the entries are complete.
+    /// Returns the version up to which the entries are complete.
     pub(super) fn version(&self) -> u64 {
         self.version
     }
 
-    /// An entry of this front, at position `origin`; `None` if there is none, or if it was deleted.
+    /// Returns the entry with a key, `None` if it does not exist or was deleted. `origin` is the
+    /// position of the front that these entries belong to.
     pub(super) fn value(
         &self,
         now: Nanos,
@@ -117,7 +124,8 @@
         self.entries.get(&key)?.as_value(now, origin, key.id)
     }
 
-    /// The entries of a namespace of this front, at position `origin`, that are not deleted.
+    /// Returns the entries of a namespace that are not deleted, in ascending order of their ids.
+    /// `origin` is the position of the front that these entries belong to.
     pub(super) fn values(
         &self,
         now: Nanos,
@@ -129,7 +137,8 @@
         entries.filter_map(move |(key, entry)| entry.as_value(now, origin, key.id))
     }
 
-    /// The version up to which the entries of this front, at position `origin`, are known.
+    /// Returns the version up to which the entries are known. `origin` is the position of the front
+    /// that they belong to.
     pub(super) fn known_version(&self, origin: PeerId) -> KnownVersion {
         KnownVersion {
             origin,
@@ -138,7 +147,7 @@
         }
     }
 
-    /// The version known of an incarnation: 0 for all but the present one.
+    /// Returns the version known of an incarnation, 0 for any but the current one.
     pub(super) fn version_of(&self, incarnation: Incarnation) -> u64 {
         if self.incarnation == incarnation {
             self.version
@@ -147,10 +156,10 @@
         }
     }
 
-    /// Writes an entry as its origin. Deleting an unknown key does nothing.
+    /// Writes or deletes an entry as its origin. Deleting an unknown key does nothing.
     ///
     /// # Errors
-    /// If the value is too long or there are too many entries; nothing changes then.
+    /// The value is too long, or there are too many entries; nothing has changed then.
     pub(super) fn put(
         &mut self,
         now: Nanos,
@@ -182,8 +191,8 @@
         Ok(())
     }
 
-    /// The changes after a version, cut off so that they fit into `max_bytes`; `None` if there are
-    /// none or not even the first one fits.
+    /// Returns the changes after a version, as many as fit into `max_bytes` in ascending order of
+    /// version; `None` if there are none or not even the first one fits.
     pub(super) fn delta(
         &self,
         now: Nanos,
@@ -210,7 +219,7 @@
             }
             bytes += entry_bytes;
             to = entry.version;
-            entries.push(entry.to_message(now, **key));
+            entries.push(entry.to_gossip_entry(now, **key));
         }
         if entries.len() == changed.len() {
             to = self.version;
@@ -225,10 +234,10 @@
         (to != after).then_some(SizedDelta { delta, bytes })
     }
 
-    /// Checks that a received delta can be applied.
+    /// Checks whether a received delta can be applied.
     ///
     /// # Errors
-    /// Why it cannot.
+    /// The rule that the delta breaks.
     pub(super) fn check(&self, delta: &Delta) -> Result<(), GossipError> {
         if !is_well_formed(delta) {
             return Err(GossipError::OutOfBounds);
@@ -254,8 +263,8 @@
         Ok(())
     }
 
-    /// Applies a delta of the present incarnation that was sent at `sent_at` or later. Returns the
-    /// changed keys.
+    /// Applies a delta of the current incarnation that was sent at `sent_at` or later. Returns the
+    /// keys of the entries that changed.
     pub(super) fn apply(&mut self, delta: Delta, sent_at: Nanos) -> Vec<EntryKey> {
         let mut changed = Vec::new();
         for entry in delta.entries {
@@ -288,8 +297,8 @@
     }
 }
 
-/// Whether a delta's entries are in order, within its range of versions and within the limits of
-/// the protocol.
+/// Returns whether a delta's entries are in ascending order of version, within its range of
+/// versions and within the limits on their number and size.
 fn is_well_formed(delta: &Delta) -> bool {
     let in_order = delta
         .entries
--- a/crates/membership/src/gossip/store.rs
+++ b/crates/membership/src/gossip/store.rs
@@ -1,4 +1,4 @@
-//! The replicated entries of all fronts, and the protocol that keeps them up to date.
+//! The replicated entries of all fronts and the protocol that keeps the replicas up to date.
 
 use super::acknowledgement::Acknowledgement;
 use super::byte_budget::ByteBudget;
@@ -9,27 +9,29 @@
 };
 use crate::{Incarnation, MembershipTable, Nanos, PeerId};
 
-/// Cap on the encoded length of a delta, well below that of a datagram.
+/// Maximum encoded length of a delta in bytes, well below that of a datagram.
 const MAX_DELTA_BYTES: i64 = 24_000;
 
-/// The entries of one front and its replicas of those of all others.
+/// The entries of one front and its replicas of the entries of all other fronts.
 #[derive(Clone, Debug)]
 pub struct GossipStore {
+    /// The position of this front.
     me: PeerId,
-    /// By position.
+    /// The entries of each front, by position.
     origins: Vec<Origin>,
-    /// By position.
+    /// What each peer has acknowledged of this front's entries, by position.
     acked: Vec<Acknowledgement>,
-    /// Whether a peer, by position, must get an acknowledgement of its entries.
+    /// Whether the next message to a peer must acknowledge its entries, by position.
     ack_due: Vec<bool>,
-    /// The last peer that was requested to send all missing entries.
+    /// The last peer that was asked for all missing entries; this front before the first request.
     last_pulled_from: PeerId,
+    /// Limits the bytes of entries that this front sends.
     budget: ByteBudget,
 }
 
 impl GossipStore {
-    /// The store of an incarnation of the front at position `me` in a roster of `front_count`
-    /// fronts, which sends at most `bytes_per_second` of entries.
+    /// Creates the store of an incarnation of the front at position `me` in a membership list of
+    /// `front_count` fronts. It sends at most `bytes_per_second` of entries.
     pub fn new(
         me: PeerId,
         front_count: u16,
@@ -41,7 +43,7 @@
         GossipStore::with_budget(me, front_count, Origin::new(incarnation), budget)
     }
 
-    /// A store that has only this front's entries.
+    /// Creates a store that contains only this front's entries.
     fn with_budget(me: PeerId, front_count: u16, own: Origin, budget: ByteBudget) -> GossipStore {
         let count = usize::from(front_count);
         let mut origins = vec![Origin::default(); count];
@@ -61,17 +63,18 @@
         self.budget.set_rate(bytes_per_second);
     }
 
-    /// The store for another roster; it has this front's entries only.
+    /// Returns the store for another membership list. It contains only this front's entries.
     #[must_use]
     pub fn with_membership_list(&self, me: PeerId, front_count: u16, now: Nanos) -> GossipStore {
         let own = self.origins[self.me.index()].clone();
         GossipStore::with_budget(me, front_count, own, self.budget.restarted(now))
     }
 
-    /// Handles an input and appends actions. `members` tells which incarnations are accepted.
+    /// Handles an input and appends the resulting actions. `members` provides the accepted
+    /// incarnations and whether they are alive.
     ///
     /// # Errors
-    /// If an entry of this front cannot be written; nothing changes then.
+    /// An entry of this front cannot be written; nothing has changed then.
     pub fn on(
         &mut self,
         now: Nanos,
@@ -100,12 +103,13 @@
         Ok(())
     }
 
-    /// A front's entry; `None` if there is none, or if it was deleted.
+    /// Returns an entry of a front, `None` if it does not exist or was deleted.
     pub fn get(&self, now: Nanos, origin: PeerId, key: EntryKey) -> Option<StoredValue<'_>> {
         self.origins.get(origin.index())?.value(now, origin, key)
     }
 
-    /// All entries of a namespace that are not deleted, by origin and then by the id of the key.
+    /// Returns all entries of a namespace that are not deleted, ordered by origin and then by the
+    /// id of the key.
     pub fn all(&self, now: Nanos, kind: u8) -> impl Iterator<Item = StoredValue<'_>> + '_ {
         let origins = self.origins.iter().enumerate();
         origins.flat_map(move |(position, origin)| {
@@ -113,23 +117,24 @@
         })
     }
 
-    /// The incarnation of a front whose entries are known, and the version up to which they are;
-    /// `None` if the front is not in the roster.
+    /// Returns the incarnation of a front whose entries are stored and the version up to which they
+    /// are known; `None` if the front is not in the membership list.
     pub fn known(&self, origin: PeerId) -> Option<KnownVersion> {
         let entries = self.origins.get(origin.index())?;
         Some(entries.known_version(origin))
     }
 
+    /// Sends changes to all live peers, and requests missing entries from one of them.
     fn round(&mut self, now: Nanos, members: &MembershipTable, actions: &mut Vec<GossipAction>) {
         self.budget.refill(now);
         for peer in members.others() {
-            self.follow_incarnation(now, members, peer, actions);
+            self.update_incarnation(now, members, peer, actions);
         }
         let peers: Vec<PeerId> = members
             .others()
             .filter(|peer| members.is_alive(now, *peer))
             .collect();
-        // Each round starts with another peer, so that a scarce budget does not always serve the
+        // Each round starts with the next peer, so that a scarce budget does not always serve the
         // same one.
         let first = peers
             .iter()
@@ -145,8 +150,8 @@
         self.last_pulled_from = pulled_from.unwrap_or(self.last_pulled_from);
     }
 
-    /// The message to a peer in this round: this front's changes, a due acknowledgement, and to the
-    /// peer whose turn it is the request for all that is missing.
+    /// Returns the message to a peer in this round: this front's changes, an acknowledgement if one
+    /// is due, and, if `requests_missing` is set, the request for all missing entries.
     fn round_message(
         &mut self,
         now: Nanos,
@@ -174,10 +179,10 @@
         }
     }
 
-    /// Discards the entries of a peer's earlier incarnation once another one is alive. Entries of a
-    /// peer that is not alive here are kept: other fronts may have sent those of a later
-    /// incarnation.
-    fn follow_incarnation(
+    /// Discards the stored entries of a live peer if they belong to another incarnation than the
+    /// accepted one. Entries of a peer that is not alive here are kept: other fronts may have sent
+    /// those of a later incarnation.
+    fn update_incarnation(
         &mut self,
         now: Nanos,
         members: &MembershipTable,
@@ -197,6 +202,7 @@
         }
     }
 
+    /// Returns the known versions of all fronts but those still at version 0.
     fn known_versions(&self) -> impl Iterator<Item = KnownVersion> + '_ {
         let origins = self.origins.iter().enumerate();
         let known =
@@ -204,8 +210,8 @@
         known.filter(|known| known.version > 0)
     }
 
-    /// The changes of a front's entries after a version, as far as the budget allows, which is
-    /// charged for them.
+    /// Returns the changes of a front's entries after a version, as far as the byte budget allows,
+    /// and subtracts them from the budget.
     fn take_delta(&mut self, now: Nanos, origin: PeerId, after: u64) -> Option<Delta> {
         let max_bytes = self.budget.available().min(MAX_DELTA_BYTES);
         let sized = self.origins[origin.index()].delta(now, origin, after, max_bytes)?;
@@ -213,6 +219,7 @@
         Some(sized.delta)
     }
 
+    /// Handles a message of a live peer's accepted incarnation.
     fn receive(
         &mut self,
         now: Nanos,
@@ -251,8 +258,8 @@
         }
     }
 
-    /// Records which version of this front's entries a peer knows. A complete list that does not
-    /// name them means that the peer has none: it may have discarded them.
+    /// Records up to which version a peer knows this front's entries. A complete list without them
+    /// means that the peer has none: it may have discarded them.
     fn record_acknowledgement(
         &mut self,
         from: PeerId,
@@ -271,9 +278,9 @@
         }
     }
 
-    /// Sends a peer the entries that it does not know, of this front and of all that are alive
-    /// here. Entries of others are left out: the peer may have accepted a later incarnation than
-    /// this front.
+    /// Sends a peer the entries that it lacks, both those of this front and those of all fronts
+    /// that are alive here. Entries of other fronts are not sent: the peer may have accepted a
+    /// later incarnation of them than this front.
     fn send_missing(
         &mut self,
         now: Nanos,
@@ -302,6 +309,10 @@
         }
     }
 
+    /// Applies a delta from a peer to the replica of its origin.
+    ///
+    /// # Errors
+    /// The reason why the delta is rejected.
     fn apply_delta(
         &mut self,
         now: Nanos,
@@ -315,8 +326,8 @@
         if peer == self.me || peer.index() >= self.origins.len() {
             return Err(GossipError::UnknownOrigin);
         }
-        // The incarnation of a peer that is alive here is the accepted one; that of another peer is
-        // taken from any front that relays its entries.
+        // For an origin that is alive here, only the accepted incarnation counts. For any other,
+        // the incarnation is taken from any front that relays its entries.
         let is_current = match members.incarnation_of(peer) {
             Some(incarnation) if members.is_alive(now, peer) => delta.incarnation == incarnation,
             _ => peer != from,
@@ -341,7 +352,7 @@
     }
 }
 
-/// The version of an origin's incarnation in a list of known versions.
+/// Returns the version of an origin's incarnation in a list of known versions.
 fn find_version(knows: &[KnownVersion], origin: PeerId, incarnation: Incarnation) -> Option<u64> {
     let known = knows
         .iter()
--- a/crates/membership/src/ids.rs
+++ b/crates/membership/src/ids.rs
@@ -1,8 +1,8 @@
-//! Identifiers. Each kind has a type of its own, so that one cannot stand for another.
+//! Numeric identifiers. Each kind has its own type, so that one cannot be passed for another.
 
-/// Defines a number type of its own kind, which prints and is serialized as the bare number.
+/// Defines a newtype around a number that is printed and serialized as the bare number.
 ///
-/// The type has its number as public field. It has no arithmetic: a kind that needs some defines it.
+/// The number is a public field. The type has no arithmetic; a type that needs it implements it.
 #[macro_export]
 macro_rules! numeric_newtype {
     ($(#[$documentation:meta])* $name:ident($number:ty)) => {
@@ -37,27 +37,28 @@
 }
 
 numeric_newtype! {
-    /// A front, by its position in the roster.
+    /// A front, identified by its position in the membership list.
     PeerId(u16)
 }
 
 numeric_newtype! {
-    /// One run of a front process; differs between all runs of a front.
+    /// One run of a front's process; every run of a front has a different value.
     Incarnation(u64)
 }
 
 impl PeerId {
-    /// The identifiers of all fronts of a roster of `front_count` fronts, in order.
+    /// Returns the identifiers of a membership list with `front_count` fronts, in ascending order.
     pub fn all(front_count: u16) -> impl DoubleEndedIterator<Item = PeerId> + Clone {
         (0..front_count).map(PeerId)
     }
 
-    /// The front at a position in the roster. A roster has fewer fronts than `u16` has values.
+    /// Returns the front at a position in the membership list. A list has fewer fronts than `u16`
+    /// has values.
     pub fn from_index(position: usize) -> PeerId {
         PeerId(position as u16)
     }
 
-    /// The position in the roster, as an index.
+    /// Returns the position in the membership list, for indexing tables of all fronts.
     pub fn index(self) -> usize {
         usize::from(self.0)
     }
--- a/crates/membership/src/membership_table.rs
+++ b/crates/membership/src/membership_table.rs
@@ -1,4 +1,5 @@
-//! The failure detector: which peers are alive, by the messages that one front receives from them.
+//! The failure detector of one front: it derives from the messages that the front receives which
+//! peers are alive.
 
 mod member;
 
@@ -7,28 +8,33 @@
 use self::member::Member;
 use crate::{Echo, Incarnation, MessageStatus, Nanos, PeerId, PeerState, PeerStatus};
 
-/// The fronts of a roster, as one of them sees them.
+/// The fronts of a membership list, as one of them sees them.
 ///
 /// # Panics
-/// Methods that take a position panic if it is not in the roster, except
+/// Methods that take a position panic if it is not in the membership list, except
 /// [`MembershipTable::receive`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipTable {
+    /// The position of this front.
     me: PeerId,
+    /// The incarnation of this front.
     incarnation: Incarnation,
-    /// A peer without a message for this long counts as dead: every lease granted to it has expired
-    /// by then.
+    /// A peer that is silent for this long is not alive any more. Every lease granted to it has
+    /// expired by then.
     failure_timeout: Nanos,
+    /// Whether this front is shutting down.
     shutting_down: bool,
+    /// The send time of all messages of the current round.
     round_sent_at: Nanos,
-    /// Peers that this front receives messages from, as reported in the present round.
+    /// Peers that this front reports in the current round as those it receives messages from.
     reachable: Vec<PeerId>,
+    /// The state of all fronts by position; that of this front never changes.
     members: Vec<Member>,
 }
 
 impl MembershipTable {
-    /// The table of a front that has just started as `incarnation`, at position `me` of a roster of
-    /// `front_count` fronts.
+    /// Creates the table of a front that has just started as `incarnation`, at position `me` of a
+    /// membership list of `front_count` fronts.
     pub fn new(
         me: PeerId,
         front_count: u16,
@@ -46,8 +52,8 @@
         }
     }
 
-    /// The table of the same incarnation for another roster: no peer is known, and the order of
-    /// messages continues.
+    /// Returns the table of the same incarnation for another membership list. No peer is known in
+    /// it, and send times continue to increase.
     #[must_use]
     pub fn with_membership_list(
         &self,
@@ -62,22 +68,23 @@
         }
     }
 
-    /// The incarnation of this front.
+    /// Returns the incarnation of this front.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Reports from now on that this front shuts down.
+    /// Marks this front as shutting down, which all later messages report.
     pub fn shut_down(&mut self) {
         self.shutting_down = true;
     }
 
-    /// Whether this front shuts down.
+    /// Returns whether this front is shutting down.
     pub fn is_shutting_down(&self) -> bool {
         self.shutting_down
     }
 
-    /// Begins a round of messages, whose send time is later than that of any round before.
+    /// Begins a round of messages. Its send time is later than that of every earlier round, even if
+    /// the clock has not advanced.
     pub fn begin_round(&mut self, now: Nanos) {
         self.round_sent_at = now.max(self.round_sent_at.saturating_add(1));
         let recent = self.failure_timeout / 2;
@@ -87,12 +94,12 @@
             .collect();
     }
 
-    /// The echo of a peer's latest accepted message.
+    /// Returns the echo of a peer's latest accepted message.
     pub fn echo(&self, peer: PeerId) -> Option<Echo> {
         self.member(peer).echo()
     }
 
-    /// The state of this front to send to a peer in the present round.
+    /// Returns the state of this front to send to a peer in the current round.
     pub fn state_for(&self, now: Nanos, to: PeerId) -> PeerState {
         let member = self.member(to);
         PeerState {
@@ -104,7 +111,7 @@
         }
     }
 
-    /// Handles the state that an authenticated message reports of its sender.
+    /// Handles the state that the sender of an authenticated message reports about itself.
     pub fn receive(
         &mut self,
         now: Nanos,
@@ -135,7 +142,7 @@
         MessageStatus::Accepted { first }
     }
 
-    /// The status of a peer.
+    /// Returns the status of a peer at `now`.
     pub fn status(&self, now: Nanos, peer: PeerId) -> PeerStatus {
         let member = self.member(peer);
         if member.has_left() {
@@ -151,48 +158,51 @@
         }
     }
 
-    /// Whether messages of a peer arrive, and it does not shut down.
+    /// Returns whether a message of a peer was received within the failure timeout and the peer is
+    /// not shutting down.
     pub fn is_alive(&self, now: Nanos, peer: PeerId) -> bool {
         self.member(peer).is_live_within(now, self.failure_timeout)
     }
 
-    /// The live peers that report receiving messages of a peer.
+    /// Returns the live peers that report receiving messages from a peer.
     pub fn reachable_from(&self, now: Nanos, peer: PeerId) -> impl Iterator<Item = PeerId> + '_ {
         self.others()
             .filter(move |by| self.is_alive(now, *by) && self.member(*by).reaches(peer))
     }
 
-    /// The accepted incarnation of a peer.
+    /// Returns the accepted incarnation of a peer, `None` if there is none yet.
     pub fn incarnation_of(&self, peer: PeerId) -> Option<Incarnation> {
         self.member(peer).incarnation()
     }
 
-    /// When the latest message of a peer's accepted incarnation was received.
+    /// Returns when the latest message of a peer's accepted incarnation was received.
     pub fn last_message_at(&self, peer: PeerId) -> Option<Nanos> {
         self.member(peer).last_message_at()
     }
 
-    /// Whether a peer has echoed a message of this front that is younger than three quarters of the
-    /// failure timeout, so that a message sent to it now is expected to arrive.
+    /// Returns whether a peer has echoed a message that this front sent less than three quarters of
+    /// the failure timeout ago. A message sent to it now is then expected to arrive.
     pub fn has_recent_echo_from(&self, now: Nanos, peer: PeerId) -> bool {
         let recent = self.failure_timeout - self.failure_timeout / 4;
         self.member(peer).has_echoed_within(now, recent)
     }
 
-    /// The rejected incarnation of a peer, if it sent a message within the failure timeout.
+    /// Returns the rejected incarnation of a peer if a message of it was received within the
+    /// failure timeout.
     pub fn conflicting_incarnation(&self, now: Nanos, peer: PeerId) -> Option<Incarnation> {
         self.member(peer)
             .conflicting_within(now, self.failure_timeout)
     }
 
-    /// Whether a peer reported within the failure timeout that it rejects this front's incarnation.
+    /// Returns whether a peer reported within the failure timeout that it rejects this front's
+    /// incarnation.
     pub fn is_rejected(&self, now: Nanos) -> bool {
         self.members
             .iter()
             .any(|member| member.has_rejected_within(now, self.failure_timeout))
     }
 
-    /// The positions of the other fronts.
+    /// Returns the positions of the other fronts in ascending order.
     pub fn others(&self) -> impl Iterator<Item = PeerId> + '_ {
         PeerId::all(self.members.len() as u16).filter(|peer| *peer != self.me)
     }
--- a/crates/membership/src/membership_table/member.rs
+++ b/crates/membership/src/membership_table/member.rs
@@ -1,48 +1,50 @@
-//! What one front knows about one peer.
+//! The state that one front keeps of one peer.
 
 use std::hash::{Hash, Hasher};
 
 use crate::{Echo, Incarnation, MessageStatus, Nanos, PeerId, PeerState};
 
-/// An incarnation that is rejected while another one is alive.
+/// An incarnation that is rejected because another one was alive when its message arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct RejectedIncarnation {
     incarnation: Incarnation,
-    /// When its latest message was received.
+    /// When the latest message of the rejected incarnation was received.
     last_message_at: Nanos,
 }
 
-/// The state of one peer.
+/// The state of one peer. All fields but `unconfirmed` and `conflicting` belong to the accepted
+/// incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Member {
-    /// The accepted incarnation.
+    /// The accepted incarnation, `None` before the first one.
     incarnation: Option<Incarnation>,
-    /// When its latest message was received.
+    /// When its latest message was received, by this front's clock.
     last_message_at: Nanos,
-    /// When its latest message was sent, by its clock.
+    /// When its latest message was sent, by the peer's clock.
     last_sent_at: Nanos,
-    /// When the latest message of this front that it has echoed was sent.
+    /// When this front sent the latest message that the peer has echoed.
     last_echo_at: Nanos,
-    /// Whether it reported that it shuts down.
+    /// Whether the peer reported that it is shutting down.
     is_shutting_down: bool,
-    /// The last message of an incarnation that has not yet shown that it receives this front's
+    /// The latest message of an incarnation that has not yet shown that it receives this front's
     /// messages.
     unconfirmed: Option<Echo>,
-    /// An incarnation that claims the position while another one is alive.
+    /// An incarnation that uses the peer's position while another one is alive.
     conflicting: Option<RejectedIncarnation>,
-    /// When it last reported that it rejects this front's incarnation.
+    /// When the peer last reported that it rejects this front's incarnation; cleared when a later
+    /// message echoes this incarnation instead.
     rejection_at: Option<Nanos>,
-    /// Peers that it reported to receive messages from.
+    /// Fronts from which the peer reported receiving messages.
     reachable: Vec<PeerId>,
 }
 
 impl Member {
-    /// The accepted incarnation.
+    /// Returns the accepted incarnation.
     pub(super) fn incarnation(&self) -> Option<Incarnation> {
         self.incarnation
     }
 
-    /// The echo of the latest message of the accepted incarnation.
+    /// Returns the echo of the latest message of the accepted incarnation.
     pub(super) fn echo(&self) -> Option<Echo> {
         let incarnation = self.incarnation?;
         Some(Echo {
@@ -51,48 +53,49 @@
         })
     }
 
-    /// The echo to send: an unconfirmed incarnation needs one, too, or it could never be confirmed.
+    /// Returns the echo to send to the peer. An unconfirmed incarnation gets one too, as it could
+    /// never be accepted otherwise.
     pub(super) fn echo_to_send(&self) -> Option<Echo> {
         self.echo().or(self.unconfirmed)
     }
 
-    /// When the latest message of the accepted incarnation was received.
+    /// Returns when the latest message of the accepted incarnation was received.
     pub(super) fn last_message_at(&self) -> Option<Nanos> {
         self.incarnation.map(|_| self.last_message_at)
     }
 
-    /// Whether the accepted incarnation reported that it shuts down.
+    /// Returns whether the accepted incarnation reported that it is shutting down.
     pub(super) fn has_left(&self) -> bool {
         self.incarnation.is_some() && self.is_shutting_down
     }
 
-    /// Whether it reported that it receives messages of a peer.
+    /// Returns whether the peer reported that it receives messages from another one.
     pub(super) fn reaches(&self, peer: PeerId) -> bool {
         self.reachable.contains(&peer)
     }
 
-    /// Whether it has echoed a message of this front that was sent within `span`.
+    /// Returns whether the peer has echoed a message that this front sent within `span`.
     pub(super) fn has_echoed_within(&self, now: Nanos, span: Nanos) -> bool {
         self.incarnation.is_some() && now < self.last_echo_at.saturating_add(span)
     }
 
-    /// Whether it reported within `span` that it rejects this front's incarnation.
+    /// Returns whether the peer reported within `span` that it rejects this front's incarnation.
     pub(super) fn has_rejected_within(&self, now: Nanos, span: Nanos) -> bool {
         self.rejection_at.is_some_and(|at| now < at + span)
     }
 
-    /// Whether a message that was sent at a time is later than all recorded ones.
+    /// Returns whether a message sent at `sent_at` is later than all recorded ones.
     pub(super) fn is_later(&self, sent_at: Nanos) -> bool {
         sent_at > self.last_sent_at
     }
 
-    /// Whether it has an accepted incarnation that is not shutting down and sent a message within
-    /// `span`.
+    /// Returns whether there is an accepted incarnation that is not shutting down and from which a
+    /// message was received within `span`.
     pub(super) fn is_live_within(&self, now: Nanos, span: Nanos) -> bool {
         self.incarnation.is_some() && !self.is_shutting_down && now < self.last_message_at + span
     }
 
-    /// The rejected incarnation, if it sent a message within `span`.
+    /// Returns the rejected incarnation if a message of it was received within `span`.
     pub(super) fn conflicting_within(&self, now: Nanos, span: Nanos) -> Option<Incarnation> {
         let recent = self
             .conflicting
@@ -100,10 +103,10 @@
         recent.map(|rejected| rejected.incarnation)
     }
 
-    /// Accepts a new incarnation, which replaces all state of the one before.
+    /// Accepts a new incarnation and discards all state of the previous one.
     ///
     /// # Errors
-    /// The status of the message if the incarnation cannot be accepted yet.
+    /// The status of the message if the incarnation cannot be accepted now.
     pub(super) fn accept_incarnation(
         &mut self,
         now: Nanos,
@@ -112,8 +115,8 @@
         receiver: Incarnation,
         failure_timeout: Nanos,
     ) -> Result<(), MessageStatus> {
-        // A predecessor that reported its shutdown holds no resources any more: its successor need
-        // not wait.
+        // An incarnation that reported its shutdown holds no resources any more, so its successor
+        // is accepted without waiting for the timeout.
         if self.is_live_within(now, failure_timeout) {
             self.conflicting = Some(RejectedIncarnation {
                 incarnation,
@@ -121,7 +124,7 @@
             });
             return Err(MessageStatus::Conflicting);
         }
-        // A peer that rejects this front's incarnation has received its messages, too.
+        // A peer that rejects this front's incarnation has received its messages too.
         if echoed_at(state, receiver).is_none() && state.conflicting != Some(receiver) {
             self.unconfirmed = Some(Echo {
                 incarnation,
@@ -138,7 +141,7 @@
         Ok(())
     }
 
-    /// Records a message of the accepted incarnation that is later than all before.
+    /// Records a message of the accepted incarnation that is later than all recorded ones.
     pub(super) fn record(&mut self, now: Nanos, state: &PeerState, receiver: Incarnation) {
         self.last_message_at = now;
         self.last_sent_at = state.sent_at;
@@ -182,8 +185,8 @@
     }
 }
 
-/// When the message that a peer echoes was sent, if it is one of the receiver's present
-/// incarnation.
+/// Returns when the message that a peer echoes was sent, if the receiver's current incarnation sent
+/// it.
 fn echoed_at(state: &PeerState, receiver: Incarnation) -> Option<Nanos> {
     let echo = state.echo?;
     (echo.incarnation == receiver).then_some(echo.sent_at)
--- a/crates/membership/src/peer_state.rs
+++ b/crates/membership/src/peer_state.rs
@@ -1,70 +1,71 @@
-//! What fronts report about themselves, and how such a report is judged.
+//! The state that fronts report about themselves, and the results of receiving such a report.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Incarnation, Nanos, PeerId};
 
-/// The latest message received from a peer.
+/// Identifies the latest message received from a peer.
 ///
-/// Returned to that peer, it proves that the peer's messages arrive, and that the message with the
-/// echo was sent later than the echoed one.
+/// Sent back to that peer, it proves that the peer's messages arrive, and that the message that
+/// contains the echo was sent after the echoed one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Echo {
-    /// The peer's incarnation.
+    /// The incarnation of the peer that sent the echoed message.
     pub incarnation: Incarnation,
-    /// When the peer sent the message, by its own clock.
+    /// When the peer sent the echoed message, by its own clock.
     pub sent_at: Nanos,
 }
 
 /// The part of every message that describes its sender.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PeerState {
-    /// When the message was sent, by the sender's clock. Increases with each round of an
-    /// incarnation.
+    /// When the round of this message began, by the sender's clock. Increases with every round of
+    /// an incarnation.
     pub sent_at: Nanos,
-    /// The latest message of the receiver that the sender has.
+    /// The latest message that the sender has received from the receiver.
     pub echo: Option<Echo>,
-    /// An incarnation of the receiver that the sender rejects, because another one is alive.
+    /// The incarnation of the receiver that the sender rejects because another one is alive.
     pub conflicting: Option<Incarnation>,
     /// Whether the sender is shutting down.
     pub shutting_down: bool,
-    /// Peers that the sender has received messages from lately.
+    /// Peers from which the sender has recently received messages.
     pub reachable: Vec<PeerId>,
 }
 
-/// How a received message was judged.
+/// The result of receiving a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MessageStatus {
-    /// Accepted.
+    /// The message was recorded as the sender's latest one.
     Accepted {
-        /// Whether it is the first one of its incarnation. State of an earlier incarnation is
-        /// obsolete then.
+        /// Whether it is the first accepted message of its incarnation, which makes the state of an
+        /// earlier incarnation obsolete.
         first: bool,
     },
-    /// A later message, or the same one, was received before.
+    /// The same message or a later one was received before.
     Stale,
     /// The sender has not yet shown that it receives this front's messages; the message may be a
     /// replay.
     Unconfirmed,
     /// Another incarnation of the sender is alive.
     Conflicting,
-    /// The sender uses another roster, by which its position means nothing here.
+    /// The sender uses another membership list, so its position may denote another front here.
     MembershipListMismatch,
-    /// The position is not in the roster, or is that of this front.
+    /// The sender's position is not in the membership list, or is that of this front.
     UnknownPeer,
 }
 
 /// The state of a peer as the failure detector sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PeerStatus {
-    /// No message was received from it.
+    /// No incarnation of it has been accepted, and no live peer reports receiving its messages.
     Unknown,
-    /// Messages arrive.
+    /// Its messages arrive, and it is not shutting down.
     Alive,
-    /// No messages arrive, but another front receives them: the link is bad.
+    /// Its messages do not arrive here, but a live peer reports receiving them, so the link may be
+    /// broken.
     Suspect,
-    /// No front has received a message within the failure timeout.
+    /// No message has arrived within the failure timeout, and no live peer reports receiving any.
     Dead,
-    /// It reported that it shuts down.
+    /// It reported that it is shutting down.
     Left,
 }
--- a/crates/membership/tests/envelope.rs
+++ b/crates/membership/tests/envelope.rs
@@ -1,4 +1,5 @@
-//! Envelopes: a message survives the round trip, and anything else is rejected with its cause.
+//! Envelopes: an intact one is decoded to the message it was made from, and any other is rejected
+//! with the matching error.
 
 use tulipbridge_membership::{
     Envelope, EnvelopeCodec, EnvelopeError, Incarnation, PeerId, MAX_MESSAGE_BYTES,
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,10 +1,10 @@
-//! Golden bytes of the messages of membership and gossip.
+//! Golden bytes of membership and gossip messages.
 //!
-//! Fronts of two versions run side by side during an upgrade, so the bytes are a contract: names of
-//! types and fields may change, but not their order, their widths or the indices of enum variants.
-//! The expected bytes were computed with an independent encoder of the postcard format, not copied
-//! from a run. If a test here fails, the format has changed, and `VERSION` in `envelope.rs` must
-//! change with it.
+//! Fronts of two versions run side by side during an upgrade, so the encoding must not change
+//! unnoticed: types and fields may be renamed, but the order and width of fields and the indices of
+//! enum variants must stay. The expected bytes were computed with an independent encoder of the
+//! postcard format, not copied from a run. If a test here fails, the format has changed, and
+//! `VERSION` in `envelope.rs` must change with it.
 
 use std::fmt::Debug;
 
@@ -15,12 +15,13 @@
     KnownVersion, PeerId, PeerState,
 };
 
-/// Two lower-case digits for each byte.
+/// Formats bytes as two lower-case hexadecimal digits each.
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Checks that a value has exactly these bytes, and that they are read back as an equal value.
+/// Asserts that a value is encoded as exactly these bytes, and that they are decoded to an equal
+/// value.
 fn assert_golden<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, expected: &str) {
     let bytes = postcard::to_stdvec(value).expect("the value can be encoded");
     assert_eq!(hex(&bytes), expected);
@@ -65,8 +66,8 @@
             "cf0f",                       // sent_at, as zigzag
             "0188ef99abc5e88c9111e0c508", // echo: present, incarnation, sent_at
             "01ac02",                     // conflicting: present, incarnation
-            "01",                         // leaving
-            "02058005",                   // hears: length, positions
+            "01",                         // shutting_down
+            "02058005",                   // reachable: length, positions
         ),
     );
 }
@@ -86,8 +87,8 @@
             "d00f", // sent_at, as zigzag
             "00",   // echo: absent
             "00",   // conflicting: absent
-            "00",   // leaving
-            "00",   // hears: none
+            "00",   // shutting_down
+            "00",   // reachable: none
         ),
     );
 }
@@ -240,7 +241,7 @@
             "8877665544332211", // the sender's incarnation, little-endian
             "ac02",             // message: the number
             "026869",           // message: the text
-            "ec0aea8f85609f24ee632cad84458e383c417725d86d6f4d58a1602c5084316c", // HMAC-SHA256 of all before
+            "ec0aea8f85609f24ee632cad84458e383c417725d86d6f4d58a1602c5084316c", // HMAC-SHA256
         ),
     );
     let opened = codec.open::<(u32, String)>(&envelope);
@@ -255,7 +256,7 @@
 }
 
 #[test]
-fn roster_digest() {
+fn membership_list_digest() {
     // The first eight bytes of the text's SHA-256, big-endian.
     assert_eq!(
         EnvelopeCodec::digest(r#"7|2000000000|100000|["a", "b"]"#),
--- a/crates/membership/tests/gossip.rs
+++ b/crates/membership/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! The gossip store: how entries spread, which deltas are accepted, and what limits hold.
+//! The gossip store: replication of entries, rejection of deltas and limits on size and rate.
 
 use tulipbridge_membership::*;
 
@@ -29,7 +29,7 @@
         let mut actions = Vec::new();
         self.store
             .on(now, &self.members, input, &mut actions)
-            .expect("only a put can fail");
+            .expect("no input but a put can fail");
         actions
     }
 
@@ -38,20 +38,20 @@
         self.store.on(now, &self.members, input, &mut Vec::new())
     }
 
-    /// The value of [`KEY`] of an origin, and its age in milliseconds.
+    /// Returns an origin's value under [`KEY`] and its age in milliseconds.
     fn get(&self, now: Nanos, origin: PeerId) -> Option<(Vec<u8>, Nanos)> {
         self.store
             .get(now, origin, KEY)
             .map(|entry| (entry.value.to_vec(), entry.age / MS))
     }
 
-    /// The value of [`KEY`] of an origin.
+    /// Returns an origin's value under [`KEY`].
     fn value(&self, now: Nanos, origin: PeerId) -> Option<Vec<u8>> {
         self.get(now, origin).map(|(value, _)| value)
     }
 }
 
-/// A link from one front to another, in one direction.
+/// A network link from one front to another, in one direction.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Link {
     from: PeerId,
@@ -70,12 +70,12 @@
     message: GossipMessage,
 }
 
-/// What happened in a round.
+/// Counts of events in one or more rounds.
 #[derive(Default)]
 struct Round {
-    /// How often a front discarded the entries of another.
+    /// How often a front discarded its replica of a peer's entries.
     dropped: usize,
-    /// Entries sent by front 0 that were delivered.
+    /// Entries in messages from front 0 that were delivered.
     entries: usize,
 }
 
@@ -85,7 +85,7 @@
         .collect()
 }
 
-/// Runs a round of each front. Messages on the links `cut` are lost.
+/// Runs a round of each front and delivers all messages. Those on the links in `cut` are lost.
 fn round(fronts: &mut [Front], now: Nanos, cut: &[Link]) -> Round {
     let mut round = Round::default();
     let mut queue: Vec<InFlight> = Vec::new();
@@ -131,7 +131,7 @@
     round
 }
 
-/// Runs rounds of the usual interval, by their numbers. Returns the sums over all.
+/// Runs the rounds with these numbers, at multiples of [`ROUND_INTERVAL`]. Returns the totals.
 fn rounds(fronts: &mut [Front], numbers: std::ops::Range<Nanos>, cut: &[Link]) -> Round {
     let mut total = Round::default();
     for number in numbers {
@@ -142,6 +142,7 @@
     total
 }
 
+/// Returns the messages that a front's actions send, and counts discarded replicas.
 fn sent_messages(from: PeerId, actions: Vec<GossipAction>, round: &mut Round) -> Vec<InFlight> {
     let mut sent = Vec::new();
     for action in actions {
@@ -155,7 +156,7 @@
 }
 
 #[test]
-fn entry_spreads_with_its_age_and_is_replaced_and_deleted() {
+fn entry_is_replicated_with_its_age_and_replaced_and_deleted() {
     let mut fronts = three_fronts();
     fronts[0].put(0, KEY, Some(b"one")).expect("it fits");
     rounds(&mut fronts, 0..4, &[]);
@@ -165,9 +166,11 @@
     );
     fronts[0].put(800 * MS, KEY, Some(b"two")).expect("it fits");
     round(&mut fronts, 900 * MS, &[]);
-    // It was written 100 ms ago. Its transit took at most as long as since the echoed message: 0 or
-    // 300 ms.
-    let (value, age) = fronts[1].get(900 * MS, PeerId(0)).expect("it has spread");
+    // It was written 100 ms ago. The limit of its transit time is the time since the echoed message
+    // was sent: 0 or 300 ms.
+    let (value, age) = fronts[1]
+        .get(900 * MS, PeerId(0))
+        .expect("it was replicated");
     assert_eq!(value, b"two");
     assert!([100, 400].contains(&age), "{age}");
     fronts[0]
@@ -175,26 +178,28 @@
         .expect("it can be deleted");
     round(&mut fronts, 1_100 * MS, &[]);
     assert_eq!(fronts[1].get(1_100 * MS, PeerId(0)), None);
-    // Once all peers have acknowledged it, nothing is sent any more.
+    // No entry is sent once all peers have acknowledged it.
     round(&mut fronts, 1_300 * MS, &[]);
     assert_eq!(round(&mut fronts, 1_500 * MS, &[]).entries, 0);
 }
 
 #[test]
-fn entry_travels_around_a_bad_link() {
+fn entry_is_relayed_around_a_broken_link() {
     let mut fronts = three_fronts();
     fronts[0].put(0, KEY, Some(b"one")).expect("it fits");
     rounds(&mut fronts, 0..4, &[FROM_0_TO_2]);
-    let (value, age) = fronts[2].get(600 * MS, PeerId(0)).expect("it has spread");
+    let (value, age) = fronts[2]
+        .get(600 * MS, PeerId(0))
+        .expect("it was replicated");
     assert_eq!(value, b"one");
     assert!(
         (600..=1_200).contains(&age),
-        "over two links, and never younger than it is: {age}"
+        "over two links, and not less than its true age: {age}"
     );
 }
 
 #[test]
-fn entries_of_an_earlier_incarnation_are_dropped_even_without_a_direct_link() {
+fn entries_of_an_earlier_incarnation_are_discarded_even_without_a_direct_link() {
     let mut fronts = three_fronts();
     fronts[0].put(0, KEY, Some(b"old")).expect("it fits");
     rounds(&mut fronts, 0..4, &[]);
@@ -206,7 +211,7 @@
         .put(8_000 * MS, KEY, Some(b"new"))
         .expect("it fits");
     let dropped = rounds(&mut fronts, 40..60, &cut).dropped;
-    assert_eq!(dropped, 1, "the old entry at front 2, and no new one");
+    assert_eq!(dropped, 1, "only the old entry at front 2");
     assert_eq!(
         fronts[1].value(12_000 * MS, PeerId(0)),
         Some(b"new".to_vec())
@@ -218,7 +223,7 @@
 }
 
 #[test]
-fn writes_past_the_limits_are_refused() {
+fn writes_beyond_the_limits_are_rejected() {
     let mut front = Front::new(PeerId(0), Incarnation(100), 0);
     let too_long = vec![0; MAX_VALUE_BYTES + 1];
     assert_eq!(front.put(0, KEY, Some(&too_long)), Err(EntryError::TooLong));
@@ -231,11 +236,11 @@
     assert_eq!(
         front.put(0, KEY, None),
         Ok(()),
-        "deleting an unknown key takes no place"
+        "deleting an unknown key does not need an entry"
     );
 }
 
-/// The echo of a message that an incarnation of front 0 sent at 400 ms.
+/// Returns the echo of a message that an incarnation of front 0 sent at 400 ms.
 fn echo(incarnation: u64) -> Echo {
     Echo {
         incarnation: Incarnation(incarnation),
@@ -268,7 +273,7 @@
     }
 }
 
-/// Deltas that break a rule, each with the cause of its rejection.
+/// Returns deltas that break a rule, each with the error it is rejected with.
 fn broken_deltas() -> Vec<(Delta, GossipError)> {
     let too_long = vec![0; MAX_VALUE_BYTES + 1];
     vec![
@@ -366,7 +371,7 @@
             .put(600 * MS, EntryKey { kind: 1, id }, Some(&[7; 100]))
             .expect("it fits");
     }
-    // 600 entries of 100 bytes to two fronts, at 20,000 bytes per second in total.
+    // 600 entries of 100 bytes are sent to two fronts, at 20,000 bytes per second in total.
     let sent = rounds(&mut fronts, 3..13, &[]).entries;
     assert!(
         (300..=500).contains(&sent),
@@ -400,7 +405,7 @@
             message,
         }
     };
-    // Without an echo of this incarnation, the transit time has no bound.
+    // Without an echo of this incarnation, the transit time has no upper limit.
     for echo in [None, Some(echo(99))] {
         let actions = fronts[0].handle(2_000 * MS, received(echo));
         assert_eq!(actions, vec![GossipAction::Rejected(GossipError::NoEcho)]);
@@ -422,7 +427,7 @@
             .put(600 * MS, EntryKey { kind: 1, id }, Some(&[7; 100]))
             .expect("it fits");
     }
-    // For 2 s, 1,000 bytes per second and as many in the budget at the start; an entry takes up to
+    // 1,000 bytes per second for 2 s, and as many in the budget at the start. An entry counts as
     // 124 bytes.
     let sent = rounds(&mut fronts, 3..13, &[]).entries;
     assert!((10..=25).contains(&sent), "{sent} entries");
--- a/crates/membership/tests/membership_table.rs
+++ b/crates/membership/tests/membership_table.rs
@@ -1,4 +1,4 @@
-//! The membership table: which messages are accepted, and what status of a peer follows from them.
+//! The membership table: which messages are accepted, and which status of a peer results from them.
 
 use tulipbridge_membership::{
     Echo, Incarnation, MembershipTable, MessageStatus, Nanos, PeerId, PeerState, PeerStatus,
@@ -6,8 +6,8 @@
 
 const FAILURE_TIMEOUT: Nanos = 100;
 
-/// The tables of fronts 0 and 1, which receive each other's messages from time 10 on, in a roster
-/// with a third front that sent none.
+/// Returns the tables of fronts 0 and 1, which have accepted each other's messages at time 10. The
+/// membership list has a third front, which has sent none.
 fn connected_pair() -> (MembershipTable, MembershipTable) {
     let mut a = MembershipTable::new(PeerId(0), 3, Incarnation(7), FAILURE_TIMEOUT);
     let mut b = MembershipTable::new(PeerId(1), 3, Incarnation(8), FAILURE_TIMEOUT);
@@ -86,7 +86,7 @@
     b.begin_round(41);
     let rejection = b.state_for(41, PeerId(0));
     assert_eq!(rejection.conflicting, Some(Incarnation(9)));
-    // The second incarnation learns that it is rejected; the first is not affected.
+    // Both incarnations receive the rejection, but only the second one is rejected.
     assert_eq!(
         second.receive(41, PeerId(1), Incarnation(8), &rejection),
         MessageStatus::Accepted { first: true }
@@ -111,7 +111,7 @@
         MessageStatus::Accepted { first: false }
     );
     assert!(!second.is_rejected(113));
-    // A delayed message of the first incarnation is now the conflicting one.
+    // Now a delayed message of the first incarnation is in conflict with the second.
     assert_eq!(
         b.receive(114, PeerId(0), Incarnation(7), &a.state_for(10, PeerId(1))),
         MessageStatus::Conflicting
@@ -119,17 +119,17 @@
 }
 
 #[test]
-fn silent_peer_is_suspect_while_others_hear_it_and_a_leaving_one_has_left() {
+fn silent_peer_is_suspect_while_another_receives_from_it_and_left_after_its_shutdown() {
     let (mut a, _) = connected_pair();
-    let state = |sent_at, hears: &[PeerId], leaving| PeerState {
+    let state = |sent_at, reachable: &[PeerId], shutting_down| PeerState {
         sent_at,
         echo: Some(Echo {
             incarnation: Incarnation(7),
             sent_at: 10,
         }),
         conflicting: None,
-        shutting_down: leaving,
-        reachable: hears.to_vec(),
+        shutting_down,
+        reachable: reachable.to_vec(),
     };
     assert_eq!(
         a.receive(
@@ -143,7 +143,7 @@
     assert_eq!(
         a.status(120, PeerId(1)),
         PeerStatus::Suspect,
-        "the third front hears it"
+        "the third front receives its messages"
     );
     assert_eq!(
         a.status(150, PeerId(1)),
@@ -155,11 +155,11 @@
     assert_eq!(
         a.receive(161, PeerId(2), Incarnation(31), &state(1, &[], false)),
         MessageStatus::Accepted { first: true },
-        "its successor"
+        "the successor is accepted at once"
     );
     assert_eq!(
         a.receive(162, PeerId(2), Incarnation(30), &state(170, &[], false)),
         MessageStatus::Conflicting,
-        "the incarnation that left"
+        "the incarnation that was shut down is rejected"
     );
 }
