--- a/crates/fleet-limits/src/coordinator/heartbeats.rs
+++ b/crates/fleet-limits/src/coordinator/heartbeats.rs
@@ -153,7 +153,7 @@
         effects.push(Effect::Received(status));
         let needs_reply = matches!(
             status,
-            MessageStatus::Conflicting | MessageStatus::RosterMismatch
+            MessageStatus::Conflicting | MessageStatus::MembershipListMismatch
         );
         // Replies are never answered: two fronts that reject each other's heartbeats would
         // otherwise reply to each other forever.
@@ -168,7 +168,7 @@
                 self.report_all(now, now, effects);
             }
             MessageStatus::Accepted { .. } => self.report_some(now, &changed_limits, effects),
-            MessageStatus::RosterMismatch if self.yields_to_membership_list(now) => {
+            MessageStatus::MembershipListMismatch if self.yields_to_membership_list(now) => {
                 self.report_all(now, now, effects);
             }
             _ => {}
@@ -182,7 +182,7 @@
         {
             self.adoption
                 .compare_membership_list(now, &self.config, heartbeat);
-            return Reception::rejected(MessageStatus::RosterMismatch);
+            return Reception::rejected(MessageStatus::MembershipListMismatch);
         }
         let status = self
             .members
