--- a/src/cluster/config.rs
+++ b/src/cluster/config.rs
@@ -14,7 +14,7 @@
 use crate::cluster::errors::ClusterConfigError;
 use crate::cluster::fields::non_negative;
 use crate::cluster::limits::ConfiguredLimits;
-use crate::cluster::roster::{Roster, RosterEntry};
+use crate::cluster::membership_list::{MembershipList, MembershipListEntry};
 use crate::config::values::{objects, present, text, Address};
 use crate::control::json_object::decode;
 use crate::limits::MAX_FRONTS;
@@ -33,8 +33,8 @@
     listen: Address,
     #[serde(deserialize_with = "text")]
     key_file: String,
-    #[serde(deserialize_with = "objects")]
-    roster: Vec<RosterEntry>,
+    #[serde(rename = "roster", deserialize_with = "objects")]
+    membership_list: Vec<MembershipListEntry>,
     #[serde(default, deserialize_with = "non_negative")]
     revision: Option<f64>,
     #[serde(rename = "life_ms", default, deserialize_with = "non_negative")]
@@ -66,7 +66,7 @@
     /// The file of the key that all fronts share to authenticate their messages.
     pub key_file: PathBuf,
     /// All fronts of the fleet, this one included.
-    pub roster: Roster,
+    pub membership_list: MembershipList,
     /// How ejections of chunk servers are decided together; `None` where they are not.
     pub ejections: Option<EjectionConfig>,
     /// Configuration of the leases on fleet-wide limits, with the digest of the roster.
@@ -94,17 +94,17 @@
         let gossip_bytes_per_second = section
             .gossip_bytes_per_second
             .unwrap_or(DEFAULT_GOSSIP_BYTES_PER_SECOND);
-        let roster = Roster::new(section.roster)?;
-        let mut limits_config = numbers.limits_config(&roster, front_name)?;
+        let membership_list = MembershipList::new(section.membership_list)?;
+        let mut limits_config = numbers.limits_config(&membership_list, front_name)?;
         if limits_config.revision == 0 {
             return Err(ClusterConfigError::RevisionZero);
         }
-        limits_config.roster = roster_digest(&limits_config, &roster, ejections);
+        limits_config.roster = membership_digest(&limits_config, &membership_list, ejections);
         limits_config.check().map_err(ClusterConfigError::Limits)?;
         Ok(ClusterConfig {
             listen: section.listen.0,
             key_file: PathBuf::from(section.key_file),
-            roster,
+            membership_list,
             ejections,
             limits_config,
             fleet_limits,
@@ -118,7 +118,7 @@
     /// Values that contradict each other.
     pub(super) fn detector_config(&self) -> Result<Option<DetectorConfig>, DetectorConfigError> {
         let LimitsConfig { me, fronts, .. } = self.limits_config;
-        let zone = self.roster.zone(me);
+        let zone = self.membership_list.zone(me);
         self.ejections
             .map(|ejections| ejections.detector_config(me, fronts, zone))
             .transpose()
@@ -147,12 +147,13 @@
     /// The limits' configuration, without the digest of the roster.
     fn limits_config(
         &self,
-        roster: &Roster,
+        membership_list: &MembershipList,
         front_name: &str,
     ) -> Result<LimitsConfig, ClusterConfigError> {
-        let me = roster.position(front_name);
-        let me = me.ok_or_else(|| ClusterConfigError::NotInRoster(front_name.to_owned()))?;
-        let fronts = u16::try_from(roster.members().len())
+        let me = membership_list.position(front_name);
+        let me =
+            me.ok_or_else(|| ClusterConfigError::NotInMembershipList(front_name.to_owned()))?;
+        let fronts = u16::try_from(membership_list.members().len())
             .ok()
             .filter(|fronts| *fronts <= MAX_FRONTS);
         let fronts = fronts.ok_or(ClusterConfigError::TooManyFronts)?;
@@ -178,21 +179,29 @@
 /// Fronts of different versions compare this digest, so the digested text is part of the protocol
 /// and must not change. It has the outlier detection's settings and the zones in it only where
 /// ejections are shared.
-fn roster_digest(limits: &LimitsConfig, roster: &Roster, ejections: Option<EjectionConfig>) -> u64 {
+fn membership_digest(
+    limits: &LimitsConfig,
+    membership_list: &MembershipList,
+    ejections: Option<EjectionConfig>,
+) -> u64 {
     let mut text = format!(
         "{}|{}|{}|{:?}",
         limits.revision,
         limits.lease_duration,
         limits.floor,
-        roster.names()
+        membership_list.names()
     );
     if let Some(EjectionConfig {
         max_ejected_fraction,
         witnesses,
     }) = ejections
     {
-        let zones = roster.zones();
-        let zone_of_each: Vec<_> = roster.members().iter().map(|member| member.zone).collect();
+        let zones = membership_list.zones();
+        let zone_of_each: Vec<_> = membership_list
+            .members()
+            .iter()
+            .map(|member| member.zone)
+            .collect();
         text += &format!(
             "|Config {{ most_out: {max_ejected_fraction:?}, witnesses: {witnesses:?} }}|{zones:?}|{zone_of_each:?}"
         );
--- a/src/cluster/errors.rs
+++ b/src/cluster/errors.rs
@@ -30,7 +30,7 @@
     TooManyZones,
     /// The roster has no front of this front's name.
     #[error("'peers.roster' does not name this front, {0}")]
-    NotInRoster(String),
+    NotInMembershipList(String),
     /// The roster has too many fronts.
     #[error("'peers.roster' names more than {MAX_FRONTS} fronts")]
     TooManyFronts,
--- a/src/cluster/roster.rs
+++ b/src/cluster/membership_list.rs
@@ -12,27 +12,27 @@
 
 /// One front of the roster.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RosterMember {
+pub struct Member {
     /// The front's name, unique in the roster.
     pub name: String,
     /// Where this front reaches it, unique in the roster. Fronts may reach the same peer at
     /// different addresses.
     pub address: SocketAddr,
-    /// The front's zone, as an index into [`Roster::zones`].
+    /// The front's zone, as an index into [`MembershipList::zones`].
     pub zone: ZoneId,
 }
 
 /// All fronts of the fleet in the order of their names, so that a [`PeerId`] means the same front
 /// in every file, whatever the order of the file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Roster {
-    members: Vec<RosterMember>,
+pub struct MembershipList {
+    members: Vec<Member>,
     zones: Vec<String>,
 }
 
 /// An entry of `peers.roster` as it is written in the file.
 #[derive(Clone, Debug, Deserialize)]
-pub(super) struct RosterEntry {
+pub(super) struct MembershipListEntry {
     #[serde(deserialize_with = "text")]
     name: String,
     address: Address,
@@ -41,19 +41,23 @@
     zone: String,
 }
 
-impl Roster {
+impl MembershipList {
     /// The roster with these entries.
     ///
     /// # Errors
     /// A name or an address that occurs twice, or more than 255 zones.
-    pub(super) fn new(mut entries: Vec<RosterEntry>) -> Result<Roster, ClusterConfigError> {
+    pub(super) fn new(
+        mut entries: Vec<MembershipListEntry>,
+    ) -> Result<MembershipList, ClusterConfigError> {
         check_unique(&entries)?;
         entries.sort_by(|left, right| left.name.cmp(&right.name));
-        Roster::number_zones(entries)
+        MembershipList::number_zones(entries)
     }
 
     /// Gives the zones of the entries their numbers, in the order of their names.
-    fn number_zones(entries: Vec<RosterEntry>) -> Result<Roster, ClusterConfigError> {
+    fn number_zones(
+        entries: Vec<MembershipListEntry>,
+    ) -> Result<MembershipList, ClusterConfigError> {
         let mut zones: Vec<String> = entries.iter().map(|entry| entry.zone.clone()).collect();
         zones.sort();
         zones.dedup();
@@ -69,17 +73,17 @@
         };
         let members = entries
             .into_iter()
-            .map(|entry| RosterMember {
+            .map(|entry| Member {
                 zone: zone_id(&entry.zone),
                 name: entry.name,
                 address: entry.address.0,
             })
             .collect();
-        Ok(Roster { members, zones })
+        Ok(MembershipList { members, zones })
     }
 
     /// The fronts, in the order of their names.
-    pub fn members(&self) -> &[RosterMember] {
+    pub fn members(&self) -> &[Member] {
         &self.members
     }
 
@@ -124,7 +128,7 @@
 }
 
 /// Checks that no name and no address occurs twice.
-fn check_unique(entries: &[RosterEntry]) -> Result<(), ClusterConfigError> {
+fn check_unique(entries: &[MembershipListEntry]) -> Result<(), ClusterConfigError> {
     let duplicate = |index: usize, key: &str, value: String| ClusterConfigError::Duplicate {
         path: format!("peers.roster[{index}].{key}"),
         value,
--- a/src/cluster/peers/reload.rs
+++ b/src/cluster/peers/reload.rs
@@ -30,7 +30,9 @@
     /// Replaces the configuration by one that [`PeersState::check`] has accepted. The parts follow
     /// in [`PeersState::reconfigure_parts`].
     pub(super) fn set_config(&mut self, new: ClusterConfig) {
-        self.status_log = self.status_log.restarted(new.roster.members().len());
+        self.status_log = self
+            .status_log
+            .restarted(new.membership_list.members().len());
         self.config = new;
     }
 
--- a/src/cluster/peers/state.rs
+++ b/src/cluster/peers/state.rs
@@ -102,7 +102,7 @@
         Ok(PeersState {
             ejections: create_ejections(&config, registry)?,
             gossip: create_gossip(now, &config, incarnation),
-            status_log: StatusLog::new(config.roster.members().len()),
+            status_log: StatusLog::new(config.membership_list.members().len()),
             config,
             class_names,
             coordinator,
@@ -242,7 +242,7 @@
     ) -> Vec<FleetUpdate> {
         match effect {
             Effect::Send { to, heartbeat } => {
-                let address = self.config.roster.address(to);
+                let address = self.config.membership_list.address(to);
                 self.send(address, &OutgoingMessage::Heartbeat(&heartbeat));
                 Vec::new()
             }
@@ -280,7 +280,7 @@
     fn apply_gossip_action(&self, action: GossipAction) {
         match action {
             GossipAction::Send { to, message } => {
-                let address = self.config.roster.address(to);
+                let address = self.config.membership_list.address(to);
                 self.send(address, &OutgoingMessage::Gossip(&message));
             }
             GossipAction::Rejected(error) => self.parts.metrics.count_rejected_gossip(error),
--- a/src/cluster/peers/status.rs
+++ b/src/cluster/peers/status.rs
@@ -13,7 +13,7 @@
 use crate::cluster::ejections::DisplayNames;
 use crate::cluster::errors::EjectionStatusError;
 use crate::cluster::limits::LabeledLimit;
-use crate::cluster::roster::Roster;
+use crate::cluster::membership_list::MembershipList;
 use crate::telemetry::log::log;
 
 /// What the log has last said, so that it says each change once.
@@ -41,12 +41,21 @@
     }
 
     /// Logs each peer whose status has changed.
-    fn log_peers(&mut self, coordinator: &LimitCoordinator, roster: &Roster, now: Nanos) {
+    fn log_peers(
+        &mut self,
+        coordinator: &LimitCoordinator,
+        membership_list: &MembershipList,
+        now: Nanos,
+    ) {
         for peer in coordinator.members().others() {
             let status = coordinator.members().status(now, peer);
             let previous = std::mem::replace(&mut self.peers[peer.index()], status);
             if previous != status {
-                log!("peers: {}: {}", roster.name(peer), status_name(status));
+                log!(
+                    "peers: {}: {}",
+                    membership_list.name(peer),
+                    status_name(status)
+                );
             }
         }
     }
@@ -56,7 +65,7 @@
         &mut self,
         is_standby: bool,
         coordinator: &LimitCoordinator,
-        roster: &Roster,
+        membership_list: &MembershipList,
         now: Nanos,
     ) {
         if std::mem::replace(&mut self.is_standby, is_standby) == is_standby {
@@ -70,7 +79,7 @@
                 "peers: standby, no share of the fleet's limits: other fronts have another roster of revision {revision}"
             );
         } else {
-            let name = roster.name(coordinator.config().me);
+            let name = membership_list.name(coordinator.config().me);
             log!("peers: standby, no share of the fleet's limits: another process has the name {name}");
         }
     }
@@ -97,10 +106,11 @@
     /// Logs what has changed since the last call and sets the gauges.
     pub(super) fn report_status(&mut self, now: Nanos) {
         let is_standby = self.is_standby(now);
-        let roster = &self.config.roster;
-        self.status_log.log_peers(&self.coordinator, roster, now);
+        let membership_list = &self.config.membership_list;
+        self.status_log
+            .log_peers(&self.coordinator, membership_list, now);
         self.status_log
-            .log_standby(is_standby, &self.coordinator, roster, now);
+            .log_standby(is_standby, &self.coordinator, membership_list, now);
         self.set_gauges(now, is_standby);
     }
 
@@ -146,8 +156,8 @@
             .as_ref()
             .ok_or(EjectionStatusError::NotShared)?;
         let names = DisplayNames {
-            fronts: &self.config.roster.names(),
-            zones: self.config.roster.zones(),
+            fronts: &self.config.membership_list.names(),
+            zones: self.config.membership_list.zones(),
             classes: &self.class_names,
         };
         let status = ejections.status(now, &self.gossip, &names, server_name);
@@ -159,7 +169,7 @@
     /// The status of this front and of its peers as JSON.
     pub(super) fn status(&self, now: Nanos) -> Value {
         let coordinator = &self.coordinator;
-        let roster = &self.config.roster;
+        let membership_list = &self.config.membership_list;
         let peers: Vec<Value> = coordinator
             .members()
             .others()
@@ -168,14 +178,14 @@
         let issuers: Vec<&str> = coordinator
             .issuers_held(now)
             .into_iter()
-            .map(|issuer| roster.name(issuer))
+            .map(|issuer| membership_list.name(issuer))
             .collect();
         let limits: Vec<Value> = self
             .configured_shares()
             .map(|limit| json!({"limit": limit.label, "part": limit.share.as_fraction()}))
             .collect();
         json!({
-            "name": roster.name(coordinator.config().me),
+            "name": membership_list.name(coordinator.config().me),
             "boot": incarnation_text(coordinator.incarnation()),
             "revision": coordinator.config().revision,
             "settled": coordinator.is_settled(),
@@ -189,17 +199,17 @@
     }
 
     fn peer_json(&self, peer: PeerId, now: Nanos) -> Value {
-        let roster = &self.config.roster;
+        let membership_list = &self.config.membership_list;
         let report = self.coordinator.peer_report(now, peer);
         let version = self.gossip.get(now, peer, VERSION_KEY);
         let heard_by: Vec<&str> = report
             .reachable_from
             .iter()
-            .map(|other| roster.name(*other))
+            .map(|other| membership_list.name(*other))
             .collect();
         json!({
-            "name": roster.name(peer),
-            "address": roster.members()[peer.index()].address.to_string(),
+            "name": membership_list.name(peer),
+            "address": membership_list.members()[peer.index()].address.to_string(),
             "belief": status_name(report.status),
             "boot": report.incarnation.map(incarnation_text),
             "silent_ms": report.silent_for.map(millis),
--- a/tests/cluster/config.rs
+++ b/tests/cluster/config.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn roster_digest_covers_names_but_not_addresses() {
+fn membership_digest_covers_names_but_not_addresses() {
     let config = read(VALID)
         .expect("the configuration is valid")
         .limits_config;
