--- a/src/cluster/clock.rs
+++ b/src/cluster/clock.rs
@@ -1,4 +1,4 @@
-//! The clock that the state machines of this front are driven by.
+//! The monotonic clock that drives the cluster's state machines.
 
 use nix::time::{clock_gettime, ClockId};
 use tulipbridge_core::Nanos;
@@ -6,7 +6,7 @@
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
 const NANOS_PER_MILLISECOND: i64 = 1_000_000;
 
-/// Nanoseconds since the machine started.
+/// Returns the time since the machine started, in nanoseconds; 0 if the clock cannot be read.
 ///
 /// The clock is monotonic and, unlike `CLOCK_MONOTONIC`, also advances while the machine is
 /// suspended. A front that was stopped or suspended therefore sees that its leases have expired.
@@ -15,7 +15,7 @@
         .map_or(0, |time| time.tv_sec() * NANOS_PER_SECOND + time.tv_nsec())
 }
 
-/// A span in whole milliseconds, rounded towards zero.
+/// Converts nanoseconds to whole milliseconds, rounding towards zero.
 pub(super) fn millis(span: Nanos) -> i64 {
     span / NANOS_PER_MILLISECOND
 }
--- a/src/cluster/config.rs
+++ b/src/cluster/config.rs
@@ -1,4 +1,4 @@
-//! The object `peers` of a front's configuration file.
+//! The section `peers` of a front's configuration file.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -19,14 +19,14 @@
 use crate::control::json_object::decode;
 use crate::limits::MAX_FRONTS;
 
-/// Bytes a second of gossip, unless the file has a limit.
+/// Limit on outgoing gossip, in bytes per second, where the file sets none.
 const DEFAULT_GOSSIP_BYTES_PER_SECOND: f64 = 20_000.0;
-/// Nanoseconds per millisecond, the unit of the file's times.
+/// Nanoseconds per millisecond: times in the file are in milliseconds.
 const NANOS_PER_MILLISECOND: f64 = 1e6;
-/// The revision of a roster, unless the file has one.
+/// The revision of a membership list whose file states none.
 const DEFAULT_REVISION: f64 = 1.0;
 
-/// The section `peers` as it is written in the file. Missing numbers have defaults.
+/// The section `peers` as it is written in the file. Numbers that are missing have defaults.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PeersSection {
@@ -41,13 +41,13 @@
     lease_duration_ms: Option<f64>,
     #[serde(rename = "beat_ms", default, deserialize_with = "non_negative")]
     heartbeat_interval_ms: Option<f64>,
-    /// The share of each limit that no front lends, as a fraction.
+    /// The share of each limit that a front never lends, as a fraction of the limit.
     #[serde(default, deserialize_with = "non_negative")]
     floor: Option<f64>,
-    /// See [`ConfiguredLimits::read`].
+    /// Parsed by [`ConfiguredLimits::read`].
     #[serde(default, deserialize_with = "present")]
     limits: Option<Value>,
-    /// See [`EjectionConfig::read`].
+    /// Parsed by [`EjectionConfig::read`].
     #[serde(rename = "verdicts", default, deserialize_with = "present")]
     ejections: Option<Value>,
     #[serde(
@@ -58,30 +58,30 @@
     gossip_bytes_per_second: Option<f64>,
 }
 
-/// How this front takes part in the fleet.
+/// Configuration of this front as a member of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClusterConfig {
-    /// Where this front receives the messages of its peers.
+    /// The UDP address at which this front receives the messages of its peers.
     pub listen: SocketAddr,
-    /// The file of the key that all fronts share to authenticate their messages.
+    /// File with the key that all fronts share to authenticate their messages.
     pub key_file: PathBuf,
     /// All fronts of the fleet, this one included.
     pub membership_list: MembershipList,
-    /// How ejections of chunk servers are decided together; `None` where they are not.
+    /// How the fronts decide together on ejections of chunk servers; `None` where they do not.
     pub ejections: Option<EjectionConfig>,
-    /// Configuration of the leases on fleet-wide limits, with the digest of the roster.
+    /// Configuration of the leases on fleet-wide limits, with the digest of the membership list.
     pub limits_config: LimitsConfig,
-    /// Fleet-wide limits beside those of the volumes' plans.
+    /// Fleet-wide limits in addition to those of the volumes' plans.
     pub fleet_limits: ConfiguredLimits,
-    /// Most bytes a second of gossip that are sent to all peers together.
+    /// Upper limit of the gossip sent to all peers together, in bytes per second.
     pub gossip_bytes_per_second: u64,
 }
 
 impl ClusterConfig {
-    /// Reads the object `peers` for the front of a name.
+    /// Reads the section `peers` as the front `front_name`.
     ///
     /// # Errors
-    /// The first value found that cannot be used.
+    /// Returns the first invalid value found.
     pub fn read(value: &Value, front_name: &str) -> Result<ClusterConfig, ClusterConfigError> {
         let section: PeersSection = decode(value.clone()).map_err(|error| error.at("peers"))?;
         let ejections = section
@@ -90,7 +90,7 @@
             .map(EjectionConfig::read)
             .transpose()?;
         let fleet_limits = ConfiguredLimits::read(section.limits.as_ref())?;
-        let numbers = LimitNumbers::of(&section);
+        let numbers = LimitNumbers::from_section(&section);
         let gossip_bytes_per_second = section
             .gossip_bytes_per_second
             .unwrap_or(DEFAULT_GOSSIP_BYTES_PER_SECOND);
@@ -112,10 +112,11 @@
         })
     }
 
-    /// The configuration of this front's outlier detector; `None` where ejections are not shared.
+    /// Returns the configuration of this front's outlier detector; `None` where ejections are not
+    /// shared.
     ///
     /// # Errors
-    /// Values that contradict each other.
+    /// Returns an error if values contradict each other.
     pub(super) fn detector_config(&self) -> Result<Option<DetectorConfig>, DetectorConfigError> {
         let LimitsConfig { me, fronts, .. } = self.limits_config;
         let zone = self.membership_list.zone(me);
@@ -125,7 +126,7 @@
     }
 }
 
-/// The numbers of the section that the limits' configuration consists of.
+/// The numbers of the section that become part of [`LimitsConfig`].
 struct LimitNumbers {
     revision: Option<f64>,
     lease_duration_ms: Option<f64>,
@@ -134,8 +135,8 @@
 }
 
 impl LimitNumbers {
-    /// Those of a section.
-    fn of(section: &PeersSection) -> LimitNumbers {
+    /// Copies the numbers of a section.
+    fn from_section(section: &PeersSection) -> LimitNumbers {
         LimitNumbers {
             revision: section.revision,
             lease_duration_ms: section.lease_duration_ms,
@@ -144,7 +145,7 @@
         }
     }
 
-    /// The limits' configuration, without the digest of the roster.
+    /// Builds the configuration of the limits, with 0 as the digest of the membership list.
     fn limits_config(
         &self,
         membership_list: &MembershipList,
@@ -168,16 +169,17 @@
     }
 }
 
-/// A number of milliseconds in nanoseconds, or a default, which is in nanoseconds.
+/// Converts milliseconds to nanoseconds; without a number, returns the default, in nanoseconds.
 fn nanos_or(millis: Option<f64>, default: Nanos) -> Nanos {
     let millis = millis.unwrap_or(default as f64 / NANOS_PER_MILLISECOND);
     (millis * NANOS_PER_MILLISECOND) as Nanos
 }
 
-/// Digest of all that fronts must agree on before they grant each other leases.
+/// Computes the digest of all settings on which fronts must agree before they grant each other
+/// leases.
 ///
 /// Fronts of different versions compare this digest, so the digested text is part of the protocol
-/// and must not change. It has the outlier detection's settings and the zones in it only where
+/// and must not change. The settings of outlier detection and the zones are part of it only where
 /// ejections are shared.
 fn membership_digest(
     limits: &LimitsConfig,
--- a/src/cluster/ejections/config.rs
+++ b/src/cluster/ejections/config.rs
@@ -1,4 +1,4 @@
-//! The object `peers.verdicts` of a front's configuration file.
+//! The section `peers.verdicts` of a front's configuration file.
 
 use serde::{Deserialize, Deserializer};
 use simd_json::OwnedValue as Value;
@@ -8,9 +8,9 @@
 use crate::cluster::fields::{count_between, fraction};
 use crate::control::json_object::{decode, JsonObjectError};
 
-/// Fewest witnesses of an ejection: no front alone may eject a server.
+/// Minimum number of witnesses of an ejection: no front alone may eject a server.
 const MIN_WITNESSES: f64 = 2.0;
-/// Most witnesses that can be configured.
+/// Maximum number of witnesses that can be configured.
 const MAX_WITNESSES: f64 = 1_000.0;
 
 /// The section `peers.verdicts` as it is written in the file.
@@ -29,20 +29,21 @@
     Ok(Some(witnesses as usize))
 }
 
-/// How ejections are decided, as far as operators configure it.
+/// The settings of fleet-wide ejection that operators can configure.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EjectionConfig {
-    /// Most servers that may be ejected at a time, as a fraction of all servers.
+    /// Upper limit of the servers that may be ejected at a time, as a fraction of all servers, from
+    /// 0 to below 1.
     pub max_ejected_fraction: f64,
-    /// Fronts that must have observed failures of a server before it is ejected.
+    /// Number of fronts that must have observed failures of a server before it is ejected.
     pub witnesses: usize,
 }
 
 impl EjectionConfig {
-    /// Reads the object `peers.verdicts`.
+    /// Reads the section `peers.verdicts`; missing values have the defaults of [`DetectorConfig`].
     ///
     /// # Errors
-    /// The first value found that cannot be used.
+    /// Returns the first invalid value found.
     pub fn read(value: &Value) -> Result<EjectionConfig, JsonObjectError> {
         let section: EjectionSection =
             decode(value.clone()).map_err(|error| error.at("peers.verdicts"))?;
@@ -55,10 +56,10 @@
         })
     }
 
-    /// The configuration of the outlier detector of the front `me` among `fronts` fronts.
+    /// Returns the configuration of the outlier detector of the front `me`, one of `fronts` fronts.
     ///
     /// # Errors
-    /// Values that contradict each other.
+    /// Returns an error if values contradict each other.
     pub fn detector_config(
         &self,
         me: PeerId,
--- a/src/cluster/ejections/metrics.rs
+++ b/src/cluster/ejections/metrics.rs
@@ -1,19 +1,22 @@
-//! Prometheus metrics of ejections that are decided with the peers.
+//! Prometheus metrics of fleet-wide outlier ejection.
 
 use prometheus::{IntCounter, IntGauge};
 
 use crate::telemetry::metrics::Metrics;
 
-/// The metrics. Names and help texts are what operators' dashboards use.
+/// Handles of the registered metrics. Operators' dashboards depend on the names and help texts.
 #[derive(Clone)]
 pub struct EjectionMetrics {
+    /// Number of servers that are ejected.
     pub(super) ejected: IntGauge,
+    /// 1 while this front's observations are ignored, or else 0.
     pub(super) suspect: IntGauge,
+    /// Counts the times that it was this front's turn to probe a server.
     pub(super) probes: IntCounter,
 }
 
 impl EjectionMetrics {
-    /// Registers all metrics with the value 0.
+    /// Creates the metrics and registers them with the value 0.
     pub fn new(registry: &Metrics) -> EjectionMetrics {
         let gauge = |name: &str, help: &str| IntGauge::new(name, help).expect("the name is valid");
         let probes = IntCounter::new(
--- a/src/cluster/ejections/mod.rs
+++ b/src/cluster/ejections/mod.rs
@@ -1,8 +1,8 @@
-//! Outlier ejection of chunk servers, decided together with the peers.
+//! Fleet-wide outlier ejection of chunk servers, which this front decides together with its peers.
 //!
-//! [`Ejections`] connects the state machine [`OutlierDetector`] to the front: it turns inputs of
-//! the request tracker into observations of servers, and the detector's effects into gossip entries
-//! and updates for the decision module. It is only used where the configuration file has
+//! [`Ejections`] connects the state machine [`OutlierDetector`] to the front: it converts inputs of
+//! the request tracker to observations of servers, and the detector's effects to gossip entries and
+//! updates for the decision module. It is only used where the configuration file has the section
 //! `peers.verdicts`.
 
 mod config;
@@ -27,50 +27,52 @@
 use crate::exchange::AttemptKey;
 use crate::telemetry::log::log;
 
-/// A node of the decision module, as the endpoint list has it.
+/// A chunk server of the endpoint list.
 struct ListedServer {
-    /// Digest of the name and of the start time: a restarted server is another server to the
-    /// detector.
+    /// Digest of the name and the start time: to the detector, a restarted server is another
+    /// server.
     server: ServerId,
+    /// The server's name for operators.
     name: String,
     is_up: bool,
 }
 
 /// A change of a gossip entry of this front.
 pub struct EntryChange {
-    /// Identifies the entry.
+    /// Key of the entry among this front's entries.
     pub key: EntryKey,
-    /// The new value; `None` removes the entry.
+    /// The new value of the entry; `None` removes it.
     pub value: Option<Vec<u8>>,
 }
 
-/// The changes that an evaluation results in.
+/// The changes that result from an evaluation.
 #[derive(Default)]
 pub struct EjectionChanges {
-    /// Changes of this front's gossip entries.
+    /// Changes of this front's gossip entries, to be published.
     pub entries: Vec<EntryChange>,
-    /// Updates for the decision module.
+    /// Ejections and probes for the decision module.
     pub updates: Vec<FleetUpdate>,
 }
 
-/// This front's part in fleet-wide ejection.
+/// The state of fleet-wide ejection at this front.
 pub struct Ejections {
     detector: OutlierDetector,
     observer: AttemptObserver,
     nodes: BTreeMap<NodeId, ListedServer>,
-    /// The classes for which the decision module was last informed that a node is ejected.
+    /// The classes for which each node is ejected, as last reported to the decision module.
     reported: BTreeMap<NodeId, ClassSet>,
     /// Observations since the last evaluation.
     pending_events: Vec<Event>,
-    list_changed: bool,
+    /// Whether the detector still has to be given the present endpoint list.
+    endpoints_changed: bool,
     metrics: EjectionMetrics,
 }
 
 impl Ejections {
-    /// Without any server or observation.
+    /// Creates the state without any server or observation.
     ///
     /// # Errors
-    /// An invalid configuration.
+    /// Returns an error if the configuration is invalid.
     pub fn new(
         config: DetectorConfig,
         metrics: EjectionMetrics,
@@ -81,30 +83,30 @@
             nodes: BTreeMap::new(),
             reported: BTreeMap::new(),
             pending_events: Vec::new(),
-            list_changed: false,
+            endpoints_changed: false,
             metrics,
         })
     }
 
-    /// Starts the detector anew with another configuration. The endpoint list stays, all evidence
-    /// is dropped.
+    /// Replaces the detector by one with a new configuration. The endpoint list is kept; the old
+    /// detector's evidence is dropped.
     ///
     /// # Errors
-    /// An invalid configuration; then nothing changes.
+    /// Returns an error if the configuration is invalid; nothing has changed then.
     pub fn reconfigure(&mut self, config: DetectorConfig) -> Result<(), DetectorConfigError> {
         self.detector = OutlierDetector::new(config)?;
-        self.list_changed = true;
+        self.endpoints_changed = true;
         Ok(())
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn config(&self) -> &DetectorConfig {
         self.detector.config()
     }
 
     /// Observes an input before the request tracker processes it. Returns whether an evaluation
-    /// should follow soon: an attempt has failed, a probe has ended or, at a timer, which fires
-    /// often, an attempt is overdue.
+    /// should follow soon: if an attempt has failed, a probe has ended, or an attempt is overdue.
+    /// The latter is checked at timers, which fire often.
     pub fn observe_input(&mut self, now: Nanos, input: &Input) -> bool {
         self.observer.step(now);
         if let Input::Timer(_) = input {
@@ -120,8 +122,8 @@
         needs_evaluation
     }
 
-    /// Whether the detector waits for observations of other fronts, so that the next evaluation
-    /// should follow soon.
+    /// Returns whether the detector waits for observations of other fronts, so that the next
+    /// evaluation should follow soon.
     pub fn is_waiting(&self, now: Nanos) -> bool {
         self.detector.is_waiting(now)
     }
@@ -159,10 +161,10 @@
                 },
             );
         }
-        self.list_changed = true;
+        self.endpoints_changed = true;
     }
 
-    /// Records that an attempt was sent.
+    /// Records that an attempt of a request of `class` was sent to a node.
     pub fn attempt_sent(
         &mut self,
         now: Nanos,
@@ -186,7 +188,7 @@
         );
     }
 
-    /// The observation of an attempt's server in an input, if any.
+    /// Returns the observation that an input gives of the server of an attempt, if any.
     fn attempt_event(&mut self, now: Nanos, input: &Input) -> Option<Event> {
         match input {
             Input::AttemptEnded {
@@ -208,8 +210,8 @@
         }
     }
 
-    /// Has the detector evaluate all observations, this front's and those in `gossip`. `module_now`
-    /// is the present time by the decision module's clock.
+    /// Evaluates all observations, those of this front and those in `gossip`. `module_now` is the
+    /// present time by the decision module's clock.
     pub fn evaluate(
         &mut self,
         now: Nanos,
@@ -229,11 +231,11 @@
         changes
     }
 
-    /// The events since the last evaluation: the endpoint list first, then attempts, then those
-    /// that are overdue.
+    /// Returns the events since the last evaluation: first a changed endpoint list, then attempts,
+    /// then those that are overdue.
     fn take_events(&mut self, now: Nanos) -> Vec<Event> {
         let mut events = Vec::new();
-        if std::mem::take(&mut self.list_changed) {
+        if std::mem::take(&mut self.endpoints_changed) {
             let servers = self
                 .nodes
                 .values()
@@ -276,7 +278,8 @@
         }
     }
 
-    /// Has the next idempotent request probe a server, within this front's turn.
+    /// Makes the next idempotent attempt at a server a probe if it is sent during this front's
+    /// turn. Returns the updates for the decision module.
     fn probe(&mut self, now: Nanos, module_now: Nanos, server: ServerId) -> Vec<FleetUpdate> {
         let turn = self.detector.config().probe_turn;
         self.metrics.probes.inc();
@@ -295,9 +298,13 @@
         self.metrics.suspect.set(i64::from(suspect));
         match suspect {
             true => log!(
-                "ejections: this front is suspect: its observations contradict those of its peers and are ignored; check its own network"
+                "ejections: this front is suspect: its observations contradict those of its peers \
+                 and are ignored; check this front's network"
+            ),
+            false => log!(
+                "ejections: this front is no longer suspect: its observations agree with those of \
+                 its peers"
             ),
-            false => log!("ejections: this front is not suspect any more: its observations agree with those of its peers"),
         }
     }
 
@@ -318,7 +325,7 @@
         self.metrics.ejected.set(ejected.len() as i64);
     }
 
-    /// The classes of work for which each ejected server is out.
+    /// Returns the classes of work for which each ejected server is ejected.
     fn ejected_classes(&self) -> BTreeMap<ServerId, ClassSet> {
         let mut ejected: BTreeMap<ServerId, ClassSet> = BTreeMap::new();
         for EjectionTarget { server, scope } in self.detector.ejected() {
@@ -331,7 +338,8 @@
         ejected
     }
 
-    /// The name of a server, for operators.
+    /// Returns the name of a server for operators, or a substitute if the endpoint list no longer
+    /// has it.
     fn name(&self, server: ServerId) -> String {
         let listed = self.nodes.values().find(|listed| listed.server == server);
         listed.map_or_else(
@@ -341,7 +349,7 @@
     }
 }
 
-/// An attempt of a request as the observer identifies it.
+/// Returns the identifier of an attempt for the observer.
 fn attempt_id(request: RequestId, attempt: u32) -> AttemptId {
     AttemptId {
         request: request.0,
@@ -349,7 +357,7 @@
     }
 }
 
-/// The result of an attempt with this outcome, as the detector counts it.
+/// Converts the outcome of an attempt to the result that the detector counts.
 fn attempt_result(outcome: Outcome) -> AttemptResult {
     match outcome {
         Outcome::Served => AttemptResult::Answered,
--- a/src/cluster/ejections/status.rs
+++ b/src/cluster/ejections/status.rs
@@ -8,13 +8,13 @@
 use crate::cluster::clock::millis;
 use crate::cluster::ejections::Ejections;
 
-/// The names that operators know fronts, zones and classes by.
+/// The names by which operators know fronts, zones and classes.
 pub struct DisplayNames<'a> {
-    /// Names of the fronts, by [`PeerId`].
+    /// Names of the fronts, indexed by [`PeerId`].
     pub fronts: &'a [&'a str],
-    /// Names of the zones, by their numbers.
+    /// Names of the zones, indexed by zone number; empty for fronts without a zone.
     pub zones: &'a [String],
-    /// Names of the classes of work, by their numbers. It may be shorter than the list of classes.
+    /// Names of the classes of work, indexed by class number. Classes at the end may lack a name.
     pub classes: &'a [String],
 }
 
@@ -39,8 +39,8 @@
 }
 
 impl Ejections {
-    /// The status of all ejections, or of those of one server; `None` where there is no server of
-    /// that name.
+    /// Returns the status of all ejections, or of those of one server; `None` if there is no server
+    /// with that name.
     pub fn status(
         &self,
         now: Nanos,
@@ -74,7 +74,7 @@
             .map(|listed| listed.server)
     }
 
-    /// The median response time of each class that has one.
+    /// Returns the median response time, in microseconds, of each class that has one.
     fn medians_json(&self, names: &DisplayNames) -> Vec<Value> {
         let classes = names.classes.iter().enumerate();
         let medians = classes.filter_map(|(class, name)| {
@@ -111,8 +111,8 @@
         })
     }
 
-    /// How long the ejection lasts if no vote is renewed; `None` where there is no quorum. The
-    /// youngest votes that make a quorum count until the oldest of them expires.
+    /// Returns how long the ejection lasts if no vote is renewed, in nanoseconds; `None` if there
+    /// is no quorum. The youngest votes form a quorum until the oldest of them expires.
     fn time_to_readmission(&self, votes: &[Vote]) -> Option<Nanos> {
         let config = self.detector.config();
         let mut ages: Vec<Nanos> = votes.iter().map(|vote| vote.age).collect();
--- a/src/cluster/fields.rs
+++ b/src/cluster/fields.rs
@@ -1,5 +1,5 @@
-//! The types of numbers in the section `peers` of a front's configuration file. A number may be
-//! null, which is 0.
+//! Deserializers, with range checks, of the numbers in the section `peers` of a front's
+//! configuration file. A null is read as 0.
 
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
@@ -8,7 +8,7 @@
 
 use crate::config::values::wrong_kind;
 
-/// Deserializes a number that is not negative.
+/// Deserializes a number of 0 or more.
 pub(super) fn non_negative<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<f64>, D::Error> {
@@ -22,7 +22,7 @@
     checked(deserializer, "a number above 0", is_valid)
 }
 
-/// Deserializes a number greater than 0, where there is one.
+/// Deserializes an optional number greater than 0.
 pub(super) fn optional_positive<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<f64>, D::Error> {
@@ -37,8 +37,8 @@
     checked(deserializer, "a part from 0 to under 1", is_valid).map(Some)
 }
 
-/// Deserializes an integer from `min` to `max`, which the message leaves out: it is far above all
-/// that makes sense.
+/// Deserializes an integer from `min` to `max`. The error message leaves out `max`, which is far
+/// above any sensible value.
 pub(super) fn count_between<'de, D: Deserializer<'de>>(
     deserializer: D,
     min: f64,
@@ -49,7 +49,8 @@
     checked(deserializer, &expected, is_valid)
 }
 
-/// Deserializes a number that `is_valid`, which an error describes as `expected`.
+/// Deserializes a number for which `is_valid` holds; otherwise the error says that `expected` is
+/// required.
 fn checked<'de, D: Deserializer<'de>>(
     deserializer: D,
     expected: &str,
--- a/src/cluster/limits/config.rs
+++ b/src/cluster/limits/config.rs
@@ -1,5 +1,5 @@
-//! The object `peers.limits` of a front's configuration file: fleet-wide limits beside those of the
-//! volumes' plans.
+//! The section `peers.limits` of a front's configuration file: fleet-wide limits in addition to
+//! those of the volumes' plans.
 
 use serde::{Deserialize, Deserializer};
 use simd_json::OwnedValue as Value;
@@ -12,23 +12,23 @@
 use crate::config::values::object;
 use crate::control::json_object::{decode, JsonObjectError};
 
-/// Retries that each request demands in advance, where a failed attempt demands 1: a front with
-/// traffic then has a share of the retries before its first failure.
+/// Demand for retries that each request adds in advance, so that a front with traffic has a share
+/// of the limit on retries before its first failure.
 const RETRY_RESERVE_PER_REQUEST: f64 = 0.02;
-/// Retries that a failed attempt demands.
+/// Demand for retries that a failed attempt adds.
 const RETRIES_PER_FAILURE: f64 = 1.0;
 
-/// The label of the limit on retries in metrics and on the console.
+/// Label of the limit on retries in metrics and on the console.
 const RETRIES_LABEL: &str = "further_attempts";
-/// The label of the limits on the load of servers in metrics and on the console.
+/// Label of the limits on the load of servers in metrics and on the console.
 const SERVER_LOAD_LABEL: &str = "servers";
 
-/// A limit with its name for operators.
+/// A limit with the name under which operators see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LabeledLimit {
-    /// The limit.
+    /// Identifies the limit for the coordinator.
     pub limit: Limit,
-    /// Its label in metrics and on the console.
+    /// Label of the limit in metrics and on the console.
     pub label: &'static str,
 }
 
@@ -48,7 +48,7 @@
     in_flight: Option<f64>,
 }
 
-/// A limit of `peers.limits` as it is written in the file.
+/// A limit with a rate and a burst, as it is written in the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RateSection {
@@ -58,27 +58,27 @@
     burst: f64,
 }
 
-/// Deserializes a rate and a burst.
+/// Deserializes a limit with a rate and a burst.
 fn rate<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<LimitRate>, D::Error> {
     let RateSection { rate, burst } = object(deserializer)?;
     Ok(Some(LimitRate { rate, burst }))
 }
 
-/// The fleet-wide limits of `peers.limits`, beside those of the volumes' plans. Each may be
-/// missing.
+/// The fleet-wide limits of `peers.limits`, which exist in addition to those of the volumes'
+/// plans. Each is optional.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ConfiguredLimits {
     retries: Option<LimitRate>,
     warming_up: Option<LimitRate>,
-    /// Most requests in flight at one server.
+    /// Maximum number of requests in flight at one server, from all fronts together.
     in_flight: Option<f64>,
 }
 
 impl ConfiguredLimits {
-    /// Reads `peers.limits`; without it there are no such limits.
+    /// Reads the section `peers.limits`; without it no limit is configured.
     ///
     /// # Errors
-    /// The first value found that cannot be used.
+    /// Returns the first invalid value found.
     pub fn read(value: Option<&Value>) -> Result<ConfiguredLimits, JsonObjectError> {
         let Some(value) = value else {
             return Ok(ConfiguredLimits::default());
@@ -92,7 +92,8 @@
         })
     }
 
-    /// Whether each limit configured here is configured in `other` too, with any value.
+    /// Returns whether each limit that is configured here is also configured in `other`, whatever
+    /// its value.
     pub fn is_within(&self, other: &ConfiguredLimits) -> bool {
         let stays_configured = |before: bool, after: bool| !before || after;
         stays_configured(self.retries.is_some(), other.retries.is_some())
@@ -100,7 +101,7 @@
             && stays_configured(self.in_flight.is_some(), other.in_flight.is_some())
     }
 
-    /// The configured limits.
+    /// Returns the configured limits; both limits on the load of servers are one here.
     pub fn limits(&self) -> impl Iterator<Item = LabeledLimit> {
         let retries = self.retries.is_some().then_some(LabeledLimit {
             limit: Limit::Retries,
@@ -113,7 +114,7 @@
         retries.into_iter().chain(server_load)
     }
 
-    /// The demand for the configured limits that an input of the request tracker causes.
+    /// Returns the demand for the configured limits that an input of the request tracker causes.
     pub fn demands(&self, input: &Input) -> Vec<LimitDemand> {
         let mut demands = Vec::new();
         if let Input::RequestReceived(request) = input {
@@ -139,12 +140,13 @@
         demands
     }
 
-    /// Whether a limit on the load of servers is configured. Both such limits depend on one share.
+    /// Returns whether a limit on the load of servers is configured. Both such limits depend on
+    /// the same share.
     fn limits_server_load(&self) -> bool {
         self.warming_up.is_some() || self.in_flight.is_some()
     }
 
-    /// The updates for a share of a configured limit.
+    /// Returns the updates for the decision module if this front has `share` of a limit.
     pub(super) fn updates(
         &self,
         limit: Limit,
@@ -162,7 +164,7 @@
         }
     }
 
-    /// The update of the limit on retries.
+    /// Returns the update of the limit on retries; `None` where it is not configured.
     fn retries_update(&self, share: Share) -> Option<LimitUpdate> {
         let rate = self.retries?.scaled(share, 1.0);
         Some(LimitUpdate {
@@ -171,7 +173,8 @@
         })
     }
 
-    /// The update of the limit on servers that are warming up.
+    /// Returns the update of the limit on servers that are warming up; `None` where it is not
+    /// configured.
     fn warming_up_update(&self, share: Share, settings: &Settings) -> Option<LimitUpdate> {
         let rate = self.warming_up?.scaled(share, settings.max_units);
         Some(LimitUpdate {
@@ -180,7 +183,8 @@
         })
     }
 
-    /// The update of the limit on requests in flight at one server.
+    /// Returns the update of the limit on requests in flight at one server; `None` where it is not
+    /// configured.
     fn in_flight_update(&self, share: Share) -> Option<LimitUpdate> {
         let rate = LimitRate {
             rate: self.in_flight? * share.as_fraction(),
@@ -193,7 +197,7 @@
     }
 }
 
-/// Whether an input reports that an attempt has failed.
+/// Returns whether an input reports a failed attempt.
 fn is_failed_attempt(input: &Input) -> bool {
     match input {
         Input::AttemptEnded { outcome, .. } => *outcome != Outcome::Served,
--- a/src/cluster/limits/mod.rs
+++ b/src/cluster/limits/mod.rs
@@ -1,4 +1,4 @@
-//! Fleet-wide limits as the decision module applies them: the rates of this front's shares.
+//! Converts this front's shares of fleet-wide limits into rates for the decision module.
 
 mod config;
 
@@ -9,18 +9,19 @@
 
 pub use self::config::{ConfiguredLimits, LabeledLimit};
 
-/// The values of a limit, of the whole fleet or of one front.
+/// The rate and the burst of a limit, either of the whole fleet or of one front.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LimitRate {
-    /// Units or attempts a second; for the limit on requests in flight at a server, how many.
+    /// Units or attempts per second; for the limit on requests in flight at a server, their
+    /// maximum number.
     pub rate: f64,
-    /// Size of the token bucket, in units or attempts; 0 for requests in flight.
+    /// Size of the token bucket, in units or attempts; 0 for the limit on requests in flight.
     pub burst: f64,
 }
 
 impl LimitRate {
-    /// A front's share of the limit. The bucket has room for at least one request of size
-    /// `min_burst`, so that a small share is a low rate and not a bound on the size of a request.
+    /// Scales the limit to a front's share. The token bucket holds at least `min_burst`, so that a
+    /// small share lowers the rate but does not limit the size of a request.
     fn scaled(self, share: Share, min_burst: f64) -> LimitRate {
         let fraction = share.as_fraction();
         let burst = if share == Share::NONE {
@@ -35,33 +36,35 @@
     }
 }
 
-/// What the decision module may use of a limit from now on.
+/// A new value of a limit for the decision module.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitUpdate {
-    /// The limit.
+    /// Identifies the limit in the decision module.
     pub limit: SharedLimit,
-    /// This front's rate and burst.
+    /// The rate and burst that this front may use from now on.
     pub rate: LimitRate,
 }
 
-/// Demand for a fleet-wide limit.
+/// Demand of this front for a fleet-wide limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitDemand {
-    /// The limit.
+    /// Identifies the limit for the coordinator.
     pub limit: Limit,
     /// Units or attempts that are about to be used.
     pub units: f64,
 }
 
-/// This front's share of a volume's limit, with the plan that the volume's last request had.
+/// This front's share of a volume's limit, with the plan of the volume's last request.
 #[derive(Clone, Copy)]
 struct VolumeShare {
+    /// Index into the plans of the settings.
     plan: usize,
     share: Share,
 }
 
 impl VolumeShare {
-    /// The rate of the share under the plan; `None` where the settings have no such plan.
+    /// Returns the update that the share results in under the plan; `None` if the settings have no
+    /// such plan.
     fn update(self, volume: VolumeId, settings: &Settings) -> Option<LimitUpdate> {
         let plan = settings.plans.get(self.plan)?;
         let limit = LimitRate {
@@ -76,17 +79,19 @@
     }
 }
 
-/// This front's shares of all fleet-wide limits.
+/// This front's shares of all fleet-wide limits, from which the updates for the decision module
+/// are computed.
 #[derive(Default)]
 pub struct FleetLimits {
     volumes: HashMap<VolumeId, VolumeShare>,
     configured: ConfiguredLimits,
+    /// Shares of the limits that do not belong to a volume.
     shares: HashMap<Limit, Share>,
 }
 
 impl FleetLimits {
-    /// Applies a new configuration. Returns what this front may use of each configured limit now:
-    /// nothing, until it has a share of it.
+    /// Applies a new configuration. Returns an update for each configured limit; a limit of which
+    /// this front has no share yet allows nothing.
     pub fn configure(
         &mut self,
         configured: ConfiguredLimits,
@@ -102,18 +107,18 @@
             .collect()
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn configured(&self) -> &ConfiguredLimits {
         &self.configured
     }
 
-    /// This front's share of a limit that is not a volume's.
+    /// Returns this front's share of a limit that does not belong to a volume.
     pub fn share(&self, limit: Limit) -> Share {
         self.shares.get(&limit).copied().unwrap_or(Share::NONE)
     }
 
-    /// Records the plan of a volume's request. Returns an update of the volume's limit where the
-    /// plan has changed, as it may after a reload.
+    /// Records the plan of a volume's request. Returns an update of the volume's limit if the plan
+    /// has changed, which a reload can cause.
     pub fn volume_requested(
         &mut self,
         volume: VolumeId,
@@ -131,8 +136,8 @@
         entry.update(volume, settings)
     }
 
-    /// Sets this front's share of a limit. A volume that has had no request here has no plan yet,
-    /// and no update.
+    /// Sets this front's share of a limit and returns the updates. A volume without a request at
+    /// this front has no plan yet: its share is ignored.
     pub fn set_share(
         &mut self,
         limit: Limit,
@@ -153,7 +158,8 @@
             .collect()
     }
 
-    /// Drops a limit without recent demand: this front may use nothing of it.
+    /// Drops the share of a limit without recent demand. Returns the updates by which this front
+    /// may use nothing of the limit.
     pub fn forget(&mut self, limit: Limit, settings: &Settings) -> Vec<LimitUpdate> {
         match limit {
             Limit::Volume(volume) => {
--- a/src/cluster/membership_list.rs
+++ b/src/cluster/membership_list.rs
@@ -1,4 +1,5 @@
-//! The fronts of the fleet, as the configuration file lists them under `peers.roster`.
+//! The membership list: all fronts of the fleet, as the configuration file lists them under
+//! `peers.roster`.
 
 use std::net::SocketAddr;
 
@@ -10,20 +11,20 @@
 use crate::config::values::{text, Address};
 use crate::limits::MAX_ZONES;
 
-/// One front of the roster.
+/// One front of the membership list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// The front's name, unique in the roster.
+    /// The front's name, unique in the list.
     pub name: String,
-    /// Where this front reaches it, unique in the roster. Fronts may reach the same peer at
-    /// different addresses.
+    /// The address at which this process reaches the front, unique in the list. Fronts may reach
+    /// the same peer at different addresses.
     pub address: SocketAddr,
-    /// The front's zone, as an index into [`MembershipList::zones`].
+    /// The front's zone: an index into [`MembershipList::zones`].
     pub zone: ZoneId,
 }
 
-/// All fronts of the fleet in the order of their names, so that a [`PeerId`] means the same front
-/// in every file, whatever the order of the file.
+/// All fronts of the fleet in the order of their names, so that a [`PeerId`] identifies the same
+/// front at every front, in whatever order the files list them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipList {
     members: Vec<Member>,
@@ -36,16 +37,16 @@
     #[serde(deserialize_with = "text")]
     name: String,
     address: Address,
-    /// The name of its zone; empty for a front without one.
+    /// The name of the front's zone; empty for a front without a zone.
     #[serde(default, deserialize_with = "text")]
     zone: String,
 }
 
 impl MembershipList {
-    /// The roster with these entries.
+    /// Creates the list from the entries of the file.
     ///
     /// # Errors
-    /// A name or an address that occurs twice, or more than 255 zones.
+    /// Returns an error if a name or an address occurs twice, or if there are more than 255 zones.
     pub(super) fn new(
         mut entries: Vec<MembershipListEntry>,
     ) -> Result<MembershipList, ClusterConfigError> {
@@ -54,7 +55,7 @@
         MembershipList::number_zones(entries)
     }
 
-    /// Gives the zones of the entries their numbers, in the order of their names.
+    /// Numbers the zones of the entries in the order of the zones' names.
     fn number_zones(
         entries: Vec<MembershipListEntry>,
     ) -> Result<MembershipList, ClusterConfigError> {
@@ -82,18 +83,18 @@
         Ok(MembershipList { members, zones })
     }
 
-    /// The fronts, in the order of their names.
+    /// Returns the fronts in the order of their names.
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// The names of the zones, in their order; fronts without a zone are in the zone of the empty
-    /// name.
+    /// Returns the names of the zones in sorted order. Fronts without a zone are in a zone
+    /// whose name is empty.
     pub fn zones(&self) -> &[String] {
         &self.zones
     }
 
-    /// The fronts' names, in their order.
+    /// Returns the names of the fronts in sorted order.
     pub fn names(&self) -> Vec<&str> {
         self.members
             .iter()
@@ -101,25 +102,26 @@
             .collect()
     }
 
-    /// The position of a name.
+    /// Returns the position of the front with a name; `None` if the list has no such front.
     pub(super) fn position(&self, name: &str) -> Option<usize> {
         self.members.iter().position(|member| member.name == name)
     }
 
-    /// The name of a front.
+    /// Returns the name of a front.
     ///
     /// # Panics
-    /// Where the roster has no such front.
+    /// Panics if the list has no such front.
     pub(super) fn name(&self, peer: PeerId) -> &str {
         &self.members[peer.index()].name
     }
 
-    /// Where this front reaches a peer; `None` where the roster has no such front.
+    /// Returns the address at which this process reaches a front; `None` if the list has no such
+    /// front.
     pub(super) fn address(&self, peer: PeerId) -> Option<SocketAddr> {
         self.members.get(peer.index()).map(|member| member.address)
     }
 
-    /// The zone of a front, 0 where the roster has no such front.
+    /// Returns the zone of a front; zone 0 if the list has no such front.
     pub(super) fn zone(&self, peer: PeerId) -> ZoneId {
         self.members
             .get(peer.index())
@@ -127,7 +129,7 @@
     }
 }
 
-/// Checks that no name and no address occurs twice.
+/// Checks that no two entries have the same name or address.
 fn check_unique(entries: &[MembershipListEntry]) -> Result<(), ClusterConfigError> {
     let duplicate = |index: usize, key: &str, value: String| ClusterConfigError::Duplicate {
         path: format!("peers.roster[{index}].{key}"),
--- a/src/cluster/messages.rs
+++ b/src/cluster/messages.rs
@@ -1,4 +1,4 @@
-//! The messages between fronts. Each datagram carries one of them in an authenticated envelope
+//! The messages between fronts. Each datagram carries one message in an authenticated envelope
 //! ([`tulipbridge_membership::EnvelopeCodec`]).
 //!
 //! The order of the variants is part of the wire format.
@@ -7,20 +7,20 @@
 use tulipbridge_fleet_limits::Heartbeat;
 use tulipbridge_membership::GossipMessage;
 
-/// A message to be sent.
+/// A message to be sent, which borrows its content.
 #[derive(Serialize)]
 pub(super) enum OutgoingMessage<'a> {
     /// Membership, votes and leases.
     Heartbeat(&'a Heartbeat),
-    /// Entries that are spread to all fronts.
+    /// Gossip entries, which spread to all fronts.
     Gossip(&'a GossipMessage),
 }
 
-/// A received message: the same variants as [`OutgoingMessage`].
+/// A received message, with the same variants as [`OutgoingMessage`].
 #[derive(Deserialize)]
 pub(super) enum IncomingMessage {
     /// Membership, votes and leases.
     Heartbeat(Box<Heartbeat>),
-    /// Entries that are spread to all fronts.
+    /// Gossip entries, which spread to all fronts.
     Gossip(GossipMessage),
 }
--- a/src/cluster/metrics.rs
+++ b/src/cluster/metrics.rs
@@ -1,4 +1,4 @@
-//! Prometheus metrics of membership, gossip and the fleet's limits.
+//! Prometheus metrics of membership, gossip and the fleet-wide limits.
 
 use prometheus::{GaugeVec, IntCounterVec, IntGauge, Opts};
 use tulipbridge_fleet_limits::Share;
@@ -6,18 +6,21 @@
 
 use crate::telemetry::metrics::Metrics;
 
-/// The metrics. Names, help texts and labels are what operators' dashboards use.
+/// Handles of the registered metrics. Operators' dashboards depend on the names, help texts and
+/// labels.
 #[derive(Clone)]
 pub(super) struct ClusterMetrics {
     messages: IntCounterVec,
     pub(super) alive: IntGauge,
+    /// Number of lease issuers that this front holds.
     pub(super) issuers_held: IntGauge,
-    pub(super) standby: IntGauge,
+    /// 1 while this front is suspended, or else 0.
+    pub(super) suspended: IntGauge,
     shares: GaugeVec,
 }
 
 impl ClusterMetrics {
-    /// Registers all metrics with the value 0.
+    /// Creates and registers the metrics.
     pub(super) fn register(registry: &Metrics) -> ClusterMetrics {
         let gauge = |name: &str, help: &str| IntGauge::new(name, help).expect("the name is valid");
         let metrics = ClusterMetrics {
@@ -34,7 +37,7 @@
                 "app_peer_banks",
                 "Banks of the fleet's limits that this front holds",
             ),
-            standby: gauge(
+            suspended: gauge(
                 "app_peer_standing_back",
                 "1 while another process has this front's name",
             ),
@@ -49,13 +52,13 @@
         };
         registry.register(metrics.messages.clone());
         registry.register(metrics.shares.clone());
-        for gauge in [&metrics.alive, &metrics.issuers_held, &metrics.standby] {
+        for gauge in [&metrics.alive, &metrics.issuers_held, &metrics.suspended] {
             registry.register(gauge.clone());
         }
         metrics
     }
 
-    /// Counts a heartbeat by how membership judged it.
+    /// Counts a received heartbeat by the status that membership gave it.
     pub(super) fn count_heartbeat(&self, status: MessageStatus) {
         self.count(match status {
             MessageStatus::Accepted { .. } => "counts",
@@ -67,7 +70,7 @@
         });
     }
 
-    /// Counts a datagram that could not be decoded.
+    /// Counts a received datagram that could not be decoded, by the error.
     pub(super) fn count_undecodable(&self, error: EnvelopeError) {
         self.count(match error {
             EnvelopeError::NotAMessage | EnvelopeError::TooLong | EnvelopeError::KeyTooShort => {
@@ -79,7 +82,7 @@
         });
     }
 
-    /// Counts a part of a gossip message that was rejected.
+    /// Counts a rejected part of a gossip message, by the error.
     pub(super) fn count_rejected_gossip(&self, error: GossipError) {
         self.count(match error {
             GossipError::StaleIncarnation | GossipError::UnknownOrigin => "entries_no_peer",
@@ -89,12 +92,12 @@
         });
     }
 
-    /// Counts a message of this front's that could not be encoded.
+    /// Counts a message of this front that was too long to be encoded.
     pub(super) fn count_too_long(&self) {
         self.count("too_long");
     }
 
-    /// Sets this front's share of a limit, by the limit's label.
+    /// Sets the gauge of this front's share of the limit with a label.
     pub(super) fn set_share(&self, limit: &str, share: Share) {
         self.shares
             .with_label_values(&[limit])
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! This front among its peers: membership, limits shared by the whole fleet, and fleet-wide outlier
+//! Cooperation of this front with its peers: membership, fleet-wide limits, and fleet-wide outlier
 //! ejection.
 //!
 //! The state machines have no I/O and live in separate crates (`tulipbridge_membership`,
--- a/src/cluster/peers/fleet_state.rs
+++ b/src/cluster/peers/fleet_state.rs
@@ -1,5 +1,5 @@
-//! The fleet's state as the exchange consults it: before each input of the request tracker and at
-//! each attempt.
+//! Implementation of [`FleetState`] for [`Peers`]: the exchange calls it before each input of the
+//! request tracker and at each attempt.
 
 use tulipbridge_core::request_tracker::Input;
 use tulipbridge_core::{FleetUpdate, NodeId, Semantics, Settings};
--- a/src/cluster/peers/mod.rs
+++ b/src/cluster/peers/mod.rs
@@ -1,16 +1,15 @@
-//! This front among its peers.
+//! Runs the state machines that this front shares with its peers.
 //!
-//! [`Peers`] drives the state machines of the fleet with the messages and the time: the leases on
-//! fleet-wide limits with membership, gossip and outlier ejection. Their effects are sent as
-//! messages or become updates for the decision module. Leases are checked before each decision of
-//! the module, so that a front that was stopped for a while uses nothing of a lease that has expired
-//! meanwhile.
+//! [`Peers`] passes received messages and the time to the state machines: the leases on fleet-wide
+//! limits with membership, gossip, and outlier ejection. Their effects are sent as messages or
+//! become updates for the decision module. Leases are checked before each decision of the module,
+//! so that a front that was stopped for a while uses nothing of a lease that has expired meanwhile.
 //!
-//! All that changes is in one `PeersState`, which knows nothing of the exchange and never waits:
-//! it returns the updates for the decision module, and [`Peers`] passes them on once it has released
-//! the state. The decision module may call back then ([`FleetState`]).
+//! All mutable state is in one `PeersState`, which does not depend on the exchange and never waits:
+//! it returns the updates for the decision module, and [`Peers`] passes them on once it has
+//! released the state. The decision module may then call back through [`FleetState`].
 //!
-//! It only runs where the configuration file has `peers`.
+//! It is only used where the configuration file has the section `peers`.
 
 mod fleet_state;
 mod reload;
@@ -29,7 +28,7 @@
 use tulipbridge_fleet_limits::Event;
 use tulipbridge_membership::{GossipInput, Incarnation};
 
-use self::state::{Moment, PeersState, SharedParts};
+use self::state::{Moment, PeersState, SharedHandles};
 use crate::cluster::clock;
 use crate::cluster::config::ClusterConfig;
 use crate::cluster::errors::{EjectionStatusError, JoinError, ReloadError};
@@ -39,23 +38,25 @@
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::Upstream;
 
-/// This front among its peers.
+/// Connects the fleet's state machines to the socket, the clock and the exchange.
 pub struct Peers {
-    /// Borrowed for one call at a time: neither across an `await` nor while the exchange processes
-    /// an update.
+    /// Borrowed for one call at a time: never across an `await`, and never while the exchange
+    /// processes an update.
     state: RefCell<PeersState>,
     socket: Rc<PeerSocket>,
-    /// Notified when ejections are to be evaluated soon.
+    /// Notified when ejections should be evaluated soon.
     evaluation_due: Rc<Notify>,
     metrics: ClusterMetrics,
     exchange: Rc<Exchange<Upstream>>,
 }
 
 impl Peers {
-    /// Joins the peers: from now on the decision module gets its share of fleet-wide limits.
+    /// Joins the peers: from now on the decision module is limited to this front's shares of the
+    /// fleet-wide limits.
     ///
     /// # Errors
-    /// The socket cannot be bound, the key cannot be read, or the configuration contradicts itself.
+    /// Returns an error if the socket cannot be bound, the key cannot be read, or values of the
+    /// configuration contradict each other.
     pub fn join(
         config: ClusterConfig,
         class_names: Vec<String>,
@@ -63,22 +64,22 @@
         registry: &Metrics,
     ) -> Result<Rc<Peers>, JoinError> {
         let socket = Rc::new(PeerSocket::open(config.listen, &config.key_file)?);
-        // The seed of the file would not do: after a restart the front must have another
-        // incarnation.
+        // Not derived from the seed in the file: the front must have another incarnation after a
+        // restart.
         let incarnation = Incarnation(fastrand::Rng::new().u64(1..u64::MAX));
-        let parts = SharedParts {
+        let handles = SharedHandles {
             socket: Rc::clone(&socket),
             evaluation_due: Rc::new(Notify::new()),
             metrics: ClusterMetrics::register(registry),
         };
-        let evaluation_due = Rc::clone(&parts.evaluation_due);
-        let metrics = parts.metrics.clone();
+        let evaluation_due = Rc::clone(&handles.evaluation_due);
+        let metrics = handles.metrics.clone();
         let state = PeersState::new(
             clock::now(),
             config,
             class_names,
             incarnation,
-            parts,
+            handles,
             registry,
         )?;
         let shares_ejections = state.shares_ejections();
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Announces to the peers that this front shuts down, so that they need not wait for its leases
-    /// to expire.
+    /// Announces to the peers that this front shuts down, so that they need not wait until its
+    /// leases expire.
     pub fn shut_down(&self) {
         self.update_limits(Event::Shutdown, None);
         self.update_limits(Event::HeartbeatDue, None);
@@ -114,7 +115,7 @@
     /// Checks whether a new configuration can be applied without a restart.
     ///
     /// # Errors
-    /// A change that needs a restart, or an invalid configuration.
+    /// Returns an error if a change needs a restart or if the configuration is invalid.
     pub fn check(&self, new: Option<&ClusterConfig>) -> Result<(), ReloadError> {
         self.state.borrow().check(new)
     }
@@ -124,26 +125,28 @@
         let limits_config = new.limits_config.clone();
         self.state.borrow_mut().set_config(new);
         self.apply_configured_limits();
-        self.state.borrow_mut().reconfigure_parts(clock::now());
+        self.state
+            .borrow_mut()
+            .reconfigure_gossip_and_ejections(clock::now());
         self.update_limits(Event::Reconfigure(limits_config), None);
         self.evaluate_ejections();
     }
 
-    /// The status of this front and of its peers as JSON.
+    /// Returns the status of this front and of its peers as JSON.
     pub fn status(&self) -> Value {
         self.state.borrow().status(clock::now())
     }
 
-    /// The status of all ejections, or of those of one chunk server, as JSON.
+    /// Returns the status of all ejections, or of those of one chunk server, as JSON.
     ///
     /// # Errors
-    /// Ejections are not shared, or there is no such server.
+    /// Returns an error if ejections are not shared or if there is no such server.
     pub fn ejection_status(&self, server_name: Option<&str>) -> Result<Value, EjectionStatusError> {
         let state = self.state.borrow();
         state.ejection_status(clock::now(), server_name)
     }
 
-    /// The present time by both clocks.
+    /// Returns the present time by both clocks.
     fn moment(&self) -> Moment {
         Moment {
             now: clock::now(),
@@ -151,8 +154,8 @@
         }
     }
 
-    /// Feeds an event to the coordinator of the limits. `source` is where the message of the event
-    /// came from.
+    /// Passes an event to the limit coordinator. `source` is the sender's address if the event is a
+    /// received message.
     fn update_limits(&self, event: Event, source: Option<SocketAddr>) {
         let moment = self.moment();
         let updates = self.exchange.with_settings(|settings| {
@@ -166,8 +169,8 @@
         self.state.borrow_mut().update_gossip(clock::now(), input);
     }
 
-    /// Evaluates the observations of all fronts. Returns whether there are new gossip entries of
-    /// this front.
+    /// Evaluates the observations of all fronts. Returns whether this front has new gossip entries
+    /// to send.
     fn evaluate_ejections(&self) -> bool {
         let moment = self.moment();
         let evaluation = self.state.borrow_mut().evaluate_ejections(moment);
@@ -175,8 +178,8 @@
         evaluation.has_new_entries
     }
 
-    /// Passes the decision module its share of the configured limits: nothing, where this front has
-    /// no share.
+    /// Passes this front's shares of the configured limits to the decision module; a limit without
+    /// a share allows nothing.
     fn apply_configured_limits(&self) {
         let moment = self.moment();
         let updates = self
@@ -185,7 +188,7 @@
         self.apply_updates(updates);
     }
 
-    /// Has the decision module process updates, which may call back: the state must not be borrowed.
+    /// Passes updates to the decision module. It may call back, so the state must not be borrowed.
     fn apply_updates(&self, updates: Vec<FleetUpdate>) {
         for update in updates {
             self.exchange.apply_fleet_update(update);
--- a/src/cluster/peers/reload.rs
+++ b/src/cluster/peers/reload.rs
@@ -1,4 +1,4 @@
-//! A new configuration of the peers while the front runs.
+//! Applies a new configuration of the peers while the front runs.
 
 use tulipbridge_core::Nanos;
 
@@ -10,7 +10,7 @@
     /// Checks whether a new configuration can be applied without a restart.
     ///
     /// # Errors
-    /// A change that needs a restart, or an invalid configuration.
+    /// Returns an error if a change needs a restart or if the configuration is invalid.
     pub(super) fn check(&self, new: Option<&ClusterConfig>) -> Result<(), ReloadError> {
         let new = new.ok_or(ReloadError::PeersRemoved)?;
         let current = &self.config;
@@ -27,8 +27,8 @@
         Ok(())
     }
 
-    /// Replaces the configuration by one that [`PeersState::check`] has accepted. The parts follow
-    /// in [`PeersState::reconfigure_parts`].
+    /// Replaces the configuration by one that [`PeersState::check`] has accepted. Gossip and
+    /// ejections are reconfigured by [`PeersState::reconfigure_gossip_and_ejections`].
     pub(super) fn set_config(&mut self, new: ClusterConfig) {
         self.status_log = self
             .status_log
@@ -36,10 +36,10 @@
         self.config = new;
     }
 
-    /// Applies the configuration to gossip and to ejections.
-    pub(super) fn reconfigure_parts(&mut self, now: Nanos) {
+    /// Applies the current configuration to gossip and ejections.
+    pub(super) fn reconfigure_gossip_and_ejections(&mut self, now: Nanos) {
         let new = &self.config.limits_config;
-        // Another digest may mean other fronts, or for the same fronts at other positions.
+        // A different digest may mean different fronts, or the same fronts at other positions.
         if self.coordinator.config().roster != new.roster {
             self.gossip = self.gossip.with_roster(new.me, new.fronts, now);
         }
@@ -51,7 +51,7 @@
         let Some(ejections) = &mut self.ejections else {
             return;
         };
-        // `check` has found the configuration valid, and that ejections stay shared.
+        // `check` has ensured that the configuration is valid and that ejections remain shared.
         let Ok(Some(new)) = self.config.detector_config() else {
             return;
         };
--- a/src/cluster/peers/state.rs
+++ b/src/cluster/peers/state.rs
@@ -1,4 +1,4 @@
-//! All that changes while this front is among its peers, and what its events do to it.
+//! The mutable state of this front as a member of the fleet, and how events change it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,21 +20,21 @@
 use crate::telemetry::log::log;
 use crate::telemetry::metrics::Metrics;
 
-/// The gossip entry with a front's program version.
+/// Key of the gossip entry that holds a front's program version.
 pub(super) const VERSION_KEY: EntryKey = EntryKey { kind: 0, id: 0 };
 
-/// The present time.
+/// The present time by two clocks, in nanoseconds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Moment {
-    /// By the clock of the state machines of the fleet.
+    /// By the clock of the fleet's state machines.
     pub now: Nanos,
     /// By the clock of the decision module.
     pub module_now: Nanos,
 }
 
 impl Moment {
-    /// A limit's update for the decision module. It takes effect `at` a time by the clock of the
-    /// state machines, which is converted to the module's clock.
+    /// Converts the update of a limit for the decision module. `at` is the time from which it
+    /// applies, by the clock of the state machines; it is converted to the module's clock.
     fn fleet_update(self, update: LimitUpdate, at: Nanos) -> FleetUpdate {
         FleetUpdate::SharedLimit {
             limit: update.limit,
@@ -52,24 +52,24 @@
     }
 }
 
-/// What an evaluation of ejections results in.
+/// The result of an evaluation of ejections.
 #[derive(Debug, Default)]
 pub(super) struct Evaluation {
-    /// Whether there are new gossip entries of this front.
+    /// Whether this front has new gossip entries to send.
     pub has_new_entries: bool,
-    /// Updates for the decision module.
+    /// Ejections and probes for the decision module.
     pub updates: Vec<FleetUpdate>,
 }
 
-/// The parts that the state uses and does not own alone.
-pub(super) struct SharedParts {
+/// Handles that the state shares with [`Peers`](super::Peers).
+pub(super) struct SharedHandles {
     pub socket: Rc<PeerSocket>,
-    /// Notified when ejections are to be evaluated soon.
+    /// Notified when ejections should be evaluated soon.
     pub evaluation_due: Rc<Notify>,
     pub metrics: ClusterMetrics,
 }
 
-/// The state of this front among its peers.
+/// The state of this front as a member of the fleet.
 pub(super) struct PeersState {
     pub(super) config: ClusterConfig,
     /// Names of the classes of work, in the order of the settings.
@@ -80,20 +80,20 @@
     /// `None` where ejections are not shared.
     pub(super) ejections: Option<Ejections>,
     pub(super) status_log: StatusLog,
-    pub(super) parts: SharedParts,
+    pub(super) handles: SharedHandles,
 }
 
 impl PeersState {
-    /// The state of a front that has just started.
+    /// Creates the state of a front that has just started.
     ///
     /// # Errors
-    /// The configuration contradicts itself.
+    /// Returns an error if values of the configuration contradict each other.
     pub(super) fn new(
         now: Nanos,
         config: ClusterConfig,
         class_names: Vec<String>,
         incarnation: Incarnation,
-        parts: SharedParts,
+        handles: SharedHandles,
         registry: &Metrics,
     ) -> Result<PeersState, JoinError> {
         let limits_config = config.limits_config.clone();
@@ -107,28 +107,28 @@
             class_names,
             coordinator,
             limits: FleetLimits::default(),
-            parts,
+            handles,
         })
     }
 
-    /// Whether outlier ejection is decided with the peers.
+    /// Returns whether this front decides on outlier ejection together with its peers.
     pub(super) fn shares_ejections(&self) -> bool {
         self.ejections.is_some()
     }
 
-    /// Outlier ejection; `None` where it is not shared.
+    /// Returns the state of outlier ejection; `None` where it is not shared.
     pub(super) fn ejections_mut(&mut self) -> Option<&mut Ejections> {
         self.ejections.as_mut()
     }
 
-    /// Publishes the version of this program.
+    /// Publishes the version of this program as a gossip entry.
     pub(super) fn publish_version(&mut self, now: Nanos) {
         let version = env!("CARGO_PKG_VERSION").into();
         self.update_gossip(now, GossipInput::Put(VERSION_KEY, Some(version)));
     }
 
-    /// Feeds an event to the coordinator of the limits and carries out the effects. `source` is
-    /// where the message of the event came from. Returns the updates for the decision module.
+    /// Passes an event to the limit coordinator and applies the effects. `source` is the sender's
+    /// address if the event is a received message. Returns the updates for the decision module.
     pub(super) fn update_limits(
         &mut self,
         moment: Moment,
@@ -136,23 +136,23 @@
         source: Option<SocketAddr>,
         settings: &Settings,
     ) -> Vec<FleetUpdate> {
-        self.note_address_in_use(moment.now);
+        self.record_address_in_use(moment.now);
         let mut effects = Vec::new();
         self.coordinator.on(moment.now, event, &mut effects);
         self.apply_effects(moment, effects, source, settings)
     }
 
-    /// While another process has the address, this front counts as one that is just starting.
-    pub(super) fn note_address_in_use(&mut self, now: Nanos) {
-        if !self.parts.socket.is_bound() {
-            // The event has no effects: nothing changes but the time from which the start is
-            // counted.
+    /// Informs the limit coordinator if another process has the address: this front then counts as
+    /// just started.
+    pub(super) fn record_address_in_use(&mut self, now: Nanos) {
+        if !self.handles.socket.is_bound() {
+            // The event has no effects: it only changes the time from which the start is counted.
             self.coordinator
                 .on(now, Event::AddressInUse, &mut Vec::new());
         }
     }
 
-    /// Passes an input of the request tracker to outlier ejection, where it is shared. `name_of`
+    /// Passes an input of the request tracker to outlier ejection where it is shared. `name_of`
     /// returns the name of a node.
     pub(super) fn observe_input(
         &mut self,
@@ -164,14 +164,15 @@
             return;
         };
         if ejections.observe_input(now, input) {
-            self.parts.evaluation_due.notify_one();
+            self.handles.evaluation_due.notify_one();
         }
         if let Input::Endpoints { scope, nodes } = input {
             ejections.update_endpoints(*scope, nodes, name_of);
         }
     }
 
-    /// The updates that the decision module must have before an input of the request tracker.
+    /// Returns the updates that the decision module must process before an input of the request
+    /// tracker.
     pub(super) fn updates_before(
         &mut self,
         moment: Moment,
@@ -190,13 +191,13 @@
                 units: request.units,
             });
         }
-        self.note_address_in_use(moment.now);
+        self.record_address_in_use(moment.now);
         let effects = self.count_demands(moment.now, demands);
         updates.extend(self.apply_effects(moment, effects, None, settings));
         updates
     }
 
-    /// Passes demands to the coordinator; without any, has it expire leases that are due.
+    /// Passes demands to the coordinator. Without demands, lets it expire leases that are due.
     fn count_demands(&mut self, now: Nanos, demands: Vec<LimitDemand>) -> Vec<Effect> {
         let mut effects = Vec::new();
         if demands.is_empty() && now >= self.coordinator.next_expiry() {
@@ -209,8 +210,8 @@
         effects
     }
 
-    /// Applies the configured limits to this front's shares. Returns the updates for the decision
-    /// module.
+    /// Applies the configured limits, scaled to this front's shares. Returns the updates for the
+    /// decision module.
     pub(super) fn configure_limits(
         &mut self,
         moment: Moment,
@@ -251,7 +252,7 @@
                 Vec::new()
             }
             Effect::Received(status) => {
-                self.parts.metrics.count_heartbeat(status);
+                self.handles.metrics.count_heartbeat(status);
                 Vec::new()
             }
             Effect::ShareChanged { limit, share, at } => {
@@ -265,12 +266,12 @@
         }
     }
 
-    /// Feeds an input to gossip and carries out the actions.
+    /// Passes an input to the gossip store and carries out the resulting actions.
     pub(super) fn update_gossip(&mut self, now: Nanos, input: GossipInput) {
         let mut actions = Vec::new();
         let members = self.coordinator.members();
         if let Err(error) = self.gossip.on(now, members, input, &mut actions) {
-            log!("peers: entry not published: {error}");
+            log!("peers: gossip entry not published: {error}");
         }
         for action in actions {
             self.apply_gossip_action(action);
@@ -283,33 +284,34 @@
                 let address = self.config.membership_list.address(to);
                 self.send(address, &OutgoingMessage::Gossip(&message));
             }
-            GossipAction::Rejected(error) => self.parts.metrics.count_rejected_gossip(error),
-            // The console reads entries on request; only ejections depend on them at once.
+            GossipAction::Rejected(error) => self.handles.metrics.count_rejected_gossip(error),
+            // Only ejections must follow a change at once; the console reads entries on request.
             GossipAction::Changed(..) | GossipAction::Dropped(_) => {
-                self.parts.evaluation_due.notify_one();
+                self.handles.evaluation_due.notify_one();
             }
         }
     }
 
-    /// Sends a message; nothing where there is no address.
+    /// Sends a message, if there is an address to send it to.
     fn send(&self, to: Option<SocketAddr>, message: &OutgoingMessage) {
         let Some(to) = to else { return };
         let me = self.coordinator.config().me;
         let incarnation = self.coordinator.incarnation();
-        let sent = self.parts.socket.send(me, incarnation, to, message);
+        let sent = self.handles.socket.send(me, incarnation, to, message);
         if sent.is_err() {
-            self.parts.metrics.count_too_long();
+            self.handles.metrics.count_too_long();
         }
     }
 
-    /// Evaluates the observations of all fronts, and publishes those of this front.
+    /// Evaluates the observations of all fronts and publishes the changed gossip entries of this
+    /// front.
     pub(super) fn evaluate_ejections(&mut self, moment: Moment) -> Evaluation {
         let Some(ejections) = &mut self.ejections else {
             return Evaluation::default();
         };
         let changes = ejections.evaluate(moment.now, moment.module_now, &self.gossip);
         if ejections.is_waiting(moment.now) {
-            self.parts.evaluation_due.notify_one();
+            self.handles.evaluation_due.notify_one();
         }
         let has_new_entries = !changes.entries.is_empty();
         for EntryChange { key, value } in changes.entries {
@@ -345,7 +347,7 @@
     )
 }
 
-/// The request of an input, where its plan limits the rate of its volume.
+/// Returns the request that an input carries, if the request's plan limits the rate of its volume.
 fn volume_limited_request<'a>(input: &'a Input, settings: &Settings) -> Option<&'a Request> {
     let Input::RequestReceived(request) = input else {
         return None;
--- a/src/cluster/peers/status.rs
+++ b/src/cluster/peers/status.rs
@@ -1,5 +1,5 @@
-//! The status of the peers for operators: log lines about changes, gauges, and JSON for the
-//! console. The keys of the JSON are part of the console's interface.
+//! The status of this front and its peers for operators: log lines about changes, gauges, and JSON
+//! for the console. The keys of the JSON are part of the console's interface.
 
 use std::net::SocketAddr;
 
@@ -16,26 +16,26 @@
 use crate::cluster::membership_list::MembershipList;
 use crate::telemetry::log::log;
 
-/// What the log has last said, so that it says each change once.
+/// The status that was last logged, so that each change is logged once.
 pub(super) struct StatusLog {
-    /// The status of each front, by position.
+    /// The status of each front, by its position in the membership list.
     peers: Vec<PeerStatus>,
-    is_standby: bool,
+    is_suspended: bool,
 }
 
 impl StatusLog {
-    /// The log of a front that has heard none of its peers.
+    /// Creates the log of a front that has not heard from any peer.
     pub(super) fn new(fronts: usize) -> StatusLog {
         StatusLog {
             peers: vec![PeerStatus::Unknown; fronts],
-            is_standby: false,
+            is_suspended: false,
         }
     }
 
-    /// The log for another roster: no front of it has been mentioned.
+    /// Returns the log for another membership list, of which no front has been logged yet.
     pub(super) fn restarted(&self, fronts: usize) -> StatusLog {
         StatusLog {
-            is_standby: self.is_standby,
+            is_suspended: self.is_suspended,
             ..StatusLog::new(fronts)
         }
     }
@@ -60,78 +60,83 @@
         }
     }
 
-    /// Logs whether this front has begun or ceased to use no fleet-wide limit.
-    fn log_standby(
+    /// Logs if this front has become suspended or is no longer suspended.
+    fn log_suspension(
         &mut self,
-        is_standby: bool,
+        is_suspended: bool,
         coordinator: &LimitCoordinator,
         membership_list: &MembershipList,
         now: Nanos,
     ) {
-        if std::mem::replace(&mut self.is_standby, is_standby) == is_standby {
+        if std::mem::replace(&mut self.is_suspended, is_suspended) == is_suspended {
             return;
         }
-        if !is_standby {
-            log!("peers: standby ended: this front uses its shares of the fleet's limits");
+        if !is_suspended {
+            log!("peers: suspension ended: this front uses its shares of the fleet-wide limits");
         } else if coordinator.yields_to_roster(now) {
             let revision = coordinator.config().revision;
             log!(
-                "peers: standby, no share of the fleet's limits: other fronts have another roster of revision {revision}"
+                "peers: suspended without a share of the fleet-wide limits: other fronts have \
+                 another membership list of revision {revision}"
             );
         } else {
             let name = membership_list.name(coordinator.config().me);
-            log!("peers: standby, no share of the fleet's limits: another process has the name {name}");
+            log!(
+                "peers: suspended without a share of the fleet-wide limits: another process has \
+                 the name {name}"
+            );
         }
     }
 }
 
 /// This front's share of a configured limit.
 struct ConfiguredShare {
-    /// The limit's label in metrics and on the console.
+    /// Label of the limit in metrics and on the console.
     label: &'static str,
     share: Share,
 }
 
 impl PeersState {
-    /// The interval between two heartbeats in nanoseconds.
+    /// Returns the interval between two heartbeats, in nanoseconds.
     pub(super) fn heartbeat_interval(&self) -> u64 {
         self.coordinator.config().heartbeat_interval as u64
     }
 
-    /// Where this front receives the messages of its peers.
+    /// Returns the configured address at which this front receives the messages of its peers.
     pub(super) fn listen_address(&self) -> SocketAddr {
         self.config.listen
     }
 
-    /// Logs what has changed since the last call and sets the gauges.
+    /// Logs status changes since the last call and sets the gauges.
     pub(super) fn report_status(&mut self, now: Nanos) {
-        let is_standby = self.is_standby(now);
+        let is_suspended = self.is_suspended(now);
         let membership_list = &self.config.membership_list;
         self.status_log
             .log_peers(&self.coordinator, membership_list, now);
         self.status_log
-            .log_standby(is_standby, &self.coordinator, membership_list, now);
-        self.set_gauges(now, is_standby);
+            .log_suspension(is_suspended, &self.coordinator, membership_list, now);
+        self.set_gauges(now, is_suspended);
     }
 
-    fn set_gauges(&self, now: Nanos, is_standby: bool) {
+    fn set_gauges(&self, now: Nanos, is_suspended: bool) {
         let members = self.coordinator.members();
         let is_alive = |peer: &PeerId| members.status(now, *peer) == PeerStatus::Alive;
         let alive = members.others().filter(is_alive).count();
         let issuers_held = self.coordinator.issuers_held(now).len();
-        let metrics = &self.parts.metrics;
+        let metrics = &self.handles.metrics;
         metrics.alive.set(alive as i64);
         metrics.issuers_held.set(issuers_held as i64);
-        metrics.standby.set(i64::from(is_standby));
+        metrics.suspended.set(i64::from(is_suspended));
         for configured in self.configured_shares() {
             metrics.set_share(configured.label, configured.share);
         }
     }
 
-    /// Whether this front uses no fleet-wide limit, because another process has its name or its
-    /// address or because it yields to a conflicting roster.
-    fn is_standby(&self, now: Nanos) -> bool {
-        self.coordinator.is_standby(now) || !self.parts.socket.is_bound()
+    /// Returns whether this front is suspended: it has no share of any fleet-wide limit, because
+    /// another process has its name or its address or because it yields to a conflicting membership
+    /// list.
+    fn is_suspended(&self, now: Nanos) -> bool {
+        self.coordinator.is_standby(now) || !self.handles.socket.is_bound()
     }
 
     fn configured_shares(&self) -> impl Iterator<Item = ConfiguredShare> + '_ {
@@ -142,10 +147,10 @@
         self.limits.configured().limits().map(share_of)
     }
 
-    /// The status of all ejections, or of those of one chunk server, as JSON.
+    /// Returns the status of all ejections, or of those of one chunk server, as JSON.
     ///
     /// # Errors
-    /// Ejections are not shared, or there is no such server.
+    /// Returns an error if ejections are not shared or if there is no such server.
     pub(super) fn ejection_status(
         &self,
         now: Nanos,
@@ -166,7 +171,7 @@
         status.ok_or_else(unknown)
     }
 
-    /// The status of this front and of its peers as JSON.
+    /// Returns the status of this front and of its peers as JSON.
     pub(super) fn status(&self, now: Nanos) -> Value {
         let coordinator = &self.coordinator;
         let membership_list = &self.config.membership_list;
@@ -190,7 +195,7 @@
             "revision": coordinator.config().revision,
             "settled": coordinator.is_settled(),
             "just_started": coordinator.is_starting(now),
-            "standing_back": self.is_standby(now),
+            "standing_back": self.is_suspended(now),
             "other_roster": coordinator.yields_to_roster(now),
             "banks": issuers,
             "limits": limits,
@@ -223,12 +228,12 @@
     }
 }
 
-/// An incarnation as operators see it: 16 hexadecimal digits.
+/// Formats an incarnation for operators, as 16 hexadecimal digits.
 fn incarnation_text(incarnation: Incarnation) -> String {
     format!("{:016x}", incarnation.0)
 }
 
-/// The name of a peer's status in the log and on the console.
+/// Returns the name of a peer's status in the log and on the console.
 fn status_name(status: PeerStatus) -> &'static str {
     match status {
         PeerStatus::Unknown => "unheard",
--- a/src/cluster/peers/tasks.rs
+++ b/src/cluster/peers/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks that run for as long as the front: receiving, heartbeats, and the evaluation of
+//! The tasks that run as long as the front does: receiving, heartbeats, and the evaluation of
 //! ejections.
 
 use std::io;
@@ -14,15 +14,17 @@
 use crate::cluster::messages::IncomingMessage;
 use crate::cluster::socket::ReceivedDatagram;
 
-/// Pause before the next attempt to receive, after the system has reported an error.
+/// Pause before the next attempt to receive after an error, and to bind an address in use.
 const RECEIVE_RETRY_PAUSE: Duration = Duration::from_millis(10);
-/// Least time between two evaluations of ejections that observations trigger.
+/// Minimum time between two evaluations of ejections that observations trigger.
 const EVALUATION_PAUSE: Duration = Duration::from_millis(50);
-/// The random variation of the heartbeat interval, as a divisor of the interval: plus or minus 5%.
+/// Divisor of the heartbeat interval that gives the width of its random variation: a tenth of the
+/// interval, or plus or minus 5%.
 const HEARTBEAT_JITTER_DIVISOR: u64 = 10;
 
 impl Peers {
-    /// Sends a heartbeat to each peer after each interval, with a round of gossip.
+    /// After each heartbeat interval sends heartbeats and a round of gossip, evaluates ejections
+    /// and reports the status.
     pub(super) async fn heartbeat_loop(self: Rc<Self>) {
         loop {
             let interval = self.state.borrow().heartbeat_interval();
@@ -34,7 +36,7 @@
         }
     }
 
-    /// Evaluates ejections soon after gossip or an attempt calls for it.
+    /// Evaluates ejections soon after gossip or an attempt has made it necessary.
     pub(super) async fn evaluation_loop(self: Rc<Self>) {
         loop {
             self.evaluation_due.notified().await;
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Receives the messages of the peers, once the address can be bound.
+    /// Receives the messages of the peers; until the address is bound, tries to bind it.
     pub(super) async fn receive_loop(self: Rc<Self>) {
         let mut buffer = vec![0; MAX_MESSAGE_BYTES + 1];
         loop {
@@ -53,21 +55,21 @@
                 Some(Ok(ReceivedDatagram { length, source })) => {
                     self.receive(&buffer[..length], source)
                 }
-                // The system reports once that a peer's port is closed; an error that persists must
-                // not take all of the CPU.
+                // A closed port of a peer is reported once. The pause keeps a persistent error from
+                // using all of the CPU.
                 Some(Err(_)) => tokio::time::sleep(RECEIVE_RETRY_PAUSE).await,
                 None => self.retry_bind().await,
             }
         }
     }
 
-    /// Tries again to bind the address that another process has.
+    /// Tries again to bind the address, which another process has.
     async fn retry_bind(&self) {
         tokio::time::sleep(RECEIVE_RETRY_PAUSE).await;
         let address = self.state.borrow().listen_address();
-        // Before binding, so that the waiting time of a front that starts is counted from the
-        // moment of the bind.
-        self.state.borrow_mut().note_address_in_use(clock::now());
+        // Done before binding, so that the waiting period after a start is counted from the time
+        // of the bind.
+        self.state.borrow_mut().record_address_in_use(clock::now());
         retry_later(self.socket.bind(address));
     }
 
@@ -96,12 +98,12 @@
     }
 }
 
-/// An interval in nanoseconds with random variation, so that the fronts do not stay in step with
-/// each other.
+/// Adds random variation to an interval in nanoseconds, so that the fronts do not send their
+/// heartbeats in step.
 fn with_jitter(interval: u64) -> u64 {
     let jitter = interval / HEARTBEAT_JITTER_DIVISOR;
     interval - jitter / 2 + fastrand::u64(0..=jitter)
 }
 
-/// Ignores that the address is still in use: the receive loop tries again.
+/// Ignores an error of binding, such as an address still in use: the receive loop tries again.
 fn retry_later(_bound: io::Result<()>) {}
--- a/src/cluster/socket.rs
+++ b/src/cluster/socket.rs
@@ -1,4 +1,4 @@
-//! The UDP socket between fronts, with the authentication of each datagram.
+//! The UDP socket for messages between fronts, with the authentication of each datagram.
 
 use std::cell::OnceCell;
 use std::io;
@@ -15,32 +15,34 @@
 /// A socket that sends and receives authenticated messages.
 pub(super) struct PeerSocket {
     codec: EnvelopeCodec,
-    /// Empty while another process has the address.
+    /// Empty until the address can be bound: another process may have it.
     socket: OnceCell<UdpSocket>,
 }
 
 /// A datagram in the caller's buffer.
 pub(super) struct ReceivedDatagram {
-    /// Its length in bytes.
+    /// Length of the datagram in bytes.
     pub length: usize,
-    /// Its sender's address.
+    /// Address of the datagram's sender.
     pub source: SocketAddr,
 }
 
 impl PeerSocket {
-    /// Reads the shared key and binds the address. Where another process has the address, such as
-    /// this front's predecessor during an upgrade, the socket stays unbound until
+    /// Reads the shared key and binds the address. If another process has the address, such as the
+    /// previous process of this front during an upgrade, the socket stays unbound until
     /// [`PeerSocket::bind`] succeeds.
     ///
     /// # Errors
-    /// A key that cannot be read or used, or an address that cannot be bound for any other reason.
+    /// Returns an error if the key cannot be read or is invalid, or if the address cannot be bound
+    /// for another reason.
     pub(super) fn open(address: SocketAddr, key_file: &Path) -> Result<PeerSocket, JoinError> {
         let codec = read_key(key_file)?;
         let socket = match bind_socket(address) {
             Ok(socket) => OnceCell::from(socket),
             Err(error) if error.kind() == io::ErrorKind::AddrInUse => {
                 log!(
-                    "peers: standby, no share of the fleet's limits: another process has {address}"
+                    "peers: suspended without a share of the fleet-wide limits: another process \
+                     has the address {address}"
                 );
                 OnceCell::new()
             }
@@ -49,22 +51,22 @@
         Ok(PeerSocket { codec, socket })
     }
 
-    /// Whether the address is this process's.
+    /// Returns whether this process has bound the address.
     pub(super) fn is_bound(&self) -> bool {
         self.socket.get().is_some()
     }
 
-    /// Binds an address that was in use.
+    /// Binds an address that was in use when the socket was opened.
     ///
     /// # Errors
-    /// Where the address is still in use, or cannot be bound for another reason.
+    /// Returns an error if the address is still in use or cannot be bound for another reason.
     pub(super) fn bind(&self, address: SocketAddr) -> io::Result<()> {
         let socket = bind_socket(address)?;
-        ignore_bound_before(self.socket.set(socket));
+        ignore_already_bound(self.socket.set(socket));
         Ok(())
     }
 
-    /// Waits for the next datagram; `None` while the address is not bound.
+    /// Waits for the next datagram. Returns `None` at once while the address is not bound.
     pub(super) async fn receive(&self, buffer: &mut [u8]) -> Option<io::Result<ReceivedDatagram>> {
         match self.socket.get() {
             None => None,
@@ -78,7 +80,8 @@
     /// Authenticates and decodes a datagram.
     ///
     /// # Errors
-    /// A datagram that is damaged, of another version, or authenticated with another key.
+    /// Returns an error if the datagram is damaged, of another version, or authenticated with
+    /// another key.
     pub(super) fn decode(
         &self,
         datagram: &[u8],
@@ -86,11 +89,11 @@
         self.codec.open(datagram)
     }
 
-    /// Sends a message as this front's. A datagram that the system rejects is lost like any other:
-    /// later messages repeat its content.
+    /// Sends a message with `from` as the sender. A datagram that the operating system rejects is
+    /// treated like one lost on the network: later messages repeat its content.
     ///
     /// # Errors
-    /// A message that cannot be encoded, for it is too long.
+    /// Returns an error if the message is too long to be encoded.
     pub(super) fn send(
         &self,
         from: PeerId,
@@ -106,11 +109,11 @@
     }
 }
 
-/// Ignores a socket for a cell that has one: only the receive loop binds, and only while the cell is
-/// empty.
-fn ignore_bound_before(_result: Result<(), UdpSocket>) {}
+/// Ignores that the cell has a socket already: this cannot happen, since only the receive loop
+/// binds, and only while the cell is empty.
+fn ignore_already_bound(_result: Result<(), UdpSocket>) {}
 
-/// Ignores that the system has rejected a datagram: later messages repeat its content.
+/// Ignores that the operating system rejected a datagram: later messages repeat its content.
 fn ignore_lost_datagram(_result: io::Result<usize>) {}
 
 fn read_key(file: &Path) -> Result<EnvelopeCodec, JoinError> {
--- a/tests/cluster/config.rs
+++ b/tests/cluster/config.rs
@@ -1,4 +1,4 @@
-//! Reading `peers` of a front's file.
+//! Tests of the section `peers` of a front's file.
 
 use tulipbridge::cluster::config::ClusterConfig;
 use tulipbridge::cluster::errors::ClusterConfigError;
@@ -9,7 +9,7 @@
 const VALID: &str = r#"{"listen": "127.0.0.1:1", "key_file": "k",
     "roster": [{"name": "b", "address": "127.0.0.1:2"}, {"name": "a", "address": "127.0.0.1:3"}]}"#;
 
-/// Reads the text as the `peers` of the front `b`.
+/// Reads the text as the section `peers` of the front `b`.
 fn read(text: &str) -> Result<ClusterConfig, ClusterConfigError> {
     ClusterConfig::read(&json(text), "b")
 }
--- a/tests/cluster/ejection_config.rs
+++ b/tests/cluster/ejection_config.rs
@@ -1,4 +1,4 @@
-//! Reading `peers.verdicts` of a front's file.
+//! Tests of the section `peers.verdicts` of a front's file.
 
 use tulipbridge::cluster::ejections::EjectionConfig;
 use tulipbridge::control::json_object::JsonObjectError;
--- a/tests/cluster/limits.rs
+++ b/tests/cluster/limits.rs
@@ -1,4 +1,5 @@
-//! Reading `peers.limits` of a front's file, and what this front's shares of limits come to.
+//! Tests of the section `peers.limits` of a front's file, and of the rates that this front's shares
+//! of limits result in.
 
 use tulipbridge::cluster::limits::{ConfiguredLimits, FleetLimits, LimitRate, LimitUpdate};
 use tulipbridge::control::json_object::JsonObjectError;
@@ -38,7 +39,7 @@
     assert_eq!(
         limits.set_share(Limit::Volume(7), FULL_SHARE, &settings),
         [],
-        "it has had no request"
+        "the volume has had no request"
     );
     assert_eq!(limits.volume_requested(VolumeId(7), 0, &settings), None);
     assert_eq!(
@@ -81,7 +82,7 @@
     assert_eq!(updates, expected);
     let updates = limits.set_share(Limit::Retries, FULL_SHARE / 100, &settings);
     assert_eq!(updates, [update(SharedLimit::Retries, 0.2, 1.0)]);
-    // A new configuration applies to the share that this front has.
+    // A new configuration is scaled to the share that this front already has.
     let updates = limits.configure(
         read(&ALL.replace("64", "32")).expect("the limits are valid"),
         &settings,
--- a/tests/cluster/main.rs
+++ b/tests/cluster/main.rs
@@ -1,5 +1,5 @@
-//! The configuration of a front's peers, and the limits that the decision module is given by it. No
-//! process is started.
+//! Tests of the configuration of a front's peers, and of the limits that it passes to the decision
+//! module. No test starts a process.
 
 mod config;
 mod ejection_config;
