--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! This front among its peers: membership, limits shared by the whole fleet, and fleet-wide outlier
+//! Cooperation of this front with its peers: membership, fleet-wide limits, and fleet-wide outlier
 //! ejection.
 //!
 //! The state machines have no I/O and live in separate crates (`tulipbridge_membership`,
@@ -11,8 +11,8 @@
 pub mod errors;
 pub mod fields;
 pub mod limits;
+pub mod membership_list;
 mod messages;
 mod metrics;
 pub mod peers;
-pub mod roster;
 mod socket;
--- a/src/cluster/peers/status.rs
+++ b/src/cluster/peers/status.rs
@@ -1,5 +1,5 @@
-//! The status of the peers for operators: log lines about changes, gauges, and JSON for the
-//! console. The keys of the JSON are part of the console's interface.
+//! The status of this front and its peers for operators: log lines about changes, gauges, and JSON
+//! for the console. The keys of the JSON are part of the console's interface.
 
 use std::net::SocketAddr;
 
@@ -13,115 +13,130 @@
 use crate::cluster::ejections::DisplayNames;
 use crate::cluster::errors::EjectionStatusError;
 use crate::cluster::limits::LabeledLimit;
-use crate::cluster::roster::Roster;
+use crate::cluster::membership_list::MembershipList;
 use crate::telemetry::log::log;
 
-/// What the log has last said, so that it says each change once.
+/// The status that was last logged, so that each change is logged once.
 pub(super) struct StatusLog {
-    /// The status of each front, by position.
+    /// The status of each front, by its position in the membership list.
     peers: Vec<PeerStatus>,
-    is_standby: bool,
+    is_suspended: bool,
 }
 
 impl StatusLog {
-    /// The log of a front that has heard none of its peers.
+    /// Creates the log of a front that has not heard from any peer.
     pub(super) fn new(fronts: usize) -> StatusLog {
         StatusLog {
             peers: vec![PeerStatus::Unknown; fronts],
-            is_standby: false,
+            is_suspended: false,
         }
     }
 
-    /// The log for another roster: no front of it has been mentioned.
+    /// Returns the log for another membership list, of which no front has been logged yet.
     pub(super) fn restarted(&self, fronts: usize) -> StatusLog {
         StatusLog {
-            is_standby: self.is_standby,
+            is_suspended: self.is_suspended,
             ..StatusLog::new(fronts)
         }
     }
 
     /// Logs each peer whose status has changed.
-    fn log_peers(&mut self, coordinator: &LimitCoordinator, roster: &Roster, now: Nanos) {
+    fn log_peers(
+        &mut self,
+        coordinator: &LimitCoordinator,
+        membership_list: &MembershipList,
+        now: Nanos,
+    ) {
         for peer in coordinator.members().others() {
             let status = coordinator.members().status(now, peer);
             let previous = std::mem::replace(&mut self.peers[peer.index()], status);
             if previous != status {
-                log!("peers: {}: {}", roster.name(peer), status_name(status));
+                log!(
+                    "peers: {}: {}",
+                    membership_list.name(peer),
+                    status_name(status)
+                );
             }
         }
     }
 
-    /// Logs whether this front has begun or ceased to use no fleet-wide limit.
-    fn log_standby(
+    /// Logs if this front has become suspended or is no longer suspended.
+    fn log_suspension(
         &mut self,
-        is_standby: bool,
+        is_suspended: bool,
         coordinator: &LimitCoordinator,
-        roster: &Roster,
+        membership_list: &MembershipList,
         now: Nanos,
     ) {
-        if std::mem::replace(&mut self.is_standby, is_standby) == is_standby {
+        if std::mem::replace(&mut self.is_suspended, is_suspended) == is_suspended {
             return;
         }
-        if !is_standby {
-            log!("peers: standby ended: this front uses its shares of the fleet's limits");
+        if !is_suspended {
+            log!("peers: suspension ended: this front uses its shares of the fleet-wide limits");
         } else if coordinator.yields_to_membership_list(now) {
             let revision = coordinator.config().revision;
             log!(
-                "peers: standby, no share of the fleet's limits: other fronts have another roster of revision {revision}"
+                "peers: suspended without a share of the fleet-wide limits: other fronts have \
+                 another membership list of revision {revision}"
             );
         } else {
-            let name = roster.name(coordinator.config().me);
-            log!("peers: standby, no share of the fleet's limits: another process has the name {name}");
+            let name = membership_list.name(coordinator.config().me);
+            log!(
+                "peers: suspended without a share of the fleet-wide limits: another process has \
+                 the name {name}"
+            );
         }
     }
 }
 
 /// This front's share of a configured limit.
 struct ConfiguredShare {
-    /// The limit's label in metrics and on the console.
+    /// Label of the limit in metrics and on the console.
     label: &'static str,
     share: Share,
 }
 
 impl PeersState {
-    /// The interval between two heartbeats in nanoseconds.
+    /// Returns the interval between two heartbeats, in nanoseconds.
     pub(super) fn heartbeat_interval(&self) -> u64 {
         self.coordinator.config().heartbeat_interval as u64
     }
 
-    /// Where this front receives the messages of its peers.
+    /// Returns the configured address at which this front receives the messages of its peers.
     pub(super) fn listen_address(&self) -> SocketAddr {
         self.config.listen
     }
 
-    /// Logs what has changed since the last call and sets the gauges.
+    /// Logs status changes since the last call and sets the gauges.
     pub(super) fn report_status(&mut self, now: Nanos) {
-        let is_standby = self.is_standby(now);
-        let roster = &self.config.roster;
-        self.status_log.log_peers(&self.coordinator, roster, now);
+        let is_suspended = self.is_suspended(now);
+        let membership_list = &self.config.membership_list;
+        self.status_log
+            .log_peers(&self.coordinator, membership_list, now);
         self.status_log
-            .log_standby(is_standby, &self.coordinator, roster, now);
-        self.set_gauges(now, is_standby);
+            .log_suspension(is_suspended, &self.coordinator, membership_list, now);
+        self.set_gauges(now, is_suspended);
     }
 
-    fn set_gauges(&self, now: Nanos, is_standby: bool) {
+    fn set_gauges(&self, now: Nanos, is_suspended: bool) {
         let members = self.coordinator.members();
         let is_alive = |peer: &PeerId| members.status(now, *peer) == PeerStatus::Alive;
         let alive = members.others().filter(is_alive).count();
         let issuers_held = self.coordinator.issuers_held(now).len();
-        let metrics = &self.parts.metrics;
+        let metrics = &self.handles.metrics;
         metrics.alive.set(alive as i64);
         metrics.issuers_held.set(issuers_held as i64);
-        metrics.standby.set(i64::from(is_standby));
+        metrics.suspended.set(i64::from(is_suspended));
         for configured in self.configured_shares() {
             metrics.set_share(configured.label, configured.share);
         }
     }
 
-    /// Whether this front uses no fleet-wide limit, because another process has its name or its
-    /// address or because it yields to a conflicting roster.
-    fn is_standby(&self, now: Nanos) -> bool {
-        self.coordinator.is_standby(now) || !self.parts.socket.is_bound()
+    /// Returns whether this front is suspended: it has no share of any fleet-wide limit, because
+    /// another process has its name or its address or because it yields to a conflicting membership
+    /// list.
+    fn is_suspended(&self, now: Nanos) -> bool {
+        self.coordinator.is_standby(now) || !self.handles.socket.is_bound()
     }
 
     fn configured_shares(&self) -> impl Iterator<Item = ConfiguredShare> + '_ {
@@ -132,10 +147,10 @@
         self.limits.configured().limits().map(share_of)
     }
 
-    /// The status of all ejections, or of those of one chunk server, as JSON.
+    /// Returns the status of all ejections, or of those of one chunk server, as JSON.
     ///
     /// # Errors
-    /// Ejections are not shared, or there is no such server.
+    /// Returns an error if ejections are not shared or if there is no such server.
     pub(super) fn ejection_status(
         &self,
         now: Nanos,
@@ -146,8 +161,8 @@
             .as_ref()
             .ok_or(EjectionStatusError::NotShared)?;
         let names = DisplayNames {
-            fronts: &self.config.roster.names(),
-            zones: self.config.roster.zones(),
+            fronts: &self.config.membership_list.names(),
+            zones: self.config.membership_list.zones(),
             classes: &self.class_names,
         };
         let status = ejections.status(now, &self.gossip, &names, server_name);
@@ -156,10 +171,10 @@
         status.ok_or_else(unknown)
     }
 
-    /// The status of this front and of its peers as JSON.
+    /// Returns the status of this front and of its peers as JSON.
     pub(super) fn status(&self, now: Nanos) -> Value {
         let coordinator = &self.coordinator;
-        let roster = &self.config.roster;
+        let membership_list = &self.config.membership_list;
         let peers: Vec<Value> = coordinator
             .members()
             .others()
@@ -168,19 +183,19 @@
         let issuers: Vec<&str> = coordinator
             .issuers_held(now)
             .into_iter()
-            .map(|issuer| roster.name(issuer))
+            .map(|issuer| membership_list.name(issuer))
             .collect();
         let limits: Vec<Value> = self
             .configured_shares()
             .map(|limit| json!({"limit": limit.label, "part": limit.share.as_fraction()}))
             .collect();
         json!({
-            "name": roster.name(coordinator.config().me),
+            "name": membership_list.name(coordinator.config().me),
             "boot": incarnation_text(coordinator.incarnation()),
             "revision": coordinator.config().revision,
             "settled": coordinator.is_settled(),
             "just_started": coordinator.is_starting(now),
-            "standing_back": self.is_standby(now),
+            "standing_back": self.is_suspended(now),
             "other_roster": coordinator.yields_to_membership_list(now),
             "banks": issuers,
             "limits": limits,
@@ -189,17 +204,17 @@
     }
 
     fn peer_json(&self, peer: PeerId, now: Nanos) -> Value {
-        let roster = &self.config.roster;
+        let membership_list = &self.config.membership_list;
         let report = self.coordinator.peer_report(now, peer);
         let version = self.gossip.get(now, peer, VERSION_KEY);
         let heard_by: Vec<&str> = report
             .reachable_from
             .iter()
-            .map(|other| roster.name(*other))
+            .map(|other| membership_list.name(*other))
             .collect();
         json!({
-            "name": roster.name(peer),
-            "address": roster.members()[peer.index()].address.to_string(),
+            "name": membership_list.name(peer),
+            "address": membership_list.members()[peer.index()].address.to_string(),
             "belief": status_name(report.status),
             "boot": report.incarnation.map(incarnation_text),
             "silent_ms": report.silent_for.map(millis),
@@ -213,12 +228,12 @@
     }
 }
 
-/// An incarnation as operators see it: 16 hexadecimal digits.
+/// Formats an incarnation for operators, as 16 hexadecimal digits.
 fn incarnation_text(incarnation: Incarnation) -> String {
     format!("{:016x}", incarnation.0)
 }
 
-/// The name of a peer's status in the log and on the console.
+/// Returns the name of a peer's status in the log and on the console.
 fn status_name(status: PeerStatus) -> &'static str {
     match status {
         PeerStatus::Unknown => "unheard",
