--- a/src/frontend/body.rs
+++ b/src/frontend/body.rs
@@ -35,15 +35,16 @@
     start_by: Instant,
     budget: &Arc<BodyBudget>,
 ) -> Result<ReceivedBody, StatusCode> {
-    let announced = body.size_hint().lower();
-    if announced > MAX_REQUEST_BODY as u64 {
+    let declared_length = body.size_hint().lower();
+    if declared_length > MAX_REQUEST_BODY as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
     // The check above makes the length fit.
-    let announced = announced as usize;
-    let mut reservation = BodyReservation::acquire(budget, announced).map_err(status_of)?;
+    let declared_length = declared_length as usize;
+    let mut reservation =
+        BodyReservation::acquire(budget, declared_length).map_err(overload_status)?;
     // A client may announce a long body and send none, so only a usual one gets its buffer at once.
-    let mut bytes = BytesMut::with_capacity(announced.min(MAX_BODY));
+    let mut bytes = BytesMut::with_capacity(declared_length.min(MAX_BODY));
     let mut frame_deadline = start_by;
     loop {
         let frame = timeout_at(frame_deadline, body.frame()).await;
@@ -56,7 +57,7 @@
             if length > MAX_REQUEST_BODY {
                 return Err(StatusCode::PAYLOAD_TOO_LARGE);
             }
-            reservation.grow(length).map_err(status_of)?;
+            reservation.grow(length).map_err(overload_status)?;
             bytes.extend_from_slice(&data);
         }
         frame_deadline = Instant::now() + BODY_IDLE_TIMEOUT;
@@ -68,6 +69,6 @@
 }
 
 /// The status of a request whose body finds no memory.
-fn status_of(BodyBudgetExhausted: BodyBudgetExhausted) -> StatusCode {
+fn overload_status(BodyBudgetExhausted: BodyBudgetExhausted) -> StatusCode {
     StatusCode::SERVICE_UNAVAILABLE
 }
--- a/src/frontend/client_state.rs
+++ b/src/frontend/client_state.rs
@@ -24,7 +24,7 @@
     /// Notified when the listener wants the connection closed.
     eviction: Notify,
     /// Notified after each event on the connection.
-    change: Notify,
+    state_changed: Notify,
 }
 
 /// How far the requests on a connection have come.
@@ -52,7 +52,7 @@
             clock,
             socket,
             eviction: Notify::new(),
-            change: Notify::new(),
+            state_changed: Notify::new(),
         })
     }
 
@@ -75,7 +75,7 @@
                 | ClientEvent::RequestReceived => {}
             }
         });
-        self.change.notify_one();
+        self.state_changed.notify_one();
     }
 
     /// By when the present request must have arrived completely.
@@ -157,16 +157,16 @@
     }
 
     /// Returns once the connection is evicted.
-    pub(super) async fn evicted(&self) {
+    pub(super) async fn wait_for_eviction(&self) {
         self.eviction.notified().await;
     }
 
-    /// Returns at the next event on the connection, and after `longest_wait` at the latest.
-    pub(super) async fn wait_for_event(&self, longest_wait: Duration) {
+    /// Returns at the next event on the connection, and after `max_wait` at the latest.
+    pub(super) async fn wait_for_event(&self, max_wait: Duration) {
         tokio::select! {
             biased;
-            () = self.change.notified() => {}
-            () = sleep(longest_wait) => {}
+            () = self.state_changed.notified() => {}
+            () = sleep(max_wait) => {}
         }
     }
 
--- a/src/frontend/clock.rs
+++ b/src/frontend/clock.rs
@@ -26,11 +26,11 @@
 
     /// The instant at which this clock shows `time`; a negative time becomes the start.
     pub fn instant(&self, time: Nanos) -> Instant {
-        self.started_at + duration(time)
+        self.started_at + to_duration(time)
     }
 }
 
 /// A span of the state machines' time; a negative one becomes zero.
-pub(super) fn duration(time: Nanos) -> Duration {
+pub(super) fn to_duration(time: Nanos) -> Duration {
     Duration::from_nanos(time.max(0) as u64)
 }
--- a/src/frontend/connection.rs
+++ b/src/frontend/connection.rs
@@ -24,7 +24,7 @@
 use super::lingering_close::LingeringClose;
 use super::listener::Handler;
 use super::listener_status::ListenerStatus;
-use super::replies::{closing, listener_overloaded, Reply};
+use super::replies::{listener_overloaded, with_connection_close, Reply};
 use super::request_framer::MAX_HEAD_BYTES;
 use super::response_body::{OpenRequest, ResponseBody};
 use crate::body_budget::BodyBudget;
@@ -32,7 +32,7 @@
 use crate::telemetry::trace;
 
 /// How often a listener that shuts down checks whether a request that was arriving is complete.
-const ARRIVAL_POLL: Duration = Duration::from_millis(5);
+const ARRIVAL_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Serves the connections of a listener, whose tasks share it.
 pub(super) struct ConnectionService<H> {
@@ -103,12 +103,12 @@
         admission: Admission,
     ) {
         let service = service_fn(|request| async move {
-            let open = OpenRequest::new(client, &self.status);
+            let open_request = OpenRequest::new(client, &self.status);
             let reply = match admission {
                 Admission::Served => self.answer(request, client).await,
                 Admission::Rejected => listener_overloaded(),
             };
-            Ok::<_, Infallible>(reply.map(|body| ResponseBody::new(body, open)))
+            Ok::<_, Infallible>(reply.map(|body| ResponseBody::new(body, open_request)))
         });
         let connection = http1::Builder::new()
             .keep_alive(admission == Admission::Served)
@@ -144,7 +144,7 @@
         let request = with_body(head, received);
         let reply = self.handler.answer(request, shutting_down).await;
         if rejection.is_some() || client.is_last_request() {
-            closing(reply)
+            with_connection_close(reply)
         } else {
             reply
         }
@@ -215,6 +215,6 @@
     }
     while client.is_arriving() {
         // Data in the socket's buffer causes no event, so the state is polled as well.
-        client.wait_for_event(ARRIVAL_POLL).await;
+        client.wait_for_event(ARRIVAL_POLL_INTERVAL).await;
     }
 }
--- a/src/frontend/connection_table.rs
+++ b/src/frontend/connection_table.rs
@@ -19,7 +19,7 @@
 /// wait in the kernel's queue.
 const REJECTION_SLOTS: usize = 16;
 /// The shortest time between two log lines about the connection limit.
-const FULL_LOG_INTERVAL: Duration = Duration::from_secs(1);
+const LIMIT_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Key of a connection in the table of its listener; never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -58,7 +58,7 @@
     /// How many connections were ever registered, which is also the next id.
     registered: u64,
     /// When the log last named the connection limit.
-    full_logged_at: Option<Instant>,
+    limit_logged_at: Option<Instant>,
 }
 
 impl ConnectionTable {
@@ -98,7 +98,7 @@
         let id = ConnectionId(open.registered);
         open.registered += 1;
         let admission = if self.limiter.is_full(open.clients.len()) {
-            open.log_full();
+            open.log_limit_reached();
             Admission::Rejected
         } else {
             Admission::Served
@@ -145,16 +145,16 @@
 }
 
 impl OpenConnections {
-    /// Logs how many connections are in each phase, at most once in [`FULL_LOG_INTERVAL`].
-    fn log_full(&mut self) {
+    /// Logs how many connections are in each phase, at most once in [`LIMIT_LOG_INTERVAL`].
+    fn log_limit_reached(&mut self) {
         let now = Instant::now();
         if self
-            .full_logged_at
-            .is_some_and(|logged| now - logged < FULL_LOG_INTERVAL)
+            .limit_logged_at
+            .is_some_and(|logged| now - logged < LIMIT_LOG_INTERVAL)
         {
             return;
         }
-        self.full_logged_at = Some(now);
+        self.limit_logged_at = Some(now);
         let mut counts: Vec<(Phase, usize)> = Vec::new();
         for phase in self.clients.values().map(|client| client.phase()) {
             match counts.iter_mut().find(|(counted, _)| *counted == phase) {
@@ -190,7 +190,7 @@
     /// since its eviction is registered again.
     pub(super) async fn closed_by_eviction(&self) {
         loop {
-            self.client.evicted().await;
+            self.client.wait_for_eviction().await;
             if self.client.may_close_now() {
                 return;
             }
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -17,7 +17,7 @@
 use tulipbridge_core::Nanos;
 
 use super::body::MAX_REQUEST_BODY;
-use super::clock::{duration, ListenerClock};
+use super::clock::{to_duration, ListenerClock};
 use super::connection::ConnectionService;
 use super::connection_table::{ConnectionTable, EvictionScope};
 use super::listener_status::ListenerStatus;
@@ -26,7 +26,7 @@
 use crate::telemetry::log::log;
 
 /// How often connections are checked for timeouts.
-const TIMEOUT_POLL: Duration = Duration::from_millis(100);
+const TIMEOUT_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// How long the accept loop waits where no connection can be evicted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 /// How long the accept loop waits after an error of `accept`.
@@ -122,7 +122,7 @@
         let longest_deadline = self.service.handler().longest_deadline().as_nanos() as Nanos;
         let mut shutdown = GracefulShutdown::new(started, longest_deadline);
         let first_step = shutdown.first_step();
-        let answer_within = duration(shutdown.answer_deadline() - started);
+        let answer_within = to_duration(shutdown.answer_deadline() - started);
         self.service.handler().begin_shutdown(answer_within);
         let last_step = self
             .accept_late_clients(&socket, &mut shutdown, first_step)
@@ -144,7 +144,7 @@
         mut step: ShutdownStep,
     ) -> ShutdownStep {
         while let ShutdownStep::Accept(within) = step {
-            let event = match timeout(duration(within), self.accept_one(socket)).await {
+            let event = match timeout(to_duration(within), self.accept_one(socket)).await {
                 Ok(()) => ShutdownEvent::Accepted,
                 Err(_) => ShutdownEvent::AcceptTimedOut,
             };
@@ -164,7 +164,7 @@
                     .max(self.status.active_requests()),
             };
             match shutdown.on(self.clock.now(), poll) {
-                ShutdownStep::Wait(time) => sleep(duration(time)).await,
+                ShutdownStep::Wait(time) => sleep(to_duration(time)).await,
                 ShutdownStep::Exit | ShutdownStep::Accept(_) | ShutdownStep::StopAccepting => {
                     return
                 }
@@ -257,7 +257,7 @@
     /// Evicts connections whose timeouts have passed, until it is dropped.
     async fn evict_timed_out_forever(&self) {
         loop {
-            sleep(TIMEOUT_POLL).await;
+            sleep(TIMEOUT_POLL_INTERVAL).await;
             self.connections.evict_timed_out();
         }
     }
--- a/src/frontend/platform/mod.rs
+++ b/src/frontend/platform/mod.rs
@@ -30,9 +30,9 @@
 pub use self::request_tables::{ReloadedSettings, RequestTables};
 
 /// Header with the transaction id of a request.
-const TRANSACTION_ID: &str = "x-txn";
+const TRANSACTION_ID_HEADER: &str = "x-txn";
 /// Header with the class of a request.
-const CLASS: &str = "x-lane";
+const CLASS_HEADER: &str = "x-lane";
 
 /// Headers that are forwarded to the chunk server beside the transaction id. The cookie names the
 /// block and the idempotency key the operation, by which the server recognises a repeated request.
@@ -65,7 +65,7 @@
         ) {
             return reply;
         }
-        let class = single_value(request.headers(), CLASS).map(str::to_owned);
+        let class = single_value(request.headers(), CLASS_HEADER).map(str::to_owned);
         let reply = self
             .forward(request)
             .await
@@ -116,14 +116,14 @@
             .open_transactions
             .open(parsed.transaction_id)
             .ok_or_else(|| plain(StatusCode::CONFLICT, "X-Txn names a request that is open"))?;
-        let payload = self.payload(head, body, parsed.request.class);
+        let payload = self.build_payload(head, body, parsed.request.class);
         let response = self.exchange.submit(parsed.request, payload).await;
         Ok(into_reply(response))
     }
 
     /// What the chunk server gets of a request.
-    fn payload(&self, mut head: Parts, body: Bytes, class: usize) -> Payload {
-        let id = head.headers.get(TRANSACTION_ID).cloned();
+    fn build_payload(&self, mut head: Parts, body: Bytes, class: usize) -> Payload {
+        let id = head.headers.get(TRANSACTION_ID_HEADER).cloned();
         Payload {
             id: id.unwrap_or(HeaderValue::from_static("")),
             headers: forwarded_headers(&head.headers),
--- a/src/frontend/platform/request_parser.rs
+++ b/src/frontend/platform/request_parser.rs
@@ -6,14 +6,14 @@
 use tulipbridge_core::{KeyId, Nanos, RequestId, ShardId, VolumeId};
 
 use super::request_tables::{OperationLimits, RequestTables};
-use super::{CLASS, TRANSACTION_ID};
+use super::{CLASS_HEADER, TRANSACTION_ID_HEADER};
 
 /// Header with the plan of a request.
-const PLAN: &str = "x-plan";
+const PLAN_HEADER: &str = "x-plan";
 /// Header with the time that the client still waits.
-const REMAINING: &str = "x-remaining";
+const REMAINING_TIME_HEADER: &str = "x-remaining";
 /// Header with the list of fields that describe the operation.
-const OPERATION: &str = "x-io";
+const OPERATION_HEADER: &str = "x-io";
 /// Prefix of the cookie that names the block.
 const BLOCK_COOKIE: &str = "block=";
 /// Digits of an id in hexadecimal.
@@ -89,8 +89,8 @@
         method: &Method,
         headers: &HeaderMap,
     ) -> Result<ParsedRequest, RequestError> {
-        let transaction_id = single_value(headers, TRANSACTION_ID)
-            .and_then(hex_id)
+        let transaction_id = single_value(headers, TRANSACTION_ID_HEADER)
+            .and_then(parse_hex_id)
             .ok_or(RequestError::InvalidTransactionId)?;
         let class = self.parse_class(headers)?;
         let writes = self.writes(class, method);
@@ -99,19 +99,20 @@
             return Err(RequestError::WrongMethod);
         }
         let plan = self.parse_plan(headers)?;
-        let patience = single_value(headers, REMAINING)
-            .and_then(parse_remaining)
+        let client_timeout = single_value(headers, REMAINING_TIME_HEADER)
+            .and_then(parse_remaining_time)
             .ok_or(RequestError::InvalidRemaining)?;
-        let operation = single_value(headers, OPERATION).ok_or(RequestError::MissingOperation)?;
+        let operation =
+            single_value(headers, OPERATION_HEADER).ok_or(RequestError::MissingOperation)?;
         let operation = Operation::parse(operation, self.operation_limits())?;
-        let shard = operation.shard(writes)?;
+        let shard = operation.required_shard(writes)?;
         let request = core::Request {
             id: RequestId(0),
             class,
             plan,
             volume: VolumeId(operation.volume.ok_or(RequestError::InvalidVolume)?),
-            key: block_id(headers)?.map(KeyId),
-            client_timeout: patience,
+            key: parse_block_id(headers)?.map(KeyId),
+            client_timeout,
             units: operation.units.ok_or(RequestError::InvalidUnits)? as f64,
             shard,
             front_count: operation
@@ -126,13 +127,13 @@
 
     /// The class that the headers name.
     fn parse_class(&self, headers: &HeaderMap) -> Result<usize, RequestError> {
-        let name = single_value(headers, CLASS).ok_or(RequestError::MissingClass)?;
+        let name = single_value(headers, CLASS_HEADER).ok_or(RequestError::MissingClass)?;
         self.class_index(name).ok_or(RequestError::UnknownClass)
     }
 
     /// The plan that the headers name.
     fn parse_plan(&self, headers: &HeaderMap) -> Result<usize, RequestError> {
-        let name = single_value(headers, PLAN).ok_or(RequestError::MissingPlan)?;
+        let name = single_value(headers, PLAN_HEADER).ok_or(RequestError::MissingPlan)?;
         self.plan_index(name).ok_or(RequestError::UnknownPlan)
     }
 }
@@ -140,7 +141,7 @@
 impl Operation {
     /// Parses `name=value` fields separated by commas; unknown names are ignored.
     fn parse(header: &str, limits: OperationLimits) -> Result<Operation, RequestError> {
-        let last_shard = i64::from(limits.shards) - 1;
+        let last_shard = i64::from(limits.shard_count) - 1;
         let mut operation = Operation::default();
         for field in header.split(',') {
             let (name, value) = field
@@ -148,11 +149,11 @@
                 .split_once('=')
                 .ok_or(RequestError::MalformedOperation)?;
             match name {
-                "volume" => operation.volume = hex_id(value),
+                "volume" => operation.volume = parse_hex_id(value),
                 "units" => operation.units = integer_between(value, 1, limits.max_units as i64),
                 "shard" => operation.shard = integer_between(value, ANY_SHARD, last_shard),
                 "hosts" => {
-                    operation.front_count = integer_between(value, 1, i64::from(limits.fronts));
+                    operation.front_count = integer_between(value, 1, i64::from(limits.max_fronts));
                 }
                 _ => {}
             }
@@ -162,7 +163,7 @@
 
     /// The shard that must serve the operation; `None` where the front may choose it, which it may
     /// for writes alone.
-    fn shard(&self, writes: bool) -> Result<Option<ShardId>, RequestError> {
+    fn required_shard(&self, writes: bool) -> Result<Option<ShardId>, RequestError> {
         let shard = self.shard.ok_or(RequestError::InvalidShard)?;
         if shard < 0 && !writes {
             return Err(RequestError::MissingShard);
@@ -180,7 +181,7 @@
 
 /// An id of exactly [`ID_DIGITS`] hexadecimal digits. `from_str_radix` alone would accept a sign
 /// and fewer digits.
-fn hex_id(value: &str) -> Option<u64> {
+fn parse_hex_id(value: &str) -> Option<u64> {
     let is_valid = value.len() == ID_DIGITS && value.bytes().all(|byte| byte.is_ascii_hexdigit());
     u64::from_str_radix(value, 16).ok().filter(|_| is_valid)
 }
@@ -194,7 +195,7 @@
 }
 
 /// The block that a request concerns, from its cookies.
-fn block_id(headers: &HeaderMap) -> Result<Option<u64>, RequestError> {
+fn parse_block_id(headers: &HeaderMap) -> Result<Option<u64>, RequestError> {
     let values = headers
         .get_all(COOKIE)
         .iter()
@@ -202,12 +203,12 @@
     let mut cookies = values.flat_map(|value| value.split(';'));
     let block = cookies.find_map(|cookie| cookie.trim().strip_prefix(BLOCK_COOKIE));
     block
-        .map(|digits| hex_id(digits).ok_or(RequestError::InvalidBlock))
+        .map(|digits| parse_hex_id(digits).ok_or(RequestError::InvalidBlock))
         .transpose()
 }
 
 /// Parses a time such as `480m` (milliseconds) or `480000u` (microseconds).
-fn parse_remaining(value: &str) -> Option<Nanos> {
+fn parse_remaining_time(value: &str) -> Option<Nanos> {
     let nanos = if let Some(milliseconds) = value.strip_suffix('m') {
         milliseconds.parse::<f64>().ok()? * NANOS_PER_MILLISECOND
     } else {
--- a/src/frontend/platform/request_tables.rs
+++ b/src/frontend/platform/request_tables.rs
@@ -27,9 +27,9 @@
     /// Metrics of each class, in the order of `classes`.
     metrics: Vec<ClassMetrics>,
     /// Number of shards.
-    shards: u32,
+    shard_count: u32,
     /// The largest number of fronts that a volume's requests may come through.
-    fronts: u32,
+    max_fronts: u32,
     /// The most units of a request.
     max_units: f64,
 }
@@ -38,9 +38,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OperationLimits {
     /// Number of shards.
-    pub shards: u32,
+    pub shard_count: u32,
     /// The largest number of fronts that a volume's requests may come through.
-    pub fronts: u32,
+    pub max_fronts: u32,
     /// The most units of a request.
     pub max_units: f64,
 }
@@ -61,8 +61,8 @@
             classes: VersionedTable::new(class_entries(config)),
             plans: VersionedTable::new(plan_entries(config)),
             metrics: Vec::new(),
-            shards: config.shards,
-            fronts: config.settings.front_count,
+            shard_count: config.shards,
+            max_fronts: config.settings.front_count,
             max_units: config.settings.max_units,
         };
         tables.add_class_metrics(metrics);
@@ -73,8 +73,8 @@
     pub fn reload(&mut self, config: Config, metrics: &Metrics) -> ReloadedSettings {
         let replaced_classes = self.classes.reload(class_entries(&config));
         self.plans.reload(plan_entries(&config));
-        self.shards = config.shards;
-        self.fronts = config.settings.front_count;
+        self.shard_count = config.shards;
+        self.max_fronts = config.settings.front_count;
         self.max_units = config.settings.max_units;
         self.add_class_metrics(metrics);
         let classes = self
@@ -119,8 +119,8 @@
     /// The values that the fields of an operation may have.
     pub(super) fn operation_limits(&self) -> OperationLimits {
         OperationLimits {
-            shards: self.shards,
-            fronts: self.fronts,
+            shard_count: self.shard_count,
+            max_fronts: self.max_fronts,
             max_units: self.max_units,
         }
     }
--- a/src/frontend/platform/streaming.rs
+++ b/src/frontend/platform/streaming.rs
@@ -17,7 +17,7 @@
 
 /// Parts of a body that are buffered between chunk server and client; the server is read no faster
 /// than the client reads.
-const BUFFERED_PARTS: usize = 2;
+const BUFFERED_FRAMES: usize = 2;
 
 /// Factor of a time in seconds.
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
@@ -29,7 +29,7 @@
     bytes: usize,
     /// The length that the chunk server announced.
     #[serde(rename = "of")]
-    announced_bytes: Option<u64>,
+    content_length: Option<u64>,
     #[serde(rename = "ms")]
     milliseconds: f64,
     end: &'static str,
@@ -61,7 +61,7 @@
 /// The task that copies the body ends with the body, with the server's connection, or at the first
 /// part that the client no longer takes.
 pub(super) fn stream_response(streamed: StreamedBody) -> Reply {
-    let (sender, body) = Channel::new(BUFFERED_PARTS);
+    let (sender, body) = Channel::new(BUFFERED_FRAMES);
     let length = streamed.length;
     spawn_local(BodyCopy::new(streamed, sender).run());
     let mut reply = Response::new(Either::Right(body));
@@ -137,11 +137,11 @@
     }
 
     /// The event of the decision trace at the end of the body, after the time `took`.
-    fn trace_event(&self, end: StreamEnd, took: Duration) -> BodyStreamed {
+    fn trace_event(&self, end: StreamEnd, elapsed: Duration) -> BodyStreamed {
         BodyStreamed {
             bytes: self.bytes_forwarded,
-            announced_bytes: self.streamed.length,
-            milliseconds: took.as_secs_f64() * MILLISECONDS_PER_SECOND,
+            content_length: self.streamed.length,
+            milliseconds: elapsed.as_secs_f64() * MILLISECONDS_PER_SECOND,
             end: end.trace_name(),
         }
     }
--- a/src/frontend/platform/transactions.rs
+++ b/src/frontend/platform/transactions.rs
@@ -14,18 +14,21 @@
     /// be distinguished.
     pub(super) fn open(&self, id: u64) -> Option<OpenTransaction<'_>> {
         let inserted = self.ids.borrow_mut().insert(id);
-        inserted.then(|| OpenTransaction { open: self, id })
+        inserted.then(|| OpenTransaction {
+            transactions: self,
+            id,
+        })
     }
 }
 
 /// An open transaction, until it is dropped.
 pub(super) struct OpenTransaction<'a> {
-    open: &'a OpenTransactions,
+    transactions: &'a OpenTransactions,
     id: u64,
 }
 
 impl Drop for OpenTransaction<'_> {
     fn drop(&mut self) {
-        self.open.ids.borrow_mut().remove(&self.id);
+        self.transactions.ids.borrow_mut().remove(&self.id);
     }
 }
--- a/src/frontend/replies.rs
+++ b/src/frontend/replies.rs
@@ -61,11 +61,11 @@
 
 /// Rejects a request and closes its connection: the listener has no capacity for it.
 pub(super) fn listener_overloaded() -> Reply {
-    closing(rejected(REJECTION_RETRY_AFTER))
+    with_connection_close(rejected(REJECTION_RETRY_AFTER))
 }
 
 /// Closes the connection after this response.
-pub(super) fn closing(mut reply: Reply) -> Reply {
+pub(super) fn with_connection_close(mut reply: Reply) -> Reply {
     reply
         .headers_mut()
         .insert(CONNECTION, HeaderValue::from_static("close"));
--- a/src/frontend/request_framer.rs
+++ b/src/frontend/request_framer.rs
@@ -95,8 +95,8 @@
                     NextStep::ReadSocket
                 }
             }
-            ReadState::Complete if self.is_answered() => self.next_request(),
-            ReadState::Complete => self.discard(),
+            ReadState::Complete if self.is_answered() => self.begin_next_request(),
+            ReadState::Complete => self.discard_early_bytes(),
             ReadState::Body(_) | ReadState::PassThrough if self.buffer.is_empty() => {
                 NextStep::ReadSocket
             }
@@ -141,7 +141,7 @@
             .position(|window| window == HEAD_END);
         let Some(end) = end else {
             if self.buffer.len() >= MAX_HEAD_BYTES {
-                self.fail(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
+                self.reject_request(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
             }
             return;
         };
@@ -158,7 +158,7 @@
                 self.client.on(ClientEvent::BodyStarted);
                 self.state = ReadState::PassThrough;
             }
-            Err(status) => self.fail(status),
+            Err(status) => self.reject_request(status),
         }
     }
 
@@ -173,7 +173,7 @@
     }
 
     /// Has the present request answered with `status`, whatever its bytes are to hyper.
-    fn fail(&mut self, status: StatusCode) {
+    fn reject_request(&mut self, status: StatusCode) {
         self.client.set_framing_error(status);
         self.state = ReadState::PassThrough;
     }
@@ -205,7 +205,7 @@
     }
 
     /// Turns to the request after one that has been answered, where there may be another.
-    fn next_request(&mut self) -> NextStep {
+    fn begin_next_request(&mut self) -> NextStep {
         if self.client.is_last_request() {
             return NextStep::EndOfStream;
         }
@@ -217,7 +217,7 @@
     /// behind them is seen: a client that sends data and closes its connection has cancelled the
     /// request. The connection closes after this response, since such bytes are not a request of
     /// their own.
-    fn discard(&mut self) -> NextStep {
+    fn discard_early_bytes(&mut self) -> NextStep {
         self.buffer.clear();
         if self.discarded < MAX_DISCARDED_BYTES {
             NextStep::ReadSocket
--- a/src/frontend/response_body.rs
+++ b/src/frontend/response_body.rs
@@ -14,13 +14,16 @@
 /// dropped it.
 pub struct ResponseBody<B> {
     body: B,
-    _open: OpenRequest,
+    _open_request: OpenRequest,
 }
 
 impl<B> ResponseBody<B> {
-    /// Wraps the body of the response to `open`.
-    pub fn new(body: B, open: OpenRequest) -> ResponseBody<B> {
-        ResponseBody { body, _open: open }
+    /// Wraps the body of the response to `open_request`.
+    pub fn new(body: B, open_request: OpenRequest) -> ResponseBody<B> {
+        ResponseBody {
+            body,
+            _open_request: open_request,
+        }
     }
 }
 
