--- a/src/frontend/body.rs
+++ b/src/frontend/body.rs
@@ -1,4 +1,4 @@
-//! Reading request bodies within limits of size, time and total memory.
+//! Reading request bodies within limits on size, time and total memory.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,24 +12,24 @@
 use crate::body_budget::{BodyBudget, BodyBudgetExhausted, BodyReservation};
 use crate::limits::MAX_BODY;
 
-/// The most bytes of a request body.
+/// Maximum size of a request body in bytes.
 pub(super) const MAX_REQUEST_BODY: usize = 32 << 20;
-/// The longest pause between two parts of a request body.
+/// Maximum time between two frames of a request body.
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A request body with the reservation of its memory.
+/// A complete request body and the reservation of its memory.
 pub(super) struct ReceivedBody {
     pub bytes: Bytes,
     pub reservation: Arc<BodyReservation>,
 }
 
-/// Reads a request body completely. A slow client may take long for a long body as long as it keeps
-/// sending.
+/// Reads a request body completely. The total time is not limited as long as the client keeps
+/// sending, so that a slow client can send a long body.
 ///
 /// # Errors
-/// The status to answer: 413 for a body over [`MAX_REQUEST_BODY`], 503 where `budget` is exhausted,
-/// 400 for a body that is truncated, 408 for one that does not start by `start_by` or pauses for
-/// [`BODY_IDLE_TIMEOUT`].
+/// Returns the status of the response: 413 for a body over [`MAX_REQUEST_BODY`], 503 where `budget`
+/// is exhausted, 400 for a malformed or truncated body, 408 for one that does not start by
+/// `start_by` or pauses for longer than [`BODY_IDLE_TIMEOUT`].
 pub(super) async fn read_body(
     mut body: Incoming,
     start_by: Instant,
@@ -39,11 +39,11 @@
     if declared_length > MAX_REQUEST_BODY as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
-    // The check above makes the length fit.
+    // The conversion loses nothing, as the check above has limited the length.
     let declared_length = declared_length as usize;
     let mut reservation =
         BodyReservation::acquire(budget, declared_length).map_err(overload_status)?;
-    // A client may announce a long body and send none, so only a usual one gets its buffer at once.
+    // A client may declare a long body and send none, so at most `MAX_BODY` is allocated up front.
     let mut bytes = BytesMut::with_capacity(declared_length.min(MAX_BODY));
     let mut frame_deadline = start_by;
     loop {
@@ -68,7 +68,7 @@
     })
 }
 
-/// The status of a request whose body finds no memory.
+/// Returns the status of the response where the memory for request bodies is exhausted.
 fn overload_status(BodyBudgetExhausted: BodyBudgetExhausted) -> StatusCode {
     StatusCode::SERVICE_UNAVAILABLE
 }
--- a/src/frontend/connection.rs
+++ b/src/frontend/connection.rs
@@ -1,4 +1,4 @@
-//! Serving one client connection: HTTP/1.1 by hyper, and closing without losing the last response.
+//! Serving client connections: HTTP/1.1 by hyper, and closing without losing the last response.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -31,22 +31,22 @@
 use crate::socket_io::disable_nagle;
 use crate::telemetry::trace;
 
-/// How often a listener that shuts down checks whether a request that was arriving is complete.
+/// Time between two checks during a shutdown whether a request is still arriving on a connection.
 const ARRIVAL_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Serves the connections of a listener, whose tasks share it.
+/// Serves the connections of a listener; their tasks share one service.
 pub(super) struct ConnectionService<H> {
     handler: H,
     status: ListenerStatus,
     body_budget: Arc<BodyBudget>,
-    /// Set once no more connections are accepted.
+    /// Set once the listener accepts no more connections.
     shutting_down: watch::Sender<bool>,
     lingering_close: LingeringClose,
 }
 
 impl<H: Handler> ConnectionService<H> {
-    /// A service by `handler` that counts the open requests in `status` and takes the memory for
-    /// bodies from `body_budget`.
+    /// Creates a service that has `handler` answer the requests, counts open requests in `status`
+    /// and reserves memory for their bodies in `body_budget`.
     pub(super) fn new(
         handler: H,
         status: ListenerStatus,
@@ -61,17 +61,18 @@
         })
     }
 
-    /// The handler of the requests.
+    /// Returns the handler that answers the requests.
     pub(super) fn handler(&self) -> &H {
         &self.handler
     }
 
-    /// Closes each connection after its present response, or at once where it has none.
+    /// Closes each connection after its current response, or at once where no request is open or
+    /// arriving.
     pub(super) fn close_idle_connections(&self) {
         self.shutting_down.send_replace(true);
     }
 
-    /// Serves a connection until it is closed, or evicted while nothing is under way on it.
+    /// Serves a connection until it is closed, or is evicted and may be closed.
     pub(super) async fn serve_until_evicted(&self, stream: TcpStream, registration: &Registration) {
         tokio::select! {
             biased;
@@ -80,7 +81,8 @@
         }
     }
 
-    /// Serves a connection until it is closed.
+    /// Serves a connection until it is closed, and drains it so that the client can still read the
+    /// last response.
     async fn serve(&self, stream: TcpStream, registration: &Registration) {
         disable_nagle(&stream);
         let client = registration.client();
@@ -95,7 +97,7 @@
             .await;
     }
 
-    /// Runs HTTP/1.1 on a socket until the client closes it, or the listener shuts down.
+    /// Serves HTTP/1.1 on a socket until the connection ends, or the listener shuts down.
     async fn serve_http(
         &self,
         socket: FramedSocket,
@@ -116,8 +118,8 @@
             .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(TokioIo::new(socket), service);
         tokio::pin!(connection);
-        // The connection is polled first, so that data that has arrived is read before the state is
-        // checked.
+        // The connection is polled first, so that data that has arrived is read before the check
+        // for an arriving request.
         tokio::select! {
             biased;
             result = connection.as_mut() => ignore_connection_error(result),
@@ -128,7 +130,8 @@
         }
     }
 
-    /// Receives a request completely and has the handler answer it.
+    /// Receives a request's body completely and returns the handler's answer, or a rejection by the
+    /// listener where the memory for bodies is exhausted.
     async fn answer(&self, request: Request<Incoming>, client: &ClientState) -> Reply {
         let (head, body) = request.into_parts();
         let received = self.receive_body(body, client).await;
@@ -153,7 +156,8 @@
     /// Receives a request body completely.
     ///
     /// # Errors
-    /// The status to answer: that of a framing error, or of [`read_body`].
+    /// Returns the status of the response where the request's framing is malformed, or where
+    /// [`read_body`] fails.
     async fn receive_body(
         &self,
         body: Incoming,
@@ -163,16 +167,17 @@
             return Err(status);
         }
         let received = read_body(body, client.request_deadline(), &self.body_budget).await;
-        // Whether data follows the request is only known once it is complete.
+        // Excess data after the request is detected only once the body is complete.
         client.framing_error().map_or(received, Err)
     }
 }
 
-/// An error of a connection concerns its client alone; the exchange is notified as the requests on
-/// the connection are dropped.
+/// Ignores an error of a connection, which concerns only its client. The exchange is notified when
+/// the futures of the connection's requests are dropped.
 fn ignore_connection_error(_: hyper::Result<()>) {}
 
-/// A request with its body; the reservation of the body's memory travels in the extensions.
+/// Combines a request's head and body. The reservation of the body's memory is passed on in the
+/// request's extensions.
 fn with_body(
     mut head: hyper::http::request::Parts,
     received: Result<ReceivedBody, StatusCode>,
@@ -184,17 +189,16 @@
     Request::from_parts(head, body)
 }
 
-/// The event of the decision trace where a request is rejected because of its body.
+/// The event in the decision trace for a request that is rejected because of its body.
 #[derive(Serialize)]
 #[serde(tag = "e", rename = "not taken")]
 struct BodyRejected<'a> {
     status: u16,
-    /// The length that the headers announce, as they write it.
+    /// The value of the `Content-Length` header, unparsed.
     length: Option<&'a str>,
 }
 
-/// Traces a request that is rejected with `status` because of its body, with the length that its
-/// headers announce.
+/// Traces a request that is rejected with `status` because of its body, with its `Content-Length`.
 fn trace_rejected_body(status: StatusCode, headers: &HeaderMap) {
     if !trace::is_enabled() {
         return;
@@ -207,14 +211,14 @@
 }
 
 /// Returns once the listener shuts down and no request is arriving on this connection. A request
-/// that is being answered does not delay it: the connection then closes after that response.
+/// that is being answered causes no delay: the connection closes after its response.
 async fn ready_to_shut_down(client: &ClientState, mut shutting_down: watch::Receiver<bool>) {
     let begun = shutting_down.wait_for(|shutting_down| *shutting_down).await;
     if begun.is_err() {
         return std::future::pending().await;
     }
     while client.is_arriving() {
-        // Data in the socket's buffer causes no event, so the state is polled as well.
+        // Data in the socket's receive buffer causes no event, so the state is polled as well.
         client.wait_for_event(ARRIVAL_POLL_INTERVAL).await;
     }
 }
--- a/src/frontend/connection_table.rs
+++ b/src/frontend/connection_table.rs
@@ -1,5 +1,4 @@
-//! The open connections of a listener: their registration, the limit on their number, and which of
-//! them are evicted.
+//! The open connections of a listener: their registration, the limit on their number, and eviction.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,54 +14,55 @@
 use super::clock::ListenerClock;
 use crate::telemetry::log::log;
 
-/// Connections above the limit that are accepted at a time to be answered with a rejection; others
-/// wait in the kernel's queue.
+/// Maximum number of open connections that are accepted only to answer their requests with a
+/// rejection; further ones wait in the kernel's accept queue.
 const REJECTION_SLOTS: usize = 16;
-/// The shortest time between two log lines about the connection limit.
+/// Minimum time between two log lines about the connection limit.
 const LIMIT_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Key of a connection in the table of its listener; never used twice.
+/// Key of a connection in its listener's table; a key is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct ConnectionId(u64);
 
-/// Which connections may be evicted for a new one.
+/// Which connections may be evicted to make room for a new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EvictionScope {
-    /// Idle connections alone.
+    /// Only idle connections.
     IdleOnly,
-    /// Every connection without an open request.
+    /// Any connection without an open request.
     Any,
 }
 
-/// What the requests on an accepted connection get.
+/// How the requests on an accepted connection are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
-    /// The handler's answers.
+    /// By the handler.
     Served,
-    /// A rejection each: the listener has no capacity for the connection.
+    /// Each with a rejection, since the listener has no capacity for the connection.
     Rejected,
 }
 
-/// The open connections of a listener. No borrow of them leaves this module, and none is held
-/// across an `await`.
+/// The table of a listener's open connections. No borrow of its entries leaves this module, and
+/// none is held across an `await`.
 pub(super) struct ConnectionTable {
     limiter: ConnectionLimiter,
     clock: ListenerClock,
     open: RefCell<OpenConnections>,
 }
 
-/// The part of a table that changes.
+/// The mutable part of a [`ConnectionTable`].
 #[derive(Default)]
 struct OpenConnections {
     clients: HashMap<ConnectionId, Rc<ClientState>>,
-    /// How many connections were ever registered, which is also the next id.
+    /// Number of connections registered since the start, which is also the next id.
     registered: u64,
-    /// When the log last named the connection limit.
+    /// When it was last logged that the connection limit is reached.
     limit_logged_at: Option<Instant>,
 }
 
 impl ConnectionTable {
-    /// A table of at most `max_connections` connections.
+    /// Creates an empty table for at most `max_connections` connections, including those that are
+    /// only answered with a rejection.
     pub(super) fn new(max_connections: usize, clock: ListenerClock) -> Rc<ConnectionTable> {
         Rc::new(ConnectionTable {
             limiter: ConnectionLimiter::new(max_connections, REJECTION_SLOTS),
@@ -71,12 +71,13 @@
         })
     }
 
-    /// The number of open connections.
+    /// Returns the number of open connections.
     pub(super) fn len(&self) -> usize {
         self.open.borrow().clients.len()
     }
 
-    /// The number of connections that the process must not exit over.
+    /// Returns the number of connections because of which the process must not exit yet: see
+    /// [`ClientState::has_pending_work`].
     pub(super) fn pending_work(&self) -> usize {
         let open = self.open.borrow();
         let pending = open
@@ -86,12 +87,13 @@
         pending.count()
     }
 
-    /// The next step before one more connection is accepted: see [`ConnectionLimiter::accept`].
+    /// Returns the next step before one more connection is accepted: see
+    /// [`ConnectionLimiter::accept`].
     pub(super) fn next_step(&self, previous: Option<EvictionAttempt>) -> Accept {
         self.limiter.accept(self.len(), previous)
     }
 
-    /// Registers a connection that has just been accepted on the file descriptor `socket`.
+    /// Registers a connection that has just been accepted and has the file descriptor `socket`.
     pub(super) fn register(self: &Rc<Self>, socket: RawFd) -> Registration {
         let client = ClientState::new(socket, self.clock);
         let mut open = self.open.borrow_mut();
@@ -112,7 +114,8 @@
         }
     }
 
-    /// Evicts the connection that the limiter can best spare. Returns whether there was one.
+    /// Evicts the connection that is first in the limiter's order of eviction, if any may be
+    /// evicted. Returns whether one was.
     pub(super) fn evict(&self, scope: EvictionScope) -> bool {
         let idle_only = scope == EvictionScope::IdleOnly;
         let mut open = self.open.borrow_mut();
@@ -131,7 +134,7 @@
         true
     }
 
-    /// Evicts the connections whose timeouts have passed. They stay registered until their tasks
+    /// Evicts the connections whose timeouts have passed. They stay in the table until their tasks
     /// end.
     pub(super) fn evict_timed_out(&self) {
         let now = self.clock.now();
@@ -145,7 +148,8 @@
 }
 
 impl OpenConnections {
-    /// Logs how many connections are in each phase, at most once in [`LIMIT_LOG_INTERVAL`].
+    /// Logs that the connection limit is reached, with the number of connections in each phase.
+    /// Logs at most once per [`LIMIT_LOG_INTERVAL`].
     fn log_limit_reached(&mut self) {
         let now = Instant::now();
         if self
@@ -162,12 +166,12 @@
                 None => counts.push((phase, 1)),
             }
         }
-        log!("no place for another client: {counts:?}");
+        log!("listener: connection limit reached: open connections by phase: {counts:?}");
     }
 }
 
-/// A connection in a [`ConnectionTable`], owned by the task that serves it. Dropping it removes the
-/// connection from the table.
+/// The entry of a connection in a [`ConnectionTable`], owned by the task that serves it. Dropping
+/// it removes the connection from the table.
 pub(super) struct Registration {
     table: Rc<ConnectionTable>,
     id: ConnectionId,
@@ -176,18 +180,18 @@
 }
 
 impl Registration {
-    /// The state of the connection.
+    /// Returns the state of the connection.
     pub(super) fn client(&self) -> &Rc<ClientState> {
         &self.client
     }
 
-    /// What the requests on the connection get.
+    /// Returns how the requests on the connection are answered.
     pub(super) fn admission(&self) -> Admission {
         self.admission
     }
 
-    /// Returns once the connection is evicted and may be closed. One on which data has arrived
-    /// since its eviction is registered again.
+    /// Returns once the connection is evicted and may be closed. Where it may not be closed, e.g.
+    /// because data has arrived since its eviction, it is added to the table again.
     pub(super) async fn closed_by_eviction(&self) {
         loop {
             self.client.wait_for_eviction().await;
--- a/src/frontend/framed_socket.rs
+++ b/src/frontend/framed_socket.rs
@@ -1,5 +1,6 @@
-//! A client's socket as hyper sees it. Bytes are inspected before hyper reads them, so that hyper
-//! and the listener agree on where a request ends, and the state of each connection is known.
+//! The socket of a client, as hyper reads and writes it. Bytes are inspected before hyper reads
+//! them, so that hyper and the listener agree on where a request ends, and so that the listener
+//! knows the state of each connection.
 
 use std::io;
 use std::pin::Pin;
@@ -13,12 +14,12 @@
 use super::request_framer::{NextStep, RequestFramer};
 use crate::socket_io;
 
-/// Bytes read from the socket at a time.
+/// Maximum number of bytes that one read from the socket returns.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// Both halves of a client's socket. Implements [`AsyncRead`] and [`AsyncWrite`] for hyper.
+/// Both halves of a client's socket, for use by hyper through [`AsyncRead`] and [`AsyncWrite`].
 pub struct FramedSocket {
-    /// Shared with the service, which drains the socket after hyper has ended.
+    /// Shared with the service, which drains the socket after hyper has finished.
     read: Rc<OwnedReadHalf>,
     write: OwnedWriteHalf,
     client: Rc<ClientState>,
@@ -26,7 +27,7 @@
 }
 
 impl FramedSocket {
-    /// Wraps the two halves of a connection whose state is `client`.
+    /// Wraps both halves of the socket of a connection whose state is `client`.
     pub fn new(
         read: Rc<OwnedReadHalf>,
         write: OwnedWriteHalf,
@@ -40,8 +41,8 @@
         }
     }
 
-    /// Passes more bytes from the socket to the framer. Returns their number; 0 is the end of the
-    /// stream.
+    /// Reads bytes from the socket and passes them to the framer. Returns their number, which is 0
+    /// at the end of the stream.
     fn poll_receive(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
         let mut bytes = [0; READ_BUFFER_BYTES];
         let mut buf = ReadBuf::new(&mut bytes);
@@ -53,7 +54,7 @@
         Poll::Ready(Ok(received.len()))
     }
 
-    /// Returns once bytes are released to hyper, or none will be any more.
+    /// Returns once bytes are released to hyper, or the stream has ended.
     fn poll_released(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         while self.framer.released().is_empty() {
             match self.framer.next_step() {
@@ -79,7 +80,7 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         ready!(self.poll_released(cx))?;
-        // An empty read is the end of the stream.
+        // Without released bytes this read is empty, which is the end of the stream.
         let released = self.framer.released();
         let count = released.len().min(buf.remaining());
         buf.put_slice(&released[..count]);
@@ -103,7 +104,7 @@
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(Pin::new(&mut self.write).poll_flush(cx))?;
-        // hyper flushes the socket once its own buffer is empty.
+        // hyper flushes the socket only once its own buffer is empty.
         self.client.set_response_flushed();
         Poll::Ready(Ok(()))
     }
--- a/src/frontend/framing.rs
+++ b/src/frontend/framing.rs
@@ -1,27 +1,28 @@
-//! How the body of a request is framed, decided from its head before hyper sees it.
+//! The framing of a request body, determined from the request head before hyper parses it.
 //!
-//! hyper resolves contradictory lengths silently; another party could then take the tail of a body
+//! hyper resolves contradictory lengths silently; another party could then take the end of a body
 //! for a second request (request smuggling). Such requests are rejected here.
 
 use hyper::StatusCode;
 
-/// The most header fields of a request, the limit of hyper.
+/// Maximum number of header fields of a request, the same as hyper's limit.
 const MAX_HEADER_FIELDS: usize = 100;
 
-/// How the end of a request body is found.
+/// How the end of a request body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// The body has this many bytes; 0 where the head has no framing field.
+    /// The body has this many bytes; 0 where the head has neither `Content-Length` nor
+    /// `Transfer-Encoding`.
     Length(u64),
-    /// `Transfer-Encoding: chunked`.
+    /// The body ends with its last chunk: `Transfer-Encoding: chunked`.
     Chunked,
 }
 
-/// Parses a complete request head, blank line included, for the framing of its body.
+/// Determines the framing of a request body from its complete head, including the final blank line.
 ///
 /// # Errors
-/// The status to answer: 400 for a malformed head or ambiguous framing, 413 for a length that does
-/// not fit 64 bits, 431 for too many header fields.
+/// Returns the status of the response: 400 for a malformed head or ambiguous framing, 413 for a
+/// length that does not fit into 64 bits, 431 for too many header fields.
 pub fn body_framing(head: &[u8]) -> Result<BodyFraming, StatusCode> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut request = httparse::Request::new(&mut fields);
@@ -42,7 +43,7 @@
     }
 }
 
-/// The values of all header fields with this name, in any case.
+/// Returns the values of all header fields with this name; case is ignored.
 fn field_values<'a>(headers: &[httparse::Header<'a>], name: &str) -> Vec<&'a [u8]> {
     headers
         .iter()
@@ -51,8 +52,8 @@
         .collect()
 }
 
-/// The framing by the value of a `Content-Length` field: decimal digits alone, where `parse` would
-/// accept a sign.
+/// Parses the value of a `Content-Length` field. Only decimal digits are allowed; `parse` alone
+/// would accept a sign.
 fn content_length(value: &[u8]) -> Result<BodyFraming, StatusCode> {
     if value.is_empty() || !value.iter().all(u8::is_ascii_digit) {
         return Err(StatusCode::BAD_REQUEST);
--- a/src/frontend/listener.rs
+++ b/src/frontend/listener.rs
@@ -25,30 +25,32 @@
 use crate::body_budget::BodyBudget;
 use crate::telemetry::log::log;
 
-/// How often connections are checked for timeouts.
+/// Time between two checks of all connections for timeouts.
 const TIMEOUT_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// How long the accept loop waits where no connection can be evicted.
+/// Delay of the accept loop while the connection limit is reached and no connection can be evicted,
+/// and after an error for lack of resources while the backlog is emptied.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// How long the accept loop waits after an error of `accept`.
+/// Delay of the accept loop after an `accept` error for lack of resources.
 const ACCEPT_ERROR_DELAY: Duration = Duration::from_millis(10);
-/// How many errors of `accept` are tolerated while the backlog is emptied: with the delay after
-/// those of resources, no more than a tenth of the time that a shutdown has.
+/// Maximum number of `accept` errors while the backlog is emptied. Even with the delay after each
+/// error for lack of resources, they take at most a tenth of the time that a shutdown has.
 const MAX_BACKLOG_ERRORS: usize = 64;
 
-/// A request with its complete body, or the status that the body is rejected with.
+/// A request with its complete body, or with the status of the response where the body is rejected.
 pub type ReceivedRequest = Request<Result<Bytes, StatusCode>>;
 
-/// What the clients of a listener may take up together.
+/// The resources that all clients of a listener may use together.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenerLimits {
-    /// The most connections, including those that are only rejected.
+    /// Maximum number of open connections, including those that are only answered with a rejection.
     max_connections: usize,
-    /// Memory for request bodies.
+    /// Memory in bytes for the request bodies that are buffered at the same time.
     body_budget_bytes: usize,
 }
 
 impl ListenerLimits {
-    /// At most `max_connections` connections, and memory for one request body of the largest size.
+    /// Returns limits of `max_connections` connections and of the memory for one request body of
+    /// the maximum size.
     pub fn new(max_connections: usize) -> ListenerLimits {
         ListenerLimits {
             max_connections,
@@ -56,7 +58,7 @@
         }
     }
 
-    /// The same with this memory for request bodies.
+    /// Replaces the memory for request bodies with `bytes`.
     pub fn with_body_budget(self, bytes: usize) -> ListenerLimits {
         ListenerLimits {
             body_budget_bytes: bytes,
@@ -67,22 +69,23 @@
 
 /// Answers the requests that a listener receives.
 pub trait Handler: 'static {
-    /// The response to a request. `shutting_down` is set once the listener has stopped accepting.
+    /// Returns the response to a request. `shutting_down` is set once the listener has stopped
+    /// accepting connections.
     fn answer(&self, request: ReceivedRequest, shutting_down: bool) -> impl Future<Output = Reply>;
 
-    /// The listener shuts down: every request, received or still to come, must be answered `within`
-    /// this time.
+    /// Called when the listener begins to shut down: every request, received or still to come, must
+    /// be answered within this time.
     fn begin_shutdown(&self, _within: Duration) {}
 
-    /// The longest deadline of any request.
+    /// Returns the longest deadline that a request may have, which bounds the time of a shutdown.
     fn longest_deadline(&self) -> Duration;
 }
 
 /// Accepts client connections and passes their requests to a [`Handler`].
 ///
-/// Every connection is served by a task of its own, which holds the connection's registration in
-/// the table and ends with the connection. The shutdown waits for the tasks with pending work; the
-/// others end with the `LocalSet` that they run on.
+/// Each connection is served by its own task, which owns the connection's registration in the table
+/// and ends with the connection. A shutdown waits for the tasks with pending work; the others end
+/// with the `LocalSet` that they run on.
 pub struct Listener<H> {
     clock: ListenerClock,
     connections: Rc<ConnectionTable>,
@@ -91,7 +94,7 @@
 }
 
 impl<H: Handler> Listener<H> {
-    /// A listener within `limits` that publishes its state in `status`.
+    /// Creates a listener that stays within `limits` and publishes its state in `status`.
     pub fn new(handler: H, limits: ListenerLimits, status: ListenerStatus) -> Listener<H> {
         let clock = ListenerClock::start();
         let body_budget = BodyBudget::new(limits.body_budget_bytes);
@@ -103,8 +106,9 @@
         }
     }
 
-    /// Serves until `shutdown_signal` completes, then returns once every received request has been
-    /// answered. Must be called inside a tokio `LocalSet`.
+    /// Serves clients until `shutdown_signal` completes, then shuts down gracefully: returns once
+    /// every received request is answered, or the time for the shutdown has passed. Must be called
+    /// inside a tokio `LocalSet`.
     pub async fn serve(&self, socket: TcpListener, shutdown_signal: impl Future<Output = ()>) {
         self.status.set_accepting(true);
         tokio::select! {
@@ -116,7 +120,7 @@
         self.shut_down(socket).await;
     }
 
-    /// Carries out the steps of a graceful shutdown.
+    /// Carries out the steps of a [`GracefulShutdown`].
     async fn shut_down(&self, socket: TcpListener) {
         let started = self.clock.now();
         let longest_deadline = self.service.handler().longest_deadline().as_nanos() as Nanos;
@@ -135,8 +139,8 @@
         self.wait_for_pending_work(&mut shutdown).await;
     }
 
-    /// Accepts connections for as long as the steps of the shutdown, from `step` on, require it.
-    /// Returns the first other step.
+    /// Accepts connections for as long as the shutdown's steps, from `step` on, require it. Returns
+    /// the first step of another kind.
     async fn accept_late_clients(
         &self,
         socket: &TcpListener,
@@ -153,7 +157,7 @@
         step
     }
 
-    /// Returns once the state machine of the shutdown finds that nothing is pending, or gives up.
+    /// Returns once the shutdown's state machine finds no pending work, or its time has passed.
     async fn wait_for_pending_work(&self, shutdown: &mut GracefulShutdown) {
         loop {
             let poll = ShutdownEvent::Poll {
@@ -172,17 +176,18 @@
         }
     }
 
-    /// Accepts connections until it is dropped.
+    /// Accepts connections until the future is dropped.
     async fn accept_forever(&self, socket: &TcpListener) {
         loop {
             self.accept_one(socket).await;
         }
     }
 
-    /// Accepts every connection in the kernel's queue and closes the listening socket. The kernel
-    /// is queried directly until the queue is empty: the runtime learns of a connection later, and
-    /// one left in the queue would be reset. An error of `accept` concerns one connection, or a
-    /// resource that another one is about to free.
+    /// Accepts every connection in the kernel's accept queue, then closes the listening socket.
+    /// `accept` is called directly until the queue is empty, since the runtime learns of a
+    /// connection later, and one left in the queue would be reset. After an error it is called
+    /// again: the error concerns a single connection, or a resource that another connection is
+    /// about to free.
     async fn accept_backlog(&self, socket: TcpListener) {
         let Ok(socket) = socket.into_std() else {
             return;
@@ -204,18 +209,18 @@
                 }
             }
         }
-        log!("cannot accept: the socket closes with connections in its queue");
+        log!("listener: accept queue: not emptied before closing: too many errors");
     }
 
-    /// Accepts one connection as soon as there is capacity for it, or handles one error of
-    /// `accept`.
+    /// Accepts one connection as soon as there is capacity for it, or handles one `accept` error.
     async fn accept_one(&self, socket: &TcpListener) {
         self.ensure_capacity().await;
         match socket.accept().await {
             Ok((stream, _)) => self.spawn_connection(stream),
-            // Waiting lets other connections close. Any other error is over with this call.
+            // Other connections may close during the delay and free what is lacking. An error of
+            // any other kind concerns this call alone.
             Err(error) => {
-                log!("cannot accept: {error}");
+                log!("listener: accept failed: {error}");
                 if is_out_of_resources(&error) {
                     sleep(ACCEPT_ERROR_DELAY).await;
                 } else {
@@ -225,7 +230,8 @@
         }
     }
 
-    /// Returns once the limiter admits another connection, evicting one where it requires that.
+    /// Returns once the limiter admits another connection. Evicts a connection where the limiter
+    /// requires it.
     async fn ensure_capacity(&self) {
         let mut previous = None;
         loop {
@@ -245,7 +251,7 @@
         }
     }
 
-    /// Registers an accepted connection and serves it in a new task.
+    /// Adds an accepted connection to the table and spawns the task that serves it.
     fn spawn_connection(&self, stream: TcpStream) {
         let registration = self.connections.register(stream.as_raw_fd());
         let service = Rc::clone(&self.service);
@@ -254,7 +260,7 @@
         });
     }
 
-    /// Evicts connections whose timeouts have passed, until it is dropped.
+    /// Periodically evicts the connections whose timeouts have passed, until the future is dropped.
     async fn evict_timed_out_forever(&self) {
         loop {
             sleep(TIMEOUT_POLL_INTERVAL).await;
@@ -263,13 +269,15 @@
     }
 }
 
-/// Registers a socket that was accepted without the runtime with the runtime.
+/// Makes a connection that was accepted without the runtime non-blocking and registers it with the
+/// runtime.
 fn into_nonblocking(stream: std::net::TcpStream) -> io::Result<TcpStream> {
     stream.set_nonblocking(true)?;
     TcpStream::from_std(stream)
 }
 
-/// Whether `accept` failed for want of descriptors or memory, which other connections hold.
+/// Returns whether `accept` failed for lack of file descriptors or memory, which other connections
+/// hold.
 fn is_out_of_resources(error: &io::Error) -> bool {
     let code = error.raw_os_error().map(Errno::from_raw);
     matches!(
--- a/src/frontend/listener_status.rs
+++ b/src/frontend/listener_status.rs
@@ -1,15 +1,16 @@
-//! What a listener publishes about itself, for the admin console.
+//! The status of a listener, as the admin console reads it.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The state of a listener. Copies show the same listener, which alone changes it.
+/// A handle to the status of a listener. Clones share the same status, which only the listener
+/// changes.
 #[derive(Clone, Default)]
 pub struct ListenerStatus {
     shared: Rc<SharedStatus>,
 }
 
-/// What all copies of a status share.
+/// The values that all clones of a [`ListenerStatus`] share.
 #[derive(Default)]
 struct SharedStatus {
     accepting: Cell<bool>,
@@ -17,28 +18,28 @@
 }
 
 impl ListenerStatus {
-    /// Whether clients are accepted: from the start until SIGTERM.
+    /// Returns whether clients are accepted, which holds from the start until SIGTERM.
     pub fn is_accepting(&self) -> bool {
         self.shared.accepting.get()
     }
 
-    /// The number of requests received whose responses are not complete.
+    /// Returns the number of received requests whose responses are not complete.
     pub fn active_requests(&self) -> usize {
         self.shared.active_requests.get()
     }
 
-    /// Publishes whether clients are accepted from now on.
+    /// Sets whether clients are accepted from now on.
     pub(super) fn set_accepting(&self, accepting: bool) {
         self.shared.accepting.set(accepting);
     }
 
-    /// Counts a request that has been received.
+    /// Adds a request that has been received to the active ones.
     pub(super) fn request_started(&self) {
         let active = &self.shared.active_requests;
         active.set(active.get() + 1);
     }
 
-    /// Counts the end of a request that was counted at its start.
+    /// Removes a request from the active ones that [`ListenerStatus::request_started`] has added.
     pub(super) fn request_ended(&self) {
         let active = &self.shared.active_requests;
         active.set(active.get() - 1);
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,4 +1,5 @@
-//! The client side: accepting connections, framing requests, and the platform's protocol.
+//! The client side of a front: accepting connections, framing requests, and the platform's
+//! protocol.
 
 mod body;
 mod client_state;
--- a/src/frontend/platform/mod.rs
+++ b/src/frontend/platform/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's front: turns requests of the platform's protocol into requests to the exchange,
-//! and its answers into responses.
+//! The front for the platform's protocol: converts HTTP requests into requests to the exchange, and
+//! the exchange's answers into HTTP responses.
 
 mod request_parser;
 mod request_tables;
@@ -29,19 +29,20 @@
 
 pub use self::request_tables::{ReloadedSettings, RequestTables};
 
-/// Header with the transaction id of a request.
+/// Header with the transaction id of a request, 16 hexadecimal digits.
 const TRANSACTION_ID_HEADER: &str = "x-txn";
-/// Header with the class of a request.
+/// Header with the name of a request's class.
 const CLASS_HEADER: &str = "x-lane";
 
-/// Headers that are forwarded to the chunk server beside the transaction id. The cookie names the
-/// block and the idempotency key the operation, by which the server recognises a repeated request.
+/// Headers that are forwarded to the chunk server in addition to the transaction id. The cookie
+/// identifies the block, and the idempotency key the operation, so that the server recognises a
+/// repeated request.
 const FORWARDED_HEADERS: [HeaderName; 2] = [COOKIE, HeaderName::from_static("idempotency-key")];
 
-/// The handler for the platform's protocol.
+/// The [`Handler`] for the platform's protocol.
 pub struct PlatformFront {
     exchange: Rc<Exchange<Upstream>>,
-    /// Replaced by a reload of the configuration; borrowed for single statements.
+    /// Changed by a reload of the configuration, so it is borrowed only for single statements.
     tables: Rc<RefCell<RequestTables>>,
     readiness: Readiness,
     open_transactions: OpenTransactions,
@@ -76,8 +77,9 @@
 }
 
 impl PlatformFront {
-    /// A front on an exchange; `tables` has the names that requests may use, and may be reloaded.
-    /// `readiness` is what the health check tells.
+    /// Creates a front that submits its requests to `exchange`. `tables` contains the names that
+    /// requests may use, and may change at a reload. `readiness` determines the answer to the
+    /// readiness check.
     pub fn new(
         exchange: Rc<Exchange<Upstream>>,
         tables: Rc<RefCell<RequestTables>>,
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Counts a response in the metrics of its class, where the class is known.
+    /// Counts a response in the metrics of the request's class, where the class is known.
     fn count_answer(&self, class: Option<&str>, status: StatusCode) {
         let tables = self.tables.borrow();
         let class = class.and_then(|name| tables.class_index(name));
@@ -100,10 +102,11 @@
         }
     }
 
-    /// Submits a request to the exchange.
+    /// Submits a request to the exchange and returns the response to the client.
     ///
     /// # Errors
-    /// The response to a request that is malformed, or whose transaction is already open.
+    /// Returns the response to a request that is malformed, or whose transaction id is in use by
+    /// another open request.
     async fn forward(&self, request: ReceivedRequest) -> Result<Reply, Reply> {
         let (head, body) = request.into_parts();
         let body = body.map_err(|status| plain(status, "the request is not taken"))?;
@@ -121,7 +124,7 @@
         Ok(into_reply(response))
     }
 
-    /// What the chunk server gets of a request.
+    /// Builds the request to the chunk server from a client's request.
     fn build_payload(&self, mut head: Parts, body: Bytes, class: usize) -> Payload {
         let id = head.headers.get(TRANSACTION_ID_HEADER).cloned();
         Payload {
@@ -137,7 +140,7 @@
     }
 }
 
-/// The response to the client by the exchange's final answer.
+/// Converts the exchange's final answer into the response to the client.
 fn into_reply(response: FinalResponse<Answer>) -> Reply {
     match response {
         FinalResponse::Served(Answer {
@@ -150,7 +153,7 @@
     }
 }
 
-/// The headers of a client's request that the chunk server gets.
+/// Returns the headers of a client's request that are forwarded to the chunk server.
 fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let mut forwarded = HeaderMap::new();
     for name in FORWARDED_HEADERS {
--- a/src/frontend/platform/request_parser.rs
+++ b/src/frontend/platform/request_parser.rs
@@ -1,4 +1,4 @@
-//! Parsing the headers of the platform's protocol into a request for the decision module.
+//! Parsing of the platform's request headers into a request for the decision module.
 
 use hyper::header::{HeaderMap, COOKIE};
 use hyper::Method;
@@ -8,26 +8,26 @@
 use super::request_tables::{OperationLimits, RequestTables};
 use super::{CLASS_HEADER, TRANSACTION_ID_HEADER};
 
-/// Header with the plan of a request.
+/// Header with the name of a request's plan.
 const PLAN_HEADER: &str = "x-plan";
-/// Header with the time that the client still waits.
+/// Header with the time until the client gives up.
 const REMAINING_TIME_HEADER: &str = "x-remaining";
-/// Header with the list of fields that describe the operation.
+/// Header with the fields that describe the operation, as a list of `name=value`.
 const OPERATION_HEADER: &str = "x-io";
-/// Prefix of the cookie that names the block.
+/// Start of the cookie with the id of the block.
 const BLOCK_COOKIE: &str = "block=";
-/// Digits of an id in hexadecimal.
+/// Number of hexadecimal digits of an id.
 const ID_DIGITS: usize = 16;
-/// The longest remaining time in nanoseconds, an hour; a longer one is shortened to it.
+/// Maximum remaining time in nanoseconds, one hour; a longer one is reduced to it.
 const MAX_REMAINING_NANOS: f64 = 3.6e12;
-/// Factor of a remaining time in milliseconds.
+/// Nanoseconds per millisecond of a remaining time.
 const NANOS_PER_MILLISECOND: f64 = 1e6;
-/// Factor of a remaining time in microseconds.
+/// Nanoseconds per microsecond of a remaining time.
 const NANOS_PER_MICROSECOND: f64 = 1e3;
-/// Value of the field `shard` where the front may choose the shard.
+/// Value of the field `shard` in an operation for which the front may choose the shard.
 const ANY_SHARD: i64 = -1;
 
-/// Why a request is rejected with 400; the client gets the message.
+/// Why a request is rejected with 400. The message is the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RequestError {
     #[error("X-Txn is not of 16 hex digits")]
@@ -62,28 +62,29 @@
     InvalidFrontCount,
 }
 
-/// A request with its transaction id.
+/// A valid request, with the transaction id that the client has given it.
 pub(super) struct ParsedRequest {
     pub transaction_id: u64,
     pub request: core::Request,
 }
 
-/// The fields of the operation header that are used; each is `None` where it is absent or invalid.
+/// The fields of the operation header that the front uses; a field is `None` where it is absent or
+/// invalid.
 #[derive(Default)]
 struct Operation {
     volume: Option<u64>,
     units: Option<i64>,
-    /// A shard, or [`ANY_SHARD`].
+    /// The number of a shard, or [`ANY_SHARD`].
     shard: Option<i64>,
     front_count: Option<i64>,
 }
 
 impl RequestTables {
-    /// Parses a request head.
+    /// Parses the method and headers of a request.
     ///
     /// # Errors
-    /// Where a header is missing or invalid. The headers are checked in a fixed order, and the
-    /// first fault is returned.
+    /// Returns the first [`RequestError`] where a header is missing or invalid. The headers are
+    /// checked in a fixed order.
     pub(super) fn parse(
         &self,
         method: &Method,
@@ -125,13 +126,13 @@
         })
     }
 
-    /// The class that the headers name.
+    /// Returns the index of the class that the headers name.
     fn parse_class(&self, headers: &HeaderMap) -> Result<usize, RequestError> {
         let name = single_value(headers, CLASS_HEADER).ok_or(RequestError::MissingClass)?;
         self.class_index(name).ok_or(RequestError::UnknownClass)
     }
 
-    /// The plan that the headers name.
+    /// Returns the index of the plan that the headers name.
     fn parse_plan(&self, headers: &HeaderMap) -> Result<usize, RequestError> {
         let name = single_value(headers, PLAN_HEADER).ok_or(RequestError::MissingPlan)?;
         self.plan_index(name).ok_or(RequestError::UnknownPlan)
@@ -139,7 +140,7 @@
 }
 
 impl Operation {
-    /// Parses `name=value` fields separated by commas; unknown names are ignored.
+    /// Parses `name=value` fields separated by commas. Fields with unknown names are ignored.
     fn parse(header: &str, limits: OperationLimits) -> Result<Operation, RequestError> {
         let last_shard = i64::from(limits.shard_count) - 1;
         let mut operation = Operation::default();
@@ -161,8 +162,8 @@
         Ok(operation)
     }
 
-    /// The shard that must serve the operation; `None` where the front may choose it, which it may
-    /// for writes alone.
+    /// Returns the shard that must serve the operation, or `None` where the front may choose it,
+    /// which is allowed only for writes.
     fn required_shard(&self, writes: bool) -> Result<Option<ShardId>, RequestError> {
         let shard = self.shard.ok_or(RequestError::InvalidShard)?;
         if shard < 0 && !writes {
@@ -172,21 +173,21 @@
     }
 }
 
-/// The value of a header that is present exactly once; one that is repeated would be ambiguous.
+/// Returns the value of a header that is present exactly once; a repeated one would be ambiguous.
 pub(super) fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next().filter(|_| values.next().is_none());
     value.and_then(|value| value.to_str().ok()).map(str::trim)
 }
 
-/// An id of exactly [`ID_DIGITS`] hexadecimal digits. `from_str_radix` alone would accept a sign
-/// and fewer digits.
+/// Parses an id of exactly [`ID_DIGITS`] hexadecimal digits. `from_str_radix` alone would accept a
+/// sign and fewer digits.
 fn parse_hex_id(value: &str) -> Option<u64> {
     let is_valid = value.len() == ID_DIGITS && value.bytes().all(|byte| byte.is_ascii_hexdigit());
     u64::from_str_radix(value, 16).ok().filter(|_| is_valid)
 }
 
-/// An integer from `min` to `max`, both inclusive.
+/// Parses an integer from `min` to `max`, both inclusive.
 fn integer_between(value: &str, min: i64, max: i64) -> Option<i64> {
     value
         .parse()
@@ -194,7 +195,7 @@
         .filter(|number| (min..=max).contains(number))
 }
 
-/// The block that a request concerns, from its cookies.
+/// Returns the id of the block that the request's cookies name, if any.
 fn parse_block_id(headers: &HeaderMap) -> Result<Option<u64>, RequestError> {
     let values = headers
         .get_all(COOKIE)
@@ -207,7 +208,7 @@
         .transpose()
 }
 
-/// Parses a time such as `480m` (milliseconds) or `480000u` (microseconds).
+/// Parses a non-negative time such as `480m` (milliseconds) or `480000u` (microseconds).
 fn parse_remaining_time(value: &str) -> Option<Nanos> {
     let nanos = if let Some(milliseconds) = value.strip_suffix('m') {
         milliseconds.parse::<f64>().ok()? * NANOS_PER_MILLISECOND
--- a/src/frontend/platform/request_tables.rs
+++ b/src/frontend/platform/request_tables.rs
@@ -1,5 +1,4 @@
-//! The names that requests may use (classes, plans), with the indices that the decision module
-//! knows them by.
+//! The names of classes and plans that requests may use, with their indices in the decision module.
 
 use hyper::Method;
 use tulipbridge_core::settings_reload::{NamedValue, ReplacedEntry, VersionedTable};
@@ -8,54 +7,54 @@
 use crate::config::Config;
 use crate::telemetry::metrics::{ClassMetrics, Metrics};
 
-/// A class as requests name it.
+/// A class that requests may name.
 #[derive(Clone, Debug, PartialEq)]
 struct RequestClass {
-    /// The class for the decision module.
+    /// The class as the decision module uses it.
     class: Class,
-    /// Whether its requests write; `None` where the configuration leaves it open and the method
-    /// decides.
+    /// Whether requests of this class write; `None` where the configuration does not specify it and
+    /// the request's method determines it.
     writes: Option<bool>,
 }
 
-/// The tables of the request parser. A request that no chunk server could execute is rejected by
-/// them and causes no load on any server.
+/// The names and limits against which requests are parsed. A request that no chunk server could
+/// execute is rejected before it causes load on any server.
 #[derive(Clone)]
 pub struct RequestTables {
     classes: VersionedTable<RequestClass>,
     plans: VersionedTable<Plan>,
-    /// Metrics of each class, in the order of `classes`.
+    /// Metrics of the classes, in the order of `classes`.
     metrics: Vec<ClassMetrics>,
-    /// Number of shards.
+    /// Number of shards, which are counted from 0.
     shard_count: u32,
-    /// The largest number of fronts that a volume's requests may come through.
+    /// Number of fronts, the upper limit of how many a volume's requests may come through.
     max_fronts: u32,
-    /// The most units of a request.
+    /// Maximum units of a request.
     max_units: f64,
 }
 
-/// The values that the fields of an operation may have.
+/// Limits on the values of an operation's fields.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OperationLimits {
-    /// Number of shards.
+    /// Number of shards, which are counted from 0.
     pub shard_count: u32,
-    /// The largest number of fronts that a volume's requests may come through.
+    /// Number of fronts, the upper limit of how many a volume's requests may come through.
     pub max_fronts: u32,
-    /// The most units of a request.
+    /// Maximum units of a request.
     pub max_units: f64,
 }
 
-/// What the decision module needs after a reload.
+/// The result of a reload, for the decision module.
 pub struct ReloadedSettings {
-    /// The new settings.
+    /// The new settings, with the classes and plans of earlier configurations at their indices.
     pub settings: Settings,
-    /// The classes that replace an older version.
+    /// The classes that replace an older version, whose learned state is carried over.
     pub replaced_classes: Vec<ReplacedEntry>,
 }
 
 impl RequestTables {
-    /// The tables of a configuration; classes and plans keep its order, which is that of the
-    /// decision module.
+    /// Creates the tables of a configuration. Classes and plans keep the configuration's order,
+    /// which the decision module uses as well.
     pub fn new(config: &Config, metrics: &Metrics) -> RequestTables {
         let mut tables = RequestTables {
             classes: VersionedTable::new(class_entries(config)),
@@ -69,7 +68,8 @@
         tables
     }
 
-    /// Applies a new configuration.
+    /// Applies a new configuration. Unchanged classes and plans keep their indices; changed ones
+    /// are added as new versions: see [`VersionedTable`].
     pub fn reload(&mut self, config: Config, metrics: &Metrics) -> ReloadedSettings {
         let replaced_classes = self.classes.reload(class_entries(&config));
         self.plans.reload(plan_entries(&config));
@@ -94,29 +94,29 @@
         }
     }
 
-    /// The number that the decision module knows a class by.
+    /// Returns the index of a class in the decision module.
     pub(super) fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.find(name)
     }
 
-    /// The number that the decision module knows a plan by.
+    /// Returns the index of a plan in the decision module.
     pub(super) fn plan_index(&self, name: &str) -> Option<usize> {
         self.plans.find(name)
     }
 
-    /// The metrics of a class.
+    /// Returns the metrics of the class at an index.
     pub(super) fn class_metrics(&self, class: usize) -> Option<&ClassMetrics> {
         self.metrics.get(class)
     }
 
-    /// Whether requests of a class with this method write. Where the configuration leaves it open,
-    /// the method decides.
+    /// Returns whether requests of a class with this method write. Where the configuration does not
+    /// specify it, the method determines it.
     pub(super) fn writes(&self, class: usize, method: &Method) -> bool {
         let configured = self.classes.get(class).and_then(|entry| entry.writes);
         configured.unwrap_or(*method == Method::PUT)
     }
 
-    /// The values that the fields of an operation may have.
+    /// Returns the limits on the values of an operation's fields.
     pub(super) fn operation_limits(&self) -> OperationLimits {
         OperationLimits {
             shard_count: self.shard_count,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Creates the metrics of classes that are new, starting at 0.
+    /// Creates the metrics of classes that have none yet, starting at 0.
     fn add_class_metrics(&mut self, metrics: &Metrics) {
         for class in self.metrics.len()..self.classes.len() {
             self.metrics
@@ -134,7 +134,7 @@
     }
 }
 
-/// The classes of a configuration by their names, in its order.
+/// Returns the classes of a configuration with their names, in the configuration's order.
 fn class_entries(config: &Config) -> Vec<NamedValue<RequestClass>> {
     let classes = config
         .settings
@@ -146,12 +146,12 @@
     named_values(&config.classes, classes)
 }
 
-/// The plans of a configuration by their names, in its order.
+/// Returns the plans of a configuration with their names, in the configuration's order.
 fn plan_entries(config: &Config) -> Vec<NamedValue<Plan>> {
     named_values(&config.plans, config.settings.plans.iter().cloned())
 }
 
-/// Values by their names, in the order of both.
+/// Pairs names with values of the same position.
 fn named_values<T>(names: &[String], values: impl Iterator<Item = T>) -> Vec<NamedValue<T>> {
     let named = names.iter().cloned().zip(values);
     named
--- a/src/frontend/platform/streaming.rs
+++ b/src/frontend/platform/streaming.rs
@@ -1,4 +1,4 @@
-//! Streaming a long body from a chunk server to the client.
+//! Streaming of long response bodies from a chunk server to a client.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -15,19 +15,19 @@
 use crate::telemetry::trace;
 use crate::upstream::StreamedBody;
 
-/// Parts of a body that are buffered between chunk server and client; the server is read no faster
-/// than the client reads.
+/// Number of body frames that are buffered between chunk server and client. The server's response
+/// is read no faster than the client reads.
 const BUFFERED_FRAMES: usize = 2;
 
-/// Factor of a time in seconds.
+/// Milliseconds per second, for the times in the trace.
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
-/// The event of the decision trace at the end of a streamed body.
+/// The event in the decision trace at the end of a streamed body.
 #[derive(Serialize)]
 #[serde(tag = "e", rename = "passed")]
 struct BodyStreamed {
     bytes: usize,
-    /// The length that the chunk server announced.
+    /// Length of the body in bytes, where the chunk server has declared it.
     #[serde(rename = "of")]
     content_length: Option<u64>,
     #[serde(rename = "ms")]
@@ -35,7 +35,7 @@
     end: &'static str,
 }
 
-/// How a streamed body ended.
+/// How the streaming of a body ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StreamEnd {
     Complete,
@@ -44,7 +44,7 @@
 }
 
 impl StreamEnd {
-    /// The name in the decision trace, whose format is stable.
+    /// Returns the name in the decision trace, whose format is stable.
     fn trace_name(self) -> &'static str {
         match self {
             StreamEnd::Complete => "whole",
@@ -54,12 +54,12 @@
     }
 }
 
-/// A response that streams a body from a chunk server. It has the length that the server announced,
-/// if any, so that a client can recognise a truncated body. Where the server's connection fails, so
-/// does the client's.
+/// Returns a response that streams a body from a chunk server. It has the length that the server
+/// has declared, if any, so that a client can detect a truncated body. Where the server's
+/// connection fails, the client's connection is aborted.
 ///
-/// The task that copies the body ends with the body, with the server's connection, or at the first
-/// part that the client no longer takes.
+/// The task that copies the body ends with the body, when the server's connection fails, or when
+/// the client has disconnected.
 pub(super) fn stream_response(streamed: StreamedBody) -> Reply {
     let (sender, body) = Channel::new(BUFFERED_FRAMES);
     let length = streamed.length;
@@ -73,7 +73,7 @@
     reply
 }
 
-/// A body on its way from a chunk server to the client.
+/// The transfer of a body from a chunk server to the client.
 struct BodyCopy {
     streamed: StreamedBody,
     sender: Sender<Bytes, io::Error>,
@@ -81,7 +81,7 @@
 }
 
 impl BodyCopy {
-    /// A copy that has forwarded nothing yet.
+    /// Creates a transfer that has forwarded nothing yet.
     fn new(streamed: StreamedBody, sender: Sender<Bytes, io::Error>) -> BodyCopy {
         BodyCopy {
             streamed,
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Copies the body to the client and returns its connection to the pool where it was complete.
+    /// Copies the body to the client. Returns the chunk server's connection to its pool where the
+    /// body was complete.
     async fn run(mut self) {
         let started = Instant::now();
         let end = self.forward_all().await;
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Forwards the parts of the body one after another.
+    /// Forwards the body frame by frame until it ends, the server fails or the client disconnects.
     async fn forward_all(&mut self) -> StreamEnd {
         let first = std::mem::take(&mut self.streamed.first);
         if !first.is_empty() && !self.forward(first).await {
@@ -130,13 +131,13 @@
         }
     }
 
-    /// Forwards one part. Returns whether the client still takes the body.
+    /// Forwards one part of the body. Returns whether the client is still connected.
     async fn forward(&mut self, data: Bytes) -> bool {
         self.bytes_forwarded += data.len();
         self.sender.send_data(data).await.is_ok()
     }
 
-    /// The event of the decision trace at the end of the body, after the time `took`.
+    /// Returns the event for the decision trace at the end of the body, after the time `elapsed`.
     fn trace_event(&self, end: StreamEnd, elapsed: Duration) -> BodyStreamed {
         BodyStreamed {
             bytes: self.bytes_forwarded,
--- a/src/frontend/platform/transactions.rs
+++ b/src/frontend/platform/transactions.rs
@@ -1,17 +1,17 @@
-//! The transaction ids of the requests that are being answered.
+//! The transaction ids of the open requests of a front.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
 
-/// The transactions that are open at a front.
+/// The set of transactions that are open at a front.
 #[derive(Default)]
 pub(super) struct OpenTransactions {
     ids: RefCell<HashSet<u64>>,
 }
 
 impl OpenTransactions {
-    /// Opens a transaction; `None` where it is open already, since two requests with one id cannot
-    /// be distinguished.
+    /// Opens a transaction. Returns `None` where one with this id is already open, since two
+    /// requests with the same id cannot be distinguished.
     pub(super) fn open(&self, id: u64) -> Option<OpenTransaction<'_>> {
         let inserted = self.ids.borrow_mut().insert(id);
         inserted.then(|| OpenTransaction {
@@ -21,7 +21,7 @@
     }
 }
 
-/// An open transaction, until it is dropped.
+/// Guard of an open transaction; dropping it closes the transaction.
 pub(super) struct OpenTransaction<'a> {
     transactions: &'a OpenTransactions,
     id: u64,
--- a/src/frontend/replies.rs
+++ b/src/frontend/replies.rs
@@ -1,5 +1,5 @@
-//! Responses that every front gives: plain text, rejections with a retry time, and closing the
-//! connection.
+//! Responses that are common to all fronts: plain text, health checks, and rejections with a retry
+//! time.
 
 use std::io;
 use std::time::Duration;
@@ -12,25 +12,25 @@
 
 use crate::control::readiness::Readiness;
 
-/// Path of the health check that says whether new requests may be sent here.
+/// Path of the readiness check: whether new requests may be sent to this front.
 const READY_PATH: &str = "/health/ready";
-/// Path of the health check that says whether the process answers at all.
+/// Path of the liveness check: whether the process answers at all.
 const LIVE_PATH: &str = "/health/live";
-/// `Retry-After` of a rejection by the listener itself.
+/// `Retry-After` of a rejection by the listener, before a request reaches the handler.
 const REJECTION_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// A response whose body is either complete or streamed.
+/// A response to a client, with a body that is either complete or streamed.
 pub type Reply = Response<Either<Full<Bytes>, Channel<Bytes, io::Error>>>;
 
-/// A response with a short plain-text body.
+/// Returns a response with a short plain-text body.
 pub fn plain(status: StatusCode, text: impl Into<Bytes>) -> Reply {
     let mut reply = Response::new(Either::Left(Full::new(text.into())));
     *reply.status_mut() = status;
     reply
 }
 
-/// The response to a health check; `None` for any other request. A front that starts or shuts down
-/// is alive but not ready.
+/// Returns the response to a health check, or `None` for any other request. A front that starts or
+/// shuts down is alive but not ready.
 pub(crate) fn health_check(
     method: &Method,
     path: &str,
@@ -50,7 +50,7 @@
     }
 }
 
-/// 503 for a request that was not executed: the client may retry after `retry_after`.
+/// Returns a 503 for a request that was not executed; the client may retry after `retry_after`.
 pub fn rejected(retry_after: Duration) -> Reply {
     let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
     if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", retry_after.as_secs_f64())) {
@@ -59,12 +59,13 @@
     reply
 }
 
-/// Rejects a request and closes its connection: the listener has no capacity for it.
+/// Returns a rejection that closes the connection, for a request that the listener has no capacity
+/// for.
 pub(super) fn listener_overloaded() -> Reply {
     with_connection_close(rejected(REJECTION_RETRY_AFTER))
 }
 
-/// Closes the connection after this response.
+/// Adds `Connection: close`, which closes the connection after this response.
 pub(super) fn with_connection_close(mut reply: Reply) -> Reply {
     reply
         .headers_mut()
--- a/src/frontend/request_framer.rs
+++ b/src/frontend/request_framer.rs
@@ -1,5 +1,5 @@
 //! Decides which bytes from a client hyper may read, so that hyper and the listener agree on where
-//! a request ends. No I/O: [`FramedSocket`] reads the bytes and hands them out.
+//! a request ends. No I/O: [`FramedSocket`] reads the bytes and passes them to hyper.
 //!
 //! [`FramedSocket`]: super::framed_socket::FramedSocket
 
@@ -12,55 +12,58 @@
 use super::client_state::ClientState;
 use super::framing::{body_framing, BodyFraming};
 
-/// The most bytes of a request head; a longer one is answered 431.
+/// Maximum size of a request head in bytes; a longer one is answered with 431.
 pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The most bytes sent ahead of a response that are read and discarded, for all requests on a
-/// connection together; the socket is not read beyond that.
+/// Maximum number of bytes that are discarded because they arrive before a response, for all
+/// requests on a connection together; the socket is not read beyond that.
 const MAX_DISCARDED_BYTES: usize = 8 << 20;
-/// The blank line that ends a request head, with the end of the line before it.
+/// The line break of the last header line and the blank line that ends a request head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Which part of a request is read next.
+/// The part of a request that is read next.
 enum ReadState {
     /// The request head.
     Head,
-    /// A body of known length that lacks this many bytes.
+    /// A body of known length, of which this many bytes are still to be released to hyper.
     Body(u64),
-    /// The request is complete; nothing may follow before its response has been sent.
+    /// The request is complete; no bytes may follow before its response has been sent.
     Complete,
-    /// The last request on this connection: everything is passed to hyper unchecked.
+    /// The last request on the connection: all bytes are passed to hyper unchecked.
     PassThrough,
 }
 
-/// What is needed before hyper can read more.
+/// What [`FramedSocket`] must do before hyper can read more bytes.
+///
+/// [`FramedSocket`]: super::framed_socket::FramedSocket
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NextStep {
-    /// Nothing: ask again, as the state has changed or bytes have been released.
+    /// Nothing: the state has changed or bytes have been released, so the step is to be determined
+    /// again.
     Continue,
-    /// Bytes from the socket, to be passed to [`RequestFramer::receive`].
+    /// Read bytes from the socket and pass them to [`RequestFramer::receive`].
     ReadSocket,
-    /// The response must be sent first; the socket is not read meanwhile.
+    /// Send the response first; the socket is not read meanwhile.
     AwaitResponse,
-    /// The connection ends here for hyper.
+    /// Report the end of the stream to hyper.
     EndOfStream,
 }
 
-/// The bytes that a client has sent and hyper has not read yet, and the progress of the present
+/// The bytes that a client has sent and hyper has not read yet, and the progress of the current
 /// request.
 pub(super) struct RequestFramer {
     client: Rc<ClientState>,
     buffer: BytesMut,
-    /// How many bytes at the start of `buffer` hyper may read.
+    /// Number of bytes at the start of `buffer` that hyper may read.
     released: usize,
     state: ReadState,
-    /// Whether part of the response to the present request has been written.
+    /// Whether a part of the response to the current request has been written.
     response_started: bool,
-    /// Bytes that were discarded because they came ahead of a response.
+    /// Number of bytes received while a complete request awaited its response; they are discarded.
     discarded: usize,
 }
 
 impl RequestFramer {
-    /// A framer at the start of a connection whose state is `client`.
+    /// Creates the framer of a new connection whose state is `client`.
     pub(super) fn new(client: Rc<ClientState>) -> RequestFramer {
         RequestFramer {
             client,
@@ -72,19 +75,19 @@
         }
     }
 
-    /// The bytes that hyper may read now.
+    /// Returns the bytes that hyper may read now.
     pub(super) fn released(&self) -> &[u8] {
         &self.buffer[..self.released]
     }
 
-    /// Removes the first `count` released bytes, which hyper has read.
+    /// Removes the first `count` released bytes once hyper has read them.
     pub(super) fn consume(&mut self, count: usize) {
         self.buffer.advance(count);
         self.released -= count;
     }
 
-    /// Makes the progress that the buffered bytes allow, and says what is needed for more. To be
-    /// called while no bytes are released.
+    /// Processes the buffered bytes and returns what is needed before hyper can read more. To be
+    /// called only while no bytes are released.
     pub(super) fn next_step(&mut self) -> NextStep {
         match self.state {
             ReadState::Head => {
@@ -111,7 +114,7 @@
         }
     }
 
-    /// Takes bytes that were read from the socket; there is at least one.
+    /// Buffers bytes that were read from the socket; `bytes` must not be empty.
     pub(super) fn receive(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
         match self.state {
@@ -124,15 +127,15 @@
         }
     }
 
-    /// Notes that bytes were written to the client. Before a request is complete they belong to no
-    /// response to it.
+    /// Records that bytes were written to the client. Bytes written before the current request is
+    /// complete do not count as its response.
     pub(super) fn response_written(&mut self) {
         if matches!(self.state, ReadState::Complete) {
             self.response_started = true;
         }
     }
 
-    /// Releases the request head if it is complete, and determines the framing of its body.
+    /// Releases the request head once it is complete, and determines the framing of the body.
     fn parse_head(&mut self) {
         self.skip_blank_lines();
         let end = self
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Removes empty lines ahead of a request (RFC 9112, section 2.2).
+    /// Removes empty lines before a request (RFC 9112, section 2.2).
     fn skip_blank_lines(&mut self) {
         let blank = self
             .buffer
@@ -172,15 +175,15 @@
         self.buffer.advance(blank);
     }
 
-    /// Has the present request answered with `status`, whatever its bytes are to hyper.
+    /// Has the current request answered with `status`, and passes its bytes to hyper unchecked.
     fn reject_request(&mut self, status: StatusCode) {
         self.client.set_framing_error(status);
         self.state = ReadState::PassThrough;
     }
 
-    /// Releases the body bytes that are in the buffer from `start` on, where `missing` bytes of the
-    /// body are outstanding. Bytes beyond a complete request mean that its length is wrong: a
-    /// client sends one request at a time.
+    /// Releases the body bytes in the buffer from `start` on; `missing` bytes of the body are still
+    /// to be released. Excess bytes after a complete request mean that its length is wrong, since a
+    /// client sends one request at a time; the request is then answered with 400.
     fn release_body(&mut self, missing: u64, start: usize) {
         let buffered = self.buffer.len() - start;
         let available = buffered.min(usize::try_from(missing).unwrap_or(usize::MAX));
@@ -199,12 +202,13 @@
         }
     }
 
-    /// Whether the response to the present request has been sent.
+    /// Returns whether the response to the current request has been sent.
     fn is_answered(&self) -> bool {
         self.response_started && self.client.phase() == Phase::Idle
     }
 
-    /// Turns to the request after one that has been answered, where there may be another.
+    /// Prepares for the next request after one has been answered, or ends the stream where no
+    /// further request may be read.
     fn begin_next_request(&mut self) -> NextStep {
         if self.client.is_last_request() {
             return NextStep::EndOfStream;
@@ -213,10 +217,10 @@
         NextStep::Continue
     }
 
-    /// Discards bytes that came ahead of the response, and reads on, so that the end of the stream
-    /// behind them is seen: a client that sends data and closes its connection has cancelled the
-    /// request. The connection closes after this response, since such bytes are not a request of
-    /// their own.
+    /// Discards bytes that arrived before the response. The socket is read further, up to
+    /// [`MAX_DISCARDED_BYTES`], to detect the end of the stream after them: a client that sends
+    /// data and closes its connection has cancelled the request. The connection closes after this
+    /// response, since such bytes are not treated as a request.
     fn discard_early_bytes(&mut self) -> NextStep {
         self.buffer.clear();
         if self.discarded < MAX_DISCARDED_BYTES {
@@ -227,7 +231,7 @@
     }
 }
 
-/// Whether a byte may be part of a line break.
+/// Returns whether a byte may be part of a line break.
 fn is_line_end(byte: &u8) -> bool {
     matches!(byte, b'\r' | b'\n')
 }
--- a/src/frontend/response_body.rs
+++ b/src/frontend/response_body.rs
@@ -1,4 +1,4 @@
-//! Tracking of open requests until their response bodies have been consumed.
+//! Tracking of open requests until hyper has read their response bodies.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -10,15 +10,15 @@
 use super::client_state::ClientState;
 use super::listener_status::ListenerStatus;
 
-/// A response body that keeps its request counted as open until hyper has read it completely or
-/// dropped it.
+/// A response body whose request counts as open until hyper drops the body, having read it
+/// completely or not.
 pub struct ResponseBody<B> {
     body: B,
     _open_request: OpenRequest,
 }
 
 impl<B> ResponseBody<B> {
-    /// Wraps the body of the response to `open_request`.
+    /// Wraps the response body of `open_request`.
     pub fn new(body: B, open_request: OpenRequest) -> ResponseBody<B> {
         ResponseBody {
             body,
@@ -47,14 +47,14 @@
     }
 }
 
-/// A request that is being answered; dropping it ends the request.
+/// Guard of a request that is being answered; dropping it ends the request.
 pub struct OpenRequest {
     client: Rc<ClientState>,
     status: ListenerStatus,
 }
 
 impl OpenRequest {
-    /// Counts a request of `client` in `status` for as long as the value lives.
+    /// Counts a request of `client` as active in `status` until the guard is dropped.
     pub fn new(client: &Rc<ClientState>, status: &ListenerStatus) -> OpenRequest {
         status.request_started();
         OpenRequest {
--- a/src/frontend/socket.rs
+++ b/src/frontend/socket.rs
@@ -6,30 +6,31 @@
 
 use crate::telemetry::log::log;
 
-/// Connections that the kernel queues for the front before it accepts them.
+/// Maximum number of connections that the kernel queues before the front accepts them.
 const BACKLOG: u32 = 1024;
 
-/// Why an address cannot be used for clients.
+/// Why a listening socket cannot be opened at an address.
 #[derive(Debug, thiserror::Error)]
 pub enum ListenError {
     /// The socket cannot be opened or bound.
     #[error("cannot listen on {address}: {source}")]
     Bind {
-        /// The address.
+        /// The address to listen at.
         address: SocketAddr,
-        /// The system's reason.
+        /// The error of the system call that failed.
         source: std::io::Error,
     },
-    /// The bound address cannot be read.
+    /// The address that the socket is bound to cannot be read.
     #[error(transparent)]
     LocalAddress(#[from] std::io::Error),
 }
 
-/// Opens a listening socket and logs its address; port 0 chooses a free port. `SO_REUSEPORT` lets a
+/// Opens a listening socket and logs its address; port 0 selects a free port. `SO_REUSEPORT` lets a
 /// new version of the process listen at the same address while the old one still serves.
 ///
 /// # Errors
-/// The socket cannot be opened or bound.
+/// Returns a [`ListenError`] where the socket cannot be opened or bound, or its address not be
+/// read.
 pub async fn listen(address: SocketAddr) -> Result<TcpListener, ListenError> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()
