--- a/src/frontend/platform/request_parser.rs
+++ b/src/frontend/platform/request_parser.rs
@@ -83,8 +83,8 @@
     /// Parses the method and headers of a request.
     ///
     /// # Errors
-    /// Returns the first [`RequestError`] where a header is missing or invalid. The headers are
-    /// checked in a fixed order.
+    /// Returns the first [`RequestError`] found: a header is missing or invalid, or the method is
+    /// not that of the class. The checks have a fixed order.
     pub(super) fn parse(
         &self,
         method: &Method,
