--- a/src/cluster/config.rs
+++ b/src/cluster/config.rs
@@ -99,7 +99,8 @@
         if limits_config.revision == 0 {
             return Err(ClusterConfigError::RevisionZero);
         }
-        limits_config.membership_digest = membership_digest(&limits_config, &membership_list, ejections);
+        limits_config.membership_digest =
+            membership_digest(&limits_config, &membership_list, ejections);
         limits_config.check().map_err(ClusterConfigError::Limits)?;
         Ok(ClusterConfig {
             listen: section.listen.0,
