--- a/crates/core/src/interface/events.rs
+++ b/crates/core/src/interface/events.rs
@@ -54,7 +54,7 @@
     /// A request was received.
     Request(Request),
     /// The client is gone.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// A streamed answer has begun.
     ResponseStarted(RequestId),
     /// An attempt has ended.
--- a/crates/core/src/policy/scheduler/events.rs
+++ b/crates/core/src/policy/scheduler/events.rs
@@ -43,7 +43,7 @@
             } => self.on_discovery_unavailable(),
             Event::Endpoints { scope, nodes } => self.on_endpoints(scope, &nodes, actions),
             Event::Request(request) => self.on_request(request, actions),
-            Event::ClientGone(id) => self.on_client_gone(id, actions),
+            Event::ClientDisconnected(id) => self.on_client_gone(id, actions),
             Event::ResponseStarted(id) => self.on_response_started(id),
             Event::AttemptEnded {
                 id,
--- a/crates/core/src/request_tracker.rs
+++ b/crates/core/src/request_tracker.rs
@@ -157,7 +157,7 @@
         if !mutated(Mutation::NoReleaseAfterClientGone) {
             self.release_if_finished(id, effects);
         }
-        self.decide(now, Event::ClientGone(id), effects);
+        self.decide(now, Event::ClientDisconnected(id), effects);
     }
 
     /// Passes an event to the policy and applies its actions. Events that the actions cause follow
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -38,7 +38,7 @@
     for id in 100..120 {
         front.submit(request(id, 0, Some(0)));
         front.now += 60 * MS;
-        front.event(Event::ClientGone(RequestId(id)));
+        front.event(Event::ClientDisconnected(RequestId(id)));
         front.end_attempt(id, 0, 0, Outcome::Served, 60 * MS);
     }
     // The server is full; requests that wait longer than clients typically stay are rejected before
@@ -65,7 +65,7 @@
         let leaves = id % 5 == 0;
         if leaves {
             front.now += after;
-            front.event(Event::ClientGone(RequestId(id)));
+            front.event(Event::ClientDisconnected(RequestId(id)));
         }
         actions.extend(front.advance(60 * MS - if leaves { after } else { 0 }));
         for id in [id, id + 1] {
@@ -84,7 +84,7 @@
     front.warm(0, 3, 0, 20 * MS);
     for (id, class, is_cancelled) in [(100, 0, true), (101, 2, false)] {
         front.submit(request(id, class, Some(0)));
-        let actions = front.event(Event::ClientGone(RequestId(id)));
+        let actions = front.event(Event::ClientDisconnected(RequestId(id)));
         assert_eq!(
             actions.contains(&Action::Cancel {
                 id: RequestId(id),
@@ -94,7 +94,7 @@
         );
         assert!(
             !front
-                .event(Event::ClientGone(RequestId(id)))
+                .event(Event::ClientDisconnected(RequestId(id)))
                 .contains(&Action::Cancel {
                     id: RequestId(id),
                     attempt: 0
--- a/crates/core/tests/client_patience.rs
+++ b/crates/core/tests/client_patience.rs
@@ -31,7 +31,7 @@
     for id in first..first + count {
         let actions = front.submit(request(id, 0, Some(0)));
         front.now += age;
-        let end_actions = front.event(Event::ClientGone(RequestId(id)));
+        let end_actions = front.event(Event::ClientDisconnected(RequestId(id)));
         if end_actions
             .iter()
             .any(|a| matches!(a, Action::Cancel { .. }))
--- a/crates/core/tests/invariants.rs
+++ b/crates/core/tests/invariants.rs
@@ -271,7 +271,7 @@
             tracked.answered = true;
             tracked.answers = 1;
         }
-        let actions = self.front.event(Event::ClientGone(RequestId(id)));
+        let actions = self.front.event(Event::ClientDisconnected(RequestId(id)));
         self.apply(actions);
     }
 
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -162,7 +162,7 @@
     };
     assert_eq!(sends(&front.submit(with_key(1))).len(), 1);
     assert!(sends(&front.submit(with_key(2))).is_empty());
-    front.event(Event::ClientGone(RequestId(1)));
+    front.event(Event::ClientDisconnected(RequestId(1)));
     assert!(
         sends(&front.advance(50 * MS)).is_empty(),
         "the first may still be executed"
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -57,7 +57,7 @@
 fn events_of_unknown_requests_are_ignored() {
     let mut front = TestFront::new(settings(), 1);
     assert!(sends(&front.end_attempt(77, 0, 5, Outcome::Served, MS)).is_empty());
-    front.event(Event::ClientGone(RequestId(77)));
+    front.event(Event::ClientDisconnected(RequestId(77)));
     front.event(Event::ResponseStarted(RequestId(77)));
     assert!(rejected(&front.submit(request(1, 99, Some(0))), 1));
     assert_eq!(sends(&front.submit(request(2, 0, Some(0)))).len(), 1);
--- a/crates/model-checker/src/policy.rs
+++ b/crates/model-checker/src/policy.rs
@@ -114,7 +114,7 @@
                 },
             );
         }
-        Event::ClientGone(id) | Event::AttemptEnded { id, last: true, .. } => {
+        Event::ClientDisconnected(id) | Event::AttemptEnded { id, last: true, .. } => {
             known.remove(&id);
         }
         Event::AttemptEnded { id, outcome, .. } => {
--- a/src/bin/tulipbridge-adapter/instance.rs
+++ b/src/bin/tulipbridge-adapter/instance.rs
@@ -89,7 +89,7 @@
                 let id = self.request_id(row)?;
                 id.map(|id| {
                     self.requests.finish(id);
-                    Event::ClientGone(id)
+                    Event::ClientDisconnected(id)
                 })
             }
             EventKind::ResponseStarted => self.request_id(row)?.map(Event::ResponseStarted),
