--- a/crates/core/src/interface/mod.rs
+++ b/crates/core/src/interface/mod.rs
@@ -16,7 +16,9 @@
 pub use fleet::{ClassSet, FleetUpdate, SharedLimit};
 pub use ids::{KeyId, NodeId, RequestId, ShardId, VolumeId};
 pub use request::Request;
-pub use settings::{Class, Group, Plan, RetryBudget, Semantics, Settings, SettingsError};
+pub use settings::{
+    Class, DeduplicationGroup, Plan, RetryBudget, Semantics, Settings, SettingsError,
+};
 
 /// A time or a duration in nanoseconds.
 pub type Nanos = i64;
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -15,7 +15,7 @@
 
 /// The chunk servers that drop each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationGroup {
     /// All chunk servers.
     All,
     /// Those of one zone.
@@ -36,7 +36,7 @@
     /// Whether it may be executed again.
     pub semantics: Semantics,
     /// Where repeats are dropped.
-    pub group: Group,
+    pub group: DeduplicationGroup,
     /// How long repeats are dropped.
     pub window: Nanos,
     /// Whether the requests of a key are executed one at a time and in order.
--- a/crates/core/src/invariant_monitor.rs
+++ b/crates/core/src/invariant_monitor.rs
@@ -9,8 +9,8 @@
 use std::collections::BTreeMap;
 
 use crate::interface::{
-    EndpointState, Group, Nanos, NodeId, Outcome, RequestId, RuntimeCommand, Semantics, Settings,
-    UpdateScope,
+    DeduplicationGroup, EndpointState, Nanos, NodeId, Outcome, RequestId, RuntimeCommand,
+    Semantics, Settings, UpdateScope,
 };
 use crate::request_tracker::{Effect, FinalAnswer, Input};
 
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug)]
 struct MonitoredRequest {
     semantics: Semantics,
-    group: Group,
+    group: DeduplicationGroup,
     /// How long the chunk servers deduplicate retries of the request.
     window: Nanos,
     /// Its final answer was given, or its client has gone.
@@ -209,7 +209,9 @@
         let may_have_executed = request.executed_since.is_some() || !request.in_flight.is_empty();
         let is_harmless = match request.semantics {
             Semantics::Idempotent => true,
-            Semantics::Deduplicated => !may_have_executed || request.group == Group::All,
+            Semantics::Deduplicated => {
+                !may_have_executed || request.group == DeduplicationGroup::All
+            }
             Semantics::AtMostOnce => !may_have_executed,
         };
         let rule = if request.answered {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,7 +5,7 @@
 //! attempts, discovery and shutdown.
 //!
 //! ```
-//! use tulipbridge_core::{Action, Class, Event, Group, EndpointState, NodeInfo, Plan, Request, Scheduler, Semantics, Settings};
+//! use tulipbridge_core::{Action, Class, Event, DeduplicationGroup, EndpointState, NodeInfo, Plan, Request, Scheduler, Semantics, Settings};
 //! use tulipbridge_core::{KeyId, NodeId, RequestId, ShardId, UpdateScope, VolumeId};
 //!
 //! let ms = 1_000_000;
@@ -16,7 +16,7 @@
 //!         objective_stretch: 0.0,
 //!         deadline: 1000 * ms,
 //!         semantics: Semantics::Idempotent,
-//!         group: Group::All,
+//!         group: DeduplicationGroup::All,
 //!         window: 0,
 //!         keep_order: false,
 //!         late_value: 0.2,
--- a/crates/core/src/policy/retry.rs
+++ b/crates/core/src/policy/retry.rs
@@ -5,7 +5,7 @@
 use super::retry_budget::RetryHistory;
 use super::{SECOND, TICK_INTERVAL};
 use crate::fleet_limits::FleetLimits;
-use crate::interface::{Class, Group, Nanos, NodeId, Semantics, Settings};
+use crate::interface::{Class, DeduplicationGroup, Nanos, NodeId, Semantics, Settings};
 use crate::mutations::{mutated, Mutation};
 use crate::state::{LiveRequest, PossibleExecution};
 
@@ -121,11 +121,11 @@
     }
 
     /// Whether a server drops repeats of what another one executed.
-    fn is_in_group(&self, group: Group, executor: NodeId, other: NodeId) -> bool {
+    fn is_in_group(&self, group: DeduplicationGroup, executor: NodeId, other: NodeId) -> bool {
         match group {
-            Group::All => true,
-            Group::Zone => self.nodes[other].zone() == self.nodes[executor].zone(),
-            Group::Shard => self.nodes[other].shard() == self.nodes[executor].shard(),
+            DeduplicationGroup::All => true,
+            DeduplicationGroup::Zone => self.nodes[other].zone() == self.nodes[executor].zone(),
+            DeduplicationGroup::Shard => self.nodes[other].shard() == self.nodes[executor].shard(),
         }
     }
 }
@@ -152,7 +152,9 @@
 pub(crate) fn is_repeatable_by_client(live: &LiveRequest, class: &Class) -> bool {
     match class.semantics {
         Semantics::Idempotent => true,
-        Semantics::Deduplicated => !live.may_have_executed() || class.group == Group::All,
+        Semantics::Deduplicated => {
+            !live.may_have_executed() || class.group == DeduplicationGroup::All
+        }
         Semantics::AtMostOnce => !live.may_have_executed() || mutated(Mutation::RejectsUnsafeWrite),
     }
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -9,7 +9,7 @@
 pub const MS: Nanos = 1_000_000;
 pub const S: Nanos = 1000 * MS;
 
-pub fn class(semantics: Semantics, group: Group) -> Class {
+pub fn class(semantics: Semantics, group: DeduplicationGroup) -> Class {
     Class {
         latency_objective: 200 * MS,
         objective_stretch: 0.0,
@@ -36,16 +36,16 @@
 }
 
 pub fn settings() -> Settings {
-    let mut ordered = class(Semantics::Idempotent, Group::All);
+    let mut ordered = class(Semantics::Idempotent, DeduplicationGroup::All);
     ordered.keep_order = true;
     Settings {
         front_count: 2,
         classes: vec![
-            class(Semantics::Idempotent, Group::All),
-            class(Semantics::Deduplicated, Group::Shard),
-            class(Semantics::AtMostOnce, Group::All),
+            class(Semantics::Idempotent, DeduplicationGroup::All),
+            class(Semantics::Deduplicated, DeduplicationGroup::Shard),
+            class(Semantics::AtMostOnce, DeduplicationGroup::All),
             ordered,
-            class(Semantics::Deduplicated, Group::Zone),
+            class(Semantics::Deduplicated, DeduplicationGroup::Zone),
         ],
         plans: vec![plan(0.0, 50.0), plan(20.0, 0.0)],
         quantum: 2 * MS,
--- a/crates/core/tests/invariants.rs
+++ b/crates/core/tests/invariants.rs
@@ -356,7 +356,7 @@
         if rejected && may_have_executed {
             let is_repeatable = match class.semantics {
                 Semantics::Idempotent => true,
-                Semantics::Deduplicated => class.group == Group::All,
+                Semantics::Deduplicated => class.group == DeduplicationGroup::All,
                 Semantics::AtMostOnce => false,
             };
             assert!(
@@ -453,9 +453,9 @@
         if class.semantics == Semantics::Deduplicated {
             for attempt in tracked.possibly_executed() {
                 let is_in_group = match class.group {
-                    Group::All => true,
-                    Group::Zone => attempt.node % 2 == at % 2,
-                    Group::Shard => attempt.node == at,
+                    DeduplicationGroup::All => true,
+                    DeduplicationGroup::Zone => attempt.node % 2 == at % 2,
+                    DeduplicationGroup::Shard => attempt.node == at,
                 };
                 assert!(
                     is_in_group && self.front.now <= attempt.sent_at + class.window,
--- a/crates/model-checker/src/configs/settings.rs
+++ b/crates/model-checker/src/configs/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of the front in the request models.
 
-use tulipbridge_core::{Class, Group, Plan, Semantics, Settings};
+use tulipbridge_core::{Class, DeduplicationGroup, Plan, Semantics, Settings};
 
 use crate::time::MS;
 
@@ -53,7 +53,7 @@
         objective_stretch: 0.0,
         deadline: 120 * MS,
         semantics,
-        group: Group::All,
+        group: DeduplicationGroup::All,
         window: 2000 * MS,
         keep_order: false,
         late_value: 0.2,
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
-use tulipbridge_core::{Class, Group, Nanos, Plan, RetryBudget, Semantics, Settings};
+use tulipbridge_core::{Class, DeduplicationGroup, Nanos, Plan, RetryBudget, Semantics, Settings};
 
 use crate::config::values::{
     boolean, lenient, number, object, objects, optional_number, text, Deferred, Number,
@@ -249,9 +249,9 @@
         deadline: entry.deadline as Nanos,
         semantics: entry.semantics.0,
         group: match entry.group.as_deref() {
-            Some("all") => Group::All,
-            Some("zone") => Group::Zone,
-            _ => Group::Shard,
+            Some("all") => DeduplicationGroup::All,
+            Some("zone") => DeduplicationGroup::Zone,
+            _ => DeduplicationGroup::Shard,
         },
         window: entry.window as Nanos,
         keep_order: entry.keep_order,
--- a/tests/unit/settings_keys.rs
+++ b/tests/unit/settings_keys.rs
@@ -3,7 +3,7 @@
 
 use simd_json::OwnedValue;
 use tulipbridge::config::settings;
-use tulipbridge_core::{Class, Group, Plan, RetryBudget, Semantics, Settings};
+use tulipbridge_core::{Class, DeduplicationGroup, Plan, RetryBudget, Semantics, Settings};
 
 const SETTINGS: &str = r#"{
     "Balancers": 2, "Quantum": 3, "Discovery": "on_request",
@@ -36,7 +36,7 @@
             objective_stretch: 5.5,
             deadline: 6,
             semantics: Semantics::Deduplicated,
-            group: Group::Zone,
+            group: DeduplicationGroup::Zone,
             window: 7,
             keep_order: true,
             late_value: 8.5,
