--- a/crates/core/src/invariant_monitor.rs
+++ b/crates/core/src/invariant_monitor.rs
@@ -20,37 +20,37 @@
     /// Each request has one final answer.
     OneAnswer,
     /// Nothing is sent for a request that has been answered or whose client has gone.
-    NothingAfterTheEnd,
+    NoSendAfterEnd,
     /// Nothing is sent to a server that drains or is gone.
-    CleanDrain,
+    NoSendToDrainingServer,
     /// No two attempts of a request are in flight together.
     OneAttemptAtATime,
     /// A request that may have been executed is repeated only as its class allows.
-    NoDoubleEffect,
+    NoUnsafeRetry,
     /// A rejection promises that trying again is harmless.
-    HarmlessRejection,
+    RejectionSafeToRetry,
 }
 
 impl Rule {
     /// All rules.
     pub const ALL: [Rule; 6] = [
         Rule::OneAnswer,
-        Rule::NothingAfterTheEnd,
-        Rule::CleanDrain,
+        Rule::NoSendAfterEnd,
+        Rule::NoSendToDrainingServer,
         Rule::OneAttemptAtATime,
-        Rule::NoDoubleEffect,
-        Rule::HarmlessRejection,
+        Rule::NoUnsafeRetry,
+        Rule::RejectionSafeToRetry,
     ];
 
     /// The name of the rule in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Rule::OneAnswer => "one_answer",
-            Rule::NothingAfterTheEnd => "nothing_after_the_end",
-            Rule::CleanDrain => "clean_drain",
+            Rule::NoSendAfterEnd => "nothing_after_the_end",
+            Rule::NoSendToDrainingServer => "clean_drain",
             Rule::OneAttemptAtATime => "one_attempt_at_a_time",
-            Rule::NoDoubleEffect => "no_double_effect",
-            Rule::HarmlessRejection => "harmless_rejection",
+            Rule::NoUnsafeRetry => "no_double_effect",
+            Rule::RejectionSafeToRetry => "harmless_rejection",
         }
     }
 }
@@ -189,13 +189,13 @@
                 Semantics::AtMostOnce => false,
             });
         let rule = if request.ended {
-            Some(Rule::NothingAfterTheEnd)
+            Some(Rule::NoSendAfterEnd)
         } else if !is_up {
-            Some(Rule::CleanDrain)
+            Some(Rule::NoSendToDrainingServer)
         } else if !request.in_flight.is_empty() {
             Some(Rule::OneAttemptAtATime)
         } else if !repeat_allowed {
-            Some(Rule::NoDoubleEffect)
+            Some(Rule::NoUnsafeRetry)
         } else {
             None
         };
@@ -217,7 +217,7 @@
         let rule = if request.answered {
             Some(Rule::OneAnswer)
         } else if matches!(answer, FinalAnswer::Rejected(_)) && !is_harmless {
-            Some(Rule::HarmlessRejection)
+            Some(Rule::RejectionSafeToRetry)
         } else {
             None
         };
--- a/crates/core/tests/invariant_monitor.rs
+++ b/crates/core/tests/invariant_monitor.rs
@@ -80,11 +80,11 @@
         answer(&mut second_answer, FinalAnswer::Failed),
         Some(Rule::OneAnswer)
     );
-    assert_eq!(send(&mut second_answer, 0), Some(Rule::NothingAfterTheEnd));
+    assert_eq!(send(&mut second_answer, 0), Some(Rule::NoSendAfterEnd));
 
     let mut client_gone = monitor(IDEMPOTENT);
     client_gone.input(&Input::ClientGone(RequestId(1)), &settings());
-    assert_eq!(send(&mut client_gone, 0), Some(Rule::NothingAfterTheEnd));
+    assert_eq!(send(&mut client_gone, 0), Some(Rule::NoSendAfterEnd));
 
     let mut draining = monitor(IDEMPOTENT);
     let nodes = vec![node(NODE, EndpointState::Draining, 0)];
@@ -95,7 +95,7 @@
         },
         &settings(),
     );
-    assert_eq!(send(&mut draining, 0), Some(Rule::CleanDrain));
+    assert_eq!(send(&mut draining, 0), Some(Rule::NoSendToDrainingServer));
 
     let mut two_attempts = monitor(IDEMPOTENT);
     send(&mut two_attempts, 0);
@@ -104,12 +104,12 @@
     let mut repeated_write = monitor(AT_MOST_ONCE);
     send(&mut repeated_write, 0);
     time_out(&mut repeated_write, 0);
-    assert_eq!(send(&mut repeated_write, 1), Some(Rule::NoDoubleEffect));
+    assert_eq!(send(&mut repeated_write, 1), Some(Rule::NoUnsafeRetry));
 
     let mut rejected_write = monitor(AT_MOST_ONCE);
     send(&mut rejected_write, 0);
     assert_eq!(
         answer(&mut rejected_write, FinalAnswer::Rejected(0)),
-        Some(Rule::HarmlessRejection)
+        Some(Rule::RejectionSafeToRetry)
     );
 }
