--- a/crates/core/src/interface/events.rs
+++ b/crates/core/src/interface/events.rs
@@ -70,7 +70,7 @@
         /// The time since it was sent.
         took: Nanos,
         /// Whether the client has its answer.
-        last: bool,
+        is_answered: bool,
         /// 1 plus the percentage of its nominal rate that the volume used lately; 0 is unknown.
         observed_use: f64,
         /// Units served for the volume through other fronts since the last answer.
--- a/crates/core/src/policy/scheduler/events.rs
+++ b/crates/core/src/policy/scheduler/events.rs
@@ -51,7 +51,7 @@
                 node,
                 outcome,
                 took,
-                last,
+                is_answered,
                 ..
             } => {
                 let end = AttemptEnd {
@@ -62,7 +62,7 @@
                     node,
                     outcome,
                     took,
-                    is_answered: last,
+                    is_answered,
                 };
                 self.on_attempt_ended(end, actions);
             }
--- a/crates/core/src/request_tracker/attempts.rs
+++ b/crates/core/src/request_tracker/attempts.rs
@@ -54,7 +54,7 @@
                 node,
                 outcome: Outcome::NotSent,
                 took: 0,
-                last: true,
+                is_answered: true,
                 observed_use: 0.0,
                 foreign_units: 0.0,
             });
@@ -112,7 +112,7 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let last = request.answered;
+        let is_answered = request.answered;
         self.release_if_finished(id, effects);
         let event = Event::AttemptEnded {
             id,
@@ -120,7 +120,7 @@
             node: ended.node,
             outcome: end.outcome,
             took: now - ended.sent_at,
-            last,
+            is_answered,
             observed_use: end.observed_use,
             foreign_units: end.foreign_units,
         };
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -192,7 +192,7 @@
     node: usize,
     outcome: Outcome,
     took: Nanos,
-    last: bool,
+    is_answered: bool,
 ) -> Event {
     Event::AttemptEnded {
         id: RequestId(id),
@@ -200,7 +200,7 @@
         node: NodeId(node),
         outcome,
         took,
-        last,
+        is_answered,
         observed_use: 0.0,
         foreign_units: 0.0,
     }
--- a/crates/model-checker/src/policy.rs
+++ b/crates/model-checker/src/policy.rs
@@ -114,7 +114,12 @@
                 },
             );
         }
-        Event::ClientDisconnected(id) | Event::AttemptEnded { id, last: true, .. } => {
+        Event::ClientDisconnected(id)
+        | Event::AttemptEnded {
+            id,
+            is_answered: true,
+            ..
+        } => {
             known.remove(&id);
         }
         Event::AttemptEnded { id, outcome, .. } => {
--- a/crates/model-checker/src/recovery.rs
+++ b/crates/model-checker/src/recovery.rs
@@ -137,7 +137,7 @@
         node: attempt.node,
         outcome: Outcome::Served,
         took: now - attempt.sent_at,
-        last: true,
+        is_answered: true,
         observed_use: 0.0,
         foreign_units: 0.0,
     }
--- a/src/bin/tulipbridge-adapter/instance.rs
+++ b/src/bin/tulipbridge-adapter/instance.rs
@@ -209,7 +209,7 @@
             node,
             outcome,
             took,
-            last,
+            is_answered: last,
             observed_use: seen_use,
             foreign_units,
         }))
