--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -1,23 +1,24 @@
-//! One attempt of a request: it acquires a connection, sends the request and ends with one outcome.
+//! The state machine of one attempt of a request: it acquires a connection, sends the request and
+//! ends with one outcome.
 //!
-//! The machine tells the transport its next step. It does no I/O.
+//! It returns each next step to the transport and does no I/O.
 
 use crate::interface::Outcome;
 use crate::mutations::{mutated, Mutation};
 use crate::server_connection::Execution;
 
-/// State of an attempt.
+/// The state of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Attempt {
-    /// Looking for an idle connection in the pool.
+    /// Waiting for the pool to return an idle connection.
     AcquiringConnection,
-    /// Using a connection that carried requests before.
+    /// Using a pooled connection, which carried requests before.
     OnPooledConnection,
-    /// Waiting for a new connection.
+    /// Waiting until a new connection is established.
     Dialing,
-    /// Using a new connection.
+    /// Using a connection that was opened for this attempt.
     OnNewConnection,
-    /// Ended.
+    /// Ended with this outcome.
     Finished(Outcome),
 }
 
@@ -28,7 +29,7 @@
     PooledConnectionFound,
     /// The pool has no idle connection.
     NoPooledConnection {
-        /// Whether the cap on connections allows a new one.
+        /// Whether the limit on connections allows a new one.
         may_open: bool,
     },
     /// The new connection is established.
@@ -39,7 +40,7 @@
     ConnectionBroke(Execution),
     /// The response is complete; its status maps to this outcome.
     Answered(Outcome),
-    /// The attempt was withdrawn with this outcome before any byte was written; none will be.
+    /// The attempt was withdrawn with this outcome before any byte was written.
     Withdrawn(Outcome),
 }
 
@@ -57,7 +58,7 @@
 }
 
 impl Attempt {
-    /// Handles an event and returns the next step.
+    /// Handles an event and returns the next step of the transport.
     pub fn on(&mut self, event: AttemptEvent) -> AttemptStep {
         let step = self.next_step(event);
         *self = match step {
@@ -113,15 +114,15 @@
                 AttemptEvent::Answered(outcome),
             ) => AttemptStep::End(outcome),
             (_, AttemptEvent::Withdrawn(outcome)) => AttemptStep::End(outcome),
-            // Any other event is a defect of the caller; assume that the request may have run.
+            // Any other event is a bug in the caller. Assume that the request may have been executed.
             _ => AttemptStep::End(Outcome::Reset),
         }
     }
 }
 
-/// Whether a request whose pooled connection broke may be written to another one within the same
-/// attempt. A pooled connection may turn out to be closed before it accepts a byte; a request that
-/// was written in part is never resent silently.
+/// Returns whether a request whose pooled connection broke may be written to another connection
+/// within the same attempt. The server may have closed a pooled connection before it accepts a byte.
+/// A request that was written in part is never resent silently.
 fn may_use_another_connection(execution: Execution) -> bool {
     match execution {
         Execution::NotStarted => true,
--- a/crates/core/src/interface/endpoints.rs
+++ b/crates/core/src/interface/endpoints.rs
@@ -1,42 +1,42 @@
-//! The endpoint list: the chunk servers and their states.
+//! The entries of the endpoint list: the chunk servers that discovery names, and their states.
 
 use crate::interface::{Nanos, NodeId, ShardId};
 
 /// The state of a chunk server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EndpointState {
-    /// In service.
+    /// In service: requests may be sent to it.
     Up,
-    /// Finishing its work before it leaves.
+    /// Finishing the work in flight before it is removed; it gets no new attempts.
     Draining,
-    /// Removed.
+    /// No longer part of the deployment.
     Removed,
 }
 
 /// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct NodeInfo {
-    /// The chunk server.
+    /// The chunk server that the entry describes.
     pub node: NodeId,
-    /// Its zone.
+    /// The index of the zone in which the chunk server runs.
     pub zone: u32,
     /// The shard that it holds.
     pub shard: ShardId,
-    /// Its state.
+    /// Whether the chunk server is in service.
     pub state: EndpointState,
-    /// When it last started; 0 is long ago.
+    /// When the chunk server last started, in nanoseconds; 0 means long ago.
     pub started_at: Nanos,
 }
 
-/// The kind of an endpoint event.
+/// How an endpoint event relates to the entries known before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum UpdateScope {
-    /// Changed entries only.
+    /// The event holds only the entries that changed.
     Update,
-    /// The complete list.
+    /// The event holds the complete list.
     Replace,
-    /// The list as last known before a restart, perhaps stale.
+    /// The event holds the list as last known before a restart, which may be stale.
     Restored,
-    /// The call failed or the subscription broke; there are no entries.
+    /// The call to discovery failed or the subscription broke; the event holds no entries.
     Unavailable,
 }
--- a/crates/core/src/interface/events.rs
+++ b/crates/core/src/interface/events.rs
@@ -1,30 +1,30 @@
-//! The events that the decision module takes and the actions that it returns.
+//! The events that the decision module handles and the actions that it returns.
 
 use crate::interface::{FleetUpdate, Nanos, NodeId, NodeInfo, Request, RequestId, UpdateScope};
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// Served.
+    /// The chunk server served the attempt.
     Served,
     /// The chunk server answered with an error; it may have executed the attempt.
     Error,
     /// The chunk server rejected the attempt without executing it.
     Rejected,
-    /// No answer in time; it may still be executed.
+    /// No response arrived in time; the attempt may still be executed.
     TimedOut,
-    /// No connection; it was never executed.
+    /// No connection could be used; the attempt was never executed.
     NotExecuted,
-    /// The connection broke; it may have been executed.
+    /// The connection broke; the attempt may have been executed.
     Reset,
-    /// Cancelled; it may have been executed.
+    /// The front cancelled the attempt; it may have been executed.
     Cancelled,
-    /// It was not sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the chunk server may have executed the attempt.
+    /// Returns whether the chunk server may have executed the attempt.
     pub fn may_have_executed(self) -> bool {
         !matches!(
             self,
@@ -32,7 +32,7 @@
         )
     }
 
-    /// Whether the chunk server may execute the attempt after its end.
+    /// Returns whether the chunk server may execute the attempt after the front gave it up.
     pub(crate) fn may_still_execute(self) -> bool {
         matches!(
             self,
@@ -41,76 +41,76 @@
     }
 }
 
-/// What has happened.
+/// An input of the decision module.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A change of the endpoint list.
+    /// The endpoint list changed, or the subscription to it was lost.
     Endpoints {
-        /// The kind of change.
+        /// Which part of the list `nodes` holds.
         scope: UpdateScope,
-        /// The entries.
+        /// The entries that were received.
         nodes: Vec<NodeInfo>,
     },
-    /// A request was received.
+    /// The front received a request.
     Request(Request),
-    /// The client is gone.
+    /// The client of a request has disconnected.
     ClientDisconnected(RequestId),
-    /// A streamed answer has begun.
+    /// A streamed response has begun to arrive.
     ResponseStarted(RequestId),
     /// An attempt has ended.
     AttemptEnded {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// The number of the attempt, from 0.
+        /// The index of the attempt within its request, from 0.
         attempt: u32,
-        /// Where it was sent.
+        /// The chunk server that the attempt was sent to.
         node: NodeId,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// The time since it was sent.
+        /// The time from sending the attempt to its end.
         took: Nanos,
-        /// Whether the client has its answer.
+        /// Whether the request already has its final answer.
         is_answered: bool,
-        /// 1 plus the percentage of its nominal rate that the volume used lately; 0 is unknown.
+        /// 1 plus the percentage of its nominal rate that the volume used recently; 0 is unknown.
         observed_use: f64,
-        /// Units served for the volume through other fronts since the last answer.
+        /// Units served for the volume through other fronts since the previous answer.
         foreign_units: f64,
     },
-    /// An update from the fleet.
+    /// An instruction from the fleet, or the start of this front's shutdown.
     FleetUpdate(FleetUpdate),
-    /// A timer is due, with its cookie.
+    /// The timer with this cookie has expired.
     Timer(u64),
 }
 
-/// What the front is to do.
+/// An output of the decision module, which the front carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
     Send {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// Where to.
+        /// The chunk server that the attempt is sent to.
         node: NodeId,
-        /// The timeout of the attempt; 0 is the client's own.
+        /// The timeout of the attempt; 0 stands for the timeout of the client.
         timeout: Nanos,
     },
     /// Cancel an attempt in flight; it ends as [`Outcome::Cancelled`].
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// The number of the attempt.
+        /// The index of the attempt within its request, from 0.
         attempt: u32,
     },
-    /// Final answer: rejected, safe to repeat.
+    /// Gives the final answer that the request was rejected and is safe to repeat.
     Reject {
-        /// The request.
+        /// The rejected request.
         id: RequestId,
-        /// How long the client should wait before it tries again.
+        /// How long the client should wait before it retries.
         retry_after: Nanos,
     },
-    /// Final answer: failed; the request may have been executed.
+    /// Gives the final answer that the request failed; it may have been executed.
     Fail(RequestId),
-    /// A command that concerns no request.
+    /// Passes a command to the runtime; it concerns no request.
     Runtime(RuntimeCommand),
 }
 
@@ -119,20 +119,20 @@
 pub enum RuntimeCommand {
     /// Start a timer.
     SetTimer {
-        /// The time from now until it expires.
+        /// The time from now until the timer expires.
         after: Nanos,
-        /// Returned in [`Event::Timer`].
+        /// The value that [`Event::Timer`] returns when the timer expires.
         cookie: u64,
     },
-    /// Subscribe to the endpoint list.
+    /// Subscribe to discovery's endpoint list.
     Subscribe,
-    /// A chunk server was removed and nothing is in flight to it; its state is dropped.
+    /// Drop the state of a chunk server that was removed and has nothing in flight.
     ForgetNode(NodeId),
     /// Write a line to the log.
     Log {
-        /// The text.
+        /// The message, without the name of the chunk server.
         text: &'static str,
-        /// The chunk server that it is about.
+        /// The chunk server that the message is about.
         node: NodeId,
     },
 }
--- a/crates/core/src/interface/fleet.rs
+++ b/crates/core/src/interface/fleet.rs
@@ -1,76 +1,77 @@
-//! Updates from the fleet: shared limits, ejections, probes and the front's own shutdown.
+//! Updates from the fleet: shared limits, ejections and probes, and the front's own shutdown.
 
 use crate::interface::{Nanos, NodeId, VolumeId};
 
 /// A limit that all fronts share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SharedLimit {
-    /// The units of a volume.
+    /// The units of work of a volume.
     Volume(VolumeId),
-    /// Retries of any request.
+    /// The retries of all requests.
     Retries,
-    /// Units to any one chunk server that has just started.
+    /// The units sent to any one chunk server that is warming up.
     WarmingUpNode,
-    /// Requests in flight at any one chunk server; below 1 it is a pace.
+    /// The requests in flight at any one chunk server; a value below 1 limits their pace.
     InFlightPerNode,
 }
 
-/// The index of the bit that stands for the last class of a [`ClassSet`] and for all after it.
+/// The index of the bit of a [`ClassSet`] that stands for this class and all later ones.
 const LAST_CLASS_BIT: usize = 63;
 
-/// The request classes for which a chunk server is ejected: a bit for each class, the last bit for
-/// all from there on.
+/// The request classes for which a chunk server is ejected, as a bit for each class. All classes
+/// from [`LAST_CLASS_BIT`] on share the last bit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ClassSet(u64);
 
 impl ClassSet {
-    /// No class.
+    /// The empty set.
     pub const NONE: ClassSet = ClassSet(0);
-    /// All classes.
+    /// The set of all classes.
     pub const ALL: ClassSet = ClassSet(u64::MAX);
 
-    /// This set and one class more.
+    /// Returns this set with one more class.
     #[must_use]
     pub fn with(self, class: usize) -> ClassSet {
         ClassSet(self.0 | 1 << class.min(LAST_CLASS_BIT))
     }
 
-    /// The bits, the lowest for class 0.
+    /// Returns the bits of the set; the lowest stands for class 0.
     pub fn bits(self) -> u64 {
         self.0
     }
 
-    /// Whether a class is in the set.
+    /// Returns whether a class is in the set.
     pub fn contains(self, class: usize) -> bool {
         self.0 >> class.min(LAST_CLASS_BIT) & 1 == 1
     }
 }
 
-/// An update from the fleet.
+/// An instruction that this front follows from now on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FleetUpdate {
-    /// This front's part of a shared limit. It replaces an even part of a volume's limit, and holds
-    /// beside all other rules.
+    /// This front's part of a shared limit. For a volume it replaces an even part of the volume's
+    /// limit. It applies in addition to all other rules.
     SharedLimit {
-        /// The limit.
+        /// What is limited.
         limit: SharedLimit,
         /// Units or attempts per second; requests in flight for [`SharedLimit::InFlightPerNode`].
         rate: f64,
-        /// The most units or attempts that accumulate; unused for [`SharedLimit::InFlightPerNode`].
+        /// The maximum of units or attempts that accumulate; unused for
+        /// [`SharedLimit::InFlightPerNode`].
         burst: f64,
-        /// From when it holds; may be in the past.
+        /// When the limit takes effect; this may be in the past.
         at: Nanos,
     },
     /// The classes for which all fronts eject a chunk server from now on.
     Ejection {
-        /// The chunk server.
+        /// The chunk server that is ejected or readmitted.
         node: NodeId,
-        /// The classes; none readmits it.
+        /// The ejected classes; the empty set readmits the chunk server.
         classes: ClassSet,
     },
-    /// An ejected chunk server is to be probed: the next idempotent request is sent there, once.
+    /// A request for one probe: the next idempotent request is sent to an ejected chunk server.
     Probe {
-        /// The chunk server.
+        /// The ejected chunk server to probe.
         node: NodeId,
         /// No probe is sent after this time.
         until: Nanos,
@@ -78,7 +79,7 @@
     /// The front shuts down: all its requests are answered by a deadline, however long their
     /// clients would wait.
     Shutdown {
-        /// The deadline.
+        /// When all requests must be answered.
         deadline: Nanos,
     },
 }
--- a/crates/core/src/interface/ids.rs
+++ b/crates/core/src/interface/ids.rs
@@ -1,8 +1,8 @@
-//! Identifiers. Each kind has a type of its own, so that one cannot stand for another.
+//! Identifier types, one for each kind, so that the compiler rejects a mix-up.
 
 use std::fmt;
 
-/// Defines an identifier type that prints as its number.
+/// Defines an identifier type that is printed as its bare number.
 macro_rules! identifier {
     ($(#[$documentation:meta])* $name:ident($number:ty)) => {
         $(#[$documentation])*
@@ -24,26 +24,26 @@
 }
 
 identifier! {
-    /// A client request, unique during the life of one front.
+    /// Identifies a client request, uniquely during the life of one front process.
     RequestId(u64)
 }
 
 identifier! {
-    /// A chunk server, numbered in the order in which the front first heard of it.
+    /// Identifies a chunk server, numbered in the order in which the front first learned of it.
     NodeId(usize)
 }
 
 identifier! {
-    /// A volume: the owner of data, and the unit of limits.
+    /// Identifies a volume, which owns data and to which limits apply.
     VolumeId(u64)
 }
 
 identifier! {
-    /// A piece of data, the unit of order.
+    /// Identifies a piece of data, within which requests may have to keep their order.
     KeyId(u64)
 }
 
 identifier! {
-    /// A shard. The chunk server that holds it may be replaced; the shard stays.
+    /// Identifies a shard, which keeps its id when the chunk server that holds it is replaced.
     ShardId(u32)
 }
--- a/crates/core/src/interface/mod.rs
+++ b/crates/core/src/interface/mod.rs
@@ -1,5 +1,5 @@
-//! The types that cross the boundary of the decision module: its settings, the events it takes, the
-//! actions it returns.
+//! The types at the boundary of the decision module: its settings, the events that it handles and
+//! the actions that it returns.
 //!
 //! Classes, plans, zones, shards and chunk servers are indices; volumes, keys and requests are
 //! opaque integers, so that no name can influence a decision. All times are integer nanoseconds.
@@ -20,5 +20,5 @@
     Class, DeduplicationGroup, Plan, RetryBudget, Semantics, Settings, SettingsError,
 };
 
-/// A time or a duration in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = i64;
--- a/crates/core/src/interface/request.rs
+++ b/crates/core/src/interface/request.rs
@@ -1,26 +1,26 @@
-//! A client's request.
+//! The description of a client's request that the decision module gets.
 
 use crate::interface::{KeyId, Nanos, RequestId, ShardId, VolumeId};
 
-/// A client's request.
+/// A client's request, as far as decisions depend on it.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Identifies the request in later events and in actions.
     pub id: RequestId,
-    /// The index of its class.
+    /// The index of the request's class in the settings.
     pub class: usize,
-    /// The index of its volume's plan.
+    /// The index in the settings of the plan of the request's volume.
     pub plan: usize,
-    /// Its volume.
+    /// The volume on whose behalf the request is made.
     pub volume: VolumeId,
-    /// The piece of data that it reads or writes.
+    /// The piece of data that the request reads or writes, if any.
     pub key: Option<KeyId>,
-    /// The time until the client gives up.
+    /// The time until the client gives up waiting.
     pub client_timeout: Nanos,
-    /// Its work in units.
+    /// The cost of the request, in units of work.
     pub units: f64,
-    /// The shard that holds its data; `None` for a new object.
+    /// The shard that holds the request's data; `None` for a new object.
     pub shard: Option<ShardId>,
-    /// The number of fronts through which its volume works.
+    /// The number of fronts through which the volume sends its requests.
     pub front_count: u32,
 }
