--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -50,8 +50,8 @@
     pub writes: bool,
 }
 
-/// The limits and shares of a plan. They apply to each volume of the plan, over all fronts and chunk
-/// servers together.
+/// The limits and shares of a plan. They apply to each volume of the plan, over all fronts and all
+/// chunk servers together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     /// The limit in units per second; 0 means no limit.
@@ -134,21 +134,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// There is no class or no plan.
-    #[error("settings cannot hold: there must be a class and a plan")]
+    #[error("invalid settings: there must be at least one class and one plan")]
     MissingClassOrPlan,
-    /// A class has no latency objective or deadline, or a weight that is negative or not finite.
-    #[error("settings cannot hold: a class needs an aim, a deadline and a worth")]
+    /// A class has no latency objective or deadline, or a weight or stretch that is negative
+    /// or not finite.
+    #[error(
+        "invalid settings: a class needs a latency objective, a deadline and a weight of 0 or more"
+    )]
     InvalidClass,
     /// A rate, burst, weight or factor of a plan is negative or not finite.
-    #[error("settings cannot hold: a plan's rates must be numbers of 0 or more")]
+    #[error("invalid settings: the figures of a plan must be finite numbers of 0 or more")]
     InvalidPlan,
     /// There is no front, no attempt is allowed, or the quantum is negative.
-    #[error("settings cannot hold: initiators and tries must be 1 or more")]
+    #[error("invalid settings: fronts and attempts must be 1 or more, and the quantum 0 or more")]
     InvalidCount,
     /// Units or values are negative or not finite, or the mean units are 0.
-    #[error("settings cannot hold: units and worths must be numbers of 0 or more")]
+    #[error("invalid settings: units and values must be 0 or more, and the mean units above 0")]
     InvalidUnits,
     /// Reloaded settings have fewer classes or plans than before.
-    #[error("settings cannot hold: classes and plans keep their numbers")]
+    #[error("invalid settings: there are fewer classes or plans than before the reload")]
     FewerClassesOrPlans,
 }
