--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -114,15 +114,15 @@
                 AttemptEvent::Answered(outcome),
             ) => AttemptStep::End(outcome),
             (_, AttemptEvent::Withdrawn(outcome)) => AttemptStep::End(outcome),
-            // Any other event is a bug in the caller. Assume that the request may have been executed.
+            // Any other event is a bug in the caller. The request may have been executed.
             _ => AttemptStep::End(Outcome::Reset),
         }
     }
 }
 
 /// Returns whether a request whose pooled connection broke may be written to another connection
-/// within the same attempt. The server may have closed a pooled connection before it accepts a byte.
-/// A request that was written in part is never resent silently.
+/// within the same attempt. A pooled connection may turn out to be closed before it accepts a byte;
+/// a request that was written in part is never resent silently.
 fn may_use_another_connection(execution: Execution) -> bool {
     match execution {
         Execution::NotStarted => true,
--- a/crates/core/src/client_connection.rs
+++ b/crates/core/src/client_connection.rs
@@ -1,24 +1,26 @@
-//! A connection from a client: its phase, its timeouts, and whether it may be closed now. No I/O.
+//! The state machine of a connection from a client: its phase, its timeouts, and whether it may be
+//! closed now. It does no I/O.
 
 use crate::interface::Nanos;
 use crate::mutations::{mutated, Mutation};
 use crate::time_unit::MILLISECOND;
 
-/// From accepting a connection until its first request is complete. A client that sends none gets
-/// an answer within 3 s.
+/// The time from accepting a connection until its first request must be complete. It is below 3 s,
+/// within which a client that sends no request must get an answer.
 const FIRST_REQUEST_TIMEOUT: Nanos = 2_700 * MILLISECOND;
-/// From the first byte of a later request until its head is complete and its body has begun: a
-/// client that stops in the middle gets its error within 3 s, on any of its requests.
+/// The time from the first byte of a later request until its head must be complete and its body
+/// begun. It is below 3 s, within which a client that stops in the middle of any request must get
+/// its error.
 const REQUEST_TIMEOUT: Nanos = 2_700 * MILLISECOND;
-/// An idle connection is closed after this, whether or not connections are scarce.
+/// An idle connection is closed after this time, even if connections are not scarce.
 const IDLE_TIMEOUT: Nanos = 60_000 * MILLISECOND;
-/// Where connections are scarce, an idle one is closed after this.
+/// An idle connection is closed after this time while connections are scarce.
 const SCARCE_IDLE_TIMEOUT: Nanos = 2_000 * MILLISECOND;
-/// A connection that has sent nothing may be evicted from this age on.
+/// The minimum age at which a connection that has sent nothing may be evicted.
 const MIN_SILENT_AGE: Nanos = 100 * MILLISECOND;
-/// A connection in the middle of a request may be evicted from this age of the request on.
+/// The minimum age of an incomplete request at which its connection may be evicted.
 const MIN_PARTIAL_AGE: Nanos = 500 * MILLISECOND;
-/// A connection that was just accepted is expected to send a request.
+/// A connection that was accepted within this time is expected to send a request.
 const NEW_CONNECTION_GRACE: Nanos = 150 * MILLISECOND;
 
 /// The phase that a client's connection is in.
@@ -28,7 +30,7 @@
     New,
     /// Part of a request's head has arrived.
     ReadingHead,
-    /// A head is complete and its body is not.
+    /// A request's head is complete and its body is not.
     ReadingBody,
     /// A request is complete and its response is not.
     Responding,
@@ -43,29 +45,29 @@
 pub enum ClientEvent {
     /// Bytes of a request's head arrived.
     HeadStarted,
-    /// A head is complete and its body is not.
+    /// A request's head is complete and its body is not.
     BodyStarted,
     /// A request is complete.
     RequestReceived,
-    /// Its response was handed to the socket, or given up.
+    /// The response was handed to the socket, or abandoned.
     Answered,
     /// This side has ended the connection.
     Closing,
 }
 
-/// State of a client's connection.
+/// The state of a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ClientConnection {
     phase: Phase,
-    /// When the phase began; a body counts from the start of its head.
+    /// When the phase began; for a body, when its head began.
     since: Nanos,
     connected_at: Nanos,
-    /// Whether a request on it was answered.
+    /// Whether any request on the connection was answered.
     has_been_answered: bool,
 }
 
 impl ClientConnection {
-    /// A connection that was accepted at `now`.
+    /// Creates the state of a connection that was accepted at `now`.
     pub fn new(now: Nanos) -> ClientConnection {
         ClientConnection {
             phase: Phase::New,
@@ -75,17 +77,17 @@
         }
     }
 
-    /// The present phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// When the present phase began. A body counts from the start of its head.
+    /// Returns when the current phase began; for a body, when its head began.
     pub fn phase_since(&self) -> Nanos {
         self.since
     }
 
-    /// When it was accepted.
+    /// Returns when the connection was accepted.
     pub fn connected_at(&self) -> Nanos {
         self.connected_at
     }
@@ -107,7 +109,7 @@
         self.phase = phase;
     }
 
-    /// When the present request must be complete.
+    /// Returns when the current request must be complete.
     pub fn request_deadline(&self) -> Nanos {
         if self.has_been_answered {
             self.since + REQUEST_TIMEOUT
@@ -116,9 +118,9 @@
         }
     }
 
-    /// Whether the connection is to be closed for a timeout, which is shorter while connections are
-    /// `scarce`. `is_busy` says that closing it would lose data: a request waits unread, or a
-    /// response was not read yet.
+    /// Returns whether the connection is to be closed for a timeout, which is shorter while
+    /// connections are `scarce`. `is_busy` tells whether closing it would lose data, because a request
+    /// is unread or the client has not read a response yet.
     pub fn has_timed_out(&self, now: Nanos, scarce: bool, is_busy: impl Fn() -> bool) -> bool {
         let idle_timeout = if scarce {
             SCARCE_IDLE_TIMEOUT
@@ -131,14 +133,14 @@
                 now - self.since >= idle_timeout
                     && (!is_busy() || mutated(Mutation::ClosesOverArrivedRequest))
             }
-            // Their timeouts apply where the caller awaits the end of the phase.
+            // The caller applies the timeouts of these phases while it waits for their end.
             Phase::ReadingBody | Phase::Responding | Phase::Closing => false,
         }
     }
 
-    /// Whether a request is arriving, or may be. During a graceful shutdown the connection stays
-    /// open until that request is answered. `unread_bytes` says that bytes wait on the socket, or
-    /// that the system does not have the whole response yet.
+    /// Returns whether a request is arriving or may be arriving. During a graceful shutdown the
+    /// connection stays open until that request is answered. `unread_bytes` means that the socket
+    /// holds unread bytes, or that the system has not accepted the whole response yet.
     pub fn is_arriving(&self, now: Nanos, unread_bytes: bool) -> bool {
         if mutated(Mutation::ShutdownClosesArrivingRequest) {
             return false;
@@ -151,16 +153,17 @@
         }
     }
 
-    /// Whether the process must not exit because of this connection: a request is arriving or open,
-    /// a response is being written, or unread bytes would turn the close into a reset.
+    /// Returns whether the process must not exit yet because of this connection: a request is
+    /// arriving or unanswered, a response is being written, or unread bytes would turn the close into
+    /// a reset.
     pub fn has_pending_work(&self, now: Nanos, unread_bytes: bool) -> bool {
         self.is_arriving(now, unread_bytes)
             || matches!(self.phase, Phase::Responding | Phase::Closing)
     }
 
-    /// Whether the connection, which is due to close, may be closed now without losing a request
-    /// that has arrived meanwhile. A request that keeps arriving in pieces does not prevent the
-    /// close for ever.
+    /// Returns whether a connection that is due to close may be closed now without losing a request
+    /// that has arrived in the meantime. A request that keeps arriving in pieces delays the close only
+    /// for a limited time.
     pub fn may_close_now(&self, now: Nanos, unread_bytes: bool) -> bool {
         match self.phase {
             Phase::Responding => false,
@@ -171,12 +174,13 @@
         }
     }
 
-    /// Rank in the order of eviction; `None` where the connection must stay open. With `only_idle`
-    /// all but idle connections stay open.
+    /// Returns the rank in the order of eviction, or `None` if the connection must stay open. With
+    /// `only_idle`, only idle connections have a rank.
     pub(crate) fn eviction_rank(&self, now: Nanos, only_idle: bool) -> Option<EvictionRank> {
         let age = now - self.since;
         if self.phase == Phase::Idle {
-            // While many clients send one request each, a new client needs the connection more.
+            // If many clients send one request each, a new client needs the connection more than one
+            // that has its answer.
             let evictable = age >= MIN_SILENT_AGE || !only_idle;
             return if age >= SCARCE_IDLE_TIMEOUT {
                 Some(EvictionRank::LongIdle)
@@ -201,19 +205,20 @@
     }
 }
 
-/// The order in which connections are evicted, the first variant first.
+/// The order in which connections are evicted, from the first variant to the last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum EvictionRank {
-    /// This side ended it.
+    /// This side ended the connection.
     Closing,
-    /// It has sent nothing since it was accepted.
+    /// The client has sent nothing since the connection was accepted.
     Silent,
-    /// Idle for longer than connections may be while they are scarce.
+    /// The connection has been idle for longer than is allowed while connections are scarce.
     LongIdle,
     /// A request is arriving slowly.
     PartialRequest,
-    /// Idle for a short time.
+    /// The connection has been idle for a short time.
     Idle,
-    /// A response is due. Evicted under [`Mutation::RespondingConnectionEvicted`] alone.
+    /// A response is due. Such a connection is evicted only under
+    /// [`Mutation::RespondingConnectionEvicted`].
     Responding,
 }
--- a/crates/core/src/connection_limiter.rs
+++ b/crates/core/src/connection_limiter.rs
@@ -1,26 +1,27 @@
-//! The limit on connections from clients: when one more is accepted, and which one is evicted for
-//! it. No I/O.
+//! The limit on connections from clients: when another connection is accepted, and which one is
+//! evicted for it. This module does no I/O.
 
 use crate::client_connection::{ClientConnection, EvictionRank};
 use crate::interface::Nanos;
 use crate::mutations::{mutated, Mutation};
 
-/// Connections count as scarce from this fraction, 1/2, of the cap on.
+/// Connections are scarce once the open ones reach the limit divided by this.
 const SCARCE_DIVISOR: usize = 2;
 
-/// The limit on connections from clients.
+/// Decides whether to accept, evict or wait before another connection from a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ConnectionLimiter {
-    /// Cap on connections that are served.
+    /// The maximum number of connections that are served.
     max_connections: usize,
-    /// Connections past the cap that are accepted at a time, only to be answered with a rejection.
+    /// The maximum number of connections above `max_connections` that are open at a time, only to be
+    /// answered with a rejection.
     rejection_slots: usize,
 }
 
 /// What to do before the next connection is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Accept {
-    /// Accept it.
+    /// Accept the connection.
     Now,
     /// Evict an idle connection, if there is one.
     EvictIdle,
@@ -30,16 +31,16 @@
     Wait,
 }
 
-/// The result of a step that was to evict a connection.
+/// The result of a step that tried to evict a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EvictionAttempt {
-    /// The step: [`Accept::EvictIdle`] or [`Accept::EvictAny`].
+    /// The step that was carried out: [`Accept::EvictIdle`] or [`Accept::EvictAny`].
     pub step: Accept,
     /// Whether a connection was evicted.
     pub evicted: bool,
 }
 
-/// A connection that may be evicted, in the order of eviction.
+/// A connection that may be evicted. The derived order is the order of eviction.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionCandidate {
     rank: EvictionRank,
@@ -48,8 +49,8 @@
 }
 
 impl ConnectionLimiter {
-    /// A limit of `max_connections` in total, of which `rejection_slots` are used for rejections
-    /// alone.
+    /// Creates a limit of `max_connections` in total, of which `rejection_slots` are used only for
+    /// rejections.
     pub fn new(max_connections: usize, rejection_slots: usize) -> ConnectionLimiter {
         let max_connections = max_connections.saturating_sub(rejection_slots).max(1);
         ConnectionLimiter {
@@ -58,21 +59,23 @@
         }
     }
 
-    /// Whether connections are scarce while `open` are open.
+    /// Returns whether connections are scarce while `open` of them are open.
     pub fn is_scarce(&self, open: usize) -> bool {
         open >= self.max_connections / SCARCE_DIVISOR
     }
 
-    /// Whether a connection accepted while `open` are open is answered with a rejection.
+    /// Returns whether a connection that is accepted while `open` others are open is answered with a
+    /// rejection.
     pub fn is_full(&self, open: usize) -> bool {
         open >= self.max_connections
     }
 
-    /// The next step before one more connection is accepted while `open` are open. `previous` is
-    /// the previous eviction attempt for it; `None` at first and after a wait.
+    /// Returns the next step before another connection is accepted while `open` are open. `previous`
+    /// is the previous eviction attempt for it; `None` at first and after a wait.
     ///
-    /// Eviction starts before the cap is reached: clients that send one request and keep their
-    /// connection would otherwise use up the connections that other clients need, and their own.
+    /// Eviction starts before the limit is reached. Clients that send one request each and keep their
+    /// connections open would otherwise use up the connections that all clients need, themselves
+    /// included.
     pub fn accept(&self, open: usize, previous: Option<EvictionAttempt>) -> Accept {
         let nothing_left = EvictionAttempt {
             step: Accept::EvictAny,
@@ -92,9 +95,9 @@
         }
     }
 
-    /// The connection to evict, if any may be evicted. `connections` yields each with its id; with
-    /// `only_idle` all but idle ones stay open. A connection with an open request, or one that
-    /// `is_busy`, is never evicted.
+    /// Returns the id of the connection to evict, if any may be evicted. `connections` yields each
+    /// connection with its id. With `only_idle`, only idle connections may be evicted. A connection
+    /// with an unanswered request, or one for which `is_busy` holds, is never evicted.
     pub fn eviction_candidate(
         &self,
         now: Nanos,
--- a/crates/core/src/connection_pool.rs
+++ b/crates/core/src/connection_pool.rs
@@ -1,5 +1,5 @@
-//! The pool of idle connections to chunk servers: which one is reused, and which are closed. No
-//! I/O.
+//! The pool of idle connections to chunk servers: which one is reused, and which are closed. It does
+//! no I/O.
 
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
 struct NodeConnections<C> {
     /// Incremented when the node's address changes; connections of an earlier epoch are not reused.
     address_epoch: u32,
-    /// The most recently used last.
+    /// Ordered by last use, the most recently used connection last.
     idle: Vec<IdleConnection<C>>,
 }
 
@@ -32,26 +32,26 @@
 /// What [`ConnectionPool::take`] removed from the pool.
 #[derive(Debug)]
 pub struct TakenConnections<C> {
-    /// The connection to reuse, if there is one.
+    /// The connection to reuse; `None` if no usable one was found.
     pub reusable: Option<C>,
-    /// The unusable connections that were found before it, to be closed.
+    /// The unusable connections that were found before it, which the caller closes.
     pub unusable: Vec<C>,
 }
 
 /// Whether a new connection may be opened.
 #[derive(Debug)]
 pub enum Capacity<C> {
-    /// It may be opened.
+    /// A new connection may be opened now.
     Available,
-    /// It may be opened once this one, idle for the longest time, is closed.
+    /// A new connection may be opened once this one, idle for the longest time, is closed.
     AfterClosing(C),
-    /// It may not: all connections are in use.
+    /// No connection may be opened, because all connections are in use.
     Exhausted,
 }
 
 impl<C> ConnectionPool<C> {
-    /// An empty pool. `max_connections` caps the connections to all servers, idle or in use; a
-    /// connection is reused only within `idle_timeout` of its last response.
+    /// Creates an empty pool. `max_connections` limits the connections to all servers, idle or in use.
+    /// A connection is reused only within `idle_timeout` of its last response.
     pub fn new(idle_timeout: Nanos, max_connections: usize) -> ConnectionPool<C> {
         ConnectionPool {
             idle_timeout,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Adds a node; does nothing if the pool has it.
+    /// Adds a node. Does nothing if the pool has it already.
     pub fn add(&mut self, node: NodeId) {
         self.nodes.entry(node).or_insert(NodeConnections {
             address_epoch: 0,
@@ -77,7 +77,7 @@
         handles(std::mem::take(&mut connections.idle))
     }
 
-    /// Removes a node. Returns its idle connections.
+    /// Removes a node. Returns its idle connections, which the caller closes.
     pub fn remove(&mut self, node: NodeId) -> Vec<C> {
         if mutated(Mutation::RemovedNodeKeepsConnections) {
             return Vec::new();
@@ -88,16 +88,17 @@
             .unwrap_or_default()
     }
 
-    /// The present address epoch of a node, to be passed to [`ConnectionPool::release`] with
-    /// connections opened in it.
+    /// Returns the current address epoch of a node, which is passed to [`ConnectionPool::release`]
+    /// with the connections that are opened in it.
     pub fn address_epoch(&self, node: NodeId) -> Option<u32> {
         self.nodes
             .get(&node)
             .map(|connections| connections.address_epoch)
     }
 
-    /// Takes the most recently used connection that is fresh and quiet, and the unusable ones that
-    /// are found before it. `is_quiet` checks the socket for unexpected bytes.
+    /// Takes the most recently used connection that is within the idle timeout and quiet, and the
+    /// unusable ones that are found before it. `is_quiet` returns whether the socket holds no
+    /// unexpected bytes.
     pub fn take(
         &mut self,
         node: NodeId,
@@ -123,8 +124,8 @@
         taken
     }
 
-    /// Returns a connection to the pool after a complete response. Gives it back to the caller, to
-    /// be closed, if it is not quiet or `address_epoch` is not the present one of its node.
+    /// Puts a connection back into the pool after a complete response. Returns it to the caller, to be
+    /// closed, if it is not quiet, its node was removed or `address_epoch` is no longer current.
     pub fn release(
         &mut self,
         node: NodeId,
@@ -148,8 +149,8 @@
         None
     }
 
-    /// Whether one more connection may be opened while `open` are open, idle ones included. Removes
-    /// the longest idle connection from the pool if all capacity is in use.
+    /// Returns whether another connection may be opened while `open` are open, idle ones included.
+    /// Removes the longest idle connection from the pool if the limit is reached.
     pub fn capacity(&mut self, open: usize) -> Capacity<C> {
         if open < self.max_connections || mutated(Mutation::ServerConnectionCapIgnored) {
             return Capacity::Available;
@@ -164,8 +165,7 @@
         }
     }
 
-    /// Removes and returns the connections that exceed the idle timeout or were closed by their
-    /// server.
+    /// Removes and returns the connections that exceeded the idle timeout or that their server closed.
     pub fn sweep(&mut self, now: Nanos, is_open: impl Fn(&C) -> bool) -> Vec<C> {
         let mut removed = Vec::new();
         for connections in self.nodes.values_mut() {
@@ -180,7 +180,7 @@
         removed
     }
 
-    /// The idle connections with their nodes, the most recently used last within each node.
+    /// Returns the idle connections with their nodes, the most recently used last within each node.
     pub fn idle_connections(&self) -> impl Iterator<Item = (NodeId, &C)> {
         self.nodes.iter().flat_map(|(node, connections)| {
             connections
@@ -191,7 +191,7 @@
     }
 }
 
-/// The handles of idle connections, in their order.
+/// Returns the handles of idle connections, in the same order.
 fn handles<C>(idle: Vec<IdleConnection<C>>) -> Vec<C> {
     idle.into_iter().map(|idle| idle.connection).collect()
 }
--- a/crates/core/src/discovery_watch.rs
+++ b/crates/core/src/discovery_watch.rs
@@ -2,8 +2,8 @@
 //! abandoned, and when the next call is made.
 //!
 //! An update that discovery publishes must take effect within [`STALE_AFTER`], even if the watch
-//! falls silent or calls fail at the same time. The longest time without news is therefore the sum
-//! of three bounds that stays below it: a watch may be silent for [`SILENCE_TIMEOUT`], the next
+//! falls silent or calls fail at the same time. The longest time without an update is the sum of
+//! three bounds, which stays below it: a watch may be silent for [`SILENCE_TIMEOUT`], the next
 //! call is made within [`CALL_JITTER`] after that, and it is abandoned after [`CALL_TIMEOUT`]. A
 //! failed call counts like a silent watch from the time it was made. The decision module may
 //! request the list earlier (its own backoff spreads a fleet's calls), never later.
@@ -17,27 +17,29 @@
 use crate::mutations::{mutated, Mutation};
 use crate::time_unit::MILLISECOND;
 
-/// A watch without a message for this long has fallen silent: discovery sends an empty line every 2
-/// s while nothing changes.
+/// A watch without a message for this long is considered broken. Discovery sends an empty line every
+/// 2 s while nothing changes.
 pub const SILENCE_TIMEOUT: Nanos = 2_500 * MILLISECOND;
-/// The next calls of all fronts that lose one discovery at the same time are spread over this.
+/// The time over which fronts that lose the same discovery at once spread their next calls.
 pub const CALL_JITTER: Nanos = 1_000 * MILLISECOND;
-/// A call without a response for this long is abandoned: discovery fails calls that wait for 2 s.
+/// A call without a response for this long is abandoned. Discovery fails calls that wait for 2 s.
 pub const CALL_TIMEOUT: Nanos = 2_100 * MILLISECOND;
-/// An update must take effect within this time, although the watch or a call failed.
+/// The time within which an update must take effect, even if the watch or a call failed.
 pub const STALE_AFTER: Nanos = 6_000 * MILLISECOND;
-/// What must remain of [`STALE_AFTER`] to apply the update.
+/// The part of [`STALE_AFTER`] that is reserved for applying the update.
 const APPLY_MARGIN: Nanos = 300 * MILLISECOND;
 const _: () = assert!(SILENCE_TIMEOUT + CALL_JITTER + CALL_TIMEOUT <= STALE_AFTER - APPLY_MARGIN);
-/// Delay after a failed call to a new address of discovery, whose updates must take effect sooner.
+/// The delay after a failed call to a new address of discovery, whose updates must take effect
+/// sooner.
 const RETRY_AFTER_ADDRESS_CHANGE: Nanos = 200 * MILLISECOND;
-/// The first calls of fronts that start together are spread over this time. It is short: a starting
-/// front cannot know how old its list is, and what discovery has counts as known soon.
+/// The time over which fronts that start together spread their first calls. It is short because a
+/// starting front cannot know how old its list is, and must soon apply what discovery has.
 pub const FIRST_CALL_SPREAD: Nanos = 300 * MILLISECOND;
-/// How long after a change of discovery's address [`RETRY_AFTER_ADDRESS_CHANGE`] applies.
+/// The time after a change of discovery's address during which [`RETRY_AFTER_ADDRESS_CHANGE`]
+/// applies.
 const ADDRESS_CHANGE_SPAN: Nanos = 4_000 * MILLISECOND;
 
-/// An event of the watch or of a call.
+/// An event that concerns the watch or a call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum WatchEvent {
     /// The decision module requests the endpoint list.
@@ -48,8 +50,8 @@
     Opened,
     /// The call failed.
     Failed,
-    /// The watch delivered a complete message, if only that nothing changed. Part of a message does
-    /// not count.
+    /// The watch delivered a complete message, possibly one that says that nothing changed. Part of a
+    /// message does not count.
     MessageReceived,
     /// The watch ended.
     Ended,
@@ -60,36 +62,37 @@
 /// A command to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum WatchStep {
-    /// Call discovery at its present address; abandon a call in flight.
+    /// Call discovery at its current address, and abandon any call in flight.
     Call,
     /// Abandon the call in flight.
     CancelCall,
-    /// Replace the open watch, if any, by the new one.
+    /// Replace the open watch, if any, with the new one.
     Adopt,
-    /// Close the watch, which has fallen silent.
+    /// Close the watch, from which no message has come in time.
     CloseWatch,
     /// Report to the decision module that there is no watch.
     ReportLost,
 }
 
-/// The discovery subscription of one front.
+/// The state of one front's subscription to discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveryWatch {
-    /// When the open watch delivered its last message; none without an open watch.
+    /// When the open watch delivered its last message; `None` without an open watch.
     last_message_at: Option<Nanos>,
-    /// When the call in flight was made.
+    /// When the call in flight was made; `None` without one.
     call_started_at: Option<Nanos>,
-    /// When the next call is made at the latest.
+    /// The latest time at which the next call is made; `None` if none is scheduled.
     next_call_at: Option<Nanos>,
     /// When discovery's address changed, until a watch at the new address is open.
     address_changed_at: Option<Nanos>,
-    /// Position of this front within the jitter of calls, from 0 to 1.
+    /// The fraction of the jitter by which this front delays its calls, from 0 to 1.
     phase: f64,
 }
 
 impl DiscoveryWatch {
-    /// Without a watch; the first call is made `within` a time. `phase`, from 0 to 1, differs
-    /// between fronts, so that their calls are spread when they start or lose discovery together.
+    /// Creates the state without a watch. The first call is made `within` this time. `phase`, from 0
+    /// to 1, differs between fronts, so that their calls are spread when they start or lose discovery
+    /// together.
     pub fn new(now: Nanos, within: Nanos, phase: f64) -> DiscoveryWatch {
         let first_call_at = now + (within as f64 * phase) as Nanos;
         DiscoveryWatch {
@@ -101,7 +104,7 @@
         }
     }
 
-    /// When [`WatchEvent::TimerDue`] must be reported, unless another event comes first.
+    /// Returns when [`WatchEvent::TimerDue`] must be reported, unless another event comes first.
     pub fn due(&self) -> Option<Nanos> {
         let silent_at = self.last_message_at.map(|at| at + SILENCE_TIMEOUT);
         let hangs_at = self.call_started_at.map(|at| at + CALL_TIMEOUT);
@@ -134,8 +137,7 @@
                     self.call(now, &mut steps);
                 }
             }
-            // The open watch is kept until the new one is open, so that no update is missed in
-            // between.
+            // The old watch stays open until the new one is, so that no update is missed in between.
             WatchEvent::AddressChanged => {
                 self.address_changed_at = Some(now);
                 self.call(now, &mut steps);
@@ -155,7 +157,7 @@
         steps
     }
 
-    /// A call has opened a new watch.
+    /// Records that a call has opened a new watch.
     fn opened(&mut self, now: Nanos) {
         self.last_message_at = Some(now);
         self.call_started_at = None;
@@ -163,7 +165,7 @@
         self.address_changed_at = None;
     }
 
-    /// Handles the timeouts that are due: silence of the watch, of the call, and the next call.
+    /// Handles what is due: the timeout of the watch, the timeout of the call, and the next call.
     fn timer_due(&mut self, now: Nanos, steps: &mut Vec<WatchStep>) {
         if let Some(silent_since) = self
             .last_message_at
@@ -192,7 +194,7 @@
         steps.push(WatchStep::Call);
     }
 
-    /// Schedules the next call after a failed one. A call that was abandoned before has no effect.
+    /// Schedules the next call after a failed one. Does nothing if that call was abandoned before.
     fn call_failed(&mut self, now: Nanos, steps: &mut Vec<WatchStep>) {
         let Some(started_at) = self.call_started_at.take() else {
             return;
@@ -219,7 +221,7 @@
         }
     }
 
-    /// When the next call is made at the latest, if no update was received since `since`.
+    /// Returns the latest time for the next call, if no update was received after `since`.
     fn latest_call(&self, now: Nanos, since: Nanos) -> Nanos {
         if mutated(Mutation::CallsOnlyOnRequest) {
             return Nanos::MAX;
--- a/crates/core/src/ejection.rs
+++ b/crates/core/src/ejection.rs
@@ -1,35 +1,35 @@
-//! Ejections of chunk servers that the fleet voted for, merged with this front's own results.
+//! The ejections of chunk servers that the fleet voted for, combined with this front's own results.
 //!
-//! Without an update from the fleet nothing here holds a request back.
+//! Without an update from the fleet no request is held back here.
 
 use std::hash::{Hash, Hasher};
 
 use crate::interface::{ClassSet, Nanos, NodeId, Request, Semantics, Settings, ShardId};
 use crate::policy::{Node, NodeTable};
 
-/// Timely results in a row of this front that readmit a server here: as many as successful probes
-/// readmit it for all.
+/// The number of timely results in a row after which this front readmits a server for itself. It
+/// equals the number of successful probes that readmit a server for all fronts.
 const READMIT_AFTER_SUCCESSES: u8 = 8;
-/// A readmitted server warms up for this long, in nanoseconds.
+/// How long a readmitted server warms up, in nanoseconds.
 const READMIT_WARMUP: Nanos = 4_000_000_000;
 
 /// The ejection of one chunk server, as this front sees it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EjectionState {
     ejected_for: ClassSet,
-    /// This front's timely results in a row since the ejection.
+    /// The number of this front's timely results in a row since the ejection.
     consecutive_successes: u8,
-    /// Until then the next idempotent request is sent there as a probe.
+    /// Until this time the next idempotent request is sent to the server as a probe.
     probe_until: Nanos,
 }
 
 impl EjectionState {
-    /// Whether the server is ejected for a request class.
+    /// Returns whether the server is ejected for a request class.
     pub fn is_ejected(&self, class: usize) -> bool {
         self.ejected_for.contains(class) && !self.is_readmitted()
     }
 
-    /// Whether the server is ejected for all classes.
+    /// Returns whether the server is ejected for all classes.
     pub fn is_fully_ejected(&self) -> bool {
         self.ejected_for == ClassSet::ALL && !self.is_readmitted()
     }
@@ -38,17 +38,17 @@
         self.consecutive_successes >= READMIT_AFTER_SUCCESSES
     }
 
-    /// Whether the fleet asked this front for a probe.
+    /// Returns whether the fleet asked this front for a probe that is still to be sent.
     pub fn is_probe_due(&self, now: Nanos) -> bool {
         now < self.probe_until
     }
 
-    /// Sends the next idempotent request to the server as a probe, once and until a time.
+    /// Requests that the next idempotent request before `until` is sent to the server as a probe.
     pub fn request_probe(&mut self, until: Nanos) {
         self.probe_until = until;
     }
 
-    /// Records that a request was sent that serves as the probe.
+    /// Records that the probe was sent.
     pub fn record_probe(&mut self) {
         self.probe_until = 0;
     }
@@ -81,7 +81,7 @@
         is_readmitted
     }
 
-    /// Hashes all that later decisions depend on.
+    /// Hashes all state that later decisions depend on.
     pub fn fingerprint<H: Hasher>(&self, now: Nanos, h: &mut H) {
         let consecutive_successes = self.consecutive_successes.min(READMIT_AFTER_SUCCESSES);
         (
@@ -94,8 +94,8 @@
 }
 
 impl Node {
-    /// Applies the classes for which the fleet ejects the server. A readmitted server warms up, as
-    /// all fronts would send to it at once. Returns whether a warm-up has begun.
+    /// Applies the classes for which the fleet ejects the server. A readmitted server warms up, since
+    /// all fronts start to send to it at the same time. Returns whether a warm-up has begun.
     pub(crate) fn apply_ejection(&mut self, now: Nanos, classes: ClassSet) -> bool {
         let is_readmitted = self.ejection.replace_classes(classes);
         if !is_readmitted || self.slow_start.is_active() {
@@ -107,9 +107,9 @@
 }
 
 impl NodeTable {
-    /// Whether an ejection keeps a request from a server: a new object while any other server takes
-    /// it, stored data while its shard has another server. The last one still gets what only it can
-    /// serve.
+    /// Returns whether an ejection keeps a request from a server. A new object is kept from it while
+    /// any other server accepts the class, stored data while another server of the shard does. The
+    /// last server of a shard still gets the requests that only it can serve.
     pub(crate) fn is_blocked(
         &self,
         now: Nanos,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The shard of a server that is to be probed, for a request that may be the probe.
+    /// Returns the shard of a server that is to be probed, for a request that may be the probe.
     pub(crate) fn shard_to_probe(
         &self,
         now: Nanos,
@@ -148,7 +148,7 @@
 }
 
 impl Settings {
-    /// Whether a request may be a probe: only if it may be repeated.
+    /// Returns whether a request may be a probe, which requires that it may be repeated.
     pub(crate) fn may_probe(&self, request: &Request) -> bool {
         self.classes[request.class].semantics == Semantics::Idempotent
     }
--- a/crates/core/src/fleet_limits.rs
+++ b/crates/core/src/fleet_limits.rs
@@ -1,7 +1,7 @@
-//! This front's part of the limits that all fronts share, other than those of volumes: retries,
-//! units sent to a server that is warming up, requests in flight at a server.
+//! This front's part of the limits that all fronts share, except those of volumes: on retries, on
+//! units sent to a server that is warming up, and on requests in flight at a server.
 //!
-//! Without an update from the fleet nothing here holds a request back.
+//! Without an update from the fleet no request is held back here.
 
 use std::hash::{Hash, Hasher};
 
@@ -9,21 +9,21 @@
 use crate::policy::Node;
 use crate::state::{RateLimit, TokenBucket};
 
-/// Added to a limit on requests in flight, so that rounding does not take a whole request away. A
-/// thousand fronts with this much more send no whole request more.
+/// Added to a limit on requests in flight, so that rounding does not cost a whole request. It is small
+/// enough that a thousand fronts together do not exceed the limit by a whole request.
 const IN_FLIGHT_ROUNDING: f64 = 1e-4;
 
-/// The limits, as they hold for each server.
+/// The limits that apply to all retries or to every server alike.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetLimits {
     retries: Option<TokenBucket>,
-    /// Units to a server that has just started; the limit grows during the warm-up.
+    /// The limit on units to a server that has just started; it grows during the warm-up.
     warming_up: Option<RateLimit>,
-    /// Requests in flight at a server.
+    /// The limit on requests in flight at a server.
     in_flight: Option<f64>,
 }
 
-/// The limits and their use at one server.
+/// The limits of one server, and how much of them is used.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NodeLimits {
     warming_up: Option<TokenBucket>,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Sets the limit on requests in flight at any server; below 1 it is a pace.
+    /// Sets the limit on requests in flight at any one server. A value below 1 limits their pace.
     pub fn set_in_flight<'a>(&mut self, limit: f64, nodes: impl Iterator<Item = &'a mut Node>) {
         let limit = if limit > 0.0 {
             limit + IN_FLIGHT_ROUNDING
@@ -60,7 +60,7 @@
         nodes.for_each(|node| node.limits.in_flight = Some(limit));
     }
 
-    /// The limits of a server that is new in the endpoint list.
+    /// Returns the limits of a server that is new in the endpoint list.
     pub fn node_limits(&self, now: Nanos) -> NodeLimits {
         let warming_up = self.warming_up.map(|limit| limit.empty_bucket(now));
         NodeLimits {
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Whether no retry may be sent now.
+    /// Returns whether the limit allows no retry now.
     pub fn retries_exhausted(&self, now: Nanos) -> bool {
         self.retries
             .as_ref()
             .is_some_and(|bucket| bucket.level_at(now) < 1.0)
     }
 
-    /// Records a retry that is sent.
+    /// Records that a retry was sent.
     pub fn record_retry(&mut self, now: Nanos) {
         if let Some(bucket) = &mut self.retries {
             bucket.charge(now, 1.0);
@@ -94,24 +94,26 @@
 }
 
 impl NodeLimits {
-    /// Units that may be sent now to the server if it had just started; absent without a limit.
+    /// Returns the units that could be sent now if the server had just started; `None` without a
+    /// limit.
     pub fn warmup_allowance(&self, now: Nanos) -> Option<f64> {
         self.warming_up.as_ref().map(|bucket| bucket.level_at(now))
     }
 
-    /// Records units sent to the server, divided by its growth since its start.
+    /// Records units sent to the server. The caller divides them by the growth of the limit since the
+    /// server started.
     pub fn record_warmup_units(&mut self, now: Nanos, units: f64) {
         if let Some(bucket) = &mut self.warming_up {
             bucket.charge(now, units);
         }
     }
 
-    /// The requests that may be in flight at the server; below 1 it is a pace.
+    /// Returns how many requests may be in flight at the server. A value below 1 limits their pace.
     pub fn max_in_flight(&self) -> f64 {
         self.in_flight.unwrap_or(f64::INFINITY)
     }
 
-    /// Whether a server with this many requests in flight may get no further one.
+    /// Returns whether a server with this many requests in flight may get no other one.
     pub fn is_full(&self, in_flight: usize) -> bool {
         self.in_flight
             .is_some_and(|limit| limit <= 0.0 || in_flight as f64 >= limit.floor().max(1.0))
@@ -124,7 +126,7 @@
     }
 }
 
-/// Applies a limit to a bucket; a new one is empty at the time from which the limit holds.
+/// Applies a limit to a bucket. A new bucket is empty when the limit takes effect.
 fn set_or_create(bucket: &mut Option<TokenBucket>, limit: RateLimit, effective_at: Nanos) {
     match bucket {
         Some(bucket) => bucket.set_limit(limit, effective_at),
