--- a/crates/core/src/client_connection.rs
+++ b/crates/core/src/client_connection.rs
@@ -119,8 +119,8 @@
     }
 
     /// Returns whether the connection is to be closed for a timeout, which is shorter while
-    /// connections are `scarce`. `is_busy` tells whether closing it would lose data, because a request
-    /// is unread or the client has not read a response yet.
+    /// connections are `scarce`. `is_busy` tells whether closing it would lose data, because a
+    /// request is unread or the client has not read a response yet.
     pub fn has_timed_out(&self, now: Nanos, scarce: bool, is_busy: impl Fn() -> bool) -> bool {
         let idle_timeout = if scarce {
             SCARCE_IDLE_TIMEOUT
@@ -154,16 +154,16 @@
     }
 
     /// Returns whether the process must not exit yet because of this connection: a request is
-    /// arriving or unanswered, a response is being written, or unread bytes would turn the close into
-    /// a reset.
+    /// arriving or unanswered, a response is being written, or unread bytes would turn the close
+    /// into a reset.
     pub fn has_pending_work(&self, now: Nanos, unread_bytes: bool) -> bool {
         self.is_arriving(now, unread_bytes)
             || matches!(self.phase, Phase::Responding | Phase::Closing)
     }
 
     /// Returns whether a connection that is due to close may be closed now without losing a request
-    /// that has arrived in the meantime. A request that keeps arriving in pieces delays the close only
-    /// for a limited time.
+    /// that has arrived in the meantime. A request that keeps arriving in pieces delays the close
+    /// only for a limited time.
     pub fn may_close_now(&self, now: Nanos, unread_bytes: bool) -> bool {
         match self.phase {
             Phase::Responding => false,
@@ -179,8 +179,8 @@
     pub(crate) fn eviction_rank(&self, now: Nanos, only_idle: bool) -> Option<EvictionRank> {
         let age = now - self.since;
         if self.phase == Phase::Idle {
-            // If many clients send one request each, a new client needs the connection more than one
-            // that has its answer.
+            // If many clients send one request each, a new client needs the connection more than
+            // one that has its answer.
             let evictable = age >= MIN_SILENT_AGE || !only_idle;
             return if age >= SCARCE_IDLE_TIMEOUT {
                 Some(EvictionRank::LongIdle)
--- a/crates/core/src/connection_limiter.rs
+++ b/crates/core/src/connection_limiter.rs
@@ -13,8 +13,8 @@
 pub struct ConnectionLimiter {
     /// The maximum number of connections that are served.
     max_connections: usize,
-    /// The maximum number of connections above `max_connections` that are open at a time, only to be
-    /// answered with a rejection.
+    /// The maximum number of connections above `max_connections` that are open at a time, only to
+    /// be answered with a rejection.
     rejection_slots: usize,
 }
 
@@ -64,18 +64,18 @@
         open >= self.max_connections / SCARCE_DIVISOR
     }
 
-    /// Returns whether a connection that is accepted while `open` others are open is answered with a
-    /// rejection.
+    /// Returns whether a connection that is accepted while `open` others are open is answered with
+    /// a rejection.
     pub fn is_full(&self, open: usize) -> bool {
         open >= self.max_connections
     }
 
-    /// Returns the next step before another connection is accepted while `open` are open. `previous`
-    /// is the previous eviction attempt for it; `None` at first and after a wait.
+    /// Returns the next step before another connection is accepted while `open` are open.
+    /// `previous` is the previous eviction attempt for it; `None` at first and after a wait.
     ///
-    /// Eviction starts before the limit is reached. Clients that send one request each and keep their
-    /// connections open would otherwise use up the connections that all clients need, themselves
-    /// included.
+    /// Eviction starts before the limit is reached. Clients that send one request each and keep
+    /// their connections open would otherwise use up the connections that all clients need,
+    /// themselves included.
     pub fn accept(&self, open: usize, previous: Option<EvictionAttempt>) -> Accept {
         let nothing_left = EvictionAttempt {
             step: Accept::EvictAny,
--- a/crates/core/src/connection_pool.rs
+++ b/crates/core/src/connection_pool.rs
@@ -1,5 +1,5 @@
-//! The pool of idle connections to chunk servers: which one is reused, and which are closed. It does
-//! no I/O.
+//! The pool of idle connections to chunk servers: which one is reused, and which are closed. It
+//! does no I/O.
 
 use std::collections::BTreeMap;
 
@@ -50,8 +50,8 @@
 }
 
 impl<C> ConnectionPool<C> {
-    /// Creates an empty pool. `max_connections` limits the connections to all servers, idle or in use.
-    /// A connection is reused only within `idle_timeout` of its last response.
+    /// Creates an empty pool. `max_connections` limits the connections to all servers, idle or in
+    /// use. A connection is reused only within `idle_timeout` of its last response.
     pub fn new(idle_timeout: Nanos, max_connections: usize) -> ConnectionPool<C> {
         ConnectionPool {
             idle_timeout,
@@ -124,8 +124,8 @@
         taken
     }
 
-    /// Puts a connection back into the pool after a complete response. Returns it to the caller, to be
-    /// closed, if it is not quiet, its node was removed or `address_epoch` is no longer current.
+    /// Puts a connection back into the pool after a complete response. Returns it to the caller, to
+    /// be closed, if it is not quiet, its node was removed or `address_epoch` is no longer current.
     pub fn release(
         &mut self,
         node: NodeId,
@@ -165,7 +165,8 @@
         }
     }
 
-    /// Removes and returns the connections that exceeded the idle timeout or that their server closed.
+    /// Removes and returns the connections that exceeded the idle timeout or that their server
+    /// closed.
     pub fn sweep(&mut self, now: Nanos, is_open: impl Fn(&C) -> bool) -> Vec<C> {
         let mut removed = Vec::new();
         for connections in self.nodes.values_mut() {
--- a/crates/core/src/discovery_watch.rs
+++ b/crates/core/src/discovery_watch.rs
@@ -17,8 +17,8 @@
 use crate::mutations::{mutated, Mutation};
 use crate::time_unit::MILLISECOND;
 
-/// A watch without a message for this long is considered broken. Discovery sends an empty line every
-/// 2 s while nothing changes.
+/// A watch without a message for this long is considered broken. Discovery sends an empty line
+/// every 2 s while nothing changes.
 pub const SILENCE_TIMEOUT: Nanos = 2_500 * MILLISECOND;
 /// The time over which fronts that lose the same discovery at once spread their next calls.
 pub const CALL_JITTER: Nanos = 1_000 * MILLISECOND;
@@ -50,8 +50,8 @@
     Opened,
     /// The call failed.
     Failed,
-    /// The watch delivered a complete message, possibly one that says that nothing changed. Part of a
-    /// message does not count.
+    /// The watch delivered a complete message, possibly one that says that nothing changed. Part of
+    /// a message does not count.
     MessageReceived,
     /// The watch ended.
     Ended,
@@ -90,9 +90,9 @@
 }
 
 impl DiscoveryWatch {
-    /// Creates the state without a watch. The first call is made `within` this time. `phase`, from 0
-    /// to 1, differs between fronts, so that their calls are spread when they start or lose discovery
-    /// together.
+    /// Creates the state without a watch. The first call is made `within` this time. `phase`, from
+    /// 0 to 1, differs between fronts, so that their calls are spread when they start or lose
+    /// discovery together.
     pub fn new(now: Nanos, within: Nanos, phase: f64) -> DiscoveryWatch {
         let first_call_at = now + (within as f64 * phase) as Nanos;
         DiscoveryWatch {
@@ -137,7 +137,8 @@
                     self.call(now, &mut steps);
                 }
             }
-            // The old watch stays open until the new one is, so that no update is missed in between.
+            // The old watch stays open until the new one is, so that no update is missed in
+            // between.
             WatchEvent::AddressChanged => {
                 self.address_changed_at = Some(now);
                 self.call(now, &mut steps);
--- a/crates/core/src/ejection.rs
+++ b/crates/core/src/ejection.rs
@@ -94,8 +94,8 @@
 }
 
 impl Node {
-    /// Applies the classes for which the fleet ejects the server. A readmitted server warms up, since
-    /// all fronts start to send to it at the same time. Returns whether a warm-up has begun.
+    /// Applies the classes for which the fleet ejects the server. A readmitted server warms up,
+    /// since all fronts start to send to it at the same time. Returns whether a warm-up has begun.
     pub(crate) fn apply_ejection(&mut self, now: Nanos, classes: ClassSet) -> bool {
         let is_readmitted = self.ejection.replace_classes(classes);
         if !is_readmitted || self.slow_start.is_active() {
@@ -107,9 +107,9 @@
 }
 
 impl NodeTable {
-    /// Returns whether an ejection keeps a request from a server. A new object is kept from it while
-    /// any other server accepts the class, stored data while another server of the shard does. The
-    /// last server of a shard still gets the requests that only it can serve.
+    /// Returns whether an ejection keeps a request from a server. A new object is kept from it
+    /// while any other server accepts the class, stored data while another server of the shard
+    /// does. The last server of a shard still gets the requests that only it can serve.
     pub(crate) fn is_blocked(
         &self,
         now: Nanos,
--- a/crates/core/src/fleet_limits.rs
+++ b/crates/core/src/fleet_limits.rs
@@ -9,8 +9,8 @@
 use crate::policy::Node;
 use crate::state::{RateLimit, TokenBucket};
 
-/// Added to a limit on requests in flight, so that rounding does not cost a whole request. It is small
-/// enough that a thousand fronts together do not exceed the limit by a whole request.
+/// Added to a limit on requests in flight, so that rounding does not cost a whole request. It is
+/// small enough that a thousand fronts together do not exceed the limit by a whole request.
 const IN_FLIGHT_ROUNDING: f64 = 1e-4;
 
 /// The limits that apply to all retries or to every server alike.
@@ -100,8 +100,8 @@
         self.warming_up.as_ref().map(|bucket| bucket.level_at(now))
     }
 
-    /// Records units sent to the server. The caller divides them by the growth of the limit since the
-    /// server started.
+    /// Records units sent to the server, which the caller has divided by the growth of its limit
+    /// since it started.
     pub fn record_warmup_units(&mut self, now: Nanos, units: f64) {
         if let Some(bucket) = &mut self.warming_up {
             bucket.charge(now, units);
--- a/crates/core/src/graceful_shutdown.rs
+++ b/crates/core/src/graceful_shutdown.rs
@@ -1,42 +1,44 @@
-//! Graceful shutdown after SIGTERM: how long connections are still accepted, and when the process
-//! exits. No I/O.
+//! The state machine of the graceful shutdown after SIGTERM: how long connections are still
+//! accepted, and when the process exits. It does no I/O.
 
 use crate::interface::Nanos;
 use crate::mutations::{mutated, Mutation};
 use crate::time_unit::MILLISECOND;
 
-/// Connections are accepted until none has come for this long, since clients learn of a restart
-/// late.
+/// Connections are accepted until none has come for this long, because clients learn of a restart
+/// with a delay.
 const ACCEPT_QUIET: Nanos = 200 * MILLISECOND;
 /// Connections are accepted for at least this long.
 const MIN_ACCEPT_TIME: Nanos = 450 * MILLISECOND;
 /// Connections are accepted for at most this long.
 const MAX_ACCEPT_TIME: Nanos = 650 * MILLISECOND;
-/// The kill after SIGTERM waits for the longest deadline of a request, up to this.
+/// The kill after SIGTERM comes after the longest deadline of a request, or after this time if that
+/// is shorter, plus [`KILL_GRACE`].
 const MAX_DEADLINE_BEFORE_KILL: Nanos = 3_000 * MILLISECOND;
-/// The kill comes this long after that deadline.
+/// The time between that deadline and the kill.
 const KILL_GRACE: Nanos = 700 * MILLISECOND;
-/// Every accepted request is answered this long before the kill.
+/// The minimum time before the kill at which every accepted request is answered.
 const ANSWER_MARGIN: Nanos = 250 * MILLISECOND;
-/// The process exits this long before the kill, whatever is still open.
+/// The minimum time before the kill at which the process exits, whatever is still open.
 const EXIT_MARGIN: Nanos = 100 * MILLISECOND;
-/// Every accepted request is answered within this, however late the kill.
+/// The maximum time until every accepted request is answered, however late the kill comes.
 const MAX_ANSWER_TIME: Nanos = 3_100 * MILLISECOND;
-/// The process exits within this, however late the kill.
+/// The maximum time until the process exits, however late the kill comes.
 const MAX_EXIT_TIME: Nanos = 3_400 * MILLISECOND;
 /// How often the front checks whether it may exit.
 const POLL_INTERVAL: Nanos = 20 * MILLISECOND;
-/// It exits after more than this many polls in a row without an open request: one may still be on
-/// its way into the process, while an idle connection closes by itself.
+/// The front exits after more than this many polls in a row without pending work. A request may
+/// still be on its way into the process, so one poll is not enough. Idle connections close by
+/// themselves.
 const QUIET_POLLS_TO_EXIT: u32 = 10;
 
-/// The shutdown of a front.
+/// The state of a front's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct GracefulShutdown {
     started_at: Nanos,
     answer_deadline: Nanos,
     exit_deadline: Nanos,
-    /// Polls in a row without pending work.
+    /// The number of polls in a row without pending work.
     quiet_polls: u32,
     stage: Stage,
 }
@@ -45,7 +47,7 @@
 enum Stage {
     /// New connections are accepted.
     Accepting,
-    /// Open connections are served to their end.
+    /// No connection is accepted; the open ones are served until they end.
     Draining,
     Finished,
 }
@@ -59,9 +61,9 @@
     AcceptTimedOut,
     /// The front counted its connections.
     Poll {
-        /// Open connections.
+        /// The number of open connections.
         connections: usize,
-        /// Those with pending work, see [`ClientConnection::has_pending_work`].
+        /// The number of those with pending work, see [`ClientConnection::has_pending_work`].
         ///
         /// [`ClientConnection::has_pending_work`]:
         /// crate::client_connection::ClientConnection::has_pending_work
@@ -69,13 +71,13 @@
     },
 }
 
-/// What the front does next.
+/// The front's next step of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ShutdownStep {
-    /// Accept connections for this time.
+    /// Accept connections, and wait for the next one for this time.
     Accept(Nanos),
     /// Accept the connections in the backlog, close the listener, and let each connection end with
-    /// its present response.
+    /// its current response.
     StopAccepting,
     /// Poll again after this time.
     Wait(Nanos),
@@ -84,8 +86,9 @@
 }
 
 impl GracefulShutdown {
-    /// Starts the shutdown at `now`. `longest_deadline` is the longest deadline of a request. Clients learn of a restart late, so new connections are accepted for
-    /// a while, and their requests are served like those received before.
+    /// Starts the shutdown at `now`. `longest_deadline` is the longest deadline of a request.
+    /// Clients learn of a restart with a delay, so new connections are accepted for a while, and
+    /// their requests are served like those received before.
     pub fn new(now: Nanos, longest_deadline: Nanos) -> GracefulShutdown {
         let kill_after = longest_deadline.clamp(0, MAX_DEADLINE_BEFORE_KILL) + KILL_GRACE;
         GracefulShutdown {
@@ -97,22 +100,23 @@
         }
     }
 
-    /// The step that every shutdown starts with.
+    /// Returns the first step, which is the same for every shutdown.
     pub fn first_step(&self) -> ShutdownStep {
         ShutdownStep::Accept(ACCEPT_QUIET)
     }
 
-    /// When every request, received before or after the shutdown began, must have its answer.
+    /// Returns when every request must have its answer, whether it was received before or after the
+    /// shutdown began.
     pub fn answer_deadline(&self) -> Nanos {
         self.answer_deadline
     }
 
-    /// Polls in a row without pending work.
+    /// Returns the number of polls in a row without pending work.
     pub fn quiet_polls(&self) -> u32 {
         self.quiet_polls
     }
 
-    /// Handles an event and returns the next step. An event that does not belong to the present
+    /// Handles an event and returns the next step. An event that does not belong to the current
     /// stage changes nothing.
     pub fn on(&mut self, now: Nanos, event: ShutdownEvent) -> ShutdownStep {
         match (self.stage, event) {
--- a/crates/core/src/invariant_monitor.rs
+++ b/crates/core/src/invariant_monitor.rs
@@ -1,10 +1,10 @@
-//! Checks the rules of requests while a front runs.
+//! Checks at run time that the handling of requests keeps its rules.
 //!
-//! The monitor sees the inputs and effects of the request tracker and judges them by the rules
-//! alone. It shares nothing with the decisions: where they break a rule all the same, the caller
-//! counts and logs it.
+//! The monitor sees the inputs and effects of the request tracker and checks them against the rules
+//! alone. It shares no state with the decision module: if a decision breaks a rule, the caller
+//! counts and logs the violation.
 //!
-//! No I/O and no clock: the caller passes the time.
+//! This module does no I/O and has no clock: the caller passes the time.
 
 use std::collections::BTreeMap;
 
@@ -14,25 +14,27 @@
 };
 use crate::request_tracker::{Effect, FinalAnswer, Input};
 
-/// A rule of requests.
+/// A rule that the handling of every request must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
-    /// Each request has one final answer.
+    /// Each request gets at most one final answer.
     OneAnswer,
-    /// Nothing is sent for a request that has been answered or whose client has gone.
+    /// Nothing is sent for a request that has been answered or whose client has
+    /// disconnected.
     NoSendAfterEnd,
-    /// Nothing is sent to a server that drains or is gone.
+    /// Nothing is sent to a server that is draining or was removed.
     NoSendToDrainingServer,
-    /// No two attempts of a request are in flight together.
+    /// No two attempts of a request are in flight at the same time.
     OneAttemptAtATime,
-    /// A request that may have been executed is repeated only as its class allows.
+    /// A request that may have been executed is sent again only if the semantics of its class allow
+    /// it.
     NoUnsafeRetry,
-    /// A rejection promises that trying again is harmless.
+    /// A request is rejected only if the client may safely send it again.
     RejectionSafeToRetry,
 }
 
 impl Rule {
-    /// All rules.
+    /// All rules, in the order of their declaration.
     pub const ALL: [Rule; 6] = [
         Rule::OneAnswer,
         Rule::NoSendAfterEnd,
@@ -42,7 +44,7 @@
         Rule::RejectionSafeToRetry,
     ];
 
-    /// The name of the rule in logs and metrics.
+    /// Returns the name of the rule in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Rule::OneAnswer => "one_answer",
@@ -55,32 +57,32 @@
     }
 }
 
-/// A rule that was broken, and by which request.
+/// A broken rule and the request for which it was broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The rule.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// The request.
+    /// The request for which the rule was broken.
     pub request: RequestId,
 }
 
-/// A request under way.
+/// What the monitor knows of a request that the front has not released yet.
 #[derive(Clone, Debug)]
 struct MonitoredRequest {
     semantics: Semantics,
     group: DeduplicationGroup,
     /// How long the chunk servers deduplicate retries of the request.
     window: Nanos,
-    /// Its final answer was given, or its client has gone.
+    /// Whether the final answer was given or the client has disconnected.
     ended: bool,
     answered: bool,
-    /// When the first attempt was sent that may have been executed.
+    /// When the first ended attempt that may have been executed was sent; `None` without one.
     executed_since: Option<Nanos>,
-    /// When each attempt in flight was sent.
+    /// When each attempt in flight was sent, by the index of the attempt.
     in_flight: BTreeMap<u32, Nanos>,
 }
 
-/// Follows the requests of a front.
+/// Follows the requests of a front and reports violations of the rules.
 #[derive(Clone, Debug, Default)]
 pub struct InvariantMonitor {
     requests: BTreeMap<RequestId, MonitoredRequest>,
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Judges an effect before it is carried out.
+    /// Checks an effect before it is carried out. Returns the violation, if it breaks a rule.
     pub fn effect(&mut self, now: Nanos, effect: &Effect) -> Option<Violation> {
         match effect {
             Effect::Send {
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Records an attempt, and checks whether it may be sent.
+    /// Records an attempt that is about to be sent, and checks whether it may be sent.
     fn attempt_sent(
         &mut self,
         now: Nanos,
@@ -203,7 +205,7 @@
         rule.map(|rule| Violation { rule, request: id })
     }
 
-    /// Records a final answer, and checks whether it may be given.
+    /// Records a final answer that is about to be given, and checks whether it may be given.
     fn request_answered(&mut self, id: RequestId, answer: &FinalAnswer) -> Option<Violation> {
         let request = self.requests.get_mut(&id)?;
         let may_have_executed = request.executed_since.is_some() || !request.in_flight.is_empty();
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,12 +1,13 @@
 //! The decision module and the state machines of a storage front. The [`Scheduler`] decides when,
 //! in which order and to which chunk server each request is sent, and where a new object is placed.
-//! It has no clock, does no I/O and shares nothing with other fronts: it takes events and returns
-//! actions. The other modules are state machines of the same kind round it, for connections,
-//! attempts, discovery and shutdown.
+//! It has no clock, does no I/O and shares no state with other fronts: it handles events and
+//! returns actions. The other modules are similar state machines, for connections, attempts,
+//! discovery, maintenance, startup and shutdown.
 //!
 //! ```
-//! use tulipbridge_core::{Action, Class, Event, DeduplicationGroup, EndpointState, NodeInfo, Plan, Request, Scheduler, Semantics, Settings};
+//! use tulipbridge_core::{Action, Class, DeduplicationGroup, EndpointState, Event, NodeInfo, Plan};
 //! use tulipbridge_core::{KeyId, NodeId, RequestId, ShardId, UpdateScope, VolumeId};
+//! use tulipbridge_core::{Request, Scheduler, Semantics, Settings};
 //!
 //! let ms = 1_000_000;
 //! let settings = Settings {
@@ -53,8 +54,15 @@
 //! };
 //! let mut scheduler = Scheduler::new(settings, 7, 0).expect("valid settings");
 //! let mut actions = Vec::new();
-//! let node = NodeInfo { node: NodeId(0), zone: 0, shard: ShardId(4), state: EndpointState::Up, started_at: 0 };
-//! scheduler.handle(0, Event::Endpoints { scope: UpdateScope::Restored, nodes: vec![node] }, &mut actions);
+//! let node = NodeInfo {
+//!     node: NodeId(0),
+//!     zone: 0,
+//!     shard: ShardId(4),
+//!     state: EndpointState::Up,
+//!     started_at: 0,
+//! };
+//! let endpoints = Event::Endpoints { scope: UpdateScope::Restored, nodes: vec![node] };
+//! scheduler.handle(0, endpoints, &mut actions);
 //! let request = Request {
 //!     id: RequestId(1),
 //!     class: 0,
--- a/crates/core/src/maintenance.rs
+++ b/crates/core/src/maintenance.rs
@@ -1,33 +1,33 @@
-//! Chunk servers that the operators have put into maintenance. Sits between the endpoint list and
-//! the decision module.
+//! The chunk servers that the operators have put into maintenance. This module changes the entries
+//! of the endpoint list before they reach the decision module.
 //!
 //! [`MaintenanceSet`] keeps the last listed state of each server and the set of servers in
 //! maintenance. Whatever the list says, a server in maintenance is passed on as draining, so that
-//! the rules for draining servers apply to it. When its maintenance ends it is passed on as listed,
-//! but as started at that moment, so that it gets a slow start. Servers are identified by a key of
-//! the caller's choice, such as their name in the list, which outlives the node numbers of the
-//! decision module: a server that leaves the list and returns is still in maintenance.
+//! the rules for draining servers apply to it. When its maintenance ends, it is passed on as
+//! listed, but with that moment as its start, so that it gets a slow start. Servers are identified
+//! by a key of the caller's choice, such as their name in the list, which outlives the node numbers
+//! of the decision module: a server that leaves the list and returns is still in maintenance.
 //!
-//! No I/O and no clock: the caller passes the time.
+//! This module does no I/O and has no clock: the caller passes the time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::interface::{EndpointState, Nanos, NodeInfo};
 
-/// Why a server cannot enter or leave maintenance.
+/// The reason for which a server cannot enter or leave maintenance.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MaintenanceError {
-    /// No endpoint list has named it.
+    /// No endpoint list has named the server.
     #[error("no chunk server of that id has been listed")]
     NeverListed,
 }
 
-/// The servers in maintenance, and the listed state of each server.
+/// The set of servers in maintenance, and the listed state of every server.
 #[derive(Clone, Debug)]
 pub struct MaintenanceSet<K> {
-    /// Servers now in the endpoint list, as listed.
+    /// The servers in the current endpoint list, as listed.
     listed: BTreeMap<K, NodeInfo>,
-    /// Servers that an endpoint list has named, or that were restored as in maintenance.
+    /// The servers that any endpoint list has named, or that a persisted set names.
     ever_listed: BTreeSet<K>,
     in_maintenance: BTreeSet<K>,
 }
@@ -43,7 +43,7 @@
 }
 
 impl<K: Ord + Clone> MaintenanceSet<K> {
-    /// An empty set; no server is listed.
+    /// Creates an empty set, with no server listed.
     pub fn new() -> MaintenanceSet<K> {
         MaintenanceSet::default()
     }
@@ -65,8 +65,8 @@
         self.listed.retain(|key, _| keys.contains(key));
     }
 
-    /// Puts a server into maintenance. Returns the entry to pass on, if the server is listed and
-    /// was not in maintenance before.
+    /// Puts a server into maintenance. Returns the entry to pass on to the decision module, if the
+    /// server is listed and was not in maintenance before.
     ///
     /// # Errors
     /// [`MaintenanceError::NeverListed`] if no endpoint list has named it.
@@ -79,9 +79,9 @@
         Ok(info.map(|info| self.effective_entry(key, info)))
     }
 
-    /// Ends the maintenance of a server at `now`. Returns the entry to pass on, if the server is
-    /// listed and was in maintenance: as listed, but started at `now`, because it was restarted
-    /// meanwhile.
+    /// Ends the maintenance of a server at `now`. Returns the entry to pass on to the decision
+    /// module, if the server is listed and was in maintenance. The entry is as listed, but with
+    /// `now` as its start, because the server was restarted in the meantime.
     ///
     /// # Errors
     /// [`MaintenanceError::NeverListed`] if no endpoint list has named it.
@@ -97,9 +97,9 @@
         Ok(Some(info.clone()))
     }
 
-    /// Replaces the set by one that another process of this front has persisted. Returns the
-    /// entries to pass on, of the listed servers that changed: first of those whose maintenance
-    /// ended, then of those that entered it.
+    /// Replaces the set with one that another process of this front has persisted. Returns the
+    /// entries to pass on, which are those of the listed servers that changed: first the servers
+    /// whose maintenance ended, then those that entered it.
     pub fn replace_set(&mut self, keys: &BTreeSet<K>, now: Nanos) -> Vec<NodeInfo> {
         let ended: Vec<K> = self.in_maintenance.difference(keys).cloned().collect();
         let entered: Vec<K> = keys.difference(&self.in_maintenance).cloned().collect();
@@ -108,20 +108,20 @@
             changed.extend(self.exit(&key, now).ok().flatten());
         }
         for key in entered {
-            // A server that this process does not know yet may be listed later; its maintenance
-            // applies then.
+            // A server that this process does not know yet may be listed later. Its maintenance
+            // takes effect then.
             self.ever_listed.insert(key.clone());
             changed.extend(self.enter(&key).ok().flatten());
         }
         changed
     }
 
-    /// The servers in maintenance, in order.
+    /// Returns the keys of the servers in maintenance, in ascending order.
     pub fn in_maintenance(&self) -> impl Iterator<Item = &K> {
         self.in_maintenance.iter()
     }
 
-    /// Whether a server is in maintenance.
+    /// Returns whether a server is in maintenance.
     pub fn contains(&self, key: &K) -> bool {
         self.in_maintenance.contains(key)
     }
@@ -134,7 +134,7 @@
         }
     }
 
-    /// The entry of a server that the decision module gets.
+    /// Returns the entry that the decision module gets for a server.
     fn effective_entry(&self, key: &K, mut info: NodeInfo) -> NodeInfo {
         if self.in_maintenance.contains(key) && info.state == EndpointState::Up {
             info.state = EndpointState::Draining;
--- a/crates/core/src/send_permission.rs
+++ b/crates/core/src/send_permission.rs
@@ -1,48 +1,50 @@
-//! Whether an attempt may start to write, checked at the last moment before its first byte.
+//! The check whether an attempt may start to write, made immediately before its first byte.
 //!
-//! An attempt is decided when its request is dispatched, but its connection may be established much
-//! later, and this process may be paused in between. So every condition that forbids the attempt is
-//! checked once more here, with the time of that moment.
+//! The decision to send an attempt is made when its request is dispatched. Its connection may be
+//! established much later, and this process may be paused in between. Therefore every condition
+//! that forbids the attempt is checked once more here, with the current time.
 //!
-//! No I/O and no clock: the caller passes what it knows.
+//! This module does no I/O and has no clock: the caller passes what it knows.
 
 use crate::interface::{Nanos, Outcome};
 
-/// What is known of an attempt whose first byte is about to be written.
+/// The conditions that decide whether the first byte of an attempt may be written.
 #[derive(Clone, Copy, Debug)]
 pub struct SendConditions {
-    /// The present time.
+    /// The current time.
     pub now: Nanos,
     /// The outcome with which the attempt was withdrawn or cancelled, if it was: its request is
-    /// answered, its client is gone, or its server is draining.
+    /// answered, its client has disconnected, or its server is draining.
     pub withdrawn: Option<Outcome>,
-    /// Until when a retry may start, by the deduplication window of its class; absent for no limit.
+    /// When the deduplication window of the class ends, before which a retry must start; `None` for
+    /// no limit.
     pub begin_by: Option<Nanos>,
-    /// When the client gives up.
+    /// When the client gives up waiting.
     pub deadline: Nanos,
-    /// Whether bytes, or the end of the stream, wait on the connection to the server.
+    /// Whether unread bytes, or the end of the stream, wait on the connection to the server.
     pub unread_bytes: bool,
 }
 
-/// Why an attempt may not start to write.
+/// The reason for which an attempt must not start to write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum SendDenied {
-    /// It was withdrawn or cancelled.
+    /// The attempt was withdrawn or cancelled, with this outcome.
     #[error("the attempt was withdrawn")]
     Withdrawn(Outcome),
-    /// The window in which it may retry another attempt has expired.
+    /// The window within which a retry may start has expired.
     #[error("the window for retries has expired")]
     RetryWindowExpired,
-    /// Its client has given up.
+    /// The client has given up waiting.
     #[error("the deadline of the client has passed")]
     DeadlineExceeded,
-    /// The connection is unusable: the unread bytes could not be told from the response.
+    /// The connection is unusable, because unread bytes could not be distinguished from the
+    /// response.
     #[error("unread bytes wait on the connection")]
     UnreadBytes,
 }
 
 impl SendDenied {
-    /// The outcome of the attempt, of which nothing was written.
+    /// Returns the outcome of the attempt, of which no byte was written.
     pub fn outcome(self) -> Outcome {
         match self {
             SendDenied::Withdrawn(outcome) => outcome,
@@ -55,7 +57,7 @@
 /// Checks whether the first byte of an attempt may be written.
 ///
 /// # Errors
-/// The first of the conditions that forbids it, in the order of [`SendDenied`].
+/// The first reason that applies, in the order of the variants of [`SendDenied`].
 pub fn check_send(conditions: &SendConditions) -> Result<(), SendDenied> {
     if let Some(outcome) = conditions.withdrawn {
         return Err(SendDenied::Withdrawn(outcome));
--- a/crates/core/src/server_connection.rs
+++ b/crates/core/src/server_connection.rs
@@ -1,30 +1,30 @@
-//! The state of a connection to a chunk server, and what is known about the request on it.
+//! The state machine of a connection to a chunk server, and what is known about the request on it.
 //!
-//! Whether a request may have been executed depends on one fact: whether its last byte was written.
-//! The machine records that from the bytes that the socket accepted, and reports it as
-//! [`Execution`]. It does no I/O.
+//! A request may have been executed if and only if its last byte was written. The state machine
+//! records this from the bytes that the socket accepted, and reports it as [`Execution`]. It does
+//! no I/O.
 
 use crate::interface::Outcome;
 use crate::mutations::{mutated, Mutation};
 
-/// State of a connection to a chunk server.
+/// The state of a connection to a chunk server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum ServerConnection {
-    /// Open, without a request.
+    /// The connection is open and has no request.
     #[default]
     Idle,
-    /// A request is assigned and its last byte is not written.
+    /// A request is assigned and its last byte is not written yet.
     Writing {
-        /// Whether any byte of it is written.
+        /// Whether any byte of the request is written.
         begun: bool,
     },
     /// The request is written and no byte of the response has arrived.
     Awaiting,
     /// Part of the response has arrived.
     Reading,
-    /// Bytes arrived that are the response to no request of this connection.
+    /// Bytes arrived that cannot be the response to a request of this connection.
     Desynchronized {
-        /// Whether any byte of the present request is written.
+        /// Whether any byte of the current request is written.
         begun: bool,
         /// Whether its last byte is written.
         request_written: bool,
@@ -41,25 +41,25 @@
         /// Whether the last byte of the request is among them.
         last: bool,
     },
-    /// Bytes arrived.
+    /// Bytes, or the end of the stream, arrived.
     BytesReceived,
     /// The response is complete.
     ResponseComplete,
 }
 
-/// What is known about the execution of a request whose connection broke.
+/// How far a request whose connection broke may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Execution {
-    /// Nothing of it was written.
+    /// No byte of the request was written.
     NotStarted,
-    /// Its last byte was not written, so it was not executed.
+    /// Some bytes were written but not the last one, so the request was not executed.
     PartiallyWritten,
-    /// Its last byte was written.
+    /// The last byte was written, so the request may have been executed.
     MayHaveRun,
 }
 
 impl Execution {
-    /// The outcome of an attempt that ends because its connection broke.
+    /// Returns the outcome of an attempt that ends because its connection broke.
     pub fn outcome(self) -> Outcome {
         match self {
             Execution::NotStarted | Execution::PartiallyWritten => Outcome::NotExecuted,
@@ -69,7 +69,7 @@
 }
 
 impl ServerConnection {
-    /// Handles an event. Events that do not apply to the present state are ignored.
+    /// Handles an event. Events that do not apply to the current state are ignored.
     pub fn on(&mut self, event: ConnectionEvent) {
         *self = match event {
             ConnectionEvent::RequestAssigned => self.after_assignment(),
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Bytes that arrive before the request is written completely cannot be its response.
+    /// Returns the state after bytes arrived. Bytes that arrive before the request is written
+    /// completely cannot be its response.
     fn after_receipt(self) -> ServerConnection {
         match self {
             ServerConnection::Idle => ServerConnection::Desynchronized {
@@ -128,10 +129,10 @@
         }
     }
 
-    /// Whether bytes may be written now. `unread_bytes` says that bytes, or the end of the stream,
-    /// wait on the socket: once the last byte is written they could not be told from the response.
-    /// `withdrawn` says that the request is no longer wanted, which stops it only while no byte of
-    /// it is written.
+    /// Returns whether bytes may be written now. `unread_bytes` means that unread bytes, or the end
+    /// of the stream, wait on the socket: once the last byte is written, they could not be
+    /// distinguished from the response. `withdrawn` means that the request is no longer needed,
+    /// which prevents it only while no byte of it is written.
     pub fn may_write(&mut self, unread_bytes: bool, withdrawn: bool) -> bool {
         if unread_bytes && !mutated(Mutation::WritesOverUnreadBytes) {
             self.on(ConnectionEvent::BytesReceived);
@@ -141,7 +142,7 @@
         !matches!(self, ServerConnection::Desynchronized { .. }) && !unwanted
     }
 
-    /// What would be known about the present request if the connection broke now.
+    /// Returns how far the current request may have been executed if the connection breaks now.
     pub fn execution(self) -> Execution {
         match self {
             ServerConnection::Idle
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Whether the bytes that arrived are the response to the present request.
+    /// Returns whether the bytes that arrived are the response to the current request.
     pub fn is_reading_response(self) -> bool {
         self == ServerConnection::Reading
             || (mutated(Mutation::EarlyBytesTakenAsResponse)
--- a/crates/core/src/server_start_times.rs
+++ b/crates/core/src/server_start_times.rs
@@ -1,47 +1,46 @@
-//! When chunk servers started, in the clock of this front.
+//! The start times of chunk servers by the clock of this front.
 //!
 //! Discovery reports the start of a server in Unix time. The wall clock of this machine, or of the
-//! server, may be wrong by seconds or by hours, and so may the age of a server that has just
-//! started: it would get no slow start, or one that lasts for as long as the clocks differ.
-//! Therefore a listed start is corrected until it is plausible:
+//! server, may be wrong by seconds or by hours. The age of a server that has just started would
+//! then be wrong too, and the server would get no slow start, or one that lasts for as long as the
+//! clocks differ. Therefore an implausible listed start is corrected:
 //!
-//! - none lies in the future;
-//! - a start that is new to this front came after the list that discovery confirmed last, which is
-//!   at most [`MAX_LIST_DELAY`] old; one that is listed as older is taken to be now;
-//! - where discovery reports its own time, the difference to the clock of this front is subtracted
-//!   first.
+//! - If discovery reports its own time, the difference between the clocks is corrected first.
+//! - A start in the future is replaced by the current time.
+//! - A start that is new to this front must be later than the list that discovery confirmed last,
+//!   which was at most [`MAX_LIST_DELAY`] old; an earlier one is replaced by the current time.
 //!
-//! No I/O and no clock: the caller passes the time.
+//! This module does no I/O and has no clock: the caller passes the time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::discovery_watch::STALE_AFTER;
 use crate::interface::Nanos;
 
-/// The greatest age of the list that discovery reports.
+/// The maximum age of the list that discovery reports.
 pub const MAX_LIST_DELAY: Nanos = STALE_AFTER;
-/// Differences below this are no sign of a wrong clock: discovery reports its time in whole seconds,
-/// and with a delay.
+/// Smaller differences do not show that a clock is wrong, because discovery reports its time in
+/// whole seconds and with a delay.
 pub const MIN_CLOCK_DIFFERENCE: Nanos = 3_000_000_000;
-/// The listed start of a server that has run for long.
+/// The listed start of a server that has been running for a long time.
 const LONG_AGO: Nanos = 0;
 
-/// The start of one server.
+/// The start of one server as listed and as corrected.
 #[derive(Clone, Copy, Debug)]
 struct KnownStart {
-    /// As listed.
+    /// The start in the endpoint list.
     listed: Nanos,
-    /// In the clock of this front.
+    /// The start by the clock of this front.
     start: Nanos,
 }
 
-/// The starts of all listed servers, by a key that names a server.
+/// The starts of all listed servers, by a key that identifies a server.
 #[derive(Clone, Debug)]
 pub struct ServerStartTimes<K> {
     known: BTreeMap<K, KnownStart>,
     /// When discovery last sent or confirmed the list.
     confirmed_at: Option<Nanos>,
-    /// What to add to a listed time to get the time of this front's clock.
+    /// The difference that is added to a listed time to get the time by this front's clock.
     clock_difference: Nanos,
 }
 
@@ -56,12 +55,12 @@
 }
 
 impl<K: Ord + Clone> ServerStartTimes<K> {
-    /// No server is known.
+    /// Creates an empty set of start times.
     pub fn new() -> ServerStartTimes<K> {
         ServerStartTimes::default()
     }
 
-    /// Records the present time by discovery's clock.
+    /// Records the current time by discovery's clock.
     pub fn discovery_time(&mut self, now: Nanos, discovery: Nanos) {
         let difference = now - discovery;
         self.clock_difference = if difference.abs() < MIN_CLOCK_DIFFERENCE {
@@ -71,7 +70,8 @@
         };
     }
 
-    /// Records an entry of a list. Returns when the server started; 0 is long ago.
+    /// Records an entry of a list. Returns when the server started, by this front's clock; 0 means
+    /// long ago.
     pub fn listed(&mut self, key: &K, now: Nanos, listed: Nanos) -> Nanos {
         if let Some(known) = self.known.get(key).filter(|known| known.listed == listed) {
             return known.start;
@@ -85,7 +85,7 @@
         start
     }
 
-    /// Records that discovery has reported all that it had until now.
+    /// Records that discovery has reported all changes up to `now`.
     pub fn confirmed(&mut self, now: Nanos) {
         self.confirmed_at = Some(now);
     }
@@ -95,8 +95,8 @@
         self.known.retain(|key, _| keys.contains(key));
     }
 
-    /// The start in this front's clock; `now` where the listed one lies in the future or before the
-    /// last confirmed list.
+    /// Returns the start by this front's clock, or `now` if the listed start is in the future or
+    /// before the last confirmed list.
     fn plausible_start(&self, now: Nanos, listed: Nanos) -> Nanos {
         let start = listed.saturating_add(self.clock_difference);
         let is_too_old = self
--- a/crates/core/src/settings_reload.rs
+++ b/crates/core/src/settings_reload.rs
@@ -1,17 +1,18 @@
-//! Reload of settings while requests are in flight.
+//! Reloading of settings while requests are in flight.
 //!
 //! The decision module refers to classes and plans by index, and requests in flight keep theirs. A
 //! [`VersionedTable`] therefore only grows. An entry with a new name is appended. An entry whose
 //! name disappears stays for the requests in flight, but new requests do not find it. An entry
 //! whose value changes is appended as a new version of its name: requests in flight keep the old
-//! version, and what was learned about it is carried over. No I/O.
+//! version, and what was learned about it is carried over. This module
+//! does no I/O.
 
 /// A value of the settings with the name that identifies it across reloads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NamedValue<T> {
-    /// The name.
+    /// The name that identifies the value.
     pub name: String,
-    /// The value.
+    /// The value in these settings.
     pub value: T,
 }
 
@@ -20,11 +21,11 @@
 pub struct ReplacedEntry {
     /// The index of the new version.
     pub index: usize,
-    /// The index of the version that it replaces, from which learned state is to be carried over.
+    /// The index of the replaced version, from which learned state is to be carried over.
     pub previous: usize,
 }
 
-/// Named entries with stable indices.
+/// A table of named entries whose indices stay the same across reloads.
 #[derive(Clone, Debug, Default)]
 pub struct VersionedTable<T> {
     entries: Vec<Entry<T>>,
@@ -33,13 +34,13 @@
 #[derive(Clone, Debug)]
 struct Entry<T> {
     name: String,
-    /// Whether new requests find it.
+    /// Whether new requests find the entry.
     current: bool,
     value: T,
 }
 
 impl<T> Entry<T> {
-    /// An entry that new requests find.
+    /// Creates an entry that new requests find.
     fn new(named: NamedValue<T>) -> Entry<T> {
         Entry {
             name: named.name,
@@ -50,7 +51,7 @@
 }
 
 impl<T: Clone + PartialEq> VersionedTable<T> {
-    /// The table of the first settings; its entries keep their order.
+    /// Creates the table from the first settings, with the entries in the given order.
     pub fn new(values: Vec<NamedValue<T>>) -> VersionedTable<T> {
         VersionedTable {
             entries: values.into_iter().map(Entry::new).collect(),
@@ -82,29 +83,29 @@
         replaced
     }
 
-    /// The index of the latest version of a name, current or not.
+    /// Returns the index of the latest version of a name, current or not.
     fn latest_version(&self, name: &str) -> Option<usize> {
         self.entries.iter().rposition(|entry| entry.name == name)
     }
 
-    /// The index of the current entry with this name.
+    /// Returns the index of the current entry with this name.
     pub fn find(&self, name: &str) -> Option<usize> {
         self.entries
             .iter()
             .rposition(|entry| entry.current && entry.name == name)
     }
 
-    /// The name of the entry at an index, current or not.
+    /// Returns the name of the entry at an index, current or not.
     pub fn name(&self, index: usize) -> Option<&str> {
         self.entries.get(index).map(|entry| entry.name.as_str())
     }
 
-    /// The value of the entry at an index, current or not.
+    /// Returns the value of the entry at an index, current or not.
     pub fn get(&self, index: usize) -> Option<&T> {
         self.entries.get(index).map(|entry| &entry.value)
     }
 
-    /// The values of all entries by index, current or not.
+    /// Returns the values of all entries by index, current or not.
     pub fn values(&self) -> Vec<T> {
         self.entries
             .iter()
@@ -112,12 +113,12 @@
             .collect()
     }
 
-    /// Number of entries, current or not.
+    /// Returns the number of entries, current or not.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether the table has no entries.
+    /// Returns whether the table has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/core/src/stall_detector.rs
+++ b/crates/core/src/stall_detector.rs
@@ -1,28 +1,29 @@
-//! When a request may have arrived, where this process itself was stalled.
+//! Estimates when a request arrived if this process was stalled.
 //!
-//! A client's patience runs from the moment at which it sent its request. A front that is paused,
-//! starved of CPU or busy reads the request later, and would assume, and pass on to chunk servers,
-//! more time than the client has left. The gaps between the front's events show how long it was
-//! stalled: whatever is read right after a gap may have arrived at its beginning.
+//! The timeout of a client runs from the moment at which it sent its request. A front that is
+//! paused, starved of CPU or busy reads the request later, and would assume, and pass on to chunk
+//! servers, more time than the client has left. The gaps between the front's events show how long
+//! it was stalled: a request that is read right after a gap may have arrived at the start of the
+//! gap.
 //!
-//! No I/O and no clock: the caller passes the time.
+//! This module does no I/O and has no clock: the caller passes the time.
 
 use crate::interface::Nanos;
 use crate::time_unit::MILLISECOND;
 
-/// Without any event for this long, which is several ticks, the process was stalled.
+/// The minimum time without any event that counts as a stall. It spans several ticks.
 pub const STALL_MIN: Nanos = 40 * MILLISECOND;
-/// What is read within this time after a stall may have arrived during it.
+/// A request that is read within this time after a stall may have arrived during the stall.
 pub const CATCH_UP_TIME: Nanos = 20 * MILLISECOND;
 
-/// A time in which the process was stalled.
+/// An interval in which the process was stalled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Stall {
     from: Nanos,
     until: Nanos,
 }
 
-/// Finds the times in which the process was stalled.
+/// Detects the latest interval in which the process was stalled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StallDetector {
     last_event_at: Option<Nanos>,
@@ -30,7 +31,7 @@
 }
 
 impl StallDetector {
-    /// Records that an event is handled now, if only a tick.
+    /// Records that an event, possibly just a tick, is handled at `now`.
     pub fn event(&mut self, now: Nanos) {
         if let Some(from) = self.last_event_at.filter(|at| now - at >= STALL_MIN) {
             self.latest = Some(Stall { from, until: now });
@@ -38,7 +39,7 @@
         self.last_event_at = Some(now);
     }
 
-    /// The earliest time at which a request that is read now may have arrived.
+    /// Returns the earliest time at which a request that is read at `now` may have arrived.
     pub fn earliest_arrival(&self, now: Nanos) -> Nanos {
         match self.latest {
             Some(stall) if now - stall.until <= CATCH_UP_TIME => stall.from,
--- a/crates/core/src/startup_readiness.rs
+++ b/crates/core/src/startup_readiness.rs
@@ -1,36 +1,37 @@
-//! When a starting front reports that it is ready.
+//! Decides when a starting front reports that it is ready.
 //!
 //! A front starts with the endpoint list that it stored last, which may name servers that have
-//! drained or were removed since. Where discovery is reachable, a change must be known a few seconds
-//! after discovery had it, whenever the front started. So a front is ready only once discovery has
-//! confirmed or replaced its list, or is known to be unable to: then the last known list is the best
-//! there is. The wait is bounded, as a front that is not ready serves nobody.
+//! drained or were removed since then. If discovery is reachable, a change must be known a few
+//! seconds after discovery has it, whenever the front started. Therefore a front is ready only once
+//! discovery has confirmed or replaced its list, or is known to be unreachable, in which case the
+//! last known list is the best available. The wait is bounded, because a front that is not ready
+//! serves no clients.
 //!
-//! No I/O and no clock: the caller passes the time.
+//! This module does no I/O and has no clock: the caller passes the time.
 
 use crate::interface::Nanos;
 use crate::time_unit::MILLISECOND;
 
-/// A call that fails within this time found no discovery, or one that rejects at once. One that
-/// fails later was queued behind other callers, and discovery will answer the next.
+/// A call that fails within this time found no discovery, or one that rejects calls at once. A call
+/// that fails later was queued behind other callers, and discovery will answer the next one.
 pub const UNREACHABLE_WITHIN: Nanos = 500 * MILLISECOND;
-/// An open watch without a message for this long has nothing to report: the list is that of
-/// discovery.
+/// An open watch without a message for this long confirms the list, because discovery has no change
+/// to report.
 pub const CONFIRMED_BY_SILENCE_AFTER: Nanos = 250 * MILLISECOND;
-/// The longest time until a front is ready, where discovery is one service for all fronts.
+/// The maximum time until a front is ready if discovery is one service for all fronts.
 pub const READY_WITHIN: Nanos = 5_000 * MILLISECOND;
-/// The same where lists are pushed: the agent on the front's own machine answers at once, or has
-/// nothing to report.
+/// The maximum time until a front is ready if lists are pushed by the agent on its own machine,
+/// which answers at once or has nothing to report.
 pub const READY_WITHIN_OF_AGENT: Nanos = 500 * MILLISECOND;
 
-/// Whether a starting front is ready.
+/// The state of a starting front, which tells whether it is ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartupReadiness {
     /// Discovery has not confirmed the list yet.
     Unconfirmed {
-        /// When it is ready at the latest.
+        /// The latest time at which the front becomes ready.
         ready_by: Nanos,
-        /// When a watch opened, if one has.
+        /// When the latest watch opened; `None` if none has opened yet.
         opened_at: Option<Nanos>,
     },
     /// The front is ready, and stays so.
@@ -38,7 +39,8 @@
 }
 
 impl StartupReadiness {
-    /// A front that starts now. `polls_discovery` says that it shares discovery with other fronts.
+    /// Creates the state of a front that starts at `now`. `polls_discovery` means that it shares
+    /// discovery with other fronts.
     pub fn new(now: Nanos, polls_discovery: bool) -> StartupReadiness {
         let limit = if polls_discovery {
             READY_WITHIN
@@ -51,32 +53,32 @@
         }
     }
 
-    /// A watch has opened; its first message may be on its way.
+    /// Records that a watch has opened, whose first message may still arrive.
     pub fn watch_opened(&mut self, now: Nanos) {
         if let StartupReadiness::Unconfirmed { opened_at, .. } = self {
             *opened_at = Some(now);
         }
     }
 
-    /// A message of a watch has been applied.
+    /// Records that a message of a watch was applied.
     pub fn list_confirmed(&mut self) {
         *self = StartupReadiness::Ready;
     }
 
-    /// A call to discovery has failed after a time.
+    /// Records that a call to discovery has failed after the time `took`.
     pub fn call_failed(&mut self, took: Nanos) {
         if took < UNREACHABLE_WITHIN {
             *self = StartupReadiness::Ready;
         }
     }
 
-    /// A call to discovery was abandoned without an answer. Discovery is then unreachable: where it
-    /// is overloaded, it rejects a call earlier.
+    /// Records that a call to discovery was abandoned without an answer. Discovery is then
+    /// unreachable, because an overloaded discovery rejects a call earlier.
     pub fn call_unanswered(&mut self) {
         *self = StartupReadiness::Ready;
     }
 
-    /// Whether the front is ready now.
+    /// Returns whether the front is ready at `now`.
     pub fn is_ready(&self, now: Nanos) -> bool {
         match self {
             StartupReadiness::Unconfirmed {
--- a/crates/core/src/time_unit.rs
+++ b/crates/core/src/time_unit.rs
@@ -2,5 +2,5 @@
 
 use crate::interface::Nanos;
 
-/// One millisecond.
+/// The number of nanoseconds in a millisecond.
 pub(crate) const MILLISECOND: Nanos = 1_000_000;
