--- a/crates/core/src/stall_detector.rs
+++ b/crates/core/src/stall_detector.rs
@@ -12,7 +12,7 @@
 use crate::time_unit::MILLISECOND;
 
 /// The minimum time without any event that counts as a stall. It spans several ticks.
-pub const STALL_MIN: Nanos = 40 * MILLISECOND;
+pub const MIN_STALL: Nanos = 40 * MILLISECOND;
 /// A request that is read within this time after a stall may have arrived during the stall.
 pub const CATCH_UP_TIME: Nanos = 20 * MILLISECOND;
 
@@ -33,7 +33,7 @@
 impl StallDetector {
     /// Records that an event, possibly just a tick, is handled at `now`.
     pub fn event(&mut self, now: Nanos) {
-        if let Some(from) = self.last_event_at.filter(|at| now - at >= STALL_MIN) {
+        if let Some(from) = self.last_event_at.filter(|at| now - at >= MIN_STALL) {
             self.latest = Some(Stall { from, until: now });
         }
         self.last_event_at = Some(now);
--- a/crates/core/src/startup_readiness.rs
+++ b/crates/core/src/startup_readiness.rs
@@ -19,10 +19,10 @@
 /// to report.
 pub const CONFIRMED_BY_SILENCE_AFTER: Nanos = 250 * MILLISECOND;
 /// The maximum time until a front is ready if discovery is one service for all fronts.
-pub const READY_WITHIN: Nanos = 5_000 * MILLISECOND;
+pub const MAX_STARTUP_WAIT: Nanos = 5_000 * MILLISECOND;
 /// The maximum time until a front is ready if lists are pushed by the agent on its own machine,
 /// which answers at once or has nothing to report.
-pub const READY_WITHIN_OF_AGENT: Nanos = 500 * MILLISECOND;
+pub const MAX_STARTUP_WAIT_WITH_AGENT: Nanos = 500 * MILLISECOND;
 
 /// The state of a starting front, which tells whether it is ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,9 +43,9 @@
     /// discovery with other fronts.
     pub fn new(now: Nanos, polls_discovery: bool) -> StartupReadiness {
         let limit = if polls_discovery {
-            READY_WITHIN
+            MAX_STARTUP_WAIT
         } else {
-            READY_WITHIN_OF_AGENT
+            MAX_STARTUP_WAIT_WITH_AGENT
         };
         StartupReadiness::Unconfirmed {
             ready_by: now + limit,
--- a/crates/core/tests/stall_detector.rs
+++ b/crates/core/tests/stall_detector.rs
@@ -1,6 +1,6 @@
 //! Arrivals of requests around a time in which the process was held up.
 
-use tulipbridge_core::stall_detector::{StallDetector, CATCH_UP_TIME, STALL_MIN};
+use tulipbridge_core::stall_detector::{StallDetector, CATCH_UP_TIME, MIN_STALL};
 
 const TICK: i64 = 10_000_000;
 
@@ -10,7 +10,7 @@
     detector.event(0);
     detector.event(TICK);
     assert_eq!(detector.earliest_arrival(TICK), TICK);
-    let resumed = TICK + STALL_MIN;
+    let resumed = TICK + MIN_STALL;
     detector.event(resumed);
     assert_eq!(detector.earliest_arrival(resumed + CATCH_UP_TIME), TICK);
     assert_eq!(
@@ -23,7 +23,7 @@
 fn ticks_that_are_a_little_late_are_no_stall() {
     let mut detector = StallDetector::default();
     for tick in 0..100 {
-        let now = tick * (STALL_MIN - 1);
+        let now = tick * (MIN_STALL - 1);
         detector.event(now);
         assert_eq!(detector.earliest_arrival(now), now);
     }
--- a/crates/core/tests/startup_readiness.rs
+++ b/crates/core/tests/startup_readiness.rs
@@ -1,7 +1,7 @@
 //! When a starting front is ready.
 
 use tulipbridge_core::startup_readiness::{
-    StartupReadiness, CONFIRMED_BY_SILENCE_AFTER, READY_WITHIN, READY_WITHIN_OF_AGENT,
+    StartupReadiness, CONFIRMED_BY_SILENCE_AFTER, MAX_STARTUP_WAIT, MAX_STARTUP_WAIT_WITH_AGENT,
     UNREACHABLE_WITHIN,
 };
 
@@ -26,7 +26,7 @@
     let mut readiness = StartupReadiness::new(0, true);
     readiness.call_failed(UNREACHABLE_WITHIN);
     assert!(!readiness.is_ready(UNREACHABLE_WITHIN));
-    assert!(readiness.is_ready(READY_WITHIN));
+    assert!(readiness.is_ready(MAX_STARTUP_WAIT));
     readiness.call_failed(0);
     assert!(readiness.is_ready(1));
 }
@@ -36,5 +36,5 @@
     let mut readiness = StartupReadiness::new(0, true);
     readiness.call_unanswered();
     assert!(readiness.is_ready(1));
-    assert!(StartupReadiness::new(0, false).is_ready(READY_WITHIN_OF_AGENT));
+    assert!(StartupReadiness::new(0, false).is_ready(MAX_STARTUP_WAIT_WITH_AGENT));
 }
