--- a/crates/core/src/interface/endpoints.rs
+++ b/crates/core/src/interface/endpoints.rs
@@ -9,7 +9,7 @@
     Up,
     /// Finishing the work in flight before it is removed; it gets no new attempts.
     Draining,
-    /// No longer part of the deployment.
+    /// Removed from the endpoint list.
     Removed,
 }
 
