--- a/crates/core/src/policy/scheduler/events.rs
+++ b/crates/core/src/policy/scheduler/events.rs
@@ -43,7 +43,7 @@
             } => self.on_discovery_unavailable(),
             Event::Endpoints { scope, nodes } => self.on_endpoints(scope, &nodes, actions),
             Event::Request(request) => self.on_request(request, actions),
-            Event::ClientGone(id) => self.on_client_disconnected(id, actions),
+            Event::ClientDisconnected(id) => self.on_client_disconnected(id, actions),
             Event::ResponseStarted(id) => self.on_response_started(id),
             Event::AttemptEnded {
                 id,
@@ -51,7 +51,7 @@
                 node,
                 outcome,
                 took,
-                last,
+                is_answered,
                 ..
             } => {
                 let end = AttemptEnd {
@@ -62,7 +62,7 @@
                     node,
                     outcome,
                     took,
-                    is_answered: last,
+                    is_answered,
                 };
                 self.on_attempt_ended(end, actions);
             }
--- a/crates/core/src/request_tracker.rs
+++ b/crates/core/src/request_tracker.rs
@@ -157,7 +157,7 @@
         if !mutated(Mutation::NoReleaseAfterDisconnect) {
             self.release_if_finished(id, effects);
         }
-        self.decide(now, Event::ClientGone(id), effects);
+        self.decide(now, Event::ClientDisconnected(id), effects);
     }
 
     /// Passes an event to the policy and applies its actions. An event that an action causes is
--- a/src/bin/tulipbridge-adapter/instance.rs
+++ b/src/bin/tulipbridge-adapter/instance.rs
@@ -89,7 +89,7 @@
                 let id = self.request_id(row)?;
                 id.map(|id| {
                     self.requests.finish(id);
-                    Event::ClientGone(id)
+                    Event::ClientDisconnected(id)
                 })
             }
             EventKind::ResponseStarted => self.request_id(row)?.map(Event::ResponseStarted),
@@ -209,7 +209,7 @@
             node,
             outcome,
             took,
-            last,
+            is_answered: last,
             observed_use: seen_use,
             foreign_units,
         }))
