--- a/src/control/endpoint_list.rs
+++ b/src/control/endpoint_list.rs
@@ -168,7 +168,7 @@
         let listed_start = entry.started_at_ms.saturating_mul(NANOS_PER_MILLISECOND);
         let started_at = self.start_times.listed(&entry.name, now, listed_start);
         let info = NodeInfo {
-            node: upstream.locate(&entry.name, entry.address.0, shard),
+            node: upstream.upsert_server(&entry.name, entry.address.0, shard),
             zone: self.zone_index(entry.zone.as_deref()),
             shard,
             state: listed_state(&entry.lifecycle),
--- a/src/upstream/connections.rs
+++ b/src/upstream/connections.rs
@@ -11,7 +11,7 @@
 
 use super::connection::PooledConnection;
 use super::open_connections::OpenConnections;
-use super::server_table::{Located, ServerTable};
+use super::server_table::{ServerTable, UpsertResult};
 use crate::telemetry::trace;
 
 /// The part of the servers' idle timeout after which this side closes an idle connection.
@@ -48,20 +48,23 @@
         }
     }
 
-    /// Sets the address and shard of a server; see [`super::Upstream::locate`].
-    pub fn locate(&self, name: &str, address: SocketAddr, shard: ShardId) -> NodeId {
-        let located = self.servers.borrow_mut().locate(name, address, shard);
-        match located {
-            Located::Added(id) => {
+    /// Sets the address and shard of a server; see [`super::Upstream::upsert_server`].
+    pub fn upsert_server(&self, name: &str, address: SocketAddr, shard: ShardId) -> NodeId {
+        let result = self
+            .servers
+            .borrow_mut()
+            .upsert_server(name, address, shard);
+        match result {
+            UpsertResult::Added(id) => {
                 self.pool.borrow_mut().add(id);
                 id
             }
-            Located::AddressChanged(id) => {
+            UpsertResult::AddressChanged(id) => {
                 // The idle connections to the old address are closed as they are dropped.
                 self.pool.borrow_mut().address_changed(id);
                 id
             }
-            Located::Unchanged(id) => id,
+            UpsertResult::Unchanged(id) => id,
         }
     }
 
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -45,8 +45,8 @@
 
     /// Sets the address and shard of a chunk server. Returns its number, which it gets when it is
     /// first named.
-    pub fn locate(&self, name: &str, address: SocketAddr, shard: ShardId) -> NodeId {
-        self.connections.locate(name, address, shard)
+    pub fn upsert_server(&self, name: &str, address: SocketAddr, shard: ShardId) -> NodeId {
+        self.connections.upsert_server(name, address, shard)
     }
 
     /// The name of a chunk server in discovery, the same at every front; empty for an unknown one.
--- a/src/upstream/server_table.rs
+++ b/src/upstream/server_table.rs
@@ -12,8 +12,8 @@
     pub shard: ShardId,
 }
 
-/// What [`ServerTable::locate`] has changed.
-pub(super) enum Located {
+/// What [`ServerTable::upsert_server`] has changed.
+pub(super) enum UpsertResult {
     /// The server is new.
     Added(NodeId),
     /// The server is known and its address is another.
@@ -38,19 +38,24 @@
     }
 
     /// Sets the address and shard of a server, adding it where its name is new.
-    pub fn locate(&mut self, name: &str, address: SocketAddr, shard: ShardId) -> Located {
+    pub fn upsert_server(
+        &mut self,
+        name: &str,
+        address: SocketAddr,
+        shard: ShardId,
+    ) -> UpsertResult {
         let Some(&id) = self.ids.get(name) else {
-            return Located::Added(self.add(name, address, shard));
+            return UpsertResult::Added(self.add(name, address, shard));
         };
         let Some(server) = self.servers.get_mut(&id) else {
-            return Located::Unchanged(id);
+            return UpsertResult::Unchanged(id);
         };
         server.shard = shard;
         if server.address == address {
-            return Located::Unchanged(id);
+            return UpsertResult::Unchanged(id);
         }
         server.address = address;
-        Located::AddressChanged(id)
+        UpsertResult::AddressChanged(id)
     }
 
     fn add(&mut self, name: &str, address: SocketAddr, shard: ShardId) -> NodeId {
--- a/tests/unit/upstream.rs
+++ b/tests/unit/upstream.rs
@@ -62,7 +62,7 @@
     let bodies = tokio::task::LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let upstream = Upstream::new(Duration::from_secs(1), Duration::from_secs(30), 8);
-        let node = upstream.locate("s-0", listener.local_addr().expect("bound"), ShardId(0));
+        let node = upstream.upsert_server("s-0", listener.local_addr().expect("bound"), ShardId(0));
         let payload = Rc::new(read_request());
         let deadline = Instant::now() + Duration::from_secs(10);
         let server = answer_one_request(listener.try_clone().expect("another handle"), "good");
