--- a/src/front/assembly.rs
+++ b/src/front/assembly.rs
@@ -207,7 +207,7 @@
 async fn sweep(exchange: Rc<Exchange<Upstream>>) {
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
-        exchange.transport().sweep();
+        exchange.transport().close_idle_connections();
     }
 }
 
--- a/src/upstream/connections.rs
+++ b/src/upstream/connections.rs
@@ -91,7 +91,7 @@
     }
 
     /// Closes connections that have been idle for too long.
-    pub fn close_idle(&self) {
+    pub fn close_idle_connections(&self) {
         let now = self.now();
         self.pool.borrow_mut().sweep(now, PooledConnection::is_open);
     }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -55,8 +55,8 @@
     }
 
     /// Closes connections that have been idle for long.
-    pub fn sweep(&self) {
-        self.connections.close_idle();
+    pub fn close_idle_connections(&self) {
+        self.connections.close_idle_connections();
     }
 }
 
