--- a/src/frontend/platform/mod.rs
+++ b/src/frontend/platform/mod.rs
@@ -25,7 +25,7 @@
 use crate::body_budget::BodyReservation;
 use crate::control::readiness::Readiness;
 use crate::exchange::{Exchange, FinalResponse};
-use crate::upstream::{Accepts, Answer, Payload, Upstream};
+use crate::upstream::{AcceptedResponses, Answer, Payload, Upstream};
 
 pub use self::request_tables::{ReloadedSettings, RequestTables};
 
@@ -128,7 +128,7 @@
             id: id.unwrap_or(HeaderValue::from_static("")),
             headers: forwarded_headers(&head.headers),
             body,
-            accepts: Accepts::Served,
+            accepted_responses: AcceptedResponses::OkOnly,
             metrics: self.tables.borrow().class_metrics(class).cloned(),
             reservation: head.extensions.remove::<Arc<BodyReservation>>(),
             method: head.method,
--- a/src/object/server_client.rs
+++ b/src/object/server_client.rs
@@ -16,7 +16,7 @@
 use super::request::ObjectRequest;
 use super::server_request::ServerRequest;
 use crate::exchange::{Exchange, FinalResponse};
-use crate::upstream::{Accepts, Answer, Payload, Upstream};
+use crate::upstream::{AcceptedResponses, Answer, Payload, Upstream};
 
 /// Sends requests to the chunk servers. Shared by the operations and by the tasks that stream
 /// objects.
@@ -92,7 +92,7 @@
             method: server_request.method,
             headers: server_request.headers,
             body: server_request.body,
-            accepts: Accepts::Object,
+            accepted_responses: AcceptedResponses::ObjectApi,
             metrics: None,
             reservation: None,
         };
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -141,7 +141,7 @@
             if !wire.connection().is_reading_response() {
                 return Err(wire.execution());
             }
-            let report = read_response(response, payload.accepts, self.shard).await?;
+            let report = read_response(response, payload.accepted_responses, self.shard).await?;
             wire.on(ConnectionEvent::ResponseComplete);
             Ok(report)
         };
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -21,7 +21,7 @@
 use self::connections::Connections;
 use crate::exchange::{AttemptReport, Transport, Withdrawal};
 
-pub use self::payload::{Accepts, Answer, Payload, StreamedBody};
+pub use self::payload::{AcceptedResponses, Answer, Payload, StreamedBody};
 
 /// The chunk servers' addresses and the connections to them.
 pub struct Upstream {
--- a/src/upstream/payload.rs
+++ b/src/upstream/payload.rs
@@ -24,7 +24,7 @@
     /// Body.
     pub body: Bytes,
     /// Which responses count as answers to the client.
-    pub accepts: Accepts,
+    pub accepted_responses: AcceptedResponses,
     /// Counts an attempt once its last byte is written.
     pub metrics: Option<ClassMetrics>,
     /// Keeps the memory of the body reserved for as long as the payload lives.
@@ -33,11 +33,11 @@
 
 /// Which responses of a chunk server are answers to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Accepts {
+pub enum AcceptedResponses {
     /// 200 alone; anything else is an error of the server.
-    Served,
+    OkOnly,
     /// Those of the object API: any success, and any error in the request itself.
-    Object,
+    ObjectApi,
 }
 
 /// A response of a chunk server.
--- a/src/upstream/response.rs
+++ b/src/upstream/response.rs
@@ -9,7 +9,7 @@
 use tulipbridge_core::server_connection::Execution;
 use tulipbridge_core::{Outcome, ShardId};
 
-use super::payload::{Accepts, Answer, StreamedBody};
+use super::payload::{AcceptedResponses, Answer, StreamedBody};
 use crate::exchange::AttemptReport;
 use crate::limits::MAX_BODY;
 
@@ -30,10 +30,10 @@
 /// truncated: the request may have been executed, and there is nothing valid to answer with.
 pub(super) async fn read_response(
     response: Response<Incoming>,
-    accepts: Accepts,
+    accepted: AcceptedResponses,
     shard: ShardId,
 ) -> Result<AttemptReport<Answer>, Execution> {
-    let report = read_head(&response, accepts);
+    let report = read_head(&response, accepted);
     let headers = response.headers();
     let ambiguous = headers.contains_key(CONTENT_LENGTH) && headers.contains_key(TRANSFER_ENCODING);
     let size = response.body().size_hint();
@@ -45,7 +45,10 @@
     let too_long_to_buffer = size.lower() > MAX_BODY as u64;
     let served = report.outcome == Outcome::Served;
     let (head, body) = response.into_parts();
-    let answer = if (length_unknown || too_long_to_buffer) && served && accepts == Accepts::Served {
+    let answer = if (length_unknown || too_long_to_buffer)
+        && served
+        && accepted == AcceptedResponses::OkOnly
+    {
         Some(read_streamed(head, body, size.exact(), shard).await?)
     } else if too_long_to_buffer {
         return Err(Execution::MayHaveRun);
@@ -90,18 +93,18 @@
 }
 
 /// The outcome and the reported load in a response head.
-fn read_head<B>(response: &Response<B>, accepts: Accepts) -> AttemptReport<Answer> {
+fn read_head<B>(response: &Response<B>, accepted: AcceptedResponses) -> AttemptReport<Answer> {
     let headers = response.headers();
     let volume_use = first_number(headers, &VOLUME_USE);
     AttemptReport {
-        outcome: outcome_of(response.status(), headers, accepts),
+        outcome: outcome_of(response.status(), headers, accepted),
         answer: None,
         observed_use: volume_use.map_or(0.0, |percent| percent + 1.0),
         foreign_units: first_number(headers, &FOREIGN_UNITS).unwrap_or(0.0),
     }
 }
 
-fn outcome_of(status: StatusCode, headers: &HeaderMap, accepts: Accepts) -> Outcome {
+fn outcome_of(status: StatusCode, headers: &HeaderMap, accepted: AcceptedResponses) -> Outcome {
     let rejected = headers.get(REJECTED).is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => Outcome::Served,
@@ -110,7 +113,10 @@
         }
         // These two concern the server's load, not the request.
         StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS => Outcome::Error,
-        status if accepts == Accepts::Object && (200..=499).contains(&status.as_u16()) => {
+        status
+            if accepted == AcceptedResponses::ObjectApi
+                && (200..=499).contains(&status.as_u16()) =>
+        {
             Outcome::Served
         }
         _ => Outcome::Error,
--- a/tests/unit/upstream.rs
+++ b/tests/unit/upstream.rs
@@ -15,7 +15,7 @@
 use tulipbridge::server_connection::Execution;
 use tulipbridge::upstream::connection::ObservedStream;
 use tulipbridge::upstream::wire_state::WireState;
-use tulipbridge::upstream::{Accepts, Payload, Upstream};
+use tulipbridge::upstream::{AcceptedResponses, Payload, Upstream};
 use tulipbridge_core::ShardId;
 
 fn read_request() -> Payload {
@@ -25,7 +25,7 @@
         id: HeaderValue::from_static("0000000000000001"),
         headers: HeaderMap::new(),
         body: Bytes::new(),
-        accepts: Accepts::Served,
+        accepted_responses: AcceptedResponses::OkOnly,
         metrics: None,
         reservation: None,
     }
