--- a/src/frontend/platform/mod.rs
+++ b/src/frontend/platform/mod.rs
@@ -125,7 +125,7 @@
     fn payload(&self, mut head: Parts, body: Bytes, class: usize) -> Payload {
         let id = head.headers.get(TRANSACTION_ID).cloned();
         Payload {
-            id: id.unwrap_or(HeaderValue::from_static("")),
+            transaction_id: id.unwrap_or(HeaderValue::from_static("")),
             headers: forwarded_headers(&head.headers),
             body,
             accepted_responses: AcceptedResponses::OkOnly,
--- a/src/object/server_client.rs
+++ b/src/object/server_client.rs
@@ -88,7 +88,7 @@
             target: target(&request.path, &server_request.query)?,
             // Every request to a chunk server is a separate transaction, as the retry of a client
             // is.
-            id: random_transaction_id()?,
+            transaction_id: random_transaction_id()?,
             method: server_request.method,
             headers: server_request.headers,
             body: server_request.body,
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -180,7 +180,7 @@
     let headers = request.headers_mut();
     headers.clone_from(&payload.headers);
     headers.insert(HOST, HOST_NAME);
-    headers.insert(TRANSACTION_ID, payload.id.clone());
+    headers.insert(TRANSACTION_ID, payload.transaction_id.clone());
     if let Ok(remaining) = HeaderValue::try_from(format!("{remaining}u")) {
         headers.insert(REMAINING, remaining);
     }
--- a/src/upstream/payload.rs
+++ b/src/upstream/payload.rs
@@ -18,7 +18,7 @@
     /// Path and query.
     pub target: Uri,
     /// Transaction id.
-    pub id: HeaderValue,
+    pub transaction_id: HeaderValue,
     /// Further headers.
     pub headers: HeaderMap,
     /// Body.
--- a/tests/unit/upstream.rs
+++ b/tests/unit/upstream.rs
@@ -22,7 +22,7 @@
     Payload {
         method: Method::GET,
         target: Uri::from_static("/api"),
-        id: HeaderValue::from_static("0000000000000001"),
+        transaction_id: HeaderValue::from_static("0000000000000001"),
         headers: HeaderMap::new(),
         body: Bytes::new(),
         accepted_responses: AcceptedResponses::OkOnly,
