--- a/src/frontend/platform/streaming.rs
+++ b/src/frontend/platform/streaming.rs
@@ -104,13 +104,13 @@
             trace::write(event);
         }
         if end == StreamEnd::Complete {
-            self.streamed.done();
+            self.streamed.release_connection();
         }
     }
 
     /// Forwards the parts of the body one after another.
     async fn forward_all(&mut self) -> StreamEnd {
-        let first = std::mem::take(&mut self.streamed.first);
+        let first = std::mem::take(&mut self.streamed.buffered);
         if !first.is_empty() && !self.forward(first).await {
             return StreamEnd::ClientClosed;
         }
--- a/src/upstream/payload.rs
+++ b/src/upstream/payload.rs
@@ -59,7 +59,7 @@
 /// reads, so that a few parts of it are buffered at most. Dropping it closes the connection.
 pub struct StreamedBody {
     /// The part of the body that has arrived already.
-    pub first: Bytes,
+    pub buffered: Bytes,
     /// The rest of the body.
     pub body: Incoming,
     /// The length of the whole body in bytes, where the server announced it.
@@ -70,9 +70,9 @@
 
 impl StreamedBody {
     /// A body that does not own its connection yet.
-    pub(super) fn new(first: Bytes, body: Incoming, length: Option<u64>) -> StreamedBody {
+    pub(super) fn new(buffered: Bytes, body: Incoming, length: Option<u64>) -> StreamedBody {
         StreamedBody {
-            first,
+            buffered,
             body,
             length,
             release_connection: None,
@@ -85,7 +85,7 @@
     }
 
     /// The body is complete: returns its connection to the pool for another request.
-    pub fn done(mut self) {
+    pub fn release_connection(mut self) {
         if let Some(release) = self.release_connection.take() {
             release();
         }
