--- a/src/exchange/attempt_run.rs
+++ b/src/exchange/attempt_run.rs
@@ -1,4 +1,4 @@
-//! Running one attempt until it ends by itself, at its deadline, or because it is cancelled.
+//! Runs one attempt until it ends by itself, reaches its deadline or is cancelled.
 
 use std::future::Future;
 use std::time::Instant;
@@ -13,20 +13,20 @@
 /// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptKey {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// The attempt's number within the request.
+    /// The number of the attempt within the request, from 0.
     pub attempt: u32,
 }
 
 impl AttemptKey {
-    /// The key of attempt number `attempt` of `request`.
+    /// Creates the key of attempt number `attempt` of `request`.
     pub(super) fn new(request: RequestId, attempt: u32) -> AttemptKey {
         AttemptKey { request, attempt }
     }
 
-    /// The input that reports how this attempt ended by itself.
-    fn ended<A>(self, report: AttemptReport<A>) -> CompletedAttempt<A> {
+    /// Returns the input for an attempt that the transport has reported on.
+    fn ended<A>(self, report: AttemptReport<A>) -> InputWithAnswer<A> {
         let input = Input::AttemptEnded {
             id: self.request,
             attempt: self.attempt,
@@ -34,53 +34,55 @@
             observed_use: report.observed_use,
             foreign_units: report.foreign_units,
         };
-        CompletedAttempt {
+        InputWithAnswer {
             input,
             answer: report.answer,
         }
     }
 
-    fn timed_out<A>(self) -> CompletedAttempt<A> {
+    /// Returns the input for an attempt that reached its deadline.
+    fn timed_out<A>(self) -> InputWithAnswer<A> {
         let input = Input::AttemptTimedOut {
             id: self.request,
             attempt: self.attempt,
         };
-        CompletedAttempt {
+        InputWithAnswer {
             input,
             answer: None,
         }
     }
 
-    fn cancelled<A>(self) -> CompletedAttempt<A> {
+    /// Returns the input for an attempt that was cancelled.
+    fn cancelled<A>(self) -> InputWithAnswer<A> {
         let input = Input::AttemptCancelled {
             id: self.request,
             attempt: self.attempt,
         };
-        CompletedAttempt {
+        InputWithAnswer {
             input,
             answer: None,
         }
     }
 }
 
-/// An attempt that has ended.
-pub(super) struct CompletedAttempt<A> {
-    /// Its end, for the tracker.
+/// An input for the tracker, with the answer that came with it.
+pub(super) struct InputWithAnswer<A> {
+    /// What happened, such as the end of an attempt.
     pub input: Input,
-    /// The answer that it brought, if any.
+    /// The answer of a chunk server, if the input is the end of a served attempt.
     pub answer: Option<A>,
 }
 
-/// Runs an attempt to its end.
+/// Runs an attempt until it ends, `deadline` passes or it is cancelled.
 pub(super) async fn run_attempt<A>(
     key: AttemptKey,
-    running: impl Future<Output = AttemptReport<A>>,
+    attempt: impl Future<Output = AttemptReport<A>>,
     deadline: Instant,
     mut withdrawal: Withdrawal,
-) -> CompletedAttempt<A> {
+) -> InputWithAnswer<A> {
     tokio::select! {
         biased;
-        ended = timeout_at(deadline.into(), running) => match ended {
+        ended = timeout_at(deadline.into(), attempt) => match ended {
             Ok(report) => key.ended(report),
             Err(_elapsed) => key.timed_out(),
         },
--- a/src/exchange/effects.rs
+++ b/src/exchange/effects.rs
@@ -1,4 +1,4 @@
-//! Passing inputs to the request tracker and carrying out its effects.
+//! Passes inputs to the request tracker and carries out its effects.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use tulipbridge_core::request_tracker::{Effect, FinalAnswer, Input};
 use tulipbridge_core::{Nanos, NodeId, RequestId, RuntimeCommand};
 
-use super::attempt_run::{run_attempt, AttemptKey, CompletedAttempt};
+use super::attempt_run::{run_attempt, AttemptKey, InputWithAnswer};
 use super::state::{AnswerSender, AttemptStart};
 use super::transport::Transport;
 use super::withdrawal::SendLimits;
@@ -16,38 +16,39 @@
 use crate::telemetry::trace;
 
 impl<T: Transport> Exchange<T> {
-    /// Handles an input that brings no answer; see [`Exchange::handle_completed`].
+    /// Handles an input without an answer of a chunk server; see
+    /// [`Exchange::handle_with_answer`].
     pub(super) fn handle(self: &Rc<Self>, input: Input) {
-        self.handle_completed(CompletedAttempt {
+        self.handle_with_answer(InputWithAnswer {
             input,
             answer: None,
         });
     }
 
-    /// Handles the input of an attempt that has ended, with its answer, if any. Updates of the
-    /// shared state come first, since this process may have been paused and leases may have
-    /// expired.
-    fn handle_completed(self: &Rc<Self>, completed: CompletedAttempt<T::Answer>) {
+    /// Handles an input and the answer that came with it, if any. Updates of the state that the
+    /// fronts share are applied first, because leases may have expired while this process was
+    /// paused.
+    fn handle_with_answer(self: &Rc<Self>, received: InputWithAnswer<T::Answer>) {
         if let Some(fleet_state) = self.fleet_state.get() {
             let updates = self
-                .with_settings(|settings| fleet_state.updates_before(&completed.input, settings));
+                .with_settings(|settings| fleet_state.updates_before(&received.input, settings));
             for update in updates {
                 self.apply_fleet_update(update);
             }
         }
-        self.process(completed.input, completed.answer);
+        self.pass_to_tracker(received.input, received.answer);
     }
 
-    /// Passes an input to the tracker and carries out its effects, with the answer that an attempt
-    /// brought, if any.
-    pub(super) fn process(self: &Rc<Self>, input: Input, mut answer: Option<T::Answer>) {
+    /// Passes an input to the tracker and carries out its effects. `answer` is the response of a
+    /// chunk server that came with the input, if any.
+    pub(super) fn pass_to_tracker(self: &Rc<Self>, input: Input, mut answer: Option<T::Answer>) {
         if trace::is_enabled() {
             trace::input(&input, |node| self.transport.name(node));
         }
         let now = self.clock.now();
         let effects = self.state.borrow_mut().handle(now, input);
         for effect in effects {
-            self.check(now, &effect);
+            self.report_violation(now, &effect);
             if trace::is_enabled() {
                 trace::effect(&effect, |node| self.transport.name(node));
             }
@@ -55,23 +56,23 @@
         }
     }
 
-    /// Logs and reports an effect that breaks a rule. It is carried out all the same: what the
-    /// decisions have recorded must stay what happens.
-    fn check(&self, now: Nanos, effect: &Effect) {
-        let violation = self.state.borrow_mut().check(now, effect);
+    /// Logs and reports an effect that breaks a rule. The effect is carried out nevertheless, so
+    /// that what happens stays consistent with what the decision module has recorded.
+    fn report_violation(&self, now: Nanos, effect: &Effect) {
+        let violation = self.state.borrow_mut().check_effect(now, effect);
         let Some(violation) = violation else {
             return;
         };
         log!(
-            "rule {} broken by request {}: {effect:?}",
-            violation.rule.name(),
-            violation.request
+            "exchange: request {}: rule {} broken: {effect:?}",
+            violation.request,
+            violation.rule.name()
         );
         (self.on_violation)(violation);
     }
 
-    /// Carries out an effect. Nothing in here passes an input to the tracker, so that inputs and
-    /// effects keep their order.
+    /// Carries out an effect. This passes no input to the tracker, directly or indirectly, so that
+    /// inputs and effects keep their order.
     fn carry_out(self: &Rc<Self>, effect: Effect, answer: &mut Option<T::Answer>) {
         match effect {
             Effect::Send {
@@ -109,6 +110,7 @@
         }
     }
 
+    /// Carries out a command of the decision module that concerns no request.
     fn run_command(self: &Rc<Self>, command: RuntimeCommand) {
         match command {
             RuntimeCommand::SetTimer { after, cookie } => self.set_timer(after, cookie),
@@ -118,13 +120,15 @@
         }
     }
 
+    /// Sends the final answer to the client of a request, unless it was sent before.
     fn answer(&self, id: RequestId, response: FinalResponse<T::Answer>) {
         let sender = self.state.borrow_mut().take_answer_sender(id);
         if let Some(sender) = sender {
-            send_unless_client_gone(sender, response);
+            send_unless_disconnected(sender, response);
         }
     }
 
+    /// Passes a timer input with `cookie` to the tracker once the time `after` has elapsed.
     fn set_timer(self: &Rc<Self>, after: Nanos, cookie: u64) {
         let exchange = Rc::clone(self);
         tokio::task::spawn_local(async move {
@@ -133,8 +137,8 @@
         });
     }
 
-    /// Starts an attempt. It ends by itself, at its deadline, or when it is cancelled, whichever is
-    /// first.
+    /// Starts an attempt, which ends by itself, at its deadline or when it is cancelled, whichever
+    /// comes first. Does nothing for a request that is not pending.
     fn send(self: &Rc<Self>, key: AttemptKey, node: NodeId, limits: SendLimits) {
         let start = self.state.borrow().attempt_start(key, limits);
         let Some(AttemptStart {
@@ -154,18 +158,19 @@
             .attempt(node, payload, deadline, withdrawal.clone());
         let exchange = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            let completed = run_attempt(key, attempt, deadline, withdrawal).await;
-            exchange.handle_completed(completed);
+            let ended = run_attempt(key, attempt, deadline, withdrawal).await;
+            exchange.handle_with_answer(ended);
         });
     }
 }
 
-/// Sends a final answer. The client may be gone at this very moment; then nobody needs it.
-fn send_unless_client_gone<A>(sender: AnswerSender<A>, response: FinalResponse<A>) {
+/// Sends a final answer, which is dropped if the client has just disconnected.
+fn send_unless_disconnected<A>(sender: AnswerSender<A>, response: FinalResponse<A>) {
     let _undelivered = sender.send(response);
 }
 
-/// The answer for the client; `served` is the response of a chunk server, if an attempt brought it.
+/// Returns the answer for the client; `served` is the response of a chunk server, if one came with
+/// the input.
 fn final_response<A>(answer: FinalAnswer, served: Option<A>) -> FinalResponse<A> {
     match (answer, served) {
         (FinalAnswer::Served, Some(served)) => FinalResponse::Served(served),
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -1,11 +1,12 @@
-//! The exchange connects the client side and the server side, and is the only place where they
-//! meet. It knows requests, attempts and outcomes, but no wire protocol: a front submits a request
-//! with a payload, a [`Transport`] carries attempts. The request tracker, with the decision
-//! module in it, decides; the exchange carries its effects out.
+//! Connects the client side of a front to its chunk-server side; the two meet nowhere else.
 //!
-//! An [`Exchange`] has one mutable part, its state. No borrow of the state is held while the
-//! transport, the violation observer or [`FleetState::attempt_sent`] is called, so that these may
-//! read from the exchange.
+//! The exchange knows requests, attempts and outcomes, but no wire protocol: a front submits a
+//! request with a payload, and a [`Transport`] carries the attempts. The request tracker, which
+//! contains the decision module, makes the decisions; the exchange carries out its effects.
+//!
+//! The requests, the tracker and the decision module of an [`Exchange`] are in one `RefCell`. It is
+//! not borrowed during calls of the transport, the violation observer and
+//! [`FleetState::attempt_sent`], so that these may read from the exchange.
 
 mod attempt_run;
 mod clock;
@@ -34,15 +35,15 @@
 pub use self::transport::{AttemptReport, Transport};
 pub use self::withdrawal::Withdrawal;
 
-/// A request that the tracker leaves unanswered for this long past its deadline is answered with a
-/// failure. This guards the rule of exactly one final answer against defects, and is well within
-/// the slack that clients grant.
-const OVERDUE_AFTER: Duration = Duration::from_millis(20);
+/// Time after the deadline of a request at which it is failed if the tracker has not answered it.
+/// This guards the rule of exactly one final answer against defects, and is well within the extra
+/// time that clients allow.
+const OVERDUE_GRACE: Duration = Duration::from_millis(20);
 
 /// The final answer to a request.
 #[derive(Debug)]
 pub enum FinalResponse<A> {
-    /// A server's answer.
+    /// The response of a chunk server.
     Served(A),
     /// The request was not executed, or repeating it is harmless; the client may retry after this
     /// time.
@@ -51,48 +52,50 @@
     Failed,
 }
 
-/// How many chunk servers the decision module has.
+/// The numbers of chunk servers that the decision module knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// Those in the endpoint list.
+    /// Chunk servers in the endpoint list.
     pub listed: usize,
-    /// Those in the list that get no regular requests.
+    /// Chunk servers in the list that get no regular requests.
     pub avoided: usize,
 }
 
-/// Is notified of each violation of a rule of requests, before the effect that breaks it is carried
-/// out.
+/// Called with each violation of a rule of requests, before the effect that breaks the rule is
+/// carried out.
 pub type ViolationObserver = Box<dyn Fn(Violation)>;
 
 /// The state that the fronts of a fleet share: limits and ejections.
 pub trait FleetState {
-    /// The updates that the decision module must have before `input`: leases may have expired
-    /// meanwhile. Must not pass inputs to the exchange, whose settings are borrowed.
+    /// Returns the updates that the decision module must receive before `input`, such as those for
+    /// leases that have expired since the last input. Must not pass inputs to the exchange, whose
+    /// settings are borrowed during the call.
     fn updates_before(&self, input: &Input, settings: &Settings) -> Vec<FleetUpdate>;
 
-    /// An attempt of a request of `class` is sent. Must not pass inputs to the exchange, which is
-    /// carrying out the effects of another one.
+    /// Records that an attempt of a request of `class` is sent to `node`. Must not pass inputs to
+    /// the exchange, which is carrying out the effects of another input.
     fn attempt_sent(&self, key: AttemptKey, node: NodeId, class: usize);
 }
 
-/// Connects fronts and a transport. Its methods must be called inside a tokio `LocalSet`.
+/// Connects the code that receives requests to a transport. Its methods must be called inside a
+/// tokio `LocalSet`.
 pub struct Exchange<T: Transport> {
-    /// Borrowed for one call of its methods at a time, and for [`Exchange::with_settings`].
+    /// Borrowed for a single method call at a time, and during [`Exchange::with_settings`].
     state: RefCell<ExchangeState<T::Payload, T::Answer>>,
     transport: T,
     clock: Clock,
     on_violation: ViolationObserver,
     /// Notified when the decision module requests the endpoint list.
     endpoints_requested: Notify,
-    /// Set once, where this front shares limits and ejections with others.
+    /// Set at most once, if this front shares limits and ejections with others.
     fleet_state: OnceCell<Rc<dyn FleetState>>,
 }
 
 impl<T: Transport> Exchange<T> {
-    /// An exchange without requests.
+    /// Creates an exchange without requests.
     ///
     /// # Errors
-    /// When the settings are invalid.
+    /// Returns a [`SettingsError`] if the settings are invalid.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -111,54 +114,57 @@
         }))
     }
 
-    /// The transport of the attempts.
+    /// Returns the transport that carries the attempts.
     pub fn transport(&self) -> &T {
         &self.transport
     }
 
-    /// The present time of the decision module.
+    /// Returns the present time of the decision module's clock.
     pub fn now(&self) -> Nanos {
         self.clock.now()
     }
 
-    /// The number of chunk servers, and how many of them are avoided.
+    /// Returns the number of chunk servers, and how many of them are avoided.
     pub fn endpoint_counts(&self) -> EndpointCounts {
         self.state.borrow().endpoint_counts()
     }
 
-    /// A copy of the settings in force.
+    /// Returns a copy of the settings in force.
     pub fn settings(&self) -> Settings {
         self.state.borrow().settings().clone()
     }
 
-    /// Applies a function to the settings in force. It must not pass inputs to the exchange.
+    /// Applies a function to the settings in force. The function must not pass inputs to the
+    /// exchange, whose state is borrowed during the call.
     pub fn with_settings<R>(&self, read: impl FnOnce(&Settings) -> R) -> R {
         read(self.state.borrow().settings())
     }
 
-    /// The longest deadline of a class.
+    /// Returns the longest deadline of any class; zero if there are no classes.
     pub fn longest_deadline(&self) -> Duration {
-        let longest =
-            self.with_settings(|set| set.classes.iter().map(|class| class.deadline).max());
+        let longest = self
+            .with_settings(|settings| settings.classes.iter().map(|class| class.deadline).max());
         Duration::from_nanos(longest.unwrap_or(0).max(0) as u64)
     }
 
-    /// Shares limits and ejections with other fronts from now on. Only the first call counts.
+    /// Shares limits and ejections with other fronts from now on. Calls after the first have no
+    /// effect.
     pub fn set_fleet_state(&self, fleet_state: Rc<dyn FleetState>) {
         self.fleet_state.get_or_init(|| fleet_state);
     }
 
-    /// Passes an update of the shared state to the decision module: see [`FleetState`].
+    /// Passes an update of the shared state to the decision module, without a call of
+    /// [`FleetState::updates_before`].
     pub fn apply_fleet_update(self: &Rc<Self>, update: FleetUpdate) {
-        self.process(Input::FleetUpdate(update), None);
+        self.pass_to_tracker(Input::FleetUpdate(update), None);
     }
 
-    /// Applies new settings to requests from now on; see [`Scheduler::apply_settings`].
+    /// Applies reloaded settings from now on; see [`Scheduler::apply_settings`].
     ///
     /// [`Scheduler::apply_settings`]: tulipbridge_core::Scheduler::apply_settings
     ///
     /// # Errors
-    /// When the settings are invalid; then nothing changes.
+    /// Returns a [`SettingsError`] and changes nothing if the new settings cannot be applied.
     pub fn reload_settings(
         &self,
         settings: Settings,
@@ -169,19 +175,19 @@
             .apply_settings(settings, replaced_classes)
     }
 
-    /// Starts the shutdown: every request, received or still to come, is answered `within` this
-    /// time, even where its client would wait longer.
+    /// Starts the shutdown: every request, received already or later, is answered within the time
+    /// `within`, even if its client would wait longer.
     pub fn begin_shutdown(self: &Rc<Self>, within: Duration) {
         let deadline = self.clock.now() + within.as_nanos() as Nanos;
         self.handle(Input::FleetUpdate(FleetUpdate::Shutdown { deadline }));
     }
 
-    /// The number of requests that are not answered or have attempts in flight.
+    /// Returns the number of requests that have no final answer or have attempts in flight.
     pub fn pending_requests(&self) -> usize {
         self.state.borrow().request_count()
     }
 
-    /// Returns when the decision module next requests the endpoint list.
+    /// Waits until the decision module requests the endpoint list.
     pub async fn endpoints_requested(&self) {
         self.endpoints_requested.notified().await;
     }
@@ -191,9 +197,10 @@
         self.handle(Input::Endpoints { scope, nodes });
     }
 
-    /// Submits a request that has just been read and returns its one final answer. `request.id` is
-    /// assigned here; its patience is shortened by the time that this process was held up before it
-    /// was read. Dropping the future means that the client has disconnected.
+    /// Submits a request that has just been read and returns its one final answer. Assigns
+    /// `request.id`, and shortens `request.client_timeout` by the time that the request may have
+    /// waited to be read while this process was stalled. Dropping the future means that the client
+    /// has disconnected.
     pub async fn submit(
         self: &Rc<Self>,
         mut request: Request,
@@ -202,17 +209,17 @@
         let now = self.clock.now();
         let arrived_at = self.state.borrow_mut().earliest_arrival(now);
         request.client_timeout = (request.client_timeout - (now - arrived_at)).max(0);
-        let patience = Duration::from_nanos(request.client_timeout as u64);
+        let client_timeout = Duration::from_nanos(request.client_timeout as u64);
         let (sender, mut answer) = oneshot::channel();
         let id = self
             .state
             .borrow_mut()
             .register(request.class, payload, sender);
         request.id = id;
-        let waiting = WaitingClient { exchange: self, id };
+        let disconnect_guard = DisconnectGuard { exchange: self, id };
         self.handle(Input::RequestReceived(request));
-        if let Ok(answer) = timeout(patience + OVERDUE_AFTER, &mut answer).await {
-            drop(waiting);
+        if let Ok(answer) = timeout(client_timeout + OVERDUE_GRACE, &mut answer).await {
+            drop(disconnect_guard);
             return answer.unwrap_or(FinalResponse::Failed);
         }
         self.handle(Input::Overdue(id));
@@ -220,14 +227,14 @@
     }
 }
 
-/// A client that waits for its answer. Dropping it notifies the tracker that the client is gone,
-/// which changes nothing where the request is answered.
-struct WaitingClient<'a, T: Transport> {
+/// Reports on drop that the client of a request has disconnected. The report has no effect if the
+/// request is answered.
+struct DisconnectGuard<'a, T: Transport> {
     exchange: &'a Rc<Exchange<T>>,
     id: RequestId,
 }
 
-impl<T: Transport> Drop for WaitingClient<'_, T> {
+impl<T: Transport> Drop for DisconnectGuard<'_, T> {
     fn drop(&mut self) {
         self.exchange.handle(Input::ClientDisconnected(self.id));
     }
--- a/src/exchange/state.rs
+++ b/src/exchange/state.rs
@@ -1,8 +1,8 @@
 //! The mutable state of an exchange.
 //!
-//! [`ExchangeState`] knows neither the transport nor the peers nor the exchange that owns it, so
-//! that none of its methods can call back into the exchange. The exchange keeps it in its only
-//! `RefCell` and borrows it for one method call at a time.
+//! [`ExchangeState`] has no reference to the transport, the peers or the exchange that owns it, so
+//! none of its methods can call back into the exchange. The exchange keeps it in a `RefCell` and
+//! borrows it for one method call at a time.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -21,58 +21,63 @@
 /// Sends the final answer to the client of a request.
 pub(super) type AnswerSender<A> = oneshot::Sender<FinalResponse<A>>;
 
-/// The payload and the client of a request in the tracker.
+/// What is stored for a request until the tracker releases it.
 struct PendingRequest<P, A> {
+    /// Shared by the attempts of the request.
     payload: Rc<P>,
     class: usize,
-    /// Taken by the final answer.
+    /// `None` once the final answer has been sent.
     answer: Option<AnswerSender<A>>,
+    /// Cancels and withdraws attempts of the request.
     commands: CommandSender,
 }
 
-/// What the transport needs to start an attempt.
+/// What is needed to start an attempt of a pending request.
 pub(super) struct AttemptStart<P> {
     /// The class of the request.
     pub class: usize,
+    /// The request to send to the chunk server.
     pub payload: Rc<P>,
+    /// Receives the commands to the attempt.
     pub withdrawal: Withdrawal,
 }
 
-/// Requests with payloads `P` that wait for answers `A`, and the machines that decide on them.
+/// The pending requests, with payloads `P` and answers `A`, and the state machines that decide on
+/// them.
 pub(super) struct ExchangeState<P, A> {
     tracker: RequestTracker<Scheduler>,
-    /// Each request of the tracker, until the tracker releases it.
+    /// The requests that the tracker has not released yet.
     pending: HashMap<RequestId, PendingRequest<P, A>>,
-    /// Detects from the times of inputs when this process was held up.
-    stalls: StallDetector,
-    /// Checks the effects against the rules, independently of the decisions.
+    /// Detects from the times of inputs when this process was stalled.
+    stall_detector: StallDetector,
+    /// Checks the effects against the rules of requests, independently of the decision module.
     monitor: InvariantMonitor,
 }
 
 impl<P, A> ExchangeState<P, A> {
-    /// A state without requests.
+    /// Creates a state without requests.
     ///
     /// # Errors
-    /// When the settings are invalid.
+    /// Returns a [`SettingsError`] if the settings are invalid.
     pub fn new(settings: Settings, seed: u64, now: Nanos) -> Result<Self, SettingsError> {
         let scheduler = Scheduler::new(settings, seed, now)?;
         Ok(ExchangeState {
             tracker: RequestTracker::new(scheduler),
             pending: HashMap::new(),
-            stalls: StallDetector::default(),
+            stall_detector: StallDetector::default(),
             monitor: InvariantMonitor::default(),
         })
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub fn settings(&self) -> &Settings {
         self.tracker.decisions().settings()
     }
 
-    /// Applies new settings; see [`Scheduler::apply_settings`].
+    /// Applies reloaded settings; see [`Scheduler::apply_settings`].
     ///
     /// # Errors
-    /// When the settings are invalid; then nothing changes.
+    /// Returns a [`SettingsError`] and changes nothing if the new settings cannot be applied.
     pub fn apply_settings(
         &mut self,
         settings: Settings,
@@ -83,7 +88,7 @@
             .apply_settings(settings, replaced_classes)
     }
 
-    /// How many chunk servers the decision module has.
+    /// Returns the number of chunk servers, and how many of them are avoided.
     pub fn endpoint_counts(&self) -> EndpointCounts {
         let counts = self.tracker.decisions().node_counts();
         EndpointCounts {
@@ -92,18 +97,19 @@
         }
     }
 
-    /// The number of requests that are not answered or have attempts in flight.
+    /// Returns the number of requests that have no final answer or have attempts in flight.
     pub fn request_count(&self) -> usize {
         self.tracker.requests().len()
     }
 
-    /// The earliest time at which a request that is read now may have arrived.
+    /// Returns the earliest time at which a request that is read now may have arrived, which may
+    /// lie before `now` if this process was stalled.
     pub fn earliest_arrival(&mut self, now: Nanos) -> Nanos {
-        self.stalls.event(now);
-        self.stalls.earliest_arrival(now)
+        self.stall_detector.event(now);
+        self.stall_detector.earliest_arrival(now)
     }
 
-    /// Assigns an id to a request and stores its payload.
+    /// Assigns an id to a request and stores its payload and the sender for its answer.
     pub fn register(&mut self, class: usize, payload: P, answer: AnswerSender<A>) -> RequestId {
         let id = self.tracker.allocate_id();
         let pending = PendingRequest {
@@ -116,9 +122,9 @@
         id
     }
 
-    /// Passes an input to the tracker. Returns the effects to carry out, in their order.
+    /// Passes an input to the tracker and returns the effects to carry out, in this order.
     pub fn handle(&mut self, now: Nanos, input: Input) -> Vec<Effect> {
-        self.stalls.event(now);
+        self.stall_detector.event(now);
         let settings = self.tracker.decisions().settings();
         self.monitor.input(&input, settings);
         let mut effects = Vec::new();
@@ -126,12 +132,13 @@
         effects
     }
 
-    /// Checks an effect that is about to be carried out against the rules of requests.
-    pub fn check(&mut self, now: Nanos, effect: &Effect) -> Option<Violation> {
+    /// Returns the violation of a rule of requests by an effect that is about to be carried out, if
+    /// there is one.
+    pub fn check_effect(&mut self, now: Nanos, effect: &Effect) -> Option<Violation> {
         self.monitor.effect(now, effect)
     }
 
-    /// What an attempt of a pending request starts with.
+    /// Returns what is needed to start an attempt; `None` if its request is not pending.
     pub fn attempt_start(&self, key: AttemptKey, limits: SendLimits) -> Option<AttemptStart<P>> {
         let pending = self.pending.get(&key.request)?;
         Some(AttemptStart {
@@ -141,26 +148,27 @@
         })
     }
 
-    /// Drops an attempt of a pending request.
+    /// Cancels an attempt of a pending request.
     pub fn cancel(&self, key: AttemptKey) {
         if let Some(pending) = self.pending.get(&key.request) {
             pending.commands.cancel(key.attempt);
         }
     }
 
-    /// Ends an attempt of a pending request with `outcome` unless it has started to write.
+    /// Withdraws an attempt of a pending request: it ends with `outcome` unless it has started to
+    /// write.
     pub fn withdraw(&self, key: AttemptKey, outcome: Outcome) {
         if let Some(pending) = self.pending.get(&key.request) {
             pending.commands.withdraw(key.attempt, outcome);
         }
     }
 
-    /// The sender for the final answer of a pending request, which is taken once.
+    /// Takes the sender for the final answer of a pending request; `None` if it was taken before.
     pub fn take_answer_sender(&mut self, id: RequestId) -> Option<AnswerSender<A>> {
         self.pending.get_mut(&id)?.answer.take()
     }
 
-    /// Drops what is stored for a request that the tracker has dropped.
+    /// Drops what is stored for a request that the tracker has released.
     pub fn release(&mut self, id: RequestId) {
         self.pending.remove(&id);
     }
--- a/src/exchange/transport.rs
+++ b/src/exchange/transport.rs
@@ -1,4 +1,4 @@
-//! The interface between the exchange and the transport of its attempts to chunk servers.
+//! The interface between the exchange and the transport that carries its attempts to chunk servers.
 
 use std::future::Future;
 use std::rc::Rc;
@@ -8,15 +8,15 @@
 
 use super::withdrawal::Withdrawal;
 
-/// How an attempt ended.
+/// How an attempt ended, and the load that its response reported.
 pub struct AttemptReport<A> {
-    /// The outcome.
+    /// The outcome for the tracker.
     pub outcome: Outcome,
     /// The answer for the client; `Some` only where the outcome is [`Outcome::Served`].
     pub answer: Option<A>,
-    /// 1 plus the volume's use in percent of its plan's rate; 0 where it is unknown.
+    /// 1 plus the volume's use in percent of its plan's rate; 0 if unknown.
     pub observed_use: f64,
-    /// Units that the server has served the volume through other fronts.
+    /// Units that the server has served for the volume through other fronts.
     pub foreign_units: f64,
 }
 
@@ -33,20 +33,21 @@
 
 /// Carries attempts to chunk servers.
 pub trait Transport: 'static {
-    /// A request to a server.
+    /// A request to a chunk server.
     type Payload: 'static;
-    /// A server's answer.
+    /// A chunk server's response that counts as an answer.
     type Answer: 'static;
 
-    /// Name and address of a server for logs.
+    /// Returns the name and address of a server for logs.
     fn name(&self, node: NodeId) -> String;
 
-    /// Forgets a server that is gone and has no attempts out: its connections are closed.
+    /// Drops the state of a server that was removed and has no attempt in flight, and closes its
+    /// connections.
     fn forget(&self, node: NodeId);
 
-    /// Makes one attempt, sent at most once. Dropping the future abandons the attempt. One that is
-    /// withdrawn before its first byte is written ends with the outcome of the withdrawal, and
-    /// nothing is written.
+    /// Makes one attempt, which sends the request at most once. Dropping the future abandons the
+    /// attempt. An attempt that is withdrawn before its first byte is written ends with the outcome
+    /// of the withdrawal, and nothing is written.
     fn attempt(
         &self,
         node: NodeId,
--- a/src/exchange/withdrawal.rs
+++ b/src/exchange/withdrawal.rs
@@ -12,13 +12,13 @@
 /// A command to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptCommand {
-    /// The attempt is dropped.
+    /// The attempt is dropped, even if it has started to write.
     Cancel,
     /// The attempt ends with this outcome unless it has started to write.
     Withdraw(Outcome),
 }
 
-/// A command with the number of the attempt that it is for.
+/// A command and the number, within the request, of the attempt that it is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct AddressedCommand {
     attempt: u32,
@@ -29,17 +29,17 @@
 pub(super) struct CommandSender(watch::Sender<Option<AddressedCommand>>);
 
 impl CommandSender {
-    /// A sender that has sent no command.
+    /// Creates a sender that has sent no command.
     pub fn new() -> CommandSender {
         CommandSender(watch::Sender::new(None))
     }
 
-    /// Drops an attempt.
+    /// Cancels an attempt.
     pub fn cancel(&self, attempt: u32) {
         self.send(attempt, AttemptCommand::Cancel);
     }
 
-    /// Ends an attempt with `outcome` unless it has started to write.
+    /// Withdraws an attempt: it ends with `outcome` unless it has started to write.
     pub fn withdraw(&self, attempt: u32, outcome: Outcome) {
         self.send(attempt, AttemptCommand::Withdraw(outcome));
     }
@@ -49,7 +49,7 @@
             .send_replace(Some(AddressedCommand { attempt, command }));
     }
 
-    /// The receiving end for an attempt, which must start to write within `limits`.
+    /// Returns the receiver for an attempt, which must start to write within `limits`.
     pub fn withdrawal(&self, attempt: u32, limits: SendLimits) -> Withdrawal {
         Withdrawal {
             attempt,
@@ -59,28 +59,28 @@
     }
 }
 
-/// Until when an attempt may start to write, in the clock of the decision module.
+/// The times until which an attempt may start to write.
 #[derive(Clone, Copy, Debug)]
 pub struct SendLimits {
-    /// The clock.
+    /// The clock of the decision module, in which the times are given.
     pub clock: Clock,
-    /// Until when it may retry another attempt; absent for no limit.
+    /// Until when the attempt may repeat an earlier one; absent for no limit.
     pub begin_by: Option<Nanos>,
-    /// When its client gives up.
+    /// When the attempt times out.
     pub deadline: Nanos,
 }
 
-/// The receiving end of the commands to one attempt.
+/// Receives the commands to one attempt.
 #[derive(Clone, Debug)]
 pub struct Withdrawal {
     attempt: u32,
-    /// An attempt that has not started to write by then is withdrawn.
+    /// An attempt that has not started to write within these limits counts as withdrawn.
     limits: SendLimits,
     commands: watch::Receiver<Option<AddressedCommand>>,
 }
 
 impl Withdrawal {
-    /// A withdrawal that never happens.
+    /// Creates a receiver for an attempt without limits that gets no command.
     pub fn never() -> Withdrawal {
         let limits = SendLimits {
             clock: Clock::start(),
@@ -90,11 +90,11 @@
         CommandSender::new().withdrawal(0, limits)
     }
 
-    /// Checks whether the attempt may write its first byte now. `unread_bytes` says that bytes, or
-    /// the end of the stream, wait on the connection.
+    /// Checks whether the attempt may write its first byte now. `unread_bytes` says whether bytes,
+    /// or the end of the stream, wait on the connection.
     ///
     /// # Errors
-    /// Why it may not.
+    /// Returns the reason why the attempt may not write.
     pub fn check_send(&self, unread_bytes: bool) -> Result<(), SendDenied> {
         send_permission::check_send(&SendConditions {
             now: self.limits.clock.now(),
@@ -105,13 +105,13 @@
         })
     }
 
-    /// The outcome that the attempt ends with, where it may not start to write any more.
+    /// Returns the outcome that the attempt ends with, if it may no longer start to write.
     pub fn outcome(&self) -> Option<Outcome> {
         self.check_send(false).err().map(SendDenied::outcome)
     }
 
-    /// The outcome of the latest command to this attempt, if there was one. An attempt that is
-    /// about to be dropped must not start to write either.
+    /// Returns the outcome that the latest command gives this attempt, if there was one. A
+    /// cancelled attempt that has not been dropped yet must not start to write either.
     fn latest_outcome(&self) -> Option<Outcome> {
         let latest = *self.commands.borrow();
         let latest = latest.filter(|latest| latest.attempt == self.attempt)?;
@@ -121,7 +121,7 @@
         })
     }
 
-    /// Returns when the attempt is withdrawn, with the outcome that it ends with.
+    /// Waits until the attempt is withdrawn and returns the outcome that it ends with.
     pub async fn withdrawn(&mut self) -> Outcome {
         let begin_by = self
             .limits
@@ -131,18 +131,18 @@
             if let Some(outcome) = self.outcome() {
                 return outcome;
             }
-            let too_late = sleep_until(begin_by);
+            let retry_window_end = sleep_until(begin_by);
             tokio::select! {
                 changed = self.commands.changed() => if changed.is_err() {
-                    // The request is over and there will be no command.
+                    // The request has ended, so no command will follow.
                     pending::<()>().await;
                 },
-                () = too_late => return Outcome::NotSent,
+                () = retry_window_end => return Outcome::NotSent,
             }
         }
     }
 
-    /// Returns when the attempt is to be dropped.
+    /// Waits until the attempt is cancelled.
     pub(super) async fn cancelled(&mut self) {
         let cancel = Some(AddressedCommand {
             attempt: self.attempt,
@@ -150,13 +150,13 @@
         });
         let received = self.commands.wait_for(|latest| *latest == cancel).await;
         if received.is_err() {
-            // The request is over and there will be no command.
+            // The request has ended, so no command will follow.
             pending::<()>().await;
         }
     }
 }
 
-/// Sleeps until a time; without one, for ever.
+/// Sleeps until `time`, or forever if there is none.
 async fn sleep_until(time: Option<Instant>) {
     match time {
         Some(time) => tokio::time::sleep_until(time.into()).await,
--- a/src/upstream/attempt_run.rs
+++ b/src/upstream/attempt_run.rs
@@ -1,4 +1,4 @@
-//! Carrying out one attempt in the steps that its state machine requests.
+//! Carries out one attempt in the steps that its state machine requests.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -12,19 +12,19 @@
 use super::payload::{Answer, Payload};
 use crate::exchange::{AttemptReport, Withdrawal};
 
-/// An attempt that is carried out.
+/// An attempt in progress to send a request to a chunk server.
 pub(super) struct AttemptRun {
     connections: Rc<Connections>,
     node: NodeId,
     payload: Rc<Payload>,
     deadline: Instant,
     withdrawal: Withdrawal,
-    /// Acquired, and not used by the attempt yet.
+    /// The connection that was acquired for the next send.
     connection: Option<PooledConnection>,
 }
 
 impl AttemptRun {
-    /// An attempt to send `payload` to `node`, of which nothing has been done.
+    /// Creates an attempt to send `payload` to `node`, without starting it.
     pub fn new(
         connections: Rc<Connections>,
         node: NodeId,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Carries out the attempt to its end.
+    /// Carries out the attempt until it ends.
     pub async fn run(mut self) -> AttemptReport<Answer> {
         let mut attempt = Attempt::AcquiringConnection;
         let mut step = AttemptStep::AcquireConnection;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Takes an idle connection from the pool, or finds out whether a new one may be opened.
+    /// Takes an idle connection from the pool, or checks whether a new one may be opened.
     fn acquire(&mut self) -> AttemptEvent {
         self.connection = self.connections.take_pooled(self.node);
         if self.connection.is_some() {
@@ -84,10 +84,11 @@
         }
     }
 
-    /// Sends the request on the acquired connection, which returns to the pool after the response.
+    /// Sends the request on the acquired connection and returns the connection to the pool after
+    /// the response.
     ///
     /// # Errors
-    /// How the attempt failed.
+    /// Returns the event for the state machine if no valid response arrives.
     async fn send(&mut self) -> Result<AttemptReport<Answer>, AttemptEvent> {
         let Some(mut connection) = self.connection.take() else {
             return Err(AttemptEvent::ConnectionBroke(Execution::MayHaveRun));
@@ -102,7 +103,7 @@
             .and_then(|answer| answer.streamed.as_mut());
         let node = self.node;
         match streamed {
-            // A streamed body keeps its connection until it is complete.
+            // The connection carries a streamed body until the body is complete.
             Some(streamed) => {
                 let connections = Rc::clone(&self.connections);
                 streamed.keep_connection(move || {
@@ -115,8 +116,8 @@
         Ok(report)
     }
 
-    /// Why no valid response arrived. A request whose writing has begun cannot be withdrawn any
-    /// more.
+    /// Returns the event for an attempt without a valid response. A request that has begun to be
+    /// written can no longer be withdrawn.
     fn failure(&self, execution: Execution) -> AttemptEvent {
         match (execution, self.withdrawal.outcome()) {
             (Execution::NotStarted, Some(outcome)) => AttemptEvent::Withdrawn(outcome),
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -1,5 +1,5 @@
-//! One connection to a chunk server: the socket that records its traffic, and the handle that the
-//! pool keeps.
+//! A connection to a chunk server: the handle that the pool keeps, and a socket that records its
+//! traffic.
 
 use std::os::fd::{AsRawFd, RawFd};
 use std::pin::{pin, Pin};
@@ -28,34 +28,38 @@
 use crate::exchange::{AttemptReport, Withdrawal};
 use crate::socket_io;
 
-/// Size of hyper's read buffer; a response head that is longer is an error.
+/// Size of hyper's read buffer in bytes; a longer response head is an error.
 const MAX_BUFFER_BYTES: usize = 32 * 1024;
-/// Value of the `Host` header.
-const HOST_NAME: HeaderValue = HeaderValue::from_static("chunk.internal");
+/// Value of the `Host` header, the same for all chunk servers.
+const HOST_VALUE: HeaderValue = HeaderValue::from_static("chunk.internal");
 /// Header with the transaction id.
 const TRANSACTION_ID: HeaderName = HeaderName::from_static("x-txn");
-/// Taken off the remaining time that a server is notified of, for the way to the server and delays
-/// of this process.
-const REMAINING_MARGIN: Duration = Duration::from_millis(20);
-/// Header with the time that the client still waits, in microseconds with the suffix `u`.
-const REMAINING: HeaderName = HeaderName::from_static("x-remaining");
+/// Deducted from the remaining time that is announced to a server, to cover the network path to the
+/// server and delays in this process.
+const REMAINING_TIME_MARGIN: Duration = Duration::from_millis(20);
+/// Header with the time until the attempt's deadline as announced to the server, in microseconds
+/// with the suffix `u`.
+const REMAINING_TIME: HeaderName = HeaderName::from_static("x-remaining");
 
 /// A connection to a chunk server; dropping it closes the connection, even during a request.
 pub(super) struct PooledConnection {
     sender: SendRequest<Full<Bytes>>,
+    /// Drives the connection.
     task: JoinHandle<()>,
     /// File descriptor, open as long as the task runs, which is until the sender is closed.
     socket: RawFd,
     wire: Rc<WireState>,
-    /// Which of its server's addresses it leads to.
+    /// The address epoch of the server in which the connection was opened.
     address_epoch: u32,
+    /// The shard of the server, which is reported with its answers.
     shard: ShardId,
+    /// Counts the connection as open.
     _slot: OpenSlot,
 }
 
 impl PooledConnection {
-    /// Performs the HTTP handshake on a stream to the address `address_epoch` of a server of shard
-    /// `shard`.
+    /// Performs the HTTP handshake on a stream to a server of `shard`, opened in the address epoch
+    /// `address_epoch` of the server. Returns `None` if the handshake fails.
     pub async fn handshake(
         stream: TcpStream,
         address_epoch: u32,
@@ -83,25 +87,26 @@
         })
     }
 
-    /// Which of its server's addresses it leads to.
+    /// Returns the address epoch of the server in which the connection was opened.
     pub fn address_epoch(&self) -> u32 {
         self.address_epoch
     }
 
-    /// The streamed body of the present response is complete.
+    /// Records that the streamed body of the present response is complete.
     pub fn response_complete(&self) {
         self.wire.on(ConnectionEvent::ResponseComplete);
     }
 
-    /// Whether the connection is open and idle, as far as has been read from it.
+    /// Returns whether the connection is open and idle, as far as has been read from it. Whatever
+    /// still waits on the socket is not checked.
     pub fn is_open(&self) -> bool {
         self.wire.connection() == ServerConnection::Idle
             && !self.sender.is_closed()
             && !self.task.is_finished()
     }
 
-    /// Whether the connection is open and no bytes wait on its socket: unsolicited bytes would be
-    /// mistaken for the next response.
+    /// Returns whether the connection is open and idle and no bytes wait on its socket: unsolicited
+    /// bytes would be mistaken for the next response.
     pub fn is_quiet(&self) -> bool {
         self.is_open() && socket_io::is_quiet(self.socket)
     }
@@ -109,7 +114,7 @@
     /// Sends a request and reads its response.
     ///
     /// # Errors
-    /// Whether the request may have been executed, where no valid response arrives.
+    /// Returns what is known about the execution of the request, if no valid response arrives.
     pub async fn send(
         &mut self,
         payload: &Payload,
@@ -127,7 +132,7 @@
             payload.metrics.clone(),
             withdrawal.clone(),
         );
-        // An informational response ahead of the final one is ignored.
+        // Informational responses before the final one are counted and otherwise ignored.
         let responses = wire.response_counter();
         on_informational(&mut request, move |_| {
             responses.fetch_add(1, Ordering::Relaxed);
@@ -149,7 +154,7 @@
         tokio::select! {
             biased;
             report = response.as_mut() => report,
-            () = wire.stalled() => Err(wire.execution()),
+            () = wire.response_stalled() => Err(wire.execution()),
         }
     }
 }
@@ -160,17 +165,19 @@
     }
 }
 
-/// Nagle's algorithm would delay a request that takes two writes. A failure costs only time.
+/// Disables Nagle's algorithm, which would delay a request that takes two writes. A failure costs
+/// only time, so it is not reported.
 fn disable_nagle(stream: &TcpStream) {
     let _ignored = stream.set_nodelay(true);
 }
 
-/// Runs a connection to its end. An error of it shows in the attempt that it carries.
+/// Drives a connection until it ends. An error surfaces in the attempt that uses the connection, so
+/// it is not reported here.
 async fn drive(connection: Connection<TokioIo<ObservedStream>, Full<Bytes>>) {
     let _ignored = connection.await;
 }
 
-/// The HTTP request of an attempt, whose client gives up at `deadline`.
+/// Builds the HTTP request of an attempt with the given deadline.
 fn build_request(payload: &Payload, deadline: Instant) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(payload.body.clone()));
     *request.method_mut() = payload.method.clone();
@@ -179,21 +186,21 @@
         remaining_for_server(deadline.saturating_duration_since(Instant::now())).as_micros();
     let headers = request.headers_mut();
     headers.clone_from(&payload.headers);
-    headers.insert(HOST, HOST_NAME);
+    headers.insert(HOST, HOST_VALUE);
     headers.insert(TRANSACTION_ID, payload.transaction_id.clone());
     if let Ok(remaining) = HeaderValue::try_from(format!("{remaining}u")) {
-        headers.insert(REMAINING, remaining);
+        headers.insert(REMAINING_TIME, remaining);
     }
     request
 }
 
-/// The remaining time that a server is notified of: [`REMAINING_MARGIN`] less than what is left, but
-/// at least half of it.
+/// Returns the remaining time to announce to a server: the time `left` less
+/// [`REMAINING_TIME_MARGIN`], but at least half of `left`.
 fn remaining_for_server(left: Duration) -> Duration {
-    left.saturating_sub(REMAINING_MARGIN).max(left / 2)
+    left.saturating_sub(REMAINING_TIME_MARGIN).max(left / 2)
 }
 
-/// A socket that records its traffic in a [`WireState`].
+/// A socket that records its traffic in a [`WireState`] and writes only what that permits.
 pub struct ObservedStream {
     stream: TcpStream,
     wire: Rc<WireState>,
--- a/src/upstream/connections.rs
+++ b/src/upstream/connections.rs
@@ -1,4 +1,4 @@
-//! All connections to chunk servers: the pool, and dialing.
+//! The connections to all chunk servers: their pool, and dialing.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -14,22 +14,22 @@
 use super::server_table::{ServerTable, UpsertResult};
 use crate::telemetry::trace;
 
-/// The part of the servers' idle timeout after which this side closes an idle connection.
+/// Fraction of the servers' idle timeout after which this side closes an idle connection.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 
-/// The servers and the connections to them.
+/// The chunk servers and the connections to them.
 pub(super) struct Connections {
     dial_timeout: Duration,
-    /// Origin of the pool's clock.
-    epoch: Instant,
-    /// Connections that are open or being dialed.
+    /// The origin of the times that the pool is given.
+    started: Instant,
+    /// Counts the connections that are open or being dialed.
     open: OpenConnections,
     servers: RefCell<ServerTable>,
     pool: RefCell<ConnectionPool<PooledConnection>>,
 }
 
 impl Connections {
-    /// No servers and no connections; see [`super::Upstream::new`].
+    /// Creates a table without servers and connections; see [`super::Upstream::new`].
     pub fn new(
         dial_timeout: Duration,
         server_idle_timeout: Duration,
@@ -38,7 +38,7 @@
         let idle_timeout = server_idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION);
         Connections {
             dial_timeout,
-            epoch: Instant::now(),
+            started: Instant::now(),
             open: OpenConnections::default(),
             servers: RefCell::default(),
             pool: RefCell::new(ConnectionPool::new(
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Sets the address and shard of a server; see [`super::Upstream::upsert_server`].
+    /// Adds a server or updates its address and shard; see [`super::Upstream::upsert_server`].
     pub fn upsert_server(&self, name: &str, address: SocketAddr, shard: ShardId) -> NodeId {
         let result = self
             .servers
@@ -60,7 +60,7 @@
                 id
             }
             UpsertResult::AddressChanged(id) => {
-                // The idle connections to the old address are closed as they are dropped.
+                // Dropping the idle connections to the old address closes them.
                 self.pool.borrow_mut().address_changed(id);
                 id
             }
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The name of a server in discovery; empty for an unknown one.
+    /// Returns the name of a server in discovery; empty if the server is unknown.
     pub fn server_name(&self, node: NodeId) -> String {
         self.servers
             .borrow()
@@ -76,7 +76,7 @@
             .map_or_else(String::new, |server| server.name.clone())
     }
 
-    /// Name and address of a server for logs; empty for an unknown one.
+    /// Returns the name and address of a server for logs; empty if the server is unknown.
     pub fn display_name(&self, node: NodeId) -> String {
         let servers = self.servers.borrow();
         servers.get(node).map_or_else(String::new, |server| {
@@ -90,18 +90,20 @@
         self.pool.borrow_mut().remove(node);
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes pooled connections that have exceeded the idle timeout or were closed by their
+    /// server.
     pub fn close_idle_connections(&self) {
         let now = self.now();
         self.pool.borrow_mut().sweep(now, PooledConnection::is_open);
     }
 
-    /// Time since the epoch of the pool.
+    /// Returns the present time of the pool.
     fn now(&self) -> Nanos {
-        self.epoch.elapsed().as_nanos() as Nanos
+        self.started.elapsed().as_nanos() as Nanos
     }
 
-    /// Takes an idle connection to a server from the pool.
+    /// Takes an idle connection to a server from the pool and closes the unusable ones found before
+    /// it.
     pub fn take_pooled(&self, node: NodeId) -> Option<PooledConnection> {
         self.pool
             .borrow_mut()
@@ -109,9 +111,9 @@
             .reusable
     }
 
-    /// Returns a connection to the pool.
+    /// Returns a connection to the pool, or closes it if it cannot be reused.
     pub fn release(&self, node: NodeId, connection: PooledConnection) {
-        // Unsolicited bytes on its socket are checked for when it is next used.
+        // The check for unsolicited bytes on the socket is made when the connection is reused.
         let is_open = connection.is_open();
         let address_epoch = connection.address_epoch();
         self.pool
@@ -119,8 +121,8 @@
             .release(node, address_epoch, connection, self.now(), is_open);
     }
 
-    /// Whether a connection to a server may be opened. At the limit this closes the connection that
-    /// has been idle longest.
+    /// Returns whether a connection to a server may be opened. If the limit is reached, this closes
+    /// the connection that has been idle longest.
     pub fn may_open(&self, node: NodeId) -> bool {
         let is_known = self.servers.borrow().get(node).is_some();
         is_known
@@ -130,7 +132,8 @@
             )
     }
 
-    /// Opens a connection to a server; `None` where this fails or takes longer than the timeout.
+    /// Opens a connection to a server. Returns `None` if this fails or connecting takes longer than
+    /// the timeout.
     pub async fn dial(&self, node: NodeId) -> Option<PooledConnection> {
         let (address, shard) = self
             .servers
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,5 +1,5 @@
-//! The chunk-server side: attempts over HTTP/1.1, a bounded pool of connections, and the mapping of
-//! responses to outcomes.
+//! The chunk-server side of a front: attempts over HTTP/1.1, a bounded pool of connections, and the
+//! mapping of responses to outcomes.
 
 mod attempt_run;
 pub mod connection;
@@ -23,15 +23,16 @@
 
 pub use self::payload::{AcceptedResponses, Answer, Payload, StreamedBody};
 
-/// The chunk servers' addresses and the connections to them.
+/// The transport to the chunk servers, with their addresses and the connections to them.
 pub struct Upstream {
     connections: Rc<Connections>,
 }
 
 impl Upstream {
-    /// A transport that knows no chunk server yet. `server_idle_timeout` is when the servers close
-    /// an idle connection; a request written at that moment would be lost, so connections are
-    /// closed well before. `max_connections` limits all connections together.
+    /// Creates a transport without chunk servers. `dial_timeout` limits the time for connecting.
+    /// `server_idle_timeout` is the time after which the servers close an idle connection; a
+    /// request written at that moment would be lost, so this side closes connections well before.
+    /// `max_connections` limits the number of connections to all servers together.
     pub fn new(
         dial_timeout: Duration,
         server_idle_timeout: Duration,
@@ -43,18 +44,19 @@
         }
     }
 
-    /// Sets the address and shard of a chunk server. Returns its number, which it gets when it is
-    /// first named.
+    /// Adds a chunk server, or updates its address and shard if its name is known. Returns its id,
+    /// which is assigned when it is added.
     pub fn upsert_server(&self, name: &str, address: SocketAddr, shard: ShardId) -> NodeId {
         self.connections.upsert_server(name, address, shard)
     }
 
-    /// The name of a chunk server in discovery, the same at every front; empty for an unknown one.
+    /// Returns the name of a chunk server in discovery, which is the same at every front; empty if
+    /// the server is unknown.
     pub fn server_name(&self, node: NodeId) -> String {
         self.connections.server_name(node)
     }
 
-    /// Closes connections that have been idle for long.
+    /// Closes pooled connections that have been idle for too long or were closed by their server.
     pub fn close_idle_connections(&self) {
         self.connections.close_idle_connections();
     }
--- a/src/upstream/open_connections.rs
+++ b/src/upstream/open_connections.rs
@@ -1,19 +1,19 @@
-//! The count of connections to chunk servers that are open or being dialled.
+//! Counts the connections to chunk servers that are open or being dialed.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// How many connections are open or being dialled.
+/// The number of connections that are open or being dialed. Clones share the count.
 #[derive(Clone, Default)]
 pub(super) struct OpenConnections(Rc<Cell<usize>>);
 
 impl OpenConnections {
-    /// The number of connections.
+    /// Returns the number of connections.
     pub fn count(&self) -> usize {
         self.0.get()
     }
 
-    /// Counts one more connection.
+    /// Counts one more connection, until the returned slot is dropped.
     pub fn acquire(&self) -> OpenSlot {
         self.0.set(self.0.get() + 1);
         OpenSlot(self.clone())
--- a/src/upstream/payload.rs
+++ b/src/upstream/payload.rs
@@ -13,41 +13,43 @@
 
 /// A request to a chunk server.
 pub struct Payload {
-    /// Method.
+    /// The HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// The path and query.
     pub target: Uri,
-    /// Transaction id.
+    /// The transaction id, which is sent in a header of its own.
     pub transaction_id: HeaderValue,
-    /// Further headers.
+    /// Headers beside those that the transport adds: `Host`, the transaction id and the remaining
+    /// time.
     pub headers: HeaderMap,
-    /// Body.
+    /// The whole body.
     pub body: Bytes,
     /// Which responses count as answers to the client.
     pub accepted_responses: AcceptedResponses,
-    /// Counts an attempt once its last byte is written.
+    /// Counts each attempt whose last byte has been written, if the class has metrics.
     pub metrics: Option<ClassMetrics>,
-    /// Keeps the memory of the body reserved for as long as the payload lives.
+    /// Keeps the memory for the body reserved until the payload is dropped.
     pub reservation: Option<Arc<BodyReservation>>,
 }
 
-/// Which responses of a chunk server are answers to the client.
+/// Which responses of a chunk server count as answers to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptedResponses {
-    /// 200 alone; anything else is an error of the server.
+    /// Only those with status 200; any other one is an error of the server.
     OkOnly,
-    /// Those of the object API: any success, and any error in the request itself.
+    /// Those of the object API: any success, and any error in the request itself (status 200 to
+    /// 499, except 408 and 429).
     ObjectApi,
 }
 
-/// A response of a chunk server.
+/// A chunk server's response that counts as an answer.
 #[derive(Debug)]
 pub struct Answer {
-    /// The shard of the server.
+    /// The shard of the server that responded.
     pub shard: ShardId,
-    /// Status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// Headers.
+    /// The headers of the response.
     pub headers: HeaderMap,
     /// The body, empty where it is streamed.
     pub body: Bytes,
@@ -56,20 +58,20 @@
 }
 
 /// A long body that is still arriving, with its connection. It is read only as fast as the client
-/// reads, so that a few parts of it are buffered at most. Dropping it closes the connection.
+/// reads, so that only a few parts of it are buffered. Dropping it closes the connection.
 pub struct StreamedBody {
-    /// The part of the body that has arrived already.
+    /// The beginning of the body, which was read before streaming started.
     pub buffered: Bytes,
     /// The rest of the body.
     pub body: Incoming,
     /// The length of the whole body in bytes, where the server announced it.
     pub length: Option<u64>,
-    /// Returns the connection to its pool; dropping this closes the connection.
+    /// Returns the connection to the pool when called; dropping it closes the connection.
     release_connection: Option<Box<dyn FnOnce()>>,
 }
 
 impl StreamedBody {
-    /// A body that does not own its connection yet.
+    /// Creates a body that does not own its connection yet.
     pub(super) fn new(buffered: Bytes, body: Incoming, length: Option<u64>) -> StreamedBody {
         StreamedBody {
             buffered,
@@ -79,12 +81,12 @@
         }
     }
 
-    /// Keeps the connection that the body arrives on, as the closure that returns it to its pool.
+    /// Stores the connection that the body arrives on, as a closure that returns it to the pool.
     pub(super) fn keep_connection(&mut self, release: impl FnOnce() + 'static) {
         self.release_connection = Some(Box::new(release));
     }
 
-    /// The body is complete: returns its connection to the pool for another request.
+    /// Returns the connection to the pool for another request, once the body is complete.
     pub fn release_connection(mut self) {
         if let Some(release) = self.release_connection.take() {
             release();
--- a/src/upstream/response.rs
+++ b/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! Reading responses of chunk servers and mapping them to outcomes.
+//! Reads responses of chunk servers and maps them to outcomes.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Limited};
@@ -13,21 +13,22 @@
 use crate::exchange::AttemptReport;
 use crate::limits::MAX_BODY;
 
-/// The most bytes of a body that is streamed; a longer one makes the response malformed.
+/// Maximum length in bytes that a response may announce for its body; a longer one is an error.
 const MAX_STREAMED_BODY: u64 = 1 << 30;
-/// Header that is `1` where the server has rejected a request without executing it.
+/// Header with the value `1` if the server has rejected a request without executing it.
 const REJECTED: HeaderName = HeaderName::from_static("x-turned-away");
 /// Header with the volume's use in percent of its plan's rate.
 const VOLUME_USE: HeaderName = HeaderName::from_static("x-volume-use");
-/// Header with the units that the server has served the volume through other fronts.
+/// Header with the units that the server has served for the volume through other fronts.
 const FOREIGN_UNITS: HeaderName = HeaderName::from_static("x-served-elsewhere");
 
 /// Reads a response with its body. A served response whose body is long, or of unknown length, is
-/// streamed where the front accepts that.
+/// streamed if `accepted` is [`AcceptedResponses::OkOnly`].
 ///
 /// # Errors
-/// [`Execution::MayHaveRun`] for a response whose framing is ambiguous, that is too long or
-/// truncated: the request may have been executed, and there is nothing valid to answer with.
+/// Returns [`Execution::MayHaveRun`] for an informational response and one that is too long,
+/// truncated or ambiguous in its framing: the request may have been executed, and there is no valid
+/// response to answer with.
 pub(super) async fn read_response(
     response: Response<Incoming>,
     accepted: AcceptedResponses,
@@ -40,7 +41,7 @@
     if response.status().is_informational() || ambiguous || size.lower() > MAX_STREAMED_BODY {
         return Err(Execution::MayHaveRun);
     }
-    // A body of unknown length ends with its connection; a reset truncates it.
+    // A body of unknown length ends with its connection, which a reset cuts off early.
     let length_unknown = size.exact().is_none();
     let too_long_to_buffer = size.lower() > MAX_BODY as u64;
     let served = report.outcome == Outcome::Served;
@@ -60,28 +61,30 @@
     Ok(AttemptReport { answer, ..report })
 }
 
-/// Answers with a body that is streamed. One of unknown length is buffered first, up to
-/// [`MAX_BODY`] bytes; where it ends within them it is answered like any other.
+/// Returns an answer whose body is streamed. A body of unknown length is buffered first: it is
+/// streamed only once more than [`MAX_BODY`] bytes have arrived, and one that ends before that is
+/// answered whole.
 async fn read_streamed(
     head: Parts,
     mut body: Incoming,
     length: Option<u64>,
     shard: ShardId,
 ) -> Result<Answer, Execution> {
-    let mut first = BytesMut::new();
-    while length.is_none() && first.len() <= MAX_BODY {
+    let mut buffered = BytesMut::new();
+    while length.is_none() && buffered.len() <= MAX_BODY {
         let Some(frame) = body.frame().await else {
-            return Ok(answer_with(head, shard, first.freeze(), None));
+            return Ok(answer_with(head, shard, buffered.freeze(), None));
         };
         let frame = frame.map_err(|_| Execution::MayHaveRun)?;
         if let Ok(data) = frame.into_data() {
-            first.extend_from_slice(&data);
+            buffered.extend_from_slice(&data);
         }
     }
-    let streamed = StreamedBody::new(first.freeze(), body, length);
+    let streamed = StreamedBody::new(buffered.freeze(), body, length);
     Ok(answer_with(head, shard, Bytes::new(), Some(streamed)))
 }
 
+/// Returns the answer made of a response head and a body, which is empty if the body is streamed.
 fn answer_with(head: Parts, shard: ShardId, body: Bytes, streamed: Option<StreamedBody>) -> Answer {
     Answer {
         shard,
@@ -92,7 +95,7 @@
     }
 }
 
-/// The outcome and the reported load in a response head.
+/// Returns the outcome and the reported load of a response head, without an answer.
 fn read_head<B>(response: &Response<B>, accepted: AcceptedResponses) -> AttemptReport<Answer> {
     let headers = response.headers();
     let volume_use = first_number(headers, &VOLUME_USE);
@@ -104,6 +107,7 @@
     }
 }
 
+/// Maps the status and headers of a response to the outcome of its attempt.
 fn outcome_of(status: StatusCode, headers: &HeaderMap, accepted: AcceptedResponses) -> Outcome {
     let rejected = headers.get(REJECTED).is_some_and(|value| value == "1");
     match status {
@@ -111,7 +115,7 @@
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => {
             Outcome::Rejected
         }
-        // These two concern the server's load, not the request.
+        // These two statuses are about the load of the server, not about the request.
         StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS => Outcome::Error,
         status
             if accepted == AcceptedResponses::ObjectApi
@@ -123,7 +127,8 @@
     }
 }
 
-/// The first value of a header that is a finite number of at least 0; other values are ignored.
+/// Returns the first value of a header that is a finite number of at least 0. Other values are
+/// ignored.
 fn first_number(headers: &HeaderMap, name: &HeaderName) -> Option<f64> {
     let values = headers.get_all(name).iter();
     let mut numbers = values.filter_map(|value| value.to_str().ok()?.trim().parse().ok());
--- a/src/upstream/server_table.rs
+++ b/src/upstream/server_table.rs
@@ -1,43 +1,46 @@
-//! The chunk servers that are known, by number and by name.
+//! The known chunk servers, by id and by name.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use tulipbridge_core::{NodeId, ShardId};
 
-/// A chunk server.
+/// A known chunk server.
 pub(super) struct Server {
+    /// The name in discovery.
     pub name: String,
+    /// The address to dial.
     pub address: SocketAddr,
+    /// The shard that the server belongs to.
     pub shard: ShardId,
 }
 
 /// What [`ServerTable::upsert_server`] has changed.
 pub(super) enum UpsertResult {
-    /// The server is new.
+    /// The server was added.
     Added(NodeId),
-    /// The server is known and its address is another.
+    /// The server was known and its address has changed.
     AddressChanged(NodeId),
-    /// The server is known at this address.
+    /// The server was known at the same address; its shard may have changed.
     Unchanged(NodeId),
 }
 
-/// Chunk servers by number and name.
+/// The known chunk servers, by id and by name.
 #[derive(Default)]
 pub(super) struct ServerTable {
     ids: HashMap<String, NodeId>,
     servers: HashMap<NodeId, Server>,
-    /// Numbers are never reused: an attempt may still be out under an old one.
+    /// Ids are never reused: an attempt may still be in flight under an old one.
     next_id: NodeId,
 }
 
 impl ServerTable {
-    /// The server with this number, where it is known.
+    /// Returns the server with this id, if it is known.
     pub fn get(&self, node: NodeId) -> Option<&Server> {
         self.servers.get(&node)
     }
 
-    /// Sets the address and shard of a server, adding it where its name is new.
+    /// Adds a server, or updates its address and shard if its name is known.
     pub fn upsert_server(
         &mut self,
         name: &str,
@@ -73,7 +76,7 @@
         id
     }
 
-    /// Removes a server; its name gets a new number where it comes again.
+    /// Removes a server. If its name is added again, it gets a new id.
     pub fn remove(&mut self, node: NodeId) {
         if let Some(server) = self.servers.remove(&node) {
             self.ids.remove(&server.name);
--- a/src/upstream/wire_state.rs
+++ b/src/upstream/wire_state.rs
@@ -1,6 +1,7 @@
-//! What has been written to and read from a connection to a chunk server. The errors of hyper do
-//! not show whether the last byte of a request was written, which decides whether the request may
-//! have been executed.
+//! Records what has been written to and read from a connection to a chunk server.
+//!
+//! Whether a request may have been executed depends on whether its last byte was written, which
+//! hyper's errors do not show.
 
 use std::cell::{Cell, RefCell};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,51 +18,54 @@
 use crate::socket_io::has_unread_bytes;
 use crate::telemetry::metrics::ClassMetrics;
 
-/// The longest time from the first byte of a response to its last. A server has a response complete
-/// before it sends it; waiting longer for the rest would leave no time for another attempt. It is
-/// shorter than the silence after which the decision module suspects the server, which this is not.
+/// Maximum time from the first byte of a response to its last. A server has the complete response
+/// before it sends any of it, and waiting longer for the rest would leave no time for another
+/// attempt. It is shorter than the silence after which the decision module suspects the server,
+/// because a stalled response is not such a silence.
 const STALL_TIMEOUT: Duration = Duration::from_millis(100);
+/// The bytes that end the head of a request.
 const HEAD_END: &[u8; 4] = b"\r\n\r\n";
 
-/// State of one connection, shared by its socket and the attempt on it.
+/// The traffic of one connection, shared by its socket and its handle in the pool.
 #[derive(Default)]
 pub struct WireState {
     connection: Cell<ServerConnection>,
-    /// How many bytes of [`HEAD_END`] the bytes written last match.
+    /// Number of bytes of [`HEAD_END`] that the last bytes written match.
     head_end_matched: Cell<usize>,
-    /// Bytes of the request body that are not written yet.
-    body_left: Cell<usize>,
+    /// Number of bytes of the request body that are not written yet.
+    unwritten_body_bytes: Cell<usize>,
     /// Responses expected or started on this connection, informational (1xx) ones included.
     responses_started: Arc<AtomicU64>,
-    /// Value of `responses_started` when a byte was read last.
+    /// Value of `responses_started` when bytes were last read.
     last_response_seen: Cell<u64>,
     /// Notified at the first byte of each response.
     response_started: Notify,
-    /// Counts the present request once its last byte is written.
+    /// Counts the present request when its last byte is written, and is taken then.
     metrics: RefCell<Option<ClassMetrics>>,
-    /// Whether the current request has been withdrawn.
+    /// Tells whether the present request has been withdrawn.
     withdrawal: RefCell<Option<Withdrawal>>,
 }
 
 impl WireState {
-    /// Feeds an event to the state machine.
+    /// Passes an event to the connection's state machine.
     pub fn on(&self, event: ConnectionEvent) {
         let mut connection = self.connection.get();
         connection.on(event);
         self.connection.set(connection);
     }
 
-    /// A copy of the connection's state machine.
+    /// Returns a copy of the connection's state machine.
     pub fn connection(&self) -> ServerConnection {
         self.connection.get()
     }
 
-    /// Whether the present request may have been executed, should the connection break now.
+    /// Returns what would be known about the execution of the present request if the connection
+    /// broke now.
     pub fn execution(&self) -> Execution {
         self.connection.get().execution()
     }
 
-    /// Starts a request whose body has `body_length` bytes.
+    /// Starts a request with a body of `body_length` bytes.
     pub fn begin_request(
         &self,
         body_length: usize,
@@ -72,17 +76,17 @@
         *self.withdrawal.borrow_mut() = Some(withdrawal);
         self.on(ConnectionEvent::RequestAssigned);
         self.head_end_matched.set(0);
-        self.body_left.set(body_length);
+        self.unwritten_body_bytes.set(body_length);
         self.responses_started.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The counter to increment at each informational (1xx) response. hyper calls back from a
-    /// `Send` context.
+    /// Returns the counter to increment at each informational (1xx) response. It is atomic because
+    /// hyper requires a callback that is `Send`.
     pub(super) fn response_counter(&self) -> Arc<AtomicU64> {
         Arc::clone(&self.responses_started)
     }
 
-    /// Bytes have been read from the socket.
+    /// Records that bytes have been read from the socket.
     pub(super) fn bytes_received(&self) {
         self.on(ConnectionEvent::BytesReceived);
         let response = self.responses_started.load(Ordering::Relaxed);
@@ -91,8 +95,8 @@
         }
     }
 
-    /// Returns when a response has started and is not complete within [`STALL_TIMEOUT`].
-    pub(super) async fn stalled(&self) {
+    /// Waits until a response has started and is not complete within [`STALL_TIMEOUT`].
+    pub(super) async fn response_stalled(&self) {
         loop {
             self.response_started.notified().await;
             let response = self.last_response_seen.get();
@@ -100,7 +104,7 @@
                 continue;
             }
             sleep(STALL_TIMEOUT).await;
-            // Where this process itself was paused, data that has arrived meanwhile is read first.
+            // If this process itself was paused, data that arrived meanwhile is read first.
             yield_now().await;
             if self.is_current_response(response) {
                 return;
@@ -108,14 +112,15 @@
         }
     }
 
+    /// Returns whether `response` is still the number of the latest response.
     fn is_current_response(&self, response: u64) -> bool {
         self.responses_started.load(Ordering::Relaxed) == response
     }
 
-    /// Whether bytes of the present request may be written to `socket`. A request that was
-    /// withdrawn is not started. The socket is checked first: bytes that wait there cannot be the
-    /// response to a request that is not written, and where the server has closed the connection,
-    /// nothing of the request need be risked on it.
+    /// Returns whether bytes of the present request may be written to `socket`. A withdrawn request
+    /// is not started. The socket is checked first: bytes that wait there cannot be the response to
+    /// a request that is not written yet, and if the server has closed the connection, no part of
+    /// the request is risked on it.
     pub(super) fn may_write(&self, socket: i32) -> bool {
         let mut connection = self.connection.get();
         let unread_bytes = has_unread_bytes(socket);
@@ -129,17 +134,17 @@
         may_write
     }
 
-    /// The socket has accepted `bytes`.
+    /// Records that the socket has accepted `bytes`.
     pub(super) fn bytes_written(&self, bytes: &[u8]) {
         if bytes.is_empty() {
             return;
         }
         let head_bytes = self.match_head_end(bytes);
         let body_bytes = bytes.len() - head_bytes;
-        self.body_left
-            .set(self.body_left.get().saturating_sub(body_bytes));
+        self.unwritten_body_bytes
+            .set(self.unwritten_body_bytes.get().saturating_sub(body_bytes));
         let head_complete = self.head_end_matched.get() == HEAD_END.len();
-        let last = head_complete && self.body_left.get() == 0;
+        let last = head_complete && self.unwritten_body_bytes.get() == 0;
         if last {
             if let Some(metrics) = self.metrics.borrow_mut().take() {
                 metrics.count_send();
@@ -148,7 +153,7 @@
         self.on(ConnectionEvent::BytesWritten { last });
     }
 
-    /// Looks for the end of the head in `bytes`. Returns how many of them belong to the head.
+    /// Searches `bytes` for the end of the head. Returns how many of them belong to the head.
     fn match_head_end(&self, bytes: &[u8]) -> usize {
         let mut matched = self.head_end_matched.get();
         let mut head_bytes = 0;
