--- a/src/object/server_client.rs
+++ b/src/object/server_client.rs
@@ -16,7 +16,7 @@
 use super::request::ObjectRequest;
 use super::server_request::ServerRequest;
 use crate::exchange::{Exchange, FinalResponse};
-use crate::upstream::{Accepts, Answer, Payload, Upstream};
+use crate::upstream::{AcceptedResponses, Answer, Payload, Upstream};
 
 /// Sends requests to the chunk servers. Shared by the operations and by the tasks that stream
 /// objects.
@@ -88,11 +88,11 @@
             target: target(&request.path, &server_request.query)?,
             // Every request to a chunk server is a separate transaction, as the retry of a client
             // is.
-            id: random_transaction_id()?,
+            transaction_id: random_transaction_id()?,
             method: server_request.method,
             headers: server_request.headers,
             body: server_request.body,
-            accepts: Accepts::Object,
+            accepted_responses: AcceptedResponses::ObjectApi,
             metrics: None,
             reservation: None,
         };
