--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control and the answers to requests that are given up.
+//! Admission control: which requests are rejected or failed, and when.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use tulipbridge_core::*;
 
 #[test]
-fn a_request_with_less_patience_than_a_tick_is_rejected_at_once() {
+fn a_request_with_a_timeout_shorter_than_a_tick_is_rejected_at_once() {
     let mut front = TestFront::new(settings(), 0);
     let mut short = request(1, 0, Some(0));
     short.client_timeout = 3 * MS;
@@ -26,7 +26,7 @@
     assert!(rejected(&actions, 1), "safe to repeat: rejected");
     assert!(
         failed(&actions, 2),
-        "deduplicated and perhaps executed: failed, never rejected"
+        "deduplicated and possibly executed: failed, never rejected"
     );
     assert!(!rejected(&actions, 2));
 }
@@ -41,8 +41,8 @@
         front.event(Event::ClientDisconnected(RequestId(id)));
         front.end_attempt(id, 0, 0, Outcome::Served, 60 * MS);
     }
-    // The server is full; requests that wait longer than clients typically stay are rejected before
-    // their objective.
+    // The server is at capacity. Requests that wait longer than clients typically do are rejected
+    // before their latency objective.
     for id in 200..230 {
         front.submit(request(id, 0, Some(0)));
     }
@@ -54,27 +54,27 @@
 fn clients_that_leave_at_random_times_do_not_shorten_the_wait_of_others() {
     let mut front = TestFront::new(settings(), 1);
     front.warm(0, 30, 0, 20 * MS);
-    // Two at a time, each answered well within the objective; of every five clients one leaves
-    // before.
+    // Requests come two at a time and are answered well within the objective; one client in five
+    // disconnects before its answer.
     let mut actions = Vec::new();
     for id in (100..300).step_by(2) {
         for id in [id, id + 1] {
             actions.extend(front.submit(request(id, 0, Some(0))));
         }
-        let after = [MS / 2, 4 * MS, 50 * MS, 2 * MS][id as usize / 5 % 4];
-        let leaves = id % 5 == 0;
-        if leaves {
-            front.now += after;
+        let disconnects_after = [MS / 2, 4 * MS, 50 * MS, 2 * MS][id as usize / 5 % 4];
+        let disconnects = id % 5 == 0;
+        if disconnects {
+            front.now += disconnects_after;
             front.event(Event::ClientDisconnected(RequestId(id)));
         }
-        actions.extend(front.advance(60 * MS - if leaves { after } else { 0 }));
+        actions.extend(front.advance(60 * MS - if disconnects { disconnects_after } else { 0 }));
         for id in [id, id + 1] {
             actions.extend(front.end_attempt(id, 0, 0, Outcome::Served, 60 * MS));
         }
     }
     assert!(
         !(100..300).any(|id| rejected(&actions, id)),
-        "the objective is far away"
+        "all answers come well before the objective"
     );
 }
 
@@ -111,7 +111,7 @@
     limited.plan = 1;
     assert!(
         sends(&front.submit(limited.clone())).is_empty(),
-        "a restarted front does not know what it used"
+        "a restarted front does not know how much of the limit is used"
     );
     assert_eq!(
         sends(&front.advance(120 * MS)).len(),
@@ -126,23 +126,21 @@
     settings.max_retry_after = 5 * S;
     let mut front = TestFront::new(settings, 3);
     let retry_after = |actions: &[Action]| match actions {
-        [Action::Reject {
-            retry_after: wait, ..
-        }] => Some(*wait),
+        [Action::Reject { retry_after, .. }] => Some(*retry_after),
         _ => None,
     };
-    // The servers reject all attempts, so that few are sent and the other requests are rejected
-    // here.
+    // The servers reject every attempt. The front therefore sends few and rejects the other
+    // requests itself.
     let mut waits = Vec::new();
     for id in 0..600 {
         let mut actions = front.submit(request(id, 0, Some((id % 3) as u32)));
-        for (id, at) in sends(&actions) {
-            actions = front.end_attempt(id, 0, at, Outcome::Rejected, MS);
+        for (id, node) in sends(&actions) {
+            actions = front.end_attempt(id, 0, node, Outcome::Rejected, MS);
         }
         waits.extend(retry_after(&actions));
         front.advance(10 * MS);
     }
-    let mean = |w: &[Nanos]| w.iter().sum::<Nanos>() / w.len() as Nanos;
+    let mean = |waits: &[Nanos]| waits.iter().sum::<Nanos>() / waits.len() as Nanos;
     let late = &waits[waits.len() - 100..];
     assert!(
         mean(late) > mean(&waits[..20]),
@@ -152,7 +150,7 @@
     );
     assert!(
         late.iter().max() > late.iter().min(),
-        "all clients return at once"
+        "equal waits make all clients retry at once"
     );
 }
 
@@ -179,7 +177,7 @@
 
 #[test]
 fn an_overtaken_attempt_does_not_count_as_failed() {
-    // Every third answer is lost, later ones arrive: the server must still get all requests.
+    // Every third answer is lost and later ones arrive. The server must still get all requests.
     let mut settings = settings();
     settings.front_count = 200;
     let mut front = TestFront::new(settings, 1);
@@ -198,8 +196,8 @@
 }
 
 #[test]
-fn an_unsent_request_is_rejected_after_half_of_its_patience() {
-    // The second request waits for the first of its key, at a server that answers other requests.
+fn an_unsent_request_is_rejected_after_half_of_its_timeout() {
+    // The second request waits for the first one of its key. The server answers other requests.
     let mut front = TestFront::new(settings(), 1);
     let mut actions = Vec::new();
     for id in [1, 2] {
@@ -217,6 +215,6 @@
     }
     assert!(
         rejected(&front.advance(50 * MS), 2),
-        "a later rejection leaves the client no time"
+        "a later rejection leaves the client too little time"
     );
 }
--- a/crates/core/tests/assigned_limits.rs
+++ b/crates/core/tests/assigned_limits.rs
@@ -1,12 +1,12 @@
-//! Shared limits that the fleet assigns to a front, in place of an even part.
+//! The parts of shared limits that are assigned to a front in place of an even part.
 
 mod common;
 
 use common::*;
 use tulipbridge_core::*;
 
-/// A front whose requests of 2 units are under a limit of 40 units per second, shared by four
-/// fronts.
+/// Returns a front with a limit of 40 units per second, which four fronts share, for requests of 2
+/// units each.
 fn limited_front() -> TestFront {
     let mut set = settings();
     set.plans = vec![plan(40.0, 0.0)];
@@ -15,7 +15,7 @@
     front
 }
 
-/// The units sent within a time in which a request comes every 10 ms.
+/// Submits a request every 10 ms for the given time and returns the units sent.
 fn units_sent(front: &mut TestFront, first: u64, time: Nanos) -> f64 {
     let mut units = 0.0;
     for step in 0..time / (10 * MS) {
@@ -34,6 +34,8 @@
     units
 }
 
+/// Assigns the front its part of the volume's limit: `rate` in units per second and `burst` in
+/// units, from the time `at`.
 fn assign_volume_limit(front: &mut TestFront, rate: f64, burst: f64, at: Nanos) {
     front.event(Event::FleetUpdate(FleetUpdate::SharedLimit {
         limit: SharedLimit::Volume(VolumeId(77)),
@@ -69,13 +71,13 @@
 
 #[test]
 fn tokens_accrued_after_the_end_of_a_limit_are_taken_back() {
-    // The front is paused for a second after its limit has ended.
+    // The front is paused for a second and learns only afterwards that its limit has ended.
     let mut front = limited_front();
     assign_volume_limit(&mut front, 40.0, 40.0, 0);
     units_sent(&mut front, 1_000, 500 * MS);
     let ended = front.now;
     front.now += 1_000 * MS;
-    // By now 40 units would have accrued; only those until the end count.
+    // By now 40 units would have accrued, of which only those until the end count.
     assign_volume_limit(&mut front, 0.4, 40.0, ended);
     let units = units_sent(&mut front, 2_000, 100 * MS);
     assert!(units <= 6.0, "{units}");
@@ -92,7 +94,7 @@
         at: front.now,
     }));
     for id in 0..200 {
-        // Each fails at once, and every other rule allows a retry.
+        // Each attempt fails at once, and all other rules allow a retry.
         let mut actions = front.advance(30 * MS);
         actions.extend(front.submit(request(id, 0, Some(id as u32 % 2))));
         for attempt in 0..3 {
@@ -107,7 +109,7 @@
     let bound = 2.0 * (front.now - 100 * S) as f64 / 1e9 + 3.0;
     assert!(
         (3..=bound as usize).contains(&retries),
-        "{retries} of at most {bound}"
+        "{retries} retries, at most {bound} allowed"
     );
 }
 
@@ -121,7 +123,7 @@
         burst: 8.0,
         at: front.now,
     }));
-    // The server starts after the limit was assigned.
+    // The server starts after the limit is assigned.
     let started_at = front.now;
     let start = NodeInfo {
         node: NodeId(1),
@@ -147,26 +149,26 @@
     for (first, from) in sent.iter().enumerate() {
         for (last, until) in sent.iter().enumerate().skip(first) {
             let (units, window) = ((last - first + 1) as f64 * 2.0, (until - from) as f64 / 1e9);
-            // Within 10 s its capacity grows to 4 times that at the start.
+            // The server's capacity grows to 4 times its initial value within 10 s.
             let growth = 1.0 + 3.0 * ((until - started_at) as f64 / 1e10).min(1.0);
             let limit = (4.0 * (window + 0.01) + 8.0) * growth;
             assert!(
                 units <= limit,
-                "{units} units in {window} s, of at most {limit}"
+                "{units} units in {window} s, at most {limit} allowed"
             );
         }
     }
 }
 
-/// Answers all attempts in flight, and those sent meanwhile.
-fn answer_all(front: &mut TestFront, mut out: Vec<(u64, usize)>) {
-    while !out.is_empty() {
-        let ends: Vec<Action> = out
+/// Answers the attempts in flight and all attempts that are sent as a result.
+fn answer_all(front: &mut TestFront, mut in_flight: Vec<(u64, usize)>) {
+    while !in_flight.is_empty() {
+        let actions: Vec<Action> = in_flight
             .iter()
             .flat_map(|(id, node)| front.end_attempt(*id, 0, *node, Outcome::Served, 20 * MS))
             .collect();
-        out = sends(&ends);
-        out.extend(sends(&front.advance(20 * MS)));
+        in_flight = sends(&actions);
+        in_flight.extend(sends(&front.advance(20 * MS)));
     }
 }
 
@@ -190,29 +192,29 @@
     };
     assert!(
         submit_six(&mut front, 100).len() > 2,
-        "without a limit, the window alone counts"
+        "without an assigned limit only the window limits them"
     );
     answer_all(&mut front, (100..106).map(|id| (id, 0)).collect());
     assign(&mut front, 2.7);
-    let out = submit_six(&mut front, 200);
-    assert_eq!(out.len(), 2);
-    answer_all(&mut front, out);
+    let in_flight = submit_six(&mut front, 200);
+    assert_eq!(in_flight.len(), 2);
+    answer_all(&mut front, in_flight);
     assign(&mut front, 0.5);
-    let (mut busy, started_at) = (0, front.now);
+    let (mut busy_time, started_at) = (0, front.now);
     for id in 300..400 {
         let mut actions = front.submit(request(id, 0, Some(0)));
         actions.extend(front.advance(20 * MS));
         for (id, node) in sends(&actions) {
-            let more = front.advance(20 * MS);
-            assert_eq!(sends(&more), Vec::new(), "one at a time");
-            busy += 20 * MS;
+            let actions = front.advance(20 * MS);
+            assert_eq!(sends(&actions), Vec::new(), "one at a time");
+            busy_time += 20 * MS;
             front.end_attempt(id, 0, node, Outcome::Served, 20 * MS);
         }
     }
-    let part = busy as f64 / (front.now - started_at) as f64;
+    let busy_fraction = busy_time as f64 / (front.now - started_at) as f64;
     assert!(
-        (0.3..=0.55).contains(&part),
-        "one in flight for half of the time: {part:.2}"
+        (0.3..=0.55).contains(&busy_fraction),
+        "one in flight for half of the time: {busy_fraction:.2}"
     );
     assign(&mut front, 0.0);
     front.advance(2 * S);
--- a/crates/core/tests/attempt_withdrawal.rs
+++ b/crates/core/tests/attempt_withdrawal.rs
@@ -1,5 +1,5 @@
-//! An attempt that is no longer needed and of which nothing was written is withdrawn, and is never
-//! written.
+//! An attempt that is no longer needed is withdrawn if nothing of it was written, and is never
+//! written afterwards.
 
 use tulipbridge_core::attempt::{Attempt, AttemptEvent, AttemptStep};
 use tulipbridge_core::request_tracker::{Decisions, Effect, Input, RequestTracker};
@@ -9,11 +9,11 @@
     UpdateScope, VolumeId,
 };
 
-/// Sends each request to server 0, and returns the queued actions with the next event.
+/// Sends each request to server 0 and returns the queued actions with the next event.
 #[derive(Default)]
-struct SendToFirst(Vec<Action>);
+struct SendToServer0(Vec<Action>);
 
-impl Decisions for SendToFirst {
+impl Decisions for SendToServer0 {
     fn handle(&mut self, _now: Nanos, event: Event, actions: &mut Vec<Action>) {
         if let Event::Request(request) = event {
             actions.push(Action::Send {
@@ -26,8 +26,9 @@
     }
 }
 
-fn tracker_with_one_attempt() -> RequestTracker<SendToFirst> {
-    let mut tracker = RequestTracker::new(SendToFirst::default());
+/// Returns a tracker with one request, whose first attempt has been sent and has not started.
+fn tracker_with_one_attempt() -> RequestTracker<SendToServer0> {
+    let mut tracker = RequestTracker::new(SendToServer0::default());
     let request = Request {
         id: tracker.allocate_id(),
         class: 0,
@@ -56,10 +57,11 @@
     tracker
 }
 
-fn withdrawals(tracker: &mut RequestTracker<SendToFirst>, input: Input) -> Vec<Outcome> {
+/// Handles an input and returns the outcomes with which the attempt is withdrawn, if it is.
+fn withdrawals(tracker: &mut RequestTracker<SendToServer0>, input: Input) -> Vec<Outcome> {
     let mut effects = Vec::new();
     tracker.on(1, input, &mut effects);
-    let outcomes = effects.into_iter().filter_map(|e| match e {
+    let outcomes = effects.into_iter().filter_map(|effect| match effect {
         Effect::Withdraw {
             id: RequestId(0),
             attempt: 0,
@@ -111,7 +113,7 @@
     );
 }
 
-/// An update of the endpoint list.
+/// Returns an input that changes the given entries of the endpoint list.
 fn update(nodes: Vec<NodeInfo>) -> Input {
     Input::Endpoints {
         scope: UpdateScope::Update,
@@ -119,7 +121,7 @@
     }
 }
 
-/// A complete endpoint list.
+/// Returns an input that replaces the endpoint list.
 fn complete_list(nodes: Vec<NodeInfo>) -> Input {
     Input::Endpoints {
         scope: UpdateScope::Replace,
--- a/crates/core/tests/client_connection.rs
+++ b/crates/core/tests/client_connection.rs
@@ -1,11 +1,11 @@
-//! Connections from clients: which of them hold a request that a close would lose.
+//! Client connections: whether a request would be lost if the connection were closed now.
 
 use tulipbridge_core::client_connection::{ClientConnection, ClientEvent};
 use tulipbridge_core::Nanos;
 
 const MS: Nanos = 1_000_000;
 
-/// A connection accepted at 0, after events at 0.
+/// Returns a connection that was accepted at time 0 and handled the events at time 0.
 fn after(events: &[ClientEvent]) -> ClientConnection {
     let mut connection = ClientConnection::new(0);
     events.iter().for_each(|event| connection.on(0, *event));
@@ -17,9 +17,9 @@
     use ClientEvent::{Answered, BodyStarted, Closing, HeadStarted, RequestReceived};
     let now = 1_000 * MS;
     for (name, connection, unread_bytes, arriving) in [
-        ("half a head", after(&[HeadStarted]), false, true),
+        ("partial head", after(&[HeadStarted]), false, true),
         (
-            "half a body",
+            "partial body",
             after(&[HeadStarted, BodyStarted]),
             false,
             true,
--- a/crates/core/tests/common/fleet.rs
+++ b/crates/core/tests/common/fleet.rs
@@ -1,13 +1,13 @@
-//! Many fronts that share nothing and one clock.
+//! Several fronts that share a clock and nothing else.
 
 use tulipbridge_core::*;
 
 use super::{sends, TestFront, MS};
 
-/// The time between two steps.
+/// The time by which [`Fleet::step`] advances the clock.
 pub const STEP: Nanos = 10 * MS;
 
-/// An attempt that a front has sent.
+/// An attempt that a front has sent to a server.
 #[derive(Clone, Copy)]
 pub struct FleetSend {
     pub front: usize,
@@ -22,7 +22,7 @@
 }
 
 impl Fleet {
-    /// A front for each seed, with the given number of warm servers.
+    /// Creates a front for each seed, each with the same list of warm servers.
     pub fn new(settings: &Settings, nodes: usize, seeds: impl Iterator<Item = u64>) -> Fleet {
         let fronts: Vec<TestFront> = seeds
             .map(|seed| TestFront::seeded(settings.clone(), nodes, seed))
@@ -31,7 +31,7 @@
         Fleet { fronts, now }
     }
 
-    /// Advances the clock of all fronts by a step.
+    /// Advances the clock of all fronts by [`STEP`].
     pub fn step(&mut self) {
         self.now += STEP;
         for front in &mut self.fronts {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Handles an event at a front and returns the attempts sent.
+    /// Handles an event at a front and returns the attempts that it sends.
     pub fn event(&mut self, front: usize, event: Event) -> Vec<FleetSend> {
         let actions = self.fronts[front].event(event);
         sends(&actions)
@@ -48,18 +48,19 @@
             .collect()
     }
 
-    /// Submits a request at a front and returns the attempts sent.
+    /// Submits a request at a front and returns the attempts that it sends.
     pub fn submit(&mut self, front: usize, request: Request) -> Vec<FleetSend> {
         self.event(front, Event::Request(request))
     }
 
-    /// Serves the first attempt of a request and returns the attempts sent.
+    /// Ends the first attempt of a request as served after `took` and returns the attempts that its
+    /// front then sends.
     pub fn serve(&mut self, attempt: FleetSend, took: Nanos) -> Vec<FleetSend> {
         let event = super::ended(attempt.id, 0, attempt.node, Outcome::Served, took, true);
         self.event(attempt.front, event)
     }
 
-    /// Runs the timer of each front, after an endpoint update where there is one, and returns the
+    /// Runs the timer of each front, after an endpoint update if one is given, and returns the
     /// attempts sent.
     pub fn tick(&mut self, update: Option<&[NodeInfo]>) -> Vec<FleetSend> {
         let mut sent = Vec::new();
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,14 +1,17 @@
-//! The settings of a small site and a front that is driven by scripted events. The figures are made
-//! up. The builders take plain numbers for ids, so that a test reads without conversions.
+//! Settings of a small site and a front that handles scripted events. The builders take plain
+//! numbers for ids, so that tests need no conversions.
 #![allow(dead_code)]
 
 pub mod fleet;
 
 use tulipbridge_core::*;
 
+/// A millisecond.
 pub const MS: Nanos = 1_000_000;
+/// A second.
 pub const S: Nanos = 1000 * MS;
 
+/// Returns a class of reads with an objective of 200 ms and a deadline of 1 s.
 pub fn class(semantics: Semantics, group: DeduplicationGroup) -> Class {
     Class {
         latency_objective: 200 * MS,
@@ -24,6 +27,7 @@
     }
 }
 
+/// Returns a plan with the given rates in units per second; a limit rate of 0 means no limit.
 pub fn plan(limit_rate: f64, reserve_rate: f64) -> Plan {
     Plan {
         limit_rate,
@@ -35,6 +39,8 @@
     }
 }
 
+/// Returns settings with classes of all semantics, one of which keeps the order of a key, and with
+/// a plan without and one with a limit.
 pub fn settings() -> Settings {
     let mut ordered = class(Semantics::Idempotent, DeduplicationGroup::All);
     ordered.keep_order = true;
@@ -74,6 +80,8 @@
     }
 }
 
+/// Returns an entry of the endpoint list. Each server has a shard of its own; even and odd servers
+/// are in different zones.
 pub fn node(node: usize, state: EndpointState, started_at: Nanos) -> NodeInfo {
     NodeInfo {
         node: NodeId(node),
@@ -84,6 +92,8 @@
     }
 }
 
+/// Returns a request of 2 units with its own key and a client timeout of 1 s; without a shard it is
+/// for a new object.
 pub fn request(id: u64, class: usize, shard: Option<u32>) -> Request {
     Request {
         id: RequestId(id),
@@ -98,21 +108,21 @@
     }
 }
 
-/// A scheduler and its clock.
+/// A scheduler and the clock whose time it gets with each event.
 pub struct TestFront {
     pub scheduler: Scheduler,
     pub now: Nanos,
 }
 
 impl TestFront {
-    /// Starts at 100 s with the given number of warm servers.
+    /// Starts a front at 100 s with the given number of warm servers.
     pub fn new(settings: Settings, nodes: usize) -> TestFront {
         TestFront::seeded(settings, nodes, 7)
     }
 
-    /// The same with a given seed.
+    /// Starts a front like [`TestFront::new`], with the given seed for its random choices.
     pub fn seeded(settings: Settings, nodes: usize, seed: u64) -> TestFront {
-        let scheduler = Scheduler::new(settings, seed, 100 * S).expect("settings hold");
+        let scheduler = Scheduler::new(settings, seed, 100 * S).expect("valid settings");
         let mut front = TestFront {
             scheduler,
             now: 100 * S,
@@ -125,34 +135,33 @@
         front
     }
 
-    /// Handles an event and returns the actions.
+    /// Handles an event at the present time and returns the actions.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.scheduler.handle(self.now, event, &mut actions);
         actions
     }
 
-    /// Advances the clock in ticks and returns the actions meanwhile, except for timers.
+    /// Advances the clock in ticks of 10 ms and returns all actions except new timers.
     pub fn advance(&mut self, time: Nanos) -> Vec<Action> {
         let mut all = Vec::new();
         let until = self.now + time;
         while self.now < until {
             self.now = (self.now + 10 * MS).min(until);
-            let some = self.event(Event::Timer(1));
-            all.extend(
-                some.into_iter()
-                    .filter(|a| !matches!(a, Action::Runtime(RuntimeCommand::SetTimer { .. }))),
-            );
+            let actions = self.event(Event::Timer(1));
+            all.extend(actions.into_iter().filter(|action| {
+                !matches!(action, Action::Runtime(RuntimeCommand::SetTimer { .. }))
+            }));
         }
         all
     }
 
-    /// Submits a request and returns the actions.
+    /// Handles a new request and returns the actions.
     pub fn submit(&mut self, request: Request) -> Vec<Action> {
         self.event(Event::Request(request))
     }
 
-    /// Ends an attempt; the request is finished if it was served.
+    /// Ends an attempt and returns the actions. The request is answered if the attempt was served.
     pub fn end_attempt(
         &mut self,
         id: u64,
@@ -165,19 +174,19 @@
         self.event(ended(id, attempt, node, outcome, took, last))
     }
 
-    /// Runs `count` requests at a server one after another, each answered after `took`.
+    /// Serves `count` requests at one server, one after another, each answered after `took`.
     pub fn warm(&mut self, first: u64, count: u64, shard: usize, took: Nanos) {
         for id in first..first + count {
-            let sent = self.submit(request(id, 0, Some(shard as u32)));
-            let sent = if sends(&sent).is_empty() {
+            let actions = self.submit(request(id, 0, Some(shard as u32)));
+            let actions = if sends(&actions).is_empty() {
                 self.advance(500 * MS)
             } else {
-                sent
+                actions
             };
             assert_eq!(
-                sends(&sent),
+                sends(&actions),
                 vec![(id, shard)],
-                "a healthy server takes request {id}"
+                "request {id} is sent to the healthy server"
             );
             self.now += took;
             self.end_attempt(id, 0, shard, Outcome::Served, took);
@@ -185,7 +194,7 @@
     }
 }
 
-/// The end of an attempt, without figures on the use by other fronts.
+/// Returns the end of an attempt, without figures on the volume's use through other fronts.
 pub fn ended(
     id: u64,
     attempt: u32,
@@ -206,23 +215,23 @@
     }
 }
 
-/// The attempts sent, as request and server.
+/// Returns the attempts sent, each as the ids of its request and its server.
 pub fn sends(actions: &[Action]) -> Vec<(u64, usize)> {
-    let place = |a: &Action| match a {
+    let sent_attempt = |action: &Action| match action {
         Action::Send { id, node, .. } => Some((id.0, node.0)),
         _ => None,
     };
-    actions.iter().filter_map(place).collect()
+    actions.iter().filter_map(sent_attempt).collect()
 }
 
-/// Whether a request was rejected.
+/// Returns whether the actions reject a request.
 pub fn rejected(actions: &[Action], id: u64) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Reject { id: r, .. } if r.0 == id))
+        .any(|action| matches!(action, Action::Reject { id: rejected, .. } if rejected.0 == id))
 }
 
-/// Whether a request was failed.
+/// Returns whether the actions fail a request.
 pub fn failed(actions: &[Action], id: u64) -> bool {
     actions.contains(&Action::Fail(RequestId(id)))
 }
--- a/crates/core/tests/congestion.rs
+++ b/crates/core/tests/congestion.rs
@@ -1,4 +1,4 @@
-//! The window and the weight of a server.
+//! Congestion control: the window and the weight of a server.
 
 mod common;
 
@@ -10,8 +10,8 @@
     let mut settings = settings();
     settings.retry_budget = None;
     let mut front = TestFront::new(settings, 2);
-    // Server 0 fails once a period, which halves its weight each time. Server 1 stays at its base
-    // weight.
+    // Every attempt at server 0 fails, which halves its weight once a period. Server 1 stays at its
+    // base weight.
     let mut hits = [0u32; 2];
     for id in 0..400 {
         let sent = sends(&front.submit(request(id, 2, None)));
@@ -55,8 +55,8 @@
     let mut front = TestFront::new(settings(), 2);
     front.warm(0, 40, 0, 20 * MS);
     front.warm(100, 40, 1, 20 * MS);
-    // Requests to server 0 are four times as large and take four times as long: it must keep its
-    // share.
+    // Requests to server 0 have four times the units and take four times as long. The server must
+    // keep its share.
     for id in 200..220 {
         let mut large = request(id, 0, Some(0));
         large.units = 8.0;
@@ -79,35 +79,39 @@
     let mut settings = settings();
     settings.plans[0].reserve_rate = 1e6;
     let mut front = TestFront::new(settings, 1);
-    let flood = |front: &mut TestFront, from: u64| {
+    let submit_many = |front: &mut TestFront, from: u64| {
         (from..from + 60)
             .map(|id| sends(&front.submit(request(id, 0, Some(0)))).len())
             .sum::<usize>()
     };
-    let first = flood(&mut front, 0);
+    let first = submit_many(&mut front, 0);
     assert!((2..=8).contains(&first), "several at first, not {first}");
-    let mut out: Vec<u64> = (0..first as u64).collect();
+    let mut in_flight: Vec<u64> = (0..first as u64).collect();
     let mut next = 1000;
     for _ in 0..300 {
         front.now += 10 * MS;
-        for id in std::mem::take(&mut out) {
-            out.extend(
+        for id in std::mem::take(&mut in_flight) {
+            in_flight.extend(
                 sends(&front.end_attempt(id, 0, 0, Outcome::Served, 10 * MS))
                     .iter()
-                    .map(|p| p.0),
+                    .map(|(id, _)| *id),
             );
         }
         for _ in 0..40 {
-            out.extend(
+            in_flight.extend(
                 sends(&front.submit(request(next, 0, Some(0))))
                     .iter()
-                    .map(|p| p.0),
+                    .map(|(id, _)| *id),
             );
             next += 1;
         }
     }
-    assert!(out.len() > first, "grown to {}", out.len());
-    assert!(out.len() <= 32, "cap: {}", out.len());
+    assert!(in_flight.len() > first, "grown to {}", in_flight.len());
+    assert!(
+        in_flight.len() <= 32,
+        "above the upper limit: {}",
+        in_flight.len()
+    );
 }
 
 #[test]
@@ -121,7 +125,7 @@
         front.end_attempt(id, 0, 0, Outcome::Error, MS);
     }
     front.advance(20 * MS);
-    // The clock does not advance meanwhile, so that no period ends.
+    // The clock does not advance while these requests are sent, so no period ends.
     let choose_server_0 = |front: &mut TestFront, from: u64| {
         let mut hits = 0;
         for id in from..from + 300 {
@@ -134,39 +138,39 @@
     let halved = choose_server_0(&mut front, 1000);
     assert!(
         (70..=130).contains(&halved),
-        "a third of 300 at half weight, not {halved}"
+        "{halved} of 300 at half weight, expected about a third"
     );
     front.advance(10 * S);
     let recovered = choose_server_0(&mut front, 2000);
     assert!(
         (120..=180).contains(&recovered),
-        "half of 300 at base, not {recovered}"
+        "{recovered} of 300 at the base weight, expected about half"
     );
 }
 
 #[test]
 fn a_server_that_rejects_is_paced() {
-    // A rejection comes at once: it must count as congestion, not as a quick answer.
+    // A rejection comes at once. It must count as congestion, not as a fast answer.
     let mut front = TestFront::new(settings(), 1);
     front.warm(0, 30, 0, 20 * MS);
     let mut sent = 0;
     for id in 100..200 {
-        for (one, at) in sends(&front.submit(request(id, 0, Some(0)))) {
+        for (sent_id, at) in sends(&front.submit(request(id, 0, Some(0)))) {
             sent += usize::from(id >= 150);
-            front.end_attempt(one, 0, at, Outcome::Rejected, MS);
+            front.end_attempt(sent_id, 0, at, Outcome::Rejected, MS);
         }
         front.now += 10 * MS;
     }
     assert!(
         sent < 25,
-        "{sent} of 50 requests sent at once to a server known to be full"
+        "{sent} of 50 requests sent at once to a server that rejects"
     );
 }
 
 #[test]
 fn a_lost_answer_does_not_occupy_the_window() {
-    // At a paced server one attempt gets no answer: a request two objectives later must not wait
-    // for it.
+    // An attempt at a paced server gets no answer. A request that comes more than two objectives
+    // later must not wait for it.
     let mut front = TestFront::new(settings(), 1);
     front.warm(0, 30, 0, 20 * MS);
     front.warm(100, 12, 0, 180 * MS);
--- a/crates/core/tests/discovery_watch.rs
+++ b/crates/core/tests/discovery_watch.rs
@@ -1,5 +1,5 @@
-//! The discovery watch: a missed update takes effect within [`STALE_AFTER`] for several sequences
-//! of faults, and the calls of a fleet are spread.
+//! The discovery watch: under several sequences of faults a missed update takes effect within
+//! [`STALE_AFTER`], and the calls of many fronts are spread over time.
 
 use tulipbridge_core::discovery_watch::{
     DiscoveryWatch, WatchEvent, WatchStep, CALL_JITTER, CALL_TIMEOUT, SILENCE_TIMEOUT, STALE_AFTER,
@@ -7,12 +7,12 @@
 use tulipbridge_core::Nanos;
 
 const MS: Nanos = 1_000_000;
-/// What must remain of the time limit to apply an update.
+/// The part of [`STALE_AFTER`] that must remain for applying an update.
 const APPLY_MARGIN: Nanos = 300 * MS;
-/// Discovery answers or fails a call within this time.
+/// The time within which discovery answers or fails a call.
 const RESPONSE_TIME: Nanos = 2_000 * MS;
 
-/// A watch that is open since 0.
+/// Returns a watch that was opened at time 0.
 fn open_watch(phase: f64) -> DiscoveryWatch {
     let mut watch = DiscoveryWatch::new(0, 0, phase);
     assert_eq!(watch.on(0, WatchEvent::TimerDue), [WatchStep::Call]);
@@ -20,13 +20,13 @@
     watch
 }
 
-/// Reports the timer when it is due. Returns that time and the steps.
+/// Advances to the due time of the timer, reports it, and returns that time and the steps.
 fn run_to_timer(watch: &mut DiscoveryWatch) -> (Nanos, Vec<WatchStep>) {
-    let due = watch.due().expect("something is due");
+    let due = watch.due().expect("a timer is due");
     (due, watch.on(due, WatchEvent::TimerDue))
 }
 
-/// Runs until the next call is made. Returns its time.
+/// Runs the timer until the next call is made, and returns the time of the call.
 fn run_to_call(watch: &mut DiscoveryWatch) -> Nanos {
     loop {
         let (at, steps) = run_to_timer(watch);
@@ -49,7 +49,7 @@
                 &[WatchStep::CloseWatch, WatchStep::ReportLost][..]
             )
         );
-        // The front with the lowest phase calls at once.
+        // With the lowest phase the call is made at once.
         let called = if steps.contains(&WatchStep::Call) {
             at
         } else {
@@ -66,7 +66,7 @@
     }
 }
 
-/// Discovery is reachable again right after a call that is refused, fails late or hangs.
+/// A call is refused, fails late or hangs, and discovery is reachable again right after it.
 #[test]
 fn failed_call_is_retried_before_updates_are_stale() {
     for phase in [0.0, 0.5, 0.999] {
@@ -105,7 +105,7 @@
     }
 }
 
-/// The new watch falls silent right after it has opened.
+/// The new watch gets no message after it has opened.
 #[test]
 fn watch_that_is_silent_from_the_start_is_replaced_before_updates_are_stale() {
     let mut watch = open_watch(0.999);
@@ -134,7 +134,7 @@
 fn old_watch_is_kept_until_the_new_one_is_open() {
     let mut watch = open_watch(0.5);
     assert_eq!(watch.on(MS, WatchEvent::AddressChanged), [WatchStep::Call]);
-    // The old watch ends meanwhile; that is not reported, since a call is in flight.
+    // The end of the old watch is not reported, because a call is in flight.
     assert_eq!(watch.on(2 * MS, WatchEvent::Ended), []);
     assert_eq!(watch.on(3 * MS, WatchEvent::Failed), []);
     let (at, steps) = run_to_timer(&mut watch);
@@ -146,7 +146,7 @@
     assert_eq!(watch.on(at + MS, WatchEvent::Opened), [WatchStep::Adopt]);
 }
 
-/// A new address that never answers is not called at the fast pace for ever.
+/// A new address that never answers is called at short intervals only for a limited time.
 #[test]
 fn unreachable_new_address_is_called_at_the_usual_pace() {
     let mut watch = open_watch(0.5);
@@ -172,7 +172,7 @@
     let within = |from: Nanos| {
         calls
             .iter()
-            .filter(|c| (from..from + 100 * MS).contains(*c))
+            .filter(|call| (from..from + 100 * MS).contains(*call))
             .count()
     };
     let max_per_window = (0..40)
@@ -182,5 +182,5 @@
     assert!(max_per_window <= 31, "{max_per_window} calls in 100 ms");
     assert!(calls
         .iter()
-        .all(|c| *c <= MS + SILENCE_TIMEOUT + CALL_JITTER));
+        .all(|call| *call <= MS + SILENCE_TIMEOUT + CALL_JITTER));
 }
--- a/crates/core/tests/graceful_shutdown.rs
+++ b/crates/core/tests/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: the process exits before it is killed, and soon if it has nothing to do.
+//! Graceful shutdown: the process exits before it is killed, and promptly if no work is pending.
 
 use tulipbridge_core::graceful_shutdown::{GracefulShutdown, ShutdownEvent, ShutdownStep};
 use tulipbridge_core::Nanos;
--- a/crates/core/tests/health.rs
+++ b/crates/core/tests/health.rs
@@ -1,4 +1,4 @@
-//! Health, silence and probes of a server.
+//! Health of a server: detection of silence, suspicion after failures, and probes.
 
 mod common;
 
@@ -41,18 +41,18 @@
             node: NodeId(0)
         })
     )));
-    let mut again = 0;
+    let mut sent_after_recovery = 0;
     for id in 200..220 {
-        again += sends(&front.submit(request(id, 0, Some(0)))).len()
+        sent_after_recovery += sends(&front.submit(request(id, 0, Some(0)))).len()
             + sends(&front.advance(50 * MS)).len();
     }
-    assert!(again > 0);
+    assert!(sent_after_recovery > 0);
 }
 
 #[test]
 fn a_server_that_was_silent_stays_warm() {
-    // A server that answers again after seconds of silence is as warm as before, unless the list
-    // says otherwise.
+    // A server that answers again after seconds of silence keeps its warm-up, unless the endpoint
+    // list reports a new start.
     let mut front = TestFront::new(settings(), 1);
     front.warm(0, 20, 0, 10 * MS);
     for id in 100..103 {
@@ -72,12 +72,12 @@
             front.end_attempt(id, 0, at, Outcome::Served, MS);
         }
     }
-    assert!(units > 50.0, "{units} units only");
+    assert!(units > 50.0, "only {units} units sent");
 }
 
 #[test]
 fn occasional_resets_do_not_make_a_server_suspect() {
-    // One attempt in three is reset though it was executed: the server must still get requests.
+    // One attempt in three is reset although it was executed. The server must still get requests.
     let mut front = TestFront::new(settings(), 2);
     front.warm(0, 30, 0, 20 * MS);
     for id in 100..130 {
@@ -159,9 +159,9 @@
         }
         sent
     };
-    let (few, many) = (probes(2), probes(400));
+    let (of_two_fronts, of_400_fronts) = (probes(2), probes(400));
     assert!(
-        few > 30 && many < 20,
-        "{few} probes a minute of one front in two, {many} of one in 400"
+        of_two_fronts > 30 && of_400_fronts < 20,
+        "{of_two_fronts} probes a minute from one of 2 fronts, {of_400_fronts} from one of 400"
     );
 }
--- a/crates/core/tests/hundred_fronts.rs
+++ b/crates/core/tests/hundred_fronts.rs
@@ -1,5 +1,5 @@
-//! What a hundred fronts do together: each is harmless alone, the sum is what a server or discovery
-//! meets. Virtual time, fixed seeds, a simple model of a server.
+//! The load of a hundred fronts together on a server or on discovery, where each front alone would
+//! do no harm. The tests run in virtual time with fixed seeds and a simple model of a server.
 
 mod common;
 
@@ -18,13 +18,13 @@
     settings
 }
 
-/// A fleet that requests as much of each server, of which one is replaced.
+/// A fleet with the same load on each server, one of which is replaced.
 struct ReplacedServer {
     fleet: Fleet,
     settings: Settings,
     random: fastrand::Rng,
     next_id: u64,
-    /// Attempts in flight, with the time of their answer.
+    /// Attempts in flight, each with the time of its answer.
     in_flight: VecDeque<(Nanos, FleetSend)>,
     /// When requests were sent to the replacement, within the overload span.
     recent_sends: VecDeque<Nanos>,
@@ -35,9 +35,9 @@
 impl ReplacedServer {
     const STARTED_AT: Nanos = 110 * S;
     const UNITS_PER_REQUEST: f64 = 2.0;
-    /// Units per second that a warm server serves.
+    /// Units per second that a warm server can serve.
     const CAPACITY: f64 = 80.0;
-    /// Requests of the fleet at each step: 20 per second for each server.
+    /// Requests of all fronts in each step, which are 20 per second for each server.
     const REQUESTS_PER_STEP: usize = 8;
     const ANSWERED_AFTER: Nanos = 20 * MS;
 
@@ -109,33 +109,33 @@
         self.recent_sends.retain(|at| *at > now - span);
     }
 
-    /// Rule 4: a starting server gets no more than it bears in any span.
+    /// Checks rule 4: a starting server gets no more than it tolerates within any overload span.
     fn check_replacement_is_not_overloaded(&self) {
         let age = self.fleet.now - Self::STARTED_AT;
         if age < 0 {
             return;
         }
         let age = age as f64 / self.settings.warmup_duration as f64;
-        let bearable = self.settings.overload_factor * (0.2 + 0.8 * age) * Self::CAPACITY;
+        let limit = self.settings.overload_factor * (0.2 + 0.8 * age) * Self::CAPACITY;
         let recent_units = self.recent_sends.len() as f64 * Self::UNITS_PER_REQUEST;
         assert!(
-            recent_units <= bearable,
-            "rule 4: {recent_units} units, {bearable} are bearable"
+            recent_units <= limit,
+            "rule 4: {recent_units} units, at most {limit} allowed"
         );
     }
 }
 
-/// One of forty servers is replaced. Each of a hundred fronts has met the old one twice in ten
-/// seconds, too seldom to learn what it served there. The new one still gets requests from the
-/// start, and in no span more than it bears.
+/// One of forty servers is replaced. Each of a hundred fronts sent about two requests to the old
+/// one in ten seconds, too few to learn its capacity. The new one must still get requests from the
+/// start, and never more than it tolerates.
 #[test]
-fn a_hundred_fronts_that_hardly_met_a_server_use_its_starting_replacement() {
+fn a_hundred_fronts_that_rarely_used_a_server_use_its_starting_replacement() {
     let mut run = ReplacedServer::new();
     while run.fleet.now < ReplacedServer::STARTED_AT + 8 * S {
         run.step();
         run.check_replacement_is_not_overloaded();
     }
-    // 320 units were requested, of 310 that it could serve by the slowest warm-up.
+    // 320 units were requested, and it could serve 310 with the slowest warm-up.
     let units = f64::from(run.replacement_requests) * ReplacedServer::UNITS_PER_REQUEST;
     assert!(
         units > 100.0,
@@ -143,12 +143,12 @@
     );
 }
 
-/// A hundred fronts that start at once while each call of discovery fails after two seconds.
+/// A hundred fronts that start at once while every call to discovery fails after two seconds.
 struct FailingDiscovery {
     fleet: Fleet,
     settings: Settings,
     calls: Vec<Nanos>,
-    /// When the call of each front fails.
+    /// When the pending call of each front fails.
     fails_at: Vec<Option<Nanos>>,
     last_failure: Vec<Nanos>,
 }
@@ -191,7 +191,7 @@
         discovery
     }
 
-    /// Handles an event at a front and records its call, if it makes one.
+    /// Handles an event at a front and records the call to discovery, if the front makes one.
     fn event(&mut self, front: usize, event: Event) {
         if self.fleet.fronts[front]
             .event(event)
@@ -224,7 +224,7 @@
         }
     }
 
-    /// The most calls within a span that begins at a time or later.
+    /// Returns the maximum number of calls within any span that begins at `from` or later.
     fn max_calls(&self, span: Nanos, from: Nanos) -> usize {
         let starts = self.calls.iter().filter(|at| **at >= from);
         let within = |start: Nanos| {
@@ -237,10 +237,10 @@
     }
 }
 
-/// Discovery takes calls in order, so that what counts is how many come together, and that they
-/// become fewer while all fail. No front stays without a call for as long as the poll interval.
+/// Discovery takes calls in order, so the number of simultaneous calls must be small and must fall
+/// while all calls fail. Each front calls again within the poll interval after a failure.
 #[test]
-fn a_hundred_starts_and_failed_calls_do_not_meet_at_discovery() {
+fn a_hundred_starts_and_failed_calls_are_spread_at_discovery() {
     let mut discovery = FailingDiscovery::new();
     for step in 0..3000 {
         if step > 0 {
@@ -253,10 +253,10 @@
     assert!(burst <= 12, "{burst} calls in 100 ms");
     let sustained = discovery.max_calls(S, started_at + 10 * S);
     assert!(sustained <= 30, "{sustained} calls in a second");
-    assert!(discovery.calls.len() > 3 * FRONTS, "they go on calling");
+    assert!(discovery.calls.len() > 3 * FRONTS, "too few calls");
 }
 
-/// A front that has just seen many attempts fail, at servers 1 and 2 of five.
+/// Returns a front whose attempts at servers 1 and 2 of five were rejected a moment ago.
 fn overloaded_front() -> TestFront {
     let mut settings = settings();
     settings
@@ -270,7 +270,7 @@
             front.end_attempt(id, 0, shard as usize, Outcome::Rejected, MS);
         }
     }
-    // Far more is requested of one of them than it may be sent.
+    // Server 1 gets far more requests than the front may send to it.
     let answers: Vec<Vec<Action>> = (110..150)
         .map(|id| front.submit(request(id, 0, Some(1))))
         .collect();
@@ -278,7 +278,7 @@
         .zip(&answers)
         .filter(|(id, actions)| rejected(actions, *id))
         .count();
-    assert!(rejections >= 10, "the overload is rejected: {rejections}");
+    assert!(rejections >= 10, "too few rejections: {rejections}");
     front
 }
 
@@ -289,14 +289,14 @@
     })
 }
 
-/// While many attempts fail, a read ends when it is late, as other work is more valuable. A write
-/// does not, as it would be in doubt; without overload nothing is cut off.
+/// While many attempts fail, a read ends when it is late, because other work is worth more. A write
+/// does not, because its outcome would be unknown. Without overload no attempt ends early.
 #[test]
 fn in_an_overload_reads_end_at_their_objective_and_writes_do_not() {
     let mut front = overloaded_front();
-    let mut calm = TestFront::new(settings(), 3);
+    let mut idle_front = TestFront::new(settings(), 3);
     assert_eq!(
-        attempt_timeout(&calm.submit(request(1, 0, Some(0)))),
+        attempt_timeout(&idle_front.submit(request(1, 0, Some(0)))),
         Some(0),
         "without overload"
     );
@@ -319,9 +319,8 @@
     );
 }
 
-/// A new object whose server refused the connection was not executed and goes to another server,
-/// also in an overload: a list with servers that are gone must not cost writes that any other
-/// server could take.
+/// A new object whose connection was refused was not written and goes to another server, even in an
+/// overload. Otherwise listed servers that no longer run would cause avoidable failures of writes.
 #[test]
 fn a_new_object_whose_connection_was_refused_goes_to_another_server() {
     let mut front = overloaded_front();
@@ -334,7 +333,7 @@
     let moved = retries
         .iter()
         .any(|(request, node)| *request == id && *node != refused_by);
-    assert!(moved, "it went to another server: {retries:?}");
+    assert!(moved, "it must go to another server: {retries:?}");
 }
 
 struct InFlight {
@@ -343,9 +342,9 @@
     attempt: FleetSend,
 }
 
-/// New objects may go anywhere. A hundred fronts that each send a few per second keep to servers
-/// with recent answers, each to its own, so that connections are reused and a slow server is
-/// noticed; together they use all servers and avoid the slow one.
+/// New objects may be sent to any server. Each of a hundred fronts that send a few per second
+/// prefers servers that answered it recently, so connections are reused and slow servers are
+/// detected. Together the fronts use all servers and avoid the slow one.
 #[test]
 fn new_objects_keep_to_servers_with_recent_answers_and_avoid_a_slow_one() {
     let mut random = fastrand::Rng::with_seed(3);
@@ -372,7 +371,7 @@
             sent.extend(fleet.submit(front, request(id, 2, None)));
         }
         for attempt in sent {
-            // Server 0 is ten times slower than the others.
+            // Server 0 is about ten times slower than the others.
             let latency = if attempt.node == 0 { 190 * MS } else { 20 * MS };
             in_flight.push(InFlight {
                 answered_at: now + latency,
@@ -386,7 +385,7 @@
     let pairs: usize = fronts_of_node.iter().map(BTreeSet::len).sum();
     assert!(
         pairs < 2200,
-        "{pairs} pairs of a front and a server have met, each a connection"
+        "{pairs} pairs of a front and a server in use, each a connection"
     );
     assert!(
         fronts_of_node.iter().all(|fronts| fronts.len() >= 10),
--- a/crates/core/tests/invariant_monitor.rs
+++ b/crates/core/tests/invariant_monitor.rs
@@ -1,4 +1,4 @@
-//! The monitor of the rules, fed with effects that break each of them.
+//! The invariant monitor detects each violation of its rules and reports none where there is none.
 
 mod common;
 
@@ -7,12 +7,14 @@
 use tulipbridge_core::request_tracker::{Effect, FinalAnswer, Input};
 use tulipbridge_core::*;
 
-/// Classes of the settings.
+/// The index of an idempotent class.
 const IDEMPOTENT: usize = 0;
+/// The index of a class whose requests are executed at most once.
 const AT_MOST_ONCE: usize = 2;
+/// The only server in the endpoint list.
 const NODE: usize = 0;
 
-/// A monitor that has seen a server in service and the request 1 of a class.
+/// Returns a monitor that has seen a server that is up and request 1 of the given class.
 fn monitor(class: usize) -> InvariantMonitor {
     let mut monitor = InvariantMonitor::default();
     let nodes = vec![node(NODE, EndpointState::Up, 0)];
@@ -82,9 +84,12 @@
     );
     assert_eq!(send(&mut second_answer, 0), Some(Rule::NoSendAfterEnd));
 
-    let mut client_gone = monitor(IDEMPOTENT);
-    client_gone.input(&Input::ClientDisconnected(RequestId(1)), &settings());
-    assert_eq!(send(&mut client_gone, 0), Some(Rule::NoSendAfterEnd));
+    let mut client_disconnected = monitor(IDEMPOTENT);
+    client_disconnected.input(&Input::ClientDisconnected(RequestId(1)), &settings());
+    assert_eq!(
+        send(&mut client_disconnected, 0),
+        Some(Rule::NoSendAfterEnd)
+    );
 
     let mut draining = monitor(IDEMPOTENT);
     let nodes = vec![node(NODE, EndpointState::Draining, 0)];
--- a/crates/core/tests/invariants.rs
+++ b/crates/core/tests/invariants.rs
@@ -1,5 +1,5 @@
-//! A seeded property test: random requests, outcomes, endpoint lists and restarts, and an oracle
-//! for each of the seven rules that does not know how the module decides.
+//! A seeded property test: random requests, outcomes, endpoint lists and restarts, checked by an
+//! oracle for each of the seven rules that is independent of the decision module's logic.
 
 mod common;
 
@@ -8,10 +8,10 @@
 use common::*;
 use tulipbridge_core::*;
 
-/// An answer may be later than its deadline by this.
+/// The time by which an answer may exceed the client timeout of its request.
 const ANSWER_SLACK: Nanos = 8 * MS;
 
-/// An attempt with the outcome that it will have.
+/// An attempt, with the outcome and the end that were drawn for it when it was sent.
 struct Attempt {
     node: usize,
     sent_at: Nanos,
@@ -20,7 +20,7 @@
     ended: bool,
 }
 
-/// A request and its attempts.
+/// A request, its attempts and its answers.
 struct TrackedRequest {
     request: Request,
     at: Nanos,
@@ -31,6 +31,7 @@
 }
 
 impl TrackedRequest {
+    /// Returns the attempts that may have been executed, including those in flight.
     fn possibly_executed(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| {
             !attempt.ended
@@ -42,25 +43,25 @@
     }
 }
 
-/// Units at a time.
+/// Units of work that were sent or served at a time.
 #[derive(Clone, Copy)]
 struct TimedUnits {
     at: Nanos,
     units: f64,
 }
 
-/// The state of a server in the endpoint list.
+/// A server's entry in the endpoint list.
 #[derive(Clone, Copy)]
 struct ListEntry {
     state: EndpointState,
     started_at: Nanos,
 }
 
-/// The units that a server has served.
+/// The units that a server has served recently, and their peak.
 #[derive(Clone, Default)]
 struct ServedUnits {
     last_second: VecDeque<TimedUnits>,
-    /// The most units within a second so far.
+    /// The maximum number of units within a second so far.
     peak: f64,
 }
 
@@ -70,6 +71,7 @@
     updated_at: Nanos,
 }
 
+/// A front with random events, and the state of the oracles.
 struct Simulation {
     front: TestFront,
     settings: Settings,
@@ -157,7 +159,7 @@
                 let n = self.random.usize(0..NODES);
                 self.silent[n] = !self.silent[n];
             }
-            32 => self.random_client_leaves(),
+            32 => self.disconnect_random_client(),
             33 if self.random.u32(0..20) == 0 => self.restart(),
             _ => {}
         }
@@ -256,7 +258,7 @@
         node(id, self.listed[id].state, self.listed[id].started_at)
     }
 
-    fn random_client_leaves(&mut self) {
+    fn disconnect_random_client(&mut self) {
         let open: Vec<u64> = self
             .requests
             .iter()
@@ -346,7 +348,7 @@
     fn record_answer(&mut self, id: u64, rejected: bool) {
         let class = &self.settings.classes;
         let Some(tracked) = self.requests.get_mut(&id) else {
-            panic!("rule 1: an answer for an unknown request")
+            panic!("rule 1: answer to an unknown request")
         };
         assert!(!tracked.answered, "rule 1: request {id} answered twice");
         tracked.answered = true;
@@ -388,9 +390,12 @@
     fn record_send(&mut self, id: u64, at: usize) {
         let now = self.front.now;
         let Some(tracked) = self.requests.get(&id) else {
-            panic!("rule 1: sent for an unknown request")
+            panic!("rule 1: attempt sent for an unknown request")
         };
-        assert!(!tracked.answered, "rule 1: request {id} sent after its end");
+        assert!(
+            !tracked.answered,
+            "rule 1: request {id} sent after its answer"
+        );
         self.check_semantics(id, at);
         assert!(
             self.listed[at].state == EndpointState::Up,
@@ -459,7 +464,7 @@
                 };
                 assert!(
                     is_in_group && self.front.now <= attempt.sent_at + class.window,
-                    "rule 2: {id} outside group or window"
+                    "rule 2: request {id} sent outside its deduplication group or window"
                 );
             }
         }
@@ -471,7 +476,7 @@
         }
         assert!(
             tracked.attempts.len() < self.settings.max_attempts as usize,
-            "more attempts than allowed"
+            "request {id} has more attempts than allowed"
         );
     }
 
@@ -490,16 +495,17 @@
             .filter(|send| send.at >= since)
             .map(|send| send.units)
             .sum();
-        // The even part of what is always bearable, and what the rule allows of the capacity that
-        // the server has shown.
-        let even =
+        // This front's equal share of the units that any starting server tolerates, and the units
+        // that the rule allows for the capacity that the server has shown.
+        let equal_share =
             self.settings.warmup_units * (1.0 + 3.0 * age) / f64::from(self.settings.front_count);
-        let shown = self.settings.overload_factor * (0.25 + 0.75 * age) * self.served[at].peak;
-        // The largest request is an allowance for chance.
-        let most = even + shown + self.settings.max_units;
+        let from_observed_capacity =
+            self.settings.overload_factor * (0.25 + 0.75 * age) * self.served[at].peak;
+        // One request of the maximum size is allowed as random variation.
+        let limit = equal_share + from_observed_capacity + self.settings.max_units;
         assert!(
-            total <= most + 1e-9,
-            "rule 4: {total} of {most} units to a starting server"
+            total <= limit + 1e-9,
+            "rule 4: {total} units sent to a starting server, at most {limit} allowed"
         );
     }
 
@@ -510,14 +516,14 @@
             return;
         }
         let now = self.front.now;
-        let full = Bucket {
+        let full_bucket = Bucket {
             level: plan.limit_burst,
             updated_at: 100 * S,
         };
         let bucket = self
             .limit_buckets
             .entry(tracked.request.volume.0)
-            .or_insert(full);
+            .or_insert(full_bucket);
         let accrued = (now - bucket.updated_at) as f64 / 1e9 * plan.limit_rate;
         bucket.level = (bucket.level + accrued).min(plan.limit_burst) - tracked.request.units;
         bucket.updated_at = now;
@@ -540,13 +546,13 @@
             let open = !earlier.answered || earlier.attempts.iter().any(|attempt| !attempt.ended);
             assert!(
                 !(before && open),
-                "rule 6: {id} sent before {other} is settled"
+                "rule 6: request {id} sent before request {other} has ended"
             );
         }
-        let rest = self.settles_at.get(&key).copied().unwrap_or(0);
+        let settled_at = self.settles_at.get(&key).copied().unwrap_or(0);
         assert!(
-            self.front.now >= rest || !tracked.attempts.is_empty(),
-            "rule 6: key {key} sent before it has settled"
+            self.front.now >= settled_at || !tracked.attempts.is_empty(),
+            "rule 6: request {id} sent before key {key} has settled"
         );
     }
 
@@ -568,20 +574,23 @@
             .count() as f64;
         assert!(
             retries_sent <= budget.base_allowance + budget.ratio * requests_received,
-            "rule 7: {retries_sent} retries of {requests_received} requests"
+            "rule 7: {retries_sent} retries for {requests_received} requests"
         );
     }
 }
 
 #[test]
 fn all_seven_rules_hold_in_random_simulations() {
-    let mut sent = 0usize;
+    let mut submitted = 0usize;
     for seed in 0..24 {
         let mut simulation = Simulation::new(seed);
         for _ in 0..6000 {
             simulation.step();
         }
-        sent += simulation.next_id as usize;
+        submitted += simulation.next_id as usize;
     }
-    assert!(sent > 10_000, "the simulations must send requests");
+    assert!(
+        submitted > 10_000,
+        "the simulations must submit enough requests"
+    );
 }
