--- a/crates/core/tests/large_fleet.rs
+++ b/crates/core/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! What a front with thousands of servers does at each tick.
+//! The work of a tick on a front with thousands of servers.
 
 mod common;
 
--- a/crates/core/tests/maintenance.rs
+++ b/crates/core/tests/maintenance.rs
@@ -1,5 +1,5 @@
-//! Servers in maintenance: what the decision module gets instead of their listed state, and which
-//! calls fail.
+//! Servers in maintenance: the entries that the decision module gets in place of the listed ones,
+//! and the calls that fail.
 
 use std::collections::BTreeSet;
 
@@ -41,7 +41,7 @@
             .state,
         EndpointState::Draining
     );
-    // It leaves the list and returns with another node number: still in maintenance.
+    // A server that leaves the list and returns with another node number is still in maintenance.
     assert_eq!(
         maintenance
             .endpoint_listed(&key, entry(0, EndpointState::Removed, 0))
--- a/crates/core/tests/maintenance_changes.rs
+++ b/crates/core/tests/maintenance_changes.rs
@@ -1,4 +1,4 @@
-//! Changes to the servers in maintenance that wait to be written.
+//! Changes to the servers in maintenance that are not in the shared file yet.
 
 use std::collections::BTreeSet;
 
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -1,5 +1,6 @@
-//! Many fronts that share nothing before a few servers with bounded queues, which also serve work
-//! whose client has left and serve less the more is queued, while rejected clients retry.
+//! Overload of a few servers with bounded queues, to which many fronts that exchange nothing send
+//! requests. The servers also execute attempts that have timed out, and serve less the longer their
+//! queues are. Rejected clients retry.
 
 mod common;
 
@@ -8,11 +9,15 @@
 use common::*;
 use tulipbridge_core::*;
 
+/// The time between two steps of the simulation.
 const STEP: Nanos = 10 * MS;
 const FRONTS: usize = 60;
 const NODES: usize = 6;
+/// The maximum number of attempts in the queue of a server.
 const QUEUE_MAX: usize = 100;
+/// The work of a request; a server with a short queue does 20 in a step.
 const WORK_PER_REQUEST: f64 = 40.0;
+/// The maximum number of tries of a client, including the first one.
 const TRIES_MAX: u32 = 8;
 /// Requests per second that all servers together can serve.
 const CAPACITY: f64 = 300.0;
@@ -27,16 +32,18 @@
     abandoned: bool,
 }
 
-/// A client's try, due or made at a time.
+/// A try of a client, which submits one request to a front.
 #[derive(Clone, Copy)]
 struct ClientTry {
+    /// When the try is due or was made.
     at: Nanos,
     front: usize,
     shard: u32,
+    /// The first try of a client has number 1.
     number: u32,
 }
 
-/// The counts of one second.
+/// The clients' first tries and the timely answers within one second.
 #[derive(Clone, Copy, Default)]
 struct SecondCounts {
     first_tries: u32,
@@ -46,9 +53,11 @@
 struct Simulation {
     fronts: Vec<TestFront>,
     queues: Vec<VecDeque<Job>>,
+    /// The tries that are not made yet.
     tries: Vec<ClientTry>,
-    /// The client's try of each request, by its id.
+    /// The try that submitted each request, by request id.
     requests: Vec<ClientTry>,
+    /// The number of attempts sent for each request, by request id.
     attempts: Vec<u32>,
     random: fastrand::Rng,
     now: Nanos,
@@ -57,11 +66,11 @@
 
 impl Simulation {
     fn new(seed: u64) -> Simulation {
-        let mut set = settings();
-        set.front_count = FRONTS as u32;
-        set.plans[0].nominal_rate = 100.0;
+        let mut settings = settings();
+        settings.front_count = FRONTS as u32;
+        settings.plans[0].nominal_rate = 100.0;
         let fronts: Vec<TestFront> = (0..FRONTS)
-            .map(|i| TestFront::seeded(set.clone(), NODES, seed * 1000 + i as u64))
+            .map(|i| TestFront::seeded(settings.clone(), NODES, seed * 1000 + i as u64))
             .collect();
         let now = fronts[0].now;
         Simulation {
@@ -84,14 +93,14 @@
         &mut self.seconds[second]
     }
 
-    /// Advances by a step with this many first tries on average.
+    /// Advances by a step, in which clients make `first_tries` first tries on average.
     fn step(&mut self, first_tries: f64) {
         self.now += STEP;
         let count = first_tries as u32 + u32::from(self.random.f64() < first_tries.fract());
         self.current_second().first_tries += count;
         for _ in 0..count {
             let front = self.random.usize(0..FRONTS);
-            // The first server gets as many requests as two others.
+            // The first server gets twice as many requests as each of the others.
             let shard = self.random.usize(0..=NODES) % NODES;
             self.tries.push(ClientTry {
                 at: self.now,
@@ -122,7 +131,7 @@
         for front in 0..FRONTS {
             self.handle(front, Event::Timer(1));
         }
-        (0..NODES).for_each(|n| self.serve(n));
+        (0..NODES).for_each(|node| self.serve(node));
     }
 
     fn handle(&mut self, front: usize, event: Event) {
@@ -161,8 +170,8 @@
         }
     }
 
-    /// A rejected client tries again after the retry-after or a wait of its own, whichever is
-    /// longer.
+    /// Schedules the next try of a rejected client, if it has one left, after the retry-after or
+    /// after the client's own wait, whichever is longer.
     fn retry_client(&mut self, id: u64, retry_after: Nanos) {
         let last = self.requests[id as usize];
         if last.number < TRIES_MAX {
@@ -175,15 +184,15 @@
         }
     }
 
-    fn serve(&mut self, n: usize) {
-        let queued = self.queues[n].len() as f64;
+    fn serve(&mut self, node: usize) {
+        let queued = self.queues[node].len() as f64;
         let mut capacity = 20.0 / (1.0 + 0.1 * (queued / 2.0 - 5.0).max(0.0));
-        while let Some(mut job) = self.queues[n].pop_front() {
+        while let Some(mut job) = self.queues[node].pop_front() {
             let served_work = capacity.min(job.remaining_work);
             job.remaining_work -= served_work;
             capacity -= served_work;
             if job.remaining_work > 0.0 {
-                self.queues[n].push_front(job);
+                self.queues[node].push_front(job);
                 break;
             }
             if !job.abandoned {
@@ -193,20 +202,20 @@
                 }
                 self.handle(
                     job.front,
-                    ended(job.id, job.attempt, n, Outcome::Served, took, true),
+                    ended(job.id, job.attempt, node, Outcome::Served, took, true),
                 );
             }
         }
         let late = |j: &Job| !j.abandoned && self.now - j.sent_at >= S;
-        let overdue: Vec<usize> = (0..self.queues[n].len())
-            .filter(|i| late(&self.queues[n][*i]))
+        let overdue: Vec<usize> = (0..self.queues[node].len())
+            .filter(|i| late(&self.queues[node][*i]))
             .collect();
         for i in overdue {
-            let job = &mut self.queues[n][i];
+            let job = &mut self.queues[node][i];
             job.abandoned = true;
             let (front, event) = (
                 job.front,
-                ended(job.id, job.attempt, n, Outcome::TimedOut, S, true),
+                ended(job.id, job.attempt, node, Outcome::TimedOut, S, true),
             );
             self.handle(front, event);
         }
@@ -222,7 +231,7 @@
         self.queues.iter().map(VecDeque::len).sum()
     }
 
-    /// Timely answers over first tries, in the last seconds.
+    /// Returns the timely answers per first try in the last `seconds`.
     fn goodput_ratio(&self, seconds: usize) -> f64 {
         let recent = &self.seconds[self.seconds.len() - seconds..];
         let first_tries: u32 = recent.iter().map(|second| second.first_tries).sum();
@@ -231,14 +240,14 @@
     }
 }
 
-/// The means over several seeds.
+/// The means of the results of a scenario over several seeds.
 struct Means {
     goodput: f64,
-    /// Attempts in the servers' queues at the end.
+    /// The number of attempts in the servers' queues at the end.
     queued: usize,
 }
 
-/// Runs a scenario, which returns a goodput, with several seeds.
+/// Runs a scenario, which returns its goodput, with several seeds. Returns the means.
 fn mean_over_seeds(scenario: fn(&mut Simulation) -> f64) -> Means {
     const SEEDS: u64 = 3;
     let (mut goodput, mut queued) = (0.0, 0);
@@ -271,8 +280,9 @@
     );
 }
 
-/// Clients request three times the capacity, then half of it. The first server, with as many
-/// requests as two others, stays full longest: the others can recover five sevenths of the goodput.
+/// Clients request three times the capacity, then half of it. The first server, with twice as many
+/// requests as each of the others, has a full queue for longest: the others can recover five
+/// sevenths of the goodput.
 #[test]
 fn goodput_recovers_soon_after_an_overload() {
     let means = mean_over_seeds(|simulation| {
--- a/crates/core/tests/pacing.rs
+++ b/crates/core/tests/pacing.rs
@@ -1,13 +1,14 @@
-//! Pacing, a window below 1, keeps the requests of many fronts within what a server can queue. Few
-//! fronts with one request each need none, and it would only delay reads at a server with room.
+//! Pacing, by a window below 1, keeps the requests of many fronts within what a server can queue.
+//! A few fronts with one request each need no pacing: it would only delay reads at a server with
+//! spare capacity.
 
 mod common;
 
 use common::*;
 use tulipbridge_core::*;
 
-/// Server 0 answers quickly for a while, then slowly for long, so that its window shrinks to its
-/// minimum. Returns whether the next request after an answer is sent at once.
+/// Lets server 0 answer quickly for a while, then slowly for long enough to reduce its window
+/// to the minimum. Returns whether the next request after an answer is sent at once.
 fn next_request_is_sent_at_once(front_count: u32) -> bool {
     let mut settings = settings();
     settings.front_count = front_count;
@@ -23,7 +24,7 @@
             sent = sends(&front.advance(10 * MS));
         }
         id += 1;
-        // A request that is not sent within a second was rejected, as pacing holds it back.
+        // A request that is not sent within a second was rejected, because pacing delayed it.
         if sent == vec![(id - 1, 0)] {
             front.now += 400 * MS;
             front.end_attempt(id - 1, 0, 0, Outcome::Served, 400 * MS);
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, the choice of a server and the order of a key.
+//! The endpoint list, the choice of a server and the order of requests with the same key.
 
 mod common;
 
@@ -53,7 +53,7 @@
     }
     assert!(
         units > 0.0 && units <= 8.0,
-        "{units} units of 16 for two initiators"
+        "{units} of the 16 units for two fronts"
     );
 }
 
@@ -111,7 +111,7 @@
         !front
             .advance(5 * S / 10)
             .contains(&Action::Runtime(RuntimeCommand::ForgetNode(NodeId(0)))),
-        "one is in flight"
+        "one attempt is in flight"
     );
     front.end_attempt(100, 0, 0, Outcome::Served, 20 * MS);
     let actions = front.advance(5 * S);
@@ -131,9 +131,9 @@
         scope: UpdateScope::Unavailable,
         nodes: vec![],
     });
-    let asked = front.advance(S);
+    let actions = front.advance(S);
     assert_eq!(
-        asked
+        actions
             .iter()
             .filter(|a| **a == Action::Runtime(RuntimeCommand::Subscribe))
             .count(),
@@ -170,7 +170,7 @@
     front.event(ended(1, 0, 1, Outcome::TimedOut, 50 * MS, true));
     assert!(
         sends(&front.advance(40 * MS)).is_empty(),
-        "the key has not settled"
+        "the key is still blocked"
     );
     assert_eq!(sends(&front.advance(30 * MS)), vec![(2, 0)]);
 }
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries, and input that is not valid.
+//! Retries, invalid settings and invalid events.
 
 mod common;
 
@@ -34,7 +34,7 @@
     }
     assert!(
         (3..=4).contains(&retries),
-        "{retries} retries of 3 + 15% of 10"
+        "{retries} retries with a budget of 3 + 15% of 10 requests"
     );
 }
 
@@ -46,9 +46,9 @@
         |s| s.mean_units = 0.0,
         |s| s.front_count = 0,
     ];
-    for f in corruptions {
+    for corrupt in corruptions {
         let mut settings = settings();
-        f(&mut settings);
+        corrupt(&mut settings);
         assert!(Scheduler::new(settings, 1, 0).is_err());
     }
 }
--- a/crates/core/tests/send_permission.rs
+++ b/crates/core/tests/send_permission.rs
@@ -1,4 +1,4 @@
-//! Whether an attempt may begin to write.
+//! The check whether an attempt may start to write.
 
 use tulipbridge_core::send_permission::{check_send, SendConditions, SendDenied};
 use tulipbridge_core::Outcome;
@@ -22,14 +22,11 @@
         check_send(&withdrawn),
         Err(SendDenied::Withdrawn(Outcome::NotExecuted))
     );
-    let late_repeat = SendConditions {
+    let late_retry = SendConditions {
         begin_by: Some(10),
         ..ALLOWED
     };
-    assert_eq!(
-        check_send(&late_repeat),
-        Err(SendDenied::RetryWindowExpired)
-    );
+    assert_eq!(check_send(&late_retry), Err(SendDenied::RetryWindowExpired));
     let late = SendConditions {
         deadline: 10,
         ..ALLOWED
@@ -44,8 +41,8 @@
 
 #[test]
 fn refused_attempt_was_not_executed() {
-    for refusal in [SendDenied::RetryWindowExpired, SendDenied::DeadlineExceeded] {
-        assert_eq!(refusal.outcome(), Outcome::NotSent);
+    for denial in [SendDenied::RetryWindowExpired, SendDenied::DeadlineExceeded] {
+        assert_eq!(denial.outcome(), Outcome::NotSent);
     }
     assert!(!SendDenied::UnreadBytes.outcome().may_have_executed());
 }
--- a/crates/core/tests/server_start_times.rs
+++ b/crates/core/tests/server_start_times.rs
@@ -1,4 +1,4 @@
-//! Starts of servers under wall clocks that are wrong.
+//! The start times of servers when wall clocks are wrong.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 
 const SECOND: i64 = 1_000_000_000;
 const HOUR: i64 = 3_600 * SECOND;
-/// The true time at which this front started, in Unix time.
+/// The true Unix time at which this front started, in nanoseconds.
 const TRUE_TIME: i64 = 1_000_000 * SECOND;
 
 #[test]
@@ -29,7 +29,7 @@
     starts.listed(&"a", now, TRUE_TIME - 2 * HOUR);
     starts.confirmed(now);
     assert_eq!(starts.listed(&"a", now + SECOND, TRUE_TIME), now + SECOND);
-    // It stays so when it is listed again.
+    // The corrected start stays the same when the server is listed again.
     assert_eq!(
         starts.listed(&"a", now + 9 * SECOND, TRUE_TIME),
         now + SECOND
@@ -60,7 +60,7 @@
     starts.listed(&"a", TRUE_TIME, TRUE_TIME - SECOND);
     starts.list_replaced(&BTreeSet::new());
     starts.confirmed(TRUE_TIME + HOUR);
-    // After that, its start is new again.
+    // When the server is listed again, its start counts as new.
     let now = TRUE_TIME + HOUR + SECOND;
     assert_eq!(starts.listed(&"a", now, TRUE_TIME - SECOND), now);
 }
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -1,6 +1,6 @@
-//! Slow start with many fronts: together they stay below what a starting server bears, also after
-//! they have saved up budgets and a burst comes, and still use it. Virtual time, fixed seeds, a
-//! simple model of a server.
+//! Slow start with many fronts. Together they must not overload a starting server, even if a
+//! burst arrives after they have accumulated budgets, but must still use its capacity. The
+//! simulations run in virtual time with fixed seeds and a simple model of a server.
 
 mod common;
 
@@ -14,7 +14,7 @@
 const FULL_CAPACITY: f64 = 80.0;
 const NODES: usize = 12;
 
-fn site(front_count: usize) -> Settings {
+fn site_settings(front_count: usize) -> Settings {
     let mut settings = settings();
     settings.front_count = front_count as u32;
     settings.warmup_floor = 0.18;
@@ -22,13 +22,14 @@
     settings.overload_span = 2 * S;
     settings.overload_factor = 2.0;
     settings.mean_units = 2.0;
-    // What any starting server of the site bears, by the slowest machines.
+    // What a starting server on the slowest machines of the site tolerates.
     settings.warmup_units = 11.0;
     settings
 }
 
-/// Requests of mean work that a server of this age bears in the overload span.
-fn bearable_requests(settings: &Settings, age: Nanos) -> f64 {
+/// Returns the number of requests of mean size that a server of this age tolerates within the
+/// overload span.
+fn tolerated_requests(settings: &Settings, age: Nanos) -> f64 {
     let progress = (age as f64 / settings.warmup_duration as f64).min(1.0);
     let warm_fraction = settings.warmup_floor + (1.0 - settings.warmup_floor) * progress;
     settings.overload_factor * warm_fraction * FULL_CAPACITY * settings.overload_span as f64
@@ -42,38 +43,39 @@
     attempt: FleetSend,
 }
 
-/// What a starting server got in its first ten seconds.
+/// The load on a starting server in its first ten seconds.
 struct StartLoad {
-    /// The largest sum in a span over what is bearable, with an allowance for chance.
+    /// The maximum ratio of the requests in an overload span to those tolerated, which include an
+    /// allowance for chance.
     peak: f64,
     requests: usize,
 }
 
-/// A fleet of which one server is replaced by one that starts.
-struct StartingServer {
+/// A fleet in which one server is replaced by one that has just started.
+struct ServerReplacement {
     front_count: usize,
     settings: Settings,
     random: fastrand::Rng,
     fleet: Fleet,
-    /// In the order of their answers.
+    /// The attempts in flight, in the order of their answers.
     in_flight: VecDeque<InFlight>,
-    /// When requests were sent to the starting server, within the overload span.
+    /// When requests were sent to the starting server within the last overload span.
     recent_sends: VecDeque<Nanos>,
     load: StartLoad,
     next_id: u64,
-    /// Requests that have come and were not submitted yet.
+    /// Requests that have arrived but are not submitted yet.
     due_requests: f64,
-    /// The starting server answers in order: when it will have served all it has.
+    /// When the starting server, which answers in order, will have served all its requests.
     idle_at: Nanos,
 }
 
-impl StartingServer {
+impl ServerReplacement {
     const STARTED_AT: Nanos = 110 * S;
 
-    fn new(front_count: usize, seed: u64) -> StartingServer {
-        let settings = site(front_count);
+    fn new(front_count: usize, seed: u64) -> ServerReplacement {
+        let settings = site_settings(front_count);
         let seeds = (0..front_count as u64).map(|i| seed * 1000 + i);
-        StartingServer {
+        ServerReplacement {
             front_count,
             random: fastrand::Rng::with_seed(seed),
             fleet: Fleet::new(&settings, NODES, seeds),
@@ -130,8 +132,8 @@
         sent
     }
 
-    /// Half of the warm capacity is used; four seconds after the start five times as much comes at
-    /// once.
+    /// Submits the requests of a step, which use half of the warm capacity. In a burst, from four
+    /// to six seconds after the start, there are five times as many.
     fn submit_due_requests(&mut self) -> Vec<FleetSend> {
         let burst = Self::STARTED_AT + 4 * S..Self::STARTED_AT + 6 * S;
         let is_burst = burst.contains(&self.fleet.now);
@@ -156,9 +158,9 @@
         if attempt.node == NODES {
             self.load.requests += 1;
             self.recent_sends.push_back(now);
-            let bearable = bearable_requests(&self.settings, now - Self::STARTED_AT);
+            let tolerated = tolerated_requests(&self.settings, now - Self::STARTED_AT);
             let span = self.settings.overload_span as f64;
-            let rate = bearable / self.settings.overload_factor / span;
+            let rate = tolerated / self.settings.overload_factor / span;
             self.idle_at = self.idle_at.max(now) + (1.0 / rate) as Nanos;
             answered_at = answered_at.max(self.idle_at);
         }
@@ -178,8 +180,8 @@
         let span = self.settings.overload_span;
         self.recent_sends.retain(|at| *at > now - span);
         if now > Self::STARTED_AT {
-            let bearable = bearable_requests(&self.settings, now - Self::STARTED_AT);
-            let allowed = bearable + 2.0 * bearable.sqrt() + 2.0;
+            let tolerated = tolerated_requests(&self.settings, now - Self::STARTED_AT);
+            let allowed = tolerated + 2.0 * tolerated.sqrt() + 2.0;
             let ratio = self.recent_sends.len() as f64 / allowed;
             self.load.peak = self.load.peak.max(ratio);
         }
@@ -187,8 +189,8 @@
 }
 
 fn simulate_start(front_count: usize, seed: u64) -> StartLoad {
-    let mut run = StartingServer::new(front_count, seed);
-    while run.fleet.now < StartingServer::STARTED_AT + 10 * S {
+    let mut run = ServerReplacement::new(front_count, seed);
+    while run.fleet.now < ServerReplacement::STARTED_AT + 10 * S {
         run.step();
     }
     run.load
@@ -202,11 +204,12 @@
         let (median, worst) = (loads[5].peak, loads[9].peak);
         let requests = loads.iter().map(|load| load.requests).min().unwrap_or(0);
         println!(
-            "{fronts} fronts: median {median:.2}, worst {worst:.2} of what is bearable; {requests} requests"
+            "{fronts} fronts: median {median:.2}, worst {worst:.2} of the tolerated load; \
+             {requests} requests"
         );
         assert!(
             worst <= 1.0,
-            "{fronts} fronts: {worst:.2} of what a starting server bears"
+            "{fronts} fronts: {worst:.2} of what a starting server tolerates"
         );
         assert!(
             requests > 100,
@@ -215,7 +218,7 @@
     }
 }
 
-/// Two hundred fronts before one server that restarts, which answers in order.
+/// Two hundred fronts and one server, which answers in order and restarts.
 struct Restart {
     settings: Settings,
     fleet: Fleet,
@@ -224,7 +227,7 @@
     sent_at: BTreeMap<u64, Nanos>,
     in_flight: VecDeque<(Nanos, FleetSend)>,
     idle_at: Nanos,
-    /// The times of sends within the overload span.
+    /// When requests were sent within the last overload span.
     recent: VecDeque<Nanos>,
     units_while_starting: f64,
 }
@@ -263,7 +266,7 @@
         0.2 + 0.8 * (age / self.settings.warmup_duration as f64).min(1.0)
     }
 
-    /// Advances by a step with at most one request and one answer.
+    /// Advances by a step with at most one new request and one answer.
     fn step(&mut self) {
         self.fleet.step();
         let now = self.fleet.now;
@@ -318,7 +321,7 @@
 
     fn check_overload(&self) {
         let age = (self.fleet.now - Self::STARTED_AT) as f64 / self.settings.warmup_duration as f64;
-        let bearable = self.settings.overload_factor * (0.2 + 0.8 * age) * Self::CAPACITY;
+        let tolerated = self.settings.overload_factor * (0.2 + 0.8 * age) * Self::CAPACITY;
         let since_start = self
             .recent
             .iter()
@@ -326,18 +329,19 @@
             .count();
         let units = since_start as f64 * Self::UNITS_PER_REQUEST;
         assert!(
-            units <= bearable,
-            "rule 4: {units} units in a span, {bearable} are bearable"
+            units <= tolerated,
+            "rule 4: {units} units in a span, {tolerated} are tolerated"
         );
     }
 }
 
-/// Hundreds of fronts that share nothing before one server that restarts: together they stay below
-/// what a starting server bears in every span, and it still gets requests before it is warm.
+/// Hundreds of fronts that exchange nothing send requests to one server that restarts. Together
+/// they must not exceed what it tolerates in any overload span, but it must get requests before it
+/// is warm.
 #[test]
 fn hundreds_of_fronts_do_not_overload_a_restarted_server_and_still_use_it() {
     let mut restart = Restart::new();
-    // 50 requests of 2 units per second in all, which is the capacity of the warm server.
+    // The fronts get 50 requests of 2 units per second in all, the capacity of the warm server.
     while restart.fleet.now < 150 * S {
         restart.step();
         if restart.fleet.now >= Restart::STARTED_AT {
--- a/crates/core/tests/stall_detector.rs
+++ b/crates/core/tests/stall_detector.rs
@@ -1,4 +1,4 @@
-//! Arrivals of requests around a time in which the process was held up.
+//! The earliest arrival times of requests that are read after the process was stalled.
 
 use tulipbridge_core::stall_detector::{StallDetector, CATCH_UP_TIME, MIN_STALL};
 
--- a/crates/core/tests/startup_readiness.rs
+++ b/crates/core/tests/startup_readiness.rs
@@ -1,4 +1,4 @@
-//! When a starting front is ready.
+//! When a starting front reports that it is ready.
 
 use tulipbridge_core::startup_readiness::{
     StartupReadiness, CONFIRMED_BY_SILENCE_AFTER, MAX_STARTUP_WAIT, MAX_STARTUP_WAIT_WITH_AGENT,
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn unreachable_discovery_does_not_delay_a_front_and_a_crowded_one_does() {
+fn unreachable_discovery_does_not_delay_a_front_and_an_overloaded_one_does() {
     let mut readiness = StartupReadiness::new(0, true);
     readiness.call_failed(UNREACHABLE_WITHIN);
     assert!(!readiness.is_ready(UNREACHABLE_WITHIN));
