--- a/src/object/answer.rs
+++ b/src/object/answer.rs
@@ -1,4 +1,4 @@
-//! Interpreting chunk servers' answers.
+//! Conversion of chunk servers' answers into successes and errors of the object API.
 
 use hyper::header::{HeaderValue, CONTENT_RANGE};
 use hyper::StatusCode;
@@ -8,7 +8,7 @@
 use super::xml;
 use crate::upstream::Answer;
 
-/// What does not exist where a chunk server answers 404 without a code of its own.
+/// What a chunk server's 404 without an error code refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NotFound {
     Key,
@@ -16,7 +16,7 @@
 }
 
 impl NotFound {
-    /// The code of the API.
+    /// Returns the error code of the API.
     fn code(self) -> &'static str {
         match self {
             NotFound::Key => "NoSuchKey",
@@ -33,10 +33,10 @@
 }
 
 impl Answer {
-    /// The answer where it is a success.
+    /// Returns the answer if its status is a success.
     ///
     /// # Errors
-    /// The error that the chunk server found. `not_found` is what a 404 without a code means.
+    /// The error that the chunk server reports. `not_found` selects the code for a 404 without one.
     pub(super) fn into_success(self, not_found: NotFound) -> Result<Answer, ApiError> {
         if self.status.is_success() {
             return Ok(self);
@@ -65,8 +65,8 @@
         })
     }
 
-    /// An error in the request. The code is that of the chunk server's error document, or else
-    /// `default_code`.
+    /// Creates an error in the request, with the code of the chunk server's error document, or with
+    /// `default_code` if the answer contains no such document.
     fn request_error(
         &self,
         status: StatusCode,
@@ -82,13 +82,13 @@
         }
     }
 
-    /// The size of the object in `Content-Range: bytes */SIZE`.
+    /// Returns the size of the object from `Content-Range: bytes */SIZE`, if the answer has it.
     fn unsatisfied_size(&self) -> Option<u64> {
         let range = self.headers.get(CONTENT_RANGE)?.to_str().ok()?;
         range.trim().strip_prefix("bytes */")?.parse().ok()
     }
 
-    /// The version id for clients: the shard and the chunk server's own id.
+    /// Returns the version id for clients: the shard, and the id that the chunk server assigned.
     pub(super) fn version_id(&self) -> Result<HeaderValue, ApiError> {
         let own = self
             .headers
--- a/src/object/complete_upload.rs
+++ b/src/object/complete_upload.rs
@@ -1,4 +1,4 @@
-//! Completing multipart uploads, each at most once.
+//! Completion of multipart uploads, at most once each.
 
 use bytes::Bytes;
 use hyper::header::ETAG;
@@ -16,18 +16,21 @@
 use crate::frontend::replies::Reply;
 use crate::upstream::Answer;
 
-/// A chunk server's state of an upload.
+/// The state of an upload, as its shard reports it.
 enum UploadState {
+    /// The upload exists and is not completed.
     Open,
-    /// The object exists; this is the answer to a HEAD request for it.
+    /// The upload has created the object; contains the answer to a HEAD request for it.
     Completed(Box<Answer>),
+    /// Neither the upload nor an object that it created exists.
     Unknown,
 }
 
 impl Uploads {
-    /// CompleteMultipartUpload, at most once for each upload. The state of the upload is read
-    /// first, since a completion through another front may have an unknown outcome. One through
-    /// this front whose outcome is unknown delays the next until it can no longer be executed.
+    /// Executes CompleteMultipartUpload, at most once for each upload. Reads the state of the
+    /// upload first, since a completion through another front may have had an unknown outcome.
+    /// After a completion of unknown outcome through this front, the next one is rejected until the
+    /// earlier one can no longer be executed.
     pub(super) async fn complete(
         &self,
         request: ObjectRequest,
@@ -43,8 +46,8 @@
             Ok(UploadState::Open) => {}
             Err(error) => return Err(error.of_read(deadline)),
         }
-        // A chunk server may still execute what it received in time, so the claim lasts twice the
-        // deadline.
+        // A chunk server may still execute a request that it received before the deadline, so the
+        // claim lasts for twice the deadline.
         let claim = self
             .pending_completions
             .claim(&upload.text, request.deadline + deadline)?;
@@ -66,8 +69,8 @@
         }
     }
 
-    /// The response to a completion by the chunk server's answer. Where that is an error, another
-    /// front may have completed the upload meanwhile, so the state of the upload is read again.
+    /// Builds the response to a completion from the chunk server's answer. If that is an error,
+    /// another front may have completed the upload meanwhile, so its state is read again.
     async fn completion_reply(
         &self,
         request: &ObjectRequest,
@@ -88,8 +91,9 @@
         }
     }
 
-    /// The response to a completion of unknown outcome: a success where the upload turns out to be
-    /// completed. Otherwise the completion may still be executed, and its claim remains.
+    /// Builds the response to a completion of unknown outcome: a success if the state of the upload
+    /// shows that it is completed. Otherwise the completion may still be executed, so its claim
+    /// remains.
     async fn resolve_outcome(
         &self,
         request: &ObjectRequest,
@@ -105,8 +109,8 @@
         }
     }
 
-    /// Reads the state of an upload from its chunk server: it is open while its parts can be
-    /// listed, and completed where the object has its token.
+    /// Reads the state of an upload from its shard: it is open while its parts can be listed, and
+    /// completed if the object has its token.
     async fn state(
         &self,
         request: &ObjectRequest,
@@ -132,7 +136,7 @@
     }
 }
 
-/// Checks the list of parts in a request to complete an upload.
+/// Checks that a request to complete an upload lists parts, in ascending order of their numbers.
 fn check_parts(body: &[u8]) -> Result<(), ApiError> {
     let list: xml::CompleteMultipartUpload = xml::read(body).ok_or_else(malformed_list)?;
     if list.parts.is_empty() {
@@ -152,7 +156,7 @@
     Ok(())
 }
 
-/// The error for a list of parts that is no such document, or names no part.
+/// Creates the error for a list of parts that is malformed or empty.
 fn malformed_list() -> ApiError {
     ApiError::request(
         StatusCode::BAD_REQUEST,
@@ -161,14 +165,14 @@
     )
 }
 
-/// Whether an object was made by the upload with this token.
+/// Returns whether an object was created by the upload with this token.
 fn has_token(head: &Answer, token: &str) -> bool {
     head.headers
         .get(UPLOAD_TOKEN)
         .is_some_and(|value| value == token)
 }
 
-/// The response to a completion whose object exists already.
+/// Builds the response to a completion whose object exists already.
 fn completed_reply(request: &ObjectRequest, head: &Answer) -> Result<Reply, ApiError> {
     let etag = head
         .headers
@@ -178,7 +182,8 @@
     completion_document(request, etag.to_owned(), head)
 }
 
-/// The response to a completion. `answer` is one about the object, and names its version.
+/// Builds the response to a successful completion. `answer` is a chunk server's answer about the
+/// object, with its version id.
 fn completion_document(
     request: &ObjectRequest,
     etag: String,
--- a/src/object/config.rs
+++ b/src/object/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of an object front: that of any front, and the buckets it serves.
+//! The configuration of an object front: the keys common to all fronts, and the buckets it serves.
 
 use std::collections::{BTreeMap, HashMap};
 use std::path::Path;
@@ -11,12 +11,12 @@
 use crate::config::values::{number, positive_or, text, HexNumber};
 use crate::control::json_object::{self, JsonObjectError};
 
-/// The size of a unit of work, in bytes, unless the bucket has one.
+/// The default size of a unit of work, in bytes, for buckets that set none.
 const DEFAULT_UNIT_BYTES: f64 = 16.0 * 1024.0;
-/// The number of fronts through which a bucket's requests arrive, unless the bucket has one.
+/// The default number of fronts through which a bucket's requests arrive.
 const DEFAULT_FRONTS: f64 = 1.0;
 
-/// Why the configuration of an object front cannot be used.
+/// An error in reading the configuration of an object front.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file cannot be read.
@@ -24,7 +24,7 @@
     Unreadable {
         /// The path of the file.
         path: String,
-        /// The system's reason.
+        /// The error that the operating system reports.
         source: std::io::Error,
     },
     /// The content of the file is invalid.
@@ -35,7 +35,7 @@
         /// What is wrong with the content.
         source: Box<ConfigError>,
     },
-    /// The part that any front has is invalid.
+    /// The part that is common to all fronts is invalid.
     #[error(transparent)]
     Base(#[from] config::error::ConfigError),
     /// A value is missing or invalid.
@@ -51,51 +51,51 @@
     },
 }
 
-/// Why a bucket cannot be served.
+/// An error in the declaration of a bucket.
 #[derive(Debug, thiserror::Error)]
 pub enum BucketError {
     /// A value is missing or invalid.
     #[error(transparent)]
     Value(#[from] JsonObjectError),
-    /// The class or plan is not among those of the settings.
+    /// The settings contain no class or plan of this name.
     #[error("'{key}' {name} is not in the settings")]
     NotInSettings {
-        /// The key of the bucket that names it.
+        /// The key of the bucket whose value is the name.
         key: String,
-        /// Its name.
+        /// The name of the class or plan.
         name: String,
     },
-    /// The class for writes allows them to be repeated, which could store an object twice.
+    /// The class for writes is idempotent: a repeated write could store an object twice.
     #[error("the class in 'write' may be repeated, and writes must not be")]
     RepeatableWrites,
-    /// The class for reads does not allow them to be repeated.
+    /// The class for reads is not idempotent, so that reads could not be repeated.
     #[error("the class in 'read' must be one that may be repeated")]
     UnrepeatableReads,
 }
 
 /// The configuration of an object front.
 pub struct Config {
-    /// What any front has; `listen` is the address of this front's object API.
+    /// The configuration common to all fronts; `listen` is the address of the object API.
     pub base: config::Config,
-    /// The buckets by their names.
+    /// The buckets by name.
     pub buckets: HashMap<String, Bucket>,
 }
 
-/// How requests to a bucket are scheduled.
+/// A bucket, with the parameters by which requests to it are scheduled.
 #[derive(Clone, Debug)]
 pub struct Bucket {
-    /// The volume that the bucket's requests count towards.
+    /// The id of the volume to which the bucket's requests are counted.
     pub volume: u64,
-    /// The number of its plan.
+    /// The index of its plan in the settings.
     pub plan: usize,
-    /// The number of the class for requests that may be repeated: reads, and deletions, which are
+    /// The index of the class for requests that may be repeated: reads, and deletions, which are
     /// idempotent.
     pub read_class: usize,
-    /// The number of the class for requests that must not run twice.
+    /// The index of the class for requests that must not be executed twice.
     pub write_class: usize,
     /// The size of a unit of work, in bytes.
     pub unit_bytes: f64,
-    /// The number of fronts through which its requests come.
+    /// The number of fronts through which its requests arrive.
     pub front_count: u32,
 }
 
@@ -121,9 +121,9 @@
     /// # Errors
     /// The first value that is missing or invalid.
     pub fn read(json: &[u8]) -> Result<Config, ConfigError> {
-        // The environment is for the platform's front only.
+        // Environment variables override the configuration of the platform's front only.
         let base = config::Config::read(json, |_| None)?;
-        // The parser decodes strings in place, so it needs a copy to write to.
+        // The parser decodes strings in place, so it needs a writable copy.
         let file: ObjectFile = json_object::parse(&mut json.to_vec())?;
         let mut buckets = HashMap::new();
         for (name, entry) in file.buckets {
@@ -136,14 +136,14 @@
     }
 }
 
-/// The part of the file that only an object front has.
+/// The part of the configuration file that is specific to object fronts.
 #[derive(Deserialize)]
 struct ObjectFile {
-    /// The buckets by their names; see [`BucketEntry`].
+    /// The buckets by name; each value is decoded as a [`BucketEntry`].
     buckets: BTreeMap<String, Value>,
 }
 
-/// A bucket as it is written in the file.
+/// A bucket as it is declared in the configuration file.
 #[derive(Deserialize)]
 struct BucketEntry {
     volume: HexNumber,
@@ -153,25 +153,25 @@
     /// The name of the class for requests that may be repeated.
     #[serde(rename = "read", deserialize_with = "text")]
     read_class: String,
-    /// The name of the class for requests that must not run twice.
+    /// The name of the class for requests that must not be executed twice.
     #[serde(rename = "write", deserialize_with = "text")]
     write_class: String,
-    /// The size of a unit of work, in bytes; 0 or less counts as missing.
+    /// The size of a unit of work, in bytes; 0 or less selects the default.
     #[serde(default, deserialize_with = "number")]
     unit_bytes: f64,
-    /// The number of fronts through which its requests come; 0 or less counts as missing.
+    /// The number of fronts through which its requests arrive; 0 or less selects the default.
     #[serde(rename = "hosts", default, deserialize_with = "number")]
     front_count: f64,
 }
 
 impl Bucket {
-    /// Reads a bucket whose class and plan are those of `base`.
+    /// Decodes a bucket, whose classes and plan must be among those of `base`.
     fn read(entry: Value, base: &config::Config) -> Result<Bucket, BucketError> {
         let entry: BucketEntry = json_object::decode(entry)?;
         let read_class = index_of(&entry.read_class, "read", &base.classes)?;
         let write_class = index_of(&entry.write_class, "write", &base.classes)?;
-        // A write repeated after an uncertain outcome could store twice; the settings must not
-        // allow it.
+        // A write repeated after an unknown outcome could store an object twice, so its class must
+        // not allow it.
         if base.settings.classes[write_class].semantics == Semantics::Idempotent {
             return Err(BucketError::RepeatableWrites);
         }
@@ -189,7 +189,7 @@
     }
 }
 
-/// The position in `names` of the `name` that was found under `key`.
+/// Returns the index in `names` of `name`, which is the value of the bucket's key `key`.
 fn index_of(name: &str, key: &str, names: &[String]) -> Result<usize, BucketError> {
     let position = names.iter().position(|other| other == name);
     position.ok_or_else(|| BucketError::NotInSettings {
--- a/src/object/delete.rs
+++ b/src/object/delete.rs
@@ -1,4 +1,4 @@
-//! Removing objects.
+//! The operation that deletes objects.
 
 use std::rc::Rc;
 
@@ -13,8 +13,8 @@
 use crate::frontend::replies::Reply;
 use crate::upstream::Answer;
 
-/// DeleteObject: one version, or all copies of the object. Deleting what does not exist is a
-/// success.
+/// Executes DeleteObject, for one version or for all copies of the object. Deleting an object that
+/// does not exist is a success.
 pub(super) async fn delete(
     client: &Rc<ServerClient>,
     request: ObjectRequest,
@@ -47,7 +47,8 @@
     check_deleted(answer.and_then(|answer| answer.into_success(NotFound::Key)))
 }
 
-/// Deletes the object at every shard: older copies would become visible once the latest is deleted.
+/// Deletes the object at every shard, since an older copy would become visible once the latest is
+/// deleted.
 async fn delete_all_copies(
     client: &Rc<ServerClient>,
     request: &ObjectRequest,
@@ -58,7 +59,7 @@
     Ok(())
 }
 
-/// Turns the error that the object does not exist into a success.
+/// Treats the error that the object does not exist as a success.
 fn check_deleted(result: Result<Answer, ApiError>) -> Result<(), ApiError> {
     match result {
         Ok(_) => Ok(()),
--- a/src/object/error.rs
+++ b/src/object/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the object API and their responses.
+//! Errors of the object API and the responses that report them.
 
 use std::time::Duration;
 
@@ -10,33 +10,33 @@
 use super::xml;
 use crate::frontend::replies::Reply;
 
-/// Why a request is not answered with a success.
+/// An outcome of a request other than success.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ApiError {
-    /// The request is at fault, by the front's check or the chunk server's answer.
+    /// The request was rejected as incorrect, by the front or by the chunk server.
     #[error("{message}")]
     Request {
         status: StatusCode,
-        /// Code of the API, such as `NoSuchKey`.
+        /// Error code of the API, such as `NoSuchKey`.
         code: String,
         message: &'static str,
     },
-    /// The range lies past the end of an object of this size, where it is known.
+    /// The range lies past the end of the object, whose size in bytes is given if it is known.
     #[error("The range lies past the end of the object.")]
     InvalidRange(Option<u64>),
-    /// The object is not modified; the headers are those of the chunk server's answer.
+    /// The object is not modified. Contains the headers of the chunk server's answer.
     #[error("The object is not modified.")]
     NotModified(HeaderMap),
     /// The request was not executed; the client may retry after this time.
     #[error("It has not run; try again later.")]
     SlowDown(Duration),
-    /// The request may have been executed.
+    /// The request may or may not have been executed.
     #[error("No answer came in time; it may have run.")]
     OutcomeUnknown,
 }
 
 impl ApiError {
-    /// An error in the request.
+    /// Creates an error in the request.
     pub fn request(status: StatusCode, code: &str, message: &'static str) -> ApiError {
         ApiError::Request {
             status,
@@ -45,17 +45,17 @@
         }
     }
 
-    /// 400 `InvalidArgument`.
+    /// Creates a 400 `InvalidArgument`.
     pub fn invalid_argument(message: &'static str) -> ApiError {
         ApiError::request(StatusCode::BAD_REQUEST, "InvalidArgument", message)
     }
 
-    /// 501 `NotImplemented`.
+    /// Creates a 501 `NotImplemented`.
     pub fn not_implemented(message: &'static str) -> ApiError {
         ApiError::request(StatusCode::NOT_IMPLEMENTED, "NotImplemented", message)
     }
 
-    /// 404 `NoSuchUpload`.
+    /// Creates a 404 `NoSuchUpload`.
     pub fn no_such_upload() -> ApiError {
         ApiError::request(
             StatusCode::NOT_FOUND,
@@ -64,7 +64,8 @@
         )
     }
 
-    /// The error for a request body that the listener rejected with `status`.
+    /// Creates the error for a request body that was rejected with `status`, by the listener or for
+    /// its length.
     pub fn rejected_body(status: StatusCode) -> ApiError {
         let (code, message) = match status {
             StatusCode::PAYLOAD_TOO_LARGE => {
@@ -76,7 +77,7 @@
         ApiError::request(StatusCode::BAD_REQUEST, code, message)
     }
 
-    /// Whether the error means that the object or upload does not exist.
+    /// Returns whether the error means that the object or upload does not exist.
     pub fn is_not_found(&self) -> bool {
         matches!(
             self,
@@ -87,8 +88,8 @@
         )
     }
 
-    /// The same error for a request that changes nothing: one whose outcome is unknown may simply
-    /// be retried, here after `retry_after`.
+    /// Converts the error of a request that changes nothing: one whose outcome is unknown can
+    /// safely be retried, after `retry_after`.
     pub fn of_read(self, retry_after: Duration) -> ApiError {
         match self {
             ApiError::OutcomeUnknown => ApiError::SlowDown(retry_after),
@@ -96,7 +97,7 @@
         }
     }
 
-    /// The status of the response.
+    /// Returns the status of the response.
     fn status(&self) -> StatusCode {
         match self {
             ApiError::Request { status, .. } => *status,
@@ -107,7 +108,7 @@
         }
     }
 
-    /// The code of the API.
+    /// Returns the error code of the API.
     fn code(&self) -> &str {
         match self {
             ApiError::Request { code, .. } => code,
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Adds the header that belongs to the error, if any.
+    /// Adds the size of the object or the delay before a retry, if the error contains one.
     fn add_header(&self, headers: &mut HeaderMap) {
         match self {
             ApiError::InvalidRange(Some(size)) => {
@@ -127,7 +128,7 @@
                 }
             }
             ApiError::SlowDown(retry_after) => {
-                // Clients of this API read integral seconds, and 0 would be no delay.
+                // Clients of this API expect whole seconds, and 0 would mean no delay.
                 let seconds = retry_after.as_secs_f64().ceil().max(1.0) as u64;
                 headers.insert(RETRY_AFTER, HeaderValue::from(seconds));
             }
@@ -135,8 +136,8 @@
         }
     }
 
-    /// The response to a request for `resource` with the id `request_id`. A response to HEAD has no
-    /// body.
+    /// Converts the error into the response to the request `request_id` for the path `resource`. A
+    /// response to HEAD has no body.
     pub fn into_reply(self, resource: &str, request_id: &str, is_head: bool) -> Reply {
         if let ApiError::NotModified(answer_headers) = &self {
             return not_modified(answer_headers);
@@ -157,7 +158,7 @@
     }
 }
 
-/// 304 with the entity tag of the chunk server's answer.
+/// Creates a 304 response with the entity tag of the chunk server's answer.
 fn not_modified(answer_headers: &HeaderMap) -> Reply {
     let mut reply = empty(StatusCode::NOT_MODIFIED);
     copy_header(answer_headers, &ETAG, reply.headers_mut());
--- a/src/object/front.rs
+++ b/src/object/front.rs
@@ -1,4 +1,4 @@
-//! The handler of the object API: dispatch by operation.
+//! The request handler of the object API, which dispatches requests to the operations.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,10 +22,10 @@
 use crate::limits::MAX_BODY;
 use crate::upstream::Upstream;
 
-/// Header with the id of a request, which differs for each and is in the error document too.
+/// Header with the random id of the request, which an error document contains too.
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-amz-request-id");
 
-/// The handler for the object API.
+/// The request handler of an object front.
 pub struct ObjectFront {
     client: Rc<ServerClient>,
     parser: RequestParser,
@@ -61,7 +61,8 @@
 }
 
 impl ObjectFront {
-    /// A front on an exchange. `readiness` is what the health check reports.
+    /// Creates a front that sends its requests through `exchange`. `readiness` is reported by the
+    /// health check.
     pub fn new(
         exchange: Rc<Exchange<Upstream>>,
         config: Config,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Carries out the operation that a request selects.
+    /// Executes the operation that a request selects.
     async fn serve(&self, request: ReceivedRequest) -> Result<Reply, ApiError> {
         let (head_parts, body) = request.into_parts();
         let body = body
@@ -100,7 +101,7 @@
     }
 }
 
-/// Bodies of the object API are at most as long as one chunk; larger objects are uploaded in parts.
+/// Rejects bodies of more than [`MAX_BODY`] bytes; larger objects must be uploaded in parts.
 fn check_length(body: Bytes) -> Result<Bytes, StatusCode> {
     if body.len() > MAX_BODY {
         Err(StatusCode::PAYLOAD_TOO_LARGE)
--- a/src/object/get.rs
+++ b/src/object/get.rs
@@ -1,4 +1,4 @@
-//! Reading objects: GetObject with ranges, and HeadObject.
+//! Operations that read objects: GetObject with byte ranges, and HeadObject.
 
 use std::ops::Range;
 use std::rc::Rc;
@@ -16,8 +16,8 @@
 use crate::frontend::replies::Reply;
 use crate::upstream::Answer;
 
-/// Headers of a chunk server's answer that describe an object, besides those with metadata of the
-/// user.
+/// Headers of a chunk server's answer that describe an object, besides those with user-defined
+/// metadata.
 const DESCRIBING_HEADERS: [&str; 8] = [
     "content-type",
     "cache-control",
@@ -29,7 +29,7 @@
     "last-modified",
 ];
 
-/// HeadObject.
+/// Executes HeadObject.
 pub(super) async fn head(
     client: &Rc<ServerClient>,
     request: ObjectRequest,
@@ -42,7 +42,7 @@
     Ok(reply)
 }
 
-/// GetObject. An object larger than one piece is streamed.
+/// Executes GetObject. A selected range larger than one piece is streamed.
 pub(super) async fn get(
     client: &Rc<ServerClient>,
     request: ObjectRequest,
@@ -52,7 +52,7 @@
     let piece = read.first_piece(requested).await?;
     let size = piece.range.size;
     let selected = selected_bytes(requested, size)?;
-    // A chunk server that returned another range than the one requested cannot be used.
+    // An answer with another range than the requested one cannot be used.
     let received = &piece.range.bytes;
     if received.start != selected.start || received.end > selected.end {
         return Err(ApiError::OutcomeUnknown);
@@ -78,7 +78,7 @@
     Ok(reply)
 }
 
-/// The bytes of an object of this size that a request selects.
+/// Returns the positions that a request selects in an object of `size` bytes.
 fn selected_bytes(requested: Option<ByteRange>, size: u64) -> Result<Range<u64>, ApiError> {
     match requested {
         Some(range) => range.within(size).ok_or(ApiError::InvalidRange(Some(size))),
@@ -86,14 +86,14 @@
     }
 }
 
-/// The value of `Content-Range` for these bytes of an object of this size.
+/// Returns the value of `Content-Range` for `bytes` of an object of `size` bytes.
 fn content_range(bytes: &Range<u64>, size: u64) -> Result<HeaderValue, ApiError> {
     let range = format!("bytes {}-{}/{size}", bytes.start, bytes.end - 1);
     HeaderValue::try_from(range).map_err(|_| ApiError::OutcomeUnknown)
 }
 
-/// Adds the headers that describe an object. A chunk server that does not name the version has read
-/// the one that was requested.
+/// Adds the headers that describe an object. If the answer does not name the version, it is the one
+/// that the client requested, if any.
 fn describe(
     answer: &Answer,
     requested: Option<HeaderValue>,
--- a/src/object/locate.rs
+++ b/src/object/locate.rs
@@ -1,4 +1,4 @@
-//! Finding the shard that stores an object.
+//! Lookup of the shard that stores an object.
 
 use std::rc::Rc;
 use std::time::SystemTime;
@@ -13,20 +13,21 @@
 use super::server_client::ServerClient;
 use crate::upstream::Answer;
 
-/// Where an object is read from.
+/// The shard and version that an object is read from.
 pub(super) struct ReadSource {
     pub shard: ShardId,
-    /// Query that names the version; empty for the latest.
+    /// Query that names the version to the chunk server; empty for the latest version.
     pub query: String,
-    /// The version id as the client gave it.
+    /// Version id that the client sent, if any.
     pub version_id: Option<HeaderValue>,
 }
 
-/// The shard and version that a request reads. All shards are asked where it names no version.
+/// Returns the shard and version that a request reads. Asks all shards if the request names no
+/// version.
 ///
 /// # Errors
-/// `NoSuchKey` where no shard has the object, [`ApiError::SlowDown`] where one that may have it
-/// did not answer.
+/// `NoSuchKey` if no shard has the object, [`ApiError::SlowDown`] if a shard that may have it did
+/// not answer.
 pub(super) async fn locate(
     client: &Rc<ServerClient>,
     request: &ObjectRequest,
@@ -53,7 +54,7 @@
     client: &Rc<ServerClient>,
     request: &ObjectRequest,
 ) -> Result<ShardId, ApiError> {
-    // Between copies of one time, that of the higher shard counts.
+    // Of several copies with the same time, that of the highest shard is read.
     let mut latest: Option<(SystemTime, ShardId)> = None;
     let mut failure = None;
     for answer in client.send_to_all_shards(request, Method::HEAD).await {
@@ -66,7 +67,7 @@
     if let Some((_, shard)) = latest {
         return Ok(shard);
     }
-    // The object may be at a shard that did not answer.
+    // A shard that failed to answer may have the object.
     if let Some(error) = failure {
         return Err(error.of_read(client.deadline(request.bucket.read_class)));
     }
@@ -77,7 +78,7 @@
     ))
 }
 
-/// When an object was modified; the Unix epoch where the answer has no date.
+/// Returns when an object was modified: the Unix epoch if the answer has no valid date.
 fn modified_at(answer: &Answer) -> SystemTime {
     let value = answer
         .headers
--- a/src/object/mod.rs
+++ b/src/object/mod.rs
@@ -1,10 +1,10 @@
-//! The object API's front: objects with ranges and multipart uploads over HTTP, on the same
-//! exchange and so under the same decisions as the platform's front. It speaks the same API to the
-//! chunk servers.
+//! The front of the object API, which serves objects with byte ranges and multipart uploads over
+//! HTTP. Its requests go through the same exchange, and so through the same decision module, as
+//! those of the platform's front. Chunk servers are accessed by the same API.
 //!
 //! Fronts share no state about objects, so every id that a client sends back contains the shard: a
-//! version id is `SHARD.VERSION` and an upload id `SHARD.TOKEN.UPLOAD`, with the chunk server's own
-//! id at the end.
+//! version id is `SHARD.VERSION` and an upload id `SHARD.TOKEN.UPLOAD`, where the last part is the
+//! id that the chunk server assigned.
 
 mod answer;
 mod complete_upload;
@@ -45,30 +45,31 @@
 pub use config::{Bucket, BucketError, Config, ConfigError};
 pub use front::ObjectFront;
 
-/// Why an object front cannot start, or cannot change to a new configuration.
+/// An error that keeps an object front from starting, or from applying a new configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ObjectFrontError {
-    /// The configuration cannot be used.
+    /// The configuration cannot be read or is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// A part of the front cannot start.
+    /// A component of the front cannot start.
     #[error(transparent)]
     Front(#[from] FrontError),
     /// The runtime cannot start, or a signal cannot be handled.
     #[error(transparent)]
     Runtime(#[from] RuntimeError),
-    /// The address for clients cannot be used.
+    /// The front cannot listen on its address for clients.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// The section on peers changes what only a restart can change.
+    /// The reloaded section `peers` changes a value that takes a restart.
     #[error(transparent)]
     Peers(#[from] ReloadError),
 }
 
-/// The front's peers: none before they have joined, and where the configuration names none.
+/// The front's peers: `None` until the front is assembled, or where the configuration has no peers.
+/// Shared with the callback that reloads the configuration.
 type SharedPeers = Rc<RefCell<Option<Rc<Peers>>>>;
 
-/// Runs an object front on one thread, until SIGTERM or SIGINT.
+/// Runs an object front on one thread until SIGTERM or SIGINT.
 ///
 /// # Errors
 /// The configuration is invalid, or the system lacks a resource that the front needs.
@@ -77,13 +78,13 @@
     on_one_thread(serve(config, file.to_owned()))
 }
 
-/// Assembles the parts of a front and serves until the signal to shut down.
+/// Assembles the components of a front and serves until the signal to shut down.
 async fn serve(config: Config, file: PathBuf) -> Result<(), ObjectFrontError> {
     let shutdown = shutdown_signal()?;
     let peers = SharedPeers::default();
-    let joined = Rc::clone(&peers);
+    let reload_peers = Rc::clone(&peers);
     let discovery_address =
-        watch_discovery_address(config.base.discovery, move || reload(&file, &joined))?;
+        watch_discovery_address(config.base.discovery, move || reload(&file, &reload_peers))?;
     config.base.settings.check().map_err(FrontError::from)?;
     wait_until_readable(state_folder().as_deref(), &config.base.name).await;
     let listener = listen(config.base.listen).await?;
@@ -94,8 +95,8 @@
     Ok(())
 }
 
-/// Reads the configuration again. The peers take over their section of it, and the caller the
-/// address of discovery.
+/// Reads the configuration file again, applies its section `peers` to the running peers, and
+/// returns the address of discovery.
 fn reload(file: &Path, peers: &SharedPeers) -> Result<Option<SocketAddr>, ObjectFrontError> {
     let base = Config::from_file(file)?.base;
     if let Some(peers) = &*peers.borrow() {
--- a/src/object/object_read.rs
+++ b/src/object/object_read.rs
@@ -1,4 +1,4 @@
-//! Reading one object from its shard, piece by piece.
+//! Reads of one object from its shard, piece by piece.
 
 use std::io;
 use std::rc::Rc;
@@ -20,10 +20,10 @@
 use super::server_request::ServerRequest;
 use crate::upstream::Answer;
 
-/// Pieces of an object that are read ahead of a slow client.
+/// Capacity of the channel to the client, in pieces: how far reading runs ahead of a slow client.
 const PIECES_READ_AHEAD: usize = 1;
 
-/// A read of one object, on behalf of one API request.
+/// A read of one object for one API request.
 pub(super) struct ObjectRead {
     client: Rc<ServerClient>,
     request: ObjectRequest,
@@ -31,7 +31,7 @@
 }
 
 impl ObjectRead {
-    /// Finds the object that `request` names.
+    /// Locates the object that `request` names and prepares to read it.
     pub(super) async fn start(
         client: &Rc<ServerClient>,
         request: ObjectRequest,
@@ -43,23 +43,24 @@
         })
     }
 
-    /// The version id as the client gave it.
+    /// Returns the version id that the client sent, if any.
     pub(super) fn requested_version(&self) -> Option<HeaderValue> {
         self.source.version_id.clone()
     }
 
-    /// The range that the client requests, if any.
+    /// Returns the range that the client requested, if it sent a valid one.
     pub(super) fn requested_range(&self) -> Option<ByteRange> {
         let header = self.request.headers.get(RANGE)?;
         header.to_str().ok().and_then(ByteRange::parse)
     }
 
-    /// Reads the description of the object, under the client's conditions.
+    /// Reads the headers of the object, subject to the client's conditions.
     pub(super) async fn head(&self) -> Result<Answer, ApiError> {
         self.send(Method::HEAD, self.request.conditions()).await
     }
 
-    /// Reads the first piece of a range, or of the complete object, under the client's conditions.
+    /// Reads the first piece of a range, or of the complete object, subject to the client's
+    /// conditions.
     pub(super) async fn first_piece(&self, range: Option<ByteRange>) -> Result<Piece, ApiError> {
         let first_range = match range {
             None => piece_range(0, None),
@@ -77,21 +78,22 @@
         piece
     }
 
-    /// The size of an object, which a request for its last byte returns.
+    /// Reads the size of the object in bytes, by a request for its last byte.
     async fn size(&self) -> Result<u64, ApiError> {
         let last_byte = ByteRange::Last(1);
         let piece = self.piece(last_byte, self.request.conditions()).await?;
         Ok(piece.range.size)
     }
 
-    /// Reads an empty object: no range of it is valid, and the client has not requested one.
+    /// Reads an empty object without a range, since no range of it is valid. The client must not
+    /// have requested one.
     async fn empty_object(&self) -> Result<Piece, ApiError> {
         let answer = self.send(Method::GET, self.request.conditions()).await?;
         Ok(Piece::of_empty_object(answer))
     }
 
     /// Reads a range of at most [`MAX_PIECE_BYTES`] bytes. A chunk server that does not support
-    /// ranges returns the complete object, from which the range is cut.
+    /// ranges returns the complete object, from which the range is then cut.
     async fn piece(&self, range: ByteRange, mut headers: HeaderMap) -> Result<Piece, ApiError> {
         let value = HeaderValue::try_from(range.to_string());
         headers.insert(RANGE, value.map_err(|_| ApiError::OutcomeUnknown)?);
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Sends a request of average size for the object to its shard.
+    /// Sends a request for the object to its shard, with the mean units of a request.
     async fn send(&self, method: Method, headers: HeaderMap) -> Result<Answer, ApiError> {
         let server_request = ServerRequest {
             shard: Some(self.source.shard),
@@ -116,11 +118,11 @@
         answer.into_success(NotFound::Key)
     }
 
-    /// Streams the rest of the object, up to `end`, after its first piece. Every piece is a request
-    /// with a deadline of its own. Where one fails the response is cut off, and its length shows
-    /// the client that it is truncated.
+    /// Streams the first piece and the rest of the object up to `end`. Every piece is read by a
+    /// request with a deadline of its own. If one fails, the response is aborted, and the client
+    /// detects the truncation by the announced length.
     ///
-    /// The task that reads the pieces ends with the last one, or when the client has closed its
+    /// The task that reads the pieces ends after the last one, or when the client has closed its
     /// connection.
     pub(super) fn stream(self, first: Piece, end: u64) -> Channel<Bytes, io::Error> {
         let (sender, body) = Channel::new(PIECES_READ_AHEAD);
@@ -128,9 +130,9 @@
         body
     }
 
-    /// Sends the first piece and those after it, up to `end`, to the client.
+    /// Sends the first piece to the client, then reads and sends the following ones up to `end`.
     async fn send_pieces(mut self, first: Piece, end: u64, mut sender: Sender<Bytes, io::Error>) {
-        // The object must not change between the pieces.
+        // Makes the following reads fail if the object changes between the pieces.
         let mut headers = HeaderMap::new();
         if let Some(tag) = first.answer.headers.get(ETAG) {
             headers.insert(IF_MATCH, tag.clone());
--- a/src/object/pending_completions.rs
+++ b/src/object/pending_completions.rs
@@ -1,4 +1,5 @@
-//! Which uploads are being completed through this front, so that none is completed twice.
+//! Tracks the uploads that are being completed through this front, so that none is completed
+//! twice.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -6,10 +7,10 @@
 
 use super::error::ApiError;
 
-/// The uploads whose completions run, or may still run at a chunk server.
+/// The uploads whose completion is in flight, or may still be executed by a chunk server.
 #[derive(Default)]
 pub(super) struct PendingCompletions {
-    /// Until when the completion of each upload may run, by the clients' upload ids.
+    /// When the claim to each completion expires, by the upload id that clients use.
     claimed_until: RefCell<HashMap<String, Instant>>,
 }
 
@@ -17,7 +18,7 @@
     /// Claims the completion of an upload until `until`.
     ///
     /// # Errors
-    /// [`ApiError::SlowDown`] where another completion through this front may still be executed.
+    /// [`ApiError::SlowDown`] if another completion through this front may still be executed.
     pub(super) fn claim(
         &self,
         upload_id: &str,
@@ -37,8 +38,8 @@
     }
 }
 
-/// The claim to the completion of one upload. It lasts for its time where this is dropped, since
-/// the attempt continues when the client disconnects, and ends earlier only by [`release`].
+/// The exclusive claim to the completion of one upload. Dropping it does not end the claim before
+/// it expires, since the attempt continues when the client disconnects; only [`release`] does.
 ///
 /// [`release`]: CompletionClaim::release
 pub(super) struct CompletionClaim<'a> {
@@ -47,7 +48,7 @@
 }
 
 impl CompletionClaim<'_> {
-    /// Ends the claim: no attempt can be executed any more.
+    /// Ends the claim before it expires, when no attempt can be executed any more.
     pub(super) fn release(self) {
         let mut claimed = self.pending.claimed_until.borrow_mut();
         claimed.remove(&self.upload_id);
--- a/src/object/piece.rs
+++ b/src/object/piece.rs
@@ -1,4 +1,5 @@
-//! Pieces of objects: an object is read in requests of a limited size.
+//! Pieces of objects. An object is read from its chunk server in requests of limited size, each of
+//! which returns one piece.
 
 use hyper::header::CONTENT_RANGE;
 
@@ -7,19 +8,19 @@
 use crate::limits::MAX_BODY;
 use crate::upstream::Answer;
 
-/// The most bytes that are read from a chunk server in one request.
+/// Maximum number of bytes that are read from a chunk server in one request.
 pub(super) const MAX_PIECE_BYTES: u64 = MAX_BODY as u64;
 
-/// A piece of an object, as a chunk server gave it.
+/// A contiguous part of an object, from one answer of a chunk server.
 pub(super) struct Piece {
-    /// The answer, with the piece for its body.
+    /// Answer of the chunk server, whose body is the piece.
     pub answer: Answer,
-    /// The part of the object that the piece is.
+    /// Position of the piece in the object, and the size of the object.
     pub range: ContentRange,
 }
 
 impl Piece {
-    /// The piece in a 206 answer, whose range and length must agree.
+    /// Takes the piece from a 206 answer, whose `Content-Range` must match the length of the body.
     pub fn from_partial(answer: Answer) -> Result<Piece, ApiError> {
         let range = answer
             .headers
@@ -33,7 +34,7 @@
         Ok(Piece { answer, range })
     }
 
-    /// The requested range of an answer that has the complete object.
+    /// Cuts the requested range from an answer that contains the complete object.
     pub fn from_complete(mut answer: Answer, requested: ByteRange) -> Result<Piece, ApiError> {
         let size = answer.body.len() as u64;
         if size == 0 {
@@ -47,7 +48,7 @@
         Ok(Piece { answer, range })
     }
 
-    /// The one piece of an empty object.
+    /// Creates the only piece of an empty object.
     pub fn of_empty_object(answer: Answer) -> Piece {
         let range = ContentRange {
             bytes: 0..0,
@@ -57,7 +58,8 @@
     }
 }
 
-/// A range of at most [`MAX_PIECE_BYTES`] bytes from `first` on, and no further than `last`.
+/// Returns a range of at most [`MAX_PIECE_BYTES`] bytes that starts at `first` and does not extend
+/// beyond `last`.
 pub(super) fn piece_range(first: u64, last: Option<u64>) -> ByteRange {
     let last_of_piece = first.saturating_add(MAX_PIECE_BYTES - 1);
     let last = last.map_or(last_of_piece, |last| last.min(last_of_piece));
--- a/src/object/put.rs
+++ b/src/object/put.rs
@@ -1,4 +1,4 @@
-//! Storing objects.
+//! The operation that stores an object.
 
 use bytes::Bytes;
 use hyper::header::ETAG;
@@ -12,7 +12,7 @@
 use super::server_request::ServerRequest;
 use crate::frontend::replies::Reply;
 
-/// PutObject: a new object, which any shard may take.
+/// Executes PutObject. The object is new, so the decision module may choose any shard.
 pub(super) async fn put(
     client: &ServerClient,
     request: ObjectRequest,
--- a/src/object/query.rs
+++ b/src/object/query.rs
@@ -1,4 +1,4 @@
-//! Queries of the object API, as clients send them and as chunk servers get them.
+//! URL queries of the object API: decoding those of clients, encoding those for chunk servers.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -9,25 +9,25 @@
 
 /// Names of the query fields of the API.
 pub(super) mod query_names {
-    /// Selects the operations on all uploads of an object.
+    /// Marks a POST request that creates an upload.
     pub const UPLOADS: &str = "uploads";
-    /// Names an upload.
+    /// Id of an upload.
     pub const UPLOAD_ID: &str = "uploadId";
-    /// Number of the part that is uploaded.
+    /// Number of the part to upload.
     pub const PART_NUMBER: &str = "partNumber";
-    /// Names a version of an object.
+    /// Id of a version of an object.
     pub const VERSION_ID: &str = "versionId";
-    /// The largest number of parts in a page.
+    /// Maximum number of parts in a page of a list of parts.
     pub const MAX_PARTS: &str = "max-parts";
-    /// The part number after which a page starts.
+    /// Part number after which a page of a list of parts starts.
     pub const PART_NUMBER_MARKER: &str = "part-number-marker";
-    /// Name of the operation, which some clients add; ignored.
+    /// Name of the operation, added by some clients; ignored.
     pub const OPERATION: &str = "x-id";
     /// Encoding of keys in lists; ignored.
     pub const ENCODING_TYPE: &str = "encoding-type";
 }
 
-/// Query fields that may be present; only some of them have an effect.
+/// Query fields that a request may contain; some of them are ignored.
 const KNOWN_FIELDS: [&str; 8] = [
     query_names::UPLOADS,
     query_names::UPLOAD_ID,
@@ -38,21 +38,21 @@
     query_names::OPERATION,
     query_names::ENCODING_TYPE,
 ];
-/// Prefix of the query fields of signatures, which are ignored.
+/// Prefix of the query fields of a request signature, which are ignored.
 const SIGNATURE_PREFIX: &str = "X-Amz-";
 
-/// The query of a request, decoded.
+/// The percent-decoded query of a request.
 #[derive(Clone, Debug)]
 pub(super) struct Query {
     values: HashMap<String, String>,
 }
 
 impl Query {
-    /// Decodes the fields of a query. One without `=` has an empty value; of several with one name
-    /// the last counts.
+    /// Decodes the fields of a query. A field without `=` has an empty value; of several fields
+    /// with the same name the last one applies.
     ///
     /// # Errors
-    /// `NotImplemented` for a field that the API does not have.
+    /// `NotImplemented` for a field that is not supported.
     pub fn parse(text: &str) -> Result<Query, ApiError> {
         let fields = text.split('&').filter(|field| !field.is_empty());
         let fields = fields.map(|field| field.split_once('=').unwrap_or((field, "")));
@@ -67,28 +67,28 @@
         Ok(Query { values })
     }
 
-    /// The value of a field, where it is present.
+    /// Returns the value of a field if it is present.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.values.get(name).map(String::as_str)
     }
 
-    /// Whether a field is present, whatever its value.
+    /// Returns whether a field is present, whatever its value.
     pub fn contains(&self, name: &str) -> bool {
         self.values.contains_key(name)
     }
 }
 
-/// Whether the API has a query field with this name.
+/// Returns whether a query field with this name is supported or ignored.
 fn is_known(name: &str) -> bool {
     KNOWN_FIELDS.contains(&name) || name.starts_with(SIGNATURE_PREFIX)
 }
 
-/// Decodes percent-encoded text; bytes that are no UTF-8 are replaced.
+/// Decodes percent-encoded text, replacing invalid UTF-8.
 pub(super) fn decode(text: &str) -> String {
     percent_decode_str(text).decode_utf8_lossy().into_owned()
 }
 
-/// A query field for a chunk server, with its value encoded.
+/// Formats a query field for a chunk server, with its value percent-encoded.
 pub(super) fn query_field(name: &str, value: &str) -> String {
     let value = Cow::from(utf8_percent_encode(value, NON_ALPHANUMERIC));
     format!("{name}={value}")
--- a/src/object/range.rs
+++ b/src/object/range.rs
@@ -1,4 +1,4 @@
-//! Byte ranges in requests (`Range`) and answers (`Content-Range`), as of RFC 9110, section 14.
+//! Byte ranges in requests (`Range`) and answers (`Content-Range`), as in RFC 9110, section 14.
 
 use std::fmt;
 use std::ops::Range;
@@ -7,15 +7,15 @@
 /// ignored, as the standard allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ByteRange {
-    /// From the first position to the last one, inclusive, or to the end.
+    /// From the first position to the last, inclusive, or to the end of the object.
     From(u64, Option<u64>),
-    /// This many bytes at the end.
+    /// This many bytes at the end of the object.
     Last(u64),
 }
 
 impl ByteRange {
-    /// Parses a `Range` header; `None` where it is not a valid byte range, which the standard
-    /// requires to ignore.
+    /// Parses a `Range` header. Returns `None` if it is not a valid byte range; the standard
+    /// requires such a header to be ignored.
     pub fn parse(header: &str) -> Option<ByteRange> {
         let (first, last) = header.trim().strip_prefix("bytes=")?.split_once('-')?;
         let first = first.trim();
@@ -31,7 +31,7 @@
         (first <= last).then_some(ByteRange::From(first, Some(last)))
     }
 
-    /// The bytes of an object of this size that are in the range; `None` where there are none.
+    /// Returns the positions of the range in an object of `size` bytes, or `None` if it has none.
     pub fn within(self, size: u64) -> Option<Range<u64>> {
         let bytes = match self {
             ByteRange::From(first, last) => {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Writes the value of a `Range` header, which [`ByteRange::parse`] reads.
+/// Formats the value of a `Range` header, in the form that [`ByteRange::parse`] accepts.
 impl fmt::Display for ByteRange {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -54,23 +54,23 @@
     }
 }
 
-/// A number of decimal digits alone; `parse` would accept a sign.
+/// Parses a number that consists of decimal digits only; `parse` alone would accept a sign.
 fn digits(text: &str) -> Option<u64> {
     let only_digits = text.bytes().all(|byte| byte.is_ascii_digit());
     text.parse().ok().filter(|_| only_digits)
 }
 
-/// The part of an object that an answer contains.
+/// The byte range that an answer contains, from its `Content-Range` header.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ContentRange {
-    /// The bytes of the object.
+    /// Positions in the object, in bytes.
     pub bytes: Range<u64>,
-    /// The size of the complete object.
+    /// Size of the complete object, in bytes.
     pub size: u64,
 }
 
 impl ContentRange {
-    /// Parses `bytes FIRST-LAST/SIZE`; `None` where the header has another form or the range
+    /// Parses `bytes FIRST-LAST/SIZE`. Returns `None` if the header has another form or the range
     /// exceeds the size.
     pub fn parse(header: &str) -> Option<ContentRange> {
         let (range, size) = header.trim().strip_prefix("bytes ")?.split_once('/')?;
--- a/src/object/replies.rs
+++ b/src/object/replies.rs
@@ -1,4 +1,4 @@
-//! Building blocks of the object API's responses.
+//! Helpers that build responses to clients of the object API.
 
 use http_body_util::{Either, Full};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, CONTENT_TYPE};
@@ -10,14 +10,14 @@
 /// Header with a version id.
 pub(super) const VERSION_ID: HeaderName = HeaderName::from_static("x-amz-version-id");
 
-/// A response without a body.
+/// Creates a response without a body.
 pub(super) fn empty(status: StatusCode) -> Reply {
     let mut reply = Response::new(Either::Left(Full::default()));
     *reply.status_mut() = status;
     reply
 }
 
-/// A response with an XML document.
+/// Creates a response with an XML document, whose root element is `root`.
 pub(super) fn document<T: serde::Serialize>(status: StatusCode, root: &str, value: &T) -> Reply {
     let text = xml::write(root, value).unwrap_or_default();
     let mut reply = empty(status);
@@ -31,7 +31,7 @@
     reply
 }
 
-/// Copies a header, where it is present.
+/// Copies a header if it is present.
 pub(super) fn copy_header(from: &HeaderMap, name: &HeaderName, to: &mut HeaderMap) {
     if let Some(value) = from.get(name) {
         to.insert(name.clone(), value.clone());
--- a/src/object/request.rs
+++ b/src/object/request.rs
@@ -1,4 +1,4 @@
-//! Requests of the object API: parsing, and the operation that each requests.
+//! Parsing of object API requests, and selection of the operation that each one asks for.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -16,13 +16,13 @@
 use super::server_client::ServerClient;
 use super::Bucket;
 
-/// Prefix of the headers with metadata of the user.
+/// Prefix of the headers with user-defined metadata.
 pub(super) const METADATA_PREFIX: &str = "x-amz-meta-";
-/// Content encoding of bodies that hold a signature between the chunks.
+/// Content encoding of bodies that contain a signature for each chunk.
 const SIGNED_CHUNKS: &[u8] = b"aws-chunked";
-/// Header with the hash of the body, or with the kind of its signature.
+/// Header with the hash of the body, or with a marker for the way the body is signed.
 const CONTENT_HASH: HeaderName = HeaderName::from_static("x-amz-content-sha256");
-/// Start of the [`CONTENT_HASH`] of bodies that hold a signature between the chunks.
+/// Prefix of the [`CONTENT_HASH`] value for bodies that contain a signature for each chunk.
 const SIGNED_CHUNKS_HASH: &[u8] = b"STREAMING-";
 /// Header that names the object to copy.
 const COPY_SOURCE: HeaderName = HeaderName::from_static("x-amz-copy-source");
@@ -45,7 +45,7 @@
     IF_UNMODIFIED_SINCE,
 ];
 
-/// An operation of the API.
+/// An operation of the object API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Operation {
     GetObject,
@@ -59,46 +59,48 @@
     ListParts,
 }
 
-/// A request of the object API.
+/// A parsed request of the object API.
 #[derive(Clone)]
 pub(super) struct ObjectRequest {
     pub bucket: Bucket,
     pub bucket_name: String,
-    /// Name of the object in its bucket, decoded.
+    /// Name of the object in its bucket, percent-decoded.
     pub key: String,
     /// The path as it was received, percent-encoded.
     pub path: String,
     pub query: Query,
     pub headers: HeaderMap,
-    /// When the client stops waiting.
+    /// Time by which the request must be answered. Streaming an object renews it for every piece.
     pub deadline: Instant,
 }
 
-/// A version id: the shard that stores the version, and the chunk server's own id for it.
+/// A version id, as clients see it: the shard that stores the version, and the chunk server's id
+/// for it.
 pub(super) struct VersionId {
     pub shard: ShardId,
-    /// Empty where the chunk server keeps no versions.
+    /// Id that the chunk server assigned; empty where it keeps no versions.
     pub own: String,
 }
 
 impl VersionId {
-    /// The query that names the version to its chunk server; `None` where that keeps no versions.
+    /// Returns the query that names the version to its chunk server, or `None` where the server
+    /// keeps no versions.
     pub fn query(&self) -> Option<String> {
         let has_versions = !self.own.is_empty();
         has_versions.then(|| query_field(query_names::VERSION_ID, &self.own))
     }
 }
 
-/// Parses requests for the buckets of a front.
+/// Parses requests for the buckets of one front.
 pub(super) struct RequestParser {
     /// Buckets by name.
     buckets: HashMap<String, Bucket>,
-    /// Knows the deadlines of the classes.
+    /// Provides the deadlines of the classes.
     client: Rc<ServerClient>,
 }
 
 impl RequestParser {
-    /// A parser for these buckets, by name, whose requests `client` sends.
+    /// Creates a parser for `buckets`, keyed by name, with the deadlines of `client`.
     pub(super) fn new(buckets: HashMap<String, Bucket>, client: Rc<ServerClient>) -> RequestParser {
         RequestParser { buckets, client }
     }
@@ -106,8 +108,8 @@
     /// Parses a request head.
     ///
     /// # Errors
-    /// The path names no object of a known bucket, or the request uses a part of the API that is
-    /// not supported.
+    /// The path names no object in a declared bucket, or the request uses a feature of the API that
+    /// is not supported.
     pub(super) fn parse(
         &self,
         method: &Method,
@@ -145,7 +147,7 @@
         })
     }
 
-    /// The bucket with this name.
+    /// Returns the bucket with this name, or the error `NoSuchBucket`.
     fn find_bucket(&self, name: &str) -> Result<&Bucket, ApiError> {
         self.buckets.get(name).ok_or_else(|| {
             ApiError::request(
@@ -157,7 +159,7 @@
     }
 }
 
-/// Rejects requests that use a part of the API that is not supported.
+/// Rejects copies and bodies that are signed chunk by chunk, which are not supported.
 fn reject_unsupported(headers: &HeaderMap) -> Result<(), ApiError> {
     if has_signed_chunks(headers) {
         return Err(ApiError::not_implemented(
@@ -170,7 +172,8 @@
     Ok(())
 }
 
-/// Whether the body holds signatures between its chunks, which must not be stored as data.
+/// Returns whether the body contains signatures between its chunks. They must not be stored as
+/// data.
 fn has_signed_chunks(headers: &HeaderMap) -> bool {
     let hash = header_bytes(headers, &CONTENT_HASH);
     let encoding = header_bytes(headers, &CONTENT_ENCODING);
@@ -178,16 +181,16 @@
     hash.starts_with(SIGNED_CHUNKS_HASH) || encodings.any(|window| window == SIGNED_CHUNKS)
 }
 
-/// The value of a header, empty where it is absent.
+/// Returns the value of a header, empty if it is absent.
 fn header_bytes<'a>(headers: &'a HeaderMap, name: &HeaderName) -> &'a [u8] {
     headers.get(name).map_or(&[], HeaderValue::as_bytes)
 }
 
 impl ObjectRequest {
-    /// The operation that the method and the query select.
+    /// Returns the operation that the method and the query select.
     ///
     /// # Errors
-    /// `MethodNotAllowed` where they select none.
+    /// `MethodNotAllowed` if they select none.
     pub fn operation(&self, method: &Method) -> Result<Operation, ApiError> {
         let has_upload_id = self.query.contains(query_names::UPLOAD_ID);
         let has_uploads = self.query.contains(query_names::UPLOADS);
@@ -209,12 +212,12 @@
         }
     }
 
-    /// The headers that are stored with the object.
+    /// Returns the headers that are stored with the object.
     pub fn stored_headers(&self) -> HeaderMap {
         select_headers(&self.headers, &STORED_HEADERS)
     }
 
-    /// The headers that make a read conditional.
+    /// Returns the headers that make a read conditional.
     pub fn conditions(&self) -> HeaderMap {
         let present = CONDITIONS
             .iter()
@@ -222,10 +225,10 @@
         present.collect()
     }
 
-    /// The version that the request names, if any.
+    /// Returns the version that the request names, if any.
     ///
     /// # Errors
-    /// `InvalidArgument` where the id is none of this front's.
+    /// `InvalidArgument` if the id does not have the form `SHARD.VERSION`.
     pub fn version(&self) -> Result<Option<VersionId>, ApiError> {
         let Some(id) = self.query.get(query_names::VERSION_ID) else {
             return Ok(None);
@@ -242,7 +245,7 @@
     }
 }
 
-/// The headers with one of the `names` or with [`METADATA_PREFIX`].
+/// Returns the headers with one of the `names` or with the prefix [`METADATA_PREFIX`].
 pub(super) fn select_headers(headers: &HeaderMap, names: &[&str]) -> HeaderMap {
     let is_selected = |name: &HeaderName| {
         names.contains(&name.as_str()) || name.as_str().starts_with(METADATA_PREFIX)
--- a/src/object/server_client.rs
+++ b/src/object/server_client.rs
@@ -1,4 +1,4 @@
-//! Sends requests to the chunk servers through the exchange.
+//! The client that sends requests to the chunk servers through the exchange.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
@@ -22,24 +22,24 @@
 /// objects.
 pub(super) struct ServerClient {
     exchange: Rc<Exchange<Upstream>>,
-    /// Number of shards.
+    /// Number of shards, which are numbered from 0.
     shards: u32,
-    /// Deadlines by class.
+    /// Longest time that a request may take, by class.
     deadlines: Vec<Duration>,
-    /// Mean units of a request, assumed where the size is not known.
+    /// Mean units of a request, assumed if the size is not known.
     mean_units: f64,
-    /// The most units of a request.
+    /// Maximum units of a request, at least 1.
     max_units: f64,
 }
 
-/// The answer of one shard to a request that is sent to all.
+/// The answer of one shard to a request that was sent to all.
 pub(super) struct ShardAnswer {
     pub shard: ShardId,
     pub result: Result<Answer, ApiError>,
 }
 
 impl ServerClient {
-    /// A client that sends through `exchange`, to this number of shards.
+    /// Creates a client that sends through `exchange` to `shards` shards.
     pub(super) fn new(
         exchange: Rc<Exchange<Upstream>>,
         shards: u32,
@@ -58,17 +58,17 @@
         })
     }
 
-    /// The exchange that the requests are sent through.
+    /// Returns the exchange that the requests are sent through.
     pub(super) fn exchange(&self) -> &Rc<Exchange<Upstream>> {
         &self.exchange
     }
 
-    /// How long a request of `class` may take.
+    /// Returns how long a request of `class` may take.
     pub(super) fn deadline(&self, class: usize) -> Duration {
         self.deadlines[class]
     }
 
-    /// Mean units of a request, for one whose size is not known.
+    /// Returns the mean units of a request, for requests whose size is not known.
     pub(super) fn mean_units(&self) -> f64 {
         self.mean_units
     }
@@ -76,8 +76,8 @@
     /// Sends a request to a chunk server on behalf of `request`.
     ///
     /// # Errors
-    /// [`ApiError::SlowDown`] where it was not executed, [`ApiError::OutcomeUnknown`] where it may
-    /// have been. A status of the chunk server is no error here.
+    /// [`ApiError::SlowDown`] if it was not executed, [`ApiError::OutcomeUnknown`] if it may have
+    /// been. An error status in the chunk server's answer is not an error here.
     pub(super) async fn send(
         &self,
         request: &ObjectRequest,
@@ -86,8 +86,8 @@
         let core_request = self.core_request(request, &server_request);
         let payload = Payload {
             target: target(&request.path, &server_request.query)?,
-            // Every request to a chunk server is a separate transaction, as the retry of a client
-            // is.
+            // Every request to a chunk server is a transaction of its own, and so is a retry by
+            // the client.
             id: random_transaction_id()?,
             method: server_request.method,
             headers: server_request.headers,
@@ -103,30 +103,30 @@
         }
     }
 
-    /// The request as the decision module schedules it. It has the time that is left of the API
-    /// request's, up to the deadline of its own class.
+    /// Builds the request as the decision module schedules it. It may take the time that remains
+    /// of the API request, but no longer than the deadline of its own class.
     fn core_request(
         &self,
         request: &ObjectRequest,
         server_request: &ServerRequest,
     ) -> core::Request {
         let remaining = request.deadline.saturating_duration_since(Instant::now());
-        let patience = remaining.min(self.deadlines[server_request.class]);
+        let client_timeout = remaining.min(self.deadlines[server_request.class]);
         core::Request {
             id: RequestId(0),
             class: server_request.class,
             plan: request.bucket.plan,
             volume: VolumeId(request.bucket.volume),
             key: Some(KeyId(key_hash(request))),
-            client_timeout: patience.as_nanos() as i64,
+            client_timeout: client_timeout.as_nanos() as i64,
             units: server_request.units.clamp(1.0, self.max_units),
             shard: server_request.shard,
             front_count: request.bucket.front_count,
         }
     }
 
-    /// Sends the same request to every shard at once, with one unit and without headers. Returns
-    /// once all have answered; the requests are cancelled where the caller is dropped before.
+    /// Sends the same request to all shards concurrently, with one unit and without headers.
+    /// Returns the answers when all requests have ended. Dropping the future cancels the requests.
     pub(super) async fn send_to_all_shards(
         self: &Rc<Self>,
         request: &ObjectRequest,
@@ -154,19 +154,19 @@
     }
 }
 
-/// Units that a body of `bytes` bytes counts in a bucket.
+/// Returns the units of work that a body of `bytes` bytes counts in a bucket.
 pub(super) fn body_units(bucket: &Bucket, bytes: usize) -> f64 {
     (bytes as f64 / bucket.unit_bytes).ceil()
 }
 
-/// A stable hash of the object's name, by which the decision module recognises it.
+/// Returns a stable hash of the bucket and key, by which the decision module recognises the object.
 fn key_hash(request: &ObjectRequest) -> u64 {
     let mut hasher = DefaultHasher::new();
     (&request.bucket_name, &request.key).hash(&mut hasher);
     hasher.finish()
 }
 
-/// The request target of a path and a query, both encoded. The query may be empty.
+/// Returns the request target of a path and a query, both percent-encoded. The query may be empty.
 fn target(path: &str, query: &str) -> Result<Uri, ApiError> {
     let target = if query.is_empty() {
         path.to_owned()
@@ -178,7 +178,7 @@
         .map_err(|_| ApiError::invalid_argument("The path is malformed."))
 }
 
-/// The id of a new transaction, in the form of the platform's protocol.
+/// Returns a random id for a new transaction, in the form of the platform's protocol.
 fn random_transaction_id() -> Result<HeaderValue, ApiError> {
     let id = format!("{:016x}", fastrand::u64(..));
     HeaderValue::try_from(id).map_err(|_| ApiError::OutcomeUnknown)
--- a/src/object/upload_id.rs
+++ b/src/object/upload_id.rs
@@ -1,4 +1,4 @@
-//! The upload ids that this front gives to clients.
+//! Upload ids as fronts issue them to clients.
 
 use hyper::Method;
 use tulipbridge_core::ShardId;
@@ -8,29 +8,29 @@
 use super::request::ObjectRequest;
 use super::server_request::ServerRequest;
 
-/// An upload id of this front, `SHARD.TOKEN.OWN`.
+/// An upload id as clients see it, `SHARD.TOKEN.UPLOAD`.
 pub(super) struct UploadId {
     pub shard: ShardId,
-    /// Is stored with the object that the upload makes.
+    /// Random token that is stored with the object that the upload creates.
     pub token: String,
-    /// The chunk server's own id, which may contain dots.
+    /// Id that the chunk server assigned, which may contain dots.
     pub own: String,
-    /// The id as the client gave it.
+    /// The complete id, as the client sent it.
     pub text: String,
 }
 
 impl UploadId {
-    /// The upload id of a request.
+    /// Reads the upload id of a request.
     ///
     /// # Errors
-    /// `NoSuchUpload` where the id is none of this front's.
+    /// `NoSuchUpload` if the id is missing or malformed.
     pub fn of(request: &ObjectRequest) -> Result<UploadId, ApiError> {
         let id = request.query.get(query_names::UPLOAD_ID);
         id.and_then(UploadId::parse)
             .ok_or_else(ApiError::no_such_upload)
     }
 
-    /// Parses an id; `None` where a part of it is missing or invalid.
+    /// Parses an id. Returns `None` if a part of it is missing or invalid.
     fn parse(id: &str) -> Option<UploadId> {
         let mut parts = id.splitn(3, '.');
         let shard = parts.next()?.parse().ok().map(ShardId)?;
@@ -44,12 +44,12 @@
         })
     }
 
-    /// The query that names the upload to its chunk server.
+    /// Returns the query that names the upload to its chunk server.
     pub fn query(&self) -> String {
         query_field(query_names::UPLOAD_ID, &self.own)
     }
 
-    /// A request to the shard of the upload.
+    /// Creates a request to the shard of the upload.
     pub fn server_request(&self, class: usize, method: Method, query: String) -> ServerRequest {
         ServerRequest {
             shard: Some(self.shard),
--- a/src/object/uploads.rs
+++ b/src/object/uploads.rs
@@ -1,6 +1,6 @@
-//! Multipart uploads. An upload lives on the chunk server that created it. Its id contains that
-//! server's shard, and a token that is stored with the object: by it a front recognises an object
-//! that a completion of unknown outcome has made.
+//! Multipart uploads. An upload is stored by the chunk server that created it. Its id contains the
+//! shard of that server, and a token that is stored with the object: by this token a front
+//! recognises an object that was created by a completion of unknown outcome.
 
 use std::rc::Rc;
 
@@ -21,17 +21,17 @@
 use crate::frontend::replies::Reply;
 use crate::upstream::Answer;
 
-/// Metadata header in which an object keeps the token of the upload that made it.
+/// Metadata header that stores the token of the upload with the object that it created.
 pub(super) const UPLOAD_TOKEN: HeaderName =
     HeaderName::from_static("x-amz-meta-tulipbridge-upload");
 /// Header with the checksum of a body, which the chunk server verifies.
 const CONTENT_MD5: HeaderName = HeaderName::from_static("content-md5");
-/// The largest number of a part.
+/// Maximum part number.
 const MAX_PART_NUMBER: u32 = 10_000;
-/// Query fields that select a page of a list of parts.
+/// Query fields that select a page of the list of parts.
 const PAGE_FIELDS: [&str; 2] = [query_names::MAX_PARTS, query_names::PART_NUMBER_MARKER];
 
-/// The operations of multipart uploads. Completing an upload is in
+/// Executes the operations on multipart uploads. The completion of uploads is implemented in
 /// [`complete_upload`](super::complete_upload).
 pub(super) struct Uploads {
     pub(super) client: Rc<ServerClient>,
@@ -39,7 +39,7 @@
 }
 
 impl Uploads {
-    /// Operations that send their requests through `client`.
+    /// Creates the operations, which send their requests through `client`.
     pub(super) fn new(client: Rc<ServerClient>) -> Uploads {
         Uploads {
             client,
@@ -47,7 +47,8 @@
         }
     }
 
-    /// CreateMultipartUpload: a new object, which any shard may take.
+    /// Executes CreateMultipartUpload. The object is new, so the decision module may choose any
+    /// shard.
     pub(super) async fn create(&self, request: ObjectRequest) -> Result<Reply, ApiError> {
         let token = format!("{:016x}", fastrand::u64(..));
         let mut headers = request.stored_headers();
@@ -74,8 +75,9 @@
         ))
     }
 
-    /// UploadPart, to the shard of the upload and no other. While its chunk server drains, the part
-    /// waits for the one that takes over the shard, and is rejected once where none does in time.
+    /// Executes UploadPart, which only the shard of the upload can serve. While its chunk server
+    /// drains, the part waits for the server that takes over the shard, and is rejected once if
+    /// none does so in time.
     pub(super) async fn upload_part(
         &self,
         request: ObjectRequest,
@@ -97,7 +99,7 @@
         Ok(reply)
     }
 
-    /// ListParts.
+    /// Executes ListParts.
     pub(super) async fn list_parts(&self, request: ObjectRequest) -> Result<Reply, ApiError> {
         let upload = UploadId::of(&request)?;
         let mut query = upload.query();
@@ -117,7 +119,7 @@
         Ok(document(StatusCode::OK, "ListPartsResult", &parts))
     }
 
-    /// AbortMultipartUpload. It is idempotent.
+    /// Executes AbortMultipartUpload, which is idempotent and so uses the class for reads.
     pub(super) async fn abort(&self, request: ObjectRequest) -> Result<Reply, ApiError> {
         let upload = UploadId::of(&request)?;
         let class = request.bucket.read_class;
@@ -126,7 +128,7 @@
         Ok(empty(StatusCode::NO_CONTENT))
     }
 
-    /// Sends a request that names an upload, and returns the answer where it is a success.
+    /// Sends a request that names an upload, and returns the answer if it is a success.
     pub(super) async fn send(
         &self,
         request: &ObjectRequest,
@@ -137,7 +139,7 @@
     }
 }
 
-/// The number of the part that a request uploads.
+/// Reads the number of the part that a request uploads, from 1 to [`MAX_PART_NUMBER`].
 fn part_number(request: &ObjectRequest) -> Result<u32, ApiError> {
     let number = request
         .query
@@ -148,7 +150,7 @@
         .ok_or_else(|| ApiError::invalid_argument("A part number is from 1 to 10000."))
 }
 
-/// The value of one of the [`PAGE_FIELDS`], where it is present.
+/// Reads the value of one of the [`PAGE_FIELDS`], if it is present.
 fn page_number(request: &ObjectRequest, name: &str) -> Result<Option<u32>, ApiError> {
     let number = request.query.get(name).map(str::parse).transpose();
     number.map_err(|_| ApiError::invalid_argument("A page is told in whole numbers."))
--- a/src/object/xml.rs
+++ b/src/object/xml.rs
@@ -2,48 +2,48 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Namespace of the API's documents, except for errors.
+/// XML namespace of the documents that are sent, except for errors.
 const NAMESPACE: &str = "http://s3.amazonaws.com/doc/2006-03-01/";
 
-/// An error.
+/// The document that reports an error to a client.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Error<'a> {
-    /// Code, such as `NoSuchKey`.
+    /// Error code of the API, such as `NoSuchKey`.
     pub code: &'a str,
-    /// Explanation.
+    /// Explanation for a person to read.
     pub message: &'a str,
-    /// Path of the request.
+    /// Path of the request that failed.
     pub resource: &'a str,
-    /// Id of the request.
+    /// Id of the request, which the header `x-amz-request-id` of the response contains too.
     pub request_id: &'a str,
 }
 
-/// An upload that was created.
+/// The document that reports the creation of an upload.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct InitiateMultipartUploadResult {
-    /// Bucket.
+    /// Name of the bucket that will contain the object.
     #[serde(default)]
     pub bucket: String,
-    /// Key.
+    /// Name of the object in its bucket.
     #[serde(default)]
     pub key: String,
-    /// Upload id.
+    /// Id that later requests use to name the upload.
     pub upload_id: String,
 }
 
-/// An upload that was completed.
+/// The document that reports the completion of an upload.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct CompleteMultipartUploadResult {
     /// Path of the object.
     #[serde(default)]
     pub location: String,
-    /// Bucket.
+    /// Name of the bucket that contains the object.
     #[serde(default)]
     pub bucket: String,
-    /// Key.
+    /// Name of the object in its bucket.
     #[serde(default)]
     pub key: String,
     /// Entity tag of the object.
@@ -51,10 +51,10 @@
     pub etag: String,
 }
 
-/// A request to complete an upload.
+/// The body of a request to complete an upload.
 #[derive(Deserialize)]
 pub struct CompleteMultipartUpload {
-    /// Parts, in ascending order.
+    /// Parts of the object, which must be in ascending order of their numbers.
     #[serde(rename = "Part", default)]
     pub parts: Vec<CompletedPart>,
 }
@@ -63,33 +63,33 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct CompletedPart {
-    /// Part number. The chunk server checks the entity tag.
+    /// Number of the part. The entity tag is left to the chunk server to check.
     pub part_number: u32,
 }
 
-/// The parts of an upload.
+/// One page of the list of an upload's parts.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ListPartsResult {
-    /// Bucket.
+    /// Name of the bucket that will contain the object.
     #[serde(default)]
     pub bucket: String,
-    /// Key.
+    /// Name of the object in its bucket.
     #[serde(default)]
     pub key: String,
-    /// Upload id.
+    /// Id of the upload that the parts belong to.
     #[serde(default)]
     pub upload_id: String,
-    /// The part number after which this page starts.
+    /// Part number after which this page starts.
     #[serde(default)]
     pub part_number_marker: u32,
-    /// The part number after which the next page starts.
+    /// Part number after which the next page starts.
     #[serde(default)]
     pub next_part_number_marker: u32,
-    /// The largest number of parts in a page.
+    /// Maximum number of parts in this page.
     #[serde(default)]
     pub max_parts: u32,
-    /// Whether there is another page.
+    /// Whether another page follows.
     #[serde(default)]
     pub is_truncated: bool,
     /// The parts of this page.
@@ -101,20 +101,20 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Part {
-    /// Part number.
+    /// Number of the part in its upload.
     pub part_number: u32,
-    /// When the part was stored.
+    /// Time at which the part was stored, as formatted by the chunk server.
     #[serde(default)]
     pub last_modified: String,
-    /// Entity tag.
+    /// Entity tag of the part.
     #[serde(rename = "ETag", default)]
     pub etag: String,
-    /// Size in bytes.
+    /// Size of the part, in bytes.
     #[serde(default)]
     pub size: u64,
 }
 
-/// Serializes a document with this root element; `None` where the value cannot be serialized.
+/// Serializes a document with the root element `root`. Returns `None` if serialization fails.
 pub fn write<T: Serialize>(root: &str, value: &T) -> Option<String> {
     let body = quick_xml::se::to_string_with_root(root, value).ok()?;
     let document = match root {
@@ -130,7 +130,7 @@
     ))
 }
 
-/// Parses a document; `None` where it is malformed.
+/// Parses a document. Returns `None` if it is malformed.
 pub fn read<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Option<T> {
     quick_xml::de::from_str(std::str::from_utf8(bytes).ok()?).ok()
 }
