--- a/src/object/answer.rs
+++ b/src/object/answer.rs
@@ -90,11 +90,12 @@
 
     /// Returns the version id for clients: the shard, and the id that the chunk server assigned.
     pub(super) fn version_id(&self) -> Result<HeaderValue, ApiError> {
-        let own = self
+        let server_version_id = self
             .headers
             .get(VERSION_ID)
             .and_then(|value| value.to_str().ok())
             .unwrap_or_default();
-        HeaderValue::try_from(format!("{}.{own}", self.shard)).map_err(|_| ApiError::OutcomeUnknown)
+        HeaderValue::try_from(format!("{}.{server_version_id}", self.shard))
+            .map_err(|_| ApiError::OutcomeUnknown)
     }
 }
--- a/src/object/complete_upload.rs
+++ b/src/object/complete_upload.rs
@@ -7,7 +7,7 @@
 use super::answer::NotFound;
 use super::error::ApiError;
 use super::pending_completions::CompletionClaim;
-use super::replies::{document, VERSION_ID};
+use super::replies::{document_reply, VERSION_ID};
 use super::request::ObjectRequest;
 use super::server_request::ServerRequest;
 use super::upload_id::UploadId;
@@ -36,15 +36,15 @@
         request: ObjectRequest,
         body: Bytes,
     ) -> Result<Reply, ApiError> {
-        let upload = UploadId::of(&request)?;
+        let upload = UploadId::from_request(&request)?;
         check_parts(&body)?;
         let write_class = request.bucket.write_class;
         let deadline = self.client.deadline(write_class);
-        match self.state(&request, &upload).await {
+        match self.read_state(&request, &upload).await {
             Ok(UploadState::Completed(head)) => return completed_reply(&request, &head),
             Ok(UploadState::Unknown) => return Err(ApiError::no_such_upload()),
             Ok(UploadState::Open) => {}
-            Err(error) => return Err(error.of_read(deadline)),
+            Err(error) => return Err(error.for_read(deadline)),
         }
         // A chunk server may still execute a request that it received before the deadline, so the
         // claim lasts for twice the deadline.
@@ -81,11 +81,11 @@
             Ok(answer) => {
                 let result: xml::CompleteMultipartUploadResult =
                     xml::read(&answer.body).ok_or(ApiError::OutcomeUnknown)?;
-                return completion_document(request, result.etag, &answer);
+                return success_reply(request, result.etag, &answer);
             }
             Err(error) => error,
         };
-        match self.state(request, upload).await {
+        match self.read_state(request, upload).await {
             Ok(UploadState::Completed(head)) => completed_reply(request, &head),
             _ => Err(error),
         }
@@ -100,7 +100,7 @@
         upload: &UploadId,
         claim: CompletionClaim<'_>,
     ) -> Result<Reply, ApiError> {
-        match self.state(request, upload).await {
+        match self.read_state(request, upload).await {
             Ok(UploadState::Completed(head)) => {
                 claim.release();
                 completed_reply(request, &head)
@@ -111,7 +111,7 @@
 
     /// Reads the state of an upload from its shard: it is open while its parts can be listed, and
     /// completed if the object has its token.
-    async fn state(
+    async fn read_state(
         &self,
         request: &ObjectRequest,
         upload: &UploadId,
@@ -179,12 +179,12 @@
         .get(ETAG)
         .and_then(|value| value.to_str().ok())
         .unwrap_or_default();
-    completion_document(request, etag.to_owned(), head)
+    success_reply(request, etag.to_owned(), head)
 }
 
 /// Builds the response to a successful completion. `answer` is a chunk server's answer about the
 /// object, with its version id.
-fn completion_document(
+fn success_reply(
     request: &ObjectRequest,
     etag: String,
     answer: &Answer,
@@ -195,7 +195,7 @@
         key: request.key.clone(),
         etag,
     };
-    let mut reply = document(StatusCode::OK, "CompleteMultipartUploadResult", &result);
+    let mut reply = document_reply(StatusCode::OK, "CompleteMultipartUploadResult", &result);
     reply.headers_mut().insert(VERSION_ID, answer.version_id()?);
     Ok(reply)
 }
--- a/src/object/delete.rs
+++ b/src/object/delete.rs
@@ -6,7 +6,7 @@
 
 use super::answer::NotFound;
 use super::error::ApiError;
-use super::replies::empty;
+use super::replies::empty_reply;
 use super::request::{ObjectRequest, VersionId};
 use super::server_client::ServerClient;
 use super::server_request::ServerRequest;
@@ -23,7 +23,7 @@
         Some(version) => delete_version(client, &request, &version).await?,
         None => delete_all_copies(client, &request).await?,
     }
-    Ok(empty(StatusCode::NO_CONTENT))
+    Ok(empty_reply(StatusCode::NO_CONTENT))
 }
 
 /// Deletes one version, at the shard that stores it.
--- a/src/object/error.rs
+++ b/src/object/error.rs
@@ -6,7 +6,7 @@
 use hyper::header::{HeaderMap, HeaderValue, CONTENT_RANGE, ETAG, RETRY_AFTER};
 use hyper::StatusCode;
 
-use super::replies::{copy_header, document, empty};
+use super::replies::{copy_header, document_reply, empty_reply};
 use super::xml;
 use crate::frontend::replies::Reply;
 
@@ -90,7 +90,7 @@
 
     /// Converts the error of a request that changes nothing: one whose outcome is unknown can
     /// safely be retried, after `retry_after`.
-    pub fn of_read(self, retry_after: Duration) -> ApiError {
+    pub fn for_read(self, retry_after: Duration) -> ApiError {
         match self {
             ApiError::OutcomeUnknown => ApiError::SlowDown(retry_after),
             other => other,
@@ -149,7 +149,7 @@
             resource,
             request_id,
         };
-        let mut reply = document(self.status(), "Error", &error);
+        let mut reply = document_reply(self.status(), "Error", &error);
         self.add_header(reply.headers_mut());
         if is_head {
             *reply.body_mut() = Either::Left(Full::default());
@@ -160,7 +160,7 @@
 
 /// Creates a 304 response with the entity tag of the chunk server's answer.
 fn not_modified(answer_headers: &HeaderMap) -> Reply {
-    let mut reply = empty(StatusCode::NOT_MODIFIED);
+    let mut reply = empty_reply(StatusCode::NOT_MODIFIED);
     copy_header(answer_headers, &ETAG, reply.headers_mut());
     reply
 }
--- a/src/object/get.rs
+++ b/src/object/get.rs
@@ -10,7 +10,7 @@
 use super::error::ApiError;
 use super::object_read::ObjectRead;
 use super::range::ByteRange;
-use super::replies::{copy_header, empty, VERSION_ID};
+use super::replies::{copy_header, empty_reply, VERSION_ID};
 use super::request::{select_headers, ObjectRequest};
 use super::server_client::ServerClient;
 use crate::frontend::replies::Reply;
@@ -18,7 +18,7 @@
 
 /// Headers of a chunk server's answer that describe an object, besides those with user-defined
 /// metadata.
-const DESCRIBING_HEADERS: [&str; 8] = [
+const OBJECT_HEADERS: [&str; 8] = [
     "content-type",
     "cache-control",
     "content-disposition",
@@ -36,8 +36,8 @@
 ) -> Result<Reply, ApiError> {
     let read = ObjectRead::start(client, request).await?;
     let answer = read.head().await?;
-    let mut reply = empty(StatusCode::OK);
-    describe(&answer, read.requested_version(), reply.headers_mut())?;
+    let mut reply = empty_reply(StatusCode::OK);
+    insert_object_headers(&answer, read.requested_version(), reply.headers_mut())?;
     copy_header(&answer.headers, &CONTENT_LENGTH, reply.headers_mut());
     Ok(reply)
 }
@@ -62,9 +62,9 @@
     } else {
         StatusCode::OK
     };
-    let mut reply = empty(status);
+    let mut reply = empty_reply(status);
     let headers = reply.headers_mut();
-    describe(&piece.answer, read.requested_version(), headers)?;
+    insert_object_headers(&piece.answer, read.requested_version(), headers)?;
     let length = selected.end - selected.start;
     headers.insert(CONTENT_LENGTH, HeaderValue::from(length));
     if requested.is_some() {
@@ -94,12 +94,12 @@
 
 /// Adds the headers that describe an object. If the answer does not name the version, it is the one
 /// that the client requested, if any.
-fn describe(
+fn insert_object_headers(
     answer: &Answer,
     requested: Option<HeaderValue>,
     to: &mut HeaderMap,
 ) -> Result<(), ApiError> {
-    to.extend(select_headers(&answer.headers, &DESCRIBING_HEADERS));
+    to.extend(select_headers(&answer.headers, &OBJECT_HEADERS));
     to.insert(ACCEPT_RANGES, HeaderValue::from_static("bytes"));
     let version_id = match requested.filter(|_| !answer.headers.contains_key(VERSION_ID)) {
         Some(requested) => requested,
--- a/src/object/locate.rs
+++ b/src/object/locate.rs
@@ -36,7 +36,7 @@
         Some(version) => version,
         None => VersionId {
             shard: find_shard(client, request).await?,
-            own: String::new(),
+            server_version_id: String::new(),
         },
     };
     Ok(ReadSource {
@@ -69,7 +69,7 @@
     }
     // A shard that failed to answer may have the object.
     if let Some(error) = failure {
-        return Err(error.of_read(client.deadline(request.bucket.read_class)));
+        return Err(error.for_read(client.deadline(request.bucket.read_class)));
     }
     Err(ApiError::request(
         StatusCode::NOT_FOUND,
--- a/src/object/object_read.rs
+++ b/src/object/object_read.rs
@@ -89,7 +89,7 @@
     /// have requested one.
     async fn empty_object(&self) -> Result<Piece, ApiError> {
         let answer = self.send(Method::GET, self.request.conditions()).await?;
-        Ok(Piece::of_empty_object(answer))
+        Ok(Piece::from_empty_object(answer))
     }
 
     /// Reads a range of at most [`MAX_PIECE_BYTES`] bytes. A chunk server that does not support
--- a/src/object/piece.rs
+++ b/src/object/piece.rs
@@ -49,7 +49,7 @@
     }
 
     /// Creates the only piece of an empty object.
-    pub fn of_empty_object(answer: Answer) -> Piece {
+    pub fn from_empty_object(answer: Answer) -> Piece {
         let range = ContentRange {
             bytes: 0..0,
             size: 0,
--- a/src/object/put.rs
+++ b/src/object/put.rs
@@ -6,7 +6,7 @@
 
 use super::answer::NotFound;
 use super::error::ApiError;
-use super::replies::{copy_header, empty, VERSION_ID};
+use super::replies::{copy_header, empty_reply, VERSION_ID};
 use super::request::ObjectRequest;
 use super::server_client::{body_units, ServerClient};
 use super::server_request::ServerRequest;
@@ -26,7 +26,7 @@
     };
     let answer = client.send(&request, server_request).await?;
     let answer = answer.into_success(NotFound::Key)?;
-    let mut reply = empty(StatusCode::OK);
+    let mut reply = empty_reply(StatusCode::OK);
     copy_header(&answer.headers, &ETAG, reply.headers_mut());
     reply.headers_mut().insert(VERSION_ID, answer.version_id()?);
     Ok(reply)
--- a/src/object/range.rs
+++ b/src/object/range.rs
@@ -21,13 +21,13 @@
         let first = first.trim();
         let last = last.trim();
         if first.is_empty() {
-            return digits(last).map(ByteRange::Last);
+            return parse_digits(last).map(ByteRange::Last);
         }
-        let first = digits(first)?;
+        let first = parse_digits(first)?;
         if last.is_empty() {
             return Some(ByteRange::From(first, None));
         }
-        let last = digits(last)?;
+        let last = parse_digits(last)?;
         (first <= last).then_some(ByteRange::From(first, Some(last)))
     }
 
@@ -55,7 +55,7 @@
 }
 
 /// Parses a number that consists of decimal digits only; `parse` alone would accept a sign.
-fn digits(text: &str) -> Option<u64> {
+fn parse_digits(text: &str) -> Option<u64> {
     let only_digits = text.bytes().all(|byte| byte.is_ascii_digit());
     text.parse().ok().filter(|_| only_digits)
 }
--- a/src/object/replies.rs
+++ b/src/object/replies.rs
@@ -11,16 +11,20 @@
 pub(super) const VERSION_ID: HeaderName = HeaderName::from_static("x-amz-version-id");
 
 /// Creates a response without a body.
-pub(super) fn empty(status: StatusCode) -> Reply {
+pub(super) fn empty_reply(status: StatusCode) -> Reply {
     let mut reply = Response::new(Either::Left(Full::default()));
     *reply.status_mut() = status;
     reply
 }
 
 /// Creates a response with an XML document, whose root element is `root`.
-pub(super) fn document<T: serde::Serialize>(status: StatusCode, root: &str, value: &T) -> Reply {
+pub(super) fn document_reply<T: serde::Serialize>(
+    status: StatusCode,
+    root: &str,
+    value: &T,
+) -> Reply {
     let text = xml::write(root, value).unwrap_or_default();
-    let mut reply = empty(status);
+    let mut reply = empty_reply(status);
     reply
         .headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static("application/xml"));
--- a/src/object/request.rs
+++ b/src/object/request.rs
@@ -38,7 +38,7 @@
     "if-none-match",
 ];
 /// Headers that make a read conditional.
-const CONDITIONS: [HeaderName; 4] = [
+const CONDITION_HEADERS: [HeaderName; 4] = [
     IF_MATCH,
     IF_NONE_MATCH,
     IF_MODIFIED_SINCE,
@@ -79,15 +79,15 @@
 pub(super) struct VersionId {
     pub shard: ShardId,
     /// Id that the chunk server assigned; empty where it keeps no versions.
-    pub own: String,
+    pub server_version_id: String,
 }
 
 impl VersionId {
     /// Returns the query that names the version to its chunk server, or `None` where the server
     /// keeps no versions.
     pub fn query(&self) -> Option<String> {
-        let has_versions = !self.own.is_empty();
-        has_versions.then(|| query_field(query_names::VERSION_ID, &self.own))
+        let has_versions = !self.server_version_id.is_empty();
+        has_versions.then(|| query_field(query_names::VERSION_ID, &self.server_version_id))
     }
 }
 
@@ -219,7 +219,7 @@
 
     /// Returns the headers that make a read conditional.
     pub fn conditions(&self) -> HeaderMap {
-        let present = CONDITIONS
+        let present = CONDITION_HEADERS
             .iter()
             .filter_map(|name| Some((name.clone(), self.headers.get(name)?.clone())));
         present.collect()
@@ -233,11 +233,11 @@
         let Some(id) = self.query.get(query_names::VERSION_ID) else {
             return Ok(None);
         };
-        let version = id.split_once('.').and_then(|(shard, own)| {
+        let version = id.split_once('.').and_then(|(shard, server_version_id)| {
             let shard = shard.parse().ok().map(ShardId)?;
             Some(VersionId {
                 shard,
-                own: own.to_owned(),
+                server_version_id: server_version_id.to_owned(),
             })
         });
         let invalid = || ApiError::invalid_argument("The version id is none of this deployment's.");
--- a/src/object/server_client.rs
+++ b/src/object/server_client.rs
@@ -85,7 +85,7 @@
     ) -> Result<Answer, ApiError> {
         let core_request = self.core_request(request, &server_request);
         let payload = Payload {
-            target: target(&request.path, &server_request.query)?,
+            target: request_target(&request.path, &server_request.query)?,
             // Every request to a chunk server is a transaction of its own, and so is a retry by
             // the client.
             id: random_transaction_id()?,
@@ -167,7 +167,7 @@
 }
 
 /// Returns the request target of a path and a query, both percent-encoded. The query may be empty.
-fn target(path: &str, query: &str) -> Result<Uri, ApiError> {
+fn request_target(path: &str, query: &str) -> Result<Uri, ApiError> {
     let target = if query.is_empty() {
         path.to_owned()
     } else {
--- a/src/object/upload_id.rs
+++ b/src/object/upload_id.rs
@@ -14,7 +14,7 @@
     /// Random token that is stored with the object that the upload creates.
     pub token: String,
     /// Id that the chunk server assigned, which may contain dots.
-    pub own: String,
+    pub server_upload_id: String,
     /// The complete id, as the client sent it.
     pub text: String,
 }
@@ -24,7 +24,7 @@
     ///
     /// # Errors
     /// `NoSuchUpload` if the id is missing or malformed.
-    pub fn of(request: &ObjectRequest) -> Result<UploadId, ApiError> {
+    pub fn from_request(request: &ObjectRequest) -> Result<UploadId, ApiError> {
         let id = request.query.get(query_names::UPLOAD_ID);
         id.and_then(UploadId::parse)
             .ok_or_else(ApiError::no_such_upload)
@@ -35,18 +35,20 @@
         let mut parts = id.splitn(3, '.');
         let shard = parts.next()?.parse().ok().map(ShardId)?;
         let token = parts.next().filter(|token| !token.is_empty())?;
-        let own = parts.next().filter(|own| !own.is_empty())?;
+        let server_upload_id = parts
+            .next()
+            .filter(|server_upload_id| !server_upload_id.is_empty())?;
         Some(UploadId {
             shard,
             token: token.to_owned(),
-            own: own.to_owned(),
+            server_upload_id: server_upload_id.to_owned(),
             text: id.to_owned(),
         })
     }
 
     /// Returns the query that names the upload to its chunk server.
     pub fn query(&self) -> String {
-        query_field(query_names::UPLOAD_ID, &self.own)
+        query_field(query_names::UPLOAD_ID, &self.server_upload_id)
     }
 
     /// Creates a request to the shard of the upload.
--- a/src/object/uploads.rs
+++ b/src/object/uploads.rs
@@ -12,7 +12,7 @@
 use super::error::ApiError;
 use super::pending_completions::PendingCompletions;
 use super::query::{query_field, query_names};
-use super::replies::{copy_header, document, empty};
+use super::replies::{copy_header, document_reply, empty_reply};
 use super::request::ObjectRequest;
 use super::server_client::{body_units, ServerClient};
 use super::server_request::ServerRequest;
@@ -68,7 +68,7 @@
             key: request.key,
             upload_id: format!("{}.{token}.{}", answer.shard, created.upload_id),
         };
-        Ok(document(
+        Ok(document_reply(
             StatusCode::OK,
             "InitiateMultipartUploadResult",
             &result,
@@ -83,7 +83,7 @@
         request: ObjectRequest,
         body: Bytes,
     ) -> Result<Reply, ApiError> {
-        let upload = UploadId::of(&request)?;
+        let upload = UploadId::from_request(&request)?;
         let number = part_number(&request)?.to_string();
         let number = query_field(query_names::PART_NUMBER, &number);
         let query = format!("{number}&{}", upload.query());
@@ -94,14 +94,14 @@
         };
         copy_header(&request.headers, &CONTENT_MD5, &mut server_request.headers);
         let answer = self.send(&request, server_request).await?;
-        let mut reply = empty(StatusCode::OK);
+        let mut reply = empty_reply(StatusCode::OK);
         copy_header(&answer.headers, &ETAG, reply.headers_mut());
         Ok(reply)
     }
 
     /// Executes ListParts.
     pub(super) async fn list_parts(&self, request: ObjectRequest) -> Result<Reply, ApiError> {
-        let upload = UploadId::of(&request)?;
+        let upload = UploadId::from_request(&request)?;
         let mut query = upload.query();
         for name in PAGE_FIELDS {
             if let Some(number) = page_number(&request, name)? {
@@ -116,16 +116,16 @@
         parts.upload_id = upload.text;
         parts.bucket = request.bucket_name;
         parts.key = request.key;
-        Ok(document(StatusCode::OK, "ListPartsResult", &parts))
+        Ok(document_reply(StatusCode::OK, "ListPartsResult", &parts))
     }
 
     /// Executes AbortMultipartUpload, which is idempotent and so uses the class for reads.
     pub(super) async fn abort(&self, request: ObjectRequest) -> Result<Reply, ApiError> {
-        let upload = UploadId::of(&request)?;
+        let upload = UploadId::from_request(&request)?;
         let class = request.bucket.read_class;
         let server_request = upload.server_request(class, Method::DELETE, upload.query());
         self.send(&request, server_request).await?;
-        Ok(empty(StatusCode::NO_CONTENT))
+        Ok(empty_reply(StatusCode::NO_CONTENT))
     }
 
     /// Sends a request that names an upload, and returns the answer if it is a success.
