--- a/src/object/config.rs
+++ b/src/object/config.rs
@@ -66,10 +66,10 @@
         name: String,
     },
     /// The class for writes is idempotent: a repeated write could store an object twice.
-    #[error("the class in 'write' may be repeated, and writes must not be")]
+    #[error("'write': must not name an idempotent class")]
     RepeatableWrites,
     /// The class for reads is not idempotent, so that reads could not be repeated.
-    #[error("the class in 'read' must be one that may be repeated")]
+    #[error("'read': must name an idempotent class")]
     UnrepeatableReads,
 }
 
