--- a/src/object/complete_upload.rs
+++ b/src/object/complete_upload.rs
@@ -1,4 +1,4 @@
-//! Completing multipart uploads, each at most once.
+//! Completion of multipart uploads, at most once each.
 
 use bytes::Bytes;
 use hyper::header::ETAG;
@@ -7,7 +7,7 @@
 use super::answer::NotFound;
 use super::error::ApiError;
 use super::pending_completions::CompletionClaim;
-use super::replies::{document, VERSION_ID};
+use super::replies::{document_reply, VERSION_ID};
 use super::request::ObjectRequest;
 use super::server_request::ServerRequest;
 use super::upload_id::UploadId;
@@ -16,35 +16,38 @@
 use crate::frontend::replies::Reply;
 use crate::upstream::Answer;
 
-/// A chunk server's state of an upload.
+/// The state of an upload, as its shard reports it.
 enum UploadState {
+    /// The upload exists and is not completed.
     Open,
-    /// The object exists; this is the answer to a HEAD request for it.
+    /// The upload has created the object; contains the answer to a HEAD request for it.
     Completed(Box<Answer>),
+    /// Neither the upload nor an object that it created exists.
     Unknown,
 }
 
 impl Uploads {
-    /// CompleteMultipartUpload, at most once for each upload. The state of the upload is read
-    /// first, since a completion through another front may have an unknown outcome. One through
-    /// this front whose outcome is unknown delays the next until it can no longer be executed.
+    /// Executes CompleteMultipartUpload, at most once for each upload. Reads the state of the
+    /// upload first, since a completion through another front may have had an unknown outcome.
+    /// After a completion of unknown outcome through this front, the next one is rejected until the
+    /// earlier one can no longer be executed.
     pub(super) async fn complete(
         &self,
         request: ObjectRequest,
         body: Bytes,
     ) -> Result<Reply, ApiError> {
-        let upload = UploadId::of(&request)?;
+        let upload = UploadId::from_request(&request)?;
         check_parts(&body)?;
         let write_class = request.bucket.write_class;
         let deadline = self.client.deadline(write_class);
-        match self.state(&request, &upload).await {
+        match self.read_state(&request, &upload).await {
             Ok(UploadState::Completed(head)) => return completed_reply(&request, &head),
             Ok(UploadState::Unknown) => return Err(ApiError::no_such_upload()),
             Ok(UploadState::Open) => {}
-            Err(error) => return Err(error.of_read(deadline)),
+            Err(error) => return Err(error.for_read(deadline)),
         }
-        // A chunk server may still execute what it received in time, so the claim lasts twice the
-        // deadline.
+        // A chunk server may still execute a request that it received before the deadline, so the
+        // claim lasts for twice the deadline.
         let claim = self
             .pending_completions
             .claim(&upload.text, request.deadline + deadline)?;
@@ -66,8 +69,8 @@
         }
     }
 
-    /// The response to a completion by the chunk server's answer. Where that is an error, another
-    /// front may have completed the upload meanwhile, so the state of the upload is read again.
+    /// Builds the response to a completion from the chunk server's answer. If that is an error,
+    /// another front may have completed the upload meanwhile, so its state is read again.
     async fn completion_reply(
         &self,
         request: &ObjectRequest,
@@ -78,25 +81,26 @@
             Ok(answer) => {
                 let result: xml::CompleteMultipartUploadResult =
                     xml::read(&answer.body).ok_or(ApiError::OutcomeUnknown)?;
-                return completion_document(request, result.etag, &answer);
+                return success_reply(request, result.etag, &answer);
             }
             Err(error) => error,
         };
-        match self.state(request, upload).await {
+        match self.read_state(request, upload).await {
             Ok(UploadState::Completed(head)) => completed_reply(request, &head),
             _ => Err(error),
         }
     }
 
-    /// The response to a completion of unknown outcome: a success where the upload turns out to be
-    /// completed. Otherwise the completion may still be executed, and its claim remains.
+    /// Builds the response to a completion of unknown outcome: a success if the state of the upload
+    /// shows that it is completed. Otherwise the completion may still be executed, so its claim
+    /// remains.
     async fn resolve_outcome(
         &self,
         request: &ObjectRequest,
         upload: &UploadId,
         claim: CompletionClaim<'_>,
     ) -> Result<Reply, ApiError> {
-        match self.state(request, upload).await {
+        match self.read_state(request, upload).await {
             Ok(UploadState::Completed(head)) => {
                 claim.release();
                 completed_reply(request, &head)
@@ -105,9 +109,9 @@
         }
     }
 
-    /// Reads the state of an upload from its chunk server: it is open while its parts can be
-    /// listed, and completed where the object has its token.
-    async fn state(
+    /// Reads the state of an upload from its shard: it is open while its parts can be listed, and
+    /// completed if the object has its token.
+    async fn read_state(
         &self,
         request: &ObjectRequest,
         upload: &UploadId,
@@ -132,7 +136,7 @@
     }
 }
 
-/// Checks the list of parts in a request to complete an upload.
+/// Checks that a request to complete an upload lists parts, in ascending order of their numbers.
 fn check_parts(body: &[u8]) -> Result<(), ApiError> {
     let list: xml::CompleteMultipartUpload = xml::read(body).ok_or_else(malformed_list)?;
     if list.parts.is_empty() {
@@ -152,7 +156,7 @@
     Ok(())
 }
 
-/// The error for a list of parts that is no such document, or names no part.
+/// Creates the error for a list of parts that is malformed or empty.
 fn malformed_list() -> ApiError {
     ApiError::request(
         StatusCode::BAD_REQUEST,
@@ -161,25 +165,26 @@
     )
 }
 
-/// Whether an object was made by the upload with this token.
+/// Returns whether an object was created by the upload with this token.
 fn has_token(head: &Answer, token: &str) -> bool {
     head.headers
         .get(UPLOAD_TOKEN)
         .is_some_and(|value| value == token)
 }
 
-/// The response to a completion whose object exists already.
+/// Builds the response to a completion whose object exists already.
 fn completed_reply(request: &ObjectRequest, head: &Answer) -> Result<Reply, ApiError> {
     let etag = head
         .headers
         .get(ETAG)
         .and_then(|value| value.to_str().ok())
         .unwrap_or_default();
-    completion_document(request, etag.to_owned(), head)
+    success_reply(request, etag.to_owned(), head)
 }
 
-/// The response to a completion. `answer` is one about the object, and names its version.
-fn completion_document(
+/// Builds the response to a successful completion. `answer` is a chunk server's answer about the
+/// object, with its version id.
+fn success_reply(
     request: &ObjectRequest,
     etag: String,
     answer: &Answer,
@@ -190,7 +195,7 @@
         key: request.key.clone(),
         etag,
     };
-    let mut reply = document(StatusCode::OK, "CompleteMultipartUploadResult", &result);
+    let mut reply = document_reply(StatusCode::OK, "CompleteMultipartUploadResult", &result);
     reply.headers_mut().insert(VERSION_ID, answer.version_id()?);
     Ok(reply)
 }
--- a/src/object/delete.rs
+++ b/src/object/delete.rs
@@ -1,4 +1,4 @@
-//! Removing objects.
+//! The operation that deletes objects.
 
 use std::rc::Rc;
 
@@ -6,15 +6,15 @@
 
 use super::answer::NotFound;
 use super::error::ApiError;
-use super::replies::empty;
+use super::replies::empty_reply;
 use super::request::{ObjectRequest, VersionId};
 use super::server_client::ServerClient;
 use super::server_request::ServerRequest;
 use crate::frontend::replies::Reply;
 use crate::upstream::Answer;
 
-/// DeleteObject: one version, or all copies of the object. Deleting what does not exist is a
-/// success.
+/// Executes DeleteObject, for one version or for all copies of the object. Deleting an object that
+/// does not exist is a success.
 pub(super) async fn delete(
     client: &Rc<ServerClient>,
     request: ObjectRequest,
@@ -23,7 +23,7 @@
         Some(version) => delete_version(client, &request, &version).await?,
         None => delete_all_copies(client, &request).await?,
     }
-    Ok(empty(StatusCode::NO_CONTENT))
+    Ok(empty_reply(StatusCode::NO_CONTENT))
 }
 
 /// Deletes one version, at the shard that stores it.
@@ -47,7 +47,8 @@
     check_deleted(answer.and_then(|answer| answer.into_success(NotFound::Key)))
 }
 
-/// Deletes the object at every shard: older copies would become visible once the latest is deleted.
+/// Deletes the object at every shard, since an older copy would become visible once the latest is
+/// deleted.
 async fn delete_all_copies(
     client: &Rc<ServerClient>,
     request: &ObjectRequest,
@@ -58,7 +59,7 @@
     Ok(())
 }
 
-/// Turns the error that the object does not exist into a success.
+/// Treats the error that the object does not exist as a success.
 fn check_deleted(result: Result<Answer, ApiError>) -> Result<(), ApiError> {
     match result {
         Ok(_) => Ok(()),
--- a/src/object/get.rs
+++ b/src/object/get.rs
@@ -1,4 +1,4 @@
-//! Reading objects: GetObject with ranges, and HeadObject.
+//! Operations that read objects: GetObject with byte ranges, and HeadObject.
 
 use std::ops::Range;
 use std::rc::Rc;
@@ -10,15 +10,15 @@
 use super::error::ApiError;
 use super::object_read::ObjectRead;
 use super::range::ByteRange;
-use super::replies::{copy_header, empty, VERSION_ID};
+use super::replies::{copy_header, empty_reply, VERSION_ID};
 use super::request::{select_headers, ObjectRequest};
 use super::server_client::ServerClient;
 use crate::frontend::replies::Reply;
 use crate::upstream::Answer;
 
-/// Headers of a chunk server's answer that describe an object, besides those with metadata of the
-/// user.
-const DESCRIBING_HEADERS: [&str; 8] = [
+/// Headers of a chunk server's answer that describe an object, besides those with user-defined
+/// metadata.
+const OBJECT_HEADERS: [&str; 8] = [
     "content-type",
     "cache-control",
     "content-disposition",
@@ -29,20 +29,20 @@
     "last-modified",
 ];
 
-/// HeadObject.
+/// Executes HeadObject.
 pub(super) async fn head(
     client: &Rc<ServerClient>,
     request: ObjectRequest,
 ) -> Result<Reply, ApiError> {
     let read = ObjectRead::start(client, request).await?;
     let answer = read.head().await?;
-    let mut reply = empty(StatusCode::OK);
-    describe(&answer, read.requested_version(), reply.headers_mut())?;
+    let mut reply = empty_reply(StatusCode::OK);
+    insert_object_headers(&answer, read.requested_version(), reply.headers_mut())?;
     copy_header(&answer.headers, &CONTENT_LENGTH, reply.headers_mut());
     Ok(reply)
 }
 
-/// GetObject. An object larger than one piece is streamed.
+/// Executes GetObject. A selected range larger than one piece is streamed.
 pub(super) async fn get(
     client: &Rc<ServerClient>,
     request: ObjectRequest,
@@ -52,7 +52,7 @@
     let piece = read.first_piece(requested).await?;
     let size = piece.range.size;
     let selected = selected_bytes(requested, size)?;
-    // A chunk server that returned another range than the one requested cannot be used.
+    // An answer with another range than the requested one cannot be used.
     let received = &piece.range.bytes;
     if received.start != selected.start || received.end > selected.end {
         return Err(ApiError::OutcomeUnknown);
@@ -62,9 +62,9 @@
     } else {
         StatusCode::OK
     };
-    let mut reply = empty(status);
+    let mut reply = empty_reply(status);
     let headers = reply.headers_mut();
-    describe(&piece.answer, read.requested_version(), headers)?;
+    insert_object_headers(&piece.answer, read.requested_version(), headers)?;
     let length = selected.end - selected.start;
     headers.insert(CONTENT_LENGTH, HeaderValue::from(length));
     if requested.is_some() {
@@ -78,7 +78,7 @@
     Ok(reply)
 }
 
-/// The bytes of an object of this size that a request selects.
+/// Returns the positions that a request selects in an object of `size` bytes.
 fn selected_bytes(requested: Option<ByteRange>, size: u64) -> Result<Range<u64>, ApiError> {
     match requested {
         Some(range) => range.within(size).ok_or(ApiError::InvalidRange(Some(size))),
@@ -86,20 +86,20 @@
     }
 }
 
-/// The value of `Content-Range` for these bytes of an object of this size.
+/// Returns the value of `Content-Range` for `bytes` of an object of `size` bytes.
 fn content_range(bytes: &Range<u64>, size: u64) -> Result<HeaderValue, ApiError> {
     let range = format!("bytes {}-{}/{size}", bytes.start, bytes.end - 1);
     HeaderValue::try_from(range).map_err(|_| ApiError::OutcomeUnknown)
 }
 
-/// Adds the headers that describe an object. A chunk server that does not name the version has read
-/// the one that was requested.
-fn describe(
+/// Adds the headers that describe an object. If the answer does not name the version, it is the one
+/// that the client requested, if any.
+fn insert_object_headers(
     answer: &Answer,
     requested: Option<HeaderValue>,
     to: &mut HeaderMap,
 ) -> Result<(), ApiError> {
-    to.extend(select_headers(&answer.headers, &DESCRIBING_HEADERS));
+    to.extend(select_headers(&answer.headers, &OBJECT_HEADERS));
     to.insert(ACCEPT_RANGES, HeaderValue::from_static("bytes"));
     let version_id = match requested.filter(|_| !answer.headers.contains_key(VERSION_ID)) {
         Some(requested) => requested,
--- a/src/object/put.rs
+++ b/src/object/put.rs
@@ -1,4 +1,4 @@
-//! Storing objects.
+//! The operation that stores an object.
 
 use bytes::Bytes;
 use hyper::header::ETAG;
@@ -6,13 +6,13 @@
 
 use super::answer::NotFound;
 use super::error::ApiError;
-use super::replies::{copy_header, empty, VERSION_ID};
+use super::replies::{copy_header, empty_reply, VERSION_ID};
 use super::request::ObjectRequest;
 use super::server_client::{body_units, ServerClient};
 use super::server_request::ServerRequest;
 use crate::frontend::replies::Reply;
 
-/// PutObject: a new object, which any shard may take.
+/// Executes PutObject. The object is new, so the decision module may choose any shard.
 pub(super) async fn put(
     client: &ServerClient,
     request: ObjectRequest,
@@ -26,7 +26,7 @@
     };
     let answer = client.send(&request, server_request).await?;
     let answer = answer.into_success(NotFound::Key)?;
-    let mut reply = empty(StatusCode::OK);
+    let mut reply = empty_reply(StatusCode::OK);
     copy_header(&answer.headers, &ETAG, reply.headers_mut());
     reply.headers_mut().insert(VERSION_ID, answer.version_id()?);
     Ok(reply)
