--- a/crates/fleet-limits/src/coordinator.rs
+++ b/crates/fleet-limits/src/coordinator.rs
@@ -135,7 +135,7 @@
     /// Updates this front's claims on issuers and its own votes for them. Leases from an issuer
     /// that this front no longer claims are not revoked; they expire on their own.
     fn update_claims(&mut self, now: Nanos) {
-        if self.members.is_shutting_down() || self.is_standby(now) || !self.is_settled() {
+        if self.members.is_shutting_down() || self.is_suspended(now) || !self.is_settled() {
             return;
         }
         let holder = self.own_holder();
@@ -179,7 +179,7 @@
     /// and the shares of the issuers that it holds.
     fn own_share(&self, now: Nanos) -> Share {
         let is_starting = self.is_starting(now) && !mutated(Mutation::FloorAtOnce);
-        if is_starting || self.is_standby(now) {
+        if is_starting || self.is_suspended(now) {
             return Share::NONE;
         }
         let floor = self.adoption.usable_floor(&self.config);
@@ -193,7 +193,7 @@
     /// Returns the share that this front may use: `own_share` less what it has granted to peers,
     /// plus what it leases from them.
     fn effective_share(&self, now: Nanos, own_share: Share, limit: Limit) -> Share {
-        if self.is_standby(now) || self.members.is_shutting_down() {
+        if self.is_suspended(now) || self.members.is_shutting_down() {
             return Share::NONE;
         }
         let granted = if mutated(Mutation::GrantsNotDeducted) {
--- a/crates/fleet-limits/src/coordinator/heartbeats.rs
+++ b/crates/fleet-limits/src/coordinator/heartbeats.rs
@@ -164,7 +164,7 @@
         // An increased share can be reported with the next round of heartbeats, a reduction must be
         // reported at once.
         match status {
-            MessageStatus::Accepted { first } if first || self.is_standby(now) => {
+            MessageStatus::Accepted { first } if first || self.is_suspended(now) => {
                 self.report_all(now, now, effects);
             }
             MessageStatus::Accepted { .. } => self.report_some(now, &changed_limits, effects),
--- a/crates/fleet-limits/src/coordinator/status.rs
+++ b/crates/fleet-limits/src/coordinator/status.rs
@@ -52,9 +52,9 @@
         self.adoption.is_starting(now)
     }
 
-    /// Returns whether another process or another membership list takes precedence, so that this
-    /// front uses nothing.
-    pub fn is_standby(&self, now: Nanos) -> bool {
+    /// Returns whether this front is suspended: another process or another membership list takes
+    /// precedence, so that this front uses nothing.
+    pub fn is_suspended(&self, now: Nanos) -> bool {
         self.members.is_rejected(now) || self.yields_to_membership_list(now)
     }
 
--- a/src/cli/peers.rs
+++ b/src/cli/peers.rs
@@ -25,7 +25,7 @@
     #[serde(rename = "other_roster", default)]
     has_conflicting_roster: bool,
     #[serde(rename = "standing_back", default)]
-    is_standby: bool,
+    is_suspended: bool,
     /// Whether every front in the roster is known to have adopted it.
     #[serde(rename = "settled", default)]
     is_settled: bool,
@@ -130,7 +130,7 @@
         println!(
             "other fronts run with another roster of its revision, and it uses no shared limit"
         );
-    } else if status.is_standby {
+    } else if status.is_suspended {
         println!("another process has its name, and it uses no shared limit");
     }
     if !status.is_settled {
--- a/src/cluster/peers/status.rs
+++ b/src/cluster/peers/status.rs
@@ -136,7 +136,7 @@
     /// another process has its name or its address or because it yields to a conflicting membership
     /// list.
     fn is_suspended(&self, now: Nanos) -> bool {
-        self.coordinator.is_standby(now) || !self.handles.socket.is_bound()
+        self.coordinator.is_suspended(now) || !self.handles.socket.is_bound()
     }
 
     fn configured_shares(&self) -> impl Iterator<Item = ConfiguredShare> + '_ {
