--- a/src/control/maintenance/mod.rs
+++ b/src/control/maintenance/mod.rs
@@ -136,7 +136,7 @@
     }
 
     /// Returns once every change is written, or at `deadline`.
-    pub async fn written(&self, deadline: Instant) {
+    pub async fn wait_until_written(&self, deadline: Instant) {
         if !self.write_until(deadline).await {
             log!("maintenance: changes are lost to the next version: they could not be written");
         }
--- a/src/front/assembly.rs
+++ b/src/front/assembly.rs
@@ -84,7 +84,7 @@
             peers.shut_down();
         }
         self.maintenance
-            .written(shutdown_at.get() + WRITE_CHANGES_WITHIN)
+            .wait_until_written(shutdown_at.get() + WRITE_CHANGES_WITHIN)
             .await;
     }
 }
