--- a/src/config/values.rs
+++ b/src/config/values.rs
@@ -111,7 +111,7 @@
         let value = Value::deserialize(deserializer)?;
         match T::deserialize(value) {
             Ok(value) => Ok(Deferred::Valid(value)),
-            Err(error) => Ok(Deferred::Invalid(json_object::message(&error))),
+            Err(error) => Ok(Deferred::Invalid(json_object::error_message(&error))),
         }
     }
 }
--- a/src/control/json_object.rs
+++ b/src/control/json_object.rs
@@ -77,7 +77,7 @@
     }
     serde_path_to_error::deserialize(value).map_err(|error| {
         let path = error.path().to_string();
-        located(&path, message(error.inner()))
+        located(&path, error_message(error.inner()))
     })
 }
 
@@ -101,7 +101,7 @@
 }
 
 /// The message of an error of a value, without a position: a decoded value has none.
-pub fn message(error: &simd_json::Error) -> String {
+pub fn error_message(error: &simd_json::Error) -> String {
     match error.error() {
         ErrorType::Serde(message) => message.clone(),
         other => format!("{other:?}"),
