--- a/src/control/console/connections.rs
+++ b/src/control/console/connections.rs
@@ -1,4 +1,4 @@
-//! The open connections of the console.
+//! The set of open console connections, limited in size.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -7,7 +7,8 @@
 
 use super::MAX_CONNECTIONS;
 
-/// The tasks that serve the open connections. Dropping it closes them all.
+/// The tasks that serve the open connections. Dropping this aborts them, which closes the
+/// connections.
 #[derive(Default)]
 pub(super) struct Connections {
     tasks: JoinSet<()>,
@@ -15,10 +16,10 @@
 }
 
 impl Connections {
-    /// Serves one more connection in a task of its own. Where there are [`MAX_CONNECTIONS`] already,
-    /// the oldest is closed.
+    /// Serves another connection in its own task. If [`MAX_CONNECTIONS`] are open already, the
+    /// oldest is closed.
     pub(super) fn spawn(&mut self, serve: impl Future<Output = ()> + 'static) {
-        self.forget_finished();
+        self.remove_finished();
         if self.oldest_first.len() >= MAX_CONNECTIONS {
             if let Some(oldest) = self.oldest_first.pop_front() {
                 oldest.abort();
@@ -27,8 +28,8 @@
         self.oldest_first.push_back(self.tasks.spawn_local(serve));
     }
 
-    /// Removes the connections whose calls have ended.
-    fn forget_finished(&mut self) {
+    /// Removes the connections whose tasks have finished.
+    fn remove_finished(&mut self) {
         self.oldest_first.retain(|task| !task.is_finished());
         while self.tasks.try_join_next().is_some() {}
     }
--- a/src/control/console/mod.rs
+++ b/src/control/console/mod.rs
@@ -1,12 +1,12 @@
-//! The operators' console: a separate HTTP listener, with one call for each connection and every
-//! answer within a second.
+//! The operators' console: a separate HTTP listener that serves one call per connection and
+//! responds within a second.
 //!
 //! - `GET /status`: 200 while the front accepts clients, 503 before that and while it shuts down.
 //! - `GET /status/metrics`: the metrics, in the Prometheus text format.
 //! - `GET /status/peers`: the front's view of its peers as JSON, where it has any.
 //! - `GET /status/verdicts`, `GET /status/verdicts/ID`: the ejections that the front shares with
 //!   its peers, and those of chunk server ID, as JSON.
-//! - `PUT /maintenance/enter/ID`, `PUT /maintenance/exit/ID`: begins and ends the maintenance of
+//! - `PUT /maintenance/enter/ID`, `PUT /maintenance/exit/ID`: starts or ends the maintenance of
 //!   chunk server ID.
 
 mod connections;
@@ -46,82 +46,82 @@
 use crate::telemetry::metrics::{GaugeReadings, Metrics};
 use crate::upstream::Upstream;
 
-/// The longest time for a call, from the connection to the last byte of the response. The
-/// connection is closed after it.
+/// The time limit for a call, from the accepted connection to the last byte of the response. After
+/// it, the connection is closed.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
-/// The most open connections; one more closes the oldest.
+/// The maximum number of open connections; another one closes the oldest.
 pub const MAX_CONNECTIONS: usize = 8;
-/// The most bytes of a request's body that are read. No call needs a body.
+/// The maximum number of bytes read from a request's body. No call needs a body.
 const MAX_BODY_BYTES: usize = 4096;
-/// The pause after a connection could not be accepted.
+/// The pause before the next accept after one has failed.
 const ACCEPT_RETRY: Duration = Duration::from_millis(10);
-/// The response to anything that is no call of the console.
+/// The response to a request that is not a call of the console.
 const UNKNOWN_CALL: &str =
     "no such call: GET /status, GET /status/metrics, PUT /maintenance/enter/ID or exit/ID\n";
-/// The response to a path for maintenance that has no valid action or id.
+/// The response to a maintenance path without a valid action or id.
 const MAINTENANCE_USAGE: &str = "maintenance is /maintenance/enter/ID or /maintenance/exit/ID\n";
 
 /// Why the console cannot be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum ConsoleError {
-    /// Its address cannot be used.
+    /// The configured address cannot be bound.
     #[error("cannot open the console on {address}: {source}")]
     Open {
         /// The configured address.
         address: SocketAddr,
-        /// The system's reason.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The address of the socket cannot be read.
+    /// The address of the bound socket cannot be determined.
     #[error(transparent)]
     LocalAddress(io::Error),
 }
 
-/// The parts of a front that the console reads and changes.
+/// The parts of a front that the console reads or changes.
 pub struct ConsoleParts {
     /// Whether the front accepts clients, and how many requests are in progress.
     pub listener_status: ListenerStatus,
-    /// The front's metrics.
+    /// Rendered by `/status/metrics`, with the current gauges.
     pub metrics: Rc<Metrics>,
-    /// Owns the scheduler.
+    /// Owns the scheduler, whose endpoint counts are among the metrics.
     pub exchange: Rc<Exchange<Upstream>>,
-    /// The chunk servers in maintenance.
+    /// Changed by the maintenance calls.
     pub maintenance: Rc<Maintenance>,
-    /// The front's peers, where it has any.
+    /// The front's peers; `None` where it has none.
     pub peers: Option<Rc<Peers>>,
 }
 
-/// The console of a front.
+/// The service behind the console's listener.
 pub struct Console {
     parts: ConsoleParts,
 }
 
 impl Console {
-    /// A console on the parts of a front.
+    /// Creates the console of a front.
     pub fn new(parts: ConsoleParts) -> Rc<Console> {
         Rc::new(Console { parts })
     }
 
-    /// Serves for as long as the program runs.
+    /// Accepts and serves connections until the program ends.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let mut connections = Connections::default();
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => connections.spawn(Rc::clone(&self).serve_call(stream)),
                 Err(error) => {
-                    log!("console: cannot accept: {error}");
+                    log!("console: cannot accept a connection: {error}");
                     sleep(ACCEPT_RETRY).await;
                 }
             }
         }
     }
 
-    /// Serves the one call of a connection.
+    /// Serves the one call of a connection, within [`CALL_TIMEOUT`].
     async fn serve_call(self: Rc<Self>, stream: TcpStream) {
         ignore_delayed_segments(stream.set_nodelay(true));
         let console = &self;
         let service = service_fn(move |request| async move {
-            let response = console.answer(request).await;
+            let response = console.handle_call(request).await;
             Ok::<_, Infallible>(response)
         });
         let connection = http1::Builder::new()
@@ -132,10 +132,10 @@
         }
     }
 
-    /// Carries out a call.
-    async fn answer(&self, request: Request<Incoming>) -> ConsoleResponse {
+    /// Reads the request and carries out the call that it makes.
+    async fn handle_call(&self, request: Request<Incoming>) -> ConsoleResponse {
         let (head, body) = request.into_parts();
-        // So that the response does not cross the body on the wire.
+        // Reads the body first, so that the response is not sent while the body still arrives.
         ignore_body(Limited::new(body, MAX_BODY_BYTES).collect().await);
         match Route::parse(&head.method, head.uri.path()) {
             Route::Status => self.show_status(),
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Whether the front accepts clients.
+    /// Responds whether the front accepts clients.
     fn show_status(&self) -> ConsoleResponse {
         if self.parts.listener_status.is_accepting() {
             plain(StatusCode::OK, "taking clients\n")
@@ -162,7 +162,7 @@
         }
     }
 
-    /// The metrics, with the gauges as of now.
+    /// Responds with the metrics, with gauges read now.
     fn show_metrics(&self) -> ConsoleResponse {
         let endpoints = self.parts.exchange.endpoint_counts();
         let readings = GaugeReadings {
@@ -173,7 +173,8 @@
         metrics(self.parts.metrics.render(&readings))
     }
 
-    /// The `status` of the front's peers, where it has any.
+    /// Responds with the JSON that `status` returns for the front's peers; 404 if the front has no
+    /// peers or `status` fails.
     fn show_peers<E: Display>(
         &self,
         status: impl FnOnce(&Peers) -> Result<Value, E>,
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Begins or ends the maintenance of a chunk server.
+    /// Starts or ends the maintenance of a chunk server.
     async fn change_maintenance(&self, call: MaintenanceCall) -> ConsoleResponse {
         let MaintenanceCall { action, server } = call;
         let changed = match action {
@@ -197,7 +198,7 @@
         if let Err(error) = changed {
             return not_found(format!("{error}: {server}\n"));
         }
-        // Operators search the log for these words.
+        // These texts stay as they are: operators search the log for them.
         let change = match action {
             MaintenanceAction::Enter => "held out by hand",
             MaintenanceAction::Exit => "let back in",
@@ -207,19 +208,19 @@
     }
 }
 
-/// Ignores that a socket delays small segments: the response is slower then, not wrong.
+/// Discards an error of setting `TCP_NODELAY`: without it the response is only slower.
 fn ignore_delayed_segments(_outcome: io::Result<()>) {}
 
-/// Ignores that a connection broke off: there is nobody to tell.
+/// Discards the error of a broken connection: there is nobody left to report it to.
 fn ignore_disconnected_operator(_outcome: Result<(), hyper::Error>) {}
 
-/// Ignores the body of a request, and that it is too long or broke off: no call needs one.
+/// Discards the body of a request, even one that is too long or incomplete: no call needs a body.
 fn ignore_body<T, E>(_body: Result<T, E>) {}
 
-/// Opens the console's socket and logs its address.
+/// Opens the console's listening socket and logs its address.
 ///
 /// # Errors
-/// The address cannot be used.
+/// Fails if the address cannot be bound or the socket's own address cannot be determined.
 pub fn listen(address: SocketAddr) -> Result<TcpListener, ConsoleError> {
     let listener = bind(address).map_err(|source| ConsoleError::Open { address, source })?;
     let address = listener.local_addr().map_err(ConsoleError::LocalAddress)?;
@@ -227,7 +228,7 @@
     Ok(listener)
 }
 
-/// A listener at `address`.
+/// Opens a non-blocking listener on `address`.
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
--- a/src/control/console/route.rs
+++ b/src/control/console/route.rs
@@ -1,4 +1,4 @@
-//! Which call of the console a request is.
+//! Maps the method and path of a request to a call of the console.
 
 use hyper::Method;
 
@@ -6,38 +6,38 @@
 
 /// The path of the ejections that the front shares with its peers.
 const EJECTIONS_PATH: &str = "/status/verdicts";
-/// Before the id of a chunk server, the path of its ejections.
+/// The prefix of the path of one chunk server's ejections; the server's id follows.
 const EJECTIONS_PREFIX: &str = "/status/verdicts/";
-/// Before an action and the id of a chunk server, the path of a change of its maintenance.
+/// The prefix of the path of a maintenance call; the action and the id of a chunk server follow.
 const MAINTENANCE_PREFIX: &str = "/maintenance/";
 
-/// A call of the console.
+/// A call of the console, or why a request is not one.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Route {
-    /// Whether the front accepts clients.
+    /// Reports whether the front accepts clients.
     Status,
-    /// The metrics.
+    /// Reports the metrics.
     Metrics,
-    /// The view of the peers.
+    /// Reports the front's view of its peers.
     Peers,
-    /// All ejections.
+    /// Reports all ejections.
     Ejections,
-    /// The ejections of the chunk server with this id.
+    /// Reports the ejections of the chunk server with this id.
     EjectionsOf(String),
-    /// A change of the maintenance of a chunk server.
+    /// Starts or ends the maintenance of a chunk server.
     Maintenance(MaintenanceCall),
-    /// A path for maintenance that has no valid action or id.
+    /// A maintenance path without a valid action or id.
     InvalidMaintenance,
-    /// A path for maintenance with another method than PUT.
+    /// A maintenance path with another method than PUT.
     MaintenanceNeedsPut,
-    /// The status with another method than GET.
+    /// The path of the status or the metrics with another method than GET.
     StatusNeedsGet,
-    /// Anything else.
+    /// Any other request.
     Unknown,
 }
 
 impl Route {
-    /// The call that a method and a path make.
+    /// Returns the call that a request with this method and path makes.
     pub(super) fn parse(method: &Method, path: &str) -> Route {
         match (method, path.strip_prefix(MAINTENANCE_PREFIX)) {
             (&Method::GET, None) => Route::parse_get(path),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The call that GET makes with a path.
+    /// Returns the call that a GET request for a path makes.
     fn parse_get(path: &str) -> Route {
         match path {
             "/status" => Route::Status,
