--- a/src/control/http_client.rs
+++ b/src/control/http_client.rs
@@ -1,6 +1,7 @@
-//! An HTTP client for control traffic: discovery, etcd, and the API of an agent. Each call opens a
-//! connection of its own. Responses may be read in one piece or as a
-//! stream of JSON messages.
+//! An HTTP client for control traffic: discovery, etcd, and the API of an agent.
+//!
+//! Each call opens its own connection. A response body is read either completely or as a stream of
+//! JSON messages.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
@@ -19,62 +20,63 @@
 use crate::control::json_stream::{Message, MessageReader};
 use crate::socket_io::Socket;
 
-/// The longest message of a stream, and the longest body that is read in one piece, in bytes.
+/// The maximum size in bytes of a message in a stream, and of a body that is read completely.
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
 /// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
-    /// The connection did not open in time.
-    #[error("no connection in time")]
+    /// The connection was not established within [`CallTimeouts::connect`].
+    #[error("connection not established in time")]
     ConnectTimeout,
-    /// The connection cannot be opened.
+    /// The system could not establish the connection.
     #[error(transparent)]
     Connect(std::io::Error),
     /// The request is not valid HTTP.
     #[error(transparent)]
     InvalidRequest(hyper::http::Error),
-    /// The connection failed while the request or the response was under way.
+    /// The connection failed while the request was sent or the response was received.
     #[error(transparent)]
     Connection(#[from] hyper::Error),
-    /// The response did not begin in time.
-    #[error("no answer in time")]
+    /// The response did not begin within [`CallTimeouts::response`].
+    #[error("no response in time")]
     ResponseTimeout,
-    /// A message of the stream exceeds the limit on its length.
-    #[error("a message without end")]
+    /// A message of the stream exceeds the limit on its size.
+    #[error("message exceeds the size limit")]
     MessageTooLong,
-    /// The stream of messages has ended.
-    #[error("it has ended")]
+    /// The server ended the stream of messages.
+    #[error("message stream ended")]
     StreamEnded,
-    /// The body did not arrive in time.
-    #[error("it is silent")]
+    /// The complete body did not arrive in time.
+    #[error("response body not received in time")]
     BodyTimeout,
-    /// The body broke off, or exceeds the limit on its length.
+    /// The connection broke before the end of the body, or the body exceeds the limit on its size.
     #[error(transparent)]
     Body(Box<dyn std::error::Error + Send + Sync>),
 }
 
-/// How long the steps of a call may take.
+/// Time limits for the steps of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct CallTimeouts {
-    /// Until the connection is open.
+    /// The limit for establishing the connection.
     pub connect: Duration,
-    /// From then until the response begins.
+    /// The limit from then until the head of the response arrives.
     pub response: Duration,
 }
 
-/// A response whose body is yet to arrive. Dropping it closes the connection.
+/// A response whose head has arrived and whose body has not been read yet. Dropping it closes the
+/// connection.
 pub struct CallResponse {
-    /// The status of the response.
+    /// The HTTP status code.
     pub status: StatusCode,
-    /// The time at which the response was made, where it has that.
+    /// The time in the `Date` header on the server's clock, if there is a valid one.
     pub date: Option<SystemTime>,
     body: Incoming,
     messages: MessageReader,
     _task: ConnectionTask,
 }
 
-/// The task that drives a connection. Dropping it stops the task.
+/// The task that drives a connection. Dropping this handle aborts the task.
 struct ConnectionTask(JoinHandle<()>);
 
 impl Drop for ConnectionTask {
@@ -83,10 +85,11 @@
     }
 }
 
-/// Makes a call. A body that is not empty is sent as JSON.
+/// Sends a request on a new connection and returns the response once its head has arrived. A body
+/// that is not empty is sent as JSON.
 ///
 /// # Errors
-/// [`HttpError`], where no response begins.
+/// Returns an [`HttpError`] if no response begins.
 pub async fn call(
     address: SocketAddr,
     method: Method,
@@ -117,20 +120,20 @@
     })
 }
 
-/// The time in the `Date` header, where it is valid.
+/// Returns the time in the `Date` header, if it is valid.
 fn date(headers: &HeaderMap) -> Option<SystemTime> {
     let date = headers.get(DATE)?.to_str().ok()?;
     httpdate::parse_http_date(date).ok()
 }
 
-/// A connection that is ready for one request.
+/// An open connection that can send one request.
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: ConnectionTask,
 }
 
 impl Connection {
-    /// Connects to `address`.
+    /// Connects to `address`, with a limit on the TCP connect.
     async fn open(address: SocketAddr, within: Duration) -> Result<Connection, HttpError> {
         let connected = timeout(within, TcpStream::connect(address)).await;
         let stream = connected
@@ -145,16 +148,16 @@
     }
 }
 
-/// Ignores the error of a connection: the sender of the request and the reader of the body get it
-/// too.
+/// Discards the error of a connection task: it is also reported to the sender of the request and to
+/// the reader of the body.
 fn ignore_reported_error(_outcome: Result<(), hyper::Error>) {}
 
 impl CallResponse {
-    /// The next message of the stream, however long it takes. The future may be dropped without
-    /// losing a message.
+    /// Returns the next message of the stream. Waits without a time limit. It is cancel safe: no
+    /// message is lost if the future is dropped.
     ///
     /// # Errors
-    /// The stream has ended or broken off, or the message is too long.
+    /// Fails if the stream has ended, the connection broke, or the message exceeds the size limit.
     pub async fn next_message(&mut self) -> Result<Message, HttpError> {
         loop {
             if let Some(message) = self.messages.pop() {
@@ -170,10 +173,10 @@
         }
     }
 
-    /// The complete body.
+    /// Reads the complete body.
     ///
     /// # Errors
-    /// The body does not arrive in time, breaks off, or is too long.
+    /// Fails if the body does not arrive in time, breaks off, or exceeds the size limit.
     pub async fn read_all(mut self, within: Duration) -> Result<Vec<u8>, HttpError> {
         let body = Limited::new(&mut self.body, MAX_MESSAGE_BYTES).collect();
         let body = timeout(within, body)
--- a/src/control/json_stream.rs
+++ b/src/control/json_stream.rs
@@ -1,5 +1,7 @@
-//! Splits a stream of bytes into JSON messages. A message may stand on one line or be indented over
-//! many. Empty lines between messages are keep-alives.
+//! Splits a stream of bytes into JSON messages.
+//!
+//! A message may be on one line or indented over several. Empty lines between messages are
+//! keep-alives.
 
 use bytes::{Buf, BytesMut};
 
@@ -8,8 +10,8 @@
 pub enum Message {
     /// An empty line.
     KeepAlive,
-    /// The bytes of a JSON object or array, or a line that begins like neither, for the receiver to
-    /// reject.
+    /// The bytes of a JSON object or array. A line that begins with neither is passed on as well,
+    /// for the receiver to reject.
     Json(BytesMut),
 }
 
@@ -17,9 +19,9 @@
 #[derive(Debug, Default)]
 pub struct MessageReader {
     buffer: BytesMut,
-    /// Bytes of the buffer that have been scanned for the end of the message.
+    /// The number of bytes of the buffer that have been scanned for the end of the message.
     scanned: usize,
-    /// Objects and arrays that are open there.
+    /// The number of objects and arrays open after the scanned bytes.
     depth: usize,
     in_string: bool,
     escaped: bool,
@@ -31,15 +33,15 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes buffered of messages that have not been returned.
+    /// Returns the number of buffered bytes, which belong to messages not yet returned.
     pub fn buffered(&self) -> usize {
         self.buffer.len()
     }
 
-    /// The next message, if it is complete.
+    /// Returns the next message, if it is complete.
     pub fn pop(&mut self) -> Option<Message> {
         if self.scanned == 0 {
-            if self.skip_blank() {
+            if self.skip_whitespace() {
                 return Some(Message::KeepAlive);
             }
             if !matches!(self.buffer.first(), None | Some(b'{' | b'[')) {
@@ -57,19 +59,19 @@
         None
     }
 
-    /// Skips white space before a message. Whether a line ended in it.
-    fn skip_blank(&mut self) -> bool {
-        let blank = self
+    /// Skips white space before a message. Returns whether it contained the end of a line.
+    fn skip_whitespace(&mut self) -> bool {
+        let whitespace = self
             .buffer
             .iter()
             .take_while(|byte| byte.is_ascii_whitespace())
             .count();
-        let has_line_end = self.buffer[..blank].contains(&b'\n');
-        self.buffer.advance(blank);
+        let has_line_end = self.buffer[..whitespace].contains(&b'\n');
+        self.buffer.advance(whitespace);
         has_line_end
     }
 
-    /// Scans one byte. Whether the outermost object or array ends with it.
+    /// Scans one byte. Returns whether the outermost object or array ends with it.
     fn closes_message(&mut self, byte: u8) -> bool {
         match byte {
             _ if self.escaped => self.escaped = false,
