--- a/src/control/discovery/connection.rs
+++ b/src/control/discovery/connection.rs
@@ -1,4 +1,4 @@
-//! The calls that open a watch on discovery, and the messages of an open watch.
+//! Opens a watch on discovery and reads its messages.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -12,11 +12,11 @@
 use crate::control::http_client::{call, CallResponse, CallTimeouts};
 use crate::control::json_stream::Message;
 
-/// The longest time for a connection to discovery to open. The call as a whole is bounded by
-/// [`CALL_TIMEOUT`].
+/// The time limit for establishing a connection to discovery. The state machine bounds the call as
+/// a whole by [`CALL_TIMEOUT`]; this limit lets an unreachable address fail earlier.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A call that opens a watch.
+/// A call in progress that opens a watch. Dropping it cancels the call.
 pub type OpeningWatch = Pin<Box<dyn Future<Output = Result<OpenWatch, DiscoveryError>>>>;
 
 /// A watch that discovery has accepted. Dropping it closes the connection.
@@ -27,17 +27,17 @@
 
 /// A message of an open watch.
 pub struct WatchMessage {
-    /// The address of the discovery that sent it.
+    /// The address of the discovery instance that sent the message.
     pub source: SocketAddr,
-    /// Its content.
+    /// A keep-alive or the JSON text of an endpoint list.
     pub message: Message,
 }
 
 impl OpenWatch {
-    /// Opens a watch on the changes after a version of the endpoint list.
+    /// Opens a watch on the changes after version `generation` of the endpoint list.
     ///
     /// # Errors
-    /// The call failed, or discovery answered it with an error.
+    /// Fails if the call fails, or if discovery responds with another status than 200.
     pub async fn open(address: SocketAddr, generation: i64) -> Result<OpenWatch, DiscoveryError> {
         let path = format!("/registry/instances?watch=1&after={generation}");
         let timeouts = CallTimeouts {
@@ -54,15 +54,17 @@
         }
     }
 
-    /// The time on discovery's clock at which it accepted the watch, where the response has it.
+    /// Returns the time on discovery's clock at which it accepted the watch, if the response has
+    /// it.
     pub fn date(&self) -> Option<SystemTime> {
         self.response.date
     }
 
-    /// The next message, however long it takes. The future may be dropped without losing a message.
+    /// Returns the next message. Waits without a time limit. It is cancel safe: no message is lost
+    /// if the future is dropped.
     ///
     /// # Errors
-    /// The watch has ended or broken off.
+    /// Fails if the watch has ended, the connection broke, or the message is too long.
     pub async fn next_message(&mut self) -> Result<WatchMessage, DiscoveryError> {
         let message = self.response.next_message().await?;
         Ok(WatchMessage {
--- a/src/control/discovery/error.rs
+++ b/src/control/discovery/error.rs
@@ -1,18 +1,18 @@
-//! Why a watch on discovery cannot be opened or read.
+//! Errors of a watch on discovery.
 
 use hyper::StatusCode;
 
 use crate::control::http_client::HttpError;
 use crate::control::json_object::JsonObjectError;
 
-/// Why a watch cannot be opened or read.
+/// Why a watch cannot be opened, or a message of it cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
-    /// The call failed.
+    /// The call failed, or the connection of the open watch did.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// Discovery answered the call with an error.
-    #[error("it answered {0}")]
+    /// Discovery responded to the call with another status than 200.
+    #[error("response status {0}")]
     Status(StatusCode),
     /// A message is not JSON.
     #[error(transparent)]
@@ -23,8 +23,9 @@
 }
 
 impl DiscoveryError {
-    /// Whether nothing came from discovery at all.
-    pub fn is_silence(&self) -> bool {
+    /// Returns whether a call ended without any response from discovery, because the connection or
+    /// the response timed out.
+    pub fn is_timeout(&self) -> bool {
         matches!(
             self,
             DiscoveryError::Http(HttpError::ConnectTimeout | HttpError::ResponseTimeout)
--- a/src/control/discovery/follower.rs
+++ b/src/control/discovery/follower.rs
@@ -1,4 +1,5 @@
-//! The task that calls discovery when [`DiscoveryWatch`] requires it, and reads its open watch.
+//! The task that carries out the steps of [`DiscoveryWatch`]: it calls discovery and reads the open
+//! watch.
 
 use std::future::pending;
 use std::net::SocketAddr;
@@ -18,37 +19,37 @@
 use crate::telemetry::log::log;
 use crate::upstream::Upstream;
 
-/// What a [`Follower`] waits for.
+/// The next thing that happens to a [`Follower`].
 enum Activity {
-    /// A message of the open watch, or its end.
+    /// The open watch delivered a message or ended.
     Message(Result<WatchMessage, DiscoveryError>),
-    /// The outcome of the call that opens a watch.
+    /// The call that opens a watch succeeded or failed.
     CallEnded(Result<OpenWatch, DiscoveryError>),
-    /// Anything else that the state machine must learn of.
+    /// Any other event, passed to the state machine as it is.
     Event(WatchEvent),
 }
 
-/// The task that carries out the decisions of [`DiscoveryWatch`].
+/// The state of the task that follows discovery.
 pub(super) struct Follower {
     discovery: Discovery,
-    /// Publishes the configured address of discovery.
+    /// The configured address of discovery, which may change at any time; `None` without discovery.
     address: watch::Receiver<Option<SocketAddr>>,
     exchange: Rc<Exchange<Upstream>>,
-    machine: DiscoveryWatch,
-    /// The origin of the times given to the state machine.
+    state_machine: DiscoveryWatch,
+    /// When the task was created: the zero of the times given to the state machine.
     started: Instant,
-    /// The watch that is read.
+    /// The watch whose messages are read.
     watch: Option<OpenWatch>,
-    /// The call in progress.
+    /// The call in progress that opens the next watch.
     opening: Option<OpeningWatch>,
     /// The watch that the latest call opened, until the state machine adopts it.
     opened: Option<OpenWatch>,
-    /// When the latest call was made.
+    /// When the latest call was made; when the task was created, before the first.
     called_at: Instant,
 }
 
 impl Follower {
-    /// A task that has made no call yet.
+    /// Creates a task that has made no call yet.
     pub(super) fn new(
         discovery: Discovery,
         first_call: FirstCall,
@@ -60,7 +61,7 @@
             discovery,
             address,
             exchange,
-            machine: DiscoveryWatch::new(0, first_call.max_delay, first_call.phase),
+            state_machine: DiscoveryWatch::new(0, first_call.max_delay, first_call.phase),
             started,
             watch: None,
             opening: None,
@@ -69,10 +70,10 @@
         }
     }
 
-    /// Follows discovery for as long as the program runs.
+    /// Follows discovery until the program ends.
     pub(super) async fn run(mut self) {
         loop {
-            // Without discovery there is only the last known list, until a configuration names an
+            // Without discovery, the last known list stays in use until a configuration names an
             // address.
             let Some(address) = *self.address.borrow() else {
                 self.discovery.readiness.list_confirmed();
@@ -84,31 +85,31 @@
             let activity = self.next_activity().await;
             let event = self.handle(activity);
             let now = self.started.elapsed().as_nanos() as Nanos;
-            for step in self.machine.on(now, event) {
+            for step in self.state_machine.on(now, event) {
                 self.perform(step, address);
             }
-            // Closes a watch that the state machine has no use for.
+            // Closes a new watch that the state machine did not adopt.
             self.opened = None;
         }
     }
 
-    /// Waits for whatever happens next.
+    /// Waits for the next activity. If several are ready, the order of the branches decides.
     async fn next_activity(&mut self) -> Activity {
         let due = self
-            .machine
+            .state_machine
             .due()
             .map(|due| self.started + Duration::from_nanos(due.max(0) as u64));
         tokio::select! {
             biased;
             message = next_message(&mut self.watch) => Activity::Message(message),
-            watch = call_end(&mut self.opening) => Activity::CallEnded(watch),
+            watch = call_outcome(&mut self.opening) => Activity::CallEnded(watch),
             Ok(()) = self.address.changed() => Activity::Event(WatchEvent::AddressChanged),
             () = self.exchange.endpoints_requested() => Activity::Event(WatchEvent::ListRequested),
-            () = reach(due) => Activity::Event(WatchEvent::TimerDue),
+            () = sleep_until_due(due) => Activity::Event(WatchEvent::TimerDue),
         }
     }
 
-    /// Handles an activity. Returns the event that it is for the state machine.
+    /// Handles an activity. Returns the event to report to the state machine.
     fn handle(&mut self, activity: Activity) -> WatchEvent {
         match activity {
             Activity::Message(Ok(received)) => {
@@ -116,7 +117,7 @@
                 WatchEvent::MessageReceived
             }
             Activity::Message(Err(error)) => {
-                log!("discovery: {error}");
+                log!("discovery: watch ended: {error}");
                 self.watch = None;
                 WatchEvent::Ended
             }
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Handles the success of a call.
+    /// Handles a successful call: keeps its watch until the state machine adopts it.
     fn handle_opened(&mut self, watch: OpenWatch) -> WatchEvent {
         self.discovery
             .record_server_time(&watch, self.exchange.now());
@@ -140,11 +141,11 @@
         WatchEvent::Opened
     }
 
-    /// Handles the failure of a call.
+    /// Handles a failed call. For readiness, a timeout counts differently from other failures.
     fn handle_failed_call(&mut self, error: &DiscoveryError) -> WatchEvent {
-        log!("discovery: {error}");
+        log!("discovery: call failed: {error}");
         let readiness = &self.discovery.readiness;
-        if error.is_silence() {
+        if error.is_timeout() {
             readiness.call_unanswered();
         } else {
             readiness.call_failed(self.called_at.elapsed());
@@ -152,7 +153,7 @@
         WatchEvent::Failed
     }
 
-    /// Carries out a step of the state machine.
+    /// Carries out a step of the state machine. `address` is discovery's, for a step that calls it.
     fn perform(&mut self, step: WatchStep, address: SocketAddr) {
         match step {
             WatchStep::Call => self.call(address),
@@ -172,8 +173,8 @@
         }
     }
 
-    /// Calls discovery. A configuration that no longer has an address leaves discovery at
-    /// `last_address`.
+    /// Starts a call to discovery at the configured address, or at `last_address` if the
+    /// configuration no longer has one. A call in progress is dropped.
     fn call(&mut self, last_address: SocketAddr) {
         let address = self.address.borrow().unwrap_or(last_address);
         let generation = self.discovery.generation_at(address);
@@ -182,7 +183,7 @@
     }
 }
 
-/// The next message of the open watch; pending while none is open.
+/// Returns the next message of the open watch; never completes while none is open.
 async fn next_message(watch: &mut Option<OpenWatch>) -> Result<WatchMessage, DiscoveryError> {
     match watch {
         Some(watch) => watch.next_message().await,
@@ -190,20 +191,21 @@
     }
 }
 
-/// The outcome of the call in progress; pending while there is none.
-async fn call_end(opening: &mut Option<OpeningWatch>) -> Result<OpenWatch, DiscoveryError> {
+/// Returns the outcome of the call in progress; never completes while there is none.
+async fn call_outcome(opening: &mut Option<OpeningWatch>) -> Result<OpenWatch, DiscoveryError> {
     match opening {
         Some(opening) => opening.await,
         None => pending().await,
     }
 }
 
-/// Completes at a moment; pending where there is none.
-async fn reach(due: Option<Instant>) {
+/// Waits until `due`; never completes if there is none.
+async fn sleep_until_due(due: Option<Instant>) {
     match due {
         Some(due) => sleep_until(due).await,
         None => pending().await,
     }
-    // Where the process itself was suspended, messages that arrived meanwhile are read first.
+    // After a suspension of the process, messages that arrived meanwhile are read before the timer
+    // counts as due.
     yield_now().await;
 }
--- a/src/control/discovery/mod.rs
+++ b/src/control/discovery/mod.rs
@@ -1,5 +1,5 @@
 //! Follows discovery: calls it when [`DiscoveryWatch`] requires it, and passes the endpoint lists
-//! of its messages on to the scheduler.
+//! that it sends on to the scheduler.
 //!
 //! [`DiscoveryWatch`]: tulipbridge_core::discovery_watch::DiscoveryWatch
 
@@ -26,27 +26,29 @@
 use crate::telemetry::log::log;
 use crate::upstream::Upstream;
 
-/// When a front first calls discovery.
+/// When a front makes its first call to discovery: `phase` times `max_delay` after its start.
 #[derive(Clone, Copy, Debug)]
 pub struct FirstCall {
-    /// The longest time until then, in nanoseconds.
+    /// The upper limit of the delay, in nanoseconds.
     pub max_delay: Nanos,
-    /// This front's place, from 0 to 1, in the interval over which the fleet's calls are spread.
+    /// This front's position, from 0 to 1, in the interval over which the fleet's calls are spread.
     pub phase: f64,
 }
 
-/// How far a front has followed discovery.
+/// The state of a front with respect to discovery: the version of the endpoint list in use and
+/// where it came from.
 pub struct Discovery {
     reader: EndpointListReader,
     readiness: Readiness,
     /// The version of the endpoint list in use.
     generation: i64,
-    /// The address whose versions [`Discovery::generation`] counts; until the first call none.
+    /// The address of the discovery instance that numbered [`Discovery::generation`]; `None` until
+    /// the first call.
     list_source: Option<SocketAddr>,
 }
 
 impl Discovery {
-    /// Nothing is followed yet.
+    /// Creates the state before any list is known, at version 0.
     pub fn new(reader: EndpointListReader, readiness: Readiness) -> Discovery {
         Discovery {
             reader,
@@ -56,10 +58,10 @@
         }
     }
 
-    /// Passes on the last known endpoint list, which may be old.
+    /// Passes the last known endpoint list, which may be out of date, to the scheduler.
     ///
     /// # Errors
-    /// The list is not in discovery's format.
+    /// Fails if the list is not in discovery's format.
     pub fn restore(
         &mut self,
         known: &Value,
@@ -73,8 +75,7 @@
         Ok(())
     }
 
-    /// Follows discovery for as long as the program runs, at the address that the configuration has
-    /// at any time.
+    /// Follows discovery until the program ends, at the currently configured address.
     pub async fn follow(
         self,
         first_call: FirstCall,
@@ -86,8 +87,8 @@
             .await;
     }
 
-    /// The version after which a watch at `address` is to report changes. Another instance of
-    /// discovery may count versions differently: it is asked for everything, from version 0 on.
+    /// Returns the version after which a watch at `address` should report changes. Another instance
+    /// of discovery may number versions differently, so it is asked for everything after version 0.
     fn generation_at(&mut self, address: SocketAddr) -> i64 {
         let list_source = *self.list_source.get_or_insert(address);
         if list_source == address {
@@ -97,7 +98,8 @@
         }
     }
 
-    /// Compares the clock of discovery, where a response has its time, with that of this front.
+    /// Passes discovery's time, if the response has it, to the reader, which compares it with the
+    /// clock of this front.
     fn record_server_time(&mut self, watch: &OpenWatch, now: Nanos) {
         let since_epoch = watch
             .date()
@@ -108,18 +110,18 @@
         }
     }
 
-    /// Handles a message of the watch. One that cannot be read is logged and otherwise ignored.
+    /// Handles a message of the watch. An invalid one is logged and otherwise ignored.
     fn receive(&mut self, received: WatchMessage, exchange: &Rc<Exchange<Upstream>>) {
         let now = exchange.now();
         let Message::Json(mut json) = received.message else {
-            // Nothing has changed since the version that the watch was opened with.
-            self.reader.confirmed(now);
+            // A keep-alive: nothing has changed since the version that the watch was opened with.
+            self.reader.list_confirmed(now);
             self.readiness.list_confirmed();
             return;
         };
         match self.read(&mut json, exchange, now) {
             Ok(update) => {
-                self.reader.confirmed(now);
+                self.reader.list_confirmed(now);
                 self.generation = update.generation;
                 self.list_source = Some(received.source);
                 exchange.update_endpoints(update.scope, update.nodes);
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Reads the endpoint list of a message that arrived at `now`, decoding it in place.
+    /// Reads the endpoint list of a message that arrived at `now`. The parser overwrites `json`.
     fn read(
         &mut self,
         json: &mut [u8],
--- a/src/control/endpoint_list.rs
+++ b/src/control/endpoint_list.rs
@@ -14,7 +14,7 @@
 use crate::control::maintenance::Maintenance;
 use crate::upstream::Upstream;
 
-/// Nanoseconds per millisecond, the unit of the list's times.
+/// Converts the list's times, which are in milliseconds.
 const NANOS_PER_MILLISECOND: i64 = 1_000_000;
 
 /// An endpoint list, or changes to one, as discovery sends it.
@@ -22,9 +22,10 @@
 struct EndpointListMessage {
     /// The version of the list after the update.
     generation: i64,
-    /// Whether the entries replace the list; they change some of it where this is missing or null.
+    /// Whether the entries replace the whole list. False, missing or null: they are changes to
+    /// single entries.
     reset: Option<bool>,
-    /// The entries. Each is decoded by itself, when it is read.
+    /// The entries, each decoded separately so that an error names the index of its entry.
     instances: Vec<Value>,
 }
 
@@ -35,25 +36,25 @@
     name: String,
     #[serde(rename = "hostPort")]
     address: EndpointAddress,
-    /// The name of the zone; anything but a string counts as an unknown zone.
+    /// The name of the zone. A value that is not a string counts as an unknown zone.
     #[serde(rename = "zone", default, deserialize_with = "optional_string")]
     zone: Option<String>,
-    /// The state of the server in discovery.
+    /// The state of the server as discovery names it; see [`listed_state`].
     #[serde(rename = "lifecycle")]
     lifecycle: String,
     #[serde(rename = "cell")]
     shard: u32,
-    /// When the server started, in milliseconds since the Unix epoch; 0 where that is not known.
+    /// When the server started, in milliseconds since the Unix epoch; 0 if unknown.
     #[serde(rename = "startedAtMs", default, deserialize_with = "integer_or_zero")]
     started_at_ms: i64,
 }
 
-/// The address of a chunk server.
+/// The IP address and port of a chunk server, parsed from a string.
 #[derive(Deserialize)]
 #[serde(try_from = "String")]
 struct EndpointAddress(SocketAddr);
 
-/// A text that is not an IP address with a port.
+/// The error for a string that is not an IP address with a port.
 #[derive(Debug, thiserror::Error)]
 #[error("{0} is no address")]
 struct InvalidAddress(String);
@@ -69,34 +70,36 @@
     }
 }
 
-/// An endpoint list, or changes to one.
+/// An endpoint list, or changes to one, in the form that the scheduler takes.
 pub struct EndpointUpdate {
     /// The version of the list after the update.
     pub generation: i64,
-    /// Whether the entries replace the list or change some of it.
+    /// Whether the entries replace the whole list or update some of its entries.
     pub scope: UpdateScope,
-    /// The entries, as the scheduler is to see them.
+    /// The entries. Servers in maintenance are draining here, whatever discovery reports.
     pub nodes: Vec<NodeInfo>,
 }
 
-/// An entry under its name.
+/// A converted entry with its name, by which maintenance identifies the server.
 struct NamedEndpoint {
     name: String,
     info: NodeInfo,
 }
 
-/// Reads endpoint lists for one front.
+/// Converts the endpoint lists that one front receives.
+///
+/// It keeps the start times of the servers from one update to the next.
 pub struct EndpointListReader {
     /// The names of the zones, in the order of the settings.
     zones: Vec<String>,
     /// The chunk servers in maintenance, which the scheduler sees as draining.
     maintenance: Rc<Maintenance>,
-    /// When the chunk servers started.
+    /// When the chunk servers started, corrected for differences between clocks.
     start_times: ServerStartTimes<String>,
 }
 
 impl EndpointListReader {
-    /// Reads lists whose zones are numbered in the order of `zones`.
+    /// Creates a reader that numbers zones by their position in `zones`.
     pub fn new(zones: Vec<String>, maintenance: Rc<Maintenance>) -> EndpointListReader {
         EndpointListReader {
             zones,
@@ -105,8 +108,8 @@
         }
     }
 
-    /// Records that discovery has confirmed at `now` that the list is current.
-    pub fn confirmed(&mut self, now: Nanos) {
+    /// Records that discovery confirmed at `now` that the list is current.
+    pub fn list_confirmed(&mut self, now: Nanos) {
         self.start_times.confirmed(now);
     }
 
@@ -116,11 +119,13 @@
         self.start_times.discovery_time(now, server_time);
     }
 
-    /// Reads an update that arrived at `now`. Chunk servers that are new get their number from
-    /// `upstream`, those before an invalid entry too.
+    /// Converts an update that arrived at `now`.
+    ///
+    /// New chunk servers are assigned a node id by `upstream`, even where a later entry turns out
+    /// to be invalid and the update is rejected.
     ///
     /// # Errors
-    /// The first value that is missing or invalid.
+    /// Reports the first value that is missing or invalid.
     pub fn read(
         &mut self,
         value: Value,
@@ -144,11 +149,14 @@
                 .map(|endpoint| endpoint.name.clone())
                 .collect();
             self.start_times.list_replaced(&names);
-            self.maintenance.replaced(&names);
+            self.maintenance.list_replaced(&names);
         }
         let nodes = endpoints
             .into_iter()
-            .map(|endpoint| self.maintenance.listed(&endpoint.name, endpoint.info))
+            .map(|endpoint| {
+                self.maintenance
+                    .endpoint_listed(&endpoint.name, endpoint.info)
+            })
             .collect();
         Ok(EndpointUpdate {
             generation: message.generation,
@@ -157,7 +165,7 @@
         })
     }
 
-    /// Converts one entry of an update.
+    /// Converts one entry of an update and records the start time of its server.
     fn read_endpoint(
         &mut self,
         entry: EndpointMessage,
@@ -180,8 +188,8 @@
         }
     }
 
-    /// The number of a zone; all zones that the settings do not name share the first number past
-    /// theirs.
+    /// Returns the number of a zone: its position in the settings. All zones that the settings do
+    /// not name share the next free number.
     fn zone_index(&self, name: Option<&str>) -> u32 {
         let position = self
             .zones
@@ -191,8 +199,8 @@
     }
 }
 
-/// The state of a chunk server for the scheduler, by its state in discovery. In a state that this
-/// version does not know, a server must not get new work.
+/// Returns the scheduler's state for a chunk server's state in discovery. A server in a state that
+/// this version does not know must not get new work, so it counts as draining.
 fn listed_state(lifecycle: &str) -> EndpointState {
     match lifecycle {
         "Ready" => EndpointState::Up,
@@ -201,13 +209,13 @@
     }
 }
 
-/// Deserializes a string; `None` where the value is of another type.
+/// Deserializes a string; returns `None` for a value of any other type.
 fn optional_string<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<String>, D::Error> {
     let value = Value::deserialize(deserializer)?;
     Ok(value.as_str().map(str::to_owned))
 }
 
-/// Deserializes an integer; 0 where the value is of another type.
+/// Deserializes an integer; returns 0 for a value of any other type.
 fn integer_or_zero<'de, D: Deserializer<'de>>(deserializer: D) -> Result<i64, D::Error> {
     let value = Value::deserialize(deserializer)?;
     Ok(value.as_i64().unwrap_or(0))
--- a/src/control/maintenance/shared_set.rs
+++ b/src/control/maintenance/shared_set.rs
@@ -1,4 +1,4 @@
-//! The servers in maintenance, and the file in which the versions of a front share them.
+//! The servers in maintenance and the file through which the versions of a front share them.
 
 use std::collections::BTreeSet;
 use std::fmt::Display;
@@ -11,24 +11,26 @@
 use crate::control::maintenance_file::{decode, encode, MaintenanceFile};
 use crate::telemetry::log::log;
 
-/// The servers in maintenance as of the file and of the changes that are not written yet.
+/// The servers in maintenance: those in the file as last read, with the changes of this process
+/// that are not written yet.
 ///
-/// Each change of the set returns the entries of the endpoint list that it changes for the
+/// Functions that change the set return the entries of the endpoint list that change for the
 /// scheduler.
 pub(super) struct SharedMaintenanceSet {
     set: MaintenanceSet<String>,
-    /// The changes that are in force here and not in the file yet.
+    /// The changes that take effect in this process and are not in the file yet.
     unwritten: UnwrittenChanges<String>,
-    /// The file, where there is a folder for it.
+    /// The shared file; `None` if there is no folder for it.
     file: Option<MaintenanceFile>,
     /// The content of the file when it was last read or written here; empty before that.
     last_content: Vec<u8>,
-    /// The latest error of the file, which is logged once; empty after a success.
+    /// The last logged error of the file, so that a repeated one is not logged again; emptied by a
+    /// successful write.
     last_error: String,
 }
 
 impl SharedMaintenanceSet {
-    /// An empty set. The file has not been read.
+    /// Creates an empty set. The file is not read yet.
     pub(super) fn new(file: Option<MaintenanceFile>) -> SharedMaintenanceSet {
         SharedMaintenanceSet {
             set: MaintenanceSet::new(),
@@ -39,20 +41,20 @@
         }
     }
 
-    /// Records an entry of the endpoint list. Returns its state for the scheduler.
-    pub(super) fn listed(&mut self, name: &str, info: NodeInfo) -> NodeInfo {
+    /// Records an entry of the endpoint list. Returns the entry to pass to the scheduler.
+    pub(super) fn endpoint_listed(&mut self, name: &str, info: NodeInfo) -> NodeInfo {
         self.set.endpoint_listed(&name.to_owned(), info)
     }
 
-    /// Records that a complete endpoint list with these names has arrived.
+    /// Records that a complete endpoint list with these server names has arrived.
     pub(super) fn list_replaced(&mut self, names: &BTreeSet<String>) {
         self.set.list_replaced(names);
     }
 
-    /// Begins the maintenance of a server.
+    /// Starts the maintenance of a server; the change is not written yet.
     ///
     /// # Errors
-    /// The endpoint list has never named it.
+    /// Fails if no endpoint list has ever named the server.
     pub(super) fn enter(&mut self, name: &str) -> Result<Vec<NodeInfo>, MaintenanceError> {
         let name = name.to_owned();
         let changed = self.set.enter(&name)?;
@@ -60,10 +62,10 @@
         Ok(changed.into_iter().collect())
     }
 
-    /// Ends the maintenance of a server at `now`.
+    /// Ends the maintenance of a server at `now`; the change is not written yet.
     ///
     /// # Errors
-    /// The endpoint list has never named it.
+    /// Fails if no endpoint list has ever named the server.
     pub(super) fn exit(
         &mut self,
         name: &str,
@@ -75,12 +77,13 @@
         Ok(changed.into_iter().collect())
     }
 
-    /// Whether no change waits to be written.
+    /// Returns whether all changes are written.
     pub(super) fn is_written(&self) -> bool {
         self.unwritten.is_empty()
     }
 
-    /// Applies the content of the file, where it differs from the last that was seen.
+    /// Applies the content of the file if it differs from what was last read or written here. An
+    /// error is logged.
     pub(super) fn read_file(&mut self, now: Nanos) -> Vec<NodeInfo> {
         let Some(file) = &self.file else {
             return Vec::new();
@@ -94,7 +97,8 @@
         }
     }
 
-    /// Writes the changes that wait, on top of what the file contains now.
+    /// Writes the unwritten changes on top of the current content of the file. An error is logged,
+    /// and the changes stay unwritten.
     pub(super) fn write_file(&mut self, now: Nanos) -> Vec<NodeInfo> {
         if self.is_written() {
             return Vec::new();
@@ -108,7 +112,8 @@
         }
     }
 
-    /// Applies what the file contains. Content that cannot be decoded is logged and ignored.
+    /// Applies the content of the file; empty content is ignored. Content that cannot be decoded is
+    /// logged and otherwise ignored.
     fn apply_content(&mut self, content: Vec<u8>, now: Nanos) -> Vec<NodeInfo> {
         if content.is_empty() || self.last_content == content {
             return Vec::new();
@@ -127,7 +132,8 @@
         }
     }
 
-    /// Writes the changes that wait; without a file they count as written.
+    /// Writes the unwritten changes and applies what other processes have changed in the file.
+    /// Without a file, the changes count as written.
     fn write_changes(&mut self, now: Nanos) -> io::Result<Vec<NodeInfo>> {
         let Some(file) = &self.file else {
             self.unwritten.written();
@@ -135,7 +141,7 @@
         };
         let _lock = file.lock()?;
         let content = file.read()?;
-        // A file that does not exist or cannot be decoded is replaced by this process's set.
+        // If the file does not exist or cannot be decoded, this process's set is written instead.
         let written = content
             .and_then(|content| decode(&content))
             .unwrap_or_else(|| self.set.in_maintenance().cloned().collect());
@@ -148,7 +154,7 @@
         Ok(self.set.replace_set(&names, now))
     }
 
-    /// Logs that the file has no valid content.
+    /// Logs that the content of the file is not valid.
     fn log_invalid_content(&self) {
         if let Some(file) = &self.file {
             log!(
@@ -158,12 +164,12 @@
         }
     }
 
-    /// Logs an error of the file, unless it is the same as the one before.
+    /// Logs an error of the file, unless it repeats the last one.
     fn log_file_error(&mut self, action: &str, error: &dyn Display) {
         let Some(file) = &self.file else { return };
         let message = format!("cannot {action} {}: {error}", file.path().display());
         if self.last_error != message {
-            log!("maintenance: {message}; tried again until it succeeds");
+            log!("maintenance: {message}; retrying until it succeeds");
             self.last_error = message;
         }
     }
--- a/src/control/maintenance_call.rs
+++ b/src/control/maintenance_call.rs
@@ -1,27 +1,28 @@
-//! The console's calls that begin and end the maintenance of a chunk server.
+//! The console's calls that start and end the maintenance of a chunk server.
 
 use std::fmt::{self, Display};
 
-/// A call that changes which servers are in maintenance.
+/// A request to start or end the maintenance of one server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MaintenanceCall {
-    /// The change for the server.
+    /// Whether maintenance starts or ends.
     pub action: MaintenanceAction,
-    /// The id of the server.
+    /// The id of the server, percent-decoded.
     pub server: String,
 }
 
-/// A change to the maintenance of a server.
+/// A change to the maintenance state of a server, displayed as the word in the path of the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MaintenanceAction {
-    /// Maintenance begins.
+    /// Maintenance starts.
     Enter,
     /// Maintenance ends.
     Exit,
 }
 
 impl MaintenanceCall {
-    /// Parses the path of a call after `/maintenance/`.
+    /// Parses the part of a path after `/maintenance/`, an action and a server id. Returns `None`
+    /// if it is not of this form.
     pub fn parse(path: &str) -> Option<MaintenanceCall> {
         let (action, id) = path.split_once('/')?;
         let action = match action {
@@ -46,7 +47,7 @@
     }
 }
 
-/// The id of a chunk server from the path of a call, without percent-encoding.
+/// Decodes the percent-encoded id of a chunk server in the path of a call.
 pub fn decode_id(id: &str) -> String {
     percent_encoding::percent_decode_str(id)
         .decode_utf8_lossy()
--- a/src/control/maintenance_file.rs
+++ b/src/control/maintenance_file.rs
@@ -1,10 +1,10 @@
-//! The file that tells other versions of a front on the same machine which chunk servers are in
+//! The file with which the versions of a front on one machine share the set of chunk servers in
 //! maintenance.
 //!
-//! It is replaced atomically by a rename after the new content is on the disk, so that no reader
-//! sees a part of it and a kill at any moment leaves one of the two. A process that changes the set
-//! locks a second file while it reads, changes and writes, so that concurrent changes are not lost.
-//! Nothing here waits for another process.
+//! The file is replaced atomically, by a rename after the new content is synced to disk: readers
+//! never see partial content, and a kill at any moment leaves either the old or the new content. A
+//! process that changes the set locks a second file while it reads, changes and writes, so that
+//! concurrent changes are not lost. Nothing here waits for another process.
 
 use std::collections::BTreeSet;
 use std::fs::{File, OpenOptions};
@@ -16,28 +16,28 @@
 
 use crate::control::json_object;
 
-/// The file of one front.
+/// The maintenance file of one front.
 pub struct MaintenanceFile {
     path: PathBuf,
 }
 
 impl MaintenanceFile {
-    /// The file of the front with this name in a folder. It need not exist.
+    /// Returns the file of the front named `front` in `folder`. It need not exist.
     pub fn new(folder: &Path, front: &str) -> MaintenanceFile {
         MaintenanceFile {
             path: folder.join(format!("tulipbridge-{front}-held.json")),
         }
     }
 
-    /// Where the file is.
+    /// Returns the path of the file.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// The content of the file; `None` where there is no file.
+    /// Reads the content of the file; `None` if it does not exist.
     ///
     /// # Errors
-    /// The system's, where the file cannot be read: it may have any content.
+    /// Fails if the file cannot be read. Its content is then unknown.
     pub fn read(&self) -> io::Result<Option<Vec<u8>>> {
         match std::fs::read(&self.path) {
             Ok(content) => Ok(Some(content)),
@@ -46,26 +46,26 @@
         }
     }
 
-    /// Replaces the file.
+    /// Replaces the content of the file atomically and durably.
     ///
     /// # Errors
-    /// The system's, where the file cannot be written.
+    /// Fails if the file cannot be written, renamed or synced.
     pub fn replace(&self, content: &[u8]) -> io::Result<()> {
-        let next = self.path.with_extension("json.next");
-        let mut file = File::create(&next)?;
+        let temporary_path = self.path.with_extension("json.next");
+        let mut file = File::create(&temporary_path)?;
         file.write_all(content)?;
         file.sync_all()?;
-        std::fs::rename(&next, &self.path)?;
-        // Without this the rename itself may be lost with the machine.
+        std::fs::rename(&temporary_path, &self.path)?;
+        // Without syncing the folder, a crash of the machine may undo the rename.
         self.path
             .parent()
             .map_or(Ok(()), |folder| File::open(folder)?.sync_all())
     }
 
-    /// Takes the lock on the set, which the result releases on drop.
+    /// Locks the set for this process, without waiting. Dropping the result releases the lock.
     ///
     /// # Errors
-    /// Another process has the lock, or the system cannot lock.
+    /// Fails if another process holds the lock, or if the lock file cannot be opened or locked.
     pub fn lock(&self) -> io::Result<Flock<File>> {
         let path = self.path.with_extension("lock");
         let file = OpenOptions::new()
@@ -77,7 +77,7 @@
     }
 }
 
-/// The content of the file.
+/// The content of the file. `Names` is a collection of names, owned or borrowed.
 #[derive(Serialize, Deserialize)]
 struct Content<Names> {
     /// The names of the servers in maintenance.
@@ -85,10 +85,10 @@
     names: Names,
 }
 
-/// The content of the file for a set of server names.
+/// Encodes server names as the content of the file.
 ///
 /// # Panics
-/// Never: any list of strings can be encoded.
+/// Never panics: any list of strings can be encoded.
 pub fn encode<'a>(names: impl Iterator<Item = &'a String>) -> Vec<u8> {
     let content = Content {
         names: names.collect::<Vec<&String>>(),
@@ -96,7 +96,7 @@
     simd_json::serde::to_vec(&content).expect("a list of strings can be encoded")
 }
 
-/// The server names in the content of a file; `None` where it is not a valid one.
+/// Decodes the server names in the content of a file; `None` if it is not valid.
 pub fn decode(content: &[u8]) -> Option<BTreeSet<String>> {
     // The parser decodes strings in place, so it needs a copy to write to.
     let content: Content<BTreeSet<String>> = json_object::parse(&mut content.to_vec()).ok()?;
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control plane: discovery, the operators' console, maintenance, and the agent that runs many
-//! fronts.
+//! The control plane: discovery, the operators' console, maintenance of chunk servers, and the
+//! agent that runs several fronts.
 
 pub mod agent;
 pub mod console;
--- a/src/control/readiness.rs
+++ b/src/control/readiness.rs
@@ -1,4 +1,5 @@
-//! Whether this front is ready for clients, shared between discovery and the health check.
+//! Tracks whether this front is ready for clients. Discovery updates the state, the health check
+//! reads it.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,7 +8,8 @@
 use tulipbridge_core::startup_readiness::StartupReadiness;
 use tulipbridge_core::Nanos;
 
-/// A handle to the readiness of this front; see [`StartupReadiness`].
+/// A shared handle to the readiness of this front. [`StartupReadiness`] has the rules; this adds
+/// the clock.
 #[derive(Clone, Debug)]
 pub struct Readiness {
     started: Instant,
@@ -15,7 +17,7 @@
 }
 
 impl Readiness {
-    /// A front that starts now; see [`StartupReadiness::new`].
+    /// Creates the state of a front that starts now; see [`StartupReadiness::new`].
     pub fn new(polls_discovery: bool) -> Readiness {
         let state = StartupReadiness::new(0, polls_discovery);
         Readiness {
@@ -24,33 +26,34 @@
         }
     }
 
-    /// A watch on discovery has opened.
+    /// Records that a watch on discovery has opened.
     pub fn watch_opened(&self) {
         let now = self.now();
         self.update(|state| state.watch_opened(now));
     }
 
-    /// Discovery has confirmed or replaced the endpoint list.
+    /// Records that the endpoint list is as current as it can be: discovery has confirmed or
+    /// updated it, or none is configured.
     pub fn list_confirmed(&self) {
         self.update(StartupReadiness::list_confirmed);
     }
 
-    /// A call to discovery has failed after a time.
+    /// Records that a call to discovery failed, `took` after it was made.
     pub fn call_failed(&self, took: Duration) {
         self.update(|state| state.call_failed(took.as_nanos() as Nanos));
     }
 
-    /// A call to discovery was given up without an answer.
+    /// Records that a call to discovery was abandoned without a response.
     pub fn call_unanswered(&self) {
         self.update(StartupReadiness::call_unanswered);
     }
 
-    /// Whether the front is ready now.
+    /// Returns whether the front is ready now.
     pub fn is_ready(&self) -> bool {
         self.state.get().is_ready(self.now())
     }
 
-    /// The time since the front started, in nanoseconds.
+    /// Returns the time since [`Readiness::new`], in nanoseconds.
     fn now(&self) -> Nanos {
         self.started.elapsed().as_nanos() as Nanos
     }
