--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -42,7 +42,7 @@
 impl SettingsReload {
     /// Applies the configuration that `read` returns, at each SIGHUP, for as long as the program
     /// runs.
-    pub async fn follow(
+    pub async fn reload_on_hangup(
         mut self,
         mut hangup: Signal,
         read: impl Fn() -> Result<Config, ConfigError>,
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -47,7 +47,7 @@
         current: config.raw_settings,
         peers: parts.peers.clone(),
     };
-    spawn_local(reload.follow(hangup, Config::reread_from_env));
+    spawn_local(reload.reload_on_hangup(hangup, Config::reread_from_env));
     let handler = PlatformFront::new(Rc::clone(&parts.exchange), tables, parts.readiness.clone());
     parts.serve(handler, listener, shutdown).await;
     Ok(())
