--- a/src/front/assembly.rs
+++ b/src/front/assembly.rs
@@ -25,7 +25,7 @@
 use crate::front::error::FrontError;
 use crate::frontend::listener::{Handler, Listener, ListenerLimits};
 use crate::frontend::listener_status::ListenerStatus;
-use crate::limits::MAX_BODY;
+use crate::limits::MAX_BUFFERED_BODY_BYTES;
 use crate::telemetry::metrics::Metrics;
 use crate::upstream::Upstream;
 
@@ -147,7 +147,7 @@
     /// direction. Connections to chunk servers are pooled, so that side gets the smaller part.
     fn new(config: &Config) -> ConnectionLimits {
         let by_descriptors = config.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS);
-        let by_memory = config.memory_bytes / (2 * MAX_BODY);
+        let by_memory = config.memory_bytes / (2 * MAX_BUFFERED_BODY_BYTES);
         let connections = by_descriptors.min(by_memory).max(MIN_CONNECTIONS);
         let servers = connections * 2 / 5;
         ConnectionLimits {
--- a/src/frontend/body.rs
+++ b/src/frontend/body.rs
@@ -10,7 +10,7 @@
 use tokio::time::{timeout_at, Instant};
 
 use crate::body_budget::{BodyBudget, BodyBudgetExhausted, BodyReservation};
-use crate::limits::MAX_BODY;
+use crate::limits::MAX_BUFFERED_BODY_BYTES;
 
 /// Maximum size of a request body in bytes.
 pub(super) const MAX_REQUEST_BODY: usize = 32 << 20;
@@ -43,8 +43,9 @@
     let declared_length = declared_length as usize;
     let mut reservation =
         BodyReservation::acquire(budget, declared_length).map_err(overload_status)?;
-    // A client may declare a long body and send none, so at most `MAX_BODY` is allocated up front.
-    let mut bytes = BytesMut::with_capacity(declared_length.min(MAX_BODY));
+    // A client may declare a long body and send none, so at most `MAX_BUFFERED_BODY_BYTES` is
+    // allocated up front.
+    let mut bytes = BytesMut::with_capacity(declared_length.min(MAX_BUFFERED_BODY_BYTES));
     let mut frame_deadline = start_by;
     loop {
         let frame = timeout_at(frame_deadline, body.frame()).await;
--- a/src/object/front.rs
+++ b/src/object/front.rs
@@ -19,7 +19,7 @@
 use crate::exchange::Exchange;
 use crate::frontend::listener::{Handler, ReceivedRequest};
 use crate::frontend::replies::{health_check, Reply};
-use crate::limits::MAX_BODY;
+use crate::limits::MAX_BUFFERED_BODY_BYTES;
 use crate::upstream::Upstream;
 
 /// Header with the id of a request, which differs for each and is in the error document too.
@@ -102,7 +102,7 @@
 
 /// Bodies of the object API are at most as long as one chunk; larger objects are uploaded in parts.
 fn check_length(body: Bytes) -> Result<Bytes, StatusCode> {
-    if body.len() > MAX_BODY {
+    if body.len() > MAX_BUFFERED_BODY_BYTES {
         Err(StatusCode::PAYLOAD_TOO_LARGE)
     } else {
         Ok(body)
--- a/src/object/piece.rs
+++ b/src/object/piece.rs
@@ -4,11 +4,11 @@
 
 use super::error::ApiError;
 use super::range::{ByteRange, ContentRange};
-use crate::limits::MAX_BODY;
+use crate::limits::MAX_BUFFERED_BODY_BYTES;
 use crate::upstream::Answer;
 
 /// The most bytes that are read from a chunk server in one request.
-pub(super) const MAX_PIECE_BYTES: u64 = MAX_BODY as u64;
+pub(super) const MAX_PIECE_BYTES: u64 = MAX_BUFFERED_BODY_BYTES as u64;
 
 /// A piece of an object, as a chunk server gave it.
 pub(super) struct Piece {
--- a/src/upstream/response.rs
+++ b/src/upstream/response.rs
@@ -11,7 +11,7 @@
 
 use super::payload::{Accepts, Answer, StreamedBody};
 use crate::exchange::AttemptReport;
-use crate::limits::MAX_BODY;
+use crate::limits::MAX_BUFFERED_BODY_BYTES;
 
 /// The most bytes of a body that is streamed; a longer one makes the response malformed.
 const MAX_STREAMED_BODY: u64 = 1 << 30;
@@ -42,7 +42,7 @@
     }
     // A body of unknown length ends with its connection; a reset truncates it.
     let length_unknown = size.exact().is_none();
-    let too_long_to_buffer = size.lower() > MAX_BODY as u64;
+    let too_long_to_buffer = size.lower() > MAX_BUFFERED_BODY_BYTES as u64;
     let served = report.outcome == Outcome::Served;
     let (head, body) = response.into_parts();
     let answer = if (length_unknown || too_long_to_buffer) && served && accepts == Accepts::Served {
@@ -50,7 +50,7 @@
     } else if too_long_to_buffer {
         return Err(Execution::MayHaveRun);
     } else {
-        let body = Limited::new(body, MAX_BODY).collect().await;
+        let body = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect().await;
         let body = body.map_err(|_| Execution::MayHaveRun)?.to_bytes();
         served.then(|| answer_with(head, shard, body, None))
     };
@@ -58,7 +58,7 @@
 }
 
 /// Answers with a body that is streamed. One of unknown length is buffered first, up to
-/// [`MAX_BODY`] bytes; where it ends within them it is answered like any other.
+/// [`MAX_BUFFERED_BODY_BYTES`] bytes; where it ends within them it is answered like any other.
 async fn read_streamed(
     head: Parts,
     mut body: Incoming,
@@ -66,7 +66,7 @@
     shard: ShardId,
 ) -> Result<Answer, Execution> {
     let mut first = BytesMut::new();
-    while length.is_none() && first.len() <= MAX_BODY {
+    while length.is_none() && first.len() <= MAX_BUFFERED_BODY_BYTES {
         let Some(frame) = body.frame().await else {
             return Ok(answer_with(head, shard, first.freeze(), None));
         };
