--- a/src/control/console/mod.rs
+++ b/src/control/console/mod.rs
@@ -166,7 +166,7 @@
     fn show_metrics(&self) -> ConsoleResponse {
         let endpoints = self.parts.exchange.endpoint_counts();
         let readings = GaugeReadings {
-            current: self.parts.listener_status.active_requests(),
+            active_requests: self.parts.listener_status.active_requests(),
             cluster_size: endpoints.listed,
             cluster_unhealthy: endpoints.avoided,
         };
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -61,7 +61,7 @@
 /// The values of the gauges at a scrape.
 pub struct GaugeReadings {
     /// Requests in progress.
-    pub current: usize,
+    pub active_requests: usize,
     /// Chunk servers in the endpoint list.
     pub cluster_size: usize,
     /// Those of them that the front avoids.
@@ -153,7 +153,7 @@
 
     /// All metrics in the Prometheus text format.
     pub fn render(&self, readings: &GaugeReadings) -> Vec<u8> {
-        set(&self.active_requests, readings.current);
+        set(&self.active_requests, readings.active_requests);
         set(&self.cluster_size, readings.cluster_size);
         set(&self.cluster_unhealthy, readings.cluster_unhealthy);
         let mut text = Vec::new();
