--- a/src/cluster/config.rs
+++ b/src/cluster/config.rs
@@ -15,7 +15,7 @@
 use crate::cluster::fields::non_negative;
 use crate::cluster::limits::ConfiguredLimits;
 use crate::cluster::membership_list::{MembershipList, MembershipListEntry};
-use crate::config::values::{objects, present, text, Address};
+use crate::config::values::{non_null, objects, string, Address};
 use crate::control::json_object::decode;
 use crate::limits::MAX_FRONTS;
 
@@ -31,7 +31,7 @@
 #[serde(deny_unknown_fields)]
 struct PeersSection {
     listen: Address,
-    #[serde(deserialize_with = "text")]
+    #[serde(deserialize_with = "string")]
     key_file: String,
     #[serde(rename = "roster", deserialize_with = "objects")]
     membership_list: Vec<MembershipListEntry>,
@@ -45,10 +45,10 @@
     #[serde(default, deserialize_with = "non_negative")]
     floor: Option<f64>,
     /// Parsed by [`ConfiguredLimits::read`].
-    #[serde(default, deserialize_with = "present")]
+    #[serde(default, deserialize_with = "non_null")]
     limits: Option<Value>,
     /// Parsed by [`EjectionConfig::read`].
-    #[serde(rename = "verdicts", default, deserialize_with = "present")]
+    #[serde(rename = "verdicts", default, deserialize_with = "non_null")]
     ejections: Option<Value>,
     #[serde(
         rename = "entry_bytes_per_s",
--- a/src/cluster/fields.rs
+++ b/src/cluster/fields.rs
@@ -6,7 +6,7 @@
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
 
-use crate::config::values::wrong_kind;
+use crate::config::values::wrong_type;
 
 /// Deserializes a number of 0 or more.
 pub(super) fn non_negative<'de, D: Deserializer<'de>>(
@@ -64,5 +64,5 @@
     };
     number
         .filter(|number| is_valid(*number))
-        .ok_or_else(|| D::Error::custom(wrong_kind(&value, expected)))
+        .ok_or_else(|| D::Error::custom(wrong_type(&value, expected)))
 }
--- a/src/cluster/membership_list.rs
+++ b/src/cluster/membership_list.rs
@@ -8,7 +8,7 @@
 use tulipbridge_outlier_detection::ZoneId;
 
 use crate::cluster::errors::ClusterConfigError;
-use crate::config::values::{text, Address};
+use crate::config::values::{string, Address};
 use crate::limits::MAX_ZONES;
 
 /// One front of the membership list.
@@ -34,11 +34,11 @@
 /// An entry of `peers.roster` as it is written in the file.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct MembershipListEntry {
-    #[serde(deserialize_with = "text")]
+    #[serde(deserialize_with = "string")]
     name: String,
     address: Address,
     /// The name of the front's zone; empty for a front without a zone.
-    #[serde(default, deserialize_with = "text")]
+    #[serde(default, deserialize_with = "string")]
     zone: String,
 }
 
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -8,7 +8,7 @@
 
 use crate::config::settings::ClassWrites;
 use crate::config::values::{
-    lenient, number, object, object_or_default, objects, present, text, Address, Deferred,
+    lenient, non_null, number, object, object_or_default, objects, string, Address, Deferred,
     HexNumber,
 };
 
@@ -30,7 +30,7 @@
     #[serde(default)]
     pub(super) discovery: Deferred<Address>,
     /// The section on the front's peers.
-    #[serde(default, deserialize_with = "present")]
+    #[serde(default, deserialize_with = "non_null")]
     pub(super) peers: Option<Value>,
     /// The seed of the front's random numbers.
     pub(super) seed: HexNumber,
@@ -75,13 +75,13 @@
 /// An entry of a list, by its name.
 #[derive(Deserialize)]
 pub(super) struct NamedEntry {
-    #[serde(rename = "Name", deserialize_with = "text")]
+    #[serde(rename = "Name", deserialize_with = "string")]
     pub(super) name: String,
 }
 
 /// The name of a zone.
 #[derive(Deserialize)]
-pub(super) struct ZoneName(#[serde(deserialize_with = "text")] pub(super) String);
+pub(super) struct ZoneName(#[serde(deserialize_with = "string")] pub(super) String);
 
 /// The part of `FamilyInfo` that a front needs beside its scheduler.
 #[derive(Deserialize)]
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -8,7 +8,7 @@
 use tulipbridge_core::{Class, Group, Nanos, Plan, RetryBudget, Semantics, Settings};
 
 use crate::config::values::{
-    boolean, lenient, number, object, objects, optional_number, text, Deferred, Number,
+    boolean, lenient, number, object, objects, optional_number, string, Deferred, Number,
 };
 use crate::control::json_object::{decode, JsonObjectError};
 
@@ -162,7 +162,7 @@
 
 /// The name of the semantics of a class.
 #[derive(Deserialize)]
-struct SemanticsText(#[serde(deserialize_with = "text")] String);
+struct SemanticsText(#[serde(deserialize_with = "string")] String);
 
 impl TryFrom<SemanticsText> for SemanticsName {
     type Error = UnknownSemantics;
--- a/src/config/values.rs
+++ b/src/config/values.rs
@@ -27,7 +27,7 @@
         }
         match value.cast_f64() {
             Some(number) => Ok(Number(number)),
-            None => Err(D::Error::custom(wrong_kind(&value, "a number"))),
+            None => Err(D::Error::custom(wrong_type(&value, "a number"))),
         }
     }
 }
@@ -38,7 +38,7 @@
 
 impl<'de> Deserialize<'de> for Address {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Address, D::Error> {
-        let text = text(deserializer)?;
+        let text = string(deserializer)?;
         match text.parse() {
             Ok(address) => Ok(Address(address)),
             Err(_) => Err(D::Error::custom(format_args!("{text} is no address"))),
@@ -52,7 +52,7 @@
 
 impl<'de> Deserialize<'de> for HexNumber {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<HexNumber, D::Error> {
-        let text = text(deserializer)?;
+        let text = string(deserializer)?;
         match u64::from_str_radix(&text, 16) {
             Ok(number) => Ok(HexNumber(number)),
             Err(_) => Err(D::Error::custom(format_args!(
@@ -126,11 +126,11 @@
 }
 
 /// Deserializes a string.
-pub fn text<'de, D: Deserializer<'de>>(deserializer: D) -> Result<String, D::Error> {
+pub fn string<'de, D: Deserializer<'de>>(deserializer: D) -> Result<String, D::Error> {
     let value = Value::deserialize(deserializer)?;
     match value.as_str() {
         Some(text) => Ok(text.to_owned()),
-        None => Err(D::Error::custom(wrong_kind(&value, "a text"))),
+        None => Err(D::Error::custom(wrong_type(&value, "a text"))),
     }
 }
 
@@ -155,7 +155,7 @@
     }
     match value.as_bool() {
         Some(boolean) => Ok(boolean),
-        None => Err(D::Error::custom(wrong_kind(&value, "true or false"))),
+        None => Err(D::Error::custom(wrong_type(&value, "true or false"))),
     }
 }
 
@@ -170,7 +170,7 @@
 }
 
 /// Deserializes an optional value that must not be null.
-pub fn present<'de, T, D>(deserializer: D) -> Result<Option<T>, D::Error>
+pub fn non_null<'de, T, D>(deserializer: D) -> Result<Option<T>, D::Error>
 where
     T: Deserialize<'de>,
     D: Deserializer<'de>,
@@ -276,7 +276,7 @@
 }
 
 /// Why a value that is not `expected` is rejected.
-pub(crate) fn wrong_kind(value: &Value, expected: &str) -> String {
+pub(crate) fn wrong_type(value: &Value, expected: &str) -> String {
     let found = match value {
         Value::Array(_) => "an array".to_owned(),
         Value::Object(_) => "an object".to_owned(),
--- a/src/object/config.rs
+++ b/src/object/config.rs
@@ -8,7 +8,7 @@
 use tulipbridge_core::Semantics;
 
 use crate::config;
-use crate::config::values::{number, positive_or, text, HexNumber};
+use crate::config::values::{number, positive_or, string, HexNumber};
 use crate::control::json_object::{self, JsonObjectError};
 
 /// The size of a unit of work, in bytes, unless the bucket has one.
@@ -148,13 +148,13 @@
 struct BucketEntry {
     volume: HexNumber,
     /// The name of its plan.
-    #[serde(deserialize_with = "text")]
+    #[serde(deserialize_with = "string")]
     plan: String,
     /// The name of the class for requests that may be repeated.
-    #[serde(rename = "read", deserialize_with = "text")]
+    #[serde(rename = "read", deserialize_with = "string")]
     read_class: String,
     /// The name of the class for requests that must not run twice.
-    #[serde(rename = "write", deserialize_with = "text")]
+    #[serde(rename = "write", deserialize_with = "string")]
     write_class: String,
     /// The size of a unit of work, in bytes; 0 or less counts as missing.
     #[serde(default, deserialize_with = "number")]
