--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -22,7 +22,7 @@
         source: std::io::Error,
     },
     /// The file is larger than any valid configuration, and was not read.
-    #[error("{path} holds {size} bytes, more than any configuration ({limit})")]
+    #[error("{path} is too large: {size} bytes, the limit is {limit}")]
     TooLarge {
         /// The path of the file.
         path: String,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -189,7 +189,7 @@
         Ok(address) => Ok(Some(address)),
         Err(_) => Err(JsonObjectError::invalid(
             key,
-            format!("{text} is no address"),
+            format!("{text} is not an IP address with a port"),
         )),
     }
 }
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -54,11 +54,11 @@
             match outcome {
                 Ok(()) => {
                     self.metrics.conf_loaded.inc();
-                    log!("the new configuration is taken");
+                    log!("config: reload: new configuration applied");
                 }
                 Err(error) => {
                     self.metrics.conf_invalid.inc();
-                    log!("the new configuration is not taken, and the one before stays: {error}");
+                    log!("config: reload: new configuration rejected, previous one kept: {error}");
                 }
             }
         }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -179,7 +179,7 @@
 
 /// A name that is none of those of the semantics.
 #[derive(Debug, thiserror::Error)]
-#[error("{0} is not known")]
+#[error("unknown semantics {0}, expected idempotent, deduplicated or at_most_once")]
 struct UnknownSemantics(String);
 
 /// Reads the scheduler's settings.
--- a/src/config/values.rs
+++ b/src/config/values.rs
@@ -41,7 +41,7 @@
         let text = string(deserializer)?;
         match text.parse() {
             Ok(address) => Ok(Address(address)),
-            Err(_) => Err(D::Error::custom(format_args!("{text} is no address"))),
+            Err(_) => Err(D::Error::custom(format_args!("{text} is not an IP address with a port"))),
         }
     }
 }
@@ -56,7 +56,7 @@
         match u64::from_str_radix(&text, 16) {
             Ok(number) => Ok(HexNumber(number)),
             Err(_) => Err(D::Error::custom(format_args!(
-                "{text} is not in hex digits"
+                "{text} is not a hexadecimal number"
             ))),
         }
     }
@@ -130,7 +130,7 @@
     let value = Value::deserialize(deserializer)?;
     match value.as_str() {
         Some(text) => Ok(text.to_owned()),
-        None => Err(D::Error::custom(wrong_type(&value, "a text"))),
+        None => Err(D::Error::custom(wrong_type(&value, "a string"))),
     }
 }
 
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RuntimeError {
     /// The system lacks a resource that the runtime needs.
-    #[error("cannot start: {0}")]
+    #[error("cannot create the runtime: {0}")]
     Start(#[source] std::io::Error),
     /// The system rejects a signal handler.
     #[error(transparent)]
--- a/src/telemetry/log.rs
+++ b/src/telemetry/log.rs
@@ -23,7 +23,7 @@
     let dropped = DROPPED.swap(0, Ordering::Relaxed);
     if dropped > 0 {
         write(format!(
-            "log: {dropped} lines were dropped, as nobody read them"
+            "log: {dropped} lines dropped: the reader did not keep up"
         ));
         return line(text);
     }
--- a/tests/cluster/config.rs
+++ b/tests/cluster/config.rs
@@ -45,7 +45,7 @@
         (
             "\"b\", \"address\": \"127.0.0.1:2\"",
             "\"b\", \"address\": \"here\"",
-            "'peers.roster[0].address': here is no address",
+            "'peers.roster[0].address': here is not an IP address with a port",
         ),
         ("\"a\"", "\"b\"", "'peers.roster[1].name' b is there twice"),
         (
@@ -73,7 +73,7 @@
             "\"revision\": 0, \"listen\"",
             "'peers.revision' counts from 1",
         ),
-        ("\"k\"", "7", "'peers.key_file': must be a text, not 7"),
+        ("\"k\"", "7", "'peers.key_file': must be a string, not 7"),
     ] {
         let error = read(&VALID.replacen(from, to, 1))
             .err()
--- a/tests/object_config.rs
+++ b/tests/object_config.rs
@@ -27,7 +27,7 @@
         (
             "127.0.0.1:7402",
             "nowhere",
-            "line 11: 'peers.roster[1].address': nowhere is no address",
+            "line 11: 'peers.roster[1].address': nowhere is not an IP address with a port",
         ),
         (
             "\"object-1\", \"address\"",
--- a/tests/scenario/front_process.rs
+++ b/tests/scenario/front_process.rs
@@ -158,7 +158,7 @@
         let result = self.reload(&config);
         if result
             .as_deref()
-            .is_some_and(|line| line.contains("is taken"))
+            .is_some_and(|line| line.contains("new configuration applied"))
         {
             self.config = config;
         }
