--- a/src/body_budget.rs
+++ b/src/body_budget.rs
@@ -1,16 +1,16 @@
-//! The memory that the request bodies of a front may take together.
+//! The memory budget that all request bodies of a front share.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Limits the total bytes of request bodies that a front buffers.
+/// Limits the total size of the request bodies that a front buffers.
 pub struct BodyBudget {
     max_bytes: usize,
     reserved_bytes: AtomicUsize,
 }
 
 impl BodyBudget {
-    /// A budget of `max_bytes` bytes.
+    /// Creates a budget of `max_bytes` bytes, none of them reserved.
     pub fn new(max_bytes: usize) -> Arc<BodyBudget> {
         Arc::new(BodyBudget {
             max_bytes,
@@ -19,23 +19,23 @@
     }
 }
 
-/// The memory for request bodies is in use.
+/// The error of a reservation that would exceed its [`BodyBudget`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the memory for request bodies is in use")]
 pub struct BodyBudgetExhausted;
 
-/// The bytes of one body, reserved in a [`BodyBudget`] until this is dropped. A front keeps it with
-/// the payload that it sends.
+/// The bytes of one body, reserved in a [`BodyBudget`] until this value is dropped. A front keeps
+/// it with the payload that it sends.
 pub struct BodyReservation {
     budget: Arc<BodyBudget>,
     bytes: usize,
 }
 
 impl BodyReservation {
-    /// Reserves `bytes` bytes.
+    /// Reserves `bytes` bytes of `budget`.
     ///
     /// # Errors
-    /// [`BodyBudgetExhausted`] where the other bodies leave too little.
+    /// Returns [`BodyBudgetExhausted`] if the other bodies leave too little memory.
     pub fn acquire(
         budget: &Arc<BodyBudget>,
         bytes: usize,
@@ -48,10 +48,10 @@
         Ok(reservation)
     }
 
-    /// Extends the reservation to `bytes` bytes in total.
+    /// Extends the reservation to `bytes` bytes in total. A smaller number does not shrink it.
     ///
     /// # Errors
-    /// [`BodyBudgetExhausted`] where the other bodies leave too little.
+    /// Returns [`BodyBudgetExhausted`] if the other bodies leave too little memory.
     pub fn grow(&mut self, bytes: usize) -> Result<(), BodyBudgetExhausted> {
         let additional = bytes.saturating_sub(self.bytes);
         let reserved = self
@@ -60,7 +60,7 @@
             .fetch_add(additional, Ordering::Relaxed)
             + additional;
         self.bytes += additional;
-        // A single body always fits, so that no long request is rejected for ever.
+        // A single body always fits, so that a long request is not rejected forever.
         if reserved > self.budget.max_bytes && reserved > self.bytes {
             return Err(BodyBudgetExhausted);
         }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,5 +1,5 @@
 //! Errors of reading and reloading a configuration. The messages are part of the program's
-//! interface.
+//! interface for operators.
 
 use tulipbridge_core::SettingsError;
 
@@ -13,12 +13,12 @@
     /// The environment does not name a configuration file.
     #[error("BALANCER_CONFIG is not set")]
     FileNotNamed,
-    /// The file cannot be read.
+    /// The configuration file cannot be read.
     #[error("cannot read {path}: {source}")]
     Unreadable {
         /// The path of the file.
         path: String,
-        /// The system's reason.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The file is larger than any valid configuration, and was not read.
@@ -26,9 +26,9 @@
     TooLarge {
         /// The path of the file.
         path: String,
-        /// Its size in bytes.
+        /// The size of the file in bytes.
         size: u64,
-        /// The largest size that is accepted, in bytes.
+        /// The maximum size in bytes.
         limit: u64,
     },
     /// The content of the file is invalid.
@@ -36,24 +36,24 @@
     InFile {
         /// The path of the file.
         path: String,
-        /// What is wrong with the content.
+        /// The error in the content.
         source: Box<ConfigError>,
     },
     /// A value is missing or invalid.
     #[error(transparent)]
     Value(#[from] JsonObjectError),
-    /// The section on the front's peers is invalid.
+    /// The `peers` section is invalid.
     #[error("line {line}: {reason}")]
     Peers {
         /// The line of the offending key, counted from 1.
         line: usize,
-        /// What is wrong there.
+        /// The error at that key.
         reason: ClusterConfigError,
     },
 }
 
 impl ConfigError {
-    /// Adds the path of the file in which the error was found.
+    /// Wraps the error with the path of the file in which it was found.
     pub fn in_file(self, path: impl Into<String>) -> ConfigError {
         ConfigError::InFile {
             path: path.into(),
@@ -62,10 +62,10 @@
     }
 }
 
-/// Why a running front cannot change to a new configuration.
+/// Why a running front rejects a new configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
-    /// The new file cannot be used at all.
+    /// The new file cannot be read or is invalid by itself.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The new settings lack a key that the current ones have.
@@ -74,7 +74,7 @@
         /// The path of the key, from `settings` on.
         path: String,
     },
-    /// The new section on peers changes what only a restart can change.
+    /// The new `peers` section changes what only a restart can change.
     #[error(transparent)]
     Peers(#[from] cluster::errors::ReloadError),
     /// The scheduler rejects the new settings.
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -1,5 +1,5 @@
-//! The configuration file as it is written. Its values are checked one by one here; [`Config`]
-//! combines them.
+//! The format of the configuration file. Each value is checked by itself here; [`Config`] combines
+//! them.
 //!
 //! [`Config`]: crate::config::Config
 
@@ -15,9 +15,9 @@
 /// The configuration file of a front.
 #[derive(Deserialize)]
 pub(super) struct FrontFile {
-    /// The settings of the site; see [`SiteSettings`].
+    /// The `settings` object, which describes the site; see [`SiteSettings`].
     pub(super) settings: Value,
-    /// The front's name.
+    /// The front's name. The environment may override it.
     #[serde(default, deserialize_with = "lenient")]
     pub(super) name: Option<String>,
     /// The address on which the front accepts clients. The environment may override it.
@@ -29,50 +29,51 @@
     /// The address of discovery. The environment may override it.
     #[serde(default)]
     pub(super) discovery: Deferred<Address>,
-    /// The section on the front's peers.
+    /// The section on the front's peers, which `ClusterConfig` reads.
     #[serde(default, deserialize_with = "non_null")]
     pub(super) peers: Option<Value>,
-    /// The seed of the front's random numbers.
+    /// The seed of the front's random numbers, in hexadecimal digits.
     pub(super) seed: HexNumber,
-    /// The limits of the process.
+    /// The resource limits of the process.
     #[serde(default, deserialize_with = "object_or_default")]
     pub(super) limits: ProcessLimitsSection,
-    /// The last known endpoint list, in discovery's format.
-    pub(super) known: Value,
+    /// The last known endpoint list, in the format of discovery.
+    #[serde(rename = "known")]
+    pub(super) known_endpoints: Value,
 }
 
-/// The limits of the process. A limit of 0 or less counts as missing.
+/// The resource limits of the process. A limit of 0 or less counts as missing.
 #[derive(Default, Deserialize)]
 pub(super) struct ProcessLimitsSection {
-    /// File descriptors that the process may hold.
+    /// The number of file descriptors that the process may have open.
     #[serde(rename = "sockets", default, deserialize_with = "number")]
     pub(super) max_descriptors: f64,
-    /// Memory that the process may use, in MiB.
+    /// The memory that the process may use, in MiB.
     #[serde(default, deserialize_with = "number")]
     pub(super) memory_mb: f64,
 }
 
-/// The part of the settings that a front needs beside its scheduler.
+/// The part of the `settings` object that a front needs in addition to the scheduler's settings.
 #[derive(Deserialize)]
 pub(super) struct SiteSettings {
-    /// The classes.
+    /// The names of the classes.
     #[serde(rename = "Services", deserialize_with = "objects")]
     pub(super) classes: Vec<NamedEntry>,
-    /// The plans.
+    /// The names of the plans.
     #[serde(rename = "Grades", deserialize_with = "objects")]
     pub(super) plans: Vec<NamedEntry>,
-    /// The zones.
+    /// The names of the zones.
     #[serde(rename = "FailureDomains")]
     pub(super) zones: Vec<ZoneName>,
-    /// What requests are like.
+    /// Properties of the requests.
     #[serde(rename = "FamilyInfo", deserialize_with = "object")]
     pub(super) family: FamilySection,
-    /// Limits on connections to chunk servers.
+    /// Timeouts of connections to chunk servers.
     #[serde(rename = "Limits", deserialize_with = "object")]
     pub(super) limits: ConnectionLimitsSection,
 }
 
-/// An entry of a list, by its name.
+/// An entry of a list, of which only the name is read.
 #[derive(Deserialize)]
 pub(super) struct NamedEntry {
     #[serde(rename = "Name", deserialize_with = "string")]
@@ -83,22 +84,22 @@
 #[derive(Deserialize)]
 pub(super) struct ZoneName(#[serde(deserialize_with = "string")] pub(super) String);
 
-/// The part of `FamilyInfo` that a front needs beside its scheduler.
+/// The part of `FamilyInfo` that a front needs in addition to the scheduler's settings.
 #[derive(Deserialize)]
 pub(super) struct FamilySection {
     /// The number of shards.
     #[serde(rename = "Shards", default, deserialize_with = "number")]
     pub(super) shards: f64,
-    /// Whether each class writes.
+    /// Whether the requests of each class write.
     #[serde(rename = "ChangesData", default)]
     pub(super) writes: ClassWrites,
 }
 
-/// The part of the settings' `Limits` that a front needs beside its scheduler, in nanoseconds. A
-/// timeout of 0 or less counts as missing.
+/// The part of the settings' `Limits` that a front needs in addition to the scheduler's settings,
+/// in nanoseconds. A timeout of 0 or less counts as missing.
 #[derive(Deserialize)]
 pub(super) struct ConnectionLimitsSection {
-    /// The longest time for a connection to a chunk server to open.
+    /// The maximum time to open a connection to a chunk server.
     #[serde(rename = "DialTimeout", default, deserialize_with = "number")]
     pub(super) dial_timeout: f64,
     /// The time after which chunk servers close an idle connection.
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration of a front: one JSON file, and environment variables that override some of its
-//! keys.
+//! The configuration of a front, read from one JSON file and from environment variables that
+//! override some of its keys.
 
 pub mod error;
 mod file;
@@ -21,68 +21,68 @@
 use crate::control::json_object::{self, JsonObjectError};
 use crate::telemetry::trace;
 
-/// The largest configuration file that is read, in bytes.
+/// The maximum size of a configuration file, in bytes.
 const MAX_FILE_BYTES: u64 = 8 << 20;
-/// The environment variable with the path of the configuration file.
+/// The environment variable that holds the path of the configuration file.
 const FILE_VARIABLE: &str = "BALANCER_CONFIG";
-/// The environment variable with the name of the front.
+/// The environment variable that overrides the name of the front.
 const NAME_VARIABLE: &str = "BALANCER_NAME";
-/// The environment variable with the address for clients.
+/// The environment variable that overrides the address for clients.
 const LISTEN_VARIABLE: &str = "BALANCER_LISTEN";
-/// The environment variable with the address of the console.
+/// The environment variable that overrides the address of the console.
 const CONSOLE_VARIABLE: &str = "BALANCER_CONSOLE";
-/// The environment variable with the address of discovery.
+/// The environment variable that overrides the address of discovery.
 const DISCOVERY_VARIABLE: &str = "BALANCER_DISCOVERY";
-/// The name of a front without one in file and environment.
+/// The name of a front that neither the file nor the environment names.
 const DEFAULT_NAME: &str = "front";
-/// File descriptors that a process may open, unless the file has a limit.
+/// The number of file descriptors that a process may have open, unless the file has a limit.
 const DEFAULT_DESCRIPTORS: f64 = 1024.0;
-/// Memory that a process may use, in MiB, unless the file has a limit.
+/// The memory that a process may use, in MiB, unless the file has a limit.
 const DEFAULT_MEMORY_MIB: f64 = 192.0;
-/// Bytes per MiB, the unit of the file's limit on memory.
+/// Bytes per MiB, the unit of the memory limit in the file.
 const BYTES_PER_MIB: usize = 1 << 20;
-/// The longest time for a connection to a chunk server to open, in nanoseconds, unless the settings
-/// have it.
+/// The maximum time to open a connection to a chunk server, in nanoseconds, unless the settings
+/// contain one.
 const DEFAULT_DIAL_TIMEOUT_NANOS: f64 = 250e6;
 /// The time after which chunk servers close an idle connection, in nanoseconds, unless the settings
-/// have it.
+/// contain one.
 const DEFAULT_IDLE_CLOSE_NANOS: f64 = 30e9;
 
-/// The configuration of a front.
+/// The validated configuration of a front.
 pub struct Config {
-    /// The front's name, the same after a restart.
+    /// The front's name, which stays the same after a restart.
     pub name: String,
     /// The address on which the front accepts clients.
     pub listen: SocketAddr,
-    /// The address of the operators' console, where there is one.
+    /// The address of the operators' console; `None` if there is none.
     pub console: Option<SocketAddr>,
-    /// The address of discovery; without it the front keeps to the last known endpoint list.
+    /// The address of discovery; without it the front keeps using the last known endpoint list.
     pub discovery: Option<SocketAddr>,
-    /// The front's peers, where the file names any.
+    /// The configuration of the front's peers; `None` if the file has no `peers` section.
     pub peers: Option<ClusterConfig>,
     /// The seed of the front's random numbers.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// The number of file descriptors that the process may have open.
     pub max_descriptors: usize,
-    /// Memory that the process may use, in bytes.
+    /// The memory that the process may use, in bytes.
     pub memory_bytes: usize,
-    /// The last known endpoint list, in discovery's format.
+    /// The last known endpoint list, in the format of discovery.
     pub known_endpoints: Value,
     /// The scheduler's settings.
     pub settings: Settings,
-    /// The settings as they stand in the file, to compare those of a later file with.
+    /// The `settings` object of the file, with which a reload compares the new one.
     pub raw_settings: Value,
     /// The names of the classes, in the order of the settings.
     pub classes: Vec<String>,
-    /// Whether each class writes, where the settings have that.
+    /// Whether the requests of each class write; `None` if the settings do not say.
     pub class_writes: Vec<Option<bool>>,
     /// The names of the plans, in the order of the settings.
     pub plans: Vec<String>,
     /// The names of the zones, in the order of the settings.
     pub zones: Vec<String>,
-    /// The number of shards; they count from 0.
+    /// The number of shards, which are numbered from 0.
     pub shards: u32,
-    /// The longest time for a connection to a chunk server to open.
+    /// The maximum time to open a connection to a chunk server.
     pub dial_timeout: Duration,
     /// The time after which chunk servers close an idle connection.
     pub idle_close: Duration,
@@ -92,17 +92,17 @@
     /// Reads the file that `BALANCER_CONFIG` names. Other variables override keys of the file.
     ///
     /// # Errors
-    /// The file cannot be read, or a value in it is missing or invalid.
+    /// Returns an error if the file cannot be read, or if a value is missing or invalid.
     pub fn from_env() -> Result<Config, ConfigError> {
         let file = ConfigFile::from_env()?;
         Config::read(&file.content, environment_variable).map_err(|error| error.in_file(file.path))
     }
 
-    /// Reads the file again after a SIGHUP. The environment is as old as the process, so for the
-    /// address of discovery the file now takes precedence over it.
+    /// Reads the file again after a SIGHUP. The environment dates from the start of the process, so
+    /// here the file takes precedence over it for the address of discovery.
     ///
     /// # Errors
-    /// The file cannot be read, or a value in it is missing or invalid.
+    /// Returns an error if the file cannot be read, or if a value is missing or invalid.
     pub fn reread_from_env() -> Result<Config, ConfigError> {
         let file = ConfigFile::from_env()?;
         let variable = |name: &str| {
@@ -122,12 +122,12 @@
     /// Reads a configuration from its JSON text. `variable` looks up environment variables.
     ///
     /// # Errors
-    /// The first value that is missing or invalid.
+    /// Returns an error for the first value that is missing or invalid.
     pub fn read(
         json: &[u8],
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Config, ConfigError> {
-        // The parser decodes strings in place, so it needs a copy to write to.
+        // The parser decodes strings in place, so it needs a mutable copy.
         let document =
             simd_json::to_owned_value(&mut json.to_vec()).map_err(JsonObjectError::Syntax)?;
         trace_start(&document);
@@ -156,7 +156,7 @@
             max_descriptors: positive_or(file.limits.max_descriptors, DEFAULT_DESCRIPTORS) as usize,
             memory_bytes: (positive_or(file.limits.memory_mb, DEFAULT_MEMORY_MIB) as usize)
                 .saturating_mul(BYTES_PER_MIB),
-            known_endpoints: file.known,
+            known_endpoints: file.known_endpoints,
             settings,
             raw_settings: file.settings,
             classes: names(site.classes),
@@ -172,12 +172,12 @@
     }
 }
 
-/// The value of an environment variable, where it is set to valid Unicode.
+/// Returns the value of an environment variable; `None` if it is unset or not valid Unicode.
 fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-/// The address in an environment variable that overrides `key`, where it is set.
+/// Parses the value of a variable that overrides the address under `key`; `None` if it is unset.
 fn overriding_address(
     variable: Option<String>,
     key: &str,
@@ -194,7 +194,7 @@
     }
 }
 
-/// The overriding address or, without one, that under `key` of the file.
+/// Returns the overriding address or, without one, the address under `key` of the file.
 fn optional_address(
     overriding: Option<SocketAddr>,
     in_file: Deferred<Address>,
@@ -206,14 +206,14 @@
     in_file.required(key).map(|address| Some(address.0))
 }
 
-/// Writes the settings to the decision trace, where that is on.
+/// Writes the settings to the decision trace, if it is enabled.
 fn trace_start(document: &Value) {
     if trace::is_enabled() {
         trace::start(document.get("settings"));
     }
 }
 
-/// The section on the front's peers, where the file has one.
+/// Reads the section on the front's peers; `None` if the file has none.
 fn read_peers(
     json: &[u8],
     section: Option<&Value>,
@@ -225,7 +225,7 @@
     ClusterConfig::read(section, name)
         .map(Some)
         .map_err(|reason| {
-            // Every message names the path of its key in quotes.
+            // Every message contains the path of its key in single quotes.
             let message = reason.to_string();
             let path = message.split('\'').nth(1).unwrap_or_default();
             ConfigError::Peers {
@@ -235,8 +235,8 @@
         })
 }
 
-/// The line, counted from 1, to which a path such as `peers.roster[1].name` leads; the last part
-/// found where a part is missing.
+/// Returns the line, counted from 1, of the key at a path such as `peers.roster[1].name`. If a part
+/// is missing, it is the line of the last part that was found.
 fn line_of(json: &[u8], path: &str) -> usize {
     let text = String::from_utf8_lossy(json);
     let mut position = 0;
@@ -249,7 +249,7 @@
             break;
         };
         position += found;
-        // Entries of a list are objects, each of which opens with a brace.
+        // Entries of a list are objects, each of which starts with a brace.
         for _ in 0..index.parse::<usize>().map_or(0, |index| index + 1) {
             position += text[position..].find('{').map_or(0, |brace| brace + 1);
         }
@@ -257,25 +257,25 @@
     text[..position].matches('\n').count() + 1
 }
 
-/// A timeout of the file, or its default where it is 0, negative or missing, both in nanoseconds.
+/// Returns a timeout of the file, or its default if it is 0, negative or missing. Both are in
+/// nanoseconds.
 fn timeout(nanos: f64, default_nanos: f64) -> Duration {
     Duration::from_nanos(positive_or(nanos, default_nanos) as u64)
 }
 
-/// The names of entries, in their order.
+/// Returns the names of entries in their order.
 fn names(entries: Vec<NamedEntry>) -> Vec<String> {
     entries.into_iter().map(|entry| entry.name).collect()
 }
 
-/// A configuration file as read.
+/// The path and the unparsed content of a configuration file.
 struct ConfigFile {
     path: String,
     content: Vec<u8>,
 }
 
 impl ConfigFile {
-    /// Reads the file that `BALANCER_CONFIG` names, unless it is larger than any valid
-    /// configuration.
+    /// Reads the file that `BALANCER_CONFIG` names, unless it is larger than [`MAX_FILE_BYTES`].
     fn from_env() -> Result<ConfigFile, ConfigError> {
         let path = environment_variable(FILE_VARIABLE).ok_or(ConfigError::FileNotNamed)?;
         let unreadable = |source| ConfigError::Unreadable {
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -1,7 +1,7 @@
 //! Reloads the configuration at SIGHUP.
 //!
-//! The file is read again. One that cannot be used changes nothing, is counted in
-//! `app_conf_invalid` and logged. One that can is counted in `app_conf_loaded`: the watch on
+//! The file is read again. If it is rejected, nothing changes; the error is logged and counted in
+//! `app_conf_invalid`. If it is accepted, it is counted in `app_conf_loaded`, the watch on
 //! discovery moves to the new address, and the scheduler adopts the new settings, in which known
 //! classes keep their numbers (see [`RequestTables::reload`]).
 
@@ -25,23 +25,23 @@
 
 /// The parts of a front that a new configuration changes.
 pub struct SettingsReload {
-    /// Owns the scheduler.
+    /// The exchange that owns the scheduler.
     pub exchange: Rc<Exchange<Upstream>>,
     /// The classes and plans that requests may name.
     pub tables: Rc<RefCell<RequestTables>>,
-    /// Counts files that were loaded and rejected.
+    /// The metrics that count loaded and rejected files.
     pub metrics: Rc<Metrics>,
-    /// Publishes the address of discovery.
+    /// The sender that publishes the address of discovery.
     pub discovery: watch::Sender<Option<SocketAddr>>,
-    /// The front's peers, where it has any.
+    /// The front's peers; `None` if it has none.
     pub peers: Option<Rc<Peers>>,
-    /// The settings in use, as they stand in their file.
+    /// The `settings` object of the file in use.
     pub current: Value,
 }
 
 impl SettingsReload {
-    /// Applies the configuration that `read` returns, at each SIGHUP, for as long as the program
-    /// runs.
+    /// At each SIGHUP, reads the configuration with `read` and applies it. Continues for as long as
+    /// the program runs.
     pub async fn reload_on_hangup(
         mut self,
         mut hangup: Signal,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Changes all parts to a configuration, or none of them.
+    /// Applies a configuration to all parts or, if it is rejected, to none of them.
     fn apply(&mut self, config: Config) -> Result<(), ReloadError> {
         if let Some(path) = missing_key(&self.current, &config.raw_settings, "settings") {
             return Err(ReloadError::MissingKey { path });
@@ -75,7 +75,7 @@
         let new_peers = config.peers.clone();
         let new_settings = config.raw_settings.clone();
         let new_discovery = config.discovery;
-        // Changed in a copy: the scheduler may still reject the settings.
+        // The tables are changed in a copy, because the scheduler may still reject the settings.
         let mut tables = self.tables.borrow().clone();
         let ReloadedSettings {
             settings,
@@ -95,9 +95,9 @@
     }
 }
 
-/// The path of the first key that the current settings have and the new ones lack. In an array of
-/// objects each new entry must have every key that any current entry has: classes may come and go,
-/// but not lose a parameter.
+/// Returns the path of the first key that the current settings have and the new ones lack. In an
+/// array of objects each new entry must have every key that any current entry has: classes may be
+/// added and removed, but must not lack a parameter.
 pub fn missing_key(current: &Value, new: &Value, path: &str) -> Option<String> {
     match (current, new) {
         (Value::Object(current), Value::Object(new)) => current.iter().find_map(|(key, value)| {
@@ -112,8 +112,8 @@
     }
 }
 
-/// The path of the first key that some entry of the current array has and an entry of the new one
-/// lacks.
+/// Returns the path of the first key that some entry of the current array has and an entry of the
+/// new one lacks.
 fn missing_key_of_entry(current: &[Value], new: &[Value], path: &str) -> Option<String> {
     let objects = current.iter().filter_map(Value::as_object);
     let keys: Vec<&str> = objects
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,5 +1,5 @@
 //! Reads the `settings` object, which describes a site, into the scheduler's own types. The
-//! simulator's adapter and the fronts read the same object, so that both schedule by the same
+//! simulator's adapter and the fronts read the same object, so that both schedule with the same
 //! parameters.
 
 use serde::Deserialize;
@@ -12,10 +12,10 @@
 };
 use crate::control::json_object::{decode, JsonObjectError};
 
-/// The name in the file of the policy to poll discovery.
+/// The value of `Discovery` with which a front polls discovery.
 const POLLING: &str = "on_request";
 
-/// The part of the settings that the scheduler needs. Times are in nanoseconds.
+/// The part of the `settings` object that the scheduler needs. Times are in nanoseconds.
 #[derive(Deserialize)]
 struct SettingsFile {
     #[serde(rename = "Balancers", default, deserialize_with = "number")]
@@ -26,7 +26,7 @@
     plans: Vec<PlanEntry>,
     #[serde(rename = "Quantum", default, deserialize_with = "number")]
     quantum: f64,
-    /// How a front follows discovery. It polls it where this is [`POLLING`].
+    /// How a front receives changes from discovery. It polls if this is [`POLLING`].
     #[serde(rename = "Discovery", default, deserialize_with = "lenient")]
     discovery: Option<String>,
     #[serde(rename = "FamilyInfo", deserialize_with = "object")]
@@ -37,7 +37,7 @@
     rules: RulesSection,
 }
 
-/// The object `FamilyInfo`: what requests are like.
+/// The `FamilyInfo` object, with properties of the requests.
 #[derive(Deserialize)]
 struct FamilySection {
     #[serde(rename = "ColdUnits", default, deserialize_with = "number")]
@@ -56,7 +56,7 @@
     writes: ClassWrites,
 }
 
-/// The object `Limits`.
+/// The `Limits` object, with limits and options of attempts and rejections.
 #[derive(Deserialize)]
 struct LimitsSection {
     #[serde(rename = "MostTries", default, deserialize_with = "number")]
@@ -69,7 +69,7 @@
     max_retry_after: f64,
 }
 
-/// The object `Rules`.
+/// The `Rules` object, with parameters of the scheduling policy.
 #[derive(Deserialize)]
 struct RulesSection {
     #[serde(rename = "AskEvery", default, deserialize_with = "number")]
@@ -84,18 +84,19 @@
     overload_span: f64,
     #[serde(rename = "OrderSettle", default, deserialize_with = "number")]
     order_settle_time: f64,
-    /// Retries for each request; without it there is no budget of retries.
+    /// The number of retries allowed per request; `None` disables the retry budget.
     #[serde(rename = "FurtherRatio", default, deserialize_with = "optional_number")]
     retry_ratio: Option<f64>,
-    /// Retries that need no request. Only used with a ratio.
+    /// The number of retries allowed regardless of the number of requests. Only used with
+    /// `retry_ratio`.
     #[serde(rename = "ExtraFree", default)]
     retry_base_allowance: Deferred<Number>,
-    /// The time over which retries are counted. Only used with a ratio.
+    /// The window over which retries are counted. Only used with `retry_ratio`.
     #[serde(rename = "LookBack", default)]
     retry_window: Deferred<Number>,
 }
 
-/// An entry of `Services`.
+/// An entry of `Services`, which describes a class.
 #[derive(Deserialize)]
 struct ClassEntry {
     #[serde(rename = "Aim", default, deserialize_with = "number")]
@@ -118,7 +119,7 @@
     priority_weight: f64,
 }
 
-/// An entry of `Grades`.
+/// An entry of `Grades`, which describes a plan.
 #[derive(Deserialize)]
 struct PlanEntry {
     #[serde(rename = "CeilingRate", default, deserialize_with = "number")]
@@ -135,14 +136,14 @@
     value_factor: f64,
 }
 
-/// Whether each class writes, in the order of the classes. It says so of a class whose entry is a
-/// boolean; a value that is no array says it of none.
+/// Whether the requests of each class write, in the order of the classes. This is unknown for a
+/// class whose entry is not a boolean, and for all classes if the value is not an array.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(from = "Value")]
 pub struct ClassWrites(Vec<Option<bool>>);
 
 impl ClassWrites {
-    /// Whether the class with this number writes, where that is known.
+    /// Returns whether the class with this number writes; `None` if that is unknown.
     pub fn of(&self, class: usize) -> Option<bool> {
         self.0.get(class).copied().flatten()
     }
@@ -155,12 +156,12 @@
     }
 }
 
-/// The semantics of a class by their name.
+/// The semantics of a class, deserialized from their name.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(try_from = "SemanticsText")]
 struct SemanticsName(Semantics);
 
-/// The name of the semantics of a class.
+/// The unchecked name of the semantics of a class, which must be a string.
 #[derive(Deserialize)]
 struct SemanticsText(#[serde(deserialize_with = "string")] String);
 
@@ -177,7 +178,7 @@
     }
 }
 
-/// A name that is none of those of the semantics.
+/// The error of a name that stands for no semantics.
 #[derive(Debug, thiserror::Error)]
 #[error("unknown semantics {0}, expected idempotent, deduplicated or at_most_once")]
 struct UnknownSemantics(String);
@@ -185,7 +186,7 @@
 /// Reads the scheduler's settings.
 ///
 /// # Errors
-/// The first key that is missing or has a value of the wrong kind.
+/// Returns an error for the first key that is missing or has a value of the wrong type.
 pub fn read(value: &Value) -> Result<Settings, JsonObjectError> {
     let file: SettingsFile = decode(value.clone())?;
     let retry_budget = retry_budget(&file.rules)?;
@@ -210,8 +211,8 @@
         max_attempts: file.limits.max_attempts as u32,
         hedging: file.limits.hedging,
         cancellation: file.limits.cancellation,
-        // Set also where the simulator does not pass it on to its clients: a rejection says when to
-        // retry.
+        // Also set when the simulator does not pass it on to its clients, because a rejection
+        // contains the time to retry after.
         max_retry_after: file.limits.max_retry_after as Nanos,
         polls_discovery: file.discovery.as_deref() == Some(POLLING),
         poll_interval: file.rules.poll_interval as Nanos,
@@ -224,7 +225,7 @@
     })
 }
 
-/// The budget of retries; none where the settings state no ratio.
+/// Returns the retry budget; `None` if the settings have no ratio.
 fn retry_budget(rules: &RulesSection) -> Result<Option<RetryBudget>, JsonObjectError> {
     let Some(ratio) = rules.retry_ratio else {
         return Ok(None);
@@ -241,7 +242,7 @@
     }))
 }
 
-/// A class, which `writes` or not.
+/// Converts an entry of `Services`. `writes` says whether the requests of the class write.
 fn class(entry: &ClassEntry, writes: bool) -> Class {
     Class {
         latency_objective: entry.latency_objective as Nanos,
@@ -261,7 +262,7 @@
     }
 }
 
-/// A plan.
+/// Converts an entry of `Grades`.
 fn plan(entry: &PlanEntry) -> Plan {
     Plan {
         limit_rate: entry.limit_rate,
--- a/src/config/values.rs
+++ b/src/config/values.rs
@@ -1,7 +1,7 @@
 //! The types of values in configuration files.
 //!
-//! Files that earlier versions accepted must stay valid: a number may be null, which is 0, and a
-//! boolean too, which is false; some values are only checked where they are used.
+//! Files that earlier versions accepted must stay valid. For this reason null is accepted as the
+//! number 0 and as the boolean false, and some values are only checked where they are used.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -15,7 +15,7 @@
 
 use crate::control::json_object::{self, JsonObjectError, MISSING};
 
-/// A number; 0 where the value is null.
+/// A number; null counts as 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Number(pub f64);
 
@@ -41,12 +41,14 @@
         let text = string(deserializer)?;
         match text.parse() {
             Ok(address) => Ok(Address(address)),
-            Err(_) => Err(D::Error::custom(format_args!("{text} is not an IP address with a port"))),
+            Err(_) => Err(D::Error::custom(format_args!(
+                "{text} is not an IP address with a port"
+            ))),
         }
     }
 }
 
-/// A number that is written as hexadecimal digits.
+/// A number that is written as a string of hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HexNumber(pub u64);
 
@@ -65,25 +67,25 @@
 /// A value that is only checked where it is used.
 #[derive(Clone, Debug, Default)]
 pub enum Deferred<T> {
-    /// There is no such key.
+    /// The key is missing.
     #[default]
     Missing,
-    /// The value is valid.
+    /// The key has a valid value.
     Valid(T),
-    /// The value is invalid, for this reason.
+    /// The key has an invalid value, for the given reason.
     Invalid(String),
 }
 
 impl<T> Deferred<T> {
-    /// Whether there is no such key.
+    /// Returns whether the key is missing.
     pub fn is_missing(&self) -> bool {
         matches!(self, Deferred::Missing)
     }
 
-    /// The value at `path`.
+    /// Returns the value. `path` is its path in the file, for the error.
     ///
     /// # Errors
-    /// It is missing or invalid.
+    /// Returns an error if the value is missing or invalid.
     pub fn required(self, path: &str) -> Result<T, JsonObjectError> {
         match self {
             Deferred::Valid(value) => Ok(value),
@@ -94,10 +96,11 @@
 }
 
 impl<T: Default> Deferred<T> {
-    /// The value at `path`, or its default where there is none.
+    /// Returns the value, or the default of its type if it is missing. `path` is its path in the
+    /// file, for the error.
     ///
     /// # Errors
-    /// It is invalid.
+    /// Returns an error if the value is invalid.
     pub fn or_default(self, path: &str) -> Result<T, JsonObjectError> {
         if self.is_missing() {
             return Ok(T::default());
@@ -116,7 +119,7 @@
     }
 }
 
-/// A number of a file, or a default where it is 0, negative or missing.
+/// Returns a number of the file, or `default` if it is 0, negative or missing (which is read as 0).
 pub fn positive_or(number: f64, default: f64) -> f64 {
     if number > 0.0 {
         number
@@ -134,12 +137,12 @@
     }
 }
 
-/// Deserializes a number; 0 where the value is null.
+/// Deserializes a number; null counts as 0.
 pub fn number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     Number::deserialize(deserializer).map(|number| number.0)
 }
 
-/// Deserializes a number; `None` where the value is null.
+/// Deserializes a number; `None` if the value is null.
 pub fn optional_number<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<f64>, D::Error> {
@@ -147,7 +150,7 @@
     Ok(number.map(|number| number.0))
 }
 
-/// Deserializes a boolean; false where the value is null.
+/// Deserializes a boolean; null counts as false.
 pub fn boolean<'de, D: Deserializer<'de>>(deserializer: D) -> Result<bool, D::Error> {
     let value = Value::deserialize(deserializer)?;
     if value.is_null() {
@@ -159,7 +162,7 @@
     }
 }
 
-/// Deserializes a value of any type; `None` where it has another type than the field.
+/// Deserializes an optional value; `None` if it has another type than the field.
 pub fn lenient<'de, T, D>(deserializer: D) -> Result<Option<T>, D::Error>
 where
     T: DeserializeOwned,
@@ -169,7 +172,7 @@
     Ok(T::deserialize(value).ok())
 }
 
-/// Deserializes an optional value that must not be null.
+/// Deserializes an optional value that must not be null if its key is present.
 pub fn non_null<'de, T, D>(deserializer: D) -> Result<Option<T>, D::Error>
 where
     T: Deserialize<'de>,
@@ -178,8 +181,8 @@
     T::deserialize(deserializer).map(Some)
 }
 
-/// Deserializes an object into a type with named fields. Unlike the implementations that serde
-/// derives, it rejects an array.
+/// Deserializes an object into a type with named fields. Unlike serde's derived implementations, it
+/// rejects an array.
 pub fn object<'de, T, D>(deserializer: D) -> Result<T, D::Error>
 where
     T: Deserialize<'de>,
@@ -188,7 +191,7 @@
     Object::deserialize(deserializer).map(|object| object.0)
 }
 
-/// Deserializes an array of objects, as [`object`] does each.
+/// Deserializes an array of objects, each as [`object`] does.
 pub fn objects<'de, T, D>(deserializer: D) -> Result<Vec<T>, D::Error>
 where
     T: Deserialize<'de>,
@@ -198,7 +201,7 @@
     Ok(objects.into_iter().map(|object| object.0).collect())
 }
 
-/// Deserializes an object as [`object`] does; its default where the value is of another kind.
+/// Deserializes an object into a type with named fields; its default if the value is not an object.
 pub fn object_or_default<'de, T, D>(deserializer: D) -> Result<T, D::Error>
 where
     T: Deserialize<'de> + Default,
@@ -275,7 +278,7 @@
     }
 }
 
-/// Why a value that is not `expected` is rejected.
+/// Returns the error message for a value of another type than `expected`.
 pub(crate) fn wrong_type(value: &Value, expected: &str) -> String {
     let found = match value {
         Value::Array(_) => "an array".to_owned(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,7 @@
-//! tulipbridge is a storage front: it accepts requests from clients and decides when, where and
-//! whether each goes to a chunk server. The decisions are made in [`tulipbridge_core`], which does
-//! no I/O. This crate adds the sockets, the configuration and the commands.
+//! tulipbridge is a request-routing front for storage servers: it accepts requests from clients and
+//! decides whether, when and to which chunk server each is sent. The decisions are made in
+//! [`tulipbridge_core`], which does no I/O. This crate adds the sockets, the configuration and the
+//! commands.
 
 pub mod body_budget;
 pub mod cli;
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -1,25 +1,25 @@
-//! The program's runtime: all tasks on one thread, and the signals that end them.
+//! The single-threaded runtime of the program, and its signal handlers.
 
 use std::future::Future;
 
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::task::LocalSet;
 
-/// Why the program's tasks cannot run.
+/// Why the runtime cannot be created or a signal cannot be handled.
 #[derive(Debug, thiserror::Error)]
 pub enum RuntimeError {
-    /// The system lacks a resource that the runtime needs.
+    /// The operating system denied a resource that the runtime needs.
     #[error("cannot create the runtime: {0}")]
     Start(#[source] std::io::Error),
-    /// The system rejects a signal handler.
+    /// The operating system rejected a signal handler.
     #[error(transparent)]
     Signal(std::io::Error),
 }
 
-/// Runs a program's tasks on one thread, until `program` completes.
+/// Runs `program` and the local tasks that it spawns on one thread, until `program` completes.
 ///
 /// # Errors
-/// Those of the program, and [`RuntimeError::Start`].
+/// Returns the error of `program`, or [`RuntimeError::Start`].
 pub fn on_one_thread<E: From<RuntimeError>>(
     program: impl Future<Output = Result<(), E>>,
 ) -> Result<(), E> {
@@ -30,18 +30,19 @@
     LocalSet::new().block_on(&runtime, program)
 }
 
-/// Handles SIGHUP from now on.
+/// Installs a handler for SIGHUP and returns the stream of these signals.
 ///
 /// # Errors
-/// [`RuntimeError::Signal`].
+/// Returns [`RuntimeError::Signal`] if the handler cannot be installed.
 pub fn hangup_signal() -> Result<Signal, RuntimeError> {
     signal(SignalKind::hangup()).map_err(RuntimeError::Signal)
 }
 
-/// Handles SIGTERM and SIGINT from now on. The future completes at the first of them.
+/// Installs handlers for SIGTERM and SIGINT. The returned future completes at the first of these
+/// signals.
 ///
 /// # Errors
-/// [`RuntimeError::Signal`].
+/// Returns [`RuntimeError::Signal`] if a handler cannot be installed.
 pub fn shutdown_signal() -> Result<impl Future<Output = ()>, RuntimeError> {
     let mut terminate = signal(SignalKind::terminate()).map_err(RuntimeError::Signal)?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(RuntimeError::Signal)?;
--- a/src/socket_io.rs
+++ b/src/socket_io.rs
@@ -1,9 +1,10 @@
-//! Reading and writing TCP sockets without a conclusion from a short transfer.
+//! Reads and writes TCP sockets without treating a short transfer as a sign of an empty or full
+//! buffer.
 //!
-//! The runtime takes a read or write of fewer bytes than asked for as the sign that the socket's
-//! buffer is empty or full, and waits for the next event. Where the system transfers less for any
-//! other reason, that event never comes. Here only the system's own answer that the call would
-//! block ends a transfer, and an interrupted call is repeated.
+//! After a read or write of fewer bytes than requested, the runtime assumes that the socket's
+//! buffer is empty or full, and waits for the next event. If the system transferred less for any
+//! other reason, that event never comes. The functions here wait only after the system has reported
+//! that the call would block, and repeat an interrupted call.
 
 use std::io;
 use std::os::fd::{AsRawFd, RawFd};
@@ -15,7 +16,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Reads from a socket; see [`AsyncRead::poll_read`].
+/// Reads from a socket, as [`AsyncRead::poll_read`] does.
 pub fn poll_read(
     stream: &TcpStream,
     cx: &mut Context<'_>,
@@ -41,7 +42,7 @@
     }
 }
 
-/// Writes to a socket; see [`AsyncWrite::poll_write`].
+/// Writes to a socket, as [`AsyncWrite::poll_write`] does.
 pub fn poll_write(stream: &TcpStream, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
     loop {
         ready!(stream.poll_write_ready(cx))?;
@@ -54,29 +55,30 @@
     }
 }
 
-/// Disables Nagle's algorithm, which would delay a message that takes two writes. A failure costs
-/// only time, so it is not reported.
+/// Disables Nagle's algorithm, which would delay a message that takes two writes. A failure only
+/// adds latency, so it is not reported.
 pub fn disable_nagle(stream: &TcpStream) {
     stream.set_nodelay(true).ok();
 }
 
-/// Whether bytes, or the end of the stream, wait on a socket. A socket in error has nothing that
-/// could be read.
+/// Returns whether unread bytes or the end of the stream can be read from a socket. It is false for
+/// a socket with an error.
 pub fn has_unread_bytes(socket: RawFd) -> bool {
     peek(socket).is_ok()
 }
 
-/// Whether bytes wait on a socket that is not at its end.
+/// Returns whether unread bytes can be read from a socket; the end of the stream does not count.
 pub fn has_unread_data(socket: RawFd) -> bool {
     peek(socket).is_ok_and(|count| count > 0)
 }
 
-/// Whether a socket is open and nothing waits on it.
+/// Returns whether a socket is open and has nothing to read.
 pub fn is_quiet(socket: RawFd) -> bool {
     peek(socket) == Err(Errno::EAGAIN)
 }
 
-/// Looks at the next byte. An interrupted look has seen nothing and is repeated.
+/// Peeks at the next byte and returns the number of bytes seen, 0 at the end of the stream. An
+/// interrupted call is repeated.
 fn peek(socket: RawFd) -> Result<usize, Errno> {
     loop {
         let result = recv(
@@ -90,8 +92,8 @@
     }
 }
 
-/// Whether a transfer that failed with `error` is attempted again. Where the call would block, the
-/// runtime has cleared the socket's readiness, so the next attempt waits for an event.
+/// Returns whether a transfer that failed with `error` is repeated. If the call would block, the
+/// runtime has cleared the socket's readiness, so the repetition first waits for an event.
 fn must_repeat(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -99,7 +101,7 @@
     )
 }
 
-/// A TCP socket with these transfers, for use by hyper.
+/// A TCP socket that hyper reads and writes with [`poll_read`] and [`poll_write`].
 #[derive(Debug)]
 pub struct Socket(pub TcpStream);
 
@@ -123,7 +125,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // A TCP socket has no buffer in this process.
+        // Nothing to flush: a TCP socket has no buffer in this process.
         Poll::Ready(Ok(()))
     }
 
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -1,28 +1,28 @@
-//! The metrics of a front, in the Prometheus text format. Counters are incremented where their
-//! events happen. Gauges are read from the front's state at each scrape.
+//! The metrics of a front, in the Prometheus text format. Counters are incremented when their
+//! events happen; gauges are set from the front's state at each scrape.
 
 use prometheus::core::Collector;
 use prometheus::{Encoder, IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder};
 
 use tulipbridge_core::invariant_monitor::Rule;
 
-/// Why a metric can be created.
+/// The reason why creating a metric cannot fail.
 const VALID_NAME: &str = "the name is valid";
-/// Why a metric can be registered.
+/// The reason why registering a metric cannot fail.
 const UNIQUE_NAME: &str = "the name is registered once";
 
 /// The metrics of one class of requests.
 #[derive(Clone)]
 pub struct ClassMetrics {
     /// Requests that were served.
-    pub answered: IntCounter,
+    pub served: IntCounter,
     /// Requests that were rejected, with status 429 or 503.
-    pub deferred: IntCounter,
+    pub rejected: IntCounter,
     /// Requests that failed, with any other status.
-    pub errored: IntCounter,
+    pub failed: IntCounter,
     /// Attempts that were sent in full to chunk servers.
     sends: IntCounter,
-    /// The same over all classes.
+    /// Attempts of all classes that were sent in full to chunk servers.
     total_sends: IntCounter,
 }
 
@@ -30,9 +30,9 @@
     /// Counts the final answer to a request by its HTTP status.
     pub fn count_answer(&self, status: u16) {
         match status {
-            200..=299 => self.answered.inc(),
-            429 | 503 => self.deferred.inc(),
-            _ => self.errored.inc(),
+            200..=299 => self.served.inc(),
+            429 | 503 => self.rejected.inc(),
+            _ => self.failed.inc(),
         }
     }
 
@@ -52,19 +52,19 @@
     cluster_size: IntGauge,
     cluster_unhealthy: IntGauge,
     violations: IntCounterVec,
-    /// Configuration files that were loaded at SIGHUP.
+    /// Configuration files that were accepted at SIGHUP.
     pub conf_loaded: IntCounter,
     /// Configuration files that were rejected at SIGHUP.
     pub conf_invalid: IntCounter,
 }
 
-/// The values of the gauges at a scrape.
+/// The values of the gauges at the time of a scrape.
 pub struct GaugeReadings {
-    /// Requests in progress.
+    /// Requests that were accepted and have not ended yet.
     pub active_requests: usize,
     /// Chunk servers in the endpoint list.
     pub cluster_size: usize,
-    /// Those of them that the front avoids.
+    /// Chunk servers in the endpoint list that the front avoids.
     pub cluster_unhealthy: usize,
 }
 
@@ -75,10 +75,10 @@
 }
 
 impl Metrics {
-    /// All counters and gauges at 0.
+    /// Creates all counters and gauges, each at 0.
     ///
     /// # Panics
-    /// Never: the names are valid and differ.
+    /// Never panics: the names are valid and distinct.
     pub fn new() -> Metrics {
         let registry = Registry::new();
         let transactions = Opts::new(
@@ -128,30 +128,30 @@
         self.violations.with_label_values(&[rule.name()]).inc();
     }
 
-    /// Registers a metric of a part that not every front has.
+    /// Registers a metric of a component that not every front has.
     ///
     /// # Panics
-    /// Where a metric of its name is registered already.
+    /// Panics if a metric of the same name is already registered.
     pub fn register(&self, collector: impl Collector + 'static) {
         self.registry
             .register(Box::new(collector))
             .expect(UNIQUE_NAME);
     }
 
-    /// The metrics of a class. They are part of every scrape from now on, at 0 until something is
-    /// counted.
+    /// Returns the metrics of a class. From now on every scrape contains them, at 0 until something
+    /// is counted.
     pub fn class(&self, name: &str) -> ClassMetrics {
         let counter = |state: &str| self.transactions.with_label_values(&[name, state]);
         ClassMetrics {
-            answered: counter("answered"),
-            deferred: counter("deferred"),
-            errored: counter("errored"),
+            served: counter("answered"),
+            rejected: counter("deferred"),
+            failed: counter("errored"),
             sends: counter("sends"),
             total_sends: self.sends.clone(),
         }
     }
 
-    /// All metrics in the Prometheus text format.
+    /// Sets the gauges and returns all metrics in the Prometheus text format.
     pub fn render(&self, readings: &GaugeReadings) -> Vec<u8> {
         set(&self.active_requests, readings.active_requests);
         set(&self.cluster_size, readings.cluster_size);
@@ -162,21 +162,21 @@
     }
 }
 
-/// Ignores that metrics cannot be encoded: writing to memory fails only for malformed metrics, and
-/// those registered here are well-formed.
+/// Ignores an encoding error: encoding to memory fails only for malformed metrics, and those
+/// registered here are well-formed.
 fn ignore_malformed_metrics(_outcome: prometheus::Result<()>) {}
 
-/// A new counter, registered and at 0.
+/// Creates and registers a counter at 0.
 fn counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
     registered(registry, IntCounter::new(name, help).expect(VALID_NAME))
 }
 
-/// A new gauge, registered and at 0.
+/// Creates and registers a gauge at 0.
 fn gauge(registry: &Registry, name: &str, help: &str) -> IntGauge {
     registered(registry, IntGauge::new(name, help).expect(VALID_NAME))
 }
 
-/// Registers a metric.
+/// Registers a metric and returns it.
 fn registered<C: Collector + Clone + 'static>(registry: &Registry, collector: C) -> C {
     registry
         .register(Box::new(collector.clone()))
--- a/src/telemetry/trace/events.rs
+++ b/src/telemetry/trace/events.rs
@@ -1,4 +1,4 @@
-//! The events of the decision trace, from the scheduler's inputs and effects.
+//! The events of the decision trace, converted from the scheduler's inputs and effects.
 
 use serde::Serialize;
 use simd_json::OwnedValue as Value;
@@ -14,14 +14,14 @@
 const MICROS_PER_MILLISECOND: f64 = 1e3;
 /// Nanoseconds per second.
 const NANOS_PER_SECOND: f64 = 1e9;
-/// The shard of a request that may go to any.
+/// The traced shard of a request that may be sent to any shard.
 const ANY_SHARD: i64 = -1;
 
-/// An event, with its fields in the order in which they are written.
+/// An event of the trace. Its fields are written in the order in which they are declared.
 #[derive(Serialize)]
 #[serde(tag = "e")]
 pub(super) enum TraceEvent<'a> {
-    /// The front starts.
+    /// The front has read a configuration file.
     #[serde(rename = "start")]
     Start { settings: Option<&'a Value> },
     /// A request was received.
@@ -40,7 +40,7 @@
     },
     /// The client of a request has disconnected.
     #[serde(rename = "left")]
-    ClientGone { id: u64 },
+    ClientDisconnected { id: u64 },
     /// The deadline of a request has passed.
     #[serde(rename = "overdue")]
     Overdue { id: u64 },
@@ -61,7 +61,7 @@
         count: usize,
         nodes: Vec<TracedEndpoint>,
     },
-    /// A limit that the fleet shares has changed.
+    /// This front's part of a limit that the fleet shares has changed.
     #[serde(rename = "limit")]
     SharedLimit {
         #[serde(rename = "of")]
@@ -100,38 +100,38 @@
         #[serde(rename = "wait_ms", skip_serializing_if = "Option::is_none")]
         retry_after_ms: Option<f64>,
     },
-    /// The endpoint list must be polled.
+    /// The front subscribes to the endpoint list.
     #[serde(rename = "subscribe")]
     Subscribe,
-    /// A chunk server is forgotten.
+    /// A chunk server was removed and its state is dropped.
     #[serde(rename = "forget")]
     ForgetNode { node: String },
-    /// A log line about a chunk server.
+    /// The scheduler logs a message about a chunk server.
     #[serde(rename = "note")]
     Log { text: String, node: String },
 }
 
-/// An entry of an endpoint list.
+/// An entry of an endpoint list, with the fields that are traced.
 #[derive(Serialize)]
 pub(super) struct TracedEndpoint {
     node: String,
     #[serde(rename = "cell")]
     shard: u32,
     listed: &'static str,
-    /// When the server started, in seconds.
+    /// The time at which the server started, in seconds.
     #[serde(rename = "came_up")]
     started_at: f64,
 }
 
-/// The event of an input; `None` for inputs that are not traced. `name` returns the names of chunk
-/// servers.
+/// Converts an input; `None` for inputs that are not traced. `name` returns the name of a chunk
+/// server.
 pub(super) fn input_event(
     input: &Input,
     name: impl Fn(NodeId) -> String,
 ) -> Option<TraceEvent<'static>> {
     let event = match input {
         Input::RequestReceived(request) => request_received(request),
-        Input::ClientDisconnected(id) => TraceEvent::ClientGone { id: id.0 },
+        Input::ClientDisconnected(id) => TraceEvent::ClientDisconnected { id: id.0 },
         Input::Overdue(id) => TraceEvent::Overdue { id: id.0 },
         Input::AttemptEnded {
             id,
@@ -158,8 +158,8 @@
     Some(event)
 }
 
-/// The event of an effect; `None` for effects that are not traced. `name` returns the names of
-/// chunk servers.
+/// Converts an effect; `None` for effects that are not traced. `name` returns the name of a chunk
+/// server.
 pub(super) fn effect_event(
     effect: &Effect,
     name: impl Fn(NodeId) -> String,
@@ -187,7 +187,7 @@
     Some(event)
 }
 
-/// The event of a runtime command; `None` for commands that are not traced.
+/// Converts a runtime command; `None` for commands that are not traced.
 fn command_event(
     command: &RuntimeCommand,
     name: impl Fn(NodeId) -> String,
@@ -203,7 +203,7 @@
     }
 }
 
-/// The event of a request that was received.
+/// Returns the event of a received request.
 fn request_received(request: &Request) -> TraceEvent<'static> {
     TraceEvent::RequestReceived {
         id: request.id.0,
@@ -217,7 +217,7 @@
     }
 }
 
-/// The event of an attempt that ended without an observed use.
+/// Returns the event of an attempt that ended without an observed use.
 fn attempt_without_use(id: RequestId, attempt: u32, outcome: &'static str) -> TraceEvent<'static> {
     TraceEvent::AttemptEnded {
         id: id.0,
@@ -227,7 +227,7 @@
     }
 }
 
-/// The event of an update by the peers.
+/// Converts an update from the fleet.
 fn fleet_update(update: &FleetUpdate, name: impl Fn(NodeId) -> String) -> TraceEvent<'static> {
     match update {
         FleetUpdate::SharedLimit {
@@ -246,7 +246,7 @@
     }
 }
 
-/// The event of a final answer.
+/// Returns the event of a final answer.
 fn final_answer(id: RequestId, answer: &FinalAnswer) -> TraceEvent<'static> {
     let name = match answer {
         FinalAnswer::Served => "served",
@@ -264,7 +264,7 @@
     }
 }
 
-/// An entry of an endpoint list as the trace has it.
+/// Converts an entry of an endpoint list.
 fn endpoint(info: &NodeInfo, name: impl Fn(NodeId) -> String) -> TracedEndpoint {
     let listed = match info.state {
         EndpointState::Up => "up",
@@ -279,7 +279,7 @@
     }
 }
 
-/// The name of a shared limit in the trace.
+/// Returns the name of a shared limit in the trace.
 fn limit_name(limit: SharedLimit) -> String {
     match limit {
         SharedLimit::Volume(volume) => format!("Volume({volume})"),
@@ -289,7 +289,7 @@
     }
 }
 
-/// The name in the trace of how an endpoint list applies.
+/// Returns the name of an endpoint list's scope in the trace.
 fn scope_name(scope: UpdateScope) -> &'static str {
     match scope {
         UpdateScope::Update => "update",
@@ -299,7 +299,7 @@
     }
 }
 
-/// The name of an attempt's outcome in the trace.
+/// Returns the name of an attempt's outcome in the trace.
 fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "done",
@@ -313,7 +313,7 @@
     }
 }
 
-/// Milliseconds with three digits after the point.
+/// Converts nanoseconds to milliseconds, rounded to three decimal places.
 fn milliseconds(nanos: Nanos) -> f64 {
     (nanos as f64 / NANOS_PER_MICROSECOND).round() / MICROS_PER_MILLISECOND
 }
