--- a/src/object/front.rs
+++ b/src/object/front.rs
@@ -19,7 +19,7 @@
 use crate::exchange::Exchange;
 use crate::frontend::listener::{Handler, ReceivedRequest};
 use crate::frontend::replies::{health_check, Reply};
-use crate::limits::MAX_BODY;
+use crate::limits::MAX_BUFFERED_BODY_BYTES;
 use crate::upstream::Upstream;
 
 /// Header with the random id of the request, which an error document contains too.
@@ -101,9 +101,9 @@
     }
 }
 
-/// Rejects bodies of more than [`MAX_BODY`] bytes; larger objects must be uploaded in parts.
+/// Rejects bodies of more than [`MAX_BUFFERED_BODY_BYTES`] bytes; larger objects must be uploaded in parts.
 fn check_length(body: Bytes) -> Result<Bytes, StatusCode> {
-    if body.len() > MAX_BODY {
+    if body.len() > MAX_BUFFERED_BODY_BYTES {
         Err(StatusCode::PAYLOAD_TOO_LARGE)
     } else {
         Ok(body)
--- a/src/object/piece.rs
+++ b/src/object/piece.rs
@@ -5,11 +5,11 @@
 
 use super::error::ApiError;
 use super::range::{ByteRange, ContentRange};
-use crate::limits::MAX_BODY;
+use crate::limits::MAX_BUFFERED_BODY_BYTES;
 use crate::upstream::Answer;
 
 /// Maximum number of bytes that are read from a chunk server in one request.
-pub(super) const MAX_PIECE_BYTES: u64 = MAX_BODY as u64;
+pub(super) const MAX_PIECE_BYTES: u64 = MAX_BUFFERED_BODY_BYTES as u64;
 
 /// A contiguous part of an object, from one answer of a chunk server.
 pub(super) struct Piece {
--- a/src/upstream/response.rs
+++ b/src/upstream/response.rs
@@ -11,7 +11,7 @@
 
 use super::payload::{AcceptedResponses, Answer, StreamedBody};
 use crate::exchange::AttemptReport;
-use crate::limits::MAX_BODY;
+use crate::limits::MAX_BUFFERED_BODY_BYTES;
 
 /// Maximum length in bytes that a response may announce for its body; a longer one is an error.
 const MAX_STREAMED_BODY: u64 = 1 << 30;
@@ -43,7 +43,7 @@
     }
     // A body of unknown length ends with its connection, which a reset cuts off early.
     let length_unknown = size.exact().is_none();
-    let too_long_to_buffer = size.lower() > MAX_BODY as u64;
+    let too_long_to_buffer = size.lower() > MAX_BUFFERED_BODY_BYTES as u64;
     let served = report.outcome == Outcome::Served;
     let (head, body) = response.into_parts();
     let answer = if (length_unknown || too_long_to_buffer)
@@ -54,7 +54,7 @@
     } else if too_long_to_buffer {
         return Err(Execution::MayHaveRun);
     } else {
-        let body = Limited::new(body, MAX_BODY).collect().await;
+        let body = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect().await;
         let body = body.map_err(|_| Execution::MayHaveRun)?.to_bytes();
         served.then(|| answer_with(head, shard, body, None))
     };
@@ -62,7 +62,7 @@
 }
 
 /// Returns an answer whose body is streamed. A body of unknown length is buffered first: it is
-/// streamed only once more than [`MAX_BODY`] bytes have arrived, and one that ends before that is
+/// streamed only once more than [`MAX_BUFFERED_BODY_BYTES`] bytes have arrived, and one that ends before that is
 /// answered whole.
 async fn read_streamed(
     head: Parts,
@@ -71,7 +71,7 @@
     shard: ShardId,
 ) -> Result<Answer, Execution> {
     let mut buffered = BytesMut::new();
-    while length.is_none() && buffered.len() <= MAX_BODY {
+    while length.is_none() && buffered.len() <= MAX_BUFFERED_BODY_BYTES {
         let Some(frame) = body.frame().await else {
             return Ok(answer_with(head, shard, buffered.freeze(), None));
         };
