--- a/crates/core/src/interface/fleet.rs
+++ b/crates/core/src/interface/fleet.rs
@@ -19,7 +19,7 @@
 const LAST_CLASS_BIT: usize = 63;
 
 /// The request classes for which a chunk server is ejected, as a bit for each class. All classes
-/// from [`LAST_CLASS_BIT`] on share the last bit.
+/// from 63 on share the last bit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ClassSet(u64);
 
--- a/crates/fleet-limits/src/config.rs
+++ b/crates/fleet-limits/src/config.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LimitsConfigError {
     /// The position of the front is not in the membership list.
-    #[error("position {me} is outside a membership list of {fronts} fronts")]
+    #[error("position {me} is outside the membership list of {fronts} fronts")]
     UnknownPeer {
         /// Configured position of the front.
         me: PeerId,
@@ -58,7 +58,8 @@
     },
     /// Heartbeats are too far apart for votes and leases to be renewed in time.
     #[error(
-        "a life of {lease_duration} ns must hold at least four beats of {heartbeat_interval} ns"
+        "the heartbeat interval of {heartbeat_interval} ns must be above 0 and at most a quarter \
+         of the lease duration of {lease_duration} ns"
     )]
     HeartbeatTooSlow {
         /// Configured lease duration, in nanoseconds.
@@ -67,7 +68,7 @@
         heartbeat_interval: Nanos,
     },
     /// The floor exceeds the whole limit.
-    #[error("a floor of {0} millionths is more than the whole")]
+    #[error("the floor of {0} millionths exceeds the whole limit")]
     Floor(Share),
     /// The maximum clock drift exceeds a tenth; clocks that differ by more are considered broken.
     #[error("a clock drift of {0} millionths exceeds one tenth")]
--- a/crates/fleet-limits/tests/config.rs
+++ b/crates/fleet-limits/tests/config.rs
@@ -45,9 +45,9 @@
         .collect();
     assert_eq!(
         reasons[0],
-        "position 4 is outside a membership list of 4 fronts"
+        "position 4 is outside the membership list of 4 fronts"
     );
-    assert!(reasons[1].contains("four beats"));
+    assert!(reasons[1].contains("a quarter of the lease duration"));
     assert!(reasons[2].contains("floor"));
     assert!(reasons[3].contains("drift"));
 }
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -59,7 +59,7 @@
     #[error("the envelope exceeds {MAX_MESSAGE_BYTES} bytes")]
     TooLong,
     /// The key is shorter than the minimum length.
-    #[error("a key needs {MIN_KEY_BYTES} bytes or more")]
+    #[error("the key must have at least {MIN_KEY_BYTES} bytes")]
     KeyTooShort,
 }
 
--- a/src/cluster/limits/config.rs
+++ b/src/cluster/limits/config.rs
@@ -13,7 +13,7 @@
 use crate::control::json_object::{decode, JsonObjectError};
 
 /// Demand for retries that each request adds in advance, so that a front with traffic has a share
-/// of the limit on retries before its first failure.
+/// of the limit on retries before its first failure. A failed attempt adds a demand of 1.
 const RETRY_RESERVE_PER_REQUEST: f64 = 0.02;
 /// Demand for retries that a failed attempt adds.
 const RETRIES_PER_FAILURE: f64 = 1.0;
--- a/src/cluster/metrics.rs
+++ b/src/cluster/metrics.rs
@@ -20,7 +20,7 @@
 }
 
 impl ClusterMetrics {
-    /// Creates and registers the metrics.
+    /// Creates and registers the metrics. All start with the value 0.
     pub(super) fn register(registry: &Metrics) -> ClusterMetrics {
         let gauge = |name: &str, help: &str| IntGauge::new(name, help).expect("the name is valid");
         let metrics = ClusterMetrics {
--- a/tests/cluster/config.rs
+++ b/tests/cluster/config.rs
@@ -61,7 +61,7 @@
         (
             "\"listen\"",
             "\"floor\": 2, \"listen\"",
-            "'peers': a floor of 2000000 millionths is more than the whole",
+            "'peers': the floor of 2000000 millionths exceeds the whole limit",
         ),
         (
             "\"listen\"",
