--- a/crates/fleet-limits/src/config.rs
+++ b/crates/fleet-limits/src/config.rs
@@ -58,8 +58,8 @@
     },
     /// Heartbeats are too far apart for votes and leases to be renewed in time.
     #[error(
-        "the heartbeat interval of {heartbeat_interval} ns must be above 0 and at most a quarter of \
-         the lease duration of {lease_duration} ns"
+        "the heartbeat interval of {heartbeat_interval} ns must be above 0 and at most a quarter \
+         of the lease duration of {lease_duration} ns"
     )]
     HeartbeatTooSlow {
         /// Configured lease duration, in nanoseconds.
