--- a/src/control/agent/api.rs
+++ b/src/control/agent/api.rs
@@ -15,18 +15,18 @@
 use crate::frontend::listener::{Handler, ReceivedRequest};
 use crate::frontend::replies::{plain, Reply};
 
-/// Serves the API on the fronts of an agent.
+/// The HTTP handler that shows and commands the fronts of an agent.
 pub struct AgentApi {
     fleet: Rc<Fleet>,
 }
 
 impl AgentApi {
-    /// An API on these fronts.
+    /// Creates the API for the fronts of `fleet`.
     pub fn new(fleet: Rc<Fleet>) -> AgentApi {
         AgentApi { fleet }
     }
 
-    /// The status of all fronts.
+    /// Returns the status of all fronts as JSON.
     fn show_fronts(&self) -> Reply {
         match simd_json::serde::to_vec(&self.fleet.status()) {
             Ok(json) => Response::new(Either::Left(Full::from(json))),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Passes a command on to a front.
+    /// Passes a command on to the front `name`, and returns before it is carried out.
     fn command_front(&self, name: &str, command: &str) -> Reply {
         if !self.fleet.contains(name) {
             return plain(StatusCode::NOT_FOUND, "no such front");
--- a/src/control/agent/command.rs
+++ b/src/control/agent/command.rs
@@ -1,4 +1,4 @@
-//! The commands on a single front of an agent.
+//! The commands that the API accepts for a single front.
 
 use crate::control::agent::supervisor::{DesiredState, Phase};
 
@@ -14,7 +14,7 @@
 }
 
 impl FrontCommand {
-    /// The command with this name in the API.
+    /// Returns the command with this name in the API; `None` where there is none.
     pub fn from_name(name: &str) -> Option<FrontCommand> {
         let all = [
             FrontCommand::Drain,
@@ -24,7 +24,7 @@
         all.into_iter().find(|command| command.name() == name)
     }
 
-    /// The name of the command in the API.
+    /// Returns the name of the command in the API.
     pub fn name(self) -> &'static str {
         match self {
             FrontCommand::Drain => "drain",
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The phase that a front is in once the command is carried out.
+    /// Returns the phase that a front reaches once the command is carried out.
     pub fn resulting_phase(self) -> Phase {
         match self {
             FrontCommand::Drain => Phase::Drained,
--- a/src/control/agent/declaration.rs
+++ b/src/control/agent/declaration.rs
@@ -1,4 +1,4 @@
-//! The declaration of a front, and starting the process that it describes.
+//! Declarations of fronts: decodes them and starts the processes that they describe.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,12 +14,13 @@
 
 /// The pause between two readiness probes of a starting front.
 const PROBE_INTERVAL: Duration = Duration::from_millis(50);
-/// The timeouts of a readiness probe.
+/// The timeouts of a readiness probe: for the connection and for the response.
 const PROBE_TIMEOUTS: CallTimeouts = CallTimeouts {
     connect: Duration::from_millis(500),
     response: Duration::from_millis(500),
 };
-/// The agent's own variables, which its fronts must not inherit: each has its own configuration.
+/// Environment variables of the agent that its fronts must not inherit, since each front has a
+/// configuration of its own.
 const VARIABLES_NOT_INHERITED: [&str; 4] = [
     "BALANCER_NAME",
     "BALANCER_LISTEN",
@@ -27,22 +28,22 @@
     "BALANCER_CONFIG",
 ];
 
-/// All declarations, as JSON by the names of their fronts.
+/// The JSON text of every declaration, keyed by the name of its front.
 pub type Declarations = BTreeMap<String, Vec<u8>>;
 
-/// Which kind of front to run.
+/// The kind of front that a process runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "String")]
 pub enum FrontKind {
-    /// A front of the platform.
+    /// A front of the platform, which the program runs without a subcommand.
     Platform,
     /// A front of the object API.
     Object,
 }
 
-/// The name of a kind of front that this version does not know.
+/// The error for a kind of front that this version does not know; holds its name.
 #[derive(Debug, thiserror::Error)]
-#[error("{0} is not known")]
+#[error("unknown kind of front {0:?}")]
 pub struct UnknownFrontKind(String);
 
 impl TryFrom<String> for FrontKind {
@@ -57,16 +58,16 @@
     }
 }
 
-/// The declaration of one front.
+/// The declaration of one front: what its process runs.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct FrontDeclaration {
     kind: FrontKind,
-    /// The path of its configuration file.
+    /// The path of the front's configuration file.
     config: String,
 }
 
 impl FrontDeclaration {
-    /// Reads a declaration from its JSON text.
+    /// Decodes a declaration from its JSON text.
     ///
     /// # Errors
     /// The text is not JSON, or a value is missing or invalid.
@@ -74,10 +75,10 @@
         json_object::parse(&mut json.to_vec())
     }
 
-    /// Starts a process of this program that runs the front.
+    /// Starts the front as a process of this program. Dropping the process kills it.
     ///
     /// # Errors
-    /// The system's, where the process cannot be started.
+    /// The process cannot be started.
     pub fn start(&self) -> std::io::Result<Child> {
         let mut command = Command::new(std::env::current_exe()?);
         for name in VARIABLES_NOT_INHERITED {
@@ -90,7 +91,8 @@
         command.kill_on_drop(true).spawn()
     }
 
-    /// Waits until the front is ready for clients. One whose configuration has no address never is.
+    /// Probes the front until it is ready for clients. Never completes where the address for
+    /// clients cannot be read from its configuration.
     pub async fn wait_until_ready(&self) {
         let Some(address) = self.listen_address() else {
             return std::future::pending().await;
@@ -111,8 +113,8 @@
         }
     }
 
-    /// The address that the configuration of the front has for clients; `None` where the file
-    /// cannot be read or has none.
+    /// Returns the address for clients in the front's configuration file; `None` where the file
+    /// cannot be read or has no valid address.
     fn listen_address(&self) -> Option<SocketAddr> {
         let mut content = std::fs::read(&self.config).ok()?;
         let front: ListeningFront = json_object::parse(&mut content).ok()?;
--- a/src/control/agent/etcd/error.rs
+++ b/src/control/agent/etcd/error.rs
@@ -1,4 +1,4 @@
-//! Why the declarations in etcd cannot be followed.
+//! Errors of following the declarations in etcd.
 
 use hyper::StatusCode;
 
@@ -8,7 +8,7 @@
 /// Why the declarations in etcd cannot be followed.
 #[derive(Debug, thiserror::Error)]
 pub enum EtcdError {
-    /// A call failed.
+    /// A call of the gateway failed.
     #[error(transparent)]
     Http(#[from] HttpError),
     /// A request cannot be encoded.
@@ -17,33 +17,33 @@
     /// A response is not JSON, or lacks a required field.
     #[error("invalid response: {0}")]
     Decode(#[from] JsonObjectError),
-    /// Etcd rejected the request for the list.
-    #[error("the list was answered {status}: {body}")]
+    /// Etcd answered the list request with another status than 200.
+    #[error("list failed: status {status}: {body}")]
     ListStatus {
-        /// The status of its response.
+        /// The status of etcd's response.
         status: StatusCode,
-        /// The body of its response.
+        /// The body of etcd's response, as text.
         body: String,
     },
-    /// Etcd rejected the request for the watch.
-    #[error("the watch was answered {0}")]
+    /// Etcd answered the watch request with another status than 200.
+    #[error("watch failed to open: status {0}")]
     WatchStatus(StatusCode),
-    /// The list has no revision.
-    #[error("the list has no revision")]
-    NoRevision,
-    /// The watch reports an error.
-    #[error("the watch failed: {0}")]
+    /// The response to the list request does not say at which revision it was made.
+    #[error("list response has no revision")]
+    MissingRevision,
+    /// A message of the watch reports an error.
+    #[error("watch failed: {0}")]
     WatchFailed(String),
-    /// A message of the watch lacks its content.
-    #[error("a message of the watch has no result")]
-    NoResult,
+    /// A message of the watch has neither an error nor a result.
+    #[error("watch message has no result")]
+    MissingResult,
     /// The watch was cancelled, for example because its revision has been compacted.
-    #[error("the watch was cancelled; listing anew")]
+    #[error("watch cancelled, listing the keys again")]
     WatchCancelled,
-    /// An event of the watch lacks the key that it is about.
-    #[error("an event has no key")]
-    NoKey,
-    /// The receiver of the declarations is gone.
-    #[error("the receiver of the declarations is gone")]
+    /// An event of the watch does not say which key changed.
+    #[error("watch event has no key")]
+    MissingKey,
+    /// The receiver of the declarations has been closed.
+    #[error("the receiver of the declarations is closed")]
     ReceiverClosed,
 }
--- a/src/control/agent/etcd/messages.rs
+++ b/src/control/agent/etcd/messages.rs
@@ -1,7 +1,7 @@
 //! The messages of etcd's v3 JSON gateway that the agent sends and receives.
 //!
 //! The gateway writes bytes in base64 and integers of 64 bits as strings, and leaves out fields
-//! with an empty value. A value of an unexpected type in an optional field counts as left out.
+//! with an empty value. An optional field with an invalid value takes its default, as if left out.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -35,27 +35,27 @@
     pub key: Base64Bytes,
     /// The first key past the range.
     pub range_end: Base64Bytes,
-    /// The most keys that the response may contain.
+    /// The maximum number of keys in the response.
     pub limit: String,
-    /// The revision that is listed; 0 is the current one.
+    /// The revision to list; 0 means the current one.
     pub revision: String,
 }
 
 /// The response to a [`RangeRequest`].
 #[derive(Debug, Deserialize)]
 pub struct RangeResponse {
-    #[serde(default, deserialize_with = "lenient")]
+    #[serde(default, deserialize_with = "default_if_invalid")]
     header: Header,
-    /// The keys with their values.
+    /// The listed keys with their values.
     #[serde(default)]
     pub kvs: Vec<KeyValue>,
     /// Whether the range has further keys.
-    #[serde(default, deserialize_with = "lenient")]
+    #[serde(default, deserialize_with = "default_if_invalid")]
     pub more: bool,
 }
 
 impl RangeResponse {
-    /// The revision at which the range was listed.
+    /// Returns the revision at which the range was listed.
     pub fn revision(&self) -> Option<i64> {
         self.header.revision
     }
@@ -64,11 +64,11 @@
 /// The body of a call of `/v3/watch`.
 #[derive(Debug, Serialize)]
 pub struct WatchRequest {
-    /// The range of keys to watch.
+    /// The changes that the watch is to report.
     pub create_request: WatchCreateRequest,
 }
 
-/// Which changes a watch reports.
+/// The range of keys and the revisions that a watch covers.
 #[derive(Debug, Serialize)]
 pub struct WatchCreateRequest {
     /// The first key of the range.
@@ -93,18 +93,18 @@
 /// The content of a message of a watch.
 #[derive(Debug, Deserialize)]
 pub struct WatchResult {
-    #[serde(default, deserialize_with = "lenient")]
+    #[serde(default, deserialize_with = "default_if_invalid")]
     header: Header,
     /// Whether etcd has cancelled the watch.
-    #[serde(default, deserialize_with = "lenient")]
+    #[serde(default, deserialize_with = "default_if_invalid")]
     pub canceled: bool,
-    /// The changes.
+    /// The changes that the message reports.
     #[serde(default)]
     pub events: Vec<Event>,
 }
 
 impl WatchResult {
-    /// The revision up to which the watch has reported all changes.
+    /// Returns the revision up to which the watch has reported all changes.
     pub fn revision(&self) -> Option<i64> {
         self.header.revision
     }
@@ -114,7 +114,7 @@
 #[derive(Debug, Deserialize)]
 pub struct Event {
     /// The kind of change. The gateway leaves it out for [`EventType::Put`].
-    #[serde(rename = "type", default, deserialize_with = "lenient")]
+    #[serde(rename = "type", default, deserialize_with = "default_if_invalid")]
     pub event_type: EventType,
     /// The key with its new value.
     pub kv: Option<KeyValue>,
@@ -135,10 +135,10 @@
 /// A key with its value.
 #[derive(Debug, Deserialize)]
 pub struct KeyValue {
-    /// The key.
+    /// The full key, including the prefix that was listed or watched.
     pub key: Base64Bytes,
     /// The value; empty where the key was deleted.
-    #[serde(default, deserialize_with = "lenient")]
+    #[serde(default, deserialize_with = "default_if_invalid")]
     pub value: Base64Bytes,
 }
 
@@ -149,8 +149,8 @@
     revision: Option<i64>,
 }
 
-/// Deserializes a field, as its default where the value has an unexpected type.
-fn lenient<'de, T, D>(deserializer: D) -> Result<T, D::Error>
+/// Deserializes a field; an invalid value yields the default.
+fn default_if_invalid<'de, T, D>(deserializer: D) -> Result<T, D::Error>
 where
     T: DeserializeOwned + Default,
     D: Deserializer<'de>,
--- a/src/control/agent/etcd/mod.rs
+++ b/src/control/agent/etcd/mod.rs
@@ -1,6 +1,7 @@
-//! Declarations of fronts in etcd, through its v3 JSON gateway: the keys under a prefix are listed
-//! at a revision and watched from the next one on, and listed again after a compaction or a lost
-//! connection.
+//! Follows the declarations of fronts in etcd through its v3 JSON gateway.
+//!
+//! The keys under a prefix are listed at a revision and watched from the next one on. They are
+//! listed again after a compaction or a lost connection.
 
 mod error;
 mod messages;
@@ -29,29 +30,30 @@
 const RANGE_PATH: &str = "/v3/kv/range";
 /// The path that opens a watch.
 const WATCH_PATH: &str = "/v3/watch";
-/// How long the steps of a call may take until its response begins.
+/// The timeouts of a call: for the connection, and for the start of the response.
 const CALL_TIMEOUTS: CallTimeouts = CallTimeouts {
     connect: Duration::from_secs(2),
     response: Duration::from_secs(5),
 };
-/// The longest time for the body of a page of the list.
+/// The maximum time to read the body of one page of the list.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
-/// A watch sends nothing while nothing changes. After this time without a message it is opened
-/// again, since its connection may have died unnoticed.
+/// The time without a message after which a watch is opened again. A watch may be silent because
+/// nothing changes or because its connection has been lost unnoticed.
 const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// The most keys on one page of the list.
+/// The maximum number of keys on one page of the list.
 const PAGE_SIZE: usize = 500;
-/// The pause before the first retry. It doubles with each, until a watch has lasted for
-/// [`MAX_BACKOFF`].
+/// The backoff before the first retry. It doubles with each retry, and is reset once a list and
+/// its watch have lasted for [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
-/// The longest pause before a retry.
+/// The maximum backoff before a retry, without jitter.
 const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
-/// A prefix of keys in etcd. The rest of a key is the name of a front, its value the declaration.
+/// The prefix of the keys in etcd that declare fronts. The rest of a key is the name of a front,
+/// its value the declaration.
 pub struct EtcdPrefix {
     /// The address of etcd's JSON gateway.
     pub address: SocketAddr,
-    /// The prefix.
+    /// The common start of the keys.
     pub prefix: String,
 }
 
@@ -59,37 +61,37 @@
 #[derive(Default)]
 struct Listing {
     declarations: Declarations,
-    /// The revision; 0 before the first page of the list has arrived.
+    /// The revision of the declarations; 0 before the first page of the list has arrived.
     revision: i64,
 }
 
 impl EtcdPrefix {
-    /// Sends all declarations, at first and after each change, until the receiver is gone.
+    /// Sends all declarations, at first and after each change, until the receiver is closed.
     pub async fn follow(&self, sender: Sender<Declarations>) {
         let mut backoff = MIN_BACKOFF;
         while !sender.is_closed() {
             let started = Instant::now();
             if let Err(error) = self.list_and_watch(&sender).await {
-                log!("etcd: {error}");
+                log!("agent: etcd: {error}");
             }
             if started.elapsed() >= MAX_BACKOFF {
                 backoff = MIN_BACKOFF;
             }
-            // With jitter, since many agents lose the same etcd at the same moment.
+            // The jitter spreads the retries of agents that lose the same etcd at the same moment.
             sleep(backoff.mul_f64(0.5 + fastrand::f64())).await;
             backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
-    /// Lists all declarations and watches for changes. Returns only at an error, after which they
-    /// must be listed again.
+    /// Lists all declarations and watches for changes. Returns only on an error, after which the
+    /// declarations must be listed again.
     async fn list_and_watch(&self, sender: &Sender<Declarations>) -> Result<(), EtcdError> {
         let mut listing = self.list().await?;
         send(sender, &listing.declarations).await?;
         loop {
             let watch = self.open_watch(listing.revision).await?;
-            // Returns once the watch is idle. Nothing is missed: the next one begins where this one
-            // ended.
+            // Returns once the watch is idle. No change is missed, since the next watch begins at
+            // the revision after the last one reported.
             self.read_watch(watch, &mut listing, sender).await?;
         }
     }
@@ -101,7 +103,7 @@
         loop {
             let page = self.read_page(&first_key, listing.revision).await?;
             if listing.revision == 0 {
-                listing.revision = page.revision().ok_or(EtcdError::NoRevision)?;
+                listing.revision = page.revision().ok_or(EtcdError::MissingRevision)?;
             }
             let is_last = page.kvs.is_empty() || !page.more;
             for pair in page.kvs {
@@ -116,7 +118,7 @@
         }
     }
 
-    /// One page of the list at a revision, or at the current one where that is 0.
+    /// Reads one page of the list at a revision; 0 means the current one.
     async fn read_page(&self, first_key: &[u8], revision: i64) -> Result<RangeResponse, EtcdError> {
         let request = RangeRequest {
             key: Base64Bytes(first_key.to_vec()),
@@ -153,7 +155,7 @@
     }
 
     /// Applies the events of a watch to the listing, and sends it after each change, until no
-    /// message has come for [`WATCH_IDLE_TIMEOUT`].
+    /// message has arrived for [`WATCH_IDLE_TIMEOUT`].
     async fn read_watch(
         &self,
         mut watch: CallResponse,
@@ -183,7 +185,7 @@
 
     /// Applies an event of a watch to the declarations.
     fn apply(&self, event: Event, declarations: &mut Declarations) -> Result<(), EtcdError> {
-        let pair = event.kv.ok_or(EtcdError::NoKey)?;
+        let pair = event.kv.ok_or(EtcdError::MissingKey)?;
         let Some(name) = self.front_name(&pair.key) else {
             return Ok(());
         };
@@ -194,15 +196,15 @@
         Ok(())
     }
 
-    /// The name of the front that a key declares; `None` for the prefix itself and for keys that
-    /// are not under it.
+    /// Returns the name of the front that a key declares; `None` for the prefix itself and for keys
+    /// that are not under it.
     fn front_name(&self, key: &Base64Bytes) -> Option<String> {
         let key = std::str::from_utf8(&key.0).ok()?;
         let name = key.strip_prefix(&self.prefix)?;
         (!name.is_empty()).then(|| name.to_owned())
     }
 
-    /// Calls the gateway.
+    /// Posts a request to the gateway, and returns once its response begins.
     async fn post(&self, path: &str, request: &impl Serialize) -> Result<CallResponse, EtcdError> {
         let body = simd_json::serde::to_string(request).map_err(EtcdError::Encode)?;
         let response = call(self.address, Method::POST, path, body, CALL_TIMEOUTS).await?;
@@ -210,7 +212,7 @@
     }
 }
 
-/// Sends a copy of the declarations to whoever applies them.
+/// Sends a copy of the declarations to the task that applies them.
 async fn send(sender: &Sender<Declarations>, declarations: &Declarations) -> Result<(), EtcdError> {
     sender
         .send(declarations.clone())
@@ -218,20 +220,20 @@
         .map_err(|_| EtcdError::ReceiverClosed)
 }
 
-/// Decodes a message of a watch, in place.
+/// Decodes a message of a watch. The parser overwrites `json`.
 fn watch_result(json: &mut [u8]) -> Result<WatchResult, EtcdError> {
     let response: WatchResponse = json_object::parse(json)?;
     if let Some(error) = response.error {
         return Err(EtcdError::WatchFailed(error.encode()));
     }
-    let result = response.result.ok_or(EtcdError::NoResult)?;
+    let result = response.result.ok_or(EtcdError::MissingResult)?;
     if result.canceled {
         return Err(EtcdError::WatchCancelled);
     }
     Ok(result)
 }
 
-/// The first key past all that begin with the prefix.
+/// Returns the first key after all keys that begin with the prefix.
 fn range_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
@@ -240,11 +242,11 @@
             return end;
         }
     }
-    // To etcd, this is the end of all keys.
+    // Etcd takes a single zero byte as the end of all keys.
     vec![0]
 }
 
-/// The key that follows `key` in order.
+/// Returns the key that follows `key` directly in byte order.
 fn next_key(mut key: Vec<u8>) -> Vec<u8> {
     key.push(0);
     key
--- a/src/control/agent/file.rs
+++ b/src/control/agent/file.rs
@@ -1,4 +1,4 @@
-//! Declarations of fronts in a file.
+//! Follows the declarations of fronts in a file.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -17,16 +17,16 @@
 /// How often the file is read.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The content of the file.
+/// The content of a file of declarations.
 #[derive(Deserialize)]
 struct DeclarationFile {
-    /// The declarations by the names of their fronts. Each is decoded by itself, so that an invalid
-    /// one does not affect the others.
+    /// The declarations, keyed by the names of their fronts. Each is decoded separately, so that an
+    /// invalid one does not affect the others.
     fronts: BTreeMap<String, Value>,
 }
 
-/// Sends the declarations of a file, at first and after each change, until the receiver is gone. A
-/// file that cannot be used is logged and changes nothing.
+/// Sends the declarations of a file, at first and after each change, until the receiver is closed.
+/// Logs a file that cannot be read or decoded, and keeps the previous declarations.
 pub async fn follow(path: PathBuf, sender: Sender<Declarations>) {
     let mut last_content = None;
     loop {
@@ -38,18 +38,21 @@
                             return;
                         }
                     }
-                    Err(error) => log!("declarations: {}: {error}", path.display()),
+                    Err(error) => log!("agent: {}: invalid declarations: {error}", path.display()),
                 }
                 last_content = Some(content);
             }
             Ok(_) => {}
-            Err(error) => log!("declarations: cannot read {}: {error}", path.display()),
+            Err(error) => log!(
+                "agent: {}: cannot read the declarations: {error}",
+                path.display()
+            ),
         }
         sleep(POLL_INTERVAL).await;
     }
 }
 
-/// The declarations in the content of a file.
+/// Decodes the declarations in the content of a file.
 fn read(content: &[u8]) -> Result<Declarations, JsonObjectError> {
     // The parser decodes strings in place, so it needs a copy to write to.
     let file: DeclarationFile = json_object::parse(&mut content.to_vec())?;
--- a/src/control/agent/fleet.rs
+++ b/src/control/agent/fleet.rs
@@ -1,4 +1,4 @@
-//! The fronts of an agent: one supervisor for each that is declared.
+//! The fronts of an agent: runs one supervisor for each declared front.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,13 +12,13 @@
 use crate::control::agent::supervisor::{DesiredState, FrontStatus, Supervisor};
 use crate::telemetry::log::log;
 
-/// The fronts of an agent.
+/// The fronts that an agent supervises, reconciled with their declarations.
 #[derive(Default)]
 pub struct Fleet {
     members: RefCell<Members>,
 }
 
-/// The fronts by their names.
+/// The fronts of a fleet, keyed by their names.
 #[derive(Default)]
 struct Members {
     /// The fronts that are declared.
@@ -27,7 +27,7 @@
     stopping: BTreeMap<String, JoinHandle<()>>,
 }
 
-/// A front that is declared.
+/// A declared front with the channels to its supervisor.
 struct SupervisedFront {
     /// Dropping it stops the front and ends its supervisor.
     desired: watch::Sender<DesiredState>,
@@ -44,24 +44,25 @@
         for (name, json) in declarations {
             match FrontDeclaration::read(&json) {
                 Ok(declaration) => members.declare(name, declaration),
-                Err(error) => log!("front {name}: {error}"),
+                Err(error) => log!("agent: front {name}: invalid declaration: {error}"),
             }
         }
     }
 
-    /// Has a front carry out a command; nothing where there is no front of this name.
+    /// Applies a command to the desired state of a front. Does nothing where no front of this name
+    /// is declared.
     pub fn command(&self, name: &str, command: FrontCommand) {
         if let Some(front) = self.members.borrow().declared.get(name) {
             front.desired.send_modify(|desired| command.apply(desired));
         }
     }
 
-    /// Whether a front of this name is declared.
+    /// Returns whether a front of this name is declared.
     pub fn contains(&self, name: &str) -> bool {
         self.members.borrow().declared.contains_key(name)
     }
 
-    /// The status of all fronts.
+    /// Returns the status of all declared fronts.
     pub fn status(&self) -> FleetStatusMessage {
         let members = self.members.borrow();
         let fronts = members
@@ -72,7 +73,7 @@
         FleetStatusMessage { fronts }
     }
 
-    /// Stops all fronts at the same time, and waits until they have ended.
+    /// Stops all fronts in parallel, and waits until their processes have ended.
     pub async fn stop_all(&self) {
         let supervisors = self.members.take().into_supervisors();
         for supervisor in supervisors {
@@ -82,7 +83,7 @@
 }
 
 impl Members {
-    /// Stops the fronts that are no longer declared.
+    /// Begins to stop the fronts that are no longer declared.
     fn stop_undeclared(&mut self, declarations: &Declarations) {
         self.stopping
             .retain(|_, supervisor| !supervisor.is_finished());
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Starts a front, or changes the declaration of one that is supervised already.
+    /// Starts a front, or changes its declaration if it is already supervised.
     fn declare(&mut self, name: String, declaration: FrontDeclaration) {
         if let Some(front) = self.declared.get(&name) {
             front.desired.send_if_modified(|desired| {
@@ -114,7 +115,8 @@
         self.declared.insert(name, front);
     }
 
-    /// The supervisors of all fronts. Those of declared fronts have begun to stop them.
+    /// Returns the supervisors of all fronts. Since this drops the senders of the desired states,
+    /// every supervisor stops its front.
     fn into_supervisors(self) -> Vec<JoinHandle<()>> {
         let declared = self.declared.into_values().map(|front| front.supervisor);
         let stopping = self.stopping.into_values();
@@ -124,7 +126,7 @@
 
 impl SupervisedFront {
     /// Starts a front once the supervisor of a predecessor with the same name has ended: until then
-    /// its process may still answer requests, and has the address.
+    /// its process may still answer requests and occupy the address.
     fn start(
         name: String,
         declaration: FrontDeclaration,
@@ -147,5 +149,5 @@
     }
 }
 
-/// Ignores that a supervisor panicked: it has dropped its process, which kills it.
+/// Ignores that a supervisor panicked: the panic drops its process, which kills the process.
 fn ignore_panicked_supervisor(_outcome: Result<(), JoinError>) {}
--- a/src/control/agent/mod.rs
+++ b/src/control/agent/mod.rs
@@ -1,7 +1,7 @@
 //! The agent: runs the fronts that a file or etcd declares.
 //!
-//! It starts fronts that are missing, restarts those that crashed with growing pauses, stops fronts
-//! with SIGTERM and then SIGKILL, and serves an HTTP API for the command line.
+//! It starts missing fronts, restarts crashed ones with exponential backoff, stops fronts with
+//! SIGTERM and then SIGKILL, and serves an HTTP API for the command line.
 
 pub mod api;
 pub mod command;
@@ -28,9 +28,9 @@
 use crate::frontend::socket::{listen, ListenError};
 use crate::runtime::{on_one_thread, shutdown_signal, RuntimeError};
 
-/// The most connections with clients of the API; the command line needs one at a time.
+/// The maximum number of connections with clients of the API. The command line needs one at a time.
 const MAX_CONNECTIONS: usize = 32;
-/// The most sets of declarations that wait to be applied.
+/// The maximum number of sets of declarations that wait to be applied.
 const DECLARATION_QUEUE_CAPACITY: usize = 8;
 
 /// Why the agent cannot start.
@@ -52,8 +52,8 @@
     Etcd(EtcdPrefix),
 }
 
-/// Runs the agent until SIGTERM or SIGINT, and then stops all its fronts. The API is served at
-/// `control`.
+/// Runs the agent until SIGTERM or SIGINT, and then stops all its fronts. Serves the API at the
+/// address `control`.
 ///
 /// # Errors
 /// [`AgentError`], where the agent cannot start.
@@ -66,22 +66,22 @@
     let listener = listen(control).await?;
     let shutdown = shutdown_signal()?;
     let fleet = Rc::new(Fleet::default());
-    let (sender, declared) = mpsc::channel(DECLARATION_QUEUE_CAPACITY);
+    let (sender, receiver) = mpsc::channel(DECLARATION_QUEUE_CAPACITY);
     let mut tasks = JoinSet::new();
     tasks.spawn_local(follow(source, sender));
-    tasks.spawn_local(apply(declared, Rc::clone(&fleet)));
+    tasks.spawn_local(apply(receiver, Rc::clone(&fleet)));
     let api = AgentApi::new(Rc::clone(&fleet));
     let limits = ListenerLimits::new(MAX_CONNECTIONS);
     Listener::new(api, limits, ListenerStatus::default())
         .serve(listener, shutdown)
         .await;
-    // Before the fronts are stopped, so that none is started again.
+    // Ends the task that applies declarations first, so that it cannot start a stopped front again.
     tasks.shutdown().await;
     fleet.stop_all().await;
     Ok(())
 }
 
-/// Sends all declarations, at first and after each change, until the receiver is gone.
+/// Sends all declarations, at first and after each change, until the receiver is closed.
 async fn follow(source: Source, sender: Sender<Declarations>) {
     match source {
         Source::File(path) => file::follow(path, sender).await,
@@ -89,9 +89,9 @@
     }
 }
 
-/// Applies declarations to the fleet for as long as any arrive.
-async fn apply(mut declared: Receiver<Declarations>, fleet: Rc<Fleet>) {
-    while let Some(declarations) = declared.recv().await {
+/// Applies declarations to the fleet until their sender is dropped.
+async fn apply(mut receiver: Receiver<Declarations>, fleet: Rc<Fleet>) {
+    while let Some(declarations) = receiver.recv().await {
         fleet.apply(declarations);
     }
 }
--- a/src/control/agent/status.rs
+++ b/src/control/agent/status.rs
@@ -1,4 +1,4 @@
-//! The status of an agent's fronts as its API returns it.
+//! The messages in which the agent's API returns the status of its fronts.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,7 +7,7 @@
 /// The body of the response to `GET /fronts`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FleetStatusMessage {
-    /// The declared fronts, by their names in order.
+    /// The declared fronts, ordered by name.
     pub fronts: Vec<FrontStatusMessage>,
 }
 
@@ -15,20 +15,20 @@
 /// phases that this version does not know.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FrontStatusMessage {
-    /// Its name.
+    /// The name under which the front is declared.
     pub name: String,
-    /// The name of its phase.
+    /// The name of the front's phase.
     pub state: String,
-    /// The id of its process, where there is one.
+    /// The id of the front's process, where one is running.
     pub pid: Option<u64>,
-    /// How many processes have been started.
+    /// The number of processes started so far.
     pub starts: Option<u64>,
-    /// How many of them have crashed, or could not be started.
+    /// The number of processes that crashed or could not be started.
     pub crashes: Option<u64>,
 }
 
 impl FrontStatusMessage {
-    /// The status of the front `name`.
+    /// Converts the status of the front `name` into a message.
     pub fn new(name: &str, status: &FrontStatus) -> FrontStatusMessage {
         FrontStatusMessage {
             name: name.to_owned(),
--- a/src/control/agent/supervisor.rs
+++ b/src/control/agent/supervisor.rs
@@ -1,5 +1,5 @@
-//! Supervises the process of one front: starts it, restarts it with growing pauses when it crashes,
-//! and stops it.
+//! Supervises the process of one front: starts it, restarts it with exponential backoff when it
+//! crashes, and stops it.
 
 use std::future::pending;
 use std::io;
@@ -16,12 +16,12 @@
 use crate::control::agent::declaration::FrontDeclaration;
 use crate::telemetry::log::log;
 
-/// The pause before a crashed front is first restarted. It doubles with each crash.
-const MIN_RESTART_PAUSE: Duration = Duration::from_millis(200);
-/// The longest pause before a crashed front is restarted.
-const MAX_RESTART_PAUSE: Duration = Duration::from_secs(30);
-/// After running for this long, a front that crashes is restarted after the shortest pause again.
-const STABLE_AFTER: Duration = Duration::from_secs(60);
+/// The backoff before the first restart of a crashed front. It doubles with each crash.
+const MIN_RESTART_BACKOFF: Duration = Duration::from_millis(200);
+/// The maximum backoff before a crashed front is restarted.
+const MAX_RESTART_BACKOFF: Duration = Duration::from_secs(30);
+/// The running time after which a crash resets the backoff to [`MIN_RESTART_BACKOFF`].
+const STABLE_RUN_TIME: Duration = Duration::from_secs(60);
 /// The time between SIGTERM and SIGKILL. A front needs at most 3.4 s to answer the requests it has
 /// accepted.
 pub const STOP_TIMEOUT: Duration = Duration::from_secs(6);
@@ -29,16 +29,16 @@
 /// The desired state of a front.
 #[derive(Clone, PartialEq)]
 pub struct DesiredState {
-    /// What to run.
+    /// The declaration that the front's process is started from.
     pub declaration: FrontDeclaration,
-    /// Whether the front is to be stopped and to stay so.
+    /// Whether the front is stopped, and stays stopped until it is resumed.
     pub drained: bool,
-    /// Raised to restart the front.
+    /// The number of requested restarts. Each increment restarts the front.
     pub restarts: u64,
 }
 
 impl DesiredState {
-    /// The state of a front that was just declared.
+    /// Returns the desired state of a newly declared front: running.
     pub fn new(declaration: FrontDeclaration) -> DesiredState {
         DesiredState {
             declaration,
@@ -48,7 +48,7 @@
     }
 }
 
-/// The phases of a front.
+/// The phases of a front, as its supervisor publishes them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
     /// No process has been started yet.
@@ -58,16 +58,16 @@
     Starting,
     /// The process is ready for clients.
     Ready,
-    /// The process has been asked to end.
+    /// The process is being stopped.
     Stopping,
-    /// There is no process, as desired.
+    /// The front is drained: no process runs, as desired.
     Drained,
-    /// The process has ended by itself, or could not be started.
+    /// The process has exited by itself, or could not be started.
     Crashed,
 }
 
 impl Phase {
-    /// The name of the phase in the API.
+    /// Returns the name of the phase in the API.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Waiting => "waiting",
@@ -80,16 +80,16 @@
     }
 }
 
-/// The actual state of a front; by default that before the first start.
+/// The actual state of a front. The default is the state before the first start.
 #[derive(Clone, Debug, Default)]
 pub struct FrontStatus {
-    /// Its phase.
+    /// The phase that the front is in.
     pub phase: Phase,
-    /// The id of its process, where there is one.
+    /// The id of the front's process, where one is running.
     pub pid: Option<u32>,
-    /// How many processes have been started.
+    /// The number of processes started so far.
     pub starts: u64,
-    /// How many of them have crashed, or could not be started.
+    /// The number of processes that crashed or could not be started.
     pub crashes: u64,
 }
 
@@ -110,14 +110,14 @@
 
 /// How a process ended.
 enum ProcessEnd {
-    /// It was stopped, since another state is desired.
+    /// The supervisor stopped it, since the desired state changed.
     Stopped,
-    /// It ended by itself or could not be started, for this reason.
+    /// It exited by itself or could not be started; holds the reason.
     Crashed(String),
 }
 
 impl ProcessEnd {
-    /// The end of a process that exited by itself.
+    /// Returns the end of a process that exited by itself.
     fn from_exit(exit: io::Result<ExitStatus>) -> ProcessEnd {
         let reason = match exit {
             Ok(status) => status.to_string(),
@@ -127,18 +127,18 @@
     }
 }
 
-/// Supervises one front.
+/// Keeps the process of one front in its desired state.
 pub struct Supervisor {
     /// The name of the front.
     name: String,
-    /// Its desired state. The supervisor ends when the sender is dropped.
+    /// The desired state of the front. The supervisor ends when the sender is dropped.
     desired: watch::Receiver<DesiredState>,
-    /// Publishes its actual state.
+    /// Publishes the actual state of the front.
     status: watch::Sender<FrontStatus>,
 }
 
 impl Supervisor {
-    /// A supervisor of the front `name`, which is not running yet.
+    /// Creates a supervisor of the front `name`, without starting the front.
     pub fn new(
         name: String,
         desired: watch::Receiver<DesiredState>,
@@ -151,9 +151,9 @@
         }
     }
 
-    /// Keeps the front in its desired state, until the sender of that is dropped.
+    /// Keeps the front in its desired state until the sender of that state is dropped.
     pub async fn run(mut self) {
-        let mut pause = MIN_RESTART_PAUSE;
+        let mut backoff = MIN_RESTART_BACKOFF;
         loop {
             let desired = self.desired.borrow_and_update().clone();
             if desired.drained {
@@ -171,28 +171,28 @@
             let ProcessEnd::Crashed(reason) = end else {
                 continue;
             };
-            if started.elapsed() >= STABLE_AFTER {
-                pause = MIN_RESTART_PAUSE;
+            if started.elapsed() >= STABLE_RUN_TIME {
+                backoff = MIN_RESTART_BACKOFF;
             }
             log!(
-                "front {}: process ended ({reason}), restarting in {pause:?}",
+                "agent: front {}: crashed, restarting in {backoff:?}: {reason}",
                 self.name
             );
             self.status.send_modify(FrontStatus::record_crash);
-            // A change of the desired state takes effect at once.
-            if let Ok(Err(_)) = timeout(pause, self.desired.changed()).await {
+            // A change of the desired state ends the backoff at once.
+            if let Ok(Err(_)) = timeout(backoff, self.desired.changed()).await {
                 return;
             }
-            pause = (pause * 2).min(MAX_RESTART_PAUSE);
+            backoff = (backoff * 2).min(MAX_RESTART_BACKOFF);
         }
     }
 
-    /// Publishes a phase.
+    /// Publishes a change of phase.
     fn set_phase(&self, phase: Phase) {
         self.status.send_modify(|status| status.phase = phase);
     }
 
-    /// Runs one process until it ends, or another state is desired.
+    /// Runs one process until it exits or the desired state changes.
     async fn run_process(&mut self, desired: &DesiredState) -> ProcessEnd {
         let mut child = match desired.declaration.start() {
             Ok(child) => child,
@@ -213,14 +213,14 @@
         end
     }
 
-    /// Stops a process: SIGTERM, time to answer the requests it has accepted, and SIGKILL.
+    /// Stops a process with SIGTERM, and with SIGKILL if it still runs after [`STOP_TIMEOUT`].
     async fn stop(&self, child: &mut Child) {
         if let Some(pid) = child.id().and_then(|id| i32::try_from(id).ok()) {
             ignore_ended_process(kill(Pid::from_raw(pid), Signal::SIGTERM));
         }
         if timeout(STOP_TIMEOUT, child.wait()).await.is_err() {
             log!(
-                "front {}: process still runs {STOP_TIMEOUT:?} after SIGTERM, killing it",
+                "agent: front {}: killing: still running {STOP_TIMEOUT:?} after SIGTERM",
                 self.name
             );
             ignore_killed_process(child.kill().await);
@@ -228,16 +228,17 @@
     }
 }
 
-/// Publishes that a front is ready, once it is. Never completes.
+/// Waits until a front is ready and publishes that. Never completes, so that it cannot end the
+/// `select!` that polls it.
 async fn publish_readiness(declaration: &FrontDeclaration, status: &watch::Sender<FrontStatus>) {
     declaration.wait_until_ready().await;
     status.send_modify(|status| status.phase = Phase::Ready);
     pending::<()>().await;
 }
 
-/// Ignores that a process could not be signalled: it has just ended by itself, and whoever waits
-/// for its end sees that.
+/// Ignores that a process could not be signalled: it has just exited by itself, and the wait for
+/// its exit reports that.
 fn ignore_ended_process(_outcome: Result<(), Errno>) {}
 
-/// Ignores that a process could not be killed: it has ended meanwhile.
+/// Ignores that a process could not be killed: it has exited in the meantime.
 fn ignore_killed_process(_outcome: io::Result<()>) {}
--- a/src/front/assembly.rs
+++ b/src/front/assembly.rs
@@ -1,4 +1,4 @@
-//! Assembles the parts behind a front and starts their background tasks.
+//! Assembles the components of a front and starts their background tasks.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -34,24 +34,24 @@
 /// at most [`console::MAX_CONNECTIONS`].
 const RESERVED_DESCRIPTORS: usize = 24;
 const _: () = assert!(console::MAX_CONNECTIONS <= RESERVED_DESCRIPTORS / 2);
-/// The smallest number of connections, whatever the limits of the process.
+/// The minimum number of connections, whatever the limits of the process.
 const MIN_CONNECTIONS: usize = 32;
-/// Request bodies may take the memory of the process divided by this.
+/// The share of the process's memory that request bodies may take is one divided by this.
 const BODY_MEMORY_DIVISOR: usize = 4;
-/// How often expired connections to chunk servers are closed.
-const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// The interval at which idle connections to chunk servers are closed.
+const IDLE_CLOSE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long after a signal to shut down changes that could not be written are tried. The process is
-/// not killed before three seconds are over, however short the deadlines.
-const WRITE_CHANGES_WITHIN: Duration = Duration::from_millis(3_000);
+/// How long after a shutdown signal the front keeps trying to write maintenance changes. The
+/// process is not killed within three seconds of the signal, however short the deadlines.
+const CHANGE_WRITE_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// The parts behind a front.
+/// The components of a front, shared by its listener, console and background tasks.
 pub struct FrontParts {
     /// Schedules requests and sends their attempts.
     pub exchange: Rc<Exchange<Upstream>>,
     /// The chunk servers in maintenance.
     pub maintenance: Rc<Maintenance>,
-    /// The front's metrics.
+    /// The metrics that the console serves.
     pub metrics: Rc<Metrics>,
     /// The state that the listener shares with the console.
     pub listener_status: ListenerStatus,
@@ -59,13 +59,14 @@
     pub peers: Option<Rc<Peers>>,
     /// Whether the front is ready for clients.
     pub readiness: Readiness,
-    /// The connections with clients, and the memory for their bodies.
+    /// The limits on connections with clients, and on the memory for request bodies.
     pub listener_limits: ListenerLimits,
 }
 
 impl FrontParts {
-    /// Serves clients until `shutdown` completes, then returns once all that is owed is done: every
-    /// request answered, every change of the operators written.
+    /// Serves clients until `shutdown` completes. Then returns once every accepted request is
+    /// answered, and the operators' maintenance changes are written or [`CHANGE_WRITE_TIMEOUT`] has
+    /// passed.
     pub async fn serve<H: Handler>(
         &self,
         handler: H,
@@ -84,13 +85,13 @@
             peers.shut_down();
         }
         self.maintenance
-            .written(shutdown_at.get() + WRITE_CHANGES_WITHIN)
+            .written(shutdown_at.get() + CHANGE_WRITE_TIMEOUT)
             .await;
     }
 }
 
-/// Assembles the parts behind a front, with discovery at the address that `discovery_address`
-/// publishes.
+/// Assembles the components of a front and starts their background tasks. Discovery is called at
+/// the address that `discovery_address` publishes.
 ///
 /// # Errors
 /// The configuration is invalid, or a socket cannot be opened.
@@ -107,7 +108,7 @@
     });
     let settings = config.settings.clone();
     let exchange = Exchange::new(settings, config.seed, upstream, count_violation)?;
-    // Before the first endpoint list, since the peers follow every list.
+    // Joined before the first endpoint list is applied, since the peers follow every list.
     let peers = join_peers(config, &exchange, &metrics)?;
     let maintenance = Maintenance::new(state_folder(), &config.name, Rc::clone(&exchange));
     let readiness = Readiness::new(config.settings.polls_discovery);
@@ -119,7 +120,7 @@
         readiness.clone(),
     )?;
     spawn_local(Rc::clone(&maintenance).follow());
-    spawn_local(sweep(Rc::clone(&exchange)));
+    spawn_local(close_idle_connections(Rc::clone(&exchange)));
     let parts = FrontParts {
         exchange,
         maintenance,
@@ -136,15 +137,16 @@
     Ok(parts)
 }
 
-/// How many connections a front may hold on each side.
+/// The maximum numbers of connections with clients and with chunk servers.
 struct ConnectionLimits {
     clients: usize,
     servers: usize,
 }
 
 impl ConnectionLimits {
-    /// Divides the descriptors of the process. Memory bounds them too, at one body in each
-    /// direction. Connections to chunk servers are pooled, so that side gets the smaller part.
+    /// Divides the available file descriptors between the two sides. Memory limits the total too,
+    /// at one body in each direction per connection. Connections to chunk servers are pooled, so
+    /// that side gets the smaller share.
     fn new(config: &Config) -> ConnectionLimits {
         let by_descriptors = config.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS);
         let by_memory = config.memory_bytes / (2 * MAX_BODY);
@@ -157,7 +159,7 @@
     }
 }
 
-/// Joins the peers, where the configuration names any.
+/// Joins the front's peers; returns `None` where the configuration names none.
 fn join_peers(
     config: &Config,
     exchange: &Rc<Exchange<Upstream>>,
@@ -170,7 +172,7 @@
     joined.map(Some).map_err(FrontError::from)
 }
 
-/// Restores the last known endpoint list and follows discovery from there.
+/// Restores the last known endpoint list, and starts the task that follows discovery.
 fn start_discovery(
     config: &Config,
     address: watch::Receiver<Option<SocketAddr>>,
@@ -191,10 +193,10 @@
     Ok(())
 }
 
-/// How long a starting front may wait before it calls discovery. Where lists are pushed, a front is
-/// expected to know from the first moment what discovery has. Where lists are polled, all fronts of
-/// a fleet share one discovery, and those that start together call one after another; but the list
-/// that a front starts with may be old.
+/// Returns the maximum delay before a starting front calls discovery. Where lists are pushed, there
+/// is none: a front is expected to have the current list from the start. Where lists are polled,
+/// all fronts of a fleet share one discovery, so those that start together spread their first
+/// calls. The delay is limited because the list that a front starts with may be outdated.
 fn max_first_call_delay(settings: &Settings) -> Nanos {
     if settings.polls_discovery {
         FIRST_CALL_SPREAD.min(settings.poll_interval / 2)
@@ -203,15 +205,16 @@
     }
 }
 
-/// Closes expired connections to chunk servers, for as long as the program runs.
-async fn sweep(exchange: Rc<Exchange<Upstream>>) {
+/// Closes idle connections to chunk servers every [`IDLE_CLOSE_INTERVAL`], for as long as the
+/// program runs.
+async fn close_idle_connections(exchange: Rc<Exchange<Upstream>>) {
     loop {
-        tokio::time::sleep(SWEEP_INTERVAL).await;
+        tokio::time::sleep(IDLE_CLOSE_INTERVAL).await;
         exchange.transport().close_idle_connections();
     }
 }
 
-/// Opens the console and serves it in the background.
+/// Opens the console's listener and serves the console in a background task.
 fn start_console(address: SocketAddr, parts: &FrontParts) -> Result<(), FrontError> {
     let listener = console::listen(address)?;
     let console = Console::new(ConsoleParts {
--- a/src/front/discovery_address.rs
+++ b/src/front/discovery_address.rs
@@ -1,4 +1,4 @@
-//! The address of discovery, read again at each SIGHUP by fronts that reload nothing else.
+//! Reloads the address of discovery at each SIGHUP, for fronts that reload nothing else.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -10,11 +10,11 @@
 use crate::telemetry::log::log;
 
 /// Publishes the address of discovery: `initial` at first, and after each SIGHUP what `read`
-/// returns. An error of `read` is logged and changes nothing: it is better to keep serving with the
-/// old address.
+/// returns. Logs an error of `read`, or a configuration without an address, and keeps the previous
+/// address, so that the front continues to serve.
 ///
 /// # Errors
-/// [`RuntimeError::Signal`].
+/// [`RuntimeError::Signal`], where SIGHUP cannot be handled.
 pub fn watch_discovery_address<E: Display>(
     initial: Option<SocketAddr>,
     read: impl Fn() -> Result<Option<SocketAddr>, E> + 'static,
@@ -27,9 +27,11 @@
                 Ok(Some(address)) => {
                     sender.send_if_modified(|current| current.replace(address) != Some(address));
                 }
-                Ok(None) => log!("the new configuration names no discovery; the old one stays"),
+                Ok(None) => log!(
+                    "configuration: discovery address not changed: the new configuration has none"
+                ),
                 Err(error) => {
-                    log!("the new configuration cannot be used, the old one stays: {error}")
+                    log!("configuration: discovery address not changed: {error}")
                 }
             }
         }
--- a/src/front/error.rs
+++ b/src/front/error.rs
@@ -1,4 +1,4 @@
-//! Why a front cannot start.
+//! Errors that prevent a front from starting.
 
 use tulipbridge_core::SettingsError;
 
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! A front of the platform: assembled from its parts, and run until a signal ends it.
+//! Runs a front of the platform: assembles its components and serves clients until a signal.
 
 pub mod assembly;
 pub mod discovery_address;
@@ -29,10 +29,10 @@
 
 /// Serves clients until a signal ends the front.
 async fn serve(config: Config) -> Result<(), FrontError> {
-    // Before anything else, so that no signal arrives unhandled.
+    // Signal handlers are installed first, so that no signal arrives unhandled.
     let shutdown = shutdown_signal()?;
     let hangup = hangup_signal()?;
-    // Before the listener opens, so that no client connects to a front that cannot run.
+    // Checked before the listener opens, so that no client connects to a front that cannot run.
     config.settings.check()?;
     wait_until_readable(state_folder().as_deref(), &config.name).await;
     let listener = listen(config.listen).await?;
