--- a/src/front/assembly.rs
+++ b/src/front/assembly.rs
@@ -65,7 +65,7 @@
 
 impl FrontParts {
     /// Serves clients until `shutdown` completes. Then returns once every accepted request is
-    /// answered, and the operators' maintenance changes are written or [`CHANGE_WRITE_TIMEOUT`] has
+    /// answered, and the operators' maintenance changes are written or `CHANGE_WRITE_TIMEOUT` has
     /// passed.
     pub async fn serve<H: Handler>(
         &self,
