--- a/src/control/agent/supervisor.rs
+++ b/src/control/agent/supervisor.rs
@@ -175,7 +175,7 @@
                 backoff = MIN_RESTART_BACKOFF;
             }
             log!(
-                "agent: front {}: crashed, restarting in {backoff:?}: {reason}",
+                "agent: front {}: process ended, restarting in {backoff:?}: {reason}",
                 self.name
             );
             self.status.send_modify(FrontStatus::record_crash);
--- a/src/control/maintenance/shared_set.rs
+++ b/src/control/maintenance/shared_set.rs
@@ -158,7 +158,7 @@
     fn log_invalid_content(&self) {
         if let Some(file) = &self.file {
             log!(
-                "maintenance: {} cannot be read, and is passed over",
+                "maintenance: {}: content ignored: cannot be decoded",
                 file.path().display()
             );
         }
--- a/src/front/discovery_address.rs
+++ b/src/front/discovery_address.rs
@@ -28,10 +28,10 @@
                     sender.send_if_modified(|current| current.replace(address) != Some(address));
                 }
                 Ok(None) => log!(
-                    "configuration: discovery address not changed: the new configuration has none"
+                    "config: reload: discovery address not changed: the new configuration has none"
                 ),
                 Err(error) => {
-                    log!("configuration: discovery address not changed: {error}")
+                    log!("config: reload: discovery address not changed: {error}")
                 }
             }
         }
--- a/tests/golden/maintenance_file.rs
+++ b/tests/golden/maintenance_file.rs
@@ -79,7 +79,7 @@
     let output = folder.masked(&front.wait_for_line("maintenance: "));
     assert_eq!(
         output,
-        format!("maintenance: FOLDER/{MAINTENANCE_FILE} cannot be read, and is passed over")
+        format!("maintenance: FOLDER/{MAINTENANCE_FILE}: content ignored: cannot be decoded")
     );
     assert_eq!(avoided_servers(&front), "app_cluster_unhealthy 0");
 }
