--- a/src/cluster/errors.rs
+++ b/src/cluster/errors.rs
@@ -18,7 +18,7 @@
     #[error(transparent)]
     Value(#[from] JsonObjectError),
     /// A name or an address occurs twice in the membership list.
-    #[error("'{path}' {value} is there twice")]
+    #[error("'{path}' {value} occurs twice")]
     Duplicate {
         /// Path of the second occurrence in the file.
         path: String,
@@ -35,7 +35,7 @@
     #[error("'peers.roster' names more than {MAX_FRONTS} fronts")]
     TooManyFronts,
     /// The revision is 0; revisions count from 1.
-    #[error("'peers.revision' counts from 1")]
+    #[error("'peers.revision' must be at least 1")]
     RevisionZero,
     /// The values that configure the limits contradict each other.
     #[error("'peers': {0}")]
--- a/src/cluster/fields.rs
+++ b/src/cluster/fields.rs
@@ -34,7 +34,7 @@
     deserializer: D,
 ) -> Result<Option<f64>, D::Error> {
     let is_valid = |number: f64| (0.0..1.0).contains(&number);
-    checked(deserializer, "a part from 0 to under 1", is_valid).map(Some)
+    checked(deserializer, "a number from 0 to below 1", is_valid).map(Some)
 }
 
 /// Deserializes an integer from `min` to `max`. The error message leaves out `max`, which is far
--- a/src/control/endpoint_list.rs
+++ b/src/control/endpoint_list.rs
@@ -56,7 +56,7 @@
 
 /// The error for a string that is not an IP address with a port.
 #[derive(Debug, thiserror::Error)]
-#[error("{0} is no address")]
+#[error("{0} is not an IP address with a port")]
 struct InvalidAddress(String);
 
 impl TryFrom<String> for EndpointAddress {
