--- a/crates/fleet-limits/src/config.rs
+++ b/crates/fleet-limits/src/config.rs
@@ -56,7 +56,8 @@
         /// Number of fronts in the membership list.
         fronts: u16,
     },
-    /// Heartbeats are too far apart for votes and leases to be renewed in time.
+    /// Heartbeats are too far apart for votes and leases to be renewed in time, or their interval is
+    /// 0 or negative.
     #[error(
         "the heartbeat interval of {heartbeat_interval} ns must be above 0 and at most a quarter \
          of the lease duration of {lease_duration} ns"
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -226,7 +226,7 @@
         };
         assert!(
             testbed.wait_for_peers(1, stands_by).await,
-            "it does not stand by"
+            "it must be suspended and hold no issuer while its predecessor runs"
         );
         tokio::time::sleep(LONGER_THAN_START).await;
         wait_for_status(&testbed, 1, r#""just_started":true"#).await;
