--- a/crates/fault-shim/src/clock.rs
+++ b/crates/fault-shim/src/clock.rs
@@ -1,4 +1,4 @@
-//! The replacement for the function of the C library that reads a clock.
+//! Interception of the C library's `clock_gettime`.
 
 use libc::c_int;
 
@@ -8,7 +8,7 @@
 const NANOS_PER_MILLISECOND: i64 = 1_000_000;
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
 
-/// See `clock_gettime(2)`. The rules change the wall clock only.
+/// Replaces `clock_gettime(2)`. Rules affect the wall clock (`CLOCK_REALTIME`) only.
 ///
 /// # Safety
 /// As for `clock_gettime(2)`.
--- a/crates/fault-shim/src/descriptors.rs
+++ b/crates/fault-shim/src/descriptors.rs
@@ -1,11 +1,11 @@
-//! Replacements for the functions of the C library that read and write either sockets or files.
+//! Interception of the C library's functions that read and write either sockets or files.
 
 use libc::{c_int, c_void, iovec, size_t, ssize_t};
 
 use crate::interception::{decide, transfer, Decision, FAILED};
 use crate::rules::Call;
 
-/// The file type of a descriptor, as the mode bits of `stat` give it; `None` if it has none.
+/// Returns the file type of a descriptor, in the mode bits of `stat`; `None` if `fstat` fails.
 fn file_type(descriptor: c_int) -> Option<u32> {
     // SAFETY: the structure is plain data, and the kernel fills it in or fails.
     unsafe {
@@ -15,8 +15,8 @@
     }
 }
 
-/// The call that `read` or `write` stands for, by the type of the descriptor; `None` if rules do
-/// not concern it.
+/// Returns `socket` or `file`, depending on the type of the descriptor; `None` if it is neither a
+/// socket nor a regular file, so that no rule applies.
 fn call_by_type(descriptor: c_int, socket: Call, file: Call) -> Option<Call> {
     match file_type(descriptor)? {
         libc::S_IFSOCK => Some(socket),
@@ -25,7 +25,7 @@
     }
 }
 
-/// See `read(2)`.
+/// Replaces `read(2)`.
 ///
 /// # Safety
 /// As for `read(2)`.
@@ -38,7 +38,7 @@
     }
 }
 
-/// See `write(2)`.
+/// Replaces `write(2)`.
 ///
 /// # Safety
 /// As for `write(2)`.
@@ -55,7 +55,7 @@
     }
 }
 
-/// See `writev(2)`. A short call transfers one byte of the first buffer.
+/// Replaces `writev(2)`. A short call transfers one byte of the first buffer.
 ///
 /// # Safety
 /// As for `writev(2)`.
--- a/crates/fault-shim/src/files.rs
+++ b/crates/fault-shim/src/files.rs
@@ -1,11 +1,11 @@
-//! Replacements for the functions of the C library on files.
+//! Interception of the C library's file functions.
 
 use libc::{c_char, c_int, c_uint, mode_t};
 
 use crate::interception::{decide_for_path, fail_or_call, path_text, Decision, FAILED};
 use crate::rules::Call;
 
-/// See `open(2)`.
+/// Replaces `open(2)`.
 ///
 /// # Safety
 /// As for `open(2)`.
@@ -23,7 +23,7 @@
     }
 }
 
-/// See `open(2)`.
+/// Replaces `open(2)`.
 ///
 /// # Safety
 /// As for `open(2)`.
@@ -32,7 +32,7 @@
     open(path, flags, mode)
 }
 
-/// See `fsync(2)`.
+/// Replaces `fsync(2)`.
 ///
 /// # Safety
 /// As for `fsync(2)`.
@@ -41,7 +41,7 @@
     fail_or_call(Call::Sync, || libc::syscall(libc::SYS_fsync, descriptor)) as c_int
 }
 
-/// See `fdatasync(2)`.
+/// Replaces `fdatasync(2)`.
 ///
 /// # Safety
 /// As for `fdatasync(2)`.
@@ -52,7 +52,7 @@
     }) as c_int
 }
 
-/// See `rename(2)`.
+/// Replaces `rename(2)`.
 ///
 /// # Safety
 /// As for `rename(2)`.
@@ -65,7 +65,7 @@
     }
 }
 
-/// See `flock(2)`.
+/// Replaces `flock(2)`.
 ///
 /// # Safety
 /// As for `flock(2)`.
--- a/crates/fault-shim/src/interception.rs
+++ b/crates/fault-shim/src/interception.rs
@@ -1,4 +1,4 @@
-//! Deciding by the rules what happens to an intercepted call.
+//! Application of the rules to an intercepted call.
 
 use std::ffi::CStr;
 use std::time::Duration;
@@ -8,25 +8,25 @@
 use crate::rules::{effect, Call, Effect, DELAY_MS};
 use crate::rules_file::{random_percent, Rules};
 
-/// The result of a call that has failed.
+/// The value that a failed call returns.
 pub const FAILED: c_long = -1;
 
-/// What happens to a call.
+/// How an intercepted call proceeds.
 pub enum Decision {
-    /// It passes unchanged.
+    /// The call passes unchanged.
     Pass,
-    /// It passes, but transfers one byte at most.
+    /// The call passes, but transfers at most one byte.
     PassOneByte,
-    /// It fails; the error is set.
+    /// The call fails; `errno` is already set.
     Fail,
 }
 
-/// Applies the rules to a call, and delays it if they say so.
+/// Applies the rules to a call that names no path, and delays it if a rule says so.
 pub fn decide(call: Call) -> Decision {
     decide_for_path(call, "")
 }
 
-/// Applies the rules to a call that names a path, and delays it if they say so.
+/// Applies the rules to a call that names a path, and delays it if a rule says so.
 pub fn decide_for_path(call: Call, path: &str) -> Decision {
     let Some(rules) = Rules::read() else {
         return Decision::Pass;
@@ -39,22 +39,22 @@
             Decision::Pass
         }
         Some(Effect::Fail(error)) => {
-            // SAFETY: the C library's own variable of this thread.
+            // SAFETY: the C library returns a valid pointer to the `errno` of this thread.
             unsafe { *libc::__errno_location() = error };
             Decision::Fail
         }
     }
 }
 
-/// A path as text; empty if it is not UTF-8.
+/// Returns a path as text; empty if it is not UTF-8.
 ///
 /// # Safety
-/// The path is a C string.
+/// The path must be a valid C string.
 pub unsafe fn path_text<'a>(path: *const c_char) -> &'a str {
     CStr::from_ptr(path).to_str().unwrap_or_default()
 }
 
-/// Calls the kernel unless the call must fail.
+/// Makes the system call unless a rule makes it fail.
 pub fn fail_or_call(call: Call, kernel_call: impl FnOnce() -> c_long) -> c_long {
     match decide(call) {
         Decision::Fail => FAILED,
@@ -62,7 +62,8 @@
     }
 }
 
-/// Transfers as many bytes as the rules allow, unless the call must fail.
+/// Makes a system call that transfers bytes, unless a rule makes it fail. `length` is the number of
+/// bytes that the caller requested; a rule may reduce it to one.
 pub fn transfer(call: Call, length: size_t, kernel_call: impl FnOnce(size_t) -> c_long) -> ssize_t {
     let result = match decide(call) {
         Decision::Fail => FAILED,
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,11 +1,12 @@
-//! Makes system calls of a process fail, for tests. The library is loaded with `LD_PRELOAD`; it is
-//! not part of a front.
+//! Fault injection for tests: a library, loaded with `LD_PRELOAD`, that makes system calls of a
+//! process fail. It is not part of a front.
 //!
-//! The rules are in the file that the environment variable [`RULES_VARIABLE`] names. The file is
-//! read again at every call, so that a test can change the faults while the process runs; see
-//! [`rules`] for its format. Without the variable or the file every call passes unchanged.
+//! The environment variable [`RULES_VARIABLE`] holds the path of the rules file; see [`rules`] for
+//! its format. The file is read again at every call, so that a test can change the faults while the
+//! process runs. Without the variable or the file every call passes unchanged.
 //!
-//! The replaced functions make system calls by number: calls by name would call them again.
+//! The intercepting functions make system calls by number, because calls of the C library's
+//! functions by name would recurse.
 
 mod clock;
 mod descriptors;
--- a/crates/fault-shim/src/rules.rs
+++ b/crates/fault-shim/src/rules.rs
@@ -1,20 +1,20 @@
-//! The rules for faults, one per line: `CALL EFFECT PERCENT`, for `open` and `rename` also `CALL
-//! EFFECT PERCENT PATH` with the end of the file's path.
+//! The format of the rules file. Each line holds a rule `CALL EFFECT PERCENT`; for `open` and
+//! `rename` also `CALL EFFECT PERCENT PATH`, where `PATH` is the end of the file's path.
 //!
-//! - `accept ECONNABORTED 30`: three in ten calls of `accept` fail with that error. `connect`,
+//! - `accept ECONNABORTED 30`: 30 % of the calls of `accept` fail with that error. `connect`,
 //!   `socket`, `wait` (`epoll_wait`), `lock` (`flock`), `open`, `rename`, `sync` (`fsync`),
 //!   `file-read`, `file-write`, `recv` and `send` likewise.
-//! - `recv short 50`, `send short 50`, `file-write short 100`: half of the calls transfer one byte
-//!   at most.
-//! - `send delay 20`: one call in five is delayed by [`DELAY_MS`].
+//! - `recv short 50`, `send short 50`, `file-write short 100`: 50 % or 100 % of the calls transfer
+//!   at most one byte.
+//! - `send delay 20`: 20 % of the calls are delayed by [`DELAY_MS`].
 //! - `clock 3600000 100`: the wall clock is ahead by that many milliseconds; a negative number is
 //!   behind.
 
-/// The environment variable with the path of the rules.
+/// The environment variable that holds the path of the rules file.
 pub const RULES_VARIABLE: &str = "FAULT_SHIM_RULES";
-/// By how much a delayed call is delayed, in milliseconds.
+/// The delay of a delayed call, in milliseconds.
 pub const DELAY_MS: u64 = 120;
-/// A rule with this percentage applies to every call.
+/// The percentage of a rule that applies to every call; also that of a rule without one.
 const ALWAYS: u32 = 100;
 
 /// A system call that can be made to fail.
@@ -46,18 +46,18 @@
     Lock,
 }
 
-/// What happens to a call.
+/// The effect of a rule on a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// It fails with this error.
+    /// The call fails with this `errno` value.
     Fail(i32),
-    /// It transfers one byte at most.
+    /// The call transfers at most one byte.
     Short,
-    /// It is delayed by [`DELAY_MS`].
+    /// The call is delayed by [`DELAY_MS`].
     Delay,
 }
 
-/// The names of calls in rules.
+/// The calls by the names that the rules file uses.
 const CALLS: [(&str, Call); 12] = [
     ("accept", Call::Accept),
     ("connect", Call::Connect),
@@ -73,7 +73,7 @@
     ("lock", Call::Lock),
 ];
 
-/// The names of errors in rules.
+/// The `errno` values by the names that the rules file uses.
 const ERRORS: [(&str, i32); 14] = [
     ("EADDRNOTAVAIL", libc::EADDRNOTAVAIL),
     ("ECONNABORTED", libc::ECONNABORTED),
@@ -91,9 +91,9 @@
     ("ETIMEDOUT", libc::ETIMEDOUT),
 ];
 
-/// The effect of the first rule that applies to a call. `path` is the path that the call names, if
-/// any, and `random_percent` a random number from 0 to 99, with which the percentage of a rule is
-/// compared. Lines that are not valid rules are ignored.
+/// Returns the effect of the first rule that applies to a call. `path` is the path that the call
+/// names, or empty. `random_percent` is a random number from 0 to 99; a rule applies if its
+/// percentage is greater. Lines that are not valid rules are ignored.
 pub fn effect(rules: &str, call: Call, path: &str, random_percent: u32) -> Option<Effect> {
     let words = rules.lines().map(str::split_ascii_whitespace);
     let applies = |mut words: std::str::SplitAsciiWhitespace<'_>| {
@@ -108,7 +108,8 @@
     words.filter_map(applies).next()
 }
 
-/// By how many milliseconds the wall clock is ahead; negative if it is behind, 0 without a rule.
+/// Returns the offset of the wall clock in milliseconds; negative if the clock is behind, 0 without
+/// a rule.
 pub fn clock_offset_ms(rules: &str) -> i64 {
     let offset = |line: &str| {
         let mut words = line.split_ascii_whitespace();
@@ -118,7 +119,7 @@
     rules.lines().filter_map(offset).next().unwrap_or(0)
 }
 
-/// Parses the second word of a rule.
+/// Parses the effect of a rule; `None` if it is unknown.
 fn parse_effect(word: &str) -> Option<Effect> {
     match word {
         "short" => Some(Effect::Short),
@@ -127,7 +128,7 @@
     }
 }
 
-/// The value of a name in a table.
+/// Returns the value of a name in a table.
 fn lookup<T: Copy>(table: &[(&str, T)], word: &str) -> Option<T> {
     table
         .iter()
--- a/crates/fault-shim/src/sockets.rs
+++ b/crates/fault-shim/src/sockets.rs
@@ -1,14 +1,14 @@
-//! Replacements for the functions of the C library on sockets.
+//! Interception of the C library's socket functions and `epoll_wait`.
 
 use libc::{c_int, c_void, size_t, sockaddr, socklen_t, ssize_t};
 
 use crate::interception::{fail_or_call, transfer};
 use crate::rules::Call;
 
-/// The size of the kernel's signal mask, in bytes.
+/// The size of the kernel's signal mask, in bytes, which `epoll_pwait` takes as an argument.
 const SIGNAL_MASK_BYTES: size_t = 8;
 
-/// See `accept(2)`.
+/// Replaces `accept(2)`.
 ///
 /// # Safety
 /// As for `accept(2)`.
@@ -21,7 +21,7 @@
     accept4(socket, address, length, 0)
 }
 
-/// See `accept(2)`.
+/// Replaces `accept(2)`.
 ///
 /// # Safety
 /// As for `accept(2)`.
@@ -36,7 +36,7 @@
     fail_or_call(Call::Accept, call) as c_int
 }
 
-/// See `connect(2)`.
+/// Replaces `connect(2)`.
 ///
 /// # Safety
 /// As for `connect(2)`.
@@ -51,7 +51,7 @@
     }) as c_int
 }
 
-/// See `socket(2)`.
+/// Replaces `socket(2)`.
 ///
 /// # Safety
 /// As for `socket(2)`.
@@ -62,7 +62,7 @@
     }) as c_int
 }
 
-/// See `epoll_wait(2)`.
+/// Replaces `epoll_wait(2)`.
 ///
 /// # Safety
 /// As for `epoll_wait(2)`.
@@ -88,7 +88,7 @@
     fail_or_call(Call::Wait, call) as c_int
 }
 
-/// See `recv(2)`. With `MSG_PEEK` the call passes unchanged.
+/// Replaces `recv(2)`. With `MSG_PEEK` the call passes unchanged.
 ///
 /// # Safety
 /// As for `recv(2)`.
@@ -117,7 +117,7 @@
     transfer(Call::Receive, length, call)
 }
 
-/// See `send(2)`.
+/// Replaces `send(2)`.
 ///
 /// # Safety
 /// As for `send(2)`.
--- a/crates/results/src/chart.rs
+++ b/crates/results/src/chart.rs
@@ -1,4 +1,4 @@
-//! Charts of one metric: a point for each row, above its conditions.
+//! SVG charts of one metric, with a point for each row, grouped by conditions.
 
 use std::error::Error;
 use std::ops::Range;
@@ -19,37 +19,37 @@
 const POINT_RADIUS: i32 = 3;
 /// The space above and below the points, as a fraction of their range.
 const MARGIN: f64 = 0.05;
-/// The least space above and below the points.
+/// The minimum space above and below the points, in units of the metric.
 const MIN_MARGIN: f64 = 1e-6;
 
-/// A row in a chart.
+/// The point drawn for one row.
 #[derive(Clone, Copy)]
 struct Point {
-    /// The horizontal position: the index of the conditions.
+    /// The horizontal position: the index of the row's conditions in [`ChartData::conditions`].
     position: f64,
-    /// The value of the metric.
+    /// The value of the metric in this row.
     value: f64,
 }
 
-/// The data of a chart.
+/// The conditions and points of a chart.
 struct ChartData {
-    /// The conditions, by horizontal position.
+    /// The distinct conditions as text, indexed by horizontal position.
     conditions: Vec<String>,
-    /// A point for each row that has a value.
+    /// The points, one for each row that has a value.
     points: Vec<Point>,
 }
 
-/// Draws a metric as SVG: one column of points for each of the conditions, which are listed below.
+/// Draws a metric as SVG: one column of points per set of conditions, which are listed below.
 ///
 /// # Errors
-/// If there is no such metric, it has no values, or the file cannot be written.
+/// Fails if there is no such metric, it has no values, or the file cannot be written.
 pub fn chart(table: &Table, metric: &str, file: &Path) -> Result<(), TableError> {
     let data = ChartData::from_table(table, metric)?;
     data.draw(metric, file).map_err(TableError::Chart)
 }
 
 impl ChartData {
-    /// The data of a metric.
+    /// Collects the points of the metric with the given name.
     fn from_table(table: &Table, name: &str) -> Result<ChartData, TableError> {
         let metric = table.metrics().find(|metric| metric.name == name);
         let metric = metric.ok_or_else(|| TableError::UnknownMetric(name.to_owned()))?;
@@ -57,10 +57,10 @@
         let mut points = Vec::new();
         for (row, value) in metric.values.iter().enumerate() {
             let Some(value) = value else { continue };
-            let of_row = table.conditions(row);
-            let known = conditions.iter().position(|known| *known == of_row);
+            let row_conditions = table.conditions(row);
+            let known = conditions.iter().position(|known| *known == row_conditions);
             let position = known.unwrap_or_else(|| {
-                conditions.push(of_row);
+                conditions.push(row_conditions);
                 conditions.len() - 1
             });
             points.push(Point {
@@ -74,7 +74,7 @@
         Ok(ChartData { conditions, points })
     }
 
-    /// The range of the vertical axis, which includes zero.
+    /// Returns the range of the vertical axis, which includes zero.
     fn value_range(&self) -> Range<f64> {
         let values = || self.points.iter().map(|point| point.value);
         let min = values().fold(0.0, f64::min);
@@ -122,7 +122,8 @@
     }
 }
 
-/// The number of the conditions at a horizontal position; empty between two of them.
+/// Returns the label of a horizontal position: the number of its conditions, counted from 1, or
+/// empty between two positions.
 fn condition_number(position: &f64) -> String {
     if position.fract() == 0.0 {
         format!("{}", position + 1.0)
--- a/crates/results/src/comparison.rs
+++ b/crates/results/src/comparison.rs
@@ -1,45 +1,46 @@
-//! Comparing the results of two experiments by permutation tests.
+//! Comparison of the results of two experiments by permutation tests.
 
 use std::collections::BTreeMap;
 
 use crate::table::Table;
 
-/// How many random permutations a test makes.
+/// The number of random permutations per test.
 const PERMUTATIONS: u32 = 4_000;
-/// The seed of the permutations: the same tables always give the same result.
+/// The seed of the permutations, fixed so that the same tables always give the same result.
 const SEED: u64 = 1;
-/// Means of the same numbers in another order differ by about this fraction.
-const ROUNDING: f64 = 1e-9;
+/// The relative tolerance when differences of means are compared, for rounding errors that depend
+/// on the order of summation.
+const RELATIVE_TOLERANCE: f64 = 1e-9;
 
-/// The rows of one table for a metric under the same conditions.
+/// A summary of the values of a metric under the same conditions in one table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sample {
-    /// The median.
+    /// The median of the values.
     pub median: f64,
-    /// How many rows there are.
+    /// The number of rows that have a value.
     pub rows: usize,
 }
 
-/// A metric under the same conditions in two tables.
+/// The comparison of a metric under the same conditions in two tables.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Comparison {
-    /// The conditions, as text.
+    /// The conditions as text, as [`Table::conditions`] formats them.
     pub conditions: String,
     /// The name of the metric.
     pub metric: String,
-    /// The rows of the first table.
+    /// The values in the first table.
     pub first: Sample,
-    /// The rows of the second table.
+    /// The values in the second table.
     pub second: Sample,
-    /// The p-value: the fraction of the permutations of all rows between the two tables in which
-    /// the means differ at least as much.
+    /// The p-value: the fraction of random reassignments of the values to the two tables for which
+    /// the means differ at least as much as they do in the data.
     pub p_value: f64,
 }
 
-/// The values of a metric by conditions and name.
+/// The values of each metric, keyed by conditions and name of the metric.
 type ValuesByMetric = BTreeMap<(String, String), Vec<f64>>;
 
-/// Compares every metric under every condition that both tables have.
+/// Compares every metric that both tables have under the same conditions.
 pub fn compare(first: &Table, second: &Table) -> Vec<Comparison> {
     let first = values_by_metric(first);
     let second = values_by_metric(second);
@@ -62,7 +63,7 @@
     comparisons.collect()
 }
 
-/// The values of each metric under each of its conditions.
+/// Groups the values of each metric by conditions.
 fn values_by_metric(table: &Table) -> ValuesByMetric {
     let mut groups = ValuesByMetric::new();
     for metric in table.metrics() {
@@ -76,7 +77,7 @@
     groups
 }
 
-/// The median of at least one value.
+/// Returns the median; there must be at least one value.
 fn median(values: &[f64]) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -92,18 +93,18 @@
     values.iter().sum::<f64>() / values.len() as f64
 }
 
-/// A permutation test on the difference of means; returns the p-value.
+/// Returns the p-value of a permutation test on the difference of means.
 fn permutation_test(first: &[f64], second: &[f64]) -> f64 {
     let difference = (mean(first) - mean(second)).abs();
     let mut pooled: Vec<f64> = first.iter().chain(second).copied().collect();
     let mut rng = fastrand::Rng::with_seed(SEED);
-    let mut as_different = 0;
+    let mut at_least_as_different = 0;
     for _ in 0..PERMUTATIONS {
         rng.shuffle(&mut pooled);
         let (left, right) = pooled.split_at(first.len());
-        if (mean(left) - mean(right)).abs() >= difference * (1.0 - ROUNDING) {
-            as_different += 1;
+        if (mean(left) - mean(right)).abs() >= difference * (1.0 - RELATIVE_TOLERANCE) {
+            at_least_as_different += 1;
         }
     }
-    f64::from(as_different + 1) / f64::from(PERMUTATIONS + 1)
+    f64::from(at_least_as_different + 1) / f64::from(PERMUTATIONS + 1)
 }
--- a/crates/results/src/error.rs
+++ b/crates/results/src/error.rs
@@ -1,56 +1,56 @@
-//! Errors of tables.
+//! The error type of this crate.
 
 use std::path::{Path, PathBuf};
 
 use parquet::errors::ParquetError;
 
-/// A table cannot be created, read, stored or shown as a chart.
+/// An error from building, reading, writing or drawing a table, or from comparing two.
 #[derive(Debug, thiserror::Error)]
 pub enum TableError {
-    /// A row cannot be serialized.
+    /// A row could not be serialized.
     #[error(transparent)]
     Serialize(#[from] simd_json::Error),
-    /// A file cannot be read or written.
+    /// A file could not be read or written.
     #[error("{file}: {source}")]
     File {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// A file is not JSON.
+    /// A file does not hold valid JSON.
     #[error("{file}: {source}")]
     Json {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
-        /// Why.
+        /// The error of the JSON parser.
         source: simd_json::Error,
     },
-    /// A JSON file has no array of rows.
-    #[error("{file}: it is no array of rows")]
+    /// The top-level value of a JSON file is not an array.
+    #[error("{file}: expected an array of rows")]
     NotRows {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
     },
-    /// A table has no metric of this name.
-    #[error("there is no figure {0}")]
+    /// The table has no metric with this name.
+    #[error("unknown metric {0}")]
     UnknownMetric(String),
-    /// No row has a value of this metric.
-    #[error("the figure {0} has no values")]
+    /// No row has a value for this metric.
+    #[error("metric {0} has no values")]
     EmptyMetric(String),
-    /// Two tables have no metric under the same conditions.
-    #[error("the two have no figure under the same conditions")]
+    /// Two tables have no metric in common under the same conditions.
+    #[error("the two tables have no metric in common under the same conditions")]
     NothingInCommon,
-    /// A table cannot be written as Parquet.
-    #[error("as Parquet: {0}")]
+    /// A table could not be written as Parquet.
+    #[error("cannot write Parquet: {0}")]
     Parquet(#[from] ParquetError),
-    /// A chart cannot be drawn.
-    #[error("as a picture: {0}")]
+    /// A chart could not be drawn.
+    #[error("cannot draw chart: {0}")]
     Chart(#[source] Box<dyn std::error::Error + Send + Sync>),
 }
 
 impl TableError {
-    /// Adds the file to an error of the operating system.
+    /// Returns a function that adds the path of the file to an I/O error.
     pub(crate) fn file(file: &Path) -> impl FnOnce(std::io::Error) -> TableError + '_ {
         move |source| TableError::File {
             file: file.to_owned(),
--- a/crates/results/src/lib.rs
+++ b/crates/results/src/lib.rs
@@ -1,9 +1,9 @@
-//! Results of experiments as tables: made of any rows that can be serialized, stored as JSON or
-//! Parquet, drawn as SVG, and compared with earlier ones.
+//! Tables of experiment results. A table is built from serializable rows or read from a JSON file,
+//! written as Parquet, drawn as an SVG chart, and compared with another table.
 //!
 //! A column of numbers is a metric, unless it is one of [`CONDITION_COLUMNS`] or [`SEED_COLUMN`].
-//! All other columns, and [`CONDITION_COLUMNS`], are the conditions of a row; rows of the same
-//! conditions belong together.
+//! Columns of text and [`CONDITION_COLUMNS`] are the conditions of a row; rows with the same
+//! conditions are grouped.
 
 mod chart;
 mod comparison;
--- a/crates/results/src/parquet_file.rs
+++ b/crates/results/src/parquet_file.rs
@@ -1,4 +1,4 @@
-//! Tables as Parquet files.
+//! Writing tables to Parquet files.
 
 use std::fs::File;
 use std::path::Path;
@@ -15,20 +15,20 @@
 use crate::error::TableError;
 use crate::table::{Column, Table, Values};
 
-/// An entry of the metadata of a Parquet file.
+/// A key-value pair in the metadata of a Parquet file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MetadataEntry<'a> {
-    /// The key.
+    /// The key under which the metadata holds the value.
     pub key: &'a str,
-    /// The value.
+    /// The text stored under the key.
     pub value: String,
 }
 
 impl Table {
-    /// Writes the table to a Parquet file, with metadata on its origin.
+    /// Writes the table to a Parquet file as one row group, with the given metadata.
     ///
     /// # Errors
-    /// If the file cannot be written.
+    /// Fails if the file cannot be written.
     pub fn write_parquet(
         &self,
         file: &Path,
@@ -56,7 +56,7 @@
         Ok(())
     }
 
-    /// The Parquet schema: an optional field for each column.
+    /// Returns the Parquet schema, which has an optional field for each column.
     fn schema(&self) -> Result<TypePtr, ParquetError> {
         let fields = self
             .columns
@@ -71,7 +71,7 @@
     }
 }
 
-/// The schema of a column.
+/// Returns the Parquet field of a column: a string or a double.
 fn field(column: &Column) -> Result<TypePtr, ParquetError> {
     let builder = match column.values {
         Values::Text(_) => Type::primitive_type_builder(&column.name, PhysicalType::BYTE_ARRAY)
@@ -83,7 +83,7 @@
     ))
 }
 
-/// Writes the present values of a column.
+/// Writes the values of a column; rows without a value become null.
 fn write_column(
     writer: &mut SerializedColumnWriter<'_>,
     values: &Values,
@@ -113,7 +113,7 @@
     Ok(())
 }
 
-/// For each row whether it has a value: 1 or 0.
+/// Returns the Parquet definition level of each row: 1 if it has a value, otherwise 0.
 fn definition_levels<T>(values: &[Option<T>]) -> Vec<i16> {
     values
         .iter()
--- a/crates/results/src/table.rs
+++ b/crates/results/src/table.rs
@@ -1,4 +1,4 @@
-//! Tables of rows that are serialized to JSON.
+//! Tables whose columns are built from serializable rows.
 
 use std::path::Path;
 
@@ -8,22 +8,22 @@
 
 use crate::error::TableError;
 
-/// Columns of numbers that are conditions of a row.
+/// The columns of numbers that count as conditions of a row, not as metrics.
 pub const CONDITION_COLUMNS: [&str; 2] = ["fronts", "volumes"];
-/// The column that distinguishes rows of the same conditions.
+/// The column that distinguishes rows with the same conditions; neither condition nor metric.
 pub const SEED_COLUMN: &str = "seed";
 
-/// The values of a column by row; `None` if a row has none.
+/// The values of a column by row; `None` if the row has no value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Values {
-    /// Text; also truth values.
+    /// Text; booleans are stored as `true` and `false`.
     Text(Vec<Option<String>>),
-    /// Numbers.
+    /// Numbers of any JSON type, as floating point.
     Number(Vec<Option<f64>>),
 }
 
 impl Values {
-    /// Appends absent values up to a number of rows.
+    /// Pads the column with absent values up to the given number of rows.
     fn fill(&mut self, rows: usize) {
         match self {
             Values::Text(values) => values.resize(rows, None),
@@ -46,14 +46,14 @@
 /// A column of a table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Column {
-    /// The name; that of a nested value is its path, with dots.
+    /// The name; for nested values the path of keys and indexes, joined by dots.
     pub name: String,
-    /// The values.
+    /// The values by row.
     pub values: Values,
 }
 
 impl Column {
-    /// Whether rows of different values in this column have different conditions.
+    /// Returns whether the column belongs to the conditions of a row.
     fn is_condition(&self) -> bool {
         match self.values {
             Values::Text(_) => true,
@@ -62,16 +62,16 @@
     }
 }
 
-/// A column of numbers that is no condition.
+/// A column of numbers that is neither a condition nor the seed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Metric<'a> {
-    /// The name.
+    /// The name of the column.
     pub name: &'a str,
     /// The values by row.
     pub values: &'a [Option<f64>],
 }
 
-/// A table of rows. The columns are in the order in which their names first occurred.
+/// A table stored by column. The columns are in the order in which their names first occurred.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Table {
     /// The columns, each with as many values as there are rows.
@@ -79,17 +79,17 @@
     rows: usize,
 }
 
-/// A value of a row.
+/// A value of one row and column.
 enum Cell {
     Text(String),
     Number(f64),
 }
 
 impl Table {
-    /// A table of rows. Nested values have columns of their own.
+    /// Builds a table from rows. Each nested value gets a column of its own.
     ///
     /// # Errors
-    /// If a row cannot be serialized.
+    /// Fails if a row cannot be serialized.
     pub fn of<R: Serialize>(rows: &[R]) -> Result<Table, TableError> {
         let mut table = Table::default();
         for row in rows {
@@ -103,10 +103,10 @@
         Ok(table)
     }
 
-    /// Reads rows from a JSON file, which holds an array of them.
+    /// Reads a table from a JSON file that holds an array of rows.
     ///
     /// # Errors
-    /// If the file cannot be read, or does not hold an array.
+    /// Fails if the file cannot be read, is not JSON, or does not hold an array.
     pub fn read(file: &Path) -> Result<Table, TableError> {
         let mut bytes = std::fs::read(file).map_err(TableError::file(file))?;
         let value = simd_json::to_owned_value(&mut bytes).map_err(|source| TableError::Json {
@@ -119,12 +119,12 @@
         Table::of(rows)
     }
 
-    /// The number of rows.
+    /// Returns the number of rows.
     pub fn rows(&self) -> usize {
         self.rows
     }
 
-    /// The conditions of a row, as text.
+    /// Returns the conditions of a row as text: names and values, separated by commas.
     pub fn conditions(&self, row: usize) -> String {
         let conditions = self.columns.iter().filter(|column| column.is_condition());
         let texts = conditions.filter_map(|Column { name, values }| match values {
@@ -134,7 +134,7 @@
         texts.collect::<Vec<_>>().join(", ")
     }
 
-    /// The metrics in the order of their columns.
+    /// Returns the metrics in the order of their columns.
     pub fn metrics(&self) -> impl Iterator<Item = Metric<'_>> {
         let columns = self.columns.iter().filter(|column| !column.is_condition());
         columns.filter_map(|Column { name, values }| match values {
@@ -143,8 +143,8 @@
         })
     }
 
-    /// Adds a value of the current row. What is neither object, array, number, text nor truth value
-    /// is absent.
+    /// Adds a value of the current row, with nested values under their paths. Values other than
+    /// objects, arrays, numbers, text and booleans are treated as absent.
     fn add_value(&mut self, path: &str, value: &Value) {
         let child = |key: &str| {
             if path.is_empty() {
@@ -165,12 +165,12 @@
             self.add_cell(path, Cell::Number(number));
         } else if let Some(text) = value.as_str() {
             self.add_cell(path, Cell::Text(text.to_owned()));
-        } else if let Some(truth) = value.as_bool() {
-            self.add_cell(path, Cell::Text(truth.to_string()));
+        } else if let Some(boolean) = value.as_bool() {
+            self.add_cell(path, Cell::Text(boolean.to_string()));
         }
     }
 
-    /// Adds a value of the current row to its column, which is created at its first value.
+    /// Adds a value of the current row to its column, and creates the column if it does not exist.
     fn add_cell(&mut self, name: &str, cell: Cell) {
         let known = self.columns.iter().position(|column| column.name == name);
         let position = known.unwrap_or_else(|| {
--- a/crates/results/tests/chart.rs
+++ b/crates/results/tests/chart.rs
@@ -1,4 +1,4 @@
-//! Charts of a metric.
+//! Tests of charts of a metric.
 
 use serde::Serialize;
 use tulipbridge_results::{chart, Table};
@@ -25,6 +25,6 @@
     let missing = chart(&table, "lost", &file)
         .expect_err("no such metric")
         .to_string();
-    assert_eq!(missing, "there is no figure lost");
+    assert_eq!(missing, "unknown metric lost");
     std::fs::remove_file(&file).expect("removed");
 }
--- a/crates/results/tests/comparison.rs
+++ b/crates/results/tests/comparison.rs
@@ -1,4 +1,4 @@
-//! Comparison of two tables.
+//! Tests of the comparison of two tables.
 
 use serde::Serialize;
 use tulipbridge_results::{compare, Table};
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn difference_beyond_chance_has_a_small_p_value() {
+fn significant_difference_has_a_small_p_value() {
     let before = table(&[0.90, 0.91, 0.92, 0.93, 0.94, 0.95]);
     let same = compare(&before, &table(&[0.91, 0.90, 0.93, 0.92, 0.95, 0.94]));
     assert_eq!(same.len(), 1);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn two_rows_each_can_always_differ_by_chance() {
+fn difference_of_two_rows_each_is_never_significant() {
     let few = compare(&table(&[0.9, 0.9]), &table(&[0.1, 0.1]));
     assert!(few[0].p_value > 0.3, "{few:?}");
 }
--- a/crates/results/tests/table.rs
+++ b/crates/results/tests/table.rs
@@ -1,4 +1,4 @@
-//! Tables of rows, their JSON and Parquet files.
+//! Tests of tables and of their JSON and Parquet files.
 
 use std::path::PathBuf;
 
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn parquet_file_is_read_back_by_the_reader_of_its_library() {
+fn parquet_file_can_be_read_back() {
     let file = temporary_file("parquet");
     let table = Table::of(&rows()).expect("a table");
     let commit = MetadataEntry {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn file_without_a_table_is_reported() {
+fn reading_a_missing_file_or_a_non_array_fails() {
     let file = temporary_file("json");
     let missing = Table::read(&file)
         .expect_err("the file is not there")
@@ -94,6 +94,6 @@
     assert!(missing.contains("No such file"), "{missing}");
     std::fs::write(&file, "{\"a\": 1}").expect("written");
     let error = Table::read(&file).expect_err("no array").to_string();
-    assert!(error.ends_with("it is no array of rows"), "{error}");
+    assert!(error.ends_with("expected an array of rows"), "{error}");
     std::fs::remove_file(&file).expect("removed");
 }
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,6 +1,6 @@
-//! A toy chunk server that keeps everything in memory. It serves the requests of the platform's
-//! front (any path is stored and read the same way) and of the object API's, so that a newcomer can
-//! try both fronts.
+//! A toy chunk server that keeps all objects in memory. It handles the requests of both fronts,
+//! that of the platform (any path is stored and read the same way) and that of the object API, so
+//! that both can be tried out.
 //!
 //!     cargo run --example toy_server 127.0.0.1:7101
 
@@ -25,33 +25,33 @@
 use tokio::task::{spawn_local, LocalSet};
 
 const DEFAULT_ADDRESS: &str = "127.0.0.1:7101";
-/// Entity tag of every part.
+/// The entity tag of every part; parts have no tags of their own.
 const PART_TAG: &str = "\"part\"";
 
-/// A stored object with the headers that describe it.
+/// A stored object with the headers that are returned with it.
 struct Object {
     bytes: Bytes,
     headers: HeaderMap,
 }
 
-/// A multipart upload that is open.
+/// A multipart upload that is neither completed nor aborted.
 struct Upload {
     path: String,
     headers: HeaderMap,
-    /// Parts by number.
+    /// The parts received so far, by part number.
     parts: BTreeMap<u32, Bytes>,
 }
 
 #[derive(Default)]
 struct Store {
-    /// Objects by path.
+    /// The stored objects, by path.
     objects: BTreeMap<String, Object>,
-    /// Uploads by id.
+    /// The uploads in progress, by upload id.
     uploads: BTreeMap<String, Upload>,
     uploads_created: u64,
 }
 
-type Reply = Response<Full<Bytes>>;
+type HttpResponse = Response<Full<Bytes>>;
 
 fn main() {
     let address = std::env::args()
@@ -79,24 +79,24 @@
         };
         let store = Rc::clone(&store);
         spawn_local(async move {
-            let service = service_fn(move |request| answer(Rc::clone(&store), request));
+            let service = service_fn(move |request| handle_request(Rc::clone(&store), request));
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Err(error) = connection.await {
-                // It concerns the client of this connection alone.
-                eprintln!("a connection ended: {error}");
+                // The error affects only the client of this connection.
+                eprintln!("connection failed: {error}");
             }
         });
     }
 }
 
-/// Responds to a request of either API.
-async fn answer(
+/// Handles a request of either API.
+async fn handle_request(
     store: Rc<RefCell<Store>>,
     request: Request<Incoming>,
-) -> Result<Reply, Infallible> {
+) -> Result<HttpResponse, Infallible> {
     let (head, body) = request.into_parts();
     let Ok(body) = body.collect().await else {
-        return Ok(empty(StatusCode::BAD_REQUEST));
+        return Ok(empty_response(StatusCode::BAD_REQUEST));
     };
     println!("{} {}", head.method, head.uri);
     let query = head.uri.query().unwrap_or_default();
@@ -105,13 +105,13 @@
     let mut store = store.borrow_mut();
     Ok(match (query_field(query, "uploadId"), &head.method) {
         (Some(id), method) => {
-            store.answer_upload(id, method, query_field(query, "partNumber"), body)
+            store.handle_upload(id, method, query_field(query, "partNumber"), body)
         }
         (None, &Method::POST) => store.create_upload(path, head.headers),
         (None, &Method::PUT) => store.put(path, head.headers, body),
         (None, &Method::DELETE) => {
             store.objects.remove(&path);
-            empty(StatusCode::NO_CONTENT)
+            empty_response(StatusCode::NO_CONTENT)
         }
         (None, &Method::HEAD) => store.head(&path),
         (None, _) => store.get(&path, &head.headers),
@@ -128,31 +128,31 @@
 }
 
 impl Store {
-    fn put(&mut self, path: String, headers: HeaderMap, bytes: Bytes) -> Reply {
+    fn put(&mut self, path: String, headers: HeaderMap, bytes: Bytes) -> HttpResponse {
         let mut headers: HeaderMap = headers
             .into_iter()
             .filter_map(|(name, value)| Some((name?, value)))
             .filter(is_stored)
             .collect();
         let tag = entity_tag(&bytes);
-        insert(&mut headers, ETAG, &tag);
-        insert(
+        set_header(&mut headers, ETAG, &tag);
+        set_header(
             &mut headers,
             LAST_MODIFIED,
             &httpdate::fmt_http_date(SystemTime::now()),
         );
         println!("stored {path}");
         self.objects.insert(path, Object { bytes, headers });
-        let mut reply = empty(StatusCode::OK);
-        insert(reply.headers_mut(), ETAG, &tag);
+        let mut reply = empty_response(StatusCode::OK);
+        set_header(reply.headers_mut(), ETAG, &tag);
         reply
     }
 
-    fn head(&self, path: &str) -> Reply {
+    fn head(&self, path: &str) -> HttpResponse {
         let Some(object) = self.objects.get(path) else {
-            return empty(StatusCode::NOT_FOUND);
+            return empty_response(StatusCode::NOT_FOUND);
         };
-        let mut reply = empty(StatusCode::OK);
+        let mut reply = empty_response(StatusCode::OK);
         reply
             .headers_mut()
             .insert(CONTENT_LENGTH, HeaderValue::from(object.bytes.len()));
@@ -160,17 +160,17 @@
         reply
     }
 
-    fn get(&self, path: &str, request_headers: &HeaderMap) -> Reply {
+    fn get(&self, path: &str, request_headers: &HeaderMap) -> HttpResponse {
         let Some(object) = self.objects.get(path) else {
-            return empty(StatusCode::NOT_FOUND);
+            return empty_response(StatusCode::NOT_FOUND);
         };
         let size = object.bytes.len();
-        let mut reply = empty(StatusCode::OK);
+        let mut reply = empty_response(StatusCode::OK);
         match requested_range(request_headers, size) {
             None => *reply.body_mut() = Full::new(object.bytes.clone()),
             Some(range) if range.is_empty() => {
                 *reply.status_mut() = StatusCode::RANGE_NOT_SATISFIABLE;
-                insert(
+                set_header(
                     reply.headers_mut(),
                     CONTENT_RANGE,
                     &format!("bytes */{size}"),
@@ -180,7 +180,7 @@
             Some(range) => {
                 *reply.status_mut() = StatusCode::PARTIAL_CONTENT;
                 let content_range = format!("bytes {}-{}/{size}", range.start, range.end - 1);
-                insert(reply.headers_mut(), CONTENT_RANGE, &content_range);
+                set_header(reply.headers_mut(), CONTENT_RANGE, &content_range);
                 *reply.body_mut() = Full::new(object.bytes.slice(range));
             }
         }
@@ -188,7 +188,7 @@
         reply
     }
 
-    fn create_upload(&mut self, path: String, headers: HeaderMap) -> Reply {
+    fn create_upload(&mut self, path: String, headers: HeaderMap) -> HttpResponse {
         self.uploads_created += 1;
         let id = self.uploads_created.to_string();
         self.uploads.insert(
@@ -199,21 +199,21 @@
                 parts: BTreeMap::new(),
             },
         );
-        document(
+        xml_response(
             "InitiateMultipartUploadResult",
             &format!("<UploadId>{id}</UploadId>"),
         )
     }
 
-    fn answer_upload(
+    fn handle_upload(
         &mut self,
         id: &str,
         method: &Method,
         part: Option<&str>,
         body: Bytes,
-    ) -> Reply {
+    ) -> HttpResponse {
         let Some(upload) = self.uploads.get_mut(id) else {
-            return empty(StatusCode::NOT_FOUND);
+            return empty_response(StatusCode::NOT_FOUND);
         };
         match *method {
             Method::PUT => {
@@ -221,22 +221,22 @@
                     part.and_then(|number| number.parse().ok()).unwrap_or(1),
                     body,
                 );
-                let mut reply = empty(StatusCode::OK);
-                insert(reply.headers_mut(), ETAG, PART_TAG);
+                let mut reply = empty_response(StatusCode::OK);
+                set_header(reply.headers_mut(), ETAG, PART_TAG);
                 reply
             }
-            Method::GET => document("ListPartsResult", &list_parts(upload)),
+            Method::GET => xml_response("ListPartsResult", &list_parts(upload)),
             Method::DELETE => {
                 self.uploads.remove(id);
-                empty(StatusCode::NO_CONTENT)
+                empty_response(StatusCode::NO_CONTENT)
             }
             _ => self.complete_upload(id),
         }
     }
 
-    fn complete_upload(&mut self, id: &str) -> Reply {
+    fn complete_upload(&mut self, id: &str) -> HttpResponse {
         let Some(upload) = self.uploads.remove(id) else {
-            return empty(StatusCode::NOT_FOUND);
+            return empty_response(StatusCode::NOT_FOUND);
         };
         let bytes: Vec<u8> = upload
             .parts
@@ -249,15 +249,15 @@
             .get(ETAG)
             .and_then(|value| value.to_str().ok())
             .unwrap_or_default();
-        document(
+        xml_response(
             "CompleteMultipartUploadResult",
             &format!("<ETag>{tag}</ETag>"),
         )
     }
 }
 
-/// The bytes that a `Range` header selects, empty where they lie past the end; `None` without a
-/// header.
+/// Returns the bytes that a `Range` header selects, empty if they lie past the end; `None` if
+/// there is no header of the form `bytes=FIRST-LAST`.
 fn requested_range(headers: &HeaderMap, size: usize) -> Option<Range<usize>> {
     let header = headers.get(RANGE)?.to_str().ok()?;
     let (first, last) = header.strip_prefix("bytes=")?.split_once('-')?;
@@ -288,20 +288,20 @@
     upload.parts.iter().map(part).collect()
 }
 
-/// Whether a header is stored with an object.
+/// Returns whether a request header is stored with the object.
 fn is_stored((name, _): &(HeaderName, HeaderValue)) -> bool {
     name == "content-type" || name.as_str().starts_with("x-amz-meta-")
 }
 
-fn insert(headers: &mut HeaderMap, name: HeaderName, value: &str) {
+fn set_header(headers: &mut HeaderMap, name: HeaderName, value: &str) {
     headers.insert(name, HeaderValue::try_from(value).expect("a valid header"));
 }
 
-fn document(root: &str, content: &str) -> Reply {
+fn xml_response(root: &str, content: &str) -> HttpResponse {
     Response::new(Full::from(format!("<{root}>{content}</{root}>")))
 }
 
-fn empty(status: StatusCode) -> Reply {
+fn empty_response(status: StatusCode) -> HttpResponse {
     let mut reply = Response::new(Full::default());
     *reply.status_mut() = status;
     reply
