--- a/src/bin/tulipbridge-adapter/error.rs
+++ b/src/bin/tulipbridge-adapter/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the adapter. Their messages are part of its interface.
+//! Errors of the adapter. Their messages are part of the adapter's interface.
 
 use std::io;
 
@@ -7,20 +7,20 @@
 
 use crate::json::WrongKind;
 
-/// Why the adapter ends before its input does.
+/// An error that ends the adapter before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     /// Standard input cannot be read.
     #[error("line {line}: cannot read: {source}")]
     Read {
-        /// Number of the line, from 1.
+        /// The number of the input line, starting at 1.
         line: u64,
         source: io::Error,
     },
     /// A line is not a valid batch.
     #[error("line {line}: {source}")]
     Line {
-        /// Number of the line, from 1.
+        /// The number of the input line, starting at 1.
         line: u64,
         source: WireError,
     },
@@ -38,9 +38,9 @@
     /// A value is not of the expected kind.
     #[error("{what} must be {expected}")]
     WrongKind {
-        /// The value, as the message names it.
+        /// The value, as named in the message.
         what: &'static str,
-        /// What it must be.
+        /// The kind that the value must be of.
         expected: &'static str,
     },
     /// A required value is missing.
@@ -49,19 +49,19 @@
     /// An integer does not fit its type.
     #[error("'{key}' is out of range")]
     OutOfRange { key: &'static str },
-    /// A word is not in the vocabulary of its key.
+    /// A word is not among the known values of its key.
     #[error("'{key}' {word} is not known")]
     UnknownWord { key: &'static str, word: String },
-    /// A class or plan is not among those of the settings.
+    /// A class or plan is not in the settings.
     #[error("'{key}' {name} is not in the settings")]
     NotInSettings { key: &'static str, name: String },
-    /// The instance has not been started.
+    /// No instance with this index is running.
     #[error("instance {index} is not known")]
     UnknownInstance { index: i64 },
     /// A value is missing or of the wrong kind.
     #[error(transparent)]
     Value(#[from] WrongKind),
-    /// The description of the site is invalid.
+    /// The settings of the site are invalid.
     #[error(transparent)]
     Site(#[from] JsonObjectError),
     /// The settings contradict each other.
@@ -70,7 +70,7 @@
     /// An event is invalid.
     #[error("{name}: {source}")]
     Event {
-        /// Name of the event on the wire.
+        /// The name of the event on the wire.
         name: String,
         source: Box<WireError>,
     },
--- a/src/bin/tulipbridge-adapter/instance.rs
+++ b/src/bin/tulipbridge-adapter/instance.rs
@@ -19,14 +19,15 @@
 /// Value of `LiesIn` for a request that any shard may serve.
 const ANY_SHARD: i64 = -1;
 
-/// A scheduler with the names that the wire uses.
+/// A scheduler, with the mapping between names on the wire and ids of the decision module.
 pub struct Instance {
     index: i64,
     scheduler: Scheduler,
     classes: Vec<String>,
     plans: Vec<String>,
     zones: Vec<String>,
-    /// Names of the nodes by id. A name keeps its id, as the wire may use it again.
+    /// Names of the nodes, indexed by id. Names are never removed, since the wire may use a name
+    /// again.
     nodes: Vec<String>,
     node_ids: HashMap<String, NodeId>,
     requests: RequestRegistry,
@@ -79,13 +80,13 @@
         Ok(())
     }
 
-    /// Decodes an event; `None` where it concerns a request or node that is not known, or not the
-    /// scheduler.
+    /// Decodes an event. Returns `None` if it concerns an unknown request or node, or does not
+    /// concern the scheduler.
     fn decode(&mut self, kind: EventKind, row: &[Value]) -> Result<Option<Event>, WireError> {
         Ok(match kind {
             EventKind::Endpoints => Some(self.decode_endpoints(row)?),
             EventKind::Request => Some(Event::Request(self.decode_request(row)?)),
-            EventKind::ClientGone => {
+            EventKind::ClientDisconnected => {
                 let id = self.request_id(row)?;
                 id.map(|id| {
                     self.requests.finish(id);
@@ -99,13 +100,13 @@
         })
     }
 
-    /// The id of the request that a row names; `None` where it is not active.
+    /// Returns the id of the request that a row names, or `None` if it is not active.
     fn request_id(&self, row: &[Value]) -> Result<Option<RequestId>, WireError> {
         let name = string(row.get(2), "Ref")?;
         Ok(self.requests.id(name))
     }
 
-    /// `[event, instance, Scope, generation, MembersList]`.
+    /// Decodes `[event, instance, Scope, generation, MembersList]`.
     fn decode_endpoints(&mut self, row: &[Value]) -> Result<Event, WireError> {
         let scope = vocabulary::update_scope(string(row.get(2), "Scope")?)?;
         let no_entries = Vec::new();
@@ -123,7 +124,7 @@
         Ok(Event::Endpoints { scope, nodes })
     }
 
-    /// `[Target, zone, machine type, Cell, Health, weight, CameUp]`.
+    /// Decodes `[Target, zone, machine type, Cell, Health, weight, CameUp]`.
     fn decode_node(&mut self, entry: &Value) -> Result<NodeInfo, WireError> {
         let row = entry.as_array();
         let row = row.ok_or(WireError::WrongKind {
@@ -132,26 +133,26 @@
         })?;
         let node = self.node_id(string(row.first(), "Target")?);
         let zone = row.get(1).and_then(Value::as_str);
-        // Every unknown zone is the one after the last known zone.
+        // All unknown zones share the index after the last known zone.
         let zone = self
             .zones
             .iter()
             .position(|known| Some(known.as_str()) == zone);
         let zone = zone.unwrap_or(self.zones.len());
-        let listed = vocabulary::listed(string(row.get(4), "Health")?)?;
+        let state = vocabulary::endpoint_state(string(row.get(4), "Health")?)?;
         let shard = u32::try_from(integer(row.get(3), "Cell")?).map(ShardId);
         let shard = shard.map_err(|_| WireError::OutOfRange { key: "Cell" })?;
-        let started_at = optional_int(row.get(6), "CameUp", 0)?;
+        let started_at = optional_integer(row.get(6), "CameUp", 0)?;
         Ok(NodeInfo {
             node,
             zone: zone as u32,
             shard,
-            state: listed,
+            state,
             started_at,
         })
     }
 
-    /// The id of a node, which it gets when it is first named.
+    /// Returns the id of a node, and assigns one when the node is first named.
     fn node_id(&mut self, name: &str) -> NodeId {
         if let Some(&id) = self.node_ids.get(name) {
             return id;
@@ -162,13 +163,13 @@
         NodeId(id)
     }
 
-    /// `[event, instance, Ref, Grade, Contract, key, PatienceLeft, volume, Weight, LiesIn,
-    /// SetSize]`.
+    /// Decodes `[event, instance, Ref, Grade, Contract, key, PatienceLeft, volume, Weight,
+    /// LiesIn, SetSize]`.
     fn decode_request(&mut self, row: &[Value]) -> Result<Request, WireError> {
         let name = string(row.get(2), "Ref")?;
         let class = index_of(&self.classes, string(row.get(3), "Grade")?, "Grade")?;
         let plan = index_of(&self.plans, string(row.get(4), "Contract")?, "Contract")?;
-        let shard = optional_int(row.get(9), "LiesIn", ANY_SHARD)?;
+        let shard = optional_integer(row.get(9), "LiesIn", ANY_SHARD)?;
         let request = Request {
             id: self.requests.next_id(),
             class,
@@ -188,7 +189,7 @@
         Ok(request)
     }
 
-    /// `[event, instance, Ref, SendNo, Target, Disposition, Duration, last, SeenUse,
+    /// Decodes `[event, instance, Ref, SendNo, Target, Disposition, Duration, last, SeenUse,
     /// ForeignUnits]`.
     fn decode_attempt_ended(&mut self, row: &[Value]) -> Result<Option<Event>, WireError> {
         let request = string(row.get(2), "Ref")?;
@@ -197,7 +198,7 @@
         let attempt = integer(row.get(3), "SendNo")? as u32;
         let took = integer(row.get(6), "Duration")?;
         let last = row.get(7).and_then(Value::as_bool).unwrap_or(false);
-        let seen_use = optional_number(row.get(8), "SeenUse")?;
+        let observed_use = optional_number(row.get(8), "SeenUse")?;
         let foreign_units = optional_number(row.get(9), "ForeignUnits")?;
         let (Some(id), Some(&node)) = (self.requests.id(request), self.node_ids.get(node)) else {
             return Ok(None);
@@ -210,12 +211,12 @@
             outcome,
             took,
             is_answered: last,
-            observed_use: seen_use,
+            observed_use,
             foreign_units,
         }))
     }
 
-    /// Encodes an action; `None` for one that the wire does not have.
+    /// Encodes an action; returns `None` for an action that does not exist on the wire.
     fn encode(&mut self, action: Action) -> Option<Value> {
         let index = self.index;
         Some(match action {
@@ -244,7 +245,7 @@
         })
     }
 
-    /// Encodes a command; `None` for one that the wire does not have.
+    /// Encodes a command; returns `None` for a command that does not exist on the wire.
     fn encode_command(&self, command: RuntimeCommand) -> Option<Value> {
         let index = self.index;
         match command {
@@ -260,7 +261,7 @@
         }
     }
 
-    /// Finishes a request. Returns its name.
+    /// Marks a request as finished and returns its name.
     fn finish(&mut self, id: RequestId) -> Option<String> {
         let name = self.requests.name(id);
         self.requests.finish(id);
@@ -268,7 +269,7 @@
     }
 }
 
-/// A seed of 64 bits, which JSON may hold as a signed or an unsigned integer.
+/// Decodes a 64-bit seed, which JSON may hold as a signed or an unsigned integer.
 fn seed(value: Option<&Value>) -> Result<u64, WireError> {
     let value = value.ok_or(WireError::Missing { key: "Nonce64" })?;
     let seed = value
@@ -280,15 +281,15 @@
     })
 }
 
-/// An integer, or a default where it is absent or null.
-fn optional_int(value: Option<&Value>, key: &str, default: i64) -> Result<i64, WireError> {
+/// Decodes an integer; returns `default` if it is missing or null.
+fn optional_integer(value: Option<&Value>, key: &str, default: i64) -> Result<i64, WireError> {
     match value.filter(|value| !value.is_null()) {
         None => Ok(default),
         Some(value) => Ok(integer(Some(value), key)?),
     }
 }
 
-/// A hash of a text that is the same in every process.
+/// Returns a hash of a text that is the same in every process.
 fn stable_hash(text: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     text.hash(&mut hasher);
--- a/src/bin/tulipbridge-adapter/json.rs
+++ b/src/bin/tulipbridge-adapter/json.rs
@@ -4,7 +4,7 @@
 use simd_json::prelude::*;
 use simd_json::OwnedValue as Value;
 
-/// The required type of a JSON value, as error messages name it.
+/// The required type of a JSON value, as named in error messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Kind {
     /// An array.
@@ -21,18 +21,18 @@
     Number,
 }
 
-/// A value that is missing where it is required, or has another kind.
+/// A required value is missing, or a value is of the wrong kind.
 #[derive(Debug, thiserror::Error)]
 #[error("'{key}' must be {expected}")]
 pub struct WrongKind {
-    /// The key of the value.
+    /// The key or name of the value.
     key: String,
-    /// What it must be.
+    /// The kind that the value must be of.
     expected: Kind,
 }
 
 impl WrongKind {
-    /// The value of `key` is missing or is not of the expected kind.
+    /// Creates the error for the value of `key`.
     fn new(key: &str, expected: Kind) -> WrongKind {
         WrongKind {
             key: key.to_owned(),
@@ -41,7 +41,7 @@
     }
 }
 
-/// The array under `key`.
+/// Returns the array under `key`.
 ///
 /// # Errors
 /// It is missing or not an array.
@@ -50,7 +50,7 @@
     value.ok_or_else(|| WrongKind::new(key, Kind::Array))
 }
 
-/// The `Name` of each object in the array under `key`.
+/// Returns the `Name` of each object in the array under `key`.
 ///
 /// # Errors
 /// The array or one of the names is missing or of another kind.
@@ -61,7 +61,7 @@
         .collect()
 }
 
-/// A required string; `key` names it in the error.
+/// Returns a required string; `key` names it in the error.
 ///
 /// # Errors
 /// It is missing or not a string.
@@ -71,7 +71,7 @@
         .ok_or_else(|| WrongKind::new(key, Kind::String))
 }
 
-/// A required integer; `key` names it in the error.
+/// Returns a required integer; `key` names it in the error.
 ///
 /// # Errors
 /// It is missing or not an integer.
@@ -81,7 +81,7 @@
         .ok_or_else(|| WrongKind::new(key, Kind::Integer))
 }
 
-/// An optional number, 0 where it is missing or null; `key` names it in the error.
+/// Returns an optional number, or 0 if it is missing or null; `key` names it in the error.
 ///
 /// # Errors
 /// It is present and not a number.
--- a/src/bin/tulipbridge-adapter/main.rs
+++ b/src/bin/tulipbridge-adapter/main.rs
@@ -1,5 +1,6 @@
-//! Connects the decision module to a test bench: reads one batch of events a line on standard
-//! input, and writes one line with the resulting actions for each. No decision is made here.
+//! Connects the decision module to a test bench: reads one batch of events per line from standard
+//! input, and writes one line with the resulting actions for each batch. The adapter itself makes
+//! no decisions.
 
 mod error;
 mod instance;
@@ -15,14 +16,14 @@
 use crate::session::Session;
 
 /// Exit code after an error.
-const FAILURE: u8 = 2;
+const EXIT_ERROR: u8 = 2;
 
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("tulipbridge-adapter: {error}");
-            ExitCode::from(FAILURE)
+            ExitCode::from(EXIT_ERROR)
         }
     }
 }
--- a/src/bin/tulipbridge-adapter/request_registry.rs
+++ b/src/bin/tulipbridge-adapter/request_registry.rs
@@ -1,10 +1,11 @@
-//! The requests of an instance, by their names on the wire and by their ids in the decision module.
+//! Maps the requests of an instance between their names on the wire and their ids in the decision
+//! module.
 
 use std::collections::HashMap;
 
 use tulipbridge::RequestId;
 
-/// A request that has not finished or has attempts in flight.
+/// A request that has not finished or still has attempts in flight.
 struct ActiveRequest {
     name: String,
     attempts_in_flight: u32,
@@ -20,7 +21,7 @@
 }
 
 impl RequestRegistry {
-    /// The id that the next request gets.
+    /// Returns the id that the next added request gets.
     pub fn next_id(&self) -> RequestId {
         self.next_id
     }
@@ -38,12 +39,12 @@
         self.requests.insert(id, request);
     }
 
-    /// The id of an active request.
+    /// Returns the id of an active request.
     pub fn id(&self, name: &str) -> Option<RequestId> {
         self.ids.get(name).copied()
     }
 
-    /// The name of an active request.
+    /// Returns the name of an active request.
     pub fn name(&self, id: RequestId) -> Option<String> {
         self.requests.get(&id).map(|request| request.name.clone())
     }
@@ -55,7 +56,7 @@
         }
     }
 
-    /// An attempt of a request has ended; `finished` is set where the request has, too.
+    /// Records the end of an attempt; `finished` tells whether the request has finished with it.
     pub fn attempt_ended(&mut self, id: RequestId, finished: bool) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
@@ -64,7 +65,7 @@
         self.remove_if_inactive(id);
     }
 
-    /// A request has its final answer, or its client is gone.
+    /// Records that a request has its final answer, or that its client has disconnected.
     pub fn finish(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.finished = true;
--- a/src/bin/tulipbridge-adapter/session.rs
+++ b/src/bin/tulipbridge-adapter/session.rs
@@ -1,4 +1,4 @@
-//! All instances of this process, and the batches of events for them.
+//! The instances of this process, and the processing of batches of events for them.
 
 use std::collections::BTreeMap;
 
--- a/src/bin/tulipbridge-adapter/vocabulary.rs
+++ b/src/bin/tulipbridge-adapter/vocabulary.rs
@@ -1,10 +1,10 @@
-//! Conversion between the strings of the wire protocol and the types of the decision module.
+//! Conversion between the words of the wire protocol and the types of the decision module.
 
 use tulipbridge::{EndpointState, Outcome, UpdateScope};
 
 use crate::error::WireError;
 
-/// Kinds of events.
+/// The kind of an event on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
     /// Starts an instance.
@@ -13,10 +13,10 @@
     Halt,
     /// An update of the endpoint list.
     Endpoints,
-    /// A request.
+    /// A client's request has arrived.
     Request,
-    /// The client of a request is gone.
-    ClientGone,
+    /// The client of a request has disconnected.
+    ClientDisconnected,
     /// The first byte of a streamed response has arrived.
     ResponseStarted,
     /// An attempt has ended.
@@ -25,14 +25,14 @@
     Timer,
 }
 
-/// The kind of event that a word names; `None` for one that is ignored.
+/// Returns the kind of event that a word names, or `None` for an event that is ignored.
 pub fn event_kind(word: &str) -> Option<EventKind> {
     match word {
         "Start" => Some(EventKind::Start),
         "Halt" => Some(EventKind::Halt),
         "Fleet" => Some(EventKind::Endpoints),
         "Knock" => Some(EventKind::Request),
-        "Dropped" => Some(EventKind::ClientGone),
+        "Dropped" => Some(EventKind::ClientDisconnected),
         "First" => Some(EventKind::ResponseStarted),
         "Result" => Some(EventKind::AttemptEnded),
         "TimeoutFired" => Some(EventKind::Timer),
@@ -40,7 +40,7 @@
     }
 }
 
-/// Words for actions.
+/// Names of the actions on the wire.
 pub mod action {
     /// Send an attempt.
     pub const SEND: &str = "Place";
@@ -58,28 +58,28 @@
     pub const LOG: &str = "NoteDown";
 }
 
-/// The scope of an endpoint update.
+/// Decodes the scope of an update of the endpoint list.
 pub fn update_scope(word: &str) -> Result<UpdateScope, WireError> {
     match word {
         "update" => Ok(UpdateScope::Update),
         "replace" => Ok(UpdateScope::Replace),
         "restored" => Ok(UpdateScope::Restored),
         "unavailable" => Ok(UpdateScope::Unavailable),
-        _ => Err(unknown("Scope", word)),
+        _ => Err(unknown_word("Scope", word)),
     }
 }
 
-/// The state of an endpoint.
-pub fn listed(word: &str) -> Result<EndpointState, WireError> {
+/// Decodes the state of an endpoint.
+pub fn endpoint_state(word: &str) -> Result<EndpointState, WireError> {
     match word {
         "up" => Ok(EndpointState::Up),
         "draining" => Ok(EndpointState::Draining),
         "removed" => Ok(EndpointState::Removed),
-        _ => Err(unknown("Health", word)),
+        _ => Err(unknown_word("Health", word)),
     }
 }
 
-/// The outcome of an attempt.
+/// Decodes the outcome of an attempt.
 pub fn outcome(word: &str) -> Result<Outcome, WireError> {
     match word {
         "done" => Ok(Outcome::Served),
@@ -90,11 +90,11 @@
         "econnreset" => Ok(Outcome::Reset),
         "ecanceled" => Ok(Outcome::Cancelled),
         "skipped" => Ok(Outcome::NotSent),
-        _ => Err(unknown("Disposition", word)),
+        _ => Err(unknown_word("Disposition", word)),
     }
 }
 
-fn unknown(key: &'static str, word: &str) -> WireError {
+fn unknown_word(key: &'static str, word: &str) -> WireError {
     WireError::UnknownWord {
         key,
         word: word.to_owned(),
--- a/src/cli/agent.rs
+++ b/src/cli/agent.rs
@@ -12,12 +12,12 @@
 use crate::control::agent::status::{FleetStatusMessage, FrontStatusMessage};
 use crate::control::agent::supervisor::Phase;
 
-/// The longest time for a front to reach the phase that a command requires.
+/// Maximum time for a front to reach the phase that a command requires.
 const PHASE_TIMEOUT: Duration = Duration::from_secs(60);
-/// The pause between two requests for the status of the fronts.
+/// Pause between two requests for the status of the fronts.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Shows the status of all fronts of an agent.
+/// Prints a table with the status of all fronts of an agent.
 pub async fn show_status(agent: SocketAddr) -> Result<(), CliError> {
     println!(
         "{:<24} {:<9} {:>8} {:>7} {:>8}",
@@ -43,7 +43,7 @@
     run_command(agent, &name, FrontCommand::Resume).await
 }
 
-/// Restarts fronts one after another, each once the one before is ready. Without names these are
+/// Restarts fronts one after another, each once the previous one is ready. Without names, restarts
 /// all fronts that are not drained.
 pub async fn restart(agent: SocketAddr, mut names: Vec<String>) -> Result<(), CliError> {
     if names.is_empty() {
@@ -59,11 +59,11 @@
     Ok(())
 }
 
-/// Has the agent change the desired state of a front, and waits until the front is in the phase
-/// that results.
+/// Sends a command for a front to the agent, and waits until the front is in the phase that
+/// results from it.
 async fn run_command(agent: SocketAddr, name: &str, command: FrontCommand) -> Result<(), CliError> {
     let phase = command.resulting_phase().name();
-    let before = find(fetch_fronts(agent).await?, name);
+    let before = find_front(fetch_fronts(agent).await?, name);
     let before = before.ok_or_else(|| CliError::NoSuchFront(name.to_owned()))?;
     fetch(
         Service::Agent,
@@ -74,9 +74,9 @@
     .await?;
     let started = Instant::now();
     while started.elapsed() < PHASE_TIMEOUT {
-        let front = find(fetch_fronts(agent).await?, name);
+        let front = find_front(fetch_fronts(agent).await?, name);
         let front = front.ok_or_else(|| CliError::NoLongerDeclared(name.to_owned()))?;
-        // A front that is to restart is ready at first too.
+        // A front is also ready before its restart begins; a new start shows that it has restarted.
         let has_restarted = command != FrontCommand::Restart || front.starts != before.starts;
         if has_restarted && front.state == phase {
             println!("{name} is {phase}");
@@ -91,19 +91,19 @@
     })
 }
 
-/// The status of all fronts of an agent.
+/// Returns the status of all fronts of an agent.
 async fn fetch_fronts(agent: SocketAddr) -> Result<Vec<FrontStatusMessage>, CliError> {
     let body = fetch(Service::Agent, agent, Method::GET, "/fronts").await?;
     let status: FleetStatusMessage = parse(Service::Agent, body)?;
     Ok(status.fronts)
 }
 
-/// The status of the front `name`.
-fn find(fronts: Vec<FrontStatusMessage>, name: &str) -> Option<FrontStatusMessage> {
+/// Returns the status of the front `name`, if it is among `fronts`.
+fn find_front(fronts: Vec<FrontStatusMessage>, name: &str) -> Option<FrontStatusMessage> {
     fronts.into_iter().find(|front| front.name == name)
 }
 
-/// A count as text; a dash where there is none.
+/// Formats a count; returns a dash for `None`.
 fn format_count(count: Option<u64>) -> String {
     count.map_or("-".to_owned(), |count| count.to_string())
 }
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -11,15 +11,16 @@
 use crate::control::http_client::{call, CallTimeouts};
 use crate::control::json_object;
 
-/// The longest time for each step of a call.
+/// Maximum duration of each step of a call.
 const STEP_TIMEOUT: Duration = Duration::from_secs(5);
-/// The timeouts of a call until its response begins.
+/// Timeouts of a call for the steps until its response begins.
 const CALL_TIMEOUTS: CallTimeouts = CallTimeouts {
     connect: STEP_TIMEOUT,
     response: STEP_TIMEOUT,
 };
 
-/// The body of the response to a call.
+/// Calls a service and returns the body of its response. A status other than 200, or 202 from an
+/// agent, is an error.
 pub async fn fetch(
     service: Service,
     address: SocketAddr,
@@ -39,16 +40,16 @@
         _ => Err(CliError::Rejected {
             service,
             address,
-            message: message(service, &body),
+            message: error_message(service, &body),
         }),
     }
 }
 
-/// The message in the body of an error response.
-fn message(service: Service, body: &[u8]) -> String {
+/// Returns the message in the body of an error response.
+fn error_message(service: Service, body: &[u8]) -> String {
     let text = String::from_utf8_lossy(body);
     match service {
-        // A console ends its messages with a line end.
+        // A console ends its messages with a newline.
         Service::Console => text.trim().to_owned(),
         Service::Agent => text.into_owned(),
     }
@@ -59,8 +60,8 @@
     json_object::parse(&mut body).map_err(|source| CliError::InvalidResponse { service, source })
 }
 
-/// What a front's console returns for `path`. For JSON output it is printed as it is, and `None`
-/// returned.
+/// Fetches `path` from the console of a front. For JSON output, prints the response unchanged and
+/// returns `None`; otherwise returns the decoded response.
 pub async fn fetch_from_console<T: DeserializeOwned>(
     console: SocketAddr,
     path: &str,
@@ -74,7 +75,7 @@
     parse(Service::Console, body).map(Some)
 }
 
-/// A duration in milliseconds as text in seconds; a dash where there is none.
+/// Formats a duration given in milliseconds as seconds; returns a dash for `None`.
 pub fn format_seconds(milliseconds: Option<i64>) -> String {
     milliseconds.map_or("-".to_owned(), |milliseconds| {
         format!("{:.1} s", milliseconds as f64 / 1e3)
--- a/src/cli/ejections.rs
+++ b/src/cli/ejections.rs
@@ -10,27 +10,27 @@
 use crate::cli::client::{fetch_from_console, format_seconds};
 use crate::cli::error::CliError;
 
-/// The part of the response to `GET /status/verdicts` that is shown.
+/// The fields of the response to `GET /status/verdicts` that the commands show.
 #[derive(Deserialize)]
 struct EjectionsStatus {
-    /// The name of the front.
+    /// The name of the front that responds.
     name: String,
-    /// Ejections, effective or proposed.
+    /// All ejections known to the front, effective or proposed.
     #[serde(rename = "verdicts")]
     ejections: Vec<EjectionStatus>,
-    /// How many chunk servers there are.
+    /// The number of chunk servers.
     #[serde(rename = "servers", default)]
     server_count: u64,
-    /// The most chunk servers for whose ejection this front may vote.
+    /// The maximum number of chunk servers for whose ejection this front may vote.
     #[serde(rename = "most_assents", default)]
     max_votes: u64,
-    /// How many votes an ejection requires.
+    /// The number of votes that an ejection requires.
     #[serde(rename = "needed", default)]
     quorum: u64,
     /// Whether what this front observes contradicts its peers.
     #[serde(rename = "suspect", default)]
     is_suspect: bool,
-    /// What each front observes; only in the status of a single server.
+    /// What each front observes; present only in the status of a single server.
     #[serde(rename = "saw")]
     observations: Option<Vec<ObservationStatus>>,
 }
@@ -39,12 +39,12 @@
 #[derive(Deserialize)]
 struct EjectionStatus {
     server: String,
-    /// Which requests it concerns.
+    /// The requests that the ejection concerns.
     scope: String,
-    /// How long it has been effective, in milliseconds; `None` where it is only proposed.
+    /// How long the ejection has been effective, in milliseconds; `None` if it is only proposed.
     #[serde(rename = "out_ms")]
     ejected_ms: Option<i64>,
-    /// How long it lasts if no vote is renewed, in milliseconds.
+    /// The time until the ejection expires unless a vote is renewed, in milliseconds.
     #[serde(rename = "lapses_ms")]
     expires_in_ms: Option<i64>,
     /// The name of the front that probes the server.
@@ -70,18 +70,20 @@
     #[serde(rename = "bad", default)]
     failures: f64,
     age_ms: Option<i64>,
-    /// Whether it counts: it does not where it contradicts those of the other fronts.
+    /// `Some(false)` if the observation is ignored because it contradicts those of the other
+    /// fronts.
     counts: Option<bool>,
 }
 
 impl EjectionStatus {
-    /// Whether the server is ejected, rather than proposed for ejection.
+    /// Returns whether the server is ejected, rather than only proposed for ejection.
     fn is_effective(&self) -> bool {
         self.ejected_ms.is_some()
     }
 }
 
-/// Shows all ejections known to a front; those that are not yet effective are in brackets.
+/// Prints a table of all ejections known to a front. The scope of an ejection that is only proposed
+/// is in parentheses.
 pub async fn show(console: SocketAddr, output: OutputFormat) -> Result<(), CliError> {
     let status = fetch_from_console(console, "/status/verdicts", output).await?;
     let Some(status): Option<EjectionsStatus> = status else {
@@ -106,7 +108,7 @@
     Ok(())
 }
 
-/// Prints the row of an ejection.
+/// Prints the table row of an ejection.
 fn print_row(ejection: &EjectionStatus) {
     let server = &ejection.server;
     let scope = if ejection.is_effective() {
@@ -125,8 +127,8 @@
     println!("{server:<20} {scope:<22} {since:>9} {expires_in:>9} {votes:>8}  {prober}");
 }
 
-/// Explains the state of one chunk server: its ejections with their votes, and what each front
-/// observes.
+/// Prints the state of one chunk server: its ejections with their votes, and what each front
+/// observes of it.
 pub async fn explain(
     server: String,
     console: SocketAddr,
@@ -154,7 +156,7 @@
     Ok(())
 }
 
-/// Explains an ejection, effective or proposed, for which `quorum` votes are required.
+/// Prints the details of an ejection, effective or proposed, which requires `quorum` votes.
 fn print_explanation(server: &str, ejection: &EjectionStatus, quorum: u64) {
     let scope = &ejection.scope;
     if ejection.is_effective() {
@@ -171,7 +173,7 @@
     println!("  assents ({quorum} are needed): {votes}");
 }
 
-/// The votes for an ejection as text.
+/// Formats the votes for an ejection, each with its age.
 fn format_votes(votes: &[VoteStatus]) -> String {
     if votes.is_empty() {
         return "none".to_owned();
@@ -183,7 +185,7 @@
     votes.join(", ")
 }
 
-/// Prints what one front observes of a chunk server.
+/// Prints the table row of what one front observes of a chunk server.
 fn print_observation(observation: &ObservationStatus) {
     let front = &observation.front;
     let attempts = observation.attempts;
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the command line, as its users see them.
+//! Errors that the command line reports to its users.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -47,36 +47,36 @@
     /// The runtime cannot start.
     #[error(transparent)]
     Runtime(#[from] RuntimeError),
-    /// Neither a file nor etcd is given to an agent.
+    /// The agent was given neither a declaration file nor the address of etcd.
     #[error("where the fronts are declared is missing")]
     NoDeclarationSource,
-    /// The service does not respond.
+    /// The call to the service failed before its response began.
     #[error("the {service} at {address}: {source}")]
     NoResponse {
-        /// The service.
+        /// The service that was called.
         service: Service,
-        /// Its address.
+        /// The address that was called.
         address: SocketAddr,
         /// Why there is no response.
         source: HttpError,
     },
-    /// The body of the response does not arrive.
+    /// The body of the response could not be read.
     #[error(transparent)]
     Body(#[from] HttpError),
-    /// The service responds with an error.
+    /// The service responded with an error status.
     #[error("the {service} at {address}: {message}")]
     Rejected {
-        /// The service.
+        /// The service that was called.
         service: Service,
-        /// Its address.
+        /// The address that was called.
         address: SocketAddr,
-        /// The body of its response.
+        /// The message in the body of the response.
         message: String,
     },
     /// The response is not JSON, or a value in it is missing or invalid.
     #[error("the {service}'s answer: {source}")]
     InvalidResponse {
-        /// The service.
+        /// The service that responded.
         service: Service,
         /// What is wrong with the response.
         source: JsonObjectError,
@@ -87,14 +87,14 @@
     /// The agent's declarations no longer name the front.
     #[error("{0} is no longer declared")]
     NoLongerDeclared(String),
-    /// The front has not reached the phase that the command asks for in time.
+    /// The front did not reach the phase that the command requires in time.
     #[error("{name} is not {phase} after {seconds} s")]
     NotInPhase {
-        /// The name of the front.
+        /// The front that the command was for.
         name: String,
-        /// The name of the phase.
+        /// The phase that the command requires.
         phase: &'static str,
-        /// How long the command waited.
+        /// How long the command waited, in seconds.
         seconds: u64,
     },
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: parses the arguments and runs the command that they name.
 
 mod agent;
 mod arguments;
@@ -21,7 +21,7 @@
 use crate::telemetry::log::log;
 use crate::{control, front, object};
 
-/// The exit code after an error, which is also that of bad usage.
+/// Exit code after an error; the same as for invalid arguments.
 const EXIT_ERROR: u8 = 2;
 
 /// Runs the program. Any error is logged as one line and ends the program with exit code 2.
@@ -35,7 +35,7 @@
     }
 }
 
-/// Carries out a command; without one, runs a front of the platform.
+/// Runs a command; without one, runs a front of the platform.
 fn run(command: Option<Command>) -> Result<(), CliError> {
     match command {
         None => Ok(front::run(Config::from_env()?)?),
@@ -64,7 +64,7 @@
     }
 }
 
-/// Where the agent is to find the declarations.
+/// Returns the source from which the agent reads the declarations of its fronts.
 fn declaration_source(source: DeclarationSource, prefix: String) -> Result<Source, CliError> {
     match (source.file, source.etcd) {
         (Some(file), _) => Ok(Source::File(file)),
--- a/src/cli/peers.rs
+++ b/src/cli/peers.rs
@@ -1,4 +1,4 @@
-//! The command `peers`: a front's view of its peers.
+//! The command `peers`, which shows a front's view of its peers.
 
 use std::net::SocketAddr;
 
@@ -8,8 +8,8 @@
 use crate::cli::client::fetch_from_console;
 use crate::cli::error::CliError;
 
-/// The part of the response to `GET /status/peers` that is shown. Fronts of earlier versions leave
-/// some of it out.
+/// The fields of the response to `GET /status/peers` that the command shows. Fronts of earlier
+/// versions omit some of them.
 #[derive(Deserialize)]
 struct PeersStatus {
     name: String,
@@ -21,12 +21,12 @@
     limits: Vec<LimitStatus>,
     #[serde(default)]
     just_started: bool,
-    /// Whether other fronts have another roster of the same revision.
+    /// Whether other fronts have a different membership list with the same revision.
     #[serde(rename = "other_roster", default)]
-    has_conflicting_roster: bool,
+    has_conflicting_membership_list: bool,
     #[serde(rename = "standing_back", default)]
     is_suspended: bool,
-    /// Whether every front in the roster is known to have adopted it.
+    /// Whether every front in the membership list is known to have adopted it.
     #[serde(rename = "settled", default)]
     is_settled: bool,
 }
@@ -38,13 +38,13 @@
     #[serde(rename = "belief")]
     status: String,
     version: Option<String>,
-    /// The time since the peer was last heard, in milliseconds.
+    /// The time since this front last heard from the peer, in milliseconds.
     silent_ms: Option<i64>,
-    /// The names of the fronts that hear the peer.
+    /// The names of the fronts that hear from the peer.
     heard_by: Vec<String>,
     /// The incarnation of a second process with the peer's name.
     #[serde(rename = "second_process")]
-    conflicting: Option<String>,
+    conflicting_incarnation: Option<String>,
     /// The fraction of the limits that this front grants to the peer.
     #[serde(rename = "lent", default)]
     granted: f64,
@@ -61,7 +61,7 @@
     share: f64,
 }
 
-/// Shows a front's view of its peers, and which shares of the limits it has.
+/// Prints a front's view of its peers, and its shares of the limits.
 pub async fn show(console: SocketAddr, output: OutputFormat) -> Result<(), CliError> {
     let status = fetch_from_console(console, "/status/peers", output).await?;
     let Some(status): Option<PeersStatus> = status else {
@@ -79,7 +79,7 @@
     Ok(())
 }
 
-/// Prints the row of a peer.
+/// Prints the table row of a peer.
 fn print_peer(peer: &PeerStatus) {
     let silent = match peer.silent_ms {
         Some(milliseconds) => format!("{milliseconds} ms"),
@@ -96,19 +96,19 @@
     );
 }
 
-/// On what the front bases its view of a peer.
+/// Returns the evidence on which the front bases its view of a peer.
 fn evidence(peer: &PeerStatus) -> Vec<String> {
     let mut evidence = Vec::new();
     if !peer.heard_by.is_empty() {
         evidence.push(format!("heard by {}", peer.heard_by.join(", ")));
     }
-    if let Some(incarnation) = &peer.conflicting {
+    if let Some(incarnation) = &peer.conflicting_incarnation {
         evidence.push(format!("a second process has its name: boot {incarnation}"));
     }
     evidence
 }
 
-/// Prints the leases that the front issues, and its shares of the limits.
+/// Prints the fronts whose leases this front issues, and its shares of the limits.
 fn print_limits(status: &PeersStatus) {
     println!(
         "this front: {}, holds the banks of: {}",
@@ -121,12 +121,12 @@
     }
 }
 
-/// Prints the conditions under which the front uses less than its shares.
+/// Prints those current conditions under which the front uses less than its shares.
 fn print_conditions(status: &PeersStatus) {
     if status.just_started {
         println!("it has just started, and uses nothing of its own yet");
     }
-    if status.has_conflicting_roster {
+    if status.has_conflicting_membership_list {
         println!(
             "other fronts run with another roster of its revision, and it uses no shared limit"
         );
