--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -48,7 +48,7 @@
     #[error(transparent)]
     Runtime(#[from] RuntimeError),
     /// The agent was given neither a declaration file nor the address of etcd.
-    #[error("where the fronts are declared is missing")]
+    #[error("no source of front declarations: --file or --etcd is required")]
     NoDeclarationSource,
     /// The call to the service failed before its response began.
     #[error("the {service} at {address}: {source}")]
@@ -74,7 +74,7 @@
         message: String,
     },
     /// The response is not JSON, or a value in it is missing or invalid.
-    #[error("the {service}'s answer: {source}")]
+    #[error("invalid response from the {service}: {source}")]
     InvalidResponse {
         /// The service that responded.
         service: Service,
