--- a/src/cluster/peers/state.rs
+++ b/src/cluster/peers/state.rs
@@ -28,7 +28,7 @@
 pub(super) struct Moment {
     /// By the clock of the fleet's state machines.
     pub now: Nanos,
-    /// By the clock of the decision module.
+    /// The present time by the clock of the decision module, for the fleet updates sent to it.
     pub module_now: Nanos,
 }
 
--- a/src/control/agent/supervisor.rs
+++ b/src/control/agent/supervisor.rs
@@ -129,7 +129,7 @@
 
 /// Keeps the process of one front in its desired state.
 pub struct Supervisor {
-    /// The name of the front.
+    /// The name of the supervised front, for log lines.
     name: String,
     /// The desired state of the front. The supervisor ends when the sender is dropped.
     desired: watch::Receiver<DesiredState>,
